--- a/rig/src/disk.rs
+++ b/rig/src/disk.rs
@@ -1,24 +1,24 @@
 //! A disk in virtual time: saves become durable after a while, in order, and
 //! a crash loses those that were not.
 
-use sorreldoor::agree::{Ms, Save};
-use sorreldoor::store::Mirror;
+use sorreldoor::consensus::{Millis, Save};
+use sorreldoor::store::DurableState;
 use std::collections::VecDeque;
 
 pub struct Disk {
-    pub kept: Mirror,
-    pub sync_ms: Ms,
+    pub kept: DurableState,
+    pub sync_ms: Millis,
     pub stuck: bool,
     unsynced: VecDeque<(u64, Save)>,
-    busy_until: Ms,
-    next_until: Ms,
+    busy_until: Millis,
+    next_until: Millis,
     first_seq: u64,
 }
 
 impl Default for Disk {
     fn default() -> Disk {
         Disk {
-            kept: Mirror::default(),
+            kept: DurableState::default(),
             sync_ms: 1,
             stuck: false,
             unsynced: VecDeque::new(),
@@ -36,7 +36,7 @@
     }
 
     /// Take a save in; when it will be durable.
-    pub fn queue(&mut self, seq: u64, save: Save, now: Ms) -> Ms {
+    pub fn queue(&mut self, seq: u64, save: Save, now: Millis) -> Millis {
         self.unsynced.push_back((seq, save));
         // what comes during a sync is synced together by the next one
         if now >= self.busy_until {
--- a/rig/src/emul/breach.rs
+++ b/rig/src/emul/breach.rs
@@ -1,11 +1,11 @@
 //! The product's table with one of its rules broken, to show that a check can fail.
 
 use super::policy::{Breach, Policy};
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::problem::Problem;
 use sorreldoor::proxy::table::{Heard, Pick, Rid, Table};
 use sorreldoor::proxy::Asked;
-use sorreldoor::roster::Roster;
+use sorreldoor::registry::WorkerRegistry;
 use sorreldoor::setup::hosted::{Hosted, Route};
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -29,16 +29,16 @@
 }
 
 impl Policy for Breaker {
-    fn begin(&mut self, path: &str, asked: Asked, now: Ms) -> Result<Rid, Problem> {
+    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<Rid, Problem> {
         Policy::begin(&mut self.t, path, asked, now)
     }
-    fn pick(&mut self, rid: Rid, now: Ms) -> Pick {
+    fn pick(&mut self, rid: Rid, now: Millis) -> Pick {
         if self.b == Breach::Mute {
             return Pick::Wait(20);
         }
         self.t.pick(rid, now)
     }
-    fn heard(&mut self, rid: Rid, h: Heard, now: Ms) {
+    fn heard(&mut self, rid: Rid, h: Heard, now: Millis) {
         let h = match h {
             Heard::Broke if self.b == Breach::Twice => Heard::NotRun(None),
             h => h,
@@ -48,10 +48,10 @@
         }
         self.t.heard(rid, h, now);
     }
-    fn pulse(&mut self, rid: Rid, now: Ms) {
+    fn pulse(&mut self, rid: Rid, now: Millis) {
         self.t.pulse(rid, now);
     }
-    fn may_move(&mut self, rid: Rid, silent: Ms, now: Ms) -> bool {
+    fn may_move(&mut self, rid: Rid, silent: Millis, now: Millis) -> bool {
         let stays = match self.b {
             Breach::Stay => true,
             Breach::StayBegun => self.begun.contains(&rid),
@@ -59,20 +59,20 @@
         };
         !stays && self.t.may_move(rid, silent, now)
     }
-    fn end(&mut self, rid: Rid, now: Ms) {
+    fn end(&mut self, rid: Rid, now: Millis) {
         self.begun.remove(&rid);
         self.t.end(rid, now);
     }
-    fn woken(&mut self, now: Ms) -> Vec<Rid> {
+    fn woken(&mut self, now: Millis) -> Vec<Rid> {
         self.t.woken(now)
     }
-    fn deadline(&self, rid: Rid) -> Ms {
+    fn deadline(&self, rid: Rid) -> Millis {
         self.t.deadline(rid)
     }
     fn route(&self, rid: Rid) -> Option<Route> {
         self.t.route(rid).cloned()
     }
-    fn take_hosted(&mut self, h: Arc<Hosted>, now: Ms) {
+    fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis) {
         if self.b == Breach::Routes && std::mem::replace(&mut self.had, true) {
             return;
         }
@@ -85,14 +85,14 @@
         }
         self.t.take_hosted(Arc::new(own), now);
     }
-    fn take_roster(&mut self, r: &Roster, now: Ms) {
+    fn take_registry(&mut self, r: &WorkerRegistry, now: Millis) {
         let mut own = r.clone();
         if self.b == Breach::Drains {
             own.workers.iter_mut().for_each(|w| w.leaving = false);
         }
-        self.t.take_roster(&own, now);
+        self.t.take_registry(&own, now);
     }
-    fn take_emptied(&mut self, zones: Vec<u16>, now: Ms) {
+    fn take_emptied(&mut self, zones: Vec<u16>, now: Millis) {
         if self.b != Breach::Zones {
             self.t.take_emptied(zones, now);
         }
--- a/rig/src/emul/check.rs
+++ b/rig/src/emul/check.rs
@@ -43,7 +43,7 @@
     /// The caller's patience is over: by then a node has sent it, or refused it.
     pub(super) fn judge_held(&mut self, t: usize) {
         let x = &self.tries[t];
-        // why: one that comes with less time than this may be let go by its caller
+        // one that comes with less time than this may be let go by its caller
         let least = us(self.class(t).aim_ms as f64 / 4.0 + 50.0);
         if x.sends == 0 && self.now > x.sent + least && self.in_touch(x.node, self.now) {
             let (c, ms) = (&self.class(t).name, x.sent / 1000);
--- a/rig/src/emul/client.rs
+++ b/rig/src/emul/client.rs
@@ -122,7 +122,7 @@
     fn parts(&mut self, class: usize, c: &ClassMix) -> Vec<Part> {
         let mut out = Vec::new();
         let mut thing = 0u64;
-        // why: the deepest part decides, and those before it hang on it
+        // the deepest part decides, and those before it hang on it
         let n = c.parts.last().map_or(0, |p| p.things.max(1));
         if let Some(p) = c.parts.last() {
             let u = unit(&mut self.asking);
@@ -174,7 +174,7 @@
             if self.nodes[n].up {
                 break n;
             }
-            // why: nothing listens there, and the caller knows at once
+            // nothing listens there, and the caller knows at once
             failed.push(n);
             at += 2 * us(self.mix.client_ms);
         };
--- a/rig/src/emul/engine.rs
+++ b/rig/src/emul/engine.rs
@@ -191,7 +191,7 @@
             let held: Vec<u64> = t.parts[..n].iter().map(|x| x.id).collect();
             held.iter().for_each(|id| self.hold(*id));
             let rest: u32 = t.parts[n..].iter().map(|x| x.tokens).sum();
-            // why: even a prompt kept whole is read to its last token
+            // even a prompt kept whole is read to its last token
             let unread = (rest + t.from + t.made).max(1);
             while !self.make_room(u64::from(unread) + 1) {
                 match self.least(Some(p)) {
@@ -295,7 +295,7 @@
             let t = u64::from(p.tokens);
             self.run[i].own -= t.min(self.run[i].own);
             match self.kept.entry(p.id) {
-                // why: another read the same meanwhile, and one copy is enough
+                // another read the same meanwhile, and one copy is enough
                 Entry::Occupied(_) => self.used -= t,
                 Entry::Vacant(v) => {
                     v.insert(Keep {
--- a/rig/src/emul/mod.rs
+++ b/rig/src/emul/mod.rs
@@ -29,7 +29,7 @@
 use crate::rand::Rand;
 use client::{Ask, ToClient, Try};
 use node::{Node, Send};
-use sorreldoor::roster::Roster;
+use sorreldoor::registry::WorkerRegistry;
 use sorreldoor::setup::hosted::Hosted;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
@@ -63,7 +63,7 @@
 #[derive(Clone)]
 pub(crate) enum News {
     Hosted(Arc<Hosted>),
-    Roster(Arc<Roster>),
+    WorkerRegistry(Arc<WorkerRegistry>),
     Emptied(Vec<u16>),
     Nodes(Vec<(String, u16)>),
 }
@@ -147,7 +147,7 @@
     pub(crate) asks: Vec<Ask>,
     pub(crate) tries: Vec<Try>,
     pub(crate) sends: Vec<Send>,
-    pub(crate) roster: Arc<Roster>,
+    pub(crate) registry: Arc<WorkerRegistry>,
     /// Configurations with the time of their acknowledgement.
     pub(crate) versions: Vec<(Us, Arc<Hosted>)>,
     pub(crate) emptied: Vec<u16>,
@@ -186,7 +186,7 @@
             asks: Vec::new(),
             tries: Vec::new(),
             sends: Vec::new(),
-            roster: Arc::default(),
+            registry: Arc::default(),
             versions: Vec::new(),
             emptied: Vec::new(),
             evacs: Vec::new(),
@@ -271,7 +271,7 @@
         if let Some((n, life)) = self.target(&ev) {
             let x = &self.nodes[n];
             if x.up && x.frozen > self.now {
-                // why: a frozen machine's sockets hold what came meanwhile
+                // a frozen machine's sockets hold what came meanwhile
                 let at = x.frozen;
                 return self.push(at, ev);
             }
--- a/rig/src/emul/news.rs
+++ b/rig/src/emul/news.rs
@@ -5,7 +5,7 @@
 use super::policy::HOST;
 use super::*;
 use sorreldoor::proxy::table::{Bounds, Place};
-use sorreldoor::roster::Worker;
+use sorreldoor::registry::Worker;
 use sorreldoor::setup::hosted::{Engine as Conf, Kind, Route, Service};
 
 impl World {
@@ -80,12 +80,12 @@
             leaves_ms: w.leaves.map(|t| t.saturating_sub(now) / 1000),
             version: String::new(),
         };
-        let r = Roster {
-            serial: self.roster.serial + 1,
+        let r = WorkerRegistry {
+            serial: self.registry.serial + 1,
             workers: self.workers.iter().filter(|w| w.listed).map(row).collect(),
         };
-        self.roster = Arc::new(r);
-        self.spread(News::Roster(self.roster.clone()));
+        self.registry = Arc::new(r);
+        self.spread(News::WorkerRegistry(self.registry.clone()));
     }
 
     pub(super) fn lay_nodes(&mut self) {
@@ -145,7 +145,7 @@
     fn tell(&mut self, i: usize, n: News) {
         let ms = self.mix.news_ms;
         let at = self.now + us((ms + self.rng.below(ms + 1)) as f64);
-        // why: a node's session brings news in the order that they were made
+        // a node's session brings news in the order that they were made
         let x = &mut self.nodes[i];
         x.news = x.news.max(at);
         let (at, life) = (x.news, x.life);
@@ -159,7 +159,7 @@
         if let Some((_, h)) = self.versions.last().cloned() {
             self.tell(i, News::Hosted(h));
         }
-        self.tell(i, News::Roster(self.roster.clone()));
+        self.tell(i, News::WorkerRegistry(self.registry.clone()));
         self.tell(i, News::Emptied(self.emptied.clone()));
         self.tell(i, News::Nodes(self.named()));
     }
@@ -190,9 +190,9 @@
                 node.has.0 = true;
                 node.policy.take_hosted(h, now);
             }
-            News::Roster(r) => {
+            News::WorkerRegistry(r) => {
                 node.has.1 = true;
-                node.policy.take_roster(&r, now);
+                node.policy.take_registry(&r, now);
             }
             News::Emptied(z) => node.policy.take_emptied(z, now),
             News::Nodes(all) => node.policy.take_nodes(all),
--- a/rig/src/emul/policy.rs
+++ b/rig/src/emul/policy.rs
@@ -3,28 +3,28 @@
 
 use super::breach::Breaker;
 use super::simple::Simple;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::problem::Problem;
 use sorreldoor::proxy::table::{Bounds, Heard, Pick, Place, Rid, Table};
 use sorreldoor::proxy::Asked;
-use sorreldoor::roster::Roster;
+use sorreldoor::registry::WorkerRegistry;
 use sorreldoor::setup::hosted::{Hosted, Route};
 use std::sync::Arc;
 
 /// What a node asks of whoever decides; the table's own calls.
 pub trait Policy {
-    fn begin(&mut self, path: &str, asked: Asked, now: Ms) -> Result<Rid, Problem>;
-    fn pick(&mut self, rid: Rid, now: Ms) -> Pick;
-    fn heard(&mut self, rid: Rid, h: Heard, now: Ms);
-    fn may_move(&mut self, rid: Rid, silent: Ms, now: Ms) -> bool;
-    fn pulse(&mut self, rid: Rid, now: Ms);
-    fn end(&mut self, rid: Rid, now: Ms);
-    fn woken(&mut self, now: Ms) -> Vec<Rid>;
-    fn deadline(&self, rid: Rid) -> Ms;
+    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<Rid, Problem>;
+    fn pick(&mut self, rid: Rid, now: Millis) -> Pick;
+    fn heard(&mut self, rid: Rid, h: Heard, now: Millis);
+    fn may_move(&mut self, rid: Rid, silent: Millis, now: Millis) -> bool;
+    fn pulse(&mut self, rid: Rid, now: Millis);
+    fn end(&mut self, rid: Rid, now: Millis);
+    fn woken(&mut self, now: Millis) -> Vec<Rid>;
+    fn deadline(&self, rid: Rid) -> Millis;
     fn route(&self, rid: Rid) -> Option<Route>;
-    fn take_hosted(&mut self, h: Arc<Hosted>, now: Ms);
-    fn take_roster(&mut self, r: &Roster, now: Ms);
-    fn take_emptied(&mut self, zones: Vec<u16>, now: Ms);
+    fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis);
+    fn take_registry(&mut self, r: &WorkerRegistry, now: Millis);
+    fn take_emptied(&mut self, zones: Vec<u16>, now: Millis);
     fn take_nodes(&mut self, all: Vec<(String, u16)>);
     /// Requests under way, and those that wait.
     fn open(&self) -> (u64, u64);
@@ -33,40 +33,40 @@
 pub const HOST: &str = "emul.example";
 
 impl Policy for Table {
-    fn begin(&mut self, path: &str, asked: Asked, now: Ms) -> Result<Rid, Problem> {
+    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<Rid, Problem> {
         Table::begin(self, HOST, path, asked, now, now)
     }
-    fn pick(&mut self, rid: Rid, now: Ms) -> Pick {
+    fn pick(&mut self, rid: Rid, now: Millis) -> Pick {
         Table::pick(self, rid, now)
     }
-    fn heard(&mut self, rid: Rid, h: Heard, now: Ms) {
+    fn heard(&mut self, rid: Rid, h: Heard, now: Millis) {
         Table::heard(self, rid, h, now);
     }
-    fn may_move(&mut self, rid: Rid, silent: Ms, now: Ms) -> bool {
+    fn may_move(&mut self, rid: Rid, silent: Millis, now: Millis) -> bool {
         Table::may_move(self, rid, silent, now)
     }
-    fn pulse(&mut self, rid: Rid, now: Ms) {
+    fn pulse(&mut self, rid: Rid, now: Millis) {
         Table::pulse(self, rid, now);
     }
-    fn end(&mut self, rid: Rid, now: Ms) {
+    fn end(&mut self, rid: Rid, now: Millis) {
         Table::end(self, rid, now);
     }
-    fn woken(&mut self, now: Ms) -> Vec<Rid> {
+    fn woken(&mut self, now: Millis) -> Vec<Rid> {
         Table::woken(self, now)
     }
-    fn deadline(&self, rid: Rid) -> Ms {
+    fn deadline(&self, rid: Rid) -> Millis {
         Table::deadline(self, rid)
     }
     fn route(&self, rid: Rid) -> Option<Route> {
         Table::route(self, rid).cloned()
     }
-    fn take_hosted(&mut self, h: Arc<Hosted>, now: Ms) {
+    fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis) {
         Table::take_hosted(self, h, now);
     }
-    fn take_roster(&mut self, r: &Roster, now: Ms) {
-        Table::take_roster(self, r, now);
+    fn take_registry(&mut self, r: &WorkerRegistry, now: Millis) {
+        Table::take_registry(self, r, now);
     }
-    fn take_emptied(&mut self, zones: Vec<u16>, now: Ms) {
+    fn take_emptied(&mut self, zones: Vec<u16>, now: Millis) {
         Table::take_emptied(self, zones, now);
     }
     fn take_nodes(&mut self, all: Vec<(String, u16)>) {
--- a/rig/src/emul/relay.rs
+++ b/rig/src/emul/relay.rs
@@ -84,12 +84,12 @@
             Phase::Relay => c.gap,
             _ => c.pause,
         };
-        // why: a worker that speaks to others is slow, but not for twice as long
+        // a worker that speaks to others is slow, but not for twice as long
         let small = c.small && c.phase == Phase::Head;
         let slow = small || now >= c.since.saturating_add(2 * own);
         let silent = if slow { 0 } else { own };
         if c.phase == Phase::Relay && !c.stream {
-            // why: once its head is there a plain answer is waited for to the end
+            // once its head is there a plain answer is waited for to the end
         } else if self.nodes[n].policy.may_move(rid, silent, now) {
             return self.ended(sid, Heard::Broke);
         }
@@ -124,7 +124,7 @@
                 let Some(j) = self.nodes[s.node].jobs.get_mut(&s.rid) else {
                     return;
                 };
-                // why: what a worker repeats the caller has already
+                // what a worker repeats the caller has already
                 if no > j.last {
                     (j.last, j.head_sent) = (no, true);
                     self.to(s.attempt, ToClient::Event(no, s.worker));
@@ -175,7 +175,7 @@
                 Phase::Connect => Heard::NoConn,
                 _ => Heard::Left,
             };
-            // why: before the request has gone out there is nothing to leave
+            // before the request has gone out there is nothing to leave
             if h == Heard::Left {
                 self.heard(n, rid, h);
             }
--- a/rig/src/emul/simple.rs
+++ b/rig/src/emul/simple.rs
@@ -2,11 +2,11 @@
 
 use super::policy::{Policy, Rule, HOST};
 use crate::rand::Rand;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::problem::Problem;
 use sorreldoor::proxy::table::{Heard, Pick, Rid, Target};
 use sorreldoor::proxy::Asked;
-use sorreldoor::roster::{Roster, Worker};
+use sorreldoor::registry::{Worker, WorkerRegistry};
 use sorreldoor::setup::hosted::{Hosted, Route};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 struct Held {
     path: String,
-    deadline: Ms,
+    deadline: Millis,
     at: Option<usize>,
     tried: Vec<usize>,
     ran: bool,
@@ -97,7 +97,7 @@
 }
 
 impl Policy for Simple {
-    fn begin(&mut self, path: &str, asked: Asked, now: Ms) -> Result<Rid, Problem> {
+    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<Rid, Problem> {
         let r = self.found(path).ok_or(Problem::UnknownRoute)?;
         let deadline = now + asked.deadline_ms.unwrap_or(u64::MAX / 4).min(r.timeout_ms);
         self.next += 1;
@@ -115,7 +115,7 @@
         Ok(self.next)
     }
 
-    fn pick(&mut self, rid: Rid, now: Ms) -> Pick {
+    fn pick(&mut self, rid: Rid, now: Millis) -> Pick {
         let Some(mut h) = self.held.remove(&rid) else {
             return Pick::Refuse(Problem::GivenUp, 0);
         };
@@ -150,7 +150,7 @@
         p
     }
 
-    fn heard(&mut self, rid: Rid, h: Heard, _: Ms) {
+    fn heard(&mut self, rid: Rid, h: Heard, _: Millis) {
         let Some(r) = self.held.get_mut(&rid) else {
             return;
         };
@@ -171,22 +171,22 @@
         s.mine = s.mine.saturating_sub(1);
     }
 
-    fn may_move(&mut self, _: Rid, _: Ms, _: Ms) -> bool {
+    fn may_move(&mut self, _: Rid, _: Millis, _: Millis) -> bool {
         false
     }
 
-    fn pulse(&mut self, _: Rid, _: Ms) {}
+    fn pulse(&mut self, _: Rid, _: Millis) {}
 
-    fn end(&mut self, rid: Rid, now: Ms) {
+    fn end(&mut self, rid: Rid, now: Millis) {
         self.heard(rid, Heard::Left, now);
         self.held.remove(&rid);
     }
 
-    fn woken(&mut self, _: Ms) -> Vec<Rid> {
+    fn woken(&mut self, _: Millis) -> Vec<Rid> {
         Vec::new()
     }
 
-    fn deadline(&self, rid: Rid) -> Ms {
+    fn deadline(&self, rid: Rid) -> Millis {
         self.held.get(&rid).map_or(0, |h| h.deadline)
     }
 
@@ -194,11 +194,11 @@
         self.found(&self.held.get(&rid)?.path).cloned()
     }
 
-    fn take_hosted(&mut self, h: Arc<Hosted>, _: Ms) {
+    fn take_hosted(&mut self, h: Arc<Hosted>, _: Millis) {
         self.hosted = h;
     }
 
-    fn take_roster(&mut self, r: &Roster, _: Ms) {
+    fn take_registry(&mut self, r: &WorkerRegistry, _: Millis) {
         self.spots.iter_mut().for_each(|s| s.w = None);
         for w in &r.workers {
             let n = self.spots.len();
@@ -210,7 +210,7 @@
         }
     }
 
-    fn take_emptied(&mut self, zones: Vec<u16>, _: Ms) {
+    fn take_emptied(&mut self, zones: Vec<u16>, _: Millis) {
         self.emptied = zones;
     }
 
--- a/rig/src/emul/trouble.rs
+++ b/rig/src/emul/trouble.rs
@@ -15,7 +15,7 @@
         let all = 0..self.workers.len();
         let mut all: Vec<usize> = all.filter(|i| fit(&self.workers[*i])).collect();
         let mut out = Vec::new();
-        // why: some worker must be left, or there is nothing to compare
+        // some worker must be left, or there is nothing to compare
         while out.len() < n as usize && all.len() > 1 {
             let i = self.rng.below(all.len() as u64) as usize;
             out.push(all.swap_remove(i));
@@ -80,7 +80,7 @@
                 for i in self.some(t.service, t.count) {
                     let ms = self.mix.services[t.service].warmup_ms;
                     let to = self.now + us(ms as f64);
-                    // why: nodes know of it only once the list has told them
+                    // nodes know of it only once the list has told them
                     let told = self.now + us(2.0 * self.mix.news_ms as f64 + 200.0);
                     self.workers[i].cold.push((told.min(to), to));
                 }
--- a/rig/src/emul/worker.rs
+++ b/rig/src/emul/worker.rs
@@ -143,7 +143,7 @@
             w.lately.pop_front();
         }
         let cold = w.cold.iter().any(|(a, b)| (*a..*b).contains(&now));
-        // why: it falls over at well above what the bound lets through
+        // it falls over at well above what the bound lets through
         cold && per_s > 0.0 && w.lately.len() as f64 > per_s * 2.5 + 10.0
     }
 
@@ -299,7 +299,7 @@
             return;
         }
         if self.workers[i].dark > self.now {
-            // why: what it leaves out here must not be followed by the rest
+            // what it leaves out here must not be followed by the rest
             self.sends[sid as usize].cut = true;
             return;
         }
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -8,7 +8,7 @@
 use async_std::task;
 use simd_json::prelude::*;
 use sorreldoor::http::{self, Broke, Call, Called};
-use sorreldoor::js::{self, Val};
+use sorreldoor::json::{self, Val};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -86,7 +86,7 @@
         cores: usize,
         with: impl FnOnce(&mut Fleet),
     ) -> Fleet {
-        // why: many fleets at once on one machine would measure the machine
+        // many fleets at once on one machine would measure the machine
         let turn = TURN.lock().unwrap_or_else(|p| p.into_inner());
         let mut f = task::block_on(Fleet::lay(root, shape, cores));
         f.turn = Some(turn);
@@ -224,7 +224,10 @@
 
     pub fn get(&self, i: usize, path: &str) -> Option<(u16, Val)> {
         let c = self.call(i, Call::get(path), Duration::from_secs(5)).ok()?;
-        Some((c.status, js::parse(&c.body, usize::MAX).unwrap_or_default()))
+        Some((
+            c.status,
+            json::parse(&c.body, usize::MAX).unwrap_or_default(),
+        ))
     }
 
     /// Wait until `f` holds; false when `most` has passed without it.
--- a/rig/src/hands.rs
+++ b/rig/src/hands.rs
@@ -14,7 +14,7 @@
             .open(self.root.join(format!("{}.log", n.name)))
             .expect("the fleet's folder can be written");
         let role = if n.core { "core" } else { "edge" };
-        // why: a write beyond a limit must fail, as on a full disk, not kill
+        // a write beyond a limit must fail, as on a full disk, not kill
         let mut run = Command::new("sh");
         run.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]);
         if self.tricky {
--- a/rig/src/hollow/cli.rs
+++ b/rig/src/hollow/cli.rs
@@ -104,7 +104,7 @@
 
 fn slopes(file: &Path, keys: &str, at: &Size) -> Result<(), String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    // why: a site whose frames are refused or which never stands has no slope
+    // a site whose frames are refused or which never stands has no slope
     let fine = |r: &Row| r.get("ready") == Some(&1.0) && r.get("refused") == Some(&0.0);
     let rows: Vec<Row> = read_rows(&text)?.into_iter().filter(fine).collect();
     let mut all: Vec<&String> = rows.iter().flat_map(|r| r.keys()).collect();
--- a/rig/src/hollow/core.rs
+++ b/rig/src/hollow/core.rs
@@ -1,18 +1,18 @@
-//! The cores of a hollow site: the real `Hub`, its disk, and what it is fed.
+//! The cores of a hollow site: the real `Controller`, its disk, and what it is fed.
 
 use super::{given, Act, Pending, Proc, Role, World};
 use crate::disk::Disk;
-use sorreldoor::agree::{Member, Pace};
-use sorreldoor::core::{Hub, HubEvent, HubFx, Start};
+use sorreldoor::consensus::{Member, Timing};
+use sorreldoor::core::{Controller, ControllerEffect, ControllerEvent, Start};
+use sorreldoor::pacing::Pacing;
 use sorreldoor::record::{Cmd, Outcome};
-use sorreldoor::roster;
+use sorreldoor::registry;
 use sorreldoor::seam::Reducer;
-use sorreldoor::thrift::Thrift;
 use sorreldoor::wire::{Hello, OpOutcome};
 use std::net::SocketAddr;
 
 pub struct Core {
-    pub hub: Hub,
+    pub controller: Controller,
     pub disk: Disk,
     promise: Option<Vec<Member>>,
     sure: bool,
@@ -20,24 +20,24 @@
 
 impl World {
     /// The one place where a core's reducer is made.
-    fn hub_of(&mut self, p: usize, boot: u64) -> Hub {
+    fn hub_of(&mut self, p: usize, boot: u64) -> Controller {
         let start = Start {
             me: self.hello(p, boot),
             site: self.site.clone(),
             seeds: self.seeds(),
             cores: self.size.cores,
             replace_ms: 30_000,
-            pace: Pace::for_ack(2000),
+            timing: Timing::for_ack(2000),
             seed: self.rng.draw(),
             promise: None,
             sure: false,
             most_claims: self.size.most_claims,
             bootstrap: true,
             grow: false,
-            thrift: Thrift::default(),
+            pacing: Pacing::default(),
             poll_ms: None,
         };
-        Hub::new(start, None, self.now)
+        Controller::new(start, None, self.now)
     }
 
     pub(super) fn hello(&self, p: usize, boot: u64) -> Hello {
@@ -60,9 +60,9 @@
     }
 
     pub(super) fn start_core(&mut self, p: usize, boot: u64) {
-        let hub = self.hub_of(p, boot);
+        let controller = self.hub_of(p, boot);
         self.procs[p].role = Role::Core(Box::new(Core {
-            hub,
+            controller,
             disk: Disk::default(),
             promise: None,
             sure: false,
@@ -70,16 +70,16 @@
         self.after(0, Act::Poll(p, boot));
     }
 
-    pub(super) fn hub_at(&self, p: usize) -> Option<&Hub> {
+    pub(super) fn hub_at(&self, p: usize) -> Option<&Controller> {
         match &self.procs[p].role {
-            Role::Core(c) => Some(&c.hub),
+            Role::Core(c) => Some(&c.controller),
             _ => None,
         }
     }
 
     pub(super) fn leader(&self) -> Option<usize> {
         let leads = |p: &usize| {
-            let a = self.hub_at(*p).and_then(|h| h.agree.as_ref());
+            let a = self.hub_at(*p).and_then(|h| h.consensus.as_ref());
             a.is_some_and(|a| a.leads_globally())
         };
         self.cores().find(leads)
@@ -91,21 +91,21 @@
     }
 
     /// One event through a core's reducer, its host time under `what`.
-    pub(super) fn hub(&mut self, p: usize, what: &'static str, ev: HubEvent) {
+    pub(super) fn controller(&mut self, p: usize, what: &'static str, ev: ControllerEvent) {
         let now = self.clock();
         let Proc { role, meter, .. } = &mut self.procs[p];
         let Role::Core(c) = role else { return };
-        let fx = meter.time(what, || c.hub.step(ev, now));
+        let fx = meter.time(what, || c.controller.step(ev, now));
         for f in fx {
             self.hub_fx(p, f);
         }
     }
 
-    fn hub_fx(&mut self, p: usize, f: HubFx) {
+    fn hub_fx(&mut self, p: usize, f: ControllerEffect) {
         let boot = self.procs[p].boot;
         let now = self.now;
         match f {
-            HubFx::Save(seq, save) => {
+            ControllerEffect::Save(seq, save) => {
                 let Role::Core(c) = &mut self.procs[p].role else {
                     return;
                 };
@@ -114,7 +114,7 @@
                 self.procs[p].meter.flow("disk", "own", "save", n);
                 self.at(at, Act::Saved(p, boot, seq));
             }
-            HubFx::Keep(what, b) => {
+            ControllerEffect::Keep(what, b) => {
                 if let Role::Core(c) = &mut self.procs[p].role {
                     match what {
                         "sure" => c.sure = true,
@@ -122,13 +122,13 @@
                     }
                 }
             }
-            HubFx::Send(conn, m) => self.send(p, conn, m),
-            HubFx::Dial(a) => self.dials(p, a),
-            HubFx::Undial(a) => self.undial(p, a),
-            HubFx::Close(c) => self.close(c),
-            HubFx::Done(rid, o) => self.done(rid, o),
-            // why: all of a round's answers come within the time one may take
-            HubFx::AskLoads(epoch, _) => self.after(200, Act::Rows(p, boot, epoch)),
+            ControllerEffect::Send(conn, m) => self.send(p, conn, m),
+            ControllerEffect::Dial(a) => self.dials(p, a),
+            ControllerEffect::Undial(a) => self.undial(p, a),
+            ControllerEffect::Close(c) => self.close(c),
+            ControllerEffect::Done(rid, o) => self.done(rid, o),
+            // all of a round's answers come within the time one may take
+            ControllerEffect::AskLoads(epoch, _) => self.after(200, Act::Rows(p, boot, epoch)),
             _ => {}
         }
     }
@@ -137,16 +137,16 @@
         if let Role::Core(c) = &mut self.procs[p].role {
             c.disk.synced(seq);
         }
-        self.hub(p, "saved", HubEvent::Saved(seq));
+        self.controller(p, "saved", ControllerEvent::Saved(seq));
     }
 
     /// The platform's list as the daemon polls and reads it.
     pub(super) fn poll(&mut self, p: usize, boot: u64) {
-        let (text, site) = (&self.roster, &self.site);
+        let (text, site) = (&self.registry, &self.site);
         let m = &mut self.procs[p].meter;
-        let r = m.time("parse", || roster::read_roster(text.as_bytes(), site));
+        let r = m.time("parse", || registry::read_registry(text.as_bytes(), site));
         m.flow("in", "platform", "workers", text.len());
-        self.hub(p, "roster", HubEvent::Roster(r));
+        self.controller(p, "registry", ControllerEvent::WorkerRegistry(r));
         self.after(500, Act::Poll(p, boot));
     }
 
@@ -162,10 +162,10 @@
         }
         let rows = m.time("parse", || {
             let all = texts.iter().enumerate();
-            all.filter_map(|(i, t)| roster::read_load(t.as_bytes(), &given::worker(i)).ok())
+            all.filter_map(|(i, t)| registry::read_load(t.as_bytes(), &given::worker(i)).ok())
                 .collect()
         });
-        self.hub(p, "loads", HubEvent::Loads { epoch, rows });
+        self.controller(p, "loads", ControllerEvent::Loads { epoch, rows });
     }
 
     /// An operator's change every so often, through any core.
@@ -186,7 +186,7 @@
 
     pub(super) fn propose(&mut self, c: Pending) {
         let p = self.rng.below(self.size.cores as u64) as usize;
-        let a = self.hub_at(p).and_then(|h| h.agree.as_ref());
+        let a = self.hub_at(p).and_then(|h| h.consensus.as_ref());
         let base = a.map_or(0, |a| a.machine().serial());
         let cmd = if base == 0 {
             let doc = given::setup(&self.size);
@@ -200,7 +200,7 @@
         };
         let (rid, pid) = (c.rid, u128::from(self.rng.draw()));
         self.pending.push(c);
-        self.hub(p, "change", HubEvent::Change { rid, pid, cmd });
+        self.controller(p, "change", ControllerEvent::Change { rid, pid, cmd });
     }
 
     fn done(&mut self, rid: u64, o: OpOutcome) {
@@ -213,7 +213,7 @@
                 self.pending[i].serial = Some(serial);
                 self.everywhere();
             }
-            // why: a faulty setup stays faulty; the report shows it as missing
+            // a faulty setup stays faulty; the report shows it as missing
             OpOutcome::Got(Outcome::Bad { .. }) => {
                 self.pending.remove(i);
             }
--- a/rig/src/hollow/fault.rs
+++ b/rig/src/hollow/fault.rs
@@ -1,11 +1,11 @@
 //! What befalls a hollow site, and how long it takes to come back.
 
 use super::{Act, Fault, Proc, Role, World};
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 
 /// How long regions stay parted, in milliseconds.
-const PARTED: Ms = 20_000;
-const MOST: Ms = 60_000;
+const PARTED: Millis = 20_000;
+const MOST: Millis = 60_000;
 
 /// How a fault went, in virtual milliseconds from when it began or ended.
 #[derive(Clone, Debug, Default)]
@@ -13,9 +13,9 @@
     /// Nodes that had to do without a permit.
     pub dark: usize,
     /// The longest that any node that was up had none.
-    pub longest: Ms,
+    pub longest: Millis,
     /// Until every node was ready again; none if it never was.
-    pub back: Option<Ms>,
+    pub back: Option<Millis>,
     /// Most bytes in one second over all cores, and in one before the fault.
     pub peak: u64,
     pub before: u64,
@@ -27,7 +27,7 @@
             return;
         }
         self.after(10, Act::Claim);
-        let due = |t: Ms| (self.size.claims * t as f64 / 1000.0) as u64;
+        let due = |t: Millis| (self.size.claims * t as f64 / 1000.0) as u64;
         for _ in due(self.now)..due(self.now + 10) {
             let p = self.size.cores + self.rng.below(self.size.nodes as u64) as usize;
             let o = match &mut self.procs[p].role {
@@ -97,7 +97,7 @@
             self.parted = false;
             from = self.now;
         } else {
-            // why: what is lost shows only once permits have run out
+            // what is lost shows only once permits have run out
             let end = self.now + 2500;
             self.until(end, |_| false);
         }
@@ -106,11 +106,11 @@
         }
         b.dark = self.procs.iter().filter(|q| q.dark > 100).count();
         b.longest = self.procs.iter().map(|q| q.dark).max().unwrap_or(0);
-        b.peak = self.peak(second + 1, Ms::MAX);
+        b.peak = self.peak(second + 1, Millis::MAX);
         b
     }
 
-    fn peak(&self, from: Ms, to: Ms) -> u64 {
+    fn peak(&self, from: Millis, to: Millis) -> u64 {
         let all = self.by_second.range(from..to.max(from));
         all.map(|(_, n)| *n).max().unwrap_or(0)
     }
--- a/rig/src/hollow/fit.rs
+++ b/rig/src/hollow/fit.rs
@@ -28,7 +28,7 @@
     let v = |k: &str| r.get(k).copied().unwrap_or(0.0);
     let (n, c, w, t) = (v("nodes"), v("cores").max(1.0), v("workers"), v("routes"));
     let (x, k) = (v("changes"), v("claims"));
-    // why: routes that no node tells of cost their setup only
+    // routes that no node tells of cost their setup only
     let told = t * v("told") / 100.0;
     vec![
         ("1", 1.0),
@@ -106,7 +106,7 @@
 
 fn attempt(cols: &[usize], all: &[Vec<f64>], y: &[f64]) -> Option<Try> {
     let top = y.iter().fold(0.0, |a: f64, b| a.max(b.abs()));
-    // why: small sites must count as much as large ones, or their share of a
+    // small sites must count as much as large ones, or their share of a
     // product would be lost in its noise
     let by: Vec<f64> = y.iter().map(|y| 1.0 / (y.abs() + top * 0.01)).collect();
     let a: Vec<Vec<f64>> = all
@@ -116,7 +116,7 @@
         .collect();
     let ys: Vec<f64> = y.iter().zip(&by).map(|(y, b)| y * b).collect();
     let slopes = solve(&a, &ys)?;
-    // why: nothing gets cheaper as it grows; a negative slope fits noise
+    // nothing gets cheaper as it grows; a negative slope fits noise
     if slopes.iter().any(|s| *s < 0.0) {
         return None;
     }
@@ -155,7 +155,7 @@
     let mut cols: Vec<usize> = Vec::new();
     let mut best: Option<Try> = None;
     let most = MOST_TERMS.min(rows.len().saturating_sub(1));
-    // why: a term may go and come again, but not for ever
+    // a term may go and come again, but not for ever
     for _ in 0..3 * MOST_TERMS {
         if cols.len() >= most {
             break;
@@ -178,7 +178,7 @@
                 best = Some(t);
             }
         }
-        // why: what stood in for a product before it came in explains nothing now
+        // what stood in for a product before it came in explains nothing now
         while let Some((i, t)) = spare(&cols, &all, &y, best.as_ref()) {
             cols.remove(i);
             best = Some(t);
--- a/rig/src/hollow/given.rs
+++ b/rig/src/hollow/given.rs
@@ -69,7 +69,7 @@
 }
 
 /// The platform's list, as its page gives it.
-pub fn roster(s: &Size, serial: u64) -> String {
+pub fn registry(s: &Size, serial: u64) -> String {
     let rows: Vec<String> = (0..s.workers)
         .map(|i| {
             let (a, b) = (i / 250, i % 250 + 1);
--- a/rig/src/hollow/lines.rs
+++ b/rig/src/hollow/lines.rs
@@ -4,20 +4,20 @@
 use super::meter::kind;
 use super::node::{Node, Out};
 use super::{Act, Proc, Role, World};
-use sorreldoor::agree::Ms;
-use sorreldoor::core::HubEvent;
+use sorreldoor::consensus::Millis;
+use sorreldoor::core::ControllerEvent;
 use sorreldoor::net::NetEvent;
 use sorreldoor::wire::{self, Payload};
 use std::net::SocketAddr;
 
 /// As the daemon's connections have it.
-const IDLE: Ms = 3000;
+const IDLE: Millis = 3000;
 const MARK: &str = "press";
 
 pub struct Line {
     /// The one that dialled comes first.
     ends: [(usize, u64); 2],
-    heard: [Ms; 2],
+    heard: [Millis; 2],
 }
 
 /// A frame on its way; what a hollow node reads need not be decoded again.
@@ -27,7 +27,7 @@
 }
 
 impl World {
-    fn delay(&self, a: usize, b: usize) -> Ms {
+    fn delay(&self, a: usize, b: usize) -> Millis {
         let same = self.procs[a].region == self.procs[b].region;
         if same {
             1
@@ -165,7 +165,7 @@
         }
         let hollow = matches!(&self.procs[t].role,
             Role::Node(n) if matches!(**n, Node::Hollow(_)));
-        // why: what a receiver would not take for its length must end here too
+        // what a receiver would not take for its length must end here too
         let body = if hollow && b.len() - 4 <= wire::MOST_FRAME {
             Body::Plain(Box::new(payload))
         } else {
@@ -205,7 +205,7 @@
 
     fn net(&mut self, p: usize, k: &'static str, n: NetEvent) {
         if p < self.size.cores {
-            return self.hub(p, k, HubEvent::Net(n));
+            return self.controller(p, k, ControllerEvent::Net(n));
         }
         let now = self.clock();
         let Proc { role, meter, .. } = &mut self.procs[p];
--- a/rig/src/hollow/meter.rs
+++ b/rig/src/hollow/meter.rs
@@ -1,7 +1,7 @@
 //! What a run cost: frames and bytes by kind, and host time by what it went
 //! into, kept for each process apart.
 
-use sorreldoor::agree::Msg;
+use sorreldoor::consensus::Msg;
 use sorreldoor::wire::{News, Payload};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -70,15 +70,15 @@
     match p {
         Payload::Renew { .. } => "renew",
         Payload::Grant { .. } => "grant",
-        Payload::Agree(Msg::Append { .. } | Msg::Holds { .. }) => "append",
-        Payload::Agree(_) => "agree",
+        Payload::Consensus(Msg::Append { .. } | Msg::AppendReply { .. }) => "append",
+        Payload::Consensus(_) => "agree",
         Payload::Sessions(_) => "sessions",
-        Payload::Roster(_) => "roster",
+        Payload::WorkerRegistry(_) => "registry",
         Payload::Loads(_) => "loads",
         Payload::Ping { .. } => "ping",
         Payload::Hello(_) | Payload::Founding(_) => "hello",
         Payload::Op { .. } | Payload::OpFind { .. } | Payload::OpDone { .. } => "op",
-        // why: what another branch adds must be counted as well, not break this
+        // what another branch adds must be counted as well, not break this
         _ => "claims",
     }
 }
@@ -93,8 +93,8 @@
         if let Some(v) = &n.record {
             out.push(("record", self.size("record", 0, (v.rev, v.serial), v)));
         }
-        if let Some(r) = &n.roster {
-            out.push(("roster", self.size("roster", 0, (r.serial, 0), r)));
+        if let Some(r) = &n.registry {
+            out.push(("registry", self.size("registry", 0, (r.serial, 0), r)));
         }
         if let Some(l) = &n.loads {
             out.push(("loads", self.size("loads", 0, l.mark(), l)));
@@ -112,7 +112,7 @@
         mark: (u64, u64),
         t: &T,
     ) -> usize {
-        // why: only the newest of each is asked for again
+        // only the newest of each is asked for again
         if self.0.len() > 256 {
             self.0.clear();
         }
--- a/rig/src/hollow/mod.rs
+++ b/rig/src/hollow/mod.rs
@@ -22,7 +22,7 @@
 use lines::{Body, Line};
 use meter::{Meter, Parts};
 use node::Node;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::seam::Now;
 use sorreldoor::setup::Site;
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,7 +64,7 @@
     /// Routes, in percent, of which a node tells what its errands took.
     pub told: usize,
     /// One way between regions, in milliseconds.
-    pub far: Ms,
+    pub far: Millis,
     /// Ids a core remembers at most, as the setting of that name.
     pub most_claims: usize,
     pub seed: u64,
@@ -110,8 +110,8 @@
     dials: BTreeSet<SocketAddr>,
     meter: Meter,
     /// When it last held a permit, and how long it had to do without.
-    lit: Ms,
-    dark: Ms,
+    lit: Millis,
+    dark: Millis,
 }
 
 /// What is due at a time.
@@ -135,30 +135,30 @@
 #[derive(Clone, Debug)]
 struct Pending {
     rid: u64,
-    since: Ms,
+    since: Millis,
     serial: Option<u64>,
 }
 
 pub struct World {
-    now: Ms,
+    now: Millis,
     size: Size,
     site: Arc<Site>,
     rng: Rand,
     procs: Vec<Proc>,
     lines: BTreeMap<u64, Line>,
     parts: Parts,
-    queue: BTreeMap<(Ms, u64), Act>,
+    queue: BTreeMap<(Millis, u64), Act>,
     count: u64,
-    roster: String,
+    registry: String,
     pending: Vec<Pending>,
     /// How long each change took to be acked, and to be everywhere.
-    acked: Vec<Ms>,
-    spread: Vec<Ms>,
+    acked: Vec<Millis>,
+    spread: Vec<Millis>,
     /// Frames that a receiver would not take for their length.
     refused: u64,
     parted: bool,
     /// Bytes by second of virtual time, over all cores.
-    by_second: BTreeMap<Ms, u64>,
+    by_second: BTreeMap<Millis, u64>,
 }
 
 impl World {
@@ -166,7 +166,7 @@
         let site = given::site(&size);
         let mut w = World {
             now: 0,
-            roster: given::roster(&size, 1),
+            registry: given::registry(&size, 1),
             rng: Rand::new(size.seed),
             site,
             size,
@@ -230,17 +230,17 @@
         }
     }
 
-    fn at(&mut self, at: Ms, a: Act) {
+    fn at(&mut self, at: Millis, a: Act) {
         self.count += 1;
         self.queue.insert((at.max(self.now), self.count), a);
     }
 
-    fn after(&mut self, ms: Ms, a: Act) {
+    fn after(&mut self, ms: Millis, a: Act) {
         self.at(self.now + ms, a);
     }
 
     /// Run until `end`, or until `f` holds at a whole tenth of a second.
-    fn until(&mut self, end: Ms, f: impl Fn(&World) -> bool) -> bool {
+    fn until(&mut self, end: Millis, f: impl Fn(&World) -> bool) -> bool {
         let mut look = self.now;
         while let Some((&(at, _), _)) = self.queue.first_key_value() {
             if at > end {
@@ -329,7 +329,7 @@
         let every = if p < self.size.cores { 10 } else { 20 };
         self.after(every, Act::Tick(p, boot));
         if p < self.size.cores {
-            return self.hub(p, "alarm", sorreldoor::core::HubEvent::Alarm);
+            return self.controller(p, "alarm", sorreldoor::core::ControllerEvent::Alarm);
         }
         self.outs(p, outs);
     }
--- a/rig/src/hollow/node.rs
+++ b/rig/src/hollow/node.rs
@@ -1,7 +1,7 @@
 //! An edge without its errands: the session's own half (`Pull`), hollow, or
 //! the whole reducer where its processor time and memory are to be measured.
 
-use sorreldoor::agree::{Ms, Noted};
+use sorreldoor::consensus::{Millis, Noted};
 use sorreldoor::edge::{Hall, HallEvent, HallFx};
 use sorreldoor::errand::Plan;
 use sorreldoor::net::{Conn, NetEvent};
@@ -35,7 +35,7 @@
 }
 
 /// How long a node serves on one renewal, in milliseconds, as the daemon has it.
-const PERMIT: Ms = 2000;
+const PERMIT: Millis = 2000;
 
 impl Node {
     pub fn new(me: Hello, seeds: &[SocketAddr], took: Vec<Took>, now: Now) -> Node {
@@ -75,7 +75,7 @@
         }
     }
 
-    pub fn permit(&self, now: Ms) -> bool {
+    pub fn permit(&self, now: Millis) -> bool {
         self.pull().permit(now)
     }
 
@@ -87,9 +87,9 @@
         }
     }
 
-    pub fn ready(&self, now: Ms) -> bool {
+    pub fn ready(&self, now: Millis) -> bool {
         let have = &self.pull().have;
-        self.permit(now) && self.serial() > 0 && have.roster > 0
+        self.permit(now) && self.serial() > 0 && have.registry > 0
     }
 
     /// Ask for an errand id, as an errand that may not be repeated does.
@@ -176,7 +176,7 @@
             PullFx::Dial(a) => self.out.push(Out::Dial(a)),
             PullFx::Undial(a) => self.out.push(Out::Undial(a)),
             PullFx::Renew { conn, no, unproven } => {
-                // why: at a few dozen errands a second no two renewals tell the same
+                // at a few dozen errands a second no two renewals tell the same
                 self.running = (self.running + 7) % 97;
                 self.took.iter_mut().for_each(|t| t.n += 1);
                 let have = self.pull.have.clone();
@@ -206,8 +206,8 @@
             have.record = v.rev;
             self.serial = self.serial.max(v.serial);
         }
-        if let Some(r) = n.roster {
-            have.roster = r.serial;
+        if let Some(r) = n.registry {
+            have.registry = r.serial;
         }
         if let Some(l) = n.loads {
             have.loads = l.mark();
--- a/rig/src/hollow/report.rs
+++ b/rig/src/hollow/report.rs
@@ -4,7 +4,7 @@
 use super::fault::Back;
 use super::meter::Meter;
 use super::{Act, Fault, Pending, Role, Row, Size, World};
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::record::encode;
 use std::ops::Range;
 use std::time::Instant;
@@ -46,7 +46,7 @@
     );
     w.account(&mut row);
     w.sizes(&mut row);
-    // why: a change asked for at the window's end still has its time
+    // a change asked for at the window's end still has its time
     let claims = std::mem::take(&mut w.size.claims);
     w.size.changes = 0.0;
     let end = w.now + 15_000;
@@ -57,7 +57,7 @@
         let b = w.befall();
         fault(&mut row, &b);
     }
-    // why: after a fault the heap tells of the fault, not of the size
+    // after a fault the heap tells of the fault, not of the size
     if size.fault == Fault::None {
         w.memory(&mut row, heap);
     }
@@ -166,7 +166,7 @@
         let Some(h) = self.cores().find_map(|p| self.hub_at(p)) else {
             return;
         };
-        if let Some(a) = &h.agree {
+        if let Some(a) = &h.consensus {
             let v = a.machine().view();
             put(
                 row,
@@ -175,8 +175,8 @@
             );
             put(row, "size.record", encode(&v).len() as f64);
         }
-        if let Some(r) = &h.roster {
-            put(row, "size.roster", encode(r).len() as f64);
+        if let Some(r) = &h.registry {
+            put(row, "size.registry", encode(r).len() as f64);
         }
         put(row, "size.loads", encode(&h.loads).len() as f64);
         let seats = h.all_seats();
@@ -185,8 +185,8 @@
     }
 
     fn changes(&self, row: &mut Row) {
-        let most = |v: &[Ms]| v.iter().max().copied().unwrap_or(0) as f64;
-        let mean = |v: &[Ms]| v.iter().sum::<Ms>() as f64 / v.len().max(1) as f64;
+        let most = |v: &[Millis]| v.iter().max().copied().unwrap_or(0) as f64;
+        let mean = |v: &[Millis]| v.iter().sum::<Millis>() as f64 / v.len().max(1) as f64;
         put(row, "change.taken", self.acked.len() as f64);
         put(row, "change.acked_mean_ms", mean(&self.acked));
         put(row, "change.acked_most_ms", most(&self.acked));
@@ -201,11 +201,16 @@
         let mut of = |role: &str, ps: Range<usize>| {
             let mut all = Vec::new();
             for p in ps {
-                // why: the disk is the harness' own, and no part of a core
+                // the disk is the harness' own, and no part of a core
                 let (role, _disk) = match std::mem::replace(&mut self.procs[p].role, Role::Down) {
                     Role::Core(c) => {
-                        let super::core::Core { hub, disk, .. } = *c;
-                        (Some(Box::new(hub) as Box<dyn std::any::Any>), Some(disk))
+                        let super::core::Core {
+                            controller, disk, ..
+                        } = *c;
+                        (
+                            Some(Box::new(controller) as Box<dyn std::any::Any>),
+                            Some(disk),
+                        )
                     }
                     Role::Node(n) => (Some(n as Box<dyn std::any::Any>), None),
                     Role::Down => (None, None),
--- a/rig/src/link.rs
+++ b/rig/src/link.rs
@@ -37,7 +37,7 @@
         };
         let cut = cut.clone();
         task::spawn(async move {
-            // why: the way there takes its time before anything can be sent
+            // the way there takes its time before anything can be sent
             task::sleep(delay).await;
             if cut.load(Ordering::SeqCst) {
                 task::sleep(Duration::from_secs(2)).await;
@@ -78,7 +78,7 @@
         if !left.is_zero() {
             task::sleep(left).await;
         }
-        // why: a TCP stream cannot lose bytes in its middle, so a cut holds
+        // a TCP stream cannot lose bytes in its middle, so a cut holds
         // them back, and what came before it arrives after it
         while cut.load(Ordering::SeqCst) {
             task::sleep(Duration::from_millis(20)).await;
--- a/rig/src/platform.rs
+++ b/rig/src/platform.rs
@@ -7,7 +7,7 @@
 use http_types::{Method, Request, Response, StatusCode};
 use simd_json::prelude::*;
 use sorreldoor::http;
-use sorreldoor::js::Val;
+use sorreldoor::json::Val;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
--- a/rig/src/sim/askers.rs
+++ b/rig/src/sim/askers.rs
@@ -1,7 +1,7 @@
 //! Operators in the simulation: changes and reads, with when and what.
 
 use super::Sim;
-use sorreldoor::agree::*;
+use sorreldoor::consensus::*;
 use sorreldoor::record::{decode, encode, Cmd, Outcome};
 use std::sync::Arc;
 
@@ -22,11 +22,11 @@
 
 #[derive(Clone, Debug)]
 pub struct Op {
-    pub pid: Pid,
+    pub pid: ProposalId,
     pub at: usize,
     pub act: Act,
-    pub start: Ms,
-    pub end: Ms,
+    pub start: Millis,
+    pub end: Millis,
     pub done: Done,
     /// Asked more than once: then no one answer speaks for all of them.
     pub many: bool,
@@ -48,8 +48,8 @@
 }
 
 impl Sim {
-    fn begin(&mut self, at: usize, act: Act) -> Pid {
-        let pid = self.ops.len() as Pid + 1;
+    fn begin(&mut self, at: usize, act: Act) -> ProposalId {
+        let pid = self.ops.len() as ProposalId + 1;
         self.ops.push(Op {
             pid,
             at,
@@ -63,9 +63,9 @@
     }
 
     /// Empty or fill a zone: the smallest change that races by serial.
-    pub fn change(&mut self, at: usize, base: u64) -> Pid {
+    pub fn change(&mut self, at: usize, base: u64) -> ProposalId {
         let pid = self.begin(at, Act::Change { base });
-        let zone = (pid % self.site.zones.len() as Pid) as u16;
+        let zone = (pid % self.site.zones.len() as ProposalId) as u16;
         let cmd = Cmd::Zone {
             base,
             zone,
@@ -77,11 +77,11 @@
     }
 
     /// Ask again by the same id, at any node.
-    pub fn again(&mut self, at: usize, pid: Pid) {
+    pub fn again(&mut self, at: usize, pid: ProposalId) {
         let op = &mut self.ops[pid as usize - 1];
         op.many = true;
         let Act::Change { base } = op.act else { return };
-        let zone = (pid % self.site.zones.len() as Pid) as u16;
+        let zone = (pid % self.site.zones.len() as ProposalId) as u16;
         let cmd = Cmd::Zone {
             base,
             zone,
@@ -91,17 +91,17 @@
         self.give(at, Event::Propose { pid, body });
     }
 
-    pub fn read(&mut self, at: usize) -> Pid {
+    pub fn read(&mut self, at: usize) -> ProposalId {
         let pid = self.begin(at, Act::Read);
         self.give(at, Event::Read { rid: pid as u64 });
         pid
     }
 
-    pub fn op(&self, pid: Pid) -> &Op {
+    pub fn op(&self, pid: ProposalId) -> &Op {
         &self.ops[pid as usize - 1]
     }
 
-    fn end(&mut self, pid: Pid, done: Done) {
+    fn end(&mut self, pid: ProposalId, done: Done) {
         let now = self.now;
         if let Some(o) = self.ops.get_mut(pid as usize - 1) {
             if o.done == Done::Open {
@@ -111,7 +111,7 @@
         }
     }
 
-    pub(crate) fn resulted(&mut self, _at: usize, pid: Pid, r: Result<Arc<Vec<u8>>, Lost>) {
+    pub(crate) fn resulted(&mut self, _at: usize, pid: ProposalId, r: Result<Arc<Vec<u8>>, Lost>) {
         let done = match r {
             Ok(b) => decode(&b).map_or(Done::Unknown, Done::Got),
             Err(Lost::Unknown) => Done::Unknown,
@@ -123,7 +123,7 @@
     pub(crate) fn read_ready(&mut self, at: usize, rid: u64, ok: bool) {
         let seen = self.nodes[at].record().map(|r| r.serial());
         let done = seen.filter(|_| ok).map_or(Done::Unknown, Done::Saw);
-        self.end(Pid::from(rid), done);
+        self.end(ProposalId::from(rid), done);
     }
 
     /// Whoever asked a node that dies hears nothing.
--- a/rig/src/sim/check.rs
+++ b/rig/src/sim/check.rs
@@ -1,20 +1,20 @@
 //! What must hold of a run: looked at from outside, entry by entry.
 
 use super::{Act, Done, Sim};
-use sorreldoor::agree::{Machine, Nid, Pid};
+use sorreldoor::consensus::{Machine, NodeId, ProposalId};
 use sorreldoor::record::Outcome;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All that was applied and led, by anybody, ever.
 #[derive(Default)]
 pub struct Trail {
-    at: BTreeMap<u64, (Pid, Vec<u8>)>,
-    leaders: BTreeMap<u64, Nid>,
+    at: BTreeMap<u64, (ProposalId, Vec<u8>)>,
+    leaders: BTreeMap<u64, NodeId>,
     pub wrong: Vec<String>,
 }
 
 impl Trail {
-    pub fn applied(&mut self, node: usize, idx: u64, pid: Pid, data: &[u8]) {
+    pub fn applied(&mut self, node: usize, idx: u64, pid: ProposalId, data: &[u8]) {
         let new = (pid, data.to_vec());
         let old = self.at.entry(idx).or_insert_with(|| new.clone());
         if *old != new {
@@ -23,7 +23,7 @@
         }
     }
 
-    pub fn led(&mut self, term: u64, id: Nid) {
+    pub fn led(&mut self, term: u64, id: NodeId) {
         if *self.leaders.entry(term).or_insert(id) != id {
             self.wrong.push(format!("two leaders in term {term}"));
         }
@@ -41,7 +41,7 @@
 
 /// Each serial is won by one change, and by one that built on the one before.
 fn changes(s: &Sim, w: &mut Vec<String>) {
-    let mut won: BTreeMap<u64, Pid> = BTreeMap::new();
+    let mut won: BTreeMap<u64, ProposalId> = BTreeMap::new();
     for o in &s.ops {
         let (Act::Change { base }, Done::Got(Outcome::Taken { serial })) = (&o.act, &o.done) else {
             continue;
@@ -76,7 +76,7 @@
         let Some(v) = o.shows() else { continue };
         let i = upto.partition_point(|(t, _)| *t < o.start);
         let seen = i.checked_sub(1).map_or(0, |i| upto[i].1);
-        // why: a change that was taken must come after all that ended before it
+        // a change that was taken must come after all that ended before it
         let least = seen + u64::from(o.took());
         if v < least {
             w.push(format!(
@@ -90,7 +90,7 @@
 /// Acked changes are there at the end; refused ones never took effect.
 fn kept(s: &Sim, w: &mut Vec<String>) {
     let t = s.trail.borrow();
-    let applied: BTreeSet<Pid> = t.at.values().map(|(p, _)| *p).collect();
+    let applied: BTreeSet<ProposalId> = t.at.values().map(|(p, _)| *p).collect();
     for o in &s.ops {
         if o.took() && !applied.contains(&o.pid) {
             w.push(format!("change {} was acked and is nowhere", o.pid));
--- a/rig/src/sim/core.rs
+++ b/rig/src/sim/core.rs
@@ -2,7 +2,7 @@
 
 use super::{member, Trail};
 use crate::disk::Disk;
-use sorreldoor::agree::*;
+use sorreldoor::consensus::*;
 use sorreldoor::record::Record;
 use sorreldoor::setup::Site;
 use std::cell::RefCell;
@@ -10,19 +10,19 @@
 use std::sync::Arc;
 
 pub struct Node {
-    pub id: Nid,
-    pub region: Reg,
-    pub agree: Option<Agree<Watched>>,
+    pub id: NodeId,
+    pub region: RegionId,
+    pub consensus: Option<Consensus<Watched>>,
     pub boot: u64,
-    pub frozen_until: Ms,
+    pub frozen_until: Millis,
     pub waiting: Vec<Event>,
     pub disk: Disk,
     /// Added to true time; jumps forward only, as a monotonic clock may.
-    pub clock: Ms,
+    pub clock: Millis,
 }
 
 impl Node {
-    pub fn founded(i: usize, region: Reg, members: &[Member], site: &Arc<Site>) -> Node {
+    pub fn founded(i: usize, region: RegionId, members: &[Member], site: &Arc<Site>) -> Node {
         let mut n = Node::blank(i, region);
         let snap = Snap {
             last: Last::default(),
@@ -33,11 +33,11 @@
         n
     }
 
-    pub fn blank(i: usize, region: Reg) -> Node {
+    pub fn blank(i: usize, region: RegionId) -> Node {
         Node {
             id: member(i, region, false).id,
             region,
-            agree: None,
+            consensus: None,
             boot: 0,
             frozen_until: 0,
             waiting: Vec::new(),
@@ -47,19 +47,19 @@
     }
 
     pub fn up(&self) -> bool {
-        self.agree.is_some()
+        self.consensus.is_some()
     }
 
-    pub fn start(&mut self, pace: Pace, mut machine: Watched, seed: u64, now: Ms) -> u64 {
+    pub fn start(&mut self, timing: Timing, mut machine: Watched, seed: u64, now: Millis) -> u64 {
         let kept = self.disk.kept.kept();
         if let Some(s) = &kept.snap {
             machine.load(&s.image);
         }
         self.boot += 1;
         self.disk.open();
-        self.agree = Some(Agree::new(
+        self.consensus = Some(Consensus::new(
             self.id,
-            pace,
+            timing,
             kept,
             machine,
             seed,
@@ -70,19 +70,21 @@
 
     pub fn crash(&mut self, survive: usize) {
         self.disk.crash(survive);
-        self.agree = None;
+        self.consensus = None;
         self.boot += 1;
         self.waiting.clear();
         self.frozen_until = 0;
     }
 
-    pub fn step(&mut self, ev: Event, now: Ms) -> Vec<Effect> {
+    pub fn step(&mut self, ev: Event, now: Millis) -> Vec<Effect> {
         let t = now + self.clock;
-        self.agree.as_mut().map_or(Vec::new(), |a| a.step(ev, t))
+        self.consensus
+            .as_mut()
+            .map_or(Vec::new(), |a| a.step(ev, t))
     }
 
     pub fn record(&self) -> Option<&Record> {
-        self.agree.as_ref().map(|a| &a.machine().record)
+        self.consensus.as_ref().map(|a| &a.machine().record)
     }
 }
 
@@ -104,11 +106,11 @@
 }
 
 impl Machine for Watched {
-    fn apply(&mut self, idx: u64, pid: Pid, data: &[u8]) -> Vec<u8> {
+    fn apply(&mut self, idx: u64, pid: ProposalId, data: &[u8]) -> Vec<u8> {
         self.trail.borrow_mut().applied(self.node, idx, pid, data);
         self.record.apply(idx, pid, data)
     }
-    fn answered(&self, pid: Pid) -> Option<Arc<Vec<u8>>> {
+    fn answered(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>> {
         self.record.answered(pid)
     }
     fn image(&self) -> Vec<u8> {
--- a/rig/src/sim/faults.rs
+++ b/rig/src/sim/faults.rs
@@ -1,7 +1,7 @@
 //! A seeded storm of faults over a run with racing operators.
 
 use super::Sim;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 
 /// One random fault, or an end to one.
 fn fault(s: &mut Sim) {
@@ -38,7 +38,7 @@
 }
 
 /// Operators ask and faults strike for `ms`; then all heals and settles.
-pub fn storm(s: &mut Sim, ms: Ms) {
+pub fn storm(s: &mut Sim, ms: Millis) {
     let end = s.now + ms;
     let mut next_fault = s.now + 500;
     while s.now < end {
--- a/rig/src/sim/mod.rs
+++ b/rig/src/sim/mod.rs
@@ -12,7 +12,7 @@
 pub use faults::{ask, storm};
 
 use crate::rand::Rand;
-use sorreldoor::agree::*;
+use sorreldoor::consensus::*;
 use sorreldoor::record::Record;
 use sorreldoor::setup::Site;
 use std::cell::RefCell;
@@ -20,12 +20,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-pub const TICK: Ms = 10;
+pub const TICK: Millis = 10;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum What {
     Tick(usize, u64),
-    Arrive { to: usize, from: Nid, msg: Msg },
+    Arrive { to: usize, from: NodeId, msg: Msg },
     Synced { node: usize, boot: u64, seq: u64 },
     Thaw(usize, u64),
 }
@@ -33,15 +33,15 @@
 type Filter = Box<dyn Fn(usize, usize, &Msg) -> bool>;
 
 pub struct Sim {
-    pub now: Ms,
+    pub now: Millis,
     pub rng: Rand,
     pub nodes: Vec<Node>,
-    pub pace: Pace,
+    pub timing: Timing,
     pub site: Arc<Site>,
     /// One-way delay within a region and between two.
-    pub near: Ms,
-    pub far: Ms,
-    pub jitter: Ms,
+    pub near: Millis,
+    pub far: Millis,
+    pub jitter: Millis,
     pub loss: u64,
     pub twice: u64,
     /// Pairs (from, to) whose messages are lost.
@@ -53,8 +53,8 @@
     pub far_sent: BTreeMap<&'static str, u64>,
     pub trail: Rc<RefCell<Trail>>,
     pub ops: Vec<Op>,
-    pub notes: Vec<(Ms, Nid, Note)>,
-    queue: BTreeMap<(Ms, u64), What>,
+    pub notes: Vec<(Millis, NodeId, Note)>,
+    queue: BTreeMap<(Millis, u64), What>,
     count: u64,
     events: u64,
     pub most_events: u64,
@@ -72,7 +72,7 @@
 
 impl Sim {
     /// `shape[i]` is the region of core i.
-    pub fn new(seed: u64, shape: &[Reg], pace: Pace) -> Sim {
+    pub fn new(seed: u64, shape: &[RegionId], timing: Timing) -> Sim {
         let regions = shape.iter().max().map_or(1, |m| *m as usize + 1);
         let members: Vec<Member> = shape
             .iter()
@@ -83,7 +83,7 @@
             now: 0,
             rng: Rand::new(seed),
             nodes: Vec::new(),
-            pace,
+            timing,
             site: site(regions),
             near: 1,
             far: 30,
@@ -111,14 +111,14 @@
     }
 
     /// A blank core at a new address, not yet a member of anything.
-    pub fn add_blank(&mut self, region: Reg) -> usize {
+    pub fn add_blank(&mut self, region: RegionId) -> usize {
         let i = self.nodes.len();
         self.nodes.push(Node::blank(i, region));
         self.start(i);
         i
     }
 
-    pub(crate) fn plan(&mut self, at: Ms, w: What) {
+    pub(crate) fn plan(&mut self, at: Millis, w: What) {
         self.count += 1;
         self.queue.insert((at, self.count), w);
     }
@@ -126,8 +126,8 @@
     pub fn start(&mut self, i: usize) {
         let seed = self.rng.draw();
         let machine = Watched::new(Record::new(self.site.clone()), self.trail.clone(), i);
-        let (pace, now) = (self.pace.clone(), self.now);
-        let boot = self.nodes[i].start(pace, machine, seed, now);
+        let (timing, now) = (self.timing.clone(), self.now);
+        let boot = self.nodes[i].start(timing, machine, seed, now);
         let at = now + 1 + self.rng.below(TICK);
         self.plan(at, What::Tick(i, boot));
     }
@@ -140,7 +140,7 @@
         self.lose_asks(i);
     }
 
-    pub fn freeze(&mut self, i: usize, for_ms: Ms) {
+    pub fn freeze(&mut self, i: usize, for_ms: Millis) {
         let until = self.now + for_ms;
         self.nodes[i].frozen_until = until;
         let boot = self.nodes[i].boot;
@@ -170,13 +170,13 @@
         }
     }
 
-    pub fn run_for(&mut self, ms: Ms) {
+    pub fn run_for(&mut self, ms: Millis) {
         let end = self.now + ms;
         self.run_until(end, |_| false);
     }
 
     /// Run until `f` holds or time is up; true if it held.
-    pub fn run_until(&mut self, end: Ms, f: impl Fn(&Sim) -> bool) -> bool {
+    pub fn run_until(&mut self, end: Millis, f: impl Fn(&Sim) -> bool) -> bool {
         while let Some(at) = self.queue.keys().next().map(|k| k.0) {
             if f(self) {
                 return true;
@@ -186,7 +186,7 @@
             }
             self.now = self.now.max(at);
             self.events += 1;
-            // why: reducers that only chatter at each other would never end
+            // reducers that only chatter at each other would never end
             assert!(self.events < self.most_events, "too many events: chatter");
             if let Some((_, w)) = self.queue.pop_first() {
                 self.happen(w);
@@ -234,7 +234,7 @@
             return;
         }
         if self.nodes[i].frozen_until > now {
-            // why: a frozen process finds its full buffers when it wakes
+            // a frozen process finds its full buffers when it wakes
             if ev != Event::Alarm && self.nodes[i].waiting.len() < 1000 {
                 self.nodes[i].waiting.push(ev);
             }
@@ -267,7 +267,7 @@
         }
     }
 
-    fn carry(&mut self, i: usize, to: Nid, msg: Msg) {
+    fn carry(&mut self, i: usize, to: NodeId, msg: Msg) {
         *self.sent.entry(kind(&msg)).or_default() += 1;
         let Some(t) = self.nodes.iter().position(|n| n.id == to) else {
             return;
@@ -300,7 +300,7 @@
     }
 
     /// Ask for a change at `at` and wait; how long it took, if it was taken.
-    pub fn timed(&mut self, at: usize, most: Ms) -> Option<Ms> {
+    pub fn timed(&mut self, at: usize, most: Millis) -> Option<Millis> {
         let serial = self.top_serial();
         let p = self.change(at, serial);
         let (start, end) = (self.now, self.now + most);
@@ -315,7 +315,7 @@
 
     pub fn leader(&self) -> Option<usize> {
         let lead = |n: &Node| {
-            n.agree
+            n.consensus
                 .as_ref()
                 .filter(|a| a.leads_globally())
                 .map(|a| a.term())
@@ -326,9 +326,9 @@
     }
 }
 
-pub fn member(i: usize, region: Reg, voter: bool) -> Member {
+pub fn member(i: usize, region: RegionId, voter: bool) -> Member {
     Member {
-        id: i as Nid + 1,
+        id: i as NodeId + 1,
         region,
         zone: i as u16,
         addr: format!("127.0.0.1:{}", 1000 + i),
@@ -338,17 +338,17 @@
 
 pub fn kind(m: &Msg) -> &'static str {
     match m {
-        Msg::DomainAsk { .. } | Msg::DomainAns { .. } => "domain-vote",
-        Msg::DomainBeat { .. } | Msg::DomainBack { .. } => "domain-beat",
-        Msg::Ask { .. } | Msg::Ans { .. } => "vote",
+        Msg::DomainVoteRequest { .. } | Msg::DomainVoteReply { .. } => "domain-vote",
+        Msg::DomainHeartbeat { .. } | Msg::DomainHeartbeatReply { .. } => "domain-beat",
+        Msg::VoteRequest { .. } | Msg::VoteReply { .. } => "vote",
         Msg::Append { entries, .. } if entries.is_empty() => "beat",
         Msg::Append { .. } => "append",
-        Msg::Holds { .. } => "holds",
+        Msg::AppendReply { .. } => "holds",
         Msg::Confirm { .. } => "confirm",
-        Msg::Install { .. } => "install",
+        Msg::InstallSnapshot { .. } => "install",
         Msg::Propose { .. } => "propose",
-        Msg::Answered { .. } => "answered",
-        Msg::ReadAsk { .. } | Msg::ReadAns { .. } => "read",
-        Msg::MoveNow { .. } => "move",
+        Msg::ProposalResult { .. } => "answered",
+        Msg::ReadIndexRequest { .. } | Msg::ReadIndexReply { .. } => "read",
+        Msg::TimeoutNow { .. } => "move",
     }
 }
--- a/rig/src/site/callers.rs
+++ b/rig/src/site/callers.rs
@@ -2,7 +2,7 @@
 //! what they were told.
 
 use super::World;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::edge::HallEvent;
 use sorreldoor::errand::{Asked, Shape as Form};
 use sorreldoor::problem::Problem;
@@ -39,8 +39,8 @@
     pub home: Option<u8>,
     pub edge: usize,
     pub events: u64,
-    pub start: Ms,
-    pub end: Ms,
+    pub start: Millis,
+    pub end: Millis,
     pub got: Got,
     /// Sequence numbers of the events seen, in order.
     pub seen: Vec<u64>,
@@ -273,7 +273,7 @@
 
     /// Traffic of a deployment's mix, `per_s` errands a second in all, spread
     /// over the edges that `pick` allows, until `end`.
-    pub fn traffic(&mut self, per_s: u64, end: Ms, pick: fn(&World, usize) -> bool) {
+    pub fn traffic(&mut self, per_s: u64, end: Millis, pick: fn(&World, usize) -> bool) {
         if self.now >= end {
             return;
         }
--- a/rig/src/site/check.rs
+++ b/rig/src/site/check.rs
@@ -1,14 +1,14 @@
 //! What must never happen, looked for in everything that was seen.
 
 use super::{history, Got, World};
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::record::Outcome;
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
 
-const SETUP_MS: Ms = 3000;
-const LEAVING_MS: Ms = 4000;
-const EMPTIED_MS: Ms = 5000;
+const SETUP_MS: Millis = 3000;
+const LEAVING_MS: Millis = 4000;
+const EMPTIED_MS: Millis = 5000;
 
 pub fn check(w: &World) -> Vec<String> {
     let mut out = w.wrong.clone();
@@ -39,7 +39,7 @@
 }
 
 /// When, as which serial, and the zone emptied or taken back, if any.
-type Yes = (Ms, u64, Option<(u16, bool)>);
+type Yes = (Millis, u64, Option<(u16, bool)>);
 
 /// Changes that got their yes.
 fn yeses(w: &World) -> Vec<Yes> {
@@ -88,13 +88,13 @@
 /// Five seconds after a yes an emptied zone gets nothing, until taken back.
 fn emptied(w: &World, out: &mut Vec<String>) {
     let yes = yeses(w);
-    let mut spans: Vec<(u16, Ms, Ms)> = Vec::new();
+    let mut spans: Vec<(u16, Millis, Millis)> = Vec::new();
     for (t, s, z) in &yes {
         let Some((zone, true)) = z else { continue };
         let back = yes
             .iter()
             .filter(|(_, s2, z2)| s2 > s && *z2 == Some((*zone, false)));
-        // why: a return may take effect before its asker hears of it, or
+        // a return may take effect before its asker hears of it, or
         // without its asker ever hearing
         let until = back.map(|(t2, _, _)| t2.saturating_sub(w.ack_ms)).min();
         let unknown = w
@@ -105,7 +105,7 @@
             .map(|c| c.start)
             .min();
         let until = until.into_iter().chain(unknown).min();
-        spans.push((*zone, t + EMPTIED_MS, until.unwrap_or(Ms::MAX)));
+        spans.push((*zone, t + EMPTIED_MS, until.unwrap_or(Millis::MAX)));
     }
     for h in &w.handed {
         for (zone, from, until) in &spans {
@@ -147,7 +147,11 @@
         let top = yeses(self).iter().map(|(_, s, _)| *s).max().unwrap_or(0);
         self.cores()
             .into_iter()
-            .filter_map(|p| self.hub(p).and_then(|h| h.agree.as_ref()).map(|a| (p, a)))
+            .filter_map(|p| {
+                self.controller(p)
+                    .and_then(|h| h.consensus.as_ref())
+                    .map(|a| (p, a))
+            })
             .filter(|(_, a)| a.machine().serial() < top)
             .map(|(p, a)| {
                 let s = a.machine().serial();
@@ -163,7 +167,7 @@
     pub fn retried_too_much(&self) -> Vec<String> {
         let mut out = Vec::new();
         let (mut first, mut again) = (0u64, 0u64);
-        let mut by: BTreeMap<Ms, (u64, u64)> = BTreeMap::new();
+        let mut by: BTreeMap<Millis, (u64, u64)> = BTreeMap::new();
         let mut seen: BTreeMap<u64, u64> = BTreeMap::new();
         for (at, caller) in &self.opened {
             let n = seen.entry(*caller).or_default();
@@ -188,9 +192,9 @@
 
     /// By region: the most of its errands, in percent, that went elsewhere in
     /// any two seconds of a stretch, over all its edges.
-    pub fn spilt(&self, from: Ms, to: Ms) -> Vec<u64> {
+    pub fn spilt(&self, from: Millis, to: Millis) -> Vec<u64> {
         let worst = |region: u8| {
-            let mut by: BTreeMap<Ms, (u64, u64)> = BTreeMap::new();
+            let mut by: BTreeMap<Millis, (u64, u64)> = BTreeMap::new();
             let home = |p: usize| self.procs[p].region == region;
             for c in self.callers.values().filter(|c| home(c.edge)) {
                 if (from..to).contains(&c.start) {
--- a/rig/src/site/clocks.rs
+++ b/rig/src/site/clocks.rs
@@ -1,12 +1,12 @@
 //! Processes that stand still, and what their clocks say.
 
 use super::World;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::seam::Now;
 
 impl World {
     /// Stop a process for a while; with `still`, its clock stands as well.
-    pub fn freeze(&mut self, p: usize, ms: Ms, still: bool) {
+    pub fn freeze(&mut self, p: usize, ms: Millis, still: bool) {
         let q = &mut self.procs[p];
         q.frozen_until = q.frozen_until.max(self.now + ms);
         let at = q.frozen_until;
@@ -16,9 +16,9 @@
         self.at(at, move |w| w.wake(p));
     }
 
-    pub(super) fn mono(&self, p: usize) -> Ms {
-        // why: far from zero, so that a clock set back never goes below it
-        (1_000_000 + self.now as i64 + self.procs[p].mono).max(0) as Ms
+    pub(super) fn mono(&self, p: usize) -> Millis {
+        // far from zero, so that a clock set back never goes below it
+        (1_000_000 + self.now as i64 + self.procs[p].mono).max(0) as Millis
     }
 
     pub(super) fn wall(&self, p: usize) -> i64 {
--- a/rig/src/site/docs.rs
+++ b/rig/src/site/docs.rs
@@ -3,7 +3,7 @@
 
 use super::World;
 use crate::rand::Rand;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::record::Cmd;
 
 /// Kinds, streaming and cutoffs stay, for the workers here know no others.
@@ -135,7 +135,7 @@
 impl World {
     /// Half the workers of each kind belong to a second group.
     pub fn regroup(&mut self) {
-        for (i, w) in self.roster.workers.iter_mut().enumerate() {
+        for (i, w) in self.registry.workers.iter_mut().enumerate() {
             if i % 2 == 1 {
                 w.group = if w.group == "gpu" { "gpx" } else { "wex" }.into();
             }
@@ -191,7 +191,7 @@
     }
 
     /// Operators at work until `end`, every `every` ms or so.
-    pub fn operators(&mut self, every: Ms, end: Ms) {
+    pub fn operators(&mut self, every: Millis, end: Millis) {
         if self.now >= end {
             return;
         }
@@ -201,7 +201,7 @@
     }
 
     /// Traffic whose callers all name their home, so that any route may bind.
-    pub fn homed_traffic(&mut self, per_s: u64, end: Ms) {
+    pub fn homed_traffic(&mut self, per_s: u64, end: Millis) {
         if self.now >= end {
             return;
         }
--- a/rig/src/site/faults.rs
+++ b/rig/src/site/faults.rs
@@ -1,7 +1,7 @@
 //! A seeded storm of a site's faults, for a while; then all heals.
 
 use super::World;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::record::Cmd;
 
 /// Which faults a storm may strike with.
@@ -14,7 +14,7 @@
     pub clocks: bool,
     pub changes: bool,
     /// Milliseconds between faults, at most.
-    pub every: Ms,
+    pub every: Millis,
 }
 
 impl Storm {
@@ -44,7 +44,7 @@
 }
 
 impl World {
-    pub fn storm(&mut self, s: Storm, end: Ms) {
+    pub fn storm(&mut self, s: Storm, end: Millis) {
         if self.now >= end {
             return;
         }
--- a/rig/src/site/history.rs
+++ b/rig/src/site/history.rs
@@ -4,7 +4,7 @@
 
 use super::{Handed, World};
 use simd_json::prelude::*;
-use sorreldoor::js::{self, Val};
+use sorreldoor::json::{self, Val};
 use sorreldoor::record::{Cmd, Outcome};
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
 }
 
 fn after(cmd: &Cmd, of: &Option<Rc<Val>>) -> Option<Rc<Val>> {
-    let parse = |t: &str| js::parse(t.as_bytes(), usize::MAX).ok();
+    let parse = |t: &str| json::parse(t.as_bytes(), usize::MAX).ok();
     match cmd {
         Cmd::Put { doc, .. } => parse(doc).map(Rc::new),
         Cmd::Edit { patch, .. } => of
@@ -96,7 +96,7 @@
         self.read
             .borrow_mut()
             .entry(at)
-            .or_insert_with(|| Rc::new(js::parse(doc.as_bytes(), usize::MAX).unwrap_or_default()))
+            .or_insert_with(|| Rc::new(json::parse(doc.as_bytes(), usize::MAX).unwrap_or_default()))
             .clone()
     }
 
@@ -214,7 +214,7 @@
             out.push(format!("errand {id} ({route}) ran {n} times"));
         }
     }
-    // why: one id may be asked at several edges; each asking's word is its own
+    // one id may be asked at several edges; each asking's word is its own
     for (at, caller, id) in w.workers.iter().flat_map(|k| &k.ran_for) {
         let c = &w.callers[caller];
         let again = first
--- a/rig/src/site/mod.rs
+++ b/rig/src/site/mod.rs
@@ -22,10 +22,10 @@
 
 use crate::fleet::Shape;
 use crate::rand::Rand;
-use sorreldoor::agree::Ms;
-use sorreldoor::roster::Roster;
+use sorreldoor::consensus::Millis;
+use sorreldoor::pacing::Pacing;
+use sorreldoor::registry::WorkerRegistry;
 use sorreldoor::setup::Site;
-use sorreldoor::thrift::Thrift;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -36,8 +36,8 @@
 pub struct Change {
     pub rid: u64,
     pub proc: usize,
-    pub start: Ms,
-    pub end: Ms,
+    pub start: Millis,
+    pub end: Millis,
     pub base: u64,
     pub zone: Option<(u16, bool)>,
     pub cmd: sorreldoor::record::Cmd,
@@ -47,7 +47,7 @@
 /// A hand-over to a worker as it left an edge.
 #[derive(Clone, Debug)]
 pub struct Handed {
-    pub at: Ms,
+    pub at: Millis,
     pub edge: usize,
     pub worker: usize,
     pub serial: u64,
@@ -61,14 +61,14 @@
 /// An errand that came to an edge with its body.
 #[derive(Clone, Debug)]
 pub struct Body {
-    pub at: Ms,
+    pub at: Millis,
     pub edge: usize,
     pub caller: u64,
     pub doc: Arc<String>,
 }
 
 pub struct World {
-    pub now: Ms,
+    pub now: Millis,
     pub rng: Rand,
     pub shape: Shape,
     pub site: Arc<Site>,
@@ -79,28 +79,28 @@
     pub workers: Vec<Wk>,
     /// Edges (by process) that cannot reach a worker.
     pub worker_cuts: BTreeSet<(usize, usize)>,
-    pub roster: Roster,
+    pub registry: WorkerRegistry,
     /// When the platform first showed a worker as leaving.
-    pub left_at: BTreeMap<usize, Ms>,
+    pub left_at: BTreeMap<usize, Millis>,
     pub callers: BTreeMap<u64, Caller>,
     pub changes: Vec<Change>,
     pub handed: Vec<Handed>,
     /// Every connection an edge asked for to a worker: when, for whom.
-    pub opened: Vec<(Ms, u64)>,
+    pub opened: Vec<(Millis, u64)>,
     pub bodies: Vec<Body>,
     /// What was seen at once to be wrong.
     pub wrong: Vec<String>,
-    pub says: Vec<(Ms, String, sorreldoor::events::Ev, String)>,
-    pub ack_ms: Ms,
+    pub says: Vec<(Millis, String, sorreldoor::events::Ev, String)>,
+    pub ack_ms: Millis,
     /// How long edges serve on one renewal; longer only to break a rule.
-    pub permit_ms: Ms,
+    pub permit_ms: Millis,
     pub most_claims: usize,
     /// Settings of every node of the site.
-    pub thrift: Thrift,
+    pub pacing: Pacing,
     pub grow: bool,
-    pub replace_ms: Ms,
+    pub replace_ms: Millis,
     /// The duty's holder alone reads the list of workers, this often.
-    pub holder_polls: Option<Ms>,
+    pub holder_polls: Option<Millis>,
     /// Readings of the list by the duty's holder.
     pub polls: u64,
     /// Bytes of frames sent from one process to another.
@@ -113,7 +113,7 @@
     pub given: bool,
     /// What claims cost: frames, their bytes, and bytes given to disks.
     pub claims_cost: (u64, u64, u64),
-    queue: BTreeMap<(Ms, u64), Act>,
+    queue: BTreeMap<(Millis, u64), Act>,
     count: u64,
     pub(crate) next: u64,
 }
@@ -142,7 +142,7 @@
             cuts: BTreeSet::new(),
             workers: Vec::new(),
             worker_cuts: BTreeSet::new(),
-            roster: Roster::default(),
+            registry: WorkerRegistry::default(),
             left_at: BTreeMap::new(),
             callers: BTreeMap::new(),
             changes: Vec::new(),
@@ -154,7 +154,7 @@
             ack_ms: 2000,
             permit_ms: 2000,
             most_claims: 200_000,
-            thrift: Thrift::default(),
+            pacing: Pacing::default(),
             grow: false,
             replace_ms: 10_000,
             holder_polls: None,
@@ -175,23 +175,23 @@
     }
 
     /// Do `f` when virtual time has come to `at`.
-    pub fn at(&mut self, at: Ms, f: impl FnOnce(&mut World) + 'static) {
+    pub fn at(&mut self, at: Millis, f: impl FnOnce(&mut World) + 'static) {
         self.count += 1;
         self.queue
             .insert((at.max(self.now), self.count), Box::new(f));
     }
 
-    pub fn after(&mut self, ms: Ms, f: impl FnOnce(&mut World) + 'static) {
+    pub fn after(&mut self, ms: Millis, f: impl FnOnce(&mut World) + 'static) {
         let at = self.now + ms;
         self.at(at, f);
     }
 
-    pub fn run_for(&mut self, ms: Ms) {
+    pub fn run_for(&mut self, ms: Millis) {
         let end = self.now + ms;
         self.run_until(end, |_| false);
     }
 
-    pub fn run_until(&mut self, end: Ms, f: impl Fn(&World) -> bool) -> bool {
+    pub fn run_until(&mut self, end: Millis, f: impl Fn(&World) -> bool) -> bool {
         while let Some((at, _)) = self.queue.keys().next().copied() {
             if f(self) {
                 return true;
@@ -214,11 +214,11 @@
     }
 
     /// One-way delay between two regions, with a little jitter.
-    pub(crate) fn delay(&mut self, a: u8, b: u8) -> Ms {
+    pub(crate) fn delay(&mut self, a: u8, b: u8) -> Millis {
         let base = if a == b {
             1
         } else {
-            self.shape.far.as_millis() as Ms
+            self.shape.far.as_millis() as Millis
         };
         base + self.rng.below(2)
     }
@@ -257,9 +257,9 @@
         let mut w = World::new(seed, shape);
         f(&mut w);
         let end = w.now + 20_000;
-        // why: two cores may found and lead before the third has heard of it
+        // two cores may found and lead before the third has heard of it
         let all = |w: &World| {
-            let has = |c: &usize| w.hub(*c).is_some_and(|h| h.agree.is_some());
+            let has = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus.is_some());
             w.leader().is_some() && w.cores().iter().all(has)
         };
         let founded = w.run_until(end, all);
--- a/rig/src/site/net.rs
+++ b/rig/src/site/net.rs
@@ -1,12 +1,12 @@
 //! Connections between processes: ordered, delayed, and silent when cut.
 
 use super::World;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::net::NetEvent;
 use sorreldoor::wire::Payload;
 use std::net::SocketAddr;
 
-const IDLE: Ms = 3000;
+const IDLE: Millis = 3000;
 
 /// One end's half of a connection.
 pub(crate) struct Half {
@@ -14,8 +14,8 @@
     pub boot: u64,
     /// Sent by the other end and held back by a cut.
     held: Vec<Payload>,
-    last_at: Ms,
-    heard: Ms,
+    last_at: Millis,
+    heard: Millis,
 }
 
 pub(crate) struct Line {
@@ -131,7 +131,7 @@
                         self.pass(from, c, i, p);
                     }
                 }
-                // why: a frozen process does not notice silence
+                // a frozen process does not notice silence
                 if silent && self.procs[to].frozen_until <= self.now {
                     self.close(c);
                 }
--- a/rig/src/site/operators.rs
+++ b/rig/src/site/operators.rs
@@ -1,7 +1,7 @@
 //! Operators in virtual time: changes at any process, and what they heard.
 
 use super::{Change, World};
-use sorreldoor::core::HubEvent;
+use sorreldoor::core::ControllerEvent;
 use sorreldoor::edge::HallEvent;
 use sorreldoor::record::Cmd;
 use sorreldoor::wire::OpOutcome;
@@ -9,8 +9,8 @@
 impl World {
     /// The serial that a process knows of.
     pub fn serial_at(&self, p: usize) -> Option<u64> {
-        match (self.hub(p), self.hall(p)) {
-            (Some(h), _) => h.agree.as_ref().map(|a| a.machine().serial()),
+        match (self.controller(p), self.hall(p)) {
+            (Some(h), _) => h.consensus.as_ref().map(|a| a.machine().serial()),
             (_, Some(h)) => Some(h.plan.shown.view.serial),
             _ => None,
         }
@@ -54,7 +54,7 @@
         let core = self.procs[p].core;
         self.reach_proc(p, boot, move |w| {
             if core {
-                w.hub_step(p, HubEvent::Change { rid, pid, cmd });
+                w.hub_step(p, ControllerEvent::Change { rid, pid, cmd });
             } else {
                 w.hall_step(p, HallEvent::Change { rid, pid, cmd });
             }
--- a/rig/src/site/procs.rs
+++ b/rig/src/site/procs.rs
@@ -2,8 +2,8 @@
 
 use super::World;
 use crate::disk::Disk;
-use sorreldoor::agree::{Member, Ms, Save};
-use sorreldoor::core::{Hub, HubEvent, HubFx, Start};
+use sorreldoor::consensus::{Member, Millis, Save};
+use sorreldoor::core::{Controller, ControllerEffect, ControllerEvent, Start};
 use sorreldoor::edge::{Hall, HallEvent, HallFx};
 use sorreldoor::errand::Plan;
 use sorreldoor::net::NetEvent;
@@ -16,7 +16,7 @@
 
 pub enum Role {
     Down,
-    Core(Box<Hub>),
+    Core(Box<Controller>),
     Edge(Box<Hall>),
 }
 
@@ -30,7 +30,7 @@
     pub up: bool,
     pub boot: u64,
     pub role: Role,
-    pub frozen_until: Ms,
+    pub frozen_until: Millis,
     /// What came while it was frozen, in order.
     pub(crate) inbox: VecDeque<(u64, super::Act)>,
     /// How far this process' clocks are from true time.
@@ -134,7 +134,7 @@
         let (ack, permit, site) = (self.ack_ms, self.permit_ms, self.site.clone());
         let most = self.most_claims;
         let (grow, replace_ms) = (self.grow, self.replace_ms);
-        let (thrift, holder_polls) = (self.thrift.clone(), self.holder_polls);
+        let (pacing, holder_polls) = (self.pacing.clone(), self.holder_polls);
         let q = &mut self.procs[p];
         q.up = true;
         q.boot += 1;
@@ -160,28 +160,28 @@
                 seeds,
                 cores: 3,
                 replace_ms,
-                pace: thrift.pace(ack),
+                timing: pacing.timing(ack),
                 seed,
                 promise: q.promise.clone(),
                 sure: q.sure,
                 most_claims: most,
                 bootstrap: q.bootstrap,
                 grow,
-                thrift: thrift.clone(),
+                pacing: pacing.clone(),
                 poll_ms: holder_polls,
             };
-            q.role = Role::Core(Box::new(Hub::new(s, kept, now)));
+            q.role = Role::Core(Box::new(Controller::new(s, kept, now)));
         } else {
             let plan = Plan::new(site, q.name.clone(), q.zone, q.region);
             let pull = Pull::new(&seeds, permit, now, wall)
                 .named(&q.name)
-                .thrifty(&thrift);
+                .paced(&pacing);
             q.role = Role::Edge(Box::new(Hall::new(me, plan, pull)));
         }
         let boot = q.boot;
         self.tick(p, boot);
         if self.procs[p].core && self.holder_polls.is_none() {
-            self.poll_roster(p, boot);
+            self.poll_registry(p, boot);
         }
     }
 
@@ -190,7 +190,7 @@
             return;
         }
         let every = if self.procs[p].core {
-            self.thrift.tick_ms
+            self.pacing.tick_ms
         } else {
             20
         };
@@ -199,19 +199,21 @@
             return;
         }
         if self.procs[p].core {
-            self.hub_step(p, HubEvent::Alarm);
+            self.hub_step(p, ControllerEvent::Alarm);
         } else {
             self.hall_step(p, HallEvent::Alarm);
         }
     }
 
-    fn poll_roster(&mut self, p: usize, boot: u64) {
+    fn poll_registry(&mut self, p: usize, boot: u64) {
         if !self.procs[p].up || self.procs[p].boot != boot {
             return;
         }
-        let r = self.roster.clone();
-        self.reach_proc(p, boot, move |w| w.hub_step(p, HubEvent::Roster(Ok(r))));
-        self.after(500, move |w| w.poll_roster(p, boot));
+        let r = self.registry.clone();
+        self.reach_proc(p, boot, move |w| {
+            w.hub_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
+        });
+        self.after(500, move |w| w.poll_registry(p, boot));
     }
 
     pub fn crash(&mut self, p: usize) {
@@ -230,13 +232,13 @@
 
     pub(crate) fn net_event(&mut self, p: usize, n: NetEvent) {
         if self.procs[p].core {
-            self.hub_step(p, HubEvent::Net(n));
+            self.hub_step(p, ControllerEvent::Net(n));
         } else {
             self.hall_step(p, HallEvent::Net(n));
         }
     }
 
-    pub fn hub(&self, p: usize) -> Option<&Hub> {
+    pub fn controller(&self, p: usize) -> Option<&Controller> {
         match &self.procs[p].role {
             Role::Core(h) => Some(h),
             _ => None,
@@ -250,7 +252,7 @@
         }
     }
 
-    pub fn hub_step(&mut self, p: usize, ev: HubEvent) {
+    pub fn hub_step(&mut self, p: usize, ev: ControllerEvent) {
         let now = self.clocks(p);
         let Role::Core(h) = &mut self.procs[p].role else {
             return;
@@ -260,10 +262,10 @@
         }
     }
 
-    fn hub_fx(&mut self, p: usize, f: HubFx) {
+    fn hub_fx(&mut self, p: usize, f: ControllerEffect) {
         let boot = self.procs[p].boot;
         match f {
-            HubFx::Save(seq, save) => {
+            ControllerEffect::Save(seq, save) => {
                 if matches!(save, Save::Noted(_) | Save::Forgot(_)) {
                     self.claims_cost.2 += sorreldoor::record::encode(&save).len() as u64;
                 }
@@ -271,34 +273,36 @@
                 let at = self.procs[p].disk.queue(seq, save, now);
                 self.at(at, move |w| w.synced(p, boot, seq));
             }
-            HubFx::Keep("sure", _) => self.procs[p].sure = true,
-            HubFx::Keep(_, b) => self.procs[p].promise = sorreldoor::record::decode(&b),
-            HubFx::Send(c, m) => self.send(p, c, m),
-            HubFx::Dial(a) => self.want(p, a),
-            HubFx::Undial(a) => self.undial(p, a),
-            HubFx::Close(c) => self.close(c),
-            HubFx::Done(rid, o) => self.changed(rid, o),
-            HubFx::Looked(..) | HubFx::Viewed(..) => {}
-            HubFx::AskRoster => {
+            ControllerEffect::Keep("sure", _) => self.procs[p].sure = true,
+            ControllerEffect::Keep(_, b) => self.procs[p].promise = sorreldoor::record::decode(&b),
+            ControllerEffect::Send(c, m) => self.send(p, c, m),
+            ControllerEffect::Dial(a) => self.want(p, a),
+            ControllerEffect::Undial(a) => self.undial(p, a),
+            ControllerEffect::Close(c) => self.close(c),
+            ControllerEffect::Done(rid, o) => self.changed(rid, o),
+            ControllerEffect::Looked(..) | ControllerEffect::Viewed(..) => {}
+            ControllerEffect::AskRegistry => {
                 self.polls += 1;
                 let serial = 0;
-                let workers = self.roster.workers.clone();
-                let r = sorreldoor::roster::Roster { serial, workers };
+                let workers = self.registry.workers.clone();
+                let r = sorreldoor::registry::WorkerRegistry { serial, workers };
                 self.after(20, move |w| {
-                    w.reach_proc(p, boot, move |w| w.hub_step(p, HubEvent::Roster(Ok(r))))
+                    w.reach_proc(p, boot, move |w| {
+                        w.hub_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
+                    })
                 });
             }
-            HubFx::AskLoads(epoch, to) => {
+            ControllerEffect::AskLoads(epoch, to) => {
                 let names: Vec<String> = to.into_iter().map(|t| t.0).collect();
                 let region = self.procs[p].region;
                 self.after(40, move |w| {
                     let rows = names.iter().map(|n| w.load_of(n, region)).collect();
                     w.reach_proc(p, boot, move |w| {
-                        w.hub_step(p, HubEvent::Loads { epoch, rows })
+                        w.hub_step(p, ControllerEvent::Loads { epoch, rows })
                     });
                 });
             }
-            HubFx::Say(ev, s) => {
+            ControllerEffect::Say(ev, s) => {
                 let name = self.procs[p].name.clone();
                 self.says.push((self.now, name, ev, s));
             }
@@ -314,7 +318,7 @@
             return;
         }
         self.procs[p].disk.synced(seq);
-        self.reach_proc(p, boot, move |w| w.hub_step(p, HubEvent::Saved(seq)));
+        self.reach_proc(p, boot, move |w| w.hub_step(p, ControllerEvent::Saved(seq)));
     }
 
     fn want(&mut self, p: usize, a: SocketAddr) {
@@ -365,8 +369,8 @@
     /// The core that leads globally, if any does.
     pub fn leader(&self) -> Option<usize> {
         self.cores().into_iter().find(|p| {
-            self.hub(*p)
-                .and_then(|h| h.agree.as_ref())
+            self.controller(*p)
+                .and_then(|h| h.consensus.as_ref())
                 .is_some_and(|a| a.leads_globally())
         })
     }
--- a/rig/src/site/workers.rs
+++ b/rig/src/site/workers.rs
@@ -2,10 +2,10 @@
 //! that ever began to run.
 
 use super::World;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::errand::{ErrandFx, Told};
 use sorreldoor::problem::Problem;
-use sorreldoor::roster::{Load, Worker};
+use sorreldoor::registry::{Load, Worker};
 use std::collections::VecDeque;
 
 /// One errand's visit at a worker.
@@ -38,14 +38,14 @@
     pub up: bool,
     /// Raised at every start, so that nothing of an older life counts.
     pub life: u64,
-    pub frozen_until: Ms,
+    pub frozen_until: Millis,
     pub running: Vec<Visit>,
     pub waiting: VecDeque<Visit>,
     pub finished: u64,
     /// Ids of all that began to run, with when.
-    pub ran: Vec<(Ms, String)>,
+    pub ran: Vec<(Millis, String)>,
     /// The same, with the caller whose asking it was.
-    pub ran_for: Vec<(Ms, u64, String)>,
+    pub ran_for: Vec<(Millis, u64, String)>,
     pub cache: VecDeque<String>,
     pub hits: u64,
     pub misses: u64,
@@ -53,9 +53,9 @@
     /// Most errands here beyond what a worker so warm can bear.
     pub over_cold: u32,
     /// Milliseconds for a cold prefix, for a tail, and per event.
-    pub prefill: Ms,
-    pub tail: Ms,
-    pub gap: Ms,
+    pub prefill: Millis,
+    pub tail: Millis,
+    pub gap: Millis,
 }
 
 impl World {
@@ -74,7 +74,7 @@
         }
         for (i, (name, model, zone)) in all.into_iter().enumerate() {
             let region = self.site.region_of_zone(zone).unwrap_or(0);
-            self.roster.workers.push(Worker {
+            self.registry.workers.push(Worker {
                 name: name.clone(),
                 addr: ([127, 0, 0, 1], 9000 + i as u16).into(),
                 group: if model { "gpu" } else { "web" }.into(),
@@ -110,7 +110,7 @@
                 gap: 15,
             });
         }
-        self.roster.serial = 1;
+        self.registry.serial = 1;
     }
 
     pub fn worker(&self, name: &str) -> usize {
@@ -122,19 +122,19 @@
 
     fn roster_group(&self, w: usize) -> String {
         let name = &self.workers[w].name;
-        let row = self.roster.workers.iter().find(|r| r.name == *name);
+        let row = self.registry.workers.iter().find(|r| r.name == *name);
         row.map_or_else(String::new, |r| r.group.clone())
     }
 
     /// The platform shows a worker as leaving.
     pub fn leave(&mut self, w: usize) {
         let name = self.workers[w].name.clone();
-        self.roster
+        self.registry
             .workers
             .iter_mut()
             .filter(|r| r.name == name)
             .for_each(|r| r.leaving = true);
-        self.roster.serial += 1;
+        self.registry.serial += 1;
         let now = self.now;
         self.left_at.insert(w, now);
     }
@@ -194,7 +194,7 @@
                 }
             }
             let (rid, token) = (v.rid, v.token);
-            // why: the edge's task itself shows a break to the reader
+            // the edge's task itself shows a break to the reader
             if matches!(told, Told::Broke(_)) && w.procs[p].tries.contains_key(&token) {
                 w.broken_off(p, rid);
             }
@@ -301,7 +301,7 @@
         if !self.workers[w].up || self.workers[w].life != life {
             return self.tell_edge(w, v, Told::Broke(Problem::WorkerBroke));
         }
-        // why: a caller that hung up before leaves a closed connection here
+        // a caller that hung up before leaves a closed connection here
         if gone && self.rng.chance(50) {
             return;
         }
--- a/rig/src/stand.rs
+++ b/rig/src/stand.rs
@@ -9,7 +9,7 @@
 use http_types::{Body, Method, Request, Response, StatusCode};
 use simd_json::prelude::*;
 use sorreldoor::http::{self, Peer};
-use sorreldoor::js::{self, Val};
+use sorreldoor::json::{self, Val};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -253,7 +253,7 @@
     let id = head(&req, "x-errand-id");
     let key = head(&req, "x-prefix-key");
     let body = req.take_body().into_bytes().await.unwrap_or_default();
-    let v = js::parse(&body, 1 << 24).unwrap_or_default();
+    let v = json::parse(&body, 1 << 24).unwrap_or_default();
     let num = |k: &str, or: u64| v.get(k).and_then(|n| n.as_u64()).unwrap_or(or);
     let (prefix, tail) = (num("prefix_chars", 0), num("tail_chars", 100));
     let events = num("events", 0);
--- a/rig/src/tricks.rs
+++ b/rig/src/tricks.rs
@@ -3,8 +3,8 @@
 
 use crate::stand::locked;
 use simd_json::prelude::*;
-use sorreldoor::agree::Save;
-use sorreldoor::js::{self, Val};
+use sorreldoor::consensus::Save;
+use sorreldoor::json::{self, Val};
 use sorreldoor::seam::{Clock, Machine, Now};
 use sorreldoor::settings::{Over, Role, Settings};
 use sorreldoor::store::Store;
@@ -35,7 +35,7 @@
         if l.0.is_none_or(|t| t.elapsed() > Duration::from_millis(30)) {
             let text = std::fs::read(&self.file).unwrap_or_default();
             // half a file, just being written, says what the last one said
-            if let Ok(v) = js::parse(&text, 4096) {
+            if let Ok(v) = json::parse(&text, 4096) {
                 l.1 = v;
             }
             l.0 = Some(Instant::now());
--- a/rig/tests/agree_sim.rs
+++ b/rig/tests/agree_sim.rs
@@ -1,13 +1,13 @@
 //! Seeded storms over the consensus reducers, in virtual time.
 
 use rig::sim::{check, same, storm, Sim};
-use sorreldoor::agree::{Broken, Pace, Reg};
+use sorreldoor::consensus::{Broken, RegionId, Timing};
 
-fn run(seed: u64, shape: &[Reg], broken: Broken) -> Vec<String> {
-    let mut pace = Pace::for_ack(2000);
-    pace.broken = broken;
-    pace.keep_log = 40;
-    let mut s = Sim::new(seed, shape, pace);
+fn run(seed: u64, shape: &[RegionId], broken: Broken) -> Vec<String> {
+    let mut timing = Timing::for_ack(2000);
+    timing.broken = broken;
+    timing.keep_log = 40;
+    let mut s = Sim::new(seed, shape, timing);
     s.most_events = 400_000;
     s.loss = seed % 7;
     s.twice = seed % 5;
@@ -29,7 +29,7 @@
     w
 }
 
-fn all(shape: &[Reg], seeds: std::ops::Range<u64>) {
+fn all(shape: &[RegionId], seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let w = run(seed, shape, Broken::None);
         assert!(w.is_empty(), "seed {seed}, shape {shape:?}: {w:#?}");
--- a/rig/tests/conformance/answers.rs
+++ b/rig/tests/conformance/answers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use rig::sim::{kind, same, Done};
-use sorreldoor::agree::Msg;
+use sorreldoor::consensus::Msg;
 
 pub fn entries_cross_once_to_each_other_domain_leader() {
     let (mut s, l) = led_from(&[0, 0, 0, 1, 1, 1], 0);
@@ -28,10 +28,10 @@
 
 pub fn without_fast_return_it_takes_two() {
     for fast in [true, false] {
-        let mut pace = Pace::for_ack(ACK);
-        pace.fast = fast;
+        let mut timing = Timing::for_ack(ACK);
+        timing.fast = fast;
         for seed in 0..200 {
-            let mut s = Sim::new(seed, &[0, 0, 1], pace.clone());
+            let mut s = Sim::new(seed, &[0, 0, 1], timing.clone());
             s.jitter = 0;
             let l = s.settle();
             if s.nodes[l].region == 1 {
@@ -50,7 +50,7 @@
 
 pub fn the_commit_index_needs_another_region() {
     let (mut s, l) = led_from(&[0, 0, 0, 1, 1, 1], 0);
-    let before = s.nodes[l].agree.as_ref().map_or(0, |a| a.commit_idx());
+    let before = s.nodes[l].consensus.as_ref().map_or(0, |a| a.commit_idx());
     for i in 3..6 {
         for j in 0..3 {
             s.cut_both(i, j);
@@ -59,7 +59,7 @@
     let p = s.change(l, s.top_serial());
     s.run_for(200);
     assert_eq!(s.op(p).done, Done::Open);
-    let after = s.nodes[l].agree.as_ref().map_or(0, |a| a.commit_idx());
+    let after = s.nodes[l].consensus.as_ref().map_or(0, |a| a.commit_idx());
     assert_eq!(before, after);
 }
 
@@ -67,7 +67,7 @@
     let (mut s, l) = led_from(&[0, 0, 1], 0);
     // message 6 is lost: the Global Leader does not hear that it is held
     s.drop_if = Some(Box::new(|from, _, m| {
-        from == 2 && matches!(m, Msg::Holds { .. })
+        from == 2 && matches!(m, Msg::AppendReply { .. })
     }));
     s.timed(2, 500).expect("the Domain Leader answers");
     let top = s.top_serial();
@@ -102,7 +102,7 @@
             f >= 3 && t >= 3 && matches!(m, Msg::Append { .. })
         }),
         ("6 acknowledgement", |f, t, m| {
-            f >= 3 && t < 3 && matches!(m, Msg::Holds { .. })
+            f >= 3 && t < 3 && matches!(m, Msg::AppendReply { .. })
         }),
     ];
     for (name, f) in table {
@@ -151,19 +151,19 @@
 
 pub fn a_deposed_leaders_late_confirmation_is_ignored() {
     let (mut s, l) = led_from(&[0, 0, 1], 0);
-    let term = s.nodes[l].agree.as_ref().map_or(0, |a| a.term());
+    let term = s.nodes[l].consensus.as_ref().map_or(0, |a| a.term());
     let old = s.nodes[l].id;
     s.isolate(l);
     s.run_for(3000);
-    let commit = s.nodes[2].agree.as_ref().map_or(0, |a| a.commit_idx());
+    let commit = s.nodes[2].consensus.as_ref().map_or(0, |a| a.commit_idx());
     let msg = Msg::Confirm {
         term,
         upto: commit + 50,
         holders: vec![old, 2],
     };
-    let ev = sorreldoor::agree::Event::Heard { from: old, msg };
+    let ev = sorreldoor::consensus::Event::Heard { from: old, msg };
     s.give(2, ev);
-    let after = s.nodes[2].agree.as_ref().map_or(0, |a| a.commit_idx());
+    let after = s.nodes[2].consensus.as_ref().map_or(0, |a| a.commit_idx());
     assert_eq!(commit, after);
 }
 
@@ -185,10 +185,13 @@
 pub fn a_bad_disk_steps_aside() {
     let (mut s, l) = led_from(&[0, 0, 1], 0);
     let p = s.change(l, s.top_serial());
-    s.give(l, sorreldoor::agree::Event::SaveFailed);
+    s.give(l, sorreldoor::consensus::Event::SaveFailed);
     s.run_for(20);
     assert_eq!(s.op(p).done, Done::Unknown);
-    assert!(s.nodes[l].agree.as_ref().is_some_and(|a| a.disk_failed()));
+    assert!(s.nodes[l]
+        .consensus
+        .as_ref()
+        .is_some_and(|a| a.disk_failed()));
     let q = s.change(l, s.top_serial());
     assert_eq!(s.op(q).done, Done::NotTaken);
     s.run_for(3000);
--- a/rig/tests/conformance/elections.rs
+++ b/rig/tests/conformance/elections.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use rig::sim::{same, Done};
-use sorreldoor::agree::Note;
+use sorreldoor::consensus::Note;
 
 pub fn a_domain_leader_needs_its_regions_majority() {
     let mut s = sim(1, &[0, 0, 0, 1, 1, 1]);
@@ -31,15 +31,15 @@
     s.crash(l);
     s.run_for(3000);
     assert!(s.leader().is_some());
-    let mut pace = Pace::for_ack(ACK);
-    pace.waive = 1_000_000;
-    let mut s = Sim::new(4, &[0, 1, 2, 3, 3], pace);
+    let mut timing = Timing::for_ack(ACK);
+    timing.waive = 1_000_000;
+    let mut s = Sim::new(4, &[0, 1, 2, 3, 3], timing);
     let l = s.settle();
     let lost: Vec<usize> = (0..5).filter(|i| *i != l).take(2).collect();
     s.crash(l);
     s.crash(lost[0]);
     s.run_for(4000);
-    let up: std::collections::BTreeSet<Reg> = (0..5)
+    let up: std::collections::BTreeSet<RegionId> = (0..5)
         .filter(|i| s.nodes[*i].up() && leads_domain(&s, *i))
         .map(|i| s.nodes[i].region)
         .collect();
@@ -72,13 +72,13 @@
 
 pub fn a_returning_core_does_not_depose_the_leader() {
     let (mut s, l) = led_from(&[0, 0, 1], 0);
-    let term = s.nodes[l].agree.as_ref().map(|a| a.term());
+    let term = s.nodes[l].consensus.as_ref().map(|a| a.term());
     s.isolate(2);
     s.run_for(5000);
     s.cuts.clear();
     s.run_for(3000);
     assert_eq!(s.leader(), Some(l));
-    assert_eq!(s.nodes[l].agree.as_ref().map(|a| a.term()), term);
+    assert_eq!(s.nodes[l].consensus.as_ref().map(|a| a.term()), term);
 }
 
 /// The leader stands where most asking is, and moves there without losing or
--- a/rig/tests/conformance/losses.rs
+++ b/rig/tests/conformance/losses.rs
@@ -3,11 +3,11 @@
 
 use super::sound;
 use rig::sim::Sim;
-use sorreldoor::agree::{Event, Ms, Reg};
-use sorreldoor::thrift::Thrift;
+use sorreldoor::consensus::{Event, Millis, RegionId};
+use sorreldoor::pacing::Pacing;
 
 /// Regions of the cores, and the way between two regions.
-const SITES: [(&[Reg], Ms); 5] = [
+const SITES: [(&[RegionId], Millis); 5] = [
     (&[0, 0, 1], 35),
     (&[0, 0, 1], 55),
     (&[0, 1, 2], 55),
@@ -15,12 +15,12 @@
     (&[0, 0, 0, 1, 1], 55),
 ];
 
-fn site(seed: u64, shape: &[Reg], far: Ms) -> Sim {
-    let thrift = Thrift {
+fn site(seed: u64, shape: &[RegionId], far: Millis) -> Sim {
+    let pacing = Pacing {
         beat_ms: Some(150),
-        ..Thrift::default()
+        ..Pacing::default()
     };
-    let mut s = Sim::new(seed, shape, thrift.pace(2000));
+    let mut s = Sim::new(seed, shape, pacing.timing(2000));
     s.far = far;
     let l = s.settle();
     let serial = s.top_serial();
@@ -30,8 +30,8 @@
 }
 
 /// The median and the longest of what `f` gives for many seeds.
-fn spread(shape: &[Reg], far: Ms, f: impl Fn(&mut Sim) -> Ms) -> (Ms, Ms) {
-    let mut all: Vec<Ms> = (0..40)
+fn spread(shape: &[RegionId], far: Millis, f: impl Fn(&mut Sim) -> Millis) -> (Millis, Millis) {
+    let mut all: Vec<Millis> = (0..40)
         .map(|seed| {
             let mut s = site(seed, shape, far);
             let ms = f(&mut s);
@@ -44,13 +44,13 @@
     (all[all.len() / 2], all[all.len() - 1])
 }
 
-fn till_led(s: &mut Sim) -> Ms {
+fn till_led(s: &mut Sim) -> Millis {
     let from = s.now;
     assert!(s.run_until(from + 10_000, |s| s.leader().is_some()));
     s.now - from
 }
 
-fn die(s: &mut Sim) -> Ms {
+fn die(s: &mut Sim) -> Millis {
     (0..s.nodes.len()).for_each(|i| s.crash(i));
     s.run_for(1000);
     for i in 0..s.nodes.len() {
@@ -98,7 +98,7 @@
             s.isolate(l);
             let from = s.now;
             let other = |s: &Sim| {
-                let leads = |i: &usize| s.nodes[*i].agree.as_ref().map(|a| a.leads_globally());
+                let leads = |i: &usize| s.nodes[*i].consensus.as_ref().map(|a| a.leads_globally());
                 (0..s.nodes.len()).any(|i| i != l && leads(&i) == Some(true))
             };
             assert!(s.run_until(from + 10_000, other));
--- a/rig/tests/conformance/main.rs
+++ b/rig/tests/conformance/main.rs
@@ -5,15 +5,15 @@
 mod losses;
 
 use rig::sim::{check, Sim};
-use sorreldoor::agree::{Pace, Reg};
+use sorreldoor::consensus::{RegionId, Timing};
 
 pub const ACK: u64 = 2000;
 
-pub fn sim(seed: u64, shape: &[Reg]) -> Sim {
-    Sim::new(seed, shape, Pace::for_ack(ACK))
+pub fn sim(seed: u64, shape: &[RegionId]) -> Sim {
+    Sim::new(seed, shape, Timing::for_ack(ACK))
 }
 
-pub fn led_from(shape: &[Reg], region: Reg) -> (Sim, usize) {
+pub fn led_from(shape: &[RegionId], region: RegionId) -> (Sim, usize) {
     for seed in 0..200 {
         let mut s = sim(seed, shape);
         let l = s.settle();
@@ -25,7 +25,7 @@
 }
 
 /// A core of `region` that is not the Global Leader.
-pub fn other(s: &Sim, region: Reg) -> usize {
+pub fn other(s: &Sim, region: RegionId) -> usize {
     let l = s.leader();
     (0..s.nodes.len())
         .find(|i| s.nodes[*i].region == region && Some(*i) != l)
@@ -33,7 +33,10 @@
 }
 
 pub fn leads_domain(s: &Sim, i: usize) -> bool {
-    s.nodes[i].agree.as_ref().is_some_and(|a| a.leads_domain())
+    s.nodes[i]
+        .consensus
+        .as_ref()
+        .is_some_and(|a| a.leads_domain())
 }
 
 pub fn sound(s: &Sim) {
--- a/rig/tests/doors/main.rs
+++ b/rig/tests/doors/main.rs
@@ -10,7 +10,7 @@
 use rig::stand::Fault;
 use simd_json::prelude::*;
 use sorreldoor::http::{Call, Called};
-use sorreldoor::js;
+use sorreldoor::json;
 use sorreldoor::wire::{pack, Payload, PROTO};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -46,7 +46,7 @@
 }
 
 fn problem(c: &Called) -> String {
-    let v = js::parse(&c.body, usize::MAX).unwrap_or_default();
+    let v = json::parse(&c.body, usize::MAX).unwrap_or_default();
     v.get("problem")
         .and_then(|p| p.as_str())
         .unwrap_or("")
--- a/rig/tests/site/changes.rs
+++ b/rig/tests/site/changes.rs
@@ -145,7 +145,7 @@
             let serial = w
                 .cores()
                 .into_iter()
-                .filter_map(|c| w.hub(c).and_then(|h| h.agree.as_ref()))
+                .filter_map(|c| w.controller(c).and_then(|h| h.consensus.as_ref()))
                 .map(|a| a.machine().serial())
                 .max()
                 .unwrap_or(0);
@@ -168,9 +168,9 @@
         }
         w.run_for(8000);
         sound(&w, seed);
-        let won = w.cores().into_iter().filter_map(|c| w.hub(c));
+        let won = w.cores().into_iter().filter_map(|c| w.controller(c));
         let top = won
-            .filter_map(|h| h.agree.as_ref())
+            .filter_map(|h| h.consensus.as_ref())
             .map(|a| a.machine().serial());
         let top = top.max().unwrap_or(0);
         assert!(top > 8, "seed {seed}: operators got on to {top} only");
@@ -190,7 +190,7 @@
         for i in 0..200 {
             let p = w.cores()[(i % 3) as usize];
             w.after(i * 150, move |w| {
-                let serial = w.hub(p).and_then(|h| h.agree.as_ref());
+                let serial = w.controller(p).and_then(|h| h.consensus.as_ref());
                 let base = serial.map_or(0, |a| a.machine().serial());
                 let cmd = Cmd::Zone {
                     base,
@@ -203,11 +203,13 @@
         let id = w.procs[new].id;
         let gone = w.procs[lost].id;
         let done = w.run_until(end, |w| {
-            w.hub(new).and_then(|h| h.agree.as_ref()).is_some_and(|a| {
-                let seats = a.members().iter();
-                let voters: Vec<u64> = seats.filter(|m| m.voter).map(|m| m.id).collect();
-                voters.contains(&id) && !voters.contains(&gone) && voters.len() == 3
-            })
+            w.controller(new)
+                .and_then(|h| h.consensus.as_ref())
+                .is_some_and(|a| {
+                    let seats = a.members().iter();
+                    let voters: Vec<u64> = seats.filter(|m| m.voter).map(|m| m.id).collect();
+                    voters.contains(&id) && !voters.contains(&gone) && voters.len() == 3
+                })
         });
         assert!(done, "seed {seed}: the new core has the lost one's seat");
         // now another core may be lost
--- a/rig/tests/site/claims.rs
+++ b/rig/tests/site/claims.rs
@@ -36,11 +36,13 @@
     let id = w.procs[d].id;
     let end = w.now + 60_000;
     let seated = w.run_until(end, |w| {
-        w.hub(b).and_then(|h| h.agree.as_ref()).is_some_and(|x| {
-            let seats = x.members().iter().filter(|m| m.voter);
-            let vs: Vec<u64> = seats.map(|m| m.id).collect();
-            vs.len() == 3 && vs.contains(&id)
-        })
+        w.controller(b)
+            .and_then(|h| h.consensus.as_ref())
+            .is_some_and(|x| {
+                let seats = x.members().iter().filter(|m| m.voter);
+                let vs: Vec<u64> = seats.map(|m| m.id).collect();
+                vs.len() == 3 && vs.contains(&id)
+            })
     });
     // it gets no seat where the core that it cannot reach leads
     if seated {
--- a/rig/tests/site/growth.rs
+++ b/rig/tests/site/growth.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use rig::site::Storm;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
 use sorreldoor::record::{Cmd, Outcome};
 use sorreldoor::wire::OpOutcome;
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 fn voters(w: &World) -> Vec<u64> {
     let a = w
         .leader()
-        .and_then(|c| w.hub(c))
-        .and_then(|h| h.agree.as_ref());
+        .and_then(|c| w.controller(c))
+        .and_then(|h| h.consensus.as_ref());
     let ms = a.map_or(&[][..], |a| a.members());
     ms.iter().filter(|m| m.voter).map(|m| m.id).collect()
 }
@@ -185,7 +185,7 @@
             w.procs[c].bootstrap = false;
         }
         w.run_for(20_000);
-        let founded = |c: &usize| w.hub(*c).is_some_and(|h| h.agree.is_some());
+        let founded = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus.is_some());
         assert!(!w.cores().iter().any(founded), "seed {seed}");
     }
     // nor by what it promised in a life in which it had leave
@@ -207,7 +207,7 @@
         }
         all.iter().for_each(|c| w.start(*c));
         w.run_for(20_000);
-        let founded = |c: &usize| w.hub(*c).is_some_and(|h| h.agree.is_some());
+        let founded = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus.is_some());
         assert!(!w.cores().iter().any(founded), "seed {seed}");
     }
 }
@@ -238,7 +238,7 @@
             if put(&mut w, base) {
                 base += 1;
             }
-            let wait: Ms = 4000 + w.rng.below(3000);
+            let wait: Millis = 4000 + w.rng.below(3000);
             w.run_for(wait);
         }
         let end = w.now + 12_000;
--- a/rig/tests/site/loads.rs
+++ b/rig/tests/site/loads.rs
@@ -14,7 +14,7 @@
 fn two(seed: u64, kind: &str, bounds: &str) -> World {
     let d = TWO.replace("KIND", kind).replace("BOUNDS", bounds);
     World::ready_by(seed, press(), &d, |w| {
-        for (i, r) in w.roster.workers.iter_mut().enumerate() {
+        for (i, r) in w.registry.workers.iter_mut().enumerate() {
             if r.group == "gpu" {
                 r.group = if i % 2 == 0 { "fast" } else { "slow" }.into();
             }
@@ -51,7 +51,9 @@
     let mut seen = Vec::new();
     while w.now < end {
         w.run_for(200);
-        let a = w.hub(w.cores()[0]).and_then(|h| h.agree.as_ref());
+        let a = w
+            .controller(w.cores()[0])
+            .and_then(|h| h.consensus.as_ref());
         let v = a.map(|a| a.machine().view()).unwrap_or_default();
         let s = a
             .and_then(|a| a.machine().setup().cloned())
--- a/rig/tests/site/main.rs
+++ b/rig/tests/site/main.rs
@@ -8,11 +8,11 @@
 mod loads;
 mod members;
 mod mutants;
+mod pacing;
 mod regions;
 mod returns;
 mod setups;
 mod swings;
-mod thrift;
 mod waves;
 mod zones;
 
--- a/rig/tests/site/thrift.rs
+++ b/rig/tests/site/pacing.rs
@@ -2,11 +2,11 @@
 //! duty's holder reads, and records that cannot be proved current.
 
 use super::*;
-use sorreldoor::roster::{Roster, Worker};
-use sorreldoor::thrift::Thrift;
+use sorreldoor::pacing::Pacing;
+use sorreldoor::registry::{Worker, WorkerRegistry};
 
-fn frugal() -> Thrift {
-    Thrift {
+fn frugal() -> Pacing {
+    Pacing {
         tick_ms: 50,
         beat_ms: Some(250),
         renew_ms: 1000,
@@ -45,7 +45,7 @@
     println!("usual: an edge {e} B/s both ways, a core {c} B/s to cores");
     assert!(e < 4500 && c < 13_000, "{e} {c}");
     let mut w = with(2, |w| {
-        w.thrift = frugal();
+        w.pacing = frugal();
         w.holder_polls = Some(1000);
     });
     let (e, c) = rates(&mut w);
@@ -57,8 +57,8 @@
 /// A running errand is no news to other edges.
 #[test]
 fn edges_are_not_told_what_others_are_doing() {
-    for thrift in [Thrift::default(), frugal()] {
-        let mut w = with(4, |w| w.thrift = thrift);
+    for pacing in [Pacing::default(), frugal()] {
+        let mut w = with(4, |w| w.pacing = pacing);
         let e = w.edges()[0];
         let at = |w: &World| w.hall(e).map(|h| h.pull.have.seats);
         let was = at(&w);
@@ -73,11 +73,11 @@
 }
 
 fn serial(w: &World, e: usize) -> u64 {
-    w.hall(e).map_or(0, |h| h.plan.shown.roster.serial)
+    w.hall(e).map_or(0, |h| h.plan.shown.registry.serial)
 }
 
 fn holder(w: &World) -> Option<usize> {
-    let on = |c: &usize| w.hub(*c).is_some_and(|h| h.on_duty());
+    let on = |c: &usize| w.controller(*c).is_some_and(|h| h.on_duty());
     w.cores().into_iter().find(on)
 }
 
@@ -88,7 +88,7 @@
     for seed in seeds(7800..7806) {
         let mut w = with(seed, |w| {
             w.holder_polls = Some(1000);
-            w.thrift = Thrift {
+            w.pacing = Pacing {
                 gather: true,
                 ..frugal()
             };
@@ -146,7 +146,7 @@
 fn a_list_is_news_only_when_it_says_something_new() {
     let serial = 1;
     let workers = vec![cold(5000)];
-    let r = Roster { serial, workers };
+    let r = WorkerRegistry { serial, workers };
     assert!(r.same(&[cold(5000)], 0));
     assert!(r.same(&[cold(3000)], 2000));
     assert!(r.same(&[cold(0)], 5000));
@@ -167,7 +167,7 @@
 #[test]
 fn an_edge_without_any_record_takes_an_unproven_one() {
     for seed in seeds(7900..7910) {
-        let mut w = with(seed, |w| w.thrift.unproven_after_ms = Some(3000));
+        let mut w = with(seed, |w| w.pacing.unproven_after_ms = Some(3000));
         let all = w.cores();
         let (fresh, old) = (w.edges()[0], w.edges()[1]);
         w.crash(all[0]);
--- a/rig/tests/site/returns.rs
+++ b/rig/tests/site/returns.rs
@@ -2,9 +2,9 @@
 //! older records too, and nothing an edge has had is ever undone.
 
 use super::*;
-use sorreldoor::agree::Ms;
+use sorreldoor::consensus::Millis;
+use sorreldoor::pacing::Pacing;
 use sorreldoor::record::Cmd;
-use sorreldoor::thrift::Thrift;
 
 /// As on machines where bytes and calls are dear.
 fn dear(seed: u64) -> World {
@@ -16,7 +16,7 @@
     let doc = rig::fleet::setup(&shape);
     World::ready_by(seed, shape, &doc, |w| {
         w.holder_polls = Some(500);
-        w.thrift = Thrift {
+        w.pacing = Pacing {
             tick_ms: 20,
             beat_ms: Some(150),
             renew_ms: 500,
@@ -25,7 +25,7 @@
             claims: false,
             accounts: false,
             unproven_after_ms: Some(0),
-            ..Thrift::default()
+            ..Pacing::default()
         };
     })
 }
@@ -63,7 +63,7 @@
 
 fn ready(w: &World, e: usize) -> bool {
     w.hall(e)
-        .is_some_and(|h| h.ready().is_ok() && h.plan.shown.roster.serial > 0)
+        .is_some_and(|h| h.ready().is_ok() && h.plan.shown.registry.serial > 0)
 }
 
 /// What each edge acts by, which must only grow within its life.
@@ -73,7 +73,7 @@
         Some((
             h.pull.have.record,
             h.plan.shown.view.serial,
-            h.pull.have.roster,
+            h.pull.have.registry,
         ))
     };
     w.edges()
@@ -83,7 +83,7 @@
 }
 
 /// Run until `f` holds, with an eye on what edges act by at every step.
-fn watched(w: &mut World, most: Ms, f: impl Fn(&World) -> bool) -> Option<Ms> {
+fn watched(w: &mut World, most: Millis, f: impl Fn(&World) -> bool) -> Option<Millis> {
     let from = w.now;
     let mut was = marks(w);
     while w.now < from + most {
@@ -120,7 +120,7 @@
         last.push(any + most);
         led.push(any + most + lead);
         // what is acknowledged is there, and proved, by every edge
-        let of = |c: &usize| w.hub(*c).and_then(|h| h.agree.as_ref());
+        let of = |c: &usize| w.controller(*c).and_then(|h| h.consensus.as_ref());
         let tops = w
             .cores()
             .into_iter()
@@ -131,7 +131,7 @@
         assert!(watched(&mut w, 3000, proved).is_some(), "seed {seed}");
         sound(&w, seed);
     }
-    let show = |what: &str, v: &mut Vec<Ms>| {
+    let show = |what: &str, v: &mut Vec<Millis>| {
         v.sort_unstable();
         let (mid, most) = (v[v.len() / 2], v[v.len() - 1]);
         println!("{what}: median {mid} ms, most {most} ms after the last start");
--- a/sorreldoor/src/agree/accept.rs
+++ b/sorreldoor/src/consensus/accept.rs
@@ -1,14 +1,14 @@
 //! Taking the log from a leader, as entries or as a snapshot.
 
-use super::node::{Agree, Role};
+use super::node::{Consensus, Role};
 use super::types::*;
 
-impl<M: Machine> Agree<M> {
-    fn follow(&mut self, term: u64, gl: Nid, round: u64) {
+impl<M: Machine> Consensus<M> {
+    fn follow(&mut self, term: u64, gl: NodeId, round: u64) {
         if term > self.hard.term {
             self.take_term(term, Some(gl));
         }
-        self.role = Role::Follow;
+        self.role = Role::Follower;
         let new = self.gl != Some(gl);
         self.gl = Some(gl);
         self.heard_gl = self.now;
@@ -25,14 +25,14 @@
 
     pub(super) fn on_append(
         &mut self,
-        from: Nid,
-        lead: (u64, Nid, u64),
+        from: NodeId,
+        lead: (u64, NodeId, u64),
         prev: Last,
         entries: Vec<Entry>,
         commit: u64,
     ) {
         let (term, gl, round) = lead;
-        if term < self.hard.term || (self.role == Role::Lead && term == self.hard.term) {
+        if term < self.hard.term || (self.role == Role::Leader && term == self.hard.term) {
             self.tell(from, None);
             return;
         }
@@ -40,7 +40,7 @@
         let base = self.log.base();
         let skip = base.idx.saturating_sub(prev.idx).min(entries.len() as u64);
         let (prev, rest) = if prev.idx < base.idx {
-            // why: what the snapshot covers is committed, so it needs no check
+            // what the snapshot covers is committed, so it needs no check
             (base, entries[skip as usize..].to_vec())
         } else {
             (prev, entries)
@@ -102,9 +102,9 @@
         true
     }
 
-    pub(super) fn on_install(&mut self, from: Nid, lead: (u64, Nid, u64), snap: Snap) {
+    pub(super) fn on_install(&mut self, from: NodeId, lead: (u64, NodeId, u64), snap: Snap) {
         let (term, gl, round) = lead;
-        if term < self.hard.term || (self.role == Role::Lead && term == self.hard.term) {
+        if term < self.hard.term || (self.role == Role::Leader && term == self.hard.term) {
             self.tell(from, None);
             return;
         }
--- a/sorreldoor/src/agree/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -1,16 +1,16 @@
 //! When an entry is committed, who answers for it, and where the leader stands.
 
-use super::node::{Agree, Owed, Role};
+use super::node::{Consensus, Owed, Role};
 use super::position::{best, Load, View};
 use super::quorum;
 use super::types::*;
 use std::sync::Arc;
 
-impl<M: Machine> Agree<M> {
+impl<M: Machine> Consensus<M> {
     /// What `id` is known to hold, synced, in this term.
-    fn upto(&self, id: Nid) -> u64 {
+    fn upto(&self, id: NodeId) -> u64 {
         if id == self.me {
-            let own = if self.role == Role::Lead {
+            let own = if self.role == Role::Leader {
                 u64::MAX
             } else {
                 self.verified
@@ -21,15 +21,15 @@
     }
 
     pub(super) fn own_row(&mut self) {
-        // why: a Domain Leader's own sync is news for the Global Leader only
+        // a Domain Leader's own sync is news for the Global Leader only
         // through its held-back message, which has just been let go
-        if self.role != Role::Lead && self.drole == Role::Lead {
+        if self.role != Role::Leader && self.drole == Role::Leader {
             self.try_fast();
         }
     }
 
-    fn region_up(&self, r: Reg) -> bool {
-        let live = self.now.saturating_sub(self.pace.dead);
+    fn region_up(&self, r: RegionId) -> bool {
+        let live = self.now.saturating_sub(self.timing.dead);
         quorum::most(&self.region_voters(r), |i| {
             i == self.me || self.rows.get(&i).is_some_and(|w| w.seen >= live)
         })
@@ -62,23 +62,23 @@
         let r = self.region();
         let rs = quorum::regions(&ms);
         let own = quorum::held_by_most(&self.region_voters(r), |i| self.upto(i));
-        let held = |o: &Reg| quorum::held_by_most(&self.region_voters(*o), |i| self.upto(i));
+        let held = |o: &RegionId| quorum::held_by_most(&self.region_voters(*o), |i| self.upto(i));
         let other = rs.iter().filter(|o| **o != r).map(held).max().unwrap_or(0);
         let own_up = self.region_up(r);
         let other_up = rs.iter().any(|o| *o != r && self.region_up(*o));
-        let anchor = if self.pace.broken == Broken::NoAnchor {
+        let anchor = if self.timing.broken == Broken::NoAnchor {
             own.max(1)
         } else {
             quorum::held_by_most(&self.voters(), |i| self.upto(i))
         };
-        let old = self.now.saturating_sub(self.pace.waive);
+        let old = self.now.saturating_sub(self.timing.waive);
         let aged = self
             .born
             .iter()
             .take_while(|(_, t)| *t <= old)
             .last()
             .map_or(0, |(i, _)| *i);
-        // why: the core majority is the safety anchor; only the region rules,
+        // the core majority is the safety anchor; only the region rules,
         // and only for a region that does not answer, may be waived
         let own_ok = if own_up { own.max(aged) } else { u64::MAX };
         let other_ok = if other_up { other.max(aged) } else { u64::MAX };
@@ -95,18 +95,18 @@
     /// Tell each Domain Leader whose askers wait that this region holds on.
     fn confirm_domains(&mut self) {
         let upto = self.in_domain();
-        if upto <= self.confirmed || !self.pace.fast {
+        if upto <= self.confirmed || !self.timing.fast {
             return;
         }
         let ms = self.log.members().to_vec();
         let mine = self.region();
         let from = self.confirmed.max(self.log.base().idx);
-        let holders: Vec<Nid> = self
+        let holders: Vec<NodeId> = self
             .region_voters(mine)
             .into_iter()
             .filter(|i| self.upto(*i) >= upto)
             .collect();
-        let asking: std::collections::BTreeSet<Reg> = (from + 1..=upto)
+        let asking: std::collections::BTreeSet<RegionId> = (from + 1..=upto)
             .filter_map(|i| self.log.get(i))
             .filter(|e| e.pid != 0)
             .filter_map(|e| quorum::region_of(&ms, e.origin))
@@ -114,7 +114,7 @@
             .collect();
         self.confirmed = upto;
         let term = self.hard.term;
-        let to: Vec<Nid> = asking
+        let to: Vec<NodeId> = asking
             .iter()
             .filter_map(|r| self.leads.get(r).map(|l| l.id))
             .collect();
@@ -131,9 +131,9 @@
         }
     }
 
-    pub(super) fn on_confirm(&mut self, term: u64, upto: u64, holders: Vec<Nid>) {
-        // why: a deposed Global Leader's late confirmation proves nothing
-        if term != self.hard.term || self.role == Role::Lead {
+    pub(super) fn on_confirm(&mut self, term: u64, upto: u64, holders: Vec<NodeId>) {
+        // a deposed Global Leader's late confirmation proves nothing
+        if term != self.hard.term || self.role == Role::Leader {
             return;
         }
         if self.confirm.as_ref().is_none_or(|(u, _)| upto > *u) {
@@ -145,7 +145,7 @@
     /// Fast Return: commit here once both region majorities and the core
     /// majority hold in this term, without waiting for the Global Leader.
     pub(super) fn try_fast(&mut self) {
-        if self.drole != Role::Lead || self.role == Role::Lead {
+        if self.drole != Role::Leader || self.role == Role::Leader {
             return;
         }
         let Some((sure, holders)) = self.confirm.clone() else {
@@ -161,7 +161,7 @@
             .gl
             .and_then(|g| quorum::region_of(self.log.members(), g));
         let theirs = glr.map_or(Vec::new(), |g| self.region_voters(g));
-        let has = |i: Nid| holders.contains(&i) || (!theirs.contains(&i) && self.upto(i) >= c);
+        let has = |i: NodeId| holders.contains(&i) || (!theirs.contains(&i) && self.upto(i) >= c);
         let both = glr != Some(r) && quorum::most(&theirs, |i| holders.contains(&i));
         if both && quorum::most(&self.voters(), has) {
             self.advance(c);
@@ -204,10 +204,10 @@
         let home = quorum::region_of(self.log.members(), e.origin);
         let mine = home == Some(self.region());
         let (pid, to) = (e.pid, e.origin);
-        if mine && (self.role == Role::Lead || self.drole == Role::Lead) {
-            self.send(to, Msg::Answered { pid, outcome });
-        } else if self.role == Role::Lead {
-            // why: its Domain Leader answers first; if it does not, we do
+        if mine && (self.role == Role::Leader || self.drole == Role::Leader) {
+            self.send(to, Msg::ProposalResult { pid, outcome });
+        } else if self.role == Role::Leader {
+            // its Domain Leader answers first; if it does not, we do
             let since = self.now;
             let owed = Owed {
                 since,
@@ -223,15 +223,15 @@
     pub(super) fn pay_owed(&mut self) {
         let ms = self.log.members().to_vec();
         let fast = self.fast.clone();
-        let home = |o: Nid| quorum::region_of(&ms, o);
+        let home = |o: NodeId| quorum::region_of(&ms, o);
         self.owed
             .retain(|i, o| home(o.to).is_some_and(|r| fast.get(&r).copied().unwrap_or(0) < *i));
-        let wait = self.pace.resend;
+        let wait = self.timing.resend;
         let due: Vec<u64> = self
             .owed
             .iter()
             .filter(|(_, o)| {
-                !self.pace.fast
+                !self.timing.fast
                     || home(o.to).is_some_and(|r| self.down.contains(&r))
                     || self.now.saturating_sub(o.since) >= wait
             })
@@ -243,16 +243,16 @@
             .collect::<Vec<_>>()
         {
             let (pid, outcome) = (o.pid, o.outcome);
-            self.send(o.to, Msg::Answered { pid, outcome });
+            self.send(o.to, Msg::ProposalResult { pid, outcome });
         }
     }
 
-    pub(super) fn outcome(&self, pid: Pid) -> Option<Arc<Vec<u8>>> {
+    pub(super) fn outcome(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>> {
         self.machine.answered(pid)
     }
 
     fn compact(&mut self) {
-        if self.applied.saturating_sub(self.log.base().idx) < self.pace.keep_log {
+        if self.applied.saturating_sub(self.log.base().idx) < self.timing.keep_log {
             return;
         }
         let Some(last) = self.log.at(self.applied) else {
@@ -277,9 +277,9 @@
         if self.now < self.judge_at {
             return;
         }
-        self.judge_at = self.now + self.pace.tp;
-        let all: Vec<Reg> = quorum::regions(self.log.members()).into_iter().collect();
-        let up: Vec<Reg> = all.iter().copied().filter(|r| self.region_up(*r)).collect();
+        self.judge_at = self.now + self.timing.tp;
+        let all: Vec<RegionId> = quorum::regions(self.log.members()).into_iter().collect();
+        let up: Vec<RegionId> = all.iter().copied().filter(|r| self.region_up(*r)).collect();
         let here = self.region();
         let to = best(
             &View {
@@ -289,7 +289,7 @@
                 all: &all,
             },
             here,
-            self.pace.gain,
+            self.timing.gain,
         );
         for l in self.load.values_mut() {
             *l = Load {
@@ -300,10 +300,10 @@
         let lead = self
             .leads
             .get(&to.unwrap_or(here))
-            .filter(|l| l.id != self.me && self.now.saturating_sub(l.seen) < self.pace.dead)
+            .filter(|l| l.id != self.me && self.now.saturating_sub(l.seen) < self.timing.dead)
             .map(|l| l.id);
         if let Some(id) = lead {
-            // why: no entry is added from here on, so the next leader's log
+            // no entry is added from here on, so the next leader's log
             // becomes as new as any, and what is proposed meanwhile is retried
             self.moving = Some((id, self.now));
             self.note(Note::Moving { to: id });
@@ -312,13 +312,13 @@
     }
 
     /// Hand over once the other's log is as long as this one's.
-    fn hand_on(&mut self, id: Nid, since: Ms) {
+    fn hand_on(&mut self, id: NodeId, since: Millis) {
         let last = self.log.last().idx;
-        if self.now.saturating_sub(since) > self.pace.elect * 2 {
+        if self.now.saturating_sub(since) > self.timing.elect * 2 {
             self.moving = None;
         } else if self.upto(id) == last && self.commit == last {
             let term = self.hard.term;
-            self.send(id, Msg::MoveNow { term });
+            self.send(id, Msg::TimeoutNow { term });
         }
     }
 }
--- a/sorreldoor/src/agree/elect.rs
+++ b/sorreldoor/src/consensus/elect.rs
@@ -1,13 +1,13 @@
 //! Elections: Domain Leaders by their region, the Global Leader among them.
 
-use super::node::{Agree, Lead, Poll, Role};
+use super::node::{Consensus, Lead, Poll, Role};
 use super::quorum;
 use super::types::*;
 
 /// Election times without a Global Leader after which any voter may stand.
 const UNLED: u32 = 1;
 
-impl<M: Machine> Agree<M> {
+impl<M: Machine> Consensus<M> {
     pub(super) fn alarm(&mut self) {
         if self.failed {
             return;
@@ -20,14 +20,14 @@
 
     fn domain_alarm(&mut self) {
         let mine = self.region_voters(self.region());
-        if self.drole == Role::Lead {
-            let live = self.now.saturating_sub(self.pace.elect);
+        if self.drole == Role::Leader {
+            let live = self.now.saturating_sub(self.timing.elect);
             let ok = quorum::most(&mine, |i| {
                 i == self.me || self.dseen.get(&i).is_some_and(|t| *t >= live)
             });
-            // why: a leader its region no longer hears must not stand in the way
+            // a leader its region no longer hears must not stand in the way
             if !ok || self.disk_stuck() {
-                self.drole = Role::Follow;
+                self.drole = Role::Follower;
                 self.reset_delect();
             } else if self.now >= self.dbeat_at {
                 self.domain_beat();
@@ -38,9 +38,9 @@
     }
 
     pub(super) fn domain_beat(&mut self) {
-        // why: reads bring heartbeats of the Global Leader's forward, and must
+        // reads bring heartbeats of the Global Leader's forward, and must
         // not put off the Domain Leader's
-        self.dbeat_at = self.now + self.pace.beat;
+        self.dbeat_at = self.now + self.timing.beat;
         let (dterm, sent) = (self.hard.dterm, self.now);
         let r = self.region();
         self.leads.insert(
@@ -53,22 +53,22 @@
         );
         self.heard_dl = sent;
         for o in self.others() {
-            self.send(o, Msg::DomainBeat { dterm, sent });
+            self.send(o, Msg::DomainHeartbeat { dterm, sent });
         }
     }
 
     fn global_alarm(&mut self) {
-        if self.role == Role::Lead {
+        if self.role == Role::Leader {
             self.lead_alarm();
             return;
         }
-        if self.drole == Role::Lead && self.now >= self.beat_at {
-            self.beat_at = self.now + self.pace.beat;
+        if self.drole == Role::Leader && self.now >= self.beat_at {
+            self.beat_at = self.now + self.timing.beat;
             self.pump_domain(false);
         }
         if self.now >= self.elect_at {
             self.soon_elect();
-            if self.now >= self.unled_at + self.pace.elect {
+            if self.now >= self.unled_at + self.timing.elect {
                 self.unled_at = self.now;
                 self.unled += 1;
             }
@@ -80,8 +80,8 @@
 
     /// A core's last line was closed: its process has ended, or will be heard
     /// of again soon.
-    pub(super) fn on_gone(&mut self, id: Nid) {
-        let soon = self.now + self.rand(self.pace.elect / 8);
+    pub(super) fn on_gone(&mut self, id: NodeId) {
+        let soon = self.now + self.rand(self.timing.elect / 8);
         if self.leads.get(&self.region()).is_some_and(|l| l.id == id) {
             self.dled = false;
             self.delect_at = self.delect_at.min(soon);
@@ -95,20 +95,20 @@
     /// A Domain Leader may stand; without one in its region, any core may.
     fn may_stand(&self) -> bool {
         let seen = self.leads.get(&self.region()).map_or(0, |l| l.seen);
-        // why: a region that lost its majority can elect no Domain Leader, yet
+        // a region that lost its majority can elect no Domain Leader, yet
         // may hold the newest log; there the region rule is waived
         // and where the one there is cannot win, since its own log or its own
         // view of the members is older than another's, that other must
-        self.drole == Role::Lead
+        self.drole == Role::Leader
             || self.unled > UNLED
-            || self.now.saturating_sub(seen.max(self.heard_dl)) > self.pace.waive
+            || self.now.saturating_sub(seen.max(self.heard_dl)) > self.timing.waive
     }
 
     // --- domain ---
 
     fn sound_domain(&mut self) {
         self.reset_delect();
-        self.drole = Role::Sound;
+        self.drole = Role::PreCandidate;
         self.dpoll = Poll {
             since: self.now,
             yes: [self.me].into(),
@@ -122,18 +122,18 @@
         let last = self.log.last();
         for o in self.region_voters(self.region()) {
             if o != self.me {
-                self.send_saved(o, Msg::DomainAsk { dterm, last, pre });
+                self.send_saved(o, Msg::DomainVoteRequest { dterm, last, pre });
             }
         }
     }
 
-    pub(super) fn on_domain_ask(&mut self, from: Nid, dterm: u64, last: Last, pre: bool) {
+    pub(super) fn on_domain_ask(&mut self, from: NodeId, dterm: u64, last: Last, pre: bool) {
         let newer = last >= self.log.last();
         if pre {
-            let silent = self.now.saturating_sub(self.heard_dl) >= self.pace.elect / 2;
-            let quiet = (silent || !self.dled) && self.drole != Role::Lead;
+            let silent = self.now.saturating_sub(self.heard_dl) >= self.timing.elect / 2;
+            let quiet = (silent || !self.dled) && self.drole != Role::Leader;
             let yes = newer && quiet && dterm > self.hard.dterm && !self.disk_stuck();
-            self.send_saved(from, Msg::DomainAns { dterm, yes, pre });
+            self.send_saved(from, Msg::DomainVoteReply { dterm, yes, pre });
             return;
         }
         if dterm > self.hard.dterm {
@@ -147,22 +147,26 @@
             self.save_hard();
         }
         let dterm = self.hard.dterm;
-        self.send_saved(from, Msg::DomainAns { dterm, yes, pre });
+        self.send_saved(from, Msg::DomainVoteReply { dterm, yes, pre });
     }
 
     fn domain_term(&mut self, dterm: u64) {
         self.hard.dterm = dterm;
         self.hard.dvote = None;
-        self.drole = Role::Follow;
+        self.drole = Role::Follower;
         self.save_hard();
     }
 
-    pub(super) fn on_domain_ans(&mut self, from: Nid, dterm: u64, yes: bool, pre: bool) {
+    pub(super) fn on_domain_ans(&mut self, from: NodeId, dterm: u64, yes: bool, pre: bool) {
         if !yes && dterm > self.hard.dterm {
             self.domain_term(dterm);
             return;
         }
-        let want = if pre { Role::Sound } else { Role::Stand };
+        let want = if pre {
+            Role::PreCandidate
+        } else {
+            Role::Candidate
+        };
         let at = self.hard.dterm + u64::from(pre);
         if yes && self.drole == want && dterm == at {
             self.dpoll.yes.insert(from);
@@ -170,7 +174,7 @@
         }
     }
 
-    pub(super) fn on_domain_beat(&mut self, from: Nid, dterm: u64, sent: Ms) {
+    pub(super) fn on_domain_beat(&mut self, from: NodeId, dterm: u64, sent: Millis) {
         let Some(r) = quorum::region_of(self.log.members(), from) else {
             return;
         };
@@ -193,23 +197,23 @@
             if dterm > self.hard.dterm {
                 self.domain_term(dterm);
             }
-            if self.drole != Role::Lead {
-                self.drole = Role::Follow;
+            if self.drole != Role::Leader {
+                self.drole = Role::Follower;
             }
             self.heard_dl = self.now;
             self.dled = true;
             self.reset_delect();
         }
-        self.send_saved(from, Msg::DomainBack { dterm, sent });
+        self.send_saved(from, Msg::DomainHeartbeatReply { dterm, sent });
     }
 
-    pub(super) fn on_domain_back(&mut self, from: Nid, _dterm: u64, sent: Ms) {
+    pub(super) fn on_domain_back(&mut self, from: NodeId, _dterm: u64, sent: Millis) {
         self.dseen.insert(from, self.now);
         let r = quorum::region_of(self.log.members(), from);
         let one = self.now.saturating_sub(sent).div_ceil(2);
         if let Some(r) = r.filter(|r| *r != self.region()) {
             let l = self.lat.entry((self.region(), r)).or_insert(one);
-            // why: one slow answer must not make the leader move
+            // one slow answer must not make the leader move
             *l = (*l * 7 + one).div_ceil(8);
         }
     }
@@ -217,9 +221,9 @@
     // --- global ---
 
     fn sound_global(&mut self) {
-        // why: asking again must not put off the waiver of the region rules
-        let since = Some(self.poll.since).filter(|_| self.role == Role::Sound);
-        self.role = Role::Sound;
+        // asking again must not put off the waiver of the region rules
+        let since = Some(self.poll.since).filter(|_| self.role == Role::PreCandidate);
+        self.role = Role::PreCandidate;
         self.poll = self.new_poll();
         self.poll.since = since.unwrap_or(self.now);
         self.ask_global(self.hard.term + 1, true);
@@ -232,7 +236,7 @@
             yes: [self.me].into(),
             ..Poll::default()
         };
-        if self.drole == Role::Lead {
+        if self.drole == Role::Leader {
             p.leads.insert(self.me, self.log.last());
         }
         p
@@ -242,7 +246,7 @@
         let last = self.log.last();
         for o in self.voters() {
             if o != self.me {
-                self.send_saved(o, Msg::Ask { term, last, pre });
+                self.send_saved(o, Msg::VoteRequest { term, last, pre });
             }
         }
     }
@@ -253,42 +257,42 @@
         self.gl = None;
         self.forget_term();
         self.save_hard();
-        self.role = Role::Stand;
+        self.role = Role::Candidate;
         self.poll = self.new_poll();
         self.poll.seq = self.seq;
-        let r = self.rand(self.pace.elect);
-        self.elect_at = self.now + self.pace.elect + r;
+        let r = self.rand(self.timing.elect);
+        self.elect_at = self.now + self.timing.elect + r;
         self.ask_global(self.hard.term, false);
     }
 
     pub(super) fn on_move_now(&mut self, term: u64) {
-        if term == self.hard.term && self.drole == Role::Lead && !self.disk_stuck() {
+        if term == self.hard.term && self.drole == Role::Leader && !self.disk_stuck() {
             self.stand_global();
             self.check_polls();
         }
     }
 
-    pub(super) fn on_ask(&mut self, from: Nid, term: u64, last: Last, pre: bool) {
-        let newer = last >= self.log.last() || self.pace.broken == Broken::VoteStale;
-        let leads = self.drole == Role::Lead;
+    pub(super) fn on_ask(&mut self, from: NodeId, term: u64, last: Last, pre: bool) {
+        let newer = last >= self.log.last() || self.timing.broken == Broken::VoteStale;
+        let leads = self.drole == Role::Leader;
         let mine = self.log.last();
         if pre {
-            // why: of two that ask at once only one may go on, or they would
+            // of two that ask at once only one may go on, or they would
             // split the votes again and again
             let rival = match self.role {
-                Role::Sound => mine == last && self.me > from,
-                r => r == Role::Stand,
+                Role::PreCandidate => mine == last && self.me > from,
+                r => r == Role::Candidate,
             };
             let free = newer && self.unheard() && !rival;
             let yes = free && term > self.hard.term && !self.disk_stuck();
-            if yes && self.role == Role::Sound {
-                self.role = Role::Follow;
+            if yes && self.role == Role::PreCandidate {
+                self.role = Role::Follower;
                 self.reset_elect();
             }
             let term = if yes { term } else { self.hard.term };
             self.send_saved(
                 from,
-                Msg::Ans {
+                Msg::VoteReply {
                     term,
                     yes,
                     pre,
@@ -305,7 +309,7 @@
         let yes = term == self.hard.term
             && free
             && newer
-            && self.role == Role::Follow
+            && self.role == Role::Follower
             && !self.disk_stuck();
         if yes && self.hard.vote.is_none() {
             self.hard.vote = Some(from);
@@ -315,7 +319,7 @@
         let term = self.hard.term;
         self.send_saved(
             from,
-            Msg::Ans {
+            Msg::VoteReply {
                 term,
                 yes,
                 pre,
@@ -325,13 +329,17 @@
         );
     }
 
-    pub(super) fn on_ans(&mut self, from: Nid, ans: (u64, bool, bool), lead: Option<Last>) {
+    pub(super) fn on_ans(&mut self, from: NodeId, ans: (u64, bool, bool), lead: Option<Last>) {
         let (term, yes, pre) = ans;
         if !yes && term > self.hard.term {
             self.take_term(term, None);
             return;
         }
-        let want = if pre { Role::Sound } else { Role::Stand };
+        let want = if pre {
+            Role::PreCandidate
+        } else {
+            Role::Candidate
+        };
         let at = self.hard.term + u64::from(pre && yes);
         if self.role != want || (yes && term != at) {
             return;
@@ -360,8 +368,8 @@
         self.moving = None;
     }
 
-    pub(super) fn take_term(&mut self, term: u64, gl: Option<Nid>) {
-        if self.role == Role::Lead {
+    pub(super) fn take_term(&mut self, term: u64, gl: Option<NodeId>) {
+        if self.role == Role::Leader {
             self.note(Note::SteppedDown {
                 term: self.hard.term,
                 why: "a newer term",
@@ -369,7 +377,7 @@
         }
         self.hard.term = term;
         self.hard.vote = None;
-        self.role = Role::Follow;
+        self.role = Role::Follower;
         self.gl = gl;
         self.forget_term();
         self.save_hard();
@@ -377,11 +385,11 @@
     }
 
     pub(super) fn step_down(&mut self, why: &'static str) {
-        if self.role == Role::Lead {
+        if self.role == Role::Leader {
             let term = self.hard.term;
             self.note(Note::SteppedDown { term, why });
         }
-        self.role = Role::Follow;
+        self.role = Role::Follower;
         self.gl = None;
         self.forget_term();
         self.reset_elect();
--- a/sorreldoor/src/agree/log.rs
+++ b/sorreldoor/src/consensus/log.rs
@@ -71,7 +71,7 @@
                     Body::Data(d) => d.len(),
                     _ => 64,
                 };
-                // why: the first always fits, or one large setup could never be sent
+                // the first always fits, or one large setup could never be sent
                 let ok = *i == 0 || room >= n;
                 room = room.saturating_sub(n);
                 ok
--- a/sorreldoor/src/agree/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -15,6 +15,6 @@
 mod types;
 
 pub use log::Log;
-pub use node::{Agree, Kept};
+pub use node::{Consensus, Kept};
 pub use position::{best, Load};
 pub use types::*;
--- a/sorreldoor/src/agree/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -8,10 +8,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    Follow,
-    Sound,
-    Stand,
-    Lead,
+    Follower,
+    PreCandidate,
+    Candidate,
+    Leader,
 }
 
 /// What a leader knows of one node in its own term.
@@ -22,17 +22,17 @@
     /// What the last append sent was to follow on.
     pub probe: u64,
     pub round: u64,
-    pub seen: Ms,
-    pub sent: Ms,
+    pub seen: Millis,
+    pub sent: Millis,
 }
 
 /// An election under way, global or domain.
 #[derive(Clone, Debug, Default)]
 pub struct Poll {
-    pub since: Ms,
-    pub yes: BTreeSet<Nid>,
+    pub since: Millis,
+    pub yes: BTreeSet<NodeId>,
     /// Domain Leaders that took part, with how new their logs are.
-    pub leads: BTreeMap<Nid, Last>,
+    pub leads: BTreeMap<NodeId, Last>,
 
     /// The own vote counts once this save is synced.
     pub seq: u64,
@@ -41,21 +41,21 @@
 #[derive(Clone, Debug)]
 pub struct Ask {
     pub body: Body,
-    pub since: Ms,
-    pub sent: Option<Ms>,
+    pub since: Millis,
+    pub sent: Option<Millis>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Look {
-    pub since: Ms,
-    pub sent: Option<Ms>,
+    pub since: Millis,
+    pub sent: Option<Millis>,
     pub idx: Option<u64>,
 }
 
 /// A read that the Global Leader has to prove itself for.
 #[derive(Clone, Debug)]
 pub struct Proof {
-    pub from: Nid,
+    pub from: NodeId,
     pub rid: u64,
     pub idx: u64,
     pub round: u64,
@@ -64,23 +64,23 @@
 /// The Domain Leader of a region, as heard of last.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lead {
-    pub id: Nid,
+    pub id: NodeId,
     pub dterm: u64,
-    pub seen: Ms,
+    pub seen: Millis,
 }
 
 /// An outcome that a Domain Leader should give, or else we.
 #[derive(Clone, Debug)]
 pub struct Owed {
-    pub since: Ms,
-    pub pid: Pid,
-    pub to: Nid,
+    pub since: Millis,
+    pub pid: ProposalId,
+    pub to: NodeId,
     pub outcome: Arc<Vec<u8>>,
 }
 
-pub struct Agree<M: Machine> {
-    pub(super) me: Nid,
-    pub(super) pace: Pace,
+pub struct Consensus<M: Machine> {
+    pub(super) me: NodeId,
+    pub(super) timing: Timing,
     pub(super) hard: Hard,
     pub(super) log: Log,
     pub(super) machine: M,
@@ -89,10 +89,10 @@
     pub(super) applied: u64,
     pub(super) role: Role,
     pub(super) drole: Role,
-    pub(super) gl: Option<Nid>,
-    pub(super) leads: BTreeMap<Reg, Lead>,
-    pub(super) heard_gl: Ms,
-    pub(super) heard_dl: Ms,
+    pub(super) gl: Option<NodeId>,
+    pub(super) leads: BTreeMap<RegionId, Lead>,
+    pub(super) heard_gl: Millis,
+    pub(super) heard_dl: Millis,
     /// The line to the Global Leader was closed, and it was not heard since.
     pub(super) suspect: bool,
     /// A Domain Leader of the own region was heard of, and is not known gone.
@@ -100,64 +100,71 @@
     /// Election times that passed without word of a Global Leader, and when
     /// the last was counted.
     pub(super) unled: u32,
-    pub(super) unled_at: Ms,
-    pub(super) elect_at: Ms,
-    pub(super) delect_at: Ms,
+    pub(super) unled_at: Millis,
+    pub(super) elect_at: Millis,
+    pub(super) delect_at: Millis,
     pub(super) poll: Poll,
     pub(super) dpoll: Poll,
     /// Rows of all nodes at the Global Leader, of the region at a Domain Leader.
-    pub(super) rows: BTreeMap<Nid, Row>,
-    pub(super) dseen: BTreeMap<Nid, Ms>,
+    pub(super) rows: BTreeMap<NodeId, Row>,
+    pub(super) dseen: BTreeMap<NodeId, Millis>,
     /// How far this log is known to equal the Global Leader's in this term.
     pub(super) verified: u64,
     pub(super) round: u64,
-    pub(super) round_from: Nid,
-    pub(super) beat_at: Ms,
+    pub(super) round_from: NodeId,
+    pub(super) beat_at: Millis,
     /// When the last round of heartbeats was sent.
-    pub(super) beaten: Ms,
-    pub(super) dbeat_at: Ms,
-    pub(super) confirm: Option<(u64, Vec<Nid>)>,
+    pub(super) beaten: Millis,
+    pub(super) dbeat_at: Millis,
+    pub(super) confirm: Option<(u64, Vec<NodeId>)>,
     pub(super) confirmed: u64,
     /// How far each Domain Leader says it has answered its own region.
-    pub(super) fast: BTreeMap<Reg, u64>,
+    pub(super) fast: BTreeMap<RegionId, u64>,
     pub(super) owed: BTreeMap<u64, Owed>,
-    pub(super) born: VecDeque<(u64, Ms)>,
-    pub(super) inflight: BTreeMap<Pid, u64>,
-    pub(super) asks: BTreeMap<Pid, Ask>,
+    pub(super) born: VecDeque<(u64, Millis)>,
+    pub(super) inflight: BTreeMap<ProposalId, u64>,
+    pub(super) asks: BTreeMap<ProposalId, Ask>,
     pub(super) looks: BTreeMap<u64, Look>,
     pub(super) proofs: VecDeque<Proof>,
-    pub(super) down: BTreeSet<Reg>,
-    pub(super) load: BTreeMap<Reg, Load>,
-    pub(super) lat: BTreeMap<(Reg, Reg), Ms>,
-    pub(super) judge_at: Ms,
-    pub(super) moving: Option<(Nid, Ms)>,
+    pub(super) down: BTreeSet<RegionId>,
+    pub(super) load: BTreeMap<RegionId, Load>,
+    pub(super) lat: BTreeMap<(RegionId, RegionId), Millis>,
+    pub(super) judge_at: Millis,
+    pub(super) moving: Option<(NodeId, Millis)>,
     pub(super) seq: u64,
     pub(super) saved: u64,
-    pub(super) unsaved: VecDeque<(u64, Ms, u64)>,
-    pub(super) held_back: VecDeque<(u64, Nid, Msg)>,
+    pub(super) unsaved: VecDeque<(u64, Millis, u64)>,
+    pub(super) held_back: VecDeque<(u64, NodeId, Msg)>,
     pub(super) failed: bool,
-    pub(super) now: Ms,
+    pub(super) now: Millis,
     pub(super) rng: u64,
     pub(super) out: Vec<Effect>,
 }
 
-impl<M: Machine> Agree<M> {
-    pub fn new(me: Nid, pace: Pace, kept: Kept, machine: M, seed: u64, now: Ms) -> Agree<M> {
+impl<M: Machine> Consensus<M> {
+    pub fn new(
+        me: NodeId,
+        timing: Timing,
+        kept: Kept,
+        machine: M,
+        seed: u64,
+        now: Millis,
+    ) -> Consensus<M> {
         let Kept {
             hard, log, snap, ..
         } = kept;
         let base = log.base().idx;
-        let mut a = Agree {
+        let mut a = Consensus {
             me,
-            pace,
+            timing,
             hard,
             log,
             machine,
             image: snap,
             commit: base,
             applied: base,
-            role: Role::Follow,
-            drole: Role::Follow,
+            role: Role::Follower,
+            drole: Role::Follower,
             gl: None,
             leads: BTreeMap::new(),
             heard_gl: now,
@@ -201,23 +208,23 @@
             rng: seed | 1,
             out: Vec::new(),
         };
-        a.judge_at = now + a.pace.tp;
+        a.judge_at = now + a.timing.tp;
         a.soon_elect();
         a.reset_delect();
-        // why: what was committed stays so, and need not wait for a leader
+        // what was committed stays so, and need not wait for a leader
         a.advance(a.hard.commit);
         a
     }
 
     /// A first member of a new site; the founding is its first save.
     pub fn found(
-        me: Nid,
-        pace: Pace,
+        me: NodeId,
+        timing: Timing,
         members: Vec<Member>,
         machine: M,
         seed: u64,
-        now: Ms,
-    ) -> Agree<M> {
+        now: Millis,
+    ) -> Consensus<M> {
         let snap = Snap {
             last: Last::default(),
             members: members.clone(),
@@ -229,13 +236,13 @@
             snap: Some(snap.clone()),
             claims: Vec::new(),
         };
-        let mut a = Agree::new(me, pace, kept, machine, seed, now);
+        let mut a = Consensus::new(me, timing, kept, machine, seed, now);
         a.save(Save::Snap { snap, reset: true });
         a
     }
 
     /// The one door: every event passes here, and effects come back in order.
-    pub fn step(&mut self, ev: Event, now: Ms) -> Vec<Effect> {
+    pub fn step(&mut self, ev: Event, now: Millis) -> Vec<Effect> {
         self.now = self.now.max(now);
         match ev {
             Event::Alarm => self.alarm(),
@@ -249,18 +256,20 @@
         std::mem::take(&mut self.out)
     }
 
-    fn heard(&mut self, from: Nid, msg: Msg) {
-        // why: after a failed save nothing this node says can be relied on
+    fn heard(&mut self, from: NodeId, msg: Msg) {
+        // after a failed save nothing this node says can be relied on
         if self.failed {
             return;
         }
         match msg {
-            Msg::DomainAsk { dterm, last, pre } => self.on_domain_ask(from, dterm, last, pre),
-            Msg::DomainAns { dterm, yes, pre } => self.on_domain_ans(from, dterm, yes, pre),
-            Msg::DomainBeat { dterm, sent } => self.on_domain_beat(from, dterm, sent),
-            Msg::DomainBack { dterm, sent } => self.on_domain_back(from, dterm, sent),
-            Msg::Ask { term, last, pre } => self.on_ask(from, term, last, pre),
-            Msg::Ans {
+            Msg::DomainVoteRequest { dterm, last, pre } => {
+                self.on_domain_ask(from, dterm, last, pre)
+            }
+            Msg::DomainVoteReply { dterm, yes, pre } => self.on_domain_ans(from, dterm, yes, pre),
+            Msg::DomainHeartbeat { dterm, sent } => self.on_domain_beat(from, dterm, sent),
+            Msg::DomainHeartbeatReply { dterm, sent } => self.on_domain_back(from, dterm, sent),
+            Msg::VoteRequest { term, last, pre } => self.on_ask(from, term, last, pre),
+            Msg::VoteReply {
                 term,
                 yes,
                 pre,
@@ -275,7 +284,7 @@
                 commit,
                 round,
             } => self.on_append(from, (term, gl, round), prev, entries, commit),
-            Msg::Holds {
+            Msg::AppendReply {
                 term,
                 rows,
                 hint,
@@ -287,17 +296,17 @@
                 upto,
                 holders,
             } => self.on_confirm(term, upto, holders),
-            Msg::Install {
+            Msg::InstallSnapshot {
                 term,
                 gl,
                 snap,
                 round,
             } => self.on_install(from, (term, gl, round), snap),
             Msg::Propose { pid, origin, body } => self.on_propose(pid, origin, body),
-            Msg::Answered { pid, outcome } => self.finish(pid, Ok(outcome)),
-            Msg::ReadAsk { rid } => self.on_read_ask(from, rid),
-            Msg::ReadAns { rid, idx } => self.on_read_ans(rid, idx),
-            Msg::MoveNow { term } => self.on_move_now(term),
+            Msg::ProposalResult { pid, outcome } => self.finish(pid, Ok(outcome)),
+            Msg::ReadIndexRequest { rid } => self.on_read_ask(from, rid),
+            Msg::ReadIndexReply { rid, idx } => self.on_read_ans(rid, idx),
+            Msg::TimeoutNow { term } => self.on_move_now(term),
         }
     }
 }
--- a/sorreldoor/src/agree/reads.rs
+++ b/sorreldoor/src/consensus/reads.rs
@@ -1,11 +1,11 @@
 //! Proposals and reads as their askers see them.
 
-use super::node::{Agree, Ask, Look, Proof, Role};
+use super::node::{Ask, Consensus, Look, Proof, Role};
 use super::quorum;
 use super::types::*;
 
-impl<M: Machine> Agree<M> {
-    pub(super) fn ask(&mut self, pid: Pid, body: Body) {
+impl<M: Machine> Consensus<M> {
+    pub(super) fn ask(&mut self, pid: ProposalId, body: Body) {
         if let Some(o) = self.outcome(pid) {
             self.out.push(Effect::Result {
                 pid,
@@ -13,7 +13,7 @@
             });
             return;
         }
-        if self.failed || self.asks.len() >= self.pace.most_pending {
+        if self.failed || self.asks.len() >= self.timing.most_pending {
             let outcome = Err(Lost::Full);
             self.out.push(Effect::Result { pid, outcome });
             return;
@@ -27,7 +27,7 @@
         self.dispatch(pid);
     }
 
-    pub(super) fn dispatch(&mut self, pid: Pid) {
+    pub(super) fn dispatch(&mut self, pid: ProposalId) {
         let Some(gl) = self.gl else { return };
         let (now, origin) = (self.now, self.me);
         let Some(a) = self.asks.get_mut(&pid) else {
@@ -42,20 +42,21 @@
         }
     }
 
-    pub(super) fn on_propose(&mut self, pid: Pid, origin: Nid, body: Body) {
-        if self.role != Role::Lead {
+    pub(super) fn on_propose(&mut self, pid: ProposalId, origin: NodeId, body: Body) {
+        if self.role != Role::Leader {
             return;
         }
         if let Some(outcome) = self.outcome(pid) {
             if origin == self.me {
                 self.finish(pid, Ok(outcome));
             } else {
-                self.send(origin, Msg::Answered { pid, outcome });
+                self.send(origin, Msg::ProposalResult { pid, outcome });
             }
             return;
         }
-        let room = self.log.last().idx.saturating_sub(self.commit) < self.pace.most_pending as u64;
-        // why: a retry of what is already in the log must not enter it twice
+        let room =
+            self.log.last().idx.saturating_sub(self.commit) < self.timing.most_pending as u64;
+        // a retry of what is already in the log must not enter it twice
         if self.moving.is_some() || self.inflight.contains_key(&pid) || !room {
             return;
         }
@@ -81,13 +82,13 @@
     fn may_change(&self, new: &[Member]) -> bool {
         let settled = self.log.conf_idx() <= self.commit
             && self.log.term_at(self.commit) == Some(self.hard.term);
-        let was: std::collections::BTreeSet<Nid> = self.voters().into_iter().collect();
-        let will: std::collections::BTreeSet<Nid> = quorum::voters(new).map(|m| m.id).collect();
+        let was: std::collections::BTreeSet<NodeId> = self.voters().into_iter().collect();
+        let will: std::collections::BTreeSet<NodeId> = quorum::voters(new).map(|m| m.id).collect();
         settled && !will.is_empty() && was.symmetric_difference(&will).count() <= 1
     }
 
     pub(super) fn look(&mut self, rid: u64) {
-        if self.failed || self.looks.len() >= self.pace.most_pending {
+        if self.failed || self.looks.len() >= self.timing.most_pending {
             self.out.push(Effect::ReadReady { rid, ok: false });
             return;
         }
@@ -112,29 +113,29 @@
         if gl == self.me {
             self.on_read_ask(gl, rid);
         } else {
-            self.send(gl, Msg::ReadAsk { rid });
+            self.send(gl, Msg::ReadIndexRequest { rid });
         }
     }
 
-    pub(super) fn on_read_ask(&mut self, from: Nid, rid: u64) {
+    pub(super) fn on_read_ask(&mut self, from: NodeId, rid: u64) {
         let ready = self.log.term_at(self.commit) == Some(self.hard.term);
-        if self.role != Role::Lead || !ready {
+        if self.role != Role::Leader || !ready {
             return;
         }
         if let Some(r) = quorum::region_of(self.log.members(), from) {
             self.load.entry(r).or_default().reads += 1;
         }
         let idx = self.in_domain();
-        if self.pace.broken == Broken::ReadUnproved {
+        if self.timing.broken == Broken::ReadUnproved {
             self.read_proved(from, rid, idx);
             return;
         }
-        let round = if self.pace.batch == 0 {
+        let round = if self.timing.batch == 0 {
             self.beat();
             self.round
         } else {
-            // why: only a heartbeat sent after the read came proves anything
-            self.beat_at = self.beat_at.min(self.beaten + self.pace.batch);
+            // only a heartbeat sent after the read came proves anything
+            self.beat_at = self.beat_at.min(self.beaten + self.timing.batch);
             self.round + 1
         };
         self.proofs.push_back(Proof {
@@ -161,11 +162,11 @@
         }
     }
 
-    fn read_proved(&mut self, from: Nid, rid: u64, idx: u64) {
+    fn read_proved(&mut self, from: NodeId, rid: u64, idx: u64) {
         if from == self.me {
             self.on_read_ans(rid, idx);
         } else {
-            self.send(from, Msg::ReadAns { rid, idx });
+            self.send(from, Msg::ReadIndexReply { rid, idx });
         }
     }
 
@@ -193,9 +194,9 @@
 
     /// Retransmit what has had no answer, and give up what is too old.
     pub(super) fn reads_alarm(&mut self) {
-        let (now, again, most) = (self.now, self.pace.resend * 2, self.pace.ack_ms * 2);
-        let due = |sent: Option<Ms>| sent.is_none_or(|t| now.saturating_sub(t) >= again);
-        let pids: Vec<(Pid, bool, bool)> = self
+        let (now, again, most) = (self.now, self.timing.resend * 2, self.timing.ack_ms * 2);
+        let due = |sent: Option<Millis>| sent.is_none_or(|t| now.saturating_sub(t) >= again);
+        let pids: Vec<(ProposalId, bool, bool)> = self
             .asks
             .iter()
             .filter(|(_, a)| due(a.sent))
@@ -203,7 +204,7 @@
             .collect();
         for (p, old, sent) in pids {
             if old {
-                // why: what was never sent is surely not taken; the rest may be
+                // what was never sent is surely not taken; the rest may be
                 let lost = if sent { Lost::Unknown } else { Lost::Full };
                 self.finish(p, Err(lost));
             } else {
--- a/sorreldoor/src/agree/replicate.rs
+++ b/sorreldoor/src/consensus/replicate.rs
@@ -1,15 +1,15 @@
 //! Sending the log: Global Leader to Domain Leaders, those to their regions.
 
-use super::node::{Agree, Role, Row};
+use super::node::{Consensus, Role, Row};
 use super::quorum;
 use super::types::*;
 
-impl<M: Machine> Agree<M> {
+impl<M: Machine> Consensus<M> {
     /// Take up the leadership just won.
     pub(super) fn lead(&mut self) {
         let now = self.now;
         let next = self.log.last().idx + 1;
-        self.role = Role::Lead;
+        self.role = Role::Leader;
         self.gl = Some(self.me);
         self.forget_lead();
         for o in self.others() {
@@ -26,7 +26,7 @@
             }
             self.born.push_back((i, now));
         }
-        self.judge_at = now + self.pace.tp;
+        self.judge_at = now + self.timing.tp;
         let (term, id) = (self.hard.term, self.me);
         self.note(Note::GlobalLeader { term, id });
         let noop = Entry {
@@ -71,7 +71,7 @@
     pub(super) fn members_changed(&mut self) {
         let ms = self.log.members().to_vec();
         let (next, now) = (self.log.last().idx, self.now);
-        if self.role == Role::Lead {
+        if self.role == Role::Leader {
             self.rows.retain(|i, _| ms.iter().any(|m| m.id == *i));
             for m in ms.iter().filter(|m| m.id != self.me) {
                 self.rows.entry(m.id).or_insert_with(|| Row {
@@ -89,18 +89,18 @@
     }
 
     /// Whom the Global Leader sends to itself; the rest get it from these.
-    fn targets(&self) -> Vec<Nid> {
+    fn targets(&self) -> Vec<NodeId> {
         let mine = self.region();
-        let fresh = self.now.saturating_sub(self.pace.dead);
+        let fresh = self.now.saturating_sub(self.timing.dead);
         let ms = self.log.members();
-        let led = |r: Reg| {
+        let led = |r: RegionId| {
             self.leads
                 .get(&r)
                 .filter(|l| r != mine && l.seen >= fresh && ms.iter().any(|m| m.id == l.id))
         };
         ms.iter()
             .filter(|m| m.id != self.me)
-            // why: without a Domain Leader in sight the region is served directly
+            // without a Domain Leader in sight the region is served directly
             .filter(|m| led(m.region).is_none_or(|l| l.id == m.id))
             .map(|m| m.id)
             .collect()
@@ -110,14 +110,14 @@
     pub(super) fn beat(&mut self) {
         self.round += 1;
         self.beaten = self.now;
-        self.beat_at = self.now + self.pace.beat;
+        self.beat_at = self.now + self.timing.beat;
         for t in self.targets() {
             self.send_append(t, true);
         }
     }
 
     pub(super) fn lead_alarm(&mut self) {
-        let live = self.now.saturating_sub(self.pace.elect * 2);
+        let live = self.now.saturating_sub(self.timing.elect * 2);
         let vs = self.voters();
         let heard = quorum::most(&vs, |i| {
             i == self.me || self.rows.get(&i).is_some_and(|r| r.seen >= live)
@@ -139,8 +139,8 @@
         self.judge();
     }
 
-    fn send_append(&mut self, to: Nid, beat: bool) {
-        let lead = self.role == Role::Lead;
+    fn send_append(&mut self, to: NodeId, beat: bool) {
+        let lead = self.role == Role::Leader;
         let upto = if lead {
             self.log.last().idx
         } else {
@@ -151,7 +151,7 @@
         } else {
             (self.gl.unwrap_or(0), self.round_from)
         };
-        let (term, now, resend) = (self.hard.term, self.now, self.pace.resend);
+        let (term, now, resend) = (self.hard.term, self.now, self.timing.resend);
         let row = self.rows.entry(to).or_insert_with(|| Row {
             next: upto + 1,
             ..Row::default()
@@ -162,14 +162,14 @@
         }
         let next = row.next;
         let Some(prev) = self.log.at(next - 1) else {
-            // why: what was compacted away is only in the snapshot
+            // what was compacted away is only in the snapshot
             let due = now.saturating_sub(row.sent) >= resend || row.sent == 0;
             let snap = self.image.clone().filter(|_| due);
             if let Some(snap) = snap {
                 row.sent = now;
                 self.send(
                     to,
-                    Msg::Install {
+                    Msg::InstallSnapshot {
                         term,
                         gl,
                         snap,
@@ -199,13 +199,13 @@
 
     /// Send what is new to whoever lacks it, then see what can be committed.
     pub(super) fn pump(&mut self) {
-        if self.role == Role::Lead {
+        if self.role == Role::Leader {
             for t in self.targets() {
                 self.send_append(t, false);
             }
             self.commit_global();
             self.prove_reads();
-        } else if self.drole == Role::Lead {
+        } else if self.drole == Role::Leader {
             self.pump_domain(false);
             self.try_fast();
         }
@@ -214,12 +214,12 @@
     /// A Domain Leader passes on what it has verified.
     pub(super) fn pump_domain(&mut self, beat: bool) {
         let away = self.gl.is_some_and(|g| g != self.me);
-        let fresh = self.now.saturating_sub(self.heard_gl) < self.pace.elect;
+        let fresh = self.now.saturating_sub(self.heard_gl) < self.timing.elect;
         let glr = self
             .gl
             .and_then(|g| quorum::region_of(self.log.members(), g));
-        // why: in its own region the Global Leader speaks for itself
-        if self.drole != Role::Lead
+        // in its own region the Global Leader speaks for itself
+        if self.drole != Role::Leader
             || !away
             || !fresh
             || self.verified == 0
@@ -228,7 +228,7 @@
             return;
         }
         let r = self.region();
-        let to: Vec<Nid> = self
+        let to: Vec<NodeId> = self
             .log
             .members()
             .iter()
@@ -241,14 +241,14 @@
     }
 
     /// Say what this node, and its region if it leads it, hold in this term.
-    pub(super) fn tell(&mut self, to: Nid, hint: Option<u64>) {
+    pub(super) fn tell(&mut self, to: NodeId, hint: Option<u64>) {
         let me = Held {
             id: self.me,
             upto: self.verified,
             round: self.round_from,
         };
         let mut rows = vec![me];
-        if self.drole == Role::Lead && self.role != Role::Lead {
+        if self.drole == Role::Leader && self.role != Role::Leader {
             let r = self.region();
             let ms = self.log.members();
             rows.extend(
@@ -263,11 +263,11 @@
             );
         }
         let lat = self.lat.iter().map(|((_, r), l)| (*r, *l)).collect();
-        let msg = Msg::Holds {
+        let msg = Msg::AppendReply {
             term: self.hard.term,
             rows,
             hint,
-            fast: if self.drole == Role::Lead {
+            fast: if self.drole == Role::Leader {
                 self.commit
             } else {
                 0
@@ -279,18 +279,18 @@
 
     pub(super) fn on_holds(
         &mut self,
-        from: Nid,
+        from: NodeId,
         term: u64,
         rows: Vec<Held>,
         hint: Option<u64>,
-        more: (u64, Vec<(Reg, Ms)>),
+        more: (u64, Vec<(RegionId, Millis)>),
     ) {
         if term > self.hard.term {
             self.take_term(term, None);
             return;
         }
-        let leads = self.role == Role::Lead || self.drole == Role::Lead;
-        // why: an ack of another term says nothing about this one's log
+        let leads = self.role == Role::Leader || self.drole == Role::Leader;
+        // an ack of another term says nothing about this one's log
         if term < self.hard.term || !leads {
             return;
         }
@@ -308,13 +308,14 @@
         }
         if let (Some(h), Some(row)) = (hint, self.rows.get_mut(&from)) {
             row.next = h.max(row.upto) + 1;
-            // why: a node that says it lost what it acked must not make the two
+            // a node that says it lost what it acked must not make the two
             // answer each other at once for ever; the next heartbeat tries again
-            if row.probe != row.next - 1 || self.now.saturating_sub(row.sent) >= self.pace.resend {
+            if row.probe != row.next - 1 || self.now.saturating_sub(row.sent) >= self.timing.resend
+            {
                 self.send_append(from, false);
             }
         }
-        if self.role == Role::Lead {
+        if self.role == Role::Leader {
             let r = quorum::region_of(self.log.members(), from);
             if let Some(r) = r {
                 let f = self.fast.entry(r).or_default();
--- a/sorreldoor/src/agree/state.rs
+++ b/sorreldoor/src/consensus/state.rs
@@ -1,16 +1,16 @@
 //! Views of the reducer's state, and the small pieces its parts share.
 
 use super::log::Log;
-use super::node::{Agree, Role};
+use super::node::{Consensus, Role};
 use super::quorum;
 use super::types::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-impl<M: Machine> Agree<M> {
+impl<M: Machine> Consensus<M> {
     // --- what others may look at ---
 
-    pub fn me(&self) -> Nid {
+    pub fn me(&self) -> NodeId {
         self.me
     }
     pub fn machine(&self) -> &M {
@@ -23,12 +23,12 @@
         self.hard.term
     }
     pub fn leads_globally(&self) -> bool {
-        self.role == Role::Lead
+        self.role == Role::Leader
     }
     pub fn leads_domain(&self) -> bool {
-        self.drole == Role::Lead
+        self.drole == Role::Leader
     }
-    pub fn global_leader(&self) -> Option<Nid> {
+    pub fn global_leader(&self) -> Option<NodeId> {
         self.gl
     }
     pub fn commit_idx(&self) -> u64 {
@@ -43,27 +43,27 @@
     pub fn members(&self) -> &[Member] {
         self.log.members()
     }
-    pub fn regions_down(&self) -> Vec<Reg> {
+    pub fn regions_down(&self) -> Vec<RegionId> {
         self.down.iter().copied().collect()
     }
-    pub fn domain_leaders(&self) -> BTreeMap<Reg, Nid> {
+    pub fn domain_leaders(&self) -> BTreeMap<RegionId, NodeId> {
         self.leads.iter().map(|(r, l)| (*r, l.id)).collect()
     }
     /// Milliseconds since this node, as Global Leader, heard `id`.
-    pub fn silent_for(&self, id: Nid) -> Option<Ms> {
-        (self.role == Role::Lead)
+    pub fn silent_for(&self, id: NodeId) -> Option<Millis> {
+        (self.role == Role::Leader)
             .then(|| self.rows.get(&id).map(|r| self.now.saturating_sub(r.seen)))
             .flatten()
     }
-    pub fn caught_up(&self, id: Nid) -> bool {
+    pub fn caught_up(&self, id: NodeId) -> bool {
         self.rows
             .get(&id)
             .is_some_and(|r| r.upto > 0 && r.upto + 8 >= self.log.last().idx)
     }
     /// Whether a Global Leader was heard of lately, or is this node.
     pub fn led(&self) -> bool {
-        let fresh = self.now.saturating_sub(self.heard_gl) < self.pace.elect * 2;
-        self.role == Role::Lead || (self.gl.is_some() && fresh)
+        let fresh = self.now.saturating_sub(self.heard_gl) < self.timing.elect * 2;
+        self.role == Role::Leader || (self.gl.is_some() && fresh)
     }
     pub fn disk_failed(&self) -> bool {
         self.failed
@@ -71,23 +71,23 @@
 
     // --- small shared pieces ---
 
-    pub(super) fn region(&self) -> Reg {
-        quorum::region_of(self.log.members(), self.me).unwrap_or(Reg::MAX)
+    pub(super) fn region(&self) -> RegionId {
+        quorum::region_of(self.log.members(), self.me).unwrap_or(RegionId::MAX)
     }
 
     pub(super) fn is_voter(&self) -> bool {
         quorum::voters(self.log.members()).any(|m| m.id == self.me)
     }
 
-    pub(super) fn voters(&self) -> Vec<Nid> {
+    pub(super) fn voters(&self) -> Vec<NodeId> {
         quorum::voters(self.log.members()).map(|m| m.id).collect()
     }
 
-    pub(super) fn region_voters(&self, r: Reg) -> Vec<Nid> {
+    pub(super) fn region_voters(&self, r: RegionId) -> Vec<NodeId> {
         quorum::in_region(self.log.members(), r)
     }
 
-    pub(super) fn others(&self) -> Vec<Nid> {
+    pub(super) fn others(&self) -> Vec<NodeId> {
         self.log
             .members()
             .iter()
@@ -104,8 +104,8 @@
     }
 
     pub(super) fn reset_elect(&mut self) {
-        let r = self.rand(self.pace.elect / 2);
-        self.elect_at = self.now + self.pace.elect + r;
+        let r = self.rand(self.timing.elect / 2);
+        self.elect_at = self.now + self.timing.elect + r;
     }
 
     /// As `reset_elect`, but soon while no leader is heard of.
@@ -113,21 +113,21 @@
         if !self.unheard() {
             return self.reset_elect();
         }
-        // why: it only asks whether others hear a leader, and unseats none
-        let span = self.pace.elect / 4;
+        // it only asks whether others hear a leader, and unseats none
+        let span = self.timing.elect / 4;
         self.elect_at = self.now + span + self.rand(span);
     }
 
     /// No Global Leader is heard of: in this life yet, for an election's time,
     /// or since its line was closed.
     pub(super) fn unheard(&self) -> bool {
-        let old = self.now.saturating_sub(self.heard_gl) >= self.pace.elect;
-        self.role != Role::Lead && (self.gl.is_none() || self.suspect || old)
+        let old = self.now.saturating_sub(self.heard_gl) >= self.timing.elect;
+        self.role != Role::Leader && (self.gl.is_none() || self.suspect || old)
     }
 
     pub(super) fn reset_delect(&mut self) {
-        let half = self.pace.elect / 2;
-        // why: where no Domain Leader was heard of there is none to unseat
+        let half = self.timing.elect / 2;
+        // where no Domain Leader was heard of there is none to unseat
         let span = if self.dled { half } else { half / 4 };
         self.delect_at = self.now + span + self.rand(span);
     }
@@ -138,7 +138,7 @@
 
     pub(super) fn save(&mut self, save: Save) {
         self.seq += 1;
-        // why: from here on the own log does not count as held until synced
+        // from here on the own log does not count as held until synced
         let from = match &save {
             Save::Append { from, .. } => *from,
             Save::Snap { reset: true, .. } => 1,
@@ -169,13 +169,13 @@
     }
 
     /// Send at once: for what a leader says, which relies on no save of its own.
-    pub(super) fn send(&mut self, to: Nid, msg: Msg) {
+    pub(super) fn send(&mut self, to: NodeId, msg: Msg) {
         self.out.push(Effect::Send { to, msg });
     }
 
     /// Send once all that has been given to the store so far is synced.
-    pub(super) fn send_saved(&mut self, to: Nid, msg: Msg) {
-        if self.unsaved.is_empty() || self.pace.broken == Broken::AckEarly {
+    pub(super) fn send_saved(&mut self, to: NodeId, msg: Msg) {
+        if self.unsaved.is_empty() || self.timing.broken == Broken::AckEarly {
             self.send(to, msg);
         } else {
             self.held_back.push_back((self.seq, to, msg));
@@ -202,8 +202,8 @@
         self.held_back.clear();
         self.note(Note::DiskFailed);
         self.step_down("disk failed");
-        self.drole = Role::Follow;
-        let pids: Vec<Pid> = self.asks.keys().copied().collect();
+        self.drole = Role::Follower;
+        let pids: Vec<ProposalId> = self.asks.keys().copied().collect();
         for p in pids {
             self.finish(p, Err(Lost::Unknown));
         }
@@ -228,10 +228,10 @@
             || self
                 .unsaved
                 .front()
-                .is_some_and(|(_, t, _)| self.now.saturating_sub(*t) > self.pace.stuck)
+                .is_some_and(|(_, t, _)| self.now.saturating_sub(*t) > self.timing.stuck)
     }
 
-    pub(super) fn finish(&mut self, pid: Pid, outcome: Result<Arc<Vec<u8>>, Lost>) {
+    pub(super) fn finish(&mut self, pid: ProposalId, outcome: Result<Arc<Vec<u8>>, Lost>) {
         if self.asks.remove(&pid).is_some() {
             self.out.push(Effect::Result { pid, outcome });
         }
--- a/sorreldoor/src/agree/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -10,18 +10,18 @@
 }
 
 /// A core's identity: random, made on its first start, never given twice.
-pub type Nid = u64;
+pub type NodeId = u64;
 /// A region as a dense index into the site's list.
-pub type Reg = u8;
+pub type RegionId = u8;
 /// Milliseconds of a monotonic clock that only its own node reads.
-pub type Ms = u64;
+pub type Millis = u64;
 /// A proposal's id, made by whoever first asked for it.
-pub type Pid = u128;
+pub type ProposalId = u128;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    pub id: Nid,
-    pub region: Reg,
+    pub id: NodeId,
+    pub region: RegionId,
     pub zone: u16,
     pub addr: String,
     pub voter: bool,
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub term: u64,
-    pub pid: Pid,
+    pub pid: ProposalId,
     /// The core that took the proposal from its asker.
-    pub origin: Nid,
+    pub origin: NodeId,
     pub body: Body,
 }
 
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hard {
     pub term: u64,
-    pub vote: Option<Nid>,
+    pub vote: Option<NodeId>,
     pub dterm: u64,
-    pub dvote: Option<Nid>,
+    pub dvote: Option<NodeId>,
     /// How far the log was known to be committed when this was kept.
     #[serde(default)]
     pub commit: u64,
@@ -98,44 +98,44 @@
 pub struct Noted {
     pub id: String,
     pub by: u128,
-    pub keep_ms: Ms,
+    pub keep_ms: Millis,
 }
 
 /// What one core is known to hold in the term of the message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    pub id: Nid,
+    pub id: NodeId,
     pub upto: u64,
     pub round: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
-    DomainAsk {
+    DomainVoteRequest {
         dterm: u64,
         last: Last,
         pre: bool,
     },
-    DomainAns {
+    DomainVoteReply {
         dterm: u64,
         yes: bool,
         pre: bool,
     },
     /// A Domain Leader's sign of life; `sent` lets the far side measure.
-    DomainBeat {
+    DomainHeartbeat {
         dterm: u64,
-        sent: Ms,
+        sent: Millis,
     },
-    DomainBack {
+    DomainHeartbeatReply {
         dterm: u64,
-        sent: Ms,
+        sent: Millis,
     },
-    Ask {
+    VoteRequest {
         term: u64,
         last: Last,
         pre: bool,
     },
-    Ans {
+    VoteReply {
         term: u64,
         yes: bool,
         pre: bool,
@@ -144,13 +144,13 @@
     },
     Append {
         term: u64,
-        gl: Nid,
+        gl: NodeId,
         prev: Last,
         entries: Vec<Entry>,
         commit: u64,
         round: u64,
     },
-    Holds {
+    AppendReply {
         term: u64,
         rows: Vec<Held>,
         /// Set when the append did not fit: where to go on from.
@@ -158,37 +158,37 @@
         /// How far the sender has answered proposals of its own region.
         fast: u64,
         /// One-way delays from the sender's region, as it measured them.
-        lat: Vec<(Reg, Ms)>,
+        lat: Vec<(RegionId, Millis)>,
     },
     Confirm {
         term: u64,
         upto: u64,
-        holders: Vec<Nid>,
+        holders: Vec<NodeId>,
     },
-    Install {
+    InstallSnapshot {
         term: u64,
-        gl: Nid,
+        gl: NodeId,
         snap: Snap,
         round: u64,
     },
     Propose {
-        pid: Pid,
-        origin: Nid,
+        pid: ProposalId,
+        origin: NodeId,
         body: Body,
     },
-    Answered {
-        pid: Pid,
+    ProposalResult {
+        pid: ProposalId,
         #[serde(serialize_with = "as_bytes")]
         outcome: Arc<Vec<u8>>,
     },
-    ReadAsk {
+    ReadIndexRequest {
         rid: u64,
     },
-    ReadAns {
+    ReadIndexReply {
         rid: u64,
         idx: u64,
     },
-    MoveNow {
+    TimeoutNow {
         term: u64,
     },
 }
@@ -197,7 +197,7 @@
 pub enum Event {
     Alarm,
     Heard {
-        from: Nid,
+        from: NodeId,
         msg: Msg,
     },
     Saved {
@@ -205,11 +205,11 @@
     },
     /// The last line to a core was closed by its other end.
     Gone {
-        id: Nid,
+        id: NodeId,
     },
     SaveFailed,
     Propose {
-        pid: Pid,
+        pid: ProposalId,
         body: Body,
     },
     Read {
@@ -233,11 +233,11 @@
         save: Save,
     },
     Send {
-        to: Nid,
+        to: NodeId,
         msg: Msg,
     },
     Result {
-        pid: Pid,
+        pid: ProposalId,
         outcome: Result<Arc<Vec<u8>>, Lost>,
     },
     ReadReady {
@@ -254,41 +254,41 @@
 /// What an operator's log should hear of; the daemon numbers these.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
-    GlobalLeader { term: u64, id: Nid },
-    DomainLeader { dterm: u64, id: Nid },
+    GlobalLeader { term: u64, id: NodeId },
+    DomainLeader { dterm: u64, id: NodeId },
     SteppedDown { term: u64, why: &'static str },
-    RegionDown { region: Reg },
-    RegionUp { region: Reg },
-    Moving { to: Nid },
+    RegionDown { region: RegionId },
+    RegionUp { region: RegionId },
+    Moving { to: NodeId },
     DiskFailed,
 }
 
 /// The replicated state as the reducer sees it.
 pub trait Machine {
     /// Apply one committed entry; the outcome goes to whoever proposed it.
-    fn apply(&mut self, idx: u64, pid: Pid, data: &[u8]) -> Vec<u8>;
+    fn apply(&mut self, idx: u64, pid: ProposalId, data: &[u8]) -> Vec<u8>;
     /// The first outcome of a proposal that was applied before.
-    fn answered(&self, pid: Pid) -> Option<Arc<Vec<u8>>>;
+    fn answered(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>>;
     fn image(&self) -> Vec<u8>;
     fn load(&mut self, image: &[u8]) -> bool;
 }
 
 /// All waits of the protocol; every one follows from `ack_ms` by default.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pace {
-    pub beat: Ms,
-    pub elect: Ms,
-    pub ack_ms: Ms,
+pub struct Timing {
+    pub beat: Millis,
+    pub elect: Millis,
+    pub ack_ms: Millis,
     /// Silence after which a region counts as unavailable for commits.
-    pub dead: Ms,
+    pub dead: Millis,
     /// Wait after which a region rule that cannot be met is waived.
-    pub waive: Ms,
-    pub resend: Ms,
+    pub waive: Millis,
+    pub resend: Millis,
     /// Age of an unfinished save after which the node holds its disk stuck.
-    pub stuck: Ms,
-    pub tp: Ms,
+    pub stuck: Millis,
+    pub tp: Millis,
     /// Reads that come within so long share a heartbeat; 0: each has its own.
-    pub batch: Ms,
+    pub batch: Millis,
     /// A move must save at least this share, in percent.
     pub gain: u64,
     pub keep_log: u64,
@@ -313,9 +313,9 @@
     VoteStale,
 }
 
-impl Pace {
-    pub fn for_ack(ack_ms: Ms) -> Pace {
-        Pace {
+impl Timing {
+    pub fn for_ack(ack_ms: Millis) -> Timing {
+        Timing {
             beat: (ack_ms / 40).clamp(20, 100),
             elect: ack_ms / 5,
             ack_ms,
--- a/sorreldoor/src/core/api.rs
+++ b/sorreldoor/src/core/api.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP at a core: each errand becomes an event for the hub.
+//! Operators' HTTP at a core: each errand becomes an event for the controller.
 
 use super::front::{Front, Looked};
 use super::source::OperatorDoor;
--- a/sorreldoor/src/core/book.rs
+++ b/sorreldoor/src/core/book.rs
@@ -1,8 +1,8 @@
 //! The claims that one core has noted: who may send an errand id, and until
 //! when the id is remembered. Ids are let go by time only, never by number.
 
-use crate::agree::Ms;
-pub use crate::agree::Noted;
+use crate::consensus::Millis;
+pub use crate::consensus::Noted;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Who claims: one try of one life of an edge.
@@ -10,9 +10,9 @@
 
 /// An id is remembered for its route's cutoff and this long on top, so that a
 /// caller's late try under it is still known.
-pub const KEEP_MS: Ms = 300_000;
+pub const KEEP_MS: Millis = 300_000;
 /// The longest that any id is remembered: the longest cutoff a setup may give.
-pub const LONGEST_MS: Ms = 600_000 + KEEP_MS;
+pub const LONGEST_MS: Millis = 600_000 + KEEP_MS;
 
 /// Holds an id that two are known to have claimed.
 const BOTH: By = 0;
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Row {
     by: By,
-    until: Ms,
+    until: Millis,
     seq: u64,
 }
 
@@ -42,9 +42,9 @@
     rows: BTreeMap<String, Row>,
     /// The order in which ids were noted here, for cores that learn.
     journal: BTreeMap<u64, String>,
-    ends: BTreeSet<(Ms, String)>,
+    ends: BTreeSet<(Millis, String)>,
     /// Claims given up of late, so that one overtaken by its own end is known.
-    freed: BTreeMap<By, Ms>,
+    freed: BTreeMap<By, Millis>,
     next: u64,
     most: usize,
 }
@@ -71,7 +71,7 @@
     }
 
     /// Note a claim unless another was first.
-    pub fn note(&mut self, n: &Noted, now: Ms) -> Note {
+    pub fn note(&mut self, n: &Noted, now: Millis) -> Note {
         if self.freed.contains_key(&n.by) {
             return Note::Freed;
         }
@@ -79,7 +79,7 @@
         match held {
             Some(by) if by == n.by => Note::Same,
             Some(by) => Note::Other(by),
-            // why: to forget one early would let it run a second time
+            // to forget one early would let it run a second time
             None if self.rows.len() >= self.most => Note::Full,
             None => {
                 self.put(n, now);
@@ -88,7 +88,7 @@
         }
     }
 
-    fn put(&mut self, n: &Noted, now: Ms) {
+    fn put(&mut self, n: &Noted, now: Millis) {
         let (seq, until) = (self.next, now + n.keep_ms.min(LONGEST_MS));
         self.next += 1;
         let by = n.by;
@@ -106,7 +106,7 @@
 
     /// Take in a claim that another core tells of. Of two on one id it cannot
     /// be known here which one won, so neither is granted any more.
-    pub fn told(&mut self, n: &Noted, now: Ms) -> bool {
+    pub fn told(&mut self, n: &Noted, now: Millis) -> bool {
         match self.note(n, now) {
             Note::Fresh => true,
             Note::Other(_) => {
@@ -123,7 +123,7 @@
     }
 
     /// A claim is given up: whether the id was held under it.
-    pub fn free(&mut self, id: &str, by: By, now: Ms) -> bool {
+    pub fn free(&mut self, id: &str, by: By, now: Millis) -> bool {
         self.freed.insert(by, now + KEEP_MS);
         let held = self.rows.get(id).is_some_and(|r| r.by == by);
         if held {
@@ -137,7 +137,7 @@
     }
 
     /// How an id is held now.
-    pub fn held(&self, id: &str, now: Ms) -> Option<Noted> {
+    pub fn held(&self, id: &str, now: Millis) -> Option<Noted> {
         self.rows.get(id).map(|r| Noted {
             id: id.to_string(),
             by: r.by,
@@ -146,7 +146,7 @@
     }
 
     /// Let go of what has been remembered long enough; the ids.
-    pub fn expire(&mut self, now: Ms) -> Vec<String> {
+    pub fn expire(&mut self, now: Millis) -> Vec<String> {
         self.freed.retain(|_, t| *t > now);
         let mut out = Vec::new();
         while let Some((t, id)) = self.ends.first().cloned() {
@@ -161,7 +161,7 @@
 
     /// From a place in the journal on: some claims with the time each has
     /// left, where to go on from, and whether that was the end.
-    pub fn page(&self, from: u64, most: usize, now: Ms) -> (Vec<Noted>, u64, bool) {
+    pub fn page(&self, from: u64, most: usize, now: Millis) -> (Vec<Noted>, u64, bool) {
         let mut next = from;
         let mut out = Vec::new();
         for (seq, id) in self.journal.range(from..).take(most) {
