--- a/sorreldoor/src/core/claims.rs
+++ b/sorreldoor/src/core/claims.rs
@@ -3,9 +3,9 @@
 //! first. So no kill of any number of nodes lets another edge send it.
 
 use super::book::{Book, By, Note, Noted, KEEP_MS};
-use super::events::HubFx;
-use super::hub::Hub;
-use crate::agree::{Ms, Nid, Save};
+use super::controller::Controller;
+use super::events::ControllerEffect;
+use crate::consensus::{Millis, NodeId, Save};
 use crate::events::Ev;
 use crate::net::Conn;
 use crate::rules::{broken, Rule};
@@ -13,25 +13,25 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How long a core tries for one claim or one end of it; edges ask again.
-const WAIT_MS: Ms = 3000;
+const WAIT_MS: Millis = 3000;
 /// Two that hold each other up for so long are parted.
-const TIE_MS: Ms = 400;
+const TIE_MS: Millis = 400;
 
 struct Open {
     conn: Conn,
     rid: u64,
     claim: Noted,
-    since: Ms,
-    yes: BTreeSet<Nid>,
+    since: Millis,
+    yes: BTreeSet<NodeId>,
     /// Who has said no, and whose claim it holds instead.
-    no: BTreeMap<Nid, Option<By>>,
+    no: BTreeMap<NodeId, Option<By>>,
 }
 
 /// A claim that is being given up with the other cores.
 struct Ending {
     to: (Conn, u64),
-    since: Ms,
-    done: BTreeSet<Nid>,
+    since: Millis,
+    done: BTreeSet<NodeId>,
 }
 
 pub struct Claims {
@@ -55,7 +55,7 @@
 
 impl Claims {
     /// What a store gave back, remembered anew from now on.
-    pub fn new(kept: &[Noted], most: usize, now: Ms) -> Claims {
+    pub fn new(kept: &[Noted], most: usize, now: Millis) -> Claims {
         let mut book = Book::new(most.max(kept.len()));
         for n in kept {
             book.note(n, now);
@@ -72,9 +72,9 @@
     }
 }
 
-impl Hub {
-    pub(super) fn voter_ids(&self) -> Vec<Nid> {
-        let ms = self.agree.as_ref().map_or(&[][..], |a| a.members());
+impl Controller {
+    pub(super) fn voter_ids(&self) -> Vec<NodeId> {
+        let ms = self.consensus.as_ref().map_or(&[][..], |a| a.members());
         ms.iter().filter(|m| m.voter).map(|m| m.id).collect()
     }
 
@@ -84,7 +84,7 @@
         if broken(Rule::ClaimSynced) {
             return self.say_claim(s);
         }
-        let Some(a) = self.agree.as_mut() else {
+        let Some(a) = self.consensus.as_mut() else {
             return self.say_claim(s);
         };
         let (seq, fx) = if fresh.is_empty() {
@@ -124,7 +124,7 @@
     }
 
     /// Other cores that are heard of and have a say, or may have one soon.
-    fn claim_cores(&self) -> Vec<(Nid, Conn)> {
+    fn claim_cores(&self) -> Vec<(NodeId, Conn)> {
         let vs = self.voter_ids();
         let has = |h: &Hello| h.founded || vs.contains(&h.id);
         let all = self.live_cores(1500).into_iter();
@@ -137,7 +137,7 @@
         let by = claim.by;
         let same = self.claims.open.iter_mut().find(|(_, o)| o.claim.by == by);
         let no = match same {
-            // why: what stood in its way may have been given up meanwhile
+            // what stood in its way may have been given up meanwhile
             Some((no, o)) => {
                 (o.conn, o.rid) = (conn, rid);
                 o.no.clear();
@@ -158,7 +158,7 @@
             }
         };
         let o = &self.claims.open[&no];
-        let silent = |id: &Nid| !o.yes.contains(id);
+        let silent = |id: &NodeId| !o.yes.contains(id);
         let ask: Vec<Conn> = self
             .claim_cores()
             .into_iter()
@@ -197,7 +197,7 @@
     }
 
     pub(super) fn on_claim_ask(&mut self, conn: Conn, no: u64, claim: Noted) {
-        // why: a core that may have forgotten a claim must not deny it was made
+        // a core that may have forgotten a claim must not deny it was made
         if !self.sure() {
             return;
         }
@@ -211,7 +211,7 @@
         self.say_saved(fresh, Say::To(conn, Payload::ClaimAns { no, said }));
     }
 
-    pub(super) fn on_claim_ans(&mut self, from: Nid, no: u64, said: Verdict) {
+    pub(super) fn on_claim_ans(&mut self, from: NodeId, no: u64, said: Verdict) {
         let Some(o) = self.claims.open.get_mut(&no) else {
             return;
         };
@@ -221,7 +221,7 @@
             }
             Verdict::Held(by) => {
                 let id = o.claim.id.clone();
-                // why: a claim whose end that core has not heard of is none
+                // a claim whose end that core has not heard of is none
                 if self.claims.book.was_freed(by) {
                     let to = self.live_cores(3000).get(&from).map(|(c, _)| *c);
                     to.into_iter().for_each(|c| {
@@ -248,7 +248,7 @@
         let nos: Vec<Option<By>> = vs.iter().filter_map(|v| o.no.get(v).copied()).collect();
         let won = yes * 2 > vs.len();
         let lost = nos.len() * 2 >= vs.len() && !vs.is_empty();
-        // why: with a core missing, two rivals can each have a half; the one
+        // with a core missing, two rivals can each have a half; the one
         // that counts as the later gives way, or neither would ever go on
         let rival = nos.iter().flatten().any(|by| *by < o.claim.by);
         let tied = rival && yes > 0 && self.now.saturating_sub(o.since) > TIE_MS;
@@ -256,7 +256,7 @@
             return;
         }
         let full = !nos.is_empty() && nos.iter().all(|by| by.is_none());
-        // why: what did not win is given up by its edge, not from here: through
+        // what did not win is given up by its edge, not from here: through
         // another core it may have won meanwhile, and have been sent
         let Some(o) = self.claims.open.remove(&no) else {
             return;
@@ -277,7 +277,7 @@
     }
 
     pub(super) fn forget_saved(&mut self, ids: Vec<String>) {
-        if let Some(a) = self.agree.as_mut() {
+        if let Some(a) = self.consensus.as_mut() {
             let (_, fx) = a.keep(Save::Forgot(ids));
             fx.into_iter().for_each(|e| self.effect(e));
         }
@@ -310,7 +310,7 @@
         self.send(conn, Payload::FreeDone { by });
     }
 
-    pub(super) fn on_free_done(&mut self, from: Nid, by: By) {
+    pub(super) fn on_free_done(&mut self, from: NodeId, by: By) {
         if let Some(e) = self.claims.ending.get_mut(&by) {
             e.done.insert(from);
         }
@@ -339,7 +339,7 @@
                 fresh.push(n);
             }
         }
-        if let Some(a) = self.agree.as_mut().filter(|_| !fresh.is_empty()) {
+        if let Some(a) = self.consensus.as_mut().filter(|_| !fresh.is_empty()) {
             let (_, fx) = a.keep(Save::Noted(fresh));
             fx.into_iter().for_each(|e| self.effect(e));
         }
@@ -360,7 +360,7 @@
     }
 
     pub(super) fn keep_sure(&mut self) {
-        self.out.push(HubFx::Keep("sure", vec![1]));
+        self.out.push(ControllerEffect::Keep("sure", vec![1]));
     }
 }
 
--- a/sorreldoor/src/core/hub.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -1,123 +1,125 @@
 //! The core's one reducer: frames, saves, operators and alarms in, effects out.
 
-use super::events::{HubEvent, HubFx, OpFrom, Want};
+use super::events::{ControllerEffect, ControllerEvent, OpFrom, Want};
 use super::lines::Line;
-use crate::agree::*;
+use crate::consensus::*;
 use crate::events::Ev;
 use crate::net::{Conn, NetEvent};
+use crate::pacing::Pacing;
 use crate::record::{encode, Cmd, Outcome, Record};
-use crate::roster::{Loads, Roster};
+use crate::registry::{Loads, WorkerRegistry};
 use crate::seam::{Now, Reducer};
 use crate::setup::Site;
-use crate::thrift::Thrift;
 use crate::wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-pub struct Hub {
+pub struct Controller {
     pub me: Hello,
     pub site: Arc<Site>,
     pub(super) cores: usize,
-    pub(super) replace_ms: Ms,
+    pub(super) replace_ms: Millis,
     pub(super) bootstrap: bool,
     pub(super) grow: bool,
     /// The addresses that found the site, where it grows.
     pub(super) founders: BTreeSet<SocketAddr>,
     /// Non-voters, and since when this core has seen them wait.
-    pub(super) waiting: BTreeMap<Nid, Ms>,
+    pub(super) waiting: BTreeMap<NodeId, Millis>,
     /// Where a founded core said that the members are.
     pub(super) known: BTreeSet<SocketAddr>,
-    pub(super) thrift: Thrift,
-    pub(super) pace: Pace,
+    pub(super) pacing: Pacing,
+    pub(super) timing: Timing,
     pub(super) seed: u64,
-    pub agree: Option<Agree<Record>>,
+    pub consensus: Option<Consensus<Record>>,
     pub(super) promise: Option<Vec<Member>>,
-    pub(super) promises: BTreeMap<Nid, Vec<Member>>,
+    pub(super) promises: BTreeMap<NodeId, Vec<Member>>,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) dials: BTreeSet<SocketAddr>,
     pub(super) lines: BTreeMap<Conn, Line>,
     pub(super) seats: BTreeMap<Conn, Seat>,
     pub(super) seats_serial: u64,
-    pub(super) sessions: BTreeMap<Nid, Sessions>,
+    pub(super) sessions: BTreeMap<NodeId, Sessions>,
     /// All edges' sessions, and what edges are shown of them.
     pub(super) merged: Vec<Seat>,
     pub(super) places: (u64, Arc<Vec<Place>>),
     /// The sessions as last told to other cores, and when.
-    pub(super) told: (Vec<Seat>, Ms),
-    pub roster: Option<Arc<Roster>>,
+    pub(super) told: (Vec<Seat>, Millis),
+    pub registry: Option<Arc<WorkerRegistry>>,
     /// When the list came, for the times in it.
-    pub(super) roster_at: Ms,
+    pub(super) roster_at: Millis,
     pub(super) poll: super::duty::Poll,
     pub roster_problem: Option<String>,
     pub loads: Arc<Loads>,
     pub(super) wants: Vec<Want>,
     pub(super) reading: BTreeMap<u64, Vec<Want>>,
     pub(super) next_rid: u64,
-    pub(super) ops: BTreeMap<Pid, Vec<OpFrom>>,
-    pub(super) first_since: Option<Ms>,
-    pub(super) duty_at: Ms,
-    pub(super) duty_pid: Option<Pid>,
+    pub(super) ops: BTreeMap<ProposalId, Vec<OpFrom>>,
+    pub(super) first_since: Option<Millis>,
+    pub(super) duty_at: Millis,
+    pub(super) duty_pid: Option<ProposalId>,
     /// The epoch that this life has asked for, and the one that it was given.
-    pub(super) asked_epoch: Option<(Pid, u64)>,
+    pub(super) asked_epoch: Option<(ProposalId, u64)>,
     pub(super) took: Option<u64>,
-    pub(super) tune_at: Ms,
+    pub(super) tune_at: Millis,
     pub(super) recovery: BTreeMap<u8, super::regions::Watch>,
     pub(super) claims: super::claims::Claims,
     pub(super) smooth: crate::tune::Smooth,
     pub(super) times: crate::tune::Times,
-    pub(super) slow_at: Ms,
+    pub(super) slow_at: Millis,
     pub(super) last_serial: u64,
     pub leaving: bool,
     /// Whether the last read was proved in time.
     pub(super) quorum: bool,
     pub(super) wall: i64,
-    pub now: Ms,
-    pub(super) out: Vec<HubFx>,
+    pub now: Millis,
+    pub(super) out: Vec<ControllerEffect>,
 }
 
-impl Reducer for Hub {
-    type Event = HubEvent;
-    type Fx = HubFx;
+impl Reducer for Controller {
+    type Event = ControllerEvent;
+    type Fx = ControllerEffect;
 
-    fn step(&mut self, ev: HubEvent, now: Now) -> Vec<HubFx> {
+    fn step(&mut self, ev: ControllerEvent, now: Now) -> Vec<ControllerEffect> {
         self.now = self.now.max(now.mono);
         self.wall = now.wall;
         match ev {
-            HubEvent::Alarm => self.alarm(),
-            HubEvent::Net(n) => self.net(n),
-            HubEvent::Saved(seq) => {
+            ControllerEvent::Alarm => self.alarm(),
+            ControllerEvent::Net(n) => self.net(n),
+            ControllerEvent::Saved(seq) => {
                 self.agreed(Event::Saved { seq });
                 self.claims_saved(seq);
             }
-            HubEvent::SaveFailed(why) => {
+            ControllerEvent::SaveFailed(why) => {
                 self.say(Ev::DiskFailed, why);
                 self.agreed(Event::SaveFailed);
             }
-            HubEvent::Change { rid, pid, cmd } => self.change(OpFrom::Http(rid), pid, cmd),
-            HubEvent::Reform { rid, pid, drop } => self.reform(rid, pid, drop),
-            HubEvent::Look { rid } => self.wants.push(Want::Http(rid)),
-            HubEvent::View { rid } => self.wants.push(Want::View(rid)),
-            HubEvent::Find { rid, pid } => self.wants.push(Want::Find(OpFrom::Http(rid), pid)),
-            HubEvent::Roster(r) => self.on_roster(r),
-            HubEvent::Loads { epoch, rows } => self.on_loads(epoch, rows),
-            HubEvent::Stop => self.leaving = true,
+            ControllerEvent::Change { rid, pid, cmd } => self.change(OpFrom::Http(rid), pid, cmd),
+            ControllerEvent::Reform { rid, pid, drop } => self.reform(rid, pid, drop),
+            ControllerEvent::Look { rid } => self.wants.push(Want::Http(rid)),
+            ControllerEvent::View { rid } => self.wants.push(Want::View(rid)),
+            ControllerEvent::Find { rid, pid } => {
+                self.wants.push(Want::Find(OpFrom::Http(rid), pid))
+            }
+            ControllerEvent::WorkerRegistry(r) => self.on_registry(r),
+            ControllerEvent::Loads { epoch, rows } => self.on_loads(epoch, rows),
+            ControllerEvent::Stop => self.leaving = true,
         }
         self.start_read();
         std::mem::take(&mut self.out)
     }
 }
 
-impl Hub {
+impl Controller {
     pub(super) fn say(&mut self, ev: Ev, about: impl Into<String>) {
-        self.out.push(HubFx::Say(ev, about.into()));
+        self.out.push(ControllerEffect::Say(ev, about.into()));
     }
 
     pub(super) fn send(&mut self, conn: Conn, p: Payload) {
         if let Some(l) = self.lines.get_mut(&conn) {
             l.sent = self.now;
         }
-        self.out.push(HubFx::Send(conn, p));
+        self.out.push(ControllerEffect::Send(conn, p));
     }
 
     fn alarm(&mut self) {
@@ -129,9 +131,13 @@
     }
 
     fn slow_alarm(&mut self) {
-        if self.agree.is_none() {
+        if self.consensus.is_none() {
             self.founding_alarm();
-        } else if self.agree.as_ref().is_some_and(|a| a.members().is_empty()) {
+        } else if self
+            .consensus
+            .as_ref()
+            .is_some_and(|a| a.members().is_empty())
+        {
             let live = self.live_cores(1500);
             self.ask_founded(&live);
         } else {
@@ -181,20 +187,20 @@
         let from = self.lines.get(&conn).and_then(|l| l.hello.clone());
         let from = match p {
             Payload::Hello(h) => return self.on_hello(conn, h),
-            // why: who has not said who it is can ask for nothing
+            // who has not said who it is can ask for nothing
             _ => match from {
                 Some(h) => h,
-                None => return self.out.push(HubFx::Close(conn)),
+                None => return self.out.push(ControllerEffect::Close(conn)),
             },
         };
         match p {
-            Payload::Agree(msg) if from.core => {
+            Payload::Consensus(msg) if from.core => {
                 let from = from.id;
                 self.agreed(Event::Heard { from, msg });
             }
             Payload::Founding(f) if from.core => self.on_founding(conn, from, f),
             Payload::Sessions(s) if from.core => self.on_sessions(from, s),
-            Payload::Roster(r) if from.core => self.take_roster(r),
+            Payload::WorkerRegistry(r) if from.core => self.take_registry(r),
             Payload::Loads(l) if from.core => self.take_loads(l),
             Payload::Renew {
                 no,
@@ -233,15 +239,15 @@
     }
 
     fn on_hello(&mut self, conn: Conn, h: Hello) {
-        // why: a connection to oneself, through a seed, is of no use
+        // a connection to oneself, through a seed, is of no use
         if h.id == self.me.id {
             let addr = self.lines.get(&conn).and_then(|l| l.dialled);
             if let Some(a) = addr {
                 self.seeds.retain(|s| *s != a);
                 self.dials.remove(&a);
-                self.out.push(HubFx::Undial(a));
+                self.out.push(ControllerEffect::Undial(a));
             }
-            self.out.push(HubFx::Close(conn));
+            self.out.push(ControllerEffect::Close(conn));
             return;
         }
         if !h.core {
@@ -259,7 +265,9 @@
     /// Run one event through the consensus reducer and carry out its effects.
     pub(super) fn agreed(&mut self, ev: Event) {
         let now = self.now;
-        let Some(a) = self.agree.as_mut() else { return };
+        let Some(a) = self.consensus.as_mut() else {
+            return;
+        };
         let fx = a.step(ev, now);
         for e in fx {
             self.effect(e);
@@ -268,10 +276,10 @@
 
     pub(super) fn effect(&mut self, e: Effect) {
         match e {
-            Effect::Save { seq, save } => self.out.push(HubFx::Save(seq, save)),
+            Effect::Save { seq, save } => self.out.push(ControllerEffect::Save(seq, save)),
             Effect::Send { to, msg } => {
                 if let Some(c) = self.line_to(to) {
-                    self.send(c, Payload::Agree(msg));
+                    self.send(c, Payload::Consensus(msg));
                 }
             }
             Effect::Result { pid, outcome } => self.on_result(pid, outcome),
@@ -293,7 +301,7 @@
     }
 
     fn on_note(&mut self, n: Note) {
-        let region = |r: Reg| self.site.region_name(r).to_string();
+        let region = |r: RegionId| self.site.region_name(r).to_string();
         let (ev, about) = match n {
             Note::GlobalLeader { term, .. } => (Ev::GlobalLeader, format!("term {term}")),
             Note::DomainLeader { dterm, .. } => (Ev::DomainLeader, format!("term {dterm}")),
@@ -307,15 +315,15 @@
     }
 
     fn on_applied(&mut self) {
-        let serial = self.agree.as_ref().map_or(0, |a| a.machine().serial());
+        let serial = self.consensus.as_ref().map_or(0, |a| a.machine().serial());
         if serial != self.last_serial {
             self.last_serial = serial;
             self.say(Ev::SetupAdopted, format!("serial {serial}"));
         }
     }
 
-    pub(super) fn change(&mut self, from: OpFrom, pid: Pid, cmd: Cmd) {
-        if self.agree.is_none() || self.leaving {
+    pub(super) fn change(&mut self, from: OpFrom, pid: ProposalId, cmd: Cmd) {
+        if self.consensus.is_none() || self.leaving {
             return self.op_done(from, OpOutcome::NotTaken);
         }
         self.ops.entry(pid).or_default().push(from);
@@ -323,9 +331,9 @@
         self.agreed(Event::Propose { pid, body });
     }
 
-    fn on_result(&mut self, pid: Pid, r: Result<Arc<Vec<u8>>, Lost>) {
+    fn on_result(&mut self, pid: ProposalId, r: Result<Arc<Vec<u8>>, Lost>) {
         let outcome = match r {
-            // why: a membership change has no outcome of its own but having happened
+            // a membership change has no outcome of its own but having happened
             Ok(b) if b.is_empty() => OpOutcome::Got(Outcome::Taken { serial: 0 }),
             Ok(b) => crate::record::decode(&b).map_or(OpOutcome::Unknown, OpOutcome::Got),
             Err(Lost::Unknown) => OpOutcome::Unknown,
@@ -351,7 +359,7 @@
 
     pub(super) fn op_done(&mut self, from: OpFrom, outcome: OpOutcome) {
         match from {
-            OpFrom::Http(rid) => self.out.push(HubFx::Done(rid, outcome)),
+            OpFrom::Http(rid) => self.out.push(ControllerEffect::Done(rid, outcome)),
             OpFrom::Edge(c, rid) => self.send(c, Payload::OpDone { rid, outcome }),
         }
     }
--- a/sorreldoor/src/core/deliver.rs
+++ b/sorreldoor/src/core/delivery.rs
@@ -1,25 +1,25 @@
 //! Sessions of edges, permits granted on proved contact, news by serials.
 
-use super::events::{HubFx, Want};
-use super::hub::Hub;
-use crate::agree::*;
+use super::controller::Controller;
+use super::events::{ControllerEffect, Want};
+use crate::consensus::*;
 use crate::events::Ev;
 use crate::net::Conn;
 use crate::record::encode;
-use crate::roster::{Loads, Roster, Worker};
+use crate::registry::{Loads, Worker, WorkerRegistry};
 use crate::rules::{broken, Rule};
 use crate::wire::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// An edge not heard of for so long has no session.
-const SEAT_MS: Ms = 1500;
+const SEAT_MS: Millis = 1500;
 /// Sessions that have not changed are told again so often.
-const RETELL_MS: Ms = 5000;
+const RETELL_MS: Millis = 5000;
 
-impl Hub {
+impl Controller {
     pub(super) fn seat(&mut self, conn: Conn, h: Hello) {
-        // why: a node has one session here; what is left of an older is stale
+        // a node has one session here; what is left of an older is stale
         let old: Vec<Conn> = self
             .seats
             .iter()
@@ -28,7 +28,7 @@
             .collect();
         for c in old {
             self.seats.remove(&c);
-            self.out.push(HubFx::Close(c));
+            self.out.push(ControllerEffect::Close(c));
         }
         self.say(Ev::NodeJoined, h.node.clone());
         self.seats.insert(
@@ -59,7 +59,7 @@
     /// This core's sessions as other cores are told of them.
     fn own_sessions(&self) -> Vec<Seat> {
         let all = self.seats.values().cloned();
-        if self.thrift.accounts {
+        if self.pacing.accounts {
             return all.collect();
         }
         let bare = |s: Seat| Seat {
@@ -75,7 +75,7 @@
         let seats = self.own_sessions();
         let old = self.now.saturating_sub(self.told.1) >= RETELL_MS;
         let new = seats != self.told.0;
-        // why: what has not changed was told; now and then again, since a full
+        // what has not changed was told; now and then again, since a full
         // ring may have dropped it
         if !(new || old || now) {
             return;
@@ -101,14 +101,14 @@
     pub(super) fn brief(&mut self, conn: Conn) {
         self.send_sessions(conn);
         if let Some(r) = self.roster_now() {
-            self.send(conn, Payload::Roster(r));
+            self.send(conn, Payload::WorkerRegistry(r));
         }
     }
 
     /// The list of workers with its times as of now.
-    fn roster_now(&self) -> Option<Arc<Roster>> {
+    fn roster_now(&self) -> Option<Arc<WorkerRegistry>> {
         let age = self.now.saturating_sub(self.roster_at);
-        self.roster.as_ref().map(|r| {
+        self.registry.as_ref().map(|r| {
             let timed = |w: &Worker| w.cold_ms > 0 || w.leaves_ms.is_some();
             if r.workers.iter().any(timed) {
                 Arc::new(r.aged(age))
@@ -120,7 +120,7 @@
 
     pub(super) fn on_sessions(&mut self, from: Hello, s: Sessions) {
         let old = self.sessions.get(&from.id);
-        // why: frames may pass each other on two lines; only news counts
+        // frames may pass each other on two lines; only news counts
         let newer = old.is_none_or(|o| o.boot != s.boot || s.serial >= o.serial);
         if s.core == from.id && newer && old.is_none_or(|o| *o != s) {
             self.sessions.insert(from.id, s);
@@ -138,7 +138,7 @@
             .filter(|(id, _)| live.contains_key(id))
             .flat_map(|(_, s)| s.seats.iter());
         for s in others.chain(self.seats.values()) {
-            // why: what errands took is for tuning, and no edge needs it
+            // what errands took is for tuning, and no edge needs it
             let s = Seat {
                 took: Vec::new(),
                 ..s.clone()
@@ -148,7 +148,7 @@
         let all: Vec<Seat> = all.into_values().collect();
         let places: Vec<Place> = all.iter().map(|s| self.place(s)).collect();
         if places != *self.places.1 {
-            // why: the same list has the same mark on every core
+            // the same list has the same mark on every core
             self.places = (mark(&encode(&places)), Arc::new(places));
         }
         self.merged = all;
@@ -156,8 +156,8 @@
 
     /// What edges are shown of one of them.
     fn place(&self, s: &Seat) -> Place {
-        let r = self.agree.as_ref().map(|a| a.machine());
-        // why: how much still runs matters where it is waited for, and would
+        let r = self.consensus.as_ref().map(|a| a.machine());
+        // how much still runs matters where it is waited for, and would
         // elsewhere be news for everyone with each errand
         let counts = r.is_some_and(|r| r.emptied(s.hello.zone));
         Place {
@@ -171,7 +171,7 @@
     }
 
     pub(super) fn seats_alarm(&mut self) {
-        let silent = SEAT_MS.max(self.thrift.renew_ms * 2 + 500);
+        let silent = SEAT_MS.max(self.pacing.renew_ms * 2 + 500);
         let old = self.now.saturating_sub(silent);
         let lost: Vec<Conn> = self
             .seats
@@ -181,7 +181,7 @@
             .collect();
         for c in lost {
             self.unseat(c);
-            self.out.push(HubFx::Close(c));
+            self.out.push(ControllerEffect::Close(c));
         }
         self.merge();
         self.tell_sessions(false);
@@ -217,8 +217,8 @@
             self.seats_changed();
         }
         let (no, have) = ask;
-        let led = self.agree.as_ref().is_some_and(|a| a.led());
-        // why: without a leader in sight no proof will come, and who has
+        let led = self.consensus.as_ref().is_some_and(|a| a.led());
+        // without a leader in sight no proof will come, and who has
         // nothing to serve by need not wait for it
         if unproven && !led {
             let news = self.news(&have);
@@ -242,7 +242,7 @@
         self.next_rid += 1;
         let rid = self.next_rid;
         let w = std::mem::take(&mut self.wants);
-        if self.agree.is_none() || self.leaving {
+        if self.consensus.is_none() || self.leaving {
             return self.serve(w, false);
         }
         if broken(Rule::Proof) {
@@ -261,10 +261,10 @@
     fn serve(&mut self, wants: Vec<Want>, ok: bool) {
         for w in wants {
             match w {
-                Want::Http(rid) => self.out.push(HubFx::Looked(rid, ok)),
-                Want::View(rid) => self.out.push(HubFx::Viewed(rid, ok)),
+                Want::Http(rid) => self.out.push(ControllerEffect::Looked(rid, ok)),
+                Want::View(rid) => self.out.push(ControllerEffect::Viewed(rid, ok)),
                 Want::Find(from, pid) => {
-                    let a = self.agree.as_ref();
+                    let a = self.consensus.as_ref();
                     let o = a.and_then(|a| a.machine().answered(pid));
                     let o = o
                         .and_then(|b| crate::record::decode(&b))
@@ -290,8 +290,8 @@
 
     /// What the asker lacks, source by source.
     fn news(&self, have: &Have) -> News {
-        let r = self.agree.as_ref().map(|a| a.machine());
-        let members = self.agree.as_ref().map_or(&[][..], |a| a.members());
+        let r = self.consensus.as_ref().map(|a| a.machine());
+        let members = self.consensus.as_ref().map_or(&[][..], |a| a.members());
         let cores: Vec<(String, u8)> = members
             .iter()
             .filter(|m| m.voter)
@@ -302,13 +302,13 @@
         News {
             cores: Some((at, cores)).filter(|c| c.0 != have.cores && !c.1.is_empty()),
             record: r.filter(|r| r.rev() > have.record).map(|r| r.view()),
-            roster: self.roster_now().filter(|r| r.serial > have.roster),
+            registry: self.roster_now().filter(|r| r.serial > have.registry),
             loads: Some(self.loads.clone()).filter(|l| l.mark() > have.loads),
             seats: (self.places.0 != have.seats).then(places),
         }
     }
 
-    pub(super) fn on_roster(&mut self, r: Result<Roster, String>) {
+    pub(super) fn on_registry(&mut self, r: Result<WorkerRegistry, String>) {
         match r {
             Ok(r) => {
                 self.roster_problem = None;
@@ -325,24 +325,24 @@
     }
 
     /// A newer list, from the platform or from a core that reaches it.
-    pub(super) fn take_roster(&mut self, r: Arc<Roster>) {
-        if self.roster.as_ref().is_some_and(|o| o.serial >= r.serial) {
+    pub(super) fn take_registry(&mut self, r: Arc<WorkerRegistry>) {
+        if self.registry.as_ref().is_some_and(|o| o.serial >= r.serial) {
             return;
         }
         let n = r.workers.len();
         self.say(Ev::RosterRead, format!("serial {}, {n} workers", r.serial));
-        self.roster = Some(r.clone());
+        self.registry = Some(r.clone());
         self.roster_at = self.now;
         let cores = self.live_cores(3000).into_values().map(|(c, _)| c);
-        // why: a worker that leaves must be known of before the next renewal
+        // a worker that leaves must be known of before the next renewal
         for c in cores.chain(self.seats.keys().copied()).collect::<Vec<_>>() {
-            self.send(c, Payload::Roster(r.clone()));
+            self.send(c, Payload::WorkerRegistry(r.clone()));
         }
     }
 
     pub(super) fn take_loads(&mut self, l: Arc<Loads>) {
-        let epoch = self.agree.as_ref().map_or(0, |a| a.machine().epoch());
-        // why: a deposed holder of the duty may still be gathering
+        let epoch = self.consensus.as_ref().map_or(0, |a| a.machine().epoch());
+        // a deposed holder of the duty may still be gathering
         if l.epoch >= epoch && l.mark() > self.loads.mark() {
             self.loads = l;
         }
--- a/sorreldoor/src/core/duty.rs
+++ b/sorreldoor/src/core/duty.rs
@@ -1,37 +1,37 @@
 //! The one-node duty: gather loads and tune weights, by the first live core
 //! in an agreed order, under an epoch that the record keeps.
 
-use super::events::HubFx;
-use super::hub::Hub;
-use crate::agree::*;
+use super::controller::Controller;
+use super::events::ControllerEffect;
+use crate::consensus::*;
 use crate::events::Ev;
 use crate::record::{encode, Cmd};
-use crate::roster::{Load, Loads, Roster};
+use crate::registry::{Load, Loads, WorkerRegistry};
 use crate::tune;
 use crate::wire::Payload;
 use std::sync::Arc;
 
-const SETTLE_MS: Ms = 1000;
-const GATHER_MS: Ms = 500;
-const TUNE_MS: Ms = 2000;
+const SETTLE_MS: Millis = 1000;
+const GATHER_MS: Millis = 500;
+const TUNE_MS: Millis = 2000;
 
 /// No word of a reading for so long means that it was lost.
-const LOST_MS: Ms = 5000;
+const LOST_MS: Millis = 5000;
 
 /// The reading of a list of workers that has no numbers of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct Poll {
-    every: Option<Ms>,
-    at: Ms,
+    every: Option<Millis>,
+    at: Millis,
     /// Since when a reading is under way.
-    asked: Option<Ms>,
+    asked: Option<Millis>,
     /// Lists numbered in this life, and the epoch of the last.
     count: u64,
     epoch: u64,
 }
 
 impl Poll {
-    pub fn new(every: Option<Ms>, now: Ms) -> Poll {
+    pub fn new(every: Option<Millis>, now: Millis) -> Poll {
         Poll {
             every,
             at: now,
@@ -46,7 +46,7 @@
     }
 }
 
-impl Hub {
+impl Controller {
     /// The holder alone reads the list: each reading has its price.
     fn poll(&mut self) {
         let Some(every) = self.poll.every else { return };
@@ -54,40 +54,40 @@
         if self.now >= self.poll.at && !busy {
             self.poll.at = self.now + every;
             self.poll.asked = Some(self.now);
-            self.out.push(HubFx::AskRoster);
+            self.out.push(ControllerEffect::AskRegistry);
         }
     }
 
     /// A core without any list reads one itself: before there is a leader
     /// nobody holds the duty.
     pub(super) fn first_list(&mut self) {
-        if self.roster.is_none() && !self.leaving {
+        if self.registry.is_none() && !self.leaving {
             self.poll();
         }
     }
 
     /// A list that came: taken as it is where it has a number of its own; else
     /// numbered under the holder's epoch, if it says anything new.
-    pub(super) fn listed(&mut self, r: Roster) {
+    pub(super) fn listed(&mut self, r: WorkerRegistry) {
         if self.poll.every.is_none() {
-            return self.take_roster(Arc::new(r));
+            return self.take_registry(Arc::new(r));
         }
         self.poll.asked = None;
         if !self.on_duty() {
-            // why: below what any holder has ever numbered, above nothing
-            if self.roster.is_none() {
+            // below what any holder has ever numbered, above nothing
+            if self.registry.is_none() {
                 let (serial, workers) = (1, r.workers);
-                self.take_roster(Arc::new(Roster { serial, workers }));
+                self.take_registry(Arc::new(WorkerRegistry { serial, workers }));
             }
             return;
         }
         let epoch = self.epoch();
         let age = self.now.saturating_sub(self.roster_at);
         let same = self
-            .roster
+            .registry
             .as_ref()
             .is_some_and(|o| o.same(&r.workers, age));
-        // why: a new holder's first list must be newer than all that an older
+        // a new holder's first list must be newer than all that an older
         // one may still tell of
         if same && self.poll.epoch == epoch {
             return;
@@ -96,12 +96,12 @@
         self.poll.count += 1;
         let serial = (epoch << 32) | self.poll.count;
         let workers = r.workers;
-        self.take_roster(Arc::new(Roster { serial, workers }));
+        self.take_registry(Arc::new(WorkerRegistry { serial, workers }));
     }
 
     /// The agreed order: by zone, then identity; voters only.
-    fn first_live(&self) -> Option<Nid> {
-        let a = self.agree.as_ref()?;
+    fn first_live(&self) -> Option<NodeId> {
+        let a = self.consensus.as_ref()?;
         let live = self.live_cores(1500);
         let mut ms: Vec<&Member> = a.members().iter().filter(|m| m.voter).collect();
         ms.sort_by_key(|m| (m.zone, m.id));
@@ -113,12 +113,12 @@
     /// Whether this life of this core holds the duty: what it numbers under
     /// an epoch must not begin anew within it.
     pub fn on_duty(&self) -> bool {
-        let r = self.agree.as_ref().map(|a| a.machine());
+        let r = self.consensus.as_ref().map(|a| a.machine());
         r.is_some_and(|r| r.holder() == self.me.id && self.took == Some(r.epoch()))
     }
 
     fn tunable(&self) -> bool {
-        let s = self.agree.as_ref().and_then(|a| a.machine().setup());
+        let s = self.consensus.as_ref().and_then(|a| a.machine().setup());
         let free = |r: &crate::setup::Route| r.shares.iter().any(|h| h.least < h.most);
         s.is_some_and(|s| s.routes.iter().any(free))
     }
@@ -130,13 +130,13 @@
         }
         let since = *self.first_since.get_or_insert(self.now);
         if !self.on_duty() {
-            // why: a core that flaps must not take the duty to and fro
+            // a core that flaps must not take the duty to and fro
             if self.now.saturating_sub(since) >= SETTLE_MS && self.duty_pid.is_none() {
                 self.take_duty();
             }
             return;
         }
-        if self.thrift.gather && self.now >= self.duty_at {
+        if self.pacing.gather && self.now >= self.duty_at {
             self.duty_at = self.now + GATHER_MS;
             self.gather();
         }
@@ -149,7 +149,7 @@
     }
 
     fn take_duty(&mut self) {
-        let above = self.agree.as_ref().map_or(0, |a| a.machine().epoch());
+        let above = self.consensus.as_ref().map_or(0, |a| a.machine().epoch());
         let holder = self.me.id;
         self.say(Ev::DutyTaken, format!("epoch {}", above + 1));
         self.propose(Cmd::Duty { holder, above });
@@ -157,11 +157,11 @@
     }
 
     /// A proposal of this core's own has come to something.
-    pub(super) fn proposed(&mut self, pid: Pid, taken: bool) {
+    pub(super) fn proposed(&mut self, pid: ProposalId, taken: bool) {
         if self.duty_pid == Some(pid) {
             self.duty_pid = None;
         }
-        // why: after a restart the log may still show the duty as this core's
+        // after a restart the log may still show the duty as this core's
         // before it has caught up with what came after
         let asked = self.asked_epoch.filter(|(p, _)| taken && *p == pid);
         self.took = asked.map(|(_, epoch)| epoch).or(self.took);
@@ -175,15 +175,15 @@
     }
 
     fn epoch(&self) -> u64 {
-        self.agree.as_ref().map_or(0, |a| a.machine().epoch())
+        self.consensus.as_ref().map_or(0, |a| a.machine().epoch())
     }
 
     fn gather(&mut self) {
         let epoch = self.epoch();
-        let to = self.roster.as_ref().map_or(Vec::new(), |r| {
+        let to = self.registry.as_ref().map_or(Vec::new(), |r| {
             r.workers.iter().map(|w| (w.name.clone(), w.addr)).collect()
         });
-        self.out.push(HubFx::AskLoads(epoch, to));
+        self.out.push(ControllerEffect::AskLoads(epoch, to));
     }
 
     pub(super) fn on_loads(&mut self, epoch: u64, rows: Vec<Load>) {
@@ -194,9 +194,11 @@
             let was = self.loads.of(&l.name).map(|o| o.live);
             if was != Some(l.live) {
                 if !l.live {
-                    self.out.push(HubFx::Say(Ev::WorkerDark, l.name.clone()));
+                    self.out
+                        .push(ControllerEffect::Say(Ev::WorkerDark, l.name.clone()));
                 } else if was.is_some() {
-                    self.out.push(HubFx::Say(Ev::WorkerBack, l.name.clone()));
+                    self.out
+                        .push(ControllerEffect::Say(Ev::WorkerBack, l.name.clone()));
                 }
             }
         }
@@ -217,9 +219,9 @@
         let mut times = std::mem::take(&mut self.times);
         times.take(&self.accounts());
         self.times = times;
-        let Some(a) = &self.agree else { return };
+        let Some(a) = &self.consensus else { return };
         let r = a.machine();
-        let (Some(s), Some(ro)) = (r.setup(), &self.roster) else {
+        let (Some(s), Some(ro)) = (r.setup(), &self.registry) else {
             return;
         };
         let by = tune::Now {
--- a/sorreldoor/src/core/events.rs
+++ b/sorreldoor/src/core/events.rs
@@ -1,12 +1,12 @@
-//! What goes into the hub's reducer, and what comes out.
+//! What goes into the controller's reducer, and what comes out.
 
-use crate::agree::*;
+use crate::consensus::*;
 use crate::events::Ev;
 use crate::net::{Conn, NetEvent};
+use crate::pacing::Pacing;
 use crate::record::Cmd;
-use crate::roster::{Load, Roster};
+use crate::registry::{Load, WorkerRegistry};
 use crate::setup::Site;
-use crate::thrift::Thrift;
 use crate::wire::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,26 +23,26 @@
 pub enum Want {
     Http(u64),
     View(u64),
-    Find(OpFrom, Pid),
+    Find(OpFrom, ProposalId),
     Grant { conn: Conn, no: u64, have: Have },
 }
 
 #[derive(Debug)]
-pub enum HubEvent {
+pub enum ControllerEvent {
     Alarm,
     Net(NetEvent),
     Saved(u64),
     SaveFailed(String),
     Change {
         rid: u64,
-        pid: Pid,
+        pid: ProposalId,
         cmd: Cmd,
     },
     /// Replace the members, one voter at a time; from `ctl`.
     Reform {
         rid: u64,
-        pid: Pid,
-        drop: Nid,
+        pid: ProposalId,
+        drop: NodeId,
     },
     Look {
         rid: u64,
@@ -54,9 +54,9 @@
     /// What became of a proposal, once this core is proved current.
     Find {
         rid: u64,
-        pid: Pid,
+        pid: ProposalId,
     },
-    Roster(Result<Roster, String>),
+    WorkerRegistry(Result<WorkerRegistry, String>),
     Loads {
         epoch: u64,
         rows: Vec<Load>,
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug)]
-pub enum HubFx {
+pub enum ControllerEffect {
     Save(u64, Save),
     /// Keep a small file, synced, before anything that follows.
     Keep(&'static str, Vec<u8>),
@@ -77,21 +77,21 @@
     /// The state is proved current; the daemon reads it off now.
     Looked(u64, bool),
     Viewed(u64, bool),
-    /// Read the list of workers; it comes as `HubEvent::Roster`.
-    AskRoster,
+    /// Read the list of workers; it comes as `ControllerEvent::WorkerRegistry`.
+    AskRegistry,
     /// Ask these workers for their load, under the epoch given.
     AskLoads(u64, Vec<(String, SocketAddr)>),
     Say(Ev, String),
 }
 
-/// What a hub starts from.
+/// What a controller starts from.
 pub struct Start {
     pub me: Hello,
     pub site: Arc<Site>,
     pub seeds: Vec<SocketAddr>,
     pub cores: usize,
-    pub replace_ms: Ms,
-    pub pace: Pace,
+    pub replace_ms: Millis,
+    pub timing: Timing,
     pub seed: u64,
     pub promise: Option<Vec<Member>>,
     /// It has learned, in an earlier life, what claims there were.
@@ -102,8 +102,8 @@
     pub bootstrap: bool,
     /// The seeds found the site, and every further core becomes a voter.
     pub grow: bool,
-    pub thrift: Thrift,
+    pub pacing: Pacing,
     /// The holder of the duty alone reads the list of workers, this often,
     /// and numbers it; none: the lists that come have numbers of their own.
-    pub poll_ms: Option<Ms>,
+    pub poll_ms: Option<Millis>,
 }
--- a/sorreldoor/src/core/found.rs
+++ b/sorreldoor/src/core/founding.rs
@@ -1,8 +1,8 @@
 //! Founding a site, joining one, and replacing a core that is gone.
 
-use super::events::{HubFx, OpFrom};
-use super::hub::Hub;
-use crate::agree::*;
+use super::controller::Controller;
+use super::events::{ControllerEffect, OpFrom};
+use crate::consensus::*;
 use crate::events::Ev;
 use crate::net::Conn;
 use crate::record::{encode, Record};
@@ -11,9 +11,9 @@
 use std::net::SocketAddr;
 
 /// Between questions to founded cores.
-const ASK_MS: Ms = 250;
+const ASK_MS: Millis = 250;
 /// A site that grows gives up a core silent for so many times `replace_ms`.
-const LONG: Ms = 10;
+const LONG: Millis = 10;
 
 fn member_of(h: &Hello, voter: bool) -> Member {
     Member {
@@ -25,11 +25,11 @@
     }
 }
 
-impl Hub {
+impl Controller {
     /// Dial the seeds and every member but oneself.
     pub(super) fn redial(&mut self) {
         let own: Option<SocketAddr> = self.me.addr.parse().ok();
-        let members = self.agree.as_ref().map_or(&[][..], |a| a.members());
+        let members = self.consensus.as_ref().map_or(&[][..], |a| a.members());
         let mut want: BTreeSet<SocketAddr> = members
             .iter()
             .filter(|m| m.id != self.me.id)
@@ -41,10 +41,10 @@
         want.extend(self.seeds.iter());
         want.retain(|a| Some(*a) != own);
         for a in want.difference(&self.dials) {
-            self.out.push(HubFx::Dial(*a));
+            self.out.push(ControllerEffect::Dial(*a));
         }
         for a in self.dials.difference(&want) {
-            self.out.push(HubFx::Undial(*a));
+            self.out.push(ControllerEffect::Undial(*a));
         }
         self.dials = want;
     }
@@ -57,9 +57,10 @@
         }
         if let Some(mut set) = self.founding_set(&live) {
             set.sort_by_key(|m| m.id);
-            // why: a promise binds across restarts, so that no two sets of
+            // a promise binds across restarts, so that no two sets of
             // cores that share one can both be founded
-            self.out.push(HubFx::Keep("promise", encode(&set)));
+            self.out
+                .push(ControllerEffect::Keep("promise", encode(&set)));
             self.say(Ev::Promised, names(&set));
             self.promise = Some(set);
         }
@@ -80,14 +81,14 @@
 
     /// Ask a founded core what this one is, and where the others are; false
     /// if none is heard of.
-    pub(super) fn ask_founded(&mut self, live: &BTreeMap<Nid, (Conn, Hello)>) -> bool {
+    pub(super) fn ask_founded(&mut self, live: &BTreeMap<NodeId, (Conn, Hello)>) -> bool {
         let told: Vec<Conn> = live
             .values()
             .filter(|(_, h)| h.founded)
             .map(|l| l.0)
             .collect();
         if !told.is_empty() {
-            // why: whether this core was promised a seat is the founders' to say,
+            // whether this core was promised a seat is the founders' to say,
             // and one of them may not answer, so each time another is asked
             let c = told[(self.now / ASK_MS) as usize % told.len()];
             let set = self.promise.clone().unwrap_or_default();
@@ -97,7 +98,7 @@
     }
 
     /// Whom to found with, once all of them are here and nothing is promised.
-    fn founding_set(&self, live: &BTreeMap<Nid, (Conn, Hello)>) -> Option<Vec<Member>> {
+    fn founding_set(&self, live: &BTreeMap<NodeId, (Conn, Hello)>) -> Option<Vec<Member>> {
         let all: Vec<&Hello> = live.values().map(|(_, h)| h).chain([&self.me]).collect();
         let by = |h: &&&Hello| !self.grow || self.founder(h);
         let set: Vec<&Hello> = all.iter().filter(by).copied().collect();
@@ -106,7 +107,7 @@
         } else {
             self.cores
         };
-        // why: a core that is no seed waits until the seeds have founded
+        // a core that is no seed waits until the seeds have founded
         let mine = set.iter().any(|h| h.id == self.me.id);
         let ready = self.promise.is_none() && mine && set.len() == wanted;
         ready.then(|| set.into_iter().map(|h| member_of(h, true)).collect())
@@ -119,8 +120,8 @@
     fn found(&mut self, set: Vec<Member>) {
         self.say(Ev::Founded, names(&set));
         let r = Record::new(self.site.clone());
-        let (pace, seed, now) = (self.pace.clone(), self.seed, self.now);
-        self.agree = Some(Agree::found(self.me.id, pace, set, r, seed, now));
+        let (timing, seed, now) = (self.timing.clone(), self.seed, self.now);
+        self.consensus = Some(Consensus::found(self.me.id, timing, set, r, seed, now));
         self.claims.learn.sure = true;
         self.keep_sure();
         self.greet();
@@ -140,40 +141,40 @@
     pub(super) fn on_founding(&mut self, conn: Conn, from: Hello, f: Founding) {
         match f {
             Founding::Promise { set } => {
-                let Some(a) = &self.agree else {
+                let Some(a) = &self.consensus else {
                     self.promises.insert(from.id, set);
                     return;
                 };
-                // why: one that has only just joined does not know who founded
+                // one that has only just joined does not know who founded
                 if a.members().is_empty() {
                     return;
                 }
-                // why: only a blank core that is in the founding set by its own
+                // only a blank core that is in the founding set by its own
                 // identity may take its seat; any other joins as a non-voter
                 let seat = a.members().iter().any(|m| m.id == from.id && m.voter);
                 let set = if seat { set } else { Vec::new() };
-                // why: a newcomer knows its seeds only, and the leader may be none
+                // a newcomer knows its seeds only, and the leader may be none
                 let at = a.members().iter().map(|m| m.addr.clone()).collect();
                 self.send(conn, Payload::Founding(Founding::Founded { set, at }));
             }
             Founding::Founded { set, at } => {
                 let at = at.iter().filter_map(|a| a.parse().ok());
                 self.known = at.collect();
-                if self.agree.is_some() {
+                if self.consensus.is_some() {
                     return self.redial();
                 }
                 if self.promise.as_ref() == Some(&set) && !set.is_empty() {
                     return self.found(set);
                 }
                 self.say(Ev::Joining, format!("through {}", from.node));
-                // why: a promise that came to nothing must not look like a founder's
-                self.out.push(HubFx::Keep("promise", Vec::new()));
+                // a promise that came to nothing must not look like a founder's
+                self.out.push(ControllerEffect::Keep("promise", Vec::new()));
                 self.promise = None;
-                let k = crate::store::Mirror::default().kept();
+                let k = crate::store::DurableState::default().kept();
                 let r = Record::new(self.site.clone());
-                let (pace, seed, now) = (self.pace.clone(), self.seed, self.now);
-                self.agree = Some(Agree::new(self.me.id, pace, k, r, seed, now));
-                // why: it does not say that it is of the site before the log
+                let (timing, seed, now) = (self.timing.clone(), self.seed, self.now);
+                self.consensus = Some(Consensus::new(self.me.id, timing, k, r, seed, now));
+                // it does not say that it is of the site before the log
                 // has told it who is
                 self.redial();
             }
@@ -182,7 +183,7 @@
 
     /// Take in blank cores, and give a lost core's seat to its replacement.
     pub(super) fn members_alarm(&mut self) {
-        let Some(a) = &self.agree else { return };
+        let Some(a) = &self.consensus else { return };
         if !a.leads_globally() || self.duty_pid.is_some() {
             return;
         }
@@ -201,7 +202,7 @@
 
     /// Since when each non-voter has been seen waiting.
     fn note_waiting(&mut self, ms: &[Member]) {
-        let waits = |id: &Nid| ms.iter().any(|m| m.id == *id && !m.voter);
+        let waits = |id: &NodeId| ms.iter().any(|m| m.id == *id && !m.voter);
         self.waiting.retain(|id, _| waits(id));
         for m in ms.iter().filter(|m| !m.voter) {
             self.waiting.entry(m.id).or_insert(self.now);
@@ -213,7 +214,7 @@
     fn freshest(&self) -> Vec<Hello> {
         let since = self.now.saturating_sub(1500);
         let heard = self.lines.values().filter(|l| l.heard >= since);
-        let mut by: BTreeMap<&str, (Ms, &Hello)> = BTreeMap::new();
+        let mut by: BTreeMap<&str, (Millis, &Hello)> = BTreeMap::new();
         for l in heard {
             let Some(h) = l.hello.as_ref().filter(|h| h.core) else {
                 continue;
@@ -230,7 +231,7 @@
     /// gone for certain. Its seat is given over once the newcomer has caught
     /// up, without waiting; one that had no seat is just dropped.
     fn usurped(&self, ms: &[Member], live: &[Hello]) -> Option<(Vec<Member>, String)> {
-        let a = self.agree.as_ref()?;
+        let a = self.consensus.as_ref()?;
         let ready = |h: &Hello| ms.iter().any(|m| m.id == h.id) && a.caught_up(h.id);
         let by = |m: &Member| {
             let here = |h: &&Hello| h.addr == m.addr && h.id != m.id;
@@ -240,7 +241,7 @@
             .iter()
             .filter(|m| m.id != self.me.id)
             .find_map(|m| by(m).map(|h| (m, h)))?;
-        // why: first out, then in: what is left needs no word from the dead,
+        // first out, then in: what is left needs no word from the dead,
         // and holds all that was ever agreed with it
         let out = ms.iter().filter(|m| m.id != old.id).cloned().collect();
         let why = format!("{:x} came back blank as {:x}", old.id, new.id);
@@ -254,8 +255,8 @@
         self.agreed(Event::Propose { pid, body });
     }
 
-    fn silent(&self, m: &Member, ms: Ms) -> bool {
-        let silent = self.agree.as_ref().and_then(|a| a.silent_for(m.id));
+    fn silent(&self, m: &Member, ms: Millis) -> bool {
+        let silent = self.consensus.as_ref().and_then(|a| a.silent_for(m.id));
         m.voter && m.id != self.me.id && silent.is_some_and(|s| s >= ms)
     }
 
@@ -266,20 +267,20 @@
     /// A caught-up non-voter gets a free seat, or the seat of a lost core of
     /// its zone. A site that grows has a seat for everyone.
     fn promoted(&self, ms: &[Member]) -> Option<(Vec<Member>, String)> {
-        let a = self.agree.as_ref()?;
+        let a = self.consensus.as_ref()?;
         let voters = ms.iter().filter(|m| m.voter).count();
         let fits = |l: &Member| {
             let near = |m: &&Member| m.zone == l.zone;
             let lost = ms.iter().filter(near).any(|m| self.gone(m));
-            // why: one that is silent may be just what the newcomer replaces,
+            // one that is silent may be just what the newcomer replaces,
             // and its seat is then not needed beside the newcomer's
             let quiet = ms
                 .iter()
                 .filter(near)
-                .any(|m| self.silent(m, self.pace.dead));
-            // why: and one that died as the newcomer came is not silent yet
+                .any(|m| self.silent(m, self.timing.dead));
+            // and one that died as the newcomer came is not silent yet
             let since = self.waiting.get(&l.id).copied().unwrap_or(self.now);
-            let seen = self.now.saturating_sub(since) >= self.pace.dead * 2;
+            let seen = self.now.saturating_sub(since) >= self.timing.dead * 2;
             let free = if self.grow {
                 !quiet && seen
             } else {
@@ -303,13 +304,13 @@
             if !self.grow {
                 return voters > self.cores && self.gone(m);
             }
-            let a = self.agree.as_ref();
+            let a = self.consensus.as_ref();
             let waits = |l: &Member| !l.voter && l.zone == m.zone;
             let heir = ms.iter().filter(|l| waits(l));
             let heir = heir
                 .map(|l| l.id)
                 .any(|l| a.is_some_and(|a| a.caught_up(l)));
-            // why: one that is gone for long only makes majorities harder to
+            // one that is gone for long only makes majorities harder to
             // reach; it joins again if it does come back
             let long = voters > self.cores && self.silent(m, self.replace_ms * LONG);
             (heir && self.gone(m)) || long
@@ -323,13 +324,13 @@
     }
 
     fn lost_learner(&self, m: &Member) -> bool {
-        let silent = self.agree.as_ref().and_then(|a| a.silent_for(m.id));
+        let silent = self.consensus.as_ref().and_then(|a| a.silent_for(m.id));
         silent.is_some_and(|s| s >= self.replace_ms)
     }
 
     /// An operator gives up a core by name, without waiting.
-    pub(super) fn reform(&mut self, rid: u64, pid: Pid, drop: Nid) {
-        let ms: Vec<Member> = self.agree.as_ref().map_or(Vec::new(), |a| {
+    pub(super) fn reform(&mut self, rid: u64, pid: ProposalId, drop: NodeId) {
+        let ms: Vec<Member> = self.consensus.as_ref().map_or(Vec::new(), |a| {
             a.members()
                 .iter()
                 .filter(|m| m.id != drop)
@@ -337,7 +338,8 @@
                 .collect()
         });
         if ms.is_empty() || drop == self.me.id {
-            self.out.push(HubFx::Done(rid, OpOutcome::NotTaken));
+            self.out
+                .push(ControllerEffect::Done(rid, OpOutcome::NotTaken));
             return;
         }
         self.ops.entry(pid).or_default().push(OpFrom::Http(rid));
@@ -345,11 +347,11 @@
         self.agreed(Event::Propose { pid, body });
     }
 
-    pub(super) fn own_pid(&mut self) -> Pid {
+    pub(super) fn own_pid(&mut self) -> ProposalId {
         self.next_rid += 1;
-        (Pid::from(self.me.id) << 64)
-            | (Pid::from(self.me.boot as u32) << 32)
-            | Pid::from(self.next_rid as u32)
+        (ProposalId::from(self.me.id) << 64)
+            | (ProposalId::from(self.me.boot as u32) << 32)
+            | ProposalId::from(self.next_rid as u32)
     }
 }
 
@@ -358,7 +360,7 @@
 fn joiner(ms: &[Member], live: &[Hello], grow: bool) -> Option<(Vec<Member>, String)> {
     let new = |h: &&Hello| ms.iter().all(|m| m.id != h.id);
     let h = live.iter().find(new)?;
-    // why: an old address must not lead to two members
+    // an old address must not lead to two members
     let taken = ms.iter().any(|m| m.addr == h.addr && m.voter);
     let mut out = ms.to_vec();
     out.push(member_of(h, false));
--- a/sorreldoor/src/core/front.rs
+++ b/sorreldoor/src/core/front.rs
@@ -1,8 +1,8 @@
 //! What stands between those who serve callers and the core's reducer: they
 //! ask here, and wait for what the reducer says.
 
-use super::events::HubEvent;
-use crate::agree::Pid;
+use super::events::ControllerEvent;
+use crate::consensus::ProposalId;
 use crate::net::Ring;
 use crate::record::{Cmd, View};
 use crate::wire::{OpOutcome, Place};
@@ -36,7 +36,7 @@
     m.lock().unwrap_or_else(|p| p.into_inner())
 }
 
-/// Tasks that wait for the hub, by number.
+/// Tasks that wait for the controller, by number.
 #[derive(Clone, Default)]
 pub struct Answers {
     waiting: Waiting,
@@ -55,7 +55,7 @@
     }
     pub(super) fn give(&self, rid: u64, r: Reply) {
         let tx = locked(&self.waiting).remove(&rid);
-        // why: whoever has stopped waiting needs no result
+        // whoever has stopped waiting needs no result
         let _ = tx.map(|t| t.try_send(r).is_ok());
     }
 }
@@ -63,7 +63,7 @@
 /// A core as a door sees it.
 #[derive(Clone)]
 pub struct Front {
-    pub ring: Ring<HubEvent>,
+    pub ring: Ring<ControllerEvent>,
     pub answers: Answers,
     /// Milliseconds within which a change should have its answer.
     pub ack_ms: u64,
@@ -71,7 +71,7 @@
 }
 
 impl Front {
-    pub fn new(ring: Ring<HubEvent>, ack_ms: u64) -> Front {
+    pub fn new(ring: Ring<ControllerEvent>, ack_ms: u64) -> Front {
         Front {
             ring,
             answers: Answers::default(),
@@ -80,19 +80,19 @@
         }
     }
 
-    async fn ask(&self, f: impl FnOnce(u64) -> HubEvent) -> Option<Reply> {
+    async fn ask(&self, f: impl FnOnce(u64) -> ControllerEvent) -> Option<Reply> {
         let (rid, rx) = self.answers.open();
         if self.ring.send(f(rid)).await.is_err() {
             return None;
         }
-        // why: the reducer gives up by itself first; this is only the last resort
+        // the reducer gives up by itself first; this is only the last resort
         let most = Duration::from_millis(self.ack_ms * 3 + 1000);
         let got = timeout(most, rx.recv()).await.ok().and_then(|r| r.ok());
         self.answers.close(rid);
         got
     }
 
-    async fn done(&self, f: impl FnOnce(u64) -> HubEvent) -> OpOutcome {
+    async fn done(&self, f: impl FnOnce(u64) -> ControllerEvent) -> OpOutcome {
         match self.ask(f).await {
             Some(Reply::Done(o)) => o,
             _ => OpOutcome::Unknown,
@@ -101,23 +101,25 @@
 
     /// Proposes a change; `Unknown` where no word came in time, and the same
     /// change may be proposed again under the same id.
-    pub async fn change(&self, pid: Pid, cmd: Cmd) -> OpOutcome {
-        self.done(|rid| HubEvent::Change { rid, pid, cmd }).await
+    pub async fn change(&self, pid: ProposalId, cmd: Cmd) -> OpOutcome {
+        self.done(|rid| ControllerEvent::Change { rid, pid, cmd })
+            .await
     }
 
     /// What became of a proposal.
-    pub async fn find(&self, pid: Pid) -> OpOutcome {
-        self.done(|rid| HubEvent::Find { rid, pid }).await
+    pub async fn find(&self, pid: ProposalId) -> OpOutcome {
+        self.done(|rid| ControllerEvent::Find { rid, pid }).await
     }
 
     /// Gives up a core without waiting.
-    pub async fn drop_core(&self, pid: Pid, drop: u64) -> OpOutcome {
-        self.done(|rid| HubEvent::Reform { rid, pid, drop }).await
+    pub async fn drop_core(&self, pid: ProposalId, drop: u64) -> OpOutcome {
+        self.done(|rid| ControllerEvent::Reform { rid, pid, drop })
+            .await
     }
 
     /// The core's state with its status, proved current if `ok`.
     pub async fn look(&self) -> Option<Looked> {
-        match self.ask(|rid| HubEvent::Look { rid }).await {
+        match self.ask(|rid| ControllerEvent::Look { rid }).await {
             Some(Reply::Looked(l)) => Some(l),
             _ => None,
         }
@@ -126,7 +128,7 @@
     /// The record, proved current after this was called; none where that
     /// cannot be had in time.
     pub async fn view(&self) -> Option<Box<View>> {
-        match self.ask(|rid| HubEvent::View { rid }).await {
+        match self.ask(|rid| ControllerEvent::View { rid }).await {
             Some(Reply::Looked(l)) if l.ok => Some(l.view),
             _ => None,
         }
--- a/sorreldoor/src/core/learn.rs
+++ b/sorreldoor/src/core/learn.rs
@@ -4,8 +4,8 @@
 
 use super::book::{Note, Noted, LONGEST_MS};
 use super::claims::Say;
-use super::hub::Hub;
-use crate::agree::{Ms, Nid};
+use super::controller::Controller;
+use crate::consensus::{Millis, NodeId};
 use crate::events::Ev;
 use crate::net::Conn;
 use crate::rules::{broken, Rule};
@@ -15,7 +15,7 @@
 /// Claims told in one frame.
 const PAGE: usize = 2000;
 /// Between looks at what other cores have noted, for one that knows.
-const SLOW_MS: Ms = 2000;
+const SLOW_MS: Millis = 2000;
 
 /// How far the journal of one life of another core was read.
 #[derive(Clone, Copy, Debug, Default)]
@@ -28,16 +28,16 @@
 #[derive(Default)]
 pub struct Learn {
     pub(super) sure: bool,
-    read: BTreeMap<Nid, Read>,
-    at: Ms,
-    since: Option<Ms>,
+    read: BTreeMap<NodeId, Read>,
+    at: Millis,
+    since: Option<Millis>,
 }
 
-impl Hub {
+impl Controller {
     /// Whether this core may speak on claims yet: it has its own past, or was
     /// among the founders, or has learned enough from others.
     pub(super) fn sure(&self) -> bool {
-        self.claims.learn.sure && self.agree.is_some()
+        self.claims.learn.sure && self.consensus.is_some()
     }
 
     pub(super) fn now_sure(&mut self) {
@@ -50,18 +50,18 @@
     }
 
     pub(super) fn learn_claims(&mut self) {
-        if self.agree.is_none() || self.now < self.claims.learn.at || !self.thrift.claims {
+        if self.consensus.is_none() || self.now < self.claims.learn.at || !self.pacing.claims {
             return;
         }
         if broken(Rule::Learned) {
             return self.now_sure();
         }
         let sure = self.claims.learn.sure;
-        // why: cores that know go on reading each other, slowly, so that what
+        // cores that know go on reading each other, slowly, so that what
         // one missed while cut off is on all of them before the next is lost
         self.claims.learn.at = self.now + if sure { SLOW_MS } else { 0 };
         let since = *self.claims.learn.since.get_or_insert(self.now);
-        // why: what was claimed before it came would be forgotten by now
+        // what was claimed before it came would be forgotten by now
         if !sure && self.now.saturating_sub(since) > LONGEST_MS {
             return self.now_sure();
         }
@@ -123,7 +123,7 @@
         let book = &mut self.claims.book;
         let mut fresh = Vec::new();
         for n in all {
-            // why: one that has had its say keeps to what it said
+            // one that has had its say keeps to what it said
             let new = if sure {
                 book.note(&n, now) == Note::Fresh
             } else {
--- a/sorreldoor/src/core/lines.rs
+++ b/sorreldoor/src/core/lines.rs
@@ -1,31 +1,31 @@
 //! The lines that stand between this core and other nodes.
 
-use super::hub::Hub;
-use crate::agree::{Ms, Nid};
+use super::controller::Controller;
+use crate::consensus::{Millis, NodeId};
 use crate::net::Conn;
 use crate::wire::{Hello, Payload};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// Between signs of life on a line that nothing depends on.
-const SPARE_MS: Ms = 1000;
+const SPARE_MS: Millis = 1000;
 /// What is due before the next alarm is said with this one.
-const EARLY_MS: Ms = 50;
+const EARLY_MS: Millis = 50;
 
 #[derive(Clone, Debug)]
 pub struct Line {
     pub dialled: Option<SocketAddr>,
     pub hello: Option<Hello>,
-    pub heard: Ms,
+    pub heard: Millis,
     /// When something was last sent on it.
-    pub sent: Ms,
+    pub sent: Millis,
 }
 
-impl Hub {
+impl Controller {
     /// Cores heard within `ms`, by identity, each with a line to send on.
-    pub(super) fn live_cores(&self, ms: Ms) -> BTreeMap<Nid, (Conn, Hello)> {
+    pub(super) fn live_cores(&self, ms: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
         let since = self.now.saturating_sub(ms);
-        let mut m: BTreeMap<Nid, (Conn, Hello)> = BTreeMap::new();
+        let mut m: BTreeMap<NodeId, (Conn, Hello)> = BTreeMap::new();
         let mut put = |dialled: bool| {
             for (c, l) in &self.lines {
                 let h = l.hello.as_ref().filter(|h| h.core && l.heard >= since);
@@ -34,7 +34,7 @@
                 }
             }
         };
-        // why: the line one dialled oneself is preferred, so it comes last
+        // the line one dialled oneself is preferred, so it comes last
         put(false);
         put(true);
         m
@@ -42,8 +42,8 @@
 
     /// A sign of life on lines that were silent for long enough.
     pub(super) fn ping(&mut self) {
-        let ms = self.thrift.ping_ms;
-        // why: of two lines between cores one carries what is said; the other
+        let ms = self.pacing.ping_ms;
+        // of two lines between cores one carries what is said; the other
         // only has to stay open, and so has an edge's, which gets its grants
         let spare = |c: &Conn, l: &Line| match &l.hello {
             Some(h) if h.core => self.line_to(h.id) != Some(*c),
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) fn line_to(&self, id: Nid) -> Option<Conn> {
+    pub(super) fn line_to(&self, id: NodeId) -> Option<Conn> {
         let named = |l: &Line| l.hello.as_ref().is_some_and(|h| h.id == id);
         self.lines
             .iter()
--- a/sorreldoor/src/core/mod.rs
+++ b/sorreldoor/src/core/mod.rs
@@ -3,12 +3,12 @@
 mod api;
 mod book;
 mod claims;
-mod deliver;
+mod controller;
+mod delivery;
 mod duty;
 mod events;
-mod found;
+mod founding;
 mod front;
-mod hub;
 mod learn;
 mod lines;
 mod regions;
@@ -19,8 +19,8 @@
 
 pub use api::{Api, Door};
 pub use book::KEEP_MS;
-pub use events::{HubEvent, HubFx, OpFrom, Start, Want};
+pub use controller::Controller;
+pub use events::{ControllerEffect, ControllerEvent, OpFrom, Start, Want};
 pub use front::{Answers, Front, Looked, Reply};
-pub use hub::Hub;
 pub use run::{run, run_by, run_with};
 pub use source::{Later, Listed, OperatorDoor, WorkerSource};
--- a/sorreldoor/src/core/regions.rs
+++ b/sorreldoor/src/core/regions.rs
@@ -1,29 +1,29 @@
 //! Regions lost and returning: what the duty's holder sees of their workers,
 //! and the state it proposes for the record.
 
-use super::hub::Hub;
-use crate::agree::Ms;
+use super::controller::Controller;
+use crate::consensus::Millis;
 use crate::record::{Cmd, Recovery};
 
 /// So long without any live model worker makes a region lost.
-const LOST_MS: Ms = 1500;
+const LOST_MS: Millis = 1500;
 /// So long after it came back, a region is served in full in any case.
-const FULL_MS: Ms = 10_000;
+const FULL_MS: Millis = 10_000;
 const STEP: u8 = 10;
 
 /// What the holder remembers of a region between looks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Watch {
-    dark_since: Option<Ms>,
-    back_since: Option<Ms>,
+    dark_since: Option<Millis>,
+    back_since: Option<Millis>,
 }
 
-impl Hub {
+impl Controller {
     /// Live model workers of a region: their slots, and how many of those
     /// they can bear by how warm they are.
     fn warmth(&self, region: u8) -> Option<(u64, u64)> {
-        let s = self.agree.as_ref()?.machine().setup()?.clone();
-        let r = self.roster.as_ref()?;
+        let s = self.consensus.as_ref()?.machine().setup()?.clone();
+        let r = self.registry.as_ref()?;
         let mut listed = 0;
         let (mut slots, mut cap) = (0, 0);
         for w in r.workers.iter().filter(|w| w.region == region) {
@@ -41,12 +41,12 @@
                 cap += warm.min(n);
             }
         }
-        // why: a region that is meant to have no workers is not lost
+        // a region that is meant to have no workers is not lost
         (listed > 0).then_some((slots, cap))
     }
 
     pub(super) fn watch_recovery(&mut self) {
-        let Some(epoch) = self.agree.as_ref().map(|a| a.machine().epoch()) else {
+        let Some(epoch) = self.consensus.as_ref().map(|a| a.machine().epoch()) else {
             return;
         };
         if self.loads.epoch != epoch || self.duty_pid.is_some() {
@@ -69,7 +69,7 @@
     fn recovery_due(&mut self, region: u8) -> Option<Recovery> {
         let (slots, cap) = self.warmth(region)?;
         let now = self.now;
-        let is = self.agree.as_ref()?.machine().region(region);
+        let is = self.consensus.as_ref()?.machine().region(region);
         let w = self.recovery.entry(region).or_default();
         if slots == 0 {
             w.back_since = None;
@@ -83,7 +83,7 @@
         }
         let since = *w.back_since.get_or_insert(now);
         let part = (cap * 100 / slots).min(100) as u8;
-        // why: steps, so that each worker's finished errand is not a proposal
+        // steps, so that each worker's finished errand is not a proposal
         if part >= 95 || now.saturating_sub(since) >= FULL_MS {
             return Some(Recovery::Served);
         }
--- a/sorreldoor/src/core/run.rs
+++ b/sorreldoor/src/core/run.rs
@@ -1,16 +1,16 @@
-//! The core's daemon: threads and rings around the hub's reducer.
+//! The core's daemon: threads and rings around the controller's reducer.
 
 use super::api::Door;
-use super::events::{HubEvent, HubFx, Start};
+use super::controller::Controller;
+use super::events::{ControllerEffect, ControllerEvent, Start};
 use super::front::{Front, Looked, Reply};
-use super::hub::Hub;
 use super::source::{Listed, OperatorDoor, WorkerSource};
-use crate::agree::{Member, Save};
+use crate::consensus::{Member, Save};
 use crate::events::{say, Ev};
 use crate::http::{self, Call};
 use crate::net::{Net, NetEvent, Ring};
 use crate::record::{decode, encode};
-use crate::roster::{self, Load};
+use crate::registry::{self, Load};
 use crate::seam::{self, Hand, Now, Reducer};
 use crate::settings::Settings;
 use crate::store::{keep_file, read_file, Opened, Store, WalStore};
@@ -80,7 +80,7 @@
     let id = identity(&dir).map_err(|e| format!("data: identity: {e}"))?;
     let Opened {
         store,
-        mirror,
+        durable_state,
         torn,
     } = WalStore::open(&dir).map_err(|e| {
         say(Ev::DiskCorrupt, &e);
@@ -115,22 +115,22 @@
         seeds: set.seeds.clone(),
         cores: set.cores,
         replace_ms: set.replace_ms,
-        pace: set.thrift.pace(set.ack_ms),
+        timing: set.pacing.timing(set.ack_ms),
         seed: crate::ops::fresh(),
         promise,
         sure: sure.is_some(),
         most_claims: set.most_claims,
         bootstrap: set.bootstrap,
         grow: set.grow,
-        thrift: set.thrift.clone(),
+        pacing: set.pacing.clone(),
         poll_ms,
     };
-    let kept = Some(mirror).filter(|m| !m.blank()).map(|m| m.kept());
-    let hub = Hub::new(start, kept, 0);
+    let kept = Some(durable_state).filter(|m| !m.blank()).map(|m| m.kept());
+    let controller = Controller::new(start, kept, 0);
     let net = Net::new(
         set.site_mark(),
         ring.clone(),
-        HubEvent::Net as fn(NetEvent) -> HubEvent,
+        ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
         set.most_connections,
     );
     task::spawn(net.clone().listen(frames));
@@ -139,14 +139,14 @@
     say(Ev::Started, format!("core {} ({id:x})", set.node));
     say(Ev::Listening, format!("frames {listen}"));
     door.open(front.clone(), gate.clone())?;
-    let tick = Duration::from_millis(set.thrift.tick_ms);
-    crate::run::ticker(ring.clone(), tick, || HubEvent::Alarm);
-    crate::run::on_term(ring.clone(), || HubEvent::Stop)?;
+    let tick = Duration::from_millis(set.pacing.tick_ms);
+    crate::run::ticker(ring.clone(), tick, || ControllerEvent::Alarm);
+    crate::run::on_term(ring.clone(), || ControllerEvent::Stop)?;
     if let Some(s) = source.clone().filter(|_| each) {
         task::spawn(watch_list(s, ring.clone()));
     }
     let saves = store_thread(wrap(store), ring.clone());
-    let mut hub = hub;
+    let mut controller = controller;
     let mut hand = Daemon {
         net,
         set,
@@ -157,13 +157,16 @@
         gate,
         stop_at: None,
     };
-    seam::turn(&mut hub, &clock, &mut hand, &rx);
+    seam::turn(&mut controller, &clock, &mut hand, &rx);
     say(Ev::Stopped, "core");
     Ok(())
 }
 
 /// The store's own thread: batches what waits, syncs once for all of it.
-fn store_thread<S: Store + 'static>(mut store: S, ring: Ring<HubEvent>) -> Sender<(u64, Save)> {
+fn store_thread<S: Store + 'static>(
+    mut store: S,
+    ring: Ring<ControllerEvent>,
+) -> Sender<(u64, Save)> {
     let (tx, rx) = bounded::<(u64, Save)>(RING);
     thread::spawn(move || {
         while let Ok(first) = rx.recv_blocking() {
@@ -175,15 +178,15 @@
             let began = Instant::now();
             let last = batch.last().map_or(0, |(s, _)| *s);
             let ev = match store.save(&batch) {
-                Ok(()) => HubEvent::Saved(last),
-                Err(e) => HubEvent::SaveFailed(e.to_string()),
+                Ok(()) => ControllerEvent::Saved(last),
+                Err(e) => ControllerEvent::SaveFailed(e.to_string()),
             };
             let took = began.elapsed();
             if took > Duration::from_millis(200) {
                 say(Ev::DiskSlow, format!("{} ms", took.as_millis()));
             }
-            let failed = matches!(ev, HubEvent::SaveFailed(_));
-            // why: after a failed sync nobody knows what is on the disk
+            let failed = matches!(ev, ControllerEvent::SaveFailed(_));
+            // after a failed sync nobody knows what is on the disk
             if ring.send_blocking(ev).is_err() || failed {
                 return;
             }
@@ -192,12 +195,12 @@
     tx
 }
 
-async fn read_list(src: Arc<dyn WorkerSource>, ring: Ring<HubEvent>) -> bool {
+async fn read_list(src: Arc<dyn WorkerSource>, ring: Ring<ControllerEvent>) -> bool {
     let r = src.poll().await;
-    ring.send(HubEvent::Roster(r)).await.is_ok()
+    ring.send(ControllerEvent::WorkerRegistry(r)).await.is_ok()
 }
 
-async fn watch_list(src: Arc<dyn WorkerSource>, ring: Ring<HubEvent>) {
+async fn watch_list(src: Arc<dyn WorkerSource>, ring: Ring<ControllerEvent>) {
     while read_list(src.clone(), ring.clone()).await {
         task::sleep(Duration::from_millis(src.pace_ms())).await;
     }
@@ -207,7 +210,7 @@
     set: Arc<Settings>,
     epoch: u64,
     to: Vec<(String, SocketAddr)>,
-    ring: Ring<HubEvent>,
+    ring: Ring<ControllerEvent>,
 ) {
     let asks: Vec<_> = to
         .into_iter()
@@ -219,7 +222,7 @@
                 let l = got
                     .ok()
                     .filter(|c| c.status == 200)
-                    .and_then(|c| roster::read_load(&c.body, &name).ok());
+                    .and_then(|c| registry::read_load(&c.body, &name).ok());
                 l.unwrap_or(Load {
                     name,
                     ..Load::default()
@@ -231,26 +234,26 @@
     for a in asks {
         rows.push(a.await);
     }
-    let _ = ring.send(HubEvent::Loads { epoch, rows }).await;
+    let _ = ring.send(ControllerEvent::Loads { epoch, rows }).await;
 }
 
 struct Daemon {
-    net: Net<HubEvent>,
+    net: Net<ControllerEvent>,
     set: Arc<Settings>,
     front: Front,
     source: Option<Arc<dyn WorkerSource>>,
     saves: Sender<(u64, Save)>,
-    ring: Ring<HubEvent>,
+    ring: Ring<ControllerEvent>,
     gate: http::Gate,
     stop_at: Option<Instant>,
 }
 
-impl Hand<Hub> for Daemon {
-    fn goes_on(&mut self, hub: &Hub) -> bool {
-        self.front.show(&hub.places().1);
-        if hub.leaving && self.stop_at.is_none() {
+impl Hand<Controller> for Daemon {
+    fn goes_on(&mut self, controller: &Controller) -> bool {
+        self.front.show(&controller.places().1);
+        if controller.leaving && self.stop_at.is_none() {
             say(Ev::Leaving, "core");
-            // why: what was just acked should still reach the others
+            // what was just acked should still reach the others
             self.stop_at = Some(Instant::now() + Duration::from_millis(300));
             self.gate.shut();
         }
@@ -259,58 +262,58 @@
         self.stop_at.is_none_or(|t| Instant::now() < t || !heard(t))
     }
 
-    fn carry(&mut self, hub: &mut Hub, fx: HubFx) {
+    fn carry(&mut self, controller: &mut Controller, fx: ControllerEffect) {
         match fx {
-            HubFx::Save(seq, save) => {
-                // why: a full ring means a stuck disk, and a lost save must
+            ControllerEffect::Save(seq, save) => {
+                // a full ring means a stuck disk, and a lost save must
                 // never look like a kept one
                 if self.saves.try_send((seq, save)).is_err() {
-                    let ev = HubEvent::SaveFailed("the ring to the store is full".into());
+                    let ev = ControllerEvent::SaveFailed("the ring to the store is full".into());
                     let at = Now {
-                        mono: hub.now,
+                        mono: controller.now,
                         wall: 0,
                     };
-                    let more = hub.step(ev, at);
+                    let more = controller.step(ev, at);
                     more.into_iter()
-                        .filter(|f| !matches!(f, HubFx::Save(..)))
-                        .for_each(|f| self.carry(hub, f));
+                        .filter(|f| !matches!(f, ControllerEffect::Save(..)))
+                        .for_each(|f| self.carry(controller, f));
                 }
             }
-            HubFx::Keep(name, b) => {
+            ControllerEffect::Keep(name, b) => {
                 let dir = self.set.data.clone().unwrap_or_default();
                 if let Err(e) = keep_file(&dir, name, &b) {
                     say(Ev::DiskFailed, format!("{name}: {e}"));
                     std::process::exit(1);
                 }
             }
-            HubFx::Send(c, p) => {
+            ControllerEffect::Send(c, p) => {
                 self.net.send(c, &p);
             }
-            HubFx::Dial(a) => self.net.dial(a, self.set.reached(a)),
-            HubFx::Undial(a) => self.net.undial(a),
-            HubFx::Close(c) => self.net.close(c),
-            HubFx::Done(rid, o) => self.front.answers.give(rid, Reply::Done(o)),
-            HubFx::Looked(rid, ok) => {
+            ControllerEffect::Dial(a) => self.net.dial(a, self.set.reached(a)),
+            ControllerEffect::Undial(a) => self.net.undial(a),
+            ControllerEffect::Close(c) => self.net.close(c),
+            ControllerEffect::Done(rid, o) => self.front.answers.give(rid, Reply::Done(o)),
+            ControllerEffect::Looked(rid, ok) => {
                 use simd_json::prelude::*;
-                self.looked(hub, rid, ok, hub.status().encode());
+                self.looked(controller, rid, ok, controller.status().encode());
             }
-            HubFx::Viewed(rid, ok) => self.looked(hub, rid, ok, String::new()),
-            HubFx::AskRoster => {
+            ControllerEffect::Viewed(rid, ok) => self.looked(controller, rid, ok, String::new()),
+            ControllerEffect::AskRegistry => {
                 if let Some(s) = self.source.clone() {
                     task::spawn(read_list(s, self.ring.clone()));
                 }
             }
-            HubFx::AskLoads(epoch, to) => {
+            ControllerEffect::AskLoads(epoch, to) => {
                 task::spawn(ask_loads(self.set.clone(), epoch, to, self.ring.clone()));
             }
-            HubFx::Say(ev, about) => say(ev, about),
+            ControllerEffect::Say(ev, about) => say(ev, about),
         }
     }
 }
 
 impl Daemon {
-    fn looked(&self, hub: &Hub, rid: u64, ok: bool, status: String) {
-        let a = hub.agree.as_ref();
+    fn looked(&self, controller: &Controller, rid: u64, ok: bool, status: String) {
+        let a = controller.consensus.as_ref();
         let l = Looked {
             ok,
             disk: a.is_none_or(|a| !a.disk_failed()),
--- a/sorreldoor/src/core/source.rs
+++ b/sorreldoor/src/core/source.rs
@@ -3,7 +3,7 @@
 
 use super::front::Front;
 use crate::http::{self, Call};
-use crate::roster::{self, Roster};
+use crate::registry::{self, WorkerRegistry};
 use crate::settings::Settings;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// Why there is no list, in words for the log; half a list is none.
-    fn poll(&self) -> Later<Result<Roster, String>>;
+    fn poll(&self) -> Later<Result<WorkerRegistry, String>>;
 }
 
 /// Who takes operators' calls and brings them to the core.
@@ -55,14 +55,14 @@
         true
     }
 
-    fn poll(&self) -> Later<Result<Roster, String>> {
+    fn poll(&self) -> Later<Result<WorkerRegistry, String>> {
         let (set, at) = (self.set.clone(), self.at);
         Box::pin(async move {
             let (to, most) = (set.reached(at), Duration::from_secs(1));
             let got = http::call(to, Call::get("/workers"), 1 << 20, most).await;
             got.map_err(|b| format!("{at}: {b:?}"))
                 .and_then(|c| match c.status {
-                    200 => roster::read_roster(&c.body, &set.names),
+                    200 => registry::read_registry(&c.body, &set.names),
                     s => Err(format!("{at}: status {s}")),
                 })
         })
--- a/sorreldoor/src/core/start.rs
+++ b/sorreldoor/src/core/start.rs
@@ -1,16 +1,16 @@
-//! A hub as it starts: from nothing, or from what its store kept.
+//! A controller as it starts: from nothing, or from what its store kept.
 
+use super::controller::Controller;
 use super::events::Start;
-use super::hub::Hub;
-use crate::agree::{Agree, Kept, Machine, Ms};
+use crate::consensus::{Consensus, Kept, Machine, Millis};
 use crate::record::Record;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-impl Hub {
-    pub fn new(s: Start, kept: Option<Kept>, now: Ms) -> Hub {
+impl Controller {
+    pub fn new(s: Start, kept: Option<Kept>, now: Millis) -> Controller {
         let promised = s.promise.is_some();
-        let mut h = Hub {
+        let mut h = Controller {
             me: s.me,
             site: s.site,
             cores: s.cores,
@@ -20,11 +20,11 @@
             founders: s.seeds.iter().copied().filter(|_| s.grow).collect(),
             waiting: BTreeMap::new(),
             known: BTreeSet::new(),
-            thrift: s.thrift,
-            pace: s.pace,
+            pacing: s.pacing,
+            timing: s.timing,
             seed: s.seed,
-            agree: None,
-            // why: whoever may not found must not use what it once promised
+            consensus: None,
+            // whoever may not found must not use what it once promised
             promise: s.promise.filter(|_| s.bootstrap),
             promises: BTreeMap::new(),
             seeds: s.seeds,
@@ -36,7 +36,7 @@
             merged: Vec::new(),
             places: (0, Arc::default()),
             told: (Vec::new(), now),
-            roster: None,
+            registry: None,
             roster_problem: None,
             roster_at: now,
             poll: super::duty::Poll::new(s.poll_ms, now),
@@ -65,13 +65,13 @@
         };
         if let Some(k) = kept {
             h.claims = super::claims::Claims::new(&k.claims, s.most_claims, now);
-            // why: a founder forgets nothing; who joined later says so itself
+            // a founder forgets nothing; who joined later says so itself
             h.claims.learn.sure = s.sure || promised;
             let mut r = Record::new(h.site.clone());
             if let Some(s) = &k.snap {
                 r.load(&s.image);
             }
-            h.agree = Some(Agree::new(h.me.id, h.pace.clone(), k, r, h.seed, now));
+            h.consensus = Some(Consensus::new(h.me.id, h.timing.clone(), k, r, h.seed, now));
             h.me.founded = true;
         }
         h.redial();
--- a/sorreldoor/src/core/status.rs
+++ b/sorreldoor/src/core/status.rs
@@ -1,7 +1,7 @@
 //! What a core shows of the site: leaders, members, sessions, workers.
 
-use super::hub::Hub;
-use crate::js::Val;
+use super::controller::Controller;
+use crate::json::Val;
 use crate::record::Recovery;
 use simd_json::prelude::*;
 
@@ -17,17 +17,17 @@
     }
 }
 
-impl Hub {
+impl Controller {
     pub fn status(&self) -> Val {
         let mut v = Val::object();
         let _ = v.insert("node", self.me.node.as_str());
         let _ = v.insert("id", hex(self.me.id));
-        let _ = v.insert("founded", self.agree.is_some());
+        let _ = v.insert("founded", self.consensus.is_some());
         let _ = v.insert("leaving", self.leaving);
         let _ = v.insert("quorum", self.quorum);
         let _ = v.insert("wall_ms", self.wall);
         let _ = v.insert("cores_wanted", self.cores);
-        if let Some(a) = &self.agree {
+        if let Some(a) = &self.consensus {
             let r = a.machine();
             let _ = v.insert("leads", a.leads_globally());
             let _ = v.insert("term", a.term());
@@ -78,11 +78,11 @@
         let _ = c.insert("most", self.claims.book.most());
         let _ = c.insert("sure", self.sure());
         let _ = v.insert("claims", c);
-        let emptied = self.agree.as_ref().map(|a| a.machine().view().emptied);
+        let emptied = self.consensus.as_ref().map(|a| a.machine().view().emptied);
         let zones = crate::ops::zones(
             &self.site,
             &emptied.unwrap_or_default(),
-            self.roster.as_ref().map_or(&[][..], |r| &r.workers),
+            self.registry.as_ref().map_or(&[][..], |r| &r.workers),
             &self.loads,
             self.all_seats().iter().map(|s| (s.hello.zone, s.running)),
         );
@@ -91,7 +91,7 @@
         let _ = v.insert("workers", self.workers());
         let _ = v.insert(
             "roster_serial",
-            self.roster.as_ref().map_or(0, |r| r.serial),
+            self.registry.as_ref().map_or(0, |r| r.serial),
         );
         let _ = v.insert("roster_problem", self.roster_problem.clone());
         v
@@ -100,7 +100,7 @@
     /// Every share with bounds of its own: its weight now, and by what it is
     /// tuned, as this core measured while it held the duty.
     fn weights(&self) -> Vec<Val> {
-        let Some(a) = &self.agree else {
+        let Some(a) = &self.consensus else {
             return Vec::new();
         };
         let (view, s) = (a.machine().view(), a.machine().setup());
@@ -126,7 +126,7 @@
     }
 
     pub fn emptied(&self) -> Vec<String> {
-        self.agree.as_ref().map_or(Vec::new(), |a| {
+        self.consensus.as_ref().map_or(Vec::new(), |a| {
             a.machine()
                 .view()
                 .emptied
@@ -153,7 +153,7 @@
     }
 
     fn workers(&self) -> Vec<Val> {
-        let ws = self.roster.as_ref().map_or(&[][..], |r| &r.workers);
+        let ws = self.registry.as_ref().map_or(&[][..], |r| &r.workers);
         ws.iter()
             .map(|w| {
                 let mut o = Val::object();
--- a/sorreldoor/src/ctl/mod.rs
+++ b/sorreldoor/src/ctl/mod.rs
@@ -4,7 +4,7 @@
 mod watch;
 
 use crate::http::{self, Broke, Call, Called};
-use crate::js::{self, Val};
+use crate::json::{self, Val};
 use crate::ops;
 use async_std::task;
 use gumdrop::Options;
@@ -142,7 +142,7 @@
     let Some(what) = a.what else {
         return usage("say what to do; see --help");
     };
-    // why: people write the flag before or after what they ask for
+    // people write the flag before or after what they ask for
     let json = a.json
         || match &what {
             What::Get(b) | What::Status(b) => b.json,
@@ -198,7 +198,7 @@
             };
             match task::block_on(http::call(*a, c, 64 << 20, WITHIN)) {
                 Ok(c) => return Ok(c),
-                // why: only what was surely not sent may simply go to the next
+                // only what was surely not sent may simply go to the next
                 Err(Broke::Unsent) => last = Broke::Unsent,
                 Err(b) => return Err(b),
             }
@@ -226,7 +226,7 @@
         match self.call(Method::Get, path, &[]) {
             Err(b) => self.unreached(b, ""),
             Ok(c) => {
-                let v = js::parse(&c.body, usize::MAX).unwrap_or_default();
+                let v = json::parse(&c.body, usize::MAX).unwrap_or_default();
                 if c.status != 200 {
                     return self.refused(&c, &v);
                 }
@@ -257,7 +257,7 @@
         match self.call(m, path, &body) {
             Err(b) => self.unreached(b, id),
             Ok(c) => {
-                let v = js::parse(&c.body, usize::MAX).unwrap_or_default();
+                let v = json::parse(&c.body, usize::MAX).unwrap_or_default();
                 if c.status != 200 {
                     return self.refused(&c, &v);
                 }
@@ -315,7 +315,7 @@
         match self.call(Method::Post, "/v1/check", &body) {
             Err(b) => self.unreached(b, ""),
             Ok(c) => {
-                let v = js::parse(&c.body, usize::MAX).unwrap_or_default();
+                let v = json::parse(&c.body, usize::MAX).unwrap_or_default();
                 if c.status != 200 {
                     return self.refused(&c, &v);
                 }
@@ -339,7 +339,7 @@
             Ok(b) => b,
             Err(c) => return c,
         };
-        let new = match js::parse(&body, crate::setup::MOST_BYTES) {
+        let new = match json::parse(&body, crate::setup::MOST_BYTES) {
             Ok(v) => v,
             Err(e) => {
                 eprintln!("ctl: {file} {e}");
@@ -349,7 +349,7 @@
         match self.call(Method::Get, "/v1/setup", &[]) {
             Err(b) => self.unreached(b, ""),
             Ok(c) => {
-                let v = js::parse(&c.body, usize::MAX).unwrap_or_default();
+                let v = json::parse(&c.body, usize::MAX).unwrap_or_default();
                 if c.status != 200 {
                     return self.refused(&c, &v);
                 }
--- a/sorreldoor/src/ctl/show.rs
+++ b/sorreldoor/src/ctl/show.rs
@@ -1,6 +1,6 @@
 //! What the client prints for people.
 
-use crate::js::{canon, join, Val};
+use crate::json::{canon, join, Val};
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
 
--- a/sorreldoor/src/ctl/watch.rs
+++ b/sorreldoor/src/ctl/watch.rs
@@ -18,11 +18,11 @@
         }
         let to = match self.call(Method::Get, &path, &[]) {
             Err(b) => return self.unreached(b, ""),
-            Ok(c) => js::parse(&c.body, usize::MAX).unwrap_or_default(),
+            Ok(c) => json::parse(&c.body, usize::MAX).unwrap_or_default(),
         };
         let ask = to.get("ask").and_then(|a| a.as_str());
         match ask.and_then(|a| a.parse().ok()) {
-            // why: only an edge of the caller's region can say what it would do
+            // only an edge of the caller's region can say what it would do
             Some(a) => {
                 let (at, json) = (vec![a], self.json);
                 Ctl { at, json }.read(&path, show::placement)
@@ -33,7 +33,7 @@
 
     /// Wait until nothing runs in a zone; what is left is told.
     pub(super) fn watch(&self, zone: &str, most: Duration) -> i32 {
-        // why: until then an edge may not know of it yet, and what it sends
+        // until then an edge may not know of it yet, and what it sends
         // may not be in any report
         let sure = Instant::now() + SURE;
         let end = sure.max(Instant::now() + most);
@@ -60,7 +60,7 @@
     /// Errands at a zone's workers and edges, if it is seen as emptied.
     fn left(&self, zone: &str) -> Option<(u64, u64)> {
         let c = self.call(Method::Get, "/v1/status", &[]).ok()?;
-        let v = js::parse(&c.body, usize::MAX).ok()?;
+        let v = json::parse(&c.body, usize::MAX).ok()?;
         let all = v.get("zones").and_then(|z| z.as_array())?;
         let named = |z: &&Val| z.get("zone").and_then(|n| n.as_str()) == Some(zone);
         let z = all.iter().find(named)?;
--- a/sorreldoor/src/doctor/checks.rs
+++ b/sorreldoor/src/doctor/checks.rs
@@ -1,7 +1,7 @@
 //! What is looked for, in what was seen: pure, and a closed list.
 
 use super::look::{Seed, Seen};
-use crate::js::Val;
+use crate::json::Val;
 use simd_json::prelude::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -231,7 +231,7 @@
     for name in &s.unread {
         out.push(Finding::new(23, name.clone()));
     }
-    // why: only the leader knows which regions answer, so it is asked first
+    // only the leader knows which regions answer, so it is asked first
     let leads = |v: &Val| flag(v, "leads") == Some(true);
     let best = s.cores.iter().find(|(_, v)| leads(v)).or(s.cores.first());
     if let Some((_, v)) = best {
--- a/sorreldoor/src/doctor/look.rs
+++ b/sorreldoor/src/doctor/look.rs
@@ -2,7 +2,7 @@
 //! status over HTTP.
 
 use crate::http::{self, Call};
-use crate::js::{self, Val};
+use crate::json::{self, Val};
 use crate::settings::Settings;
 use crate::store::keep_file;
 use crate::wire::{self, Hello, Payload, Refused};
@@ -98,7 +98,7 @@
     let within = WITHIN + Duration::from_millis(s.ack_ms * 3);
     let c = http::call(s.reached(at), Call::get("/v1/status"), 16 << 20, within);
     let c = task::block_on(c).ok().filter(|c| c.status == 200)?;
-    js::parse(&c.body, usize::MAX).ok()
+    json::parse(&c.body, usize::MAX).ok()
 }
 
 fn disk(dir: &Path) -> Disk {
--- a/sorreldoor/src/doctor/mod.rs
+++ b/sorreldoor/src/doctor/mod.rs
@@ -7,7 +7,7 @@
 pub use checks::{check, Finding, Severity, ALL};
 pub use look::{look, Disk, Seed, Seen};
 
-use crate::js::Val;
+use crate::json::Val;
 use crate::settings::{Over, Role, Settings};
 use gumdrop::Options;
 use simd_json::prelude::*;
@@ -51,7 +51,7 @@
 }
 
 fn examine(file: &std::path::Path) -> Vec<Finding> {
-    // why: an edge's file is a core's without `listen` and `data`, so the one
+    // an edge's file is a core's without `listen` and `data`, so the one
     // that says `listen` is read as a core's
     let edge = Settings::load(file, &Over::default(), Role::Edge);
     let core = edge.as_ref().is_ok_and(|s| s.listen.is_some());
--- a/sorreldoor/src/edge/api.rs
+++ b/sorreldoor/src/edge/api.rs
@@ -3,10 +3,10 @@
 use super::hall::HallEvent;
 use super::relay::{Brought, Load, Piece};
 use super::run::{Desk, Reply};
-use crate::agree::Pid;
+use crate::consensus::ProposalId;
 use crate::errand::{Asked, Shape};
 use crate::http;
-use crate::js::{self, Val};
+use crate::json::{self, Val};
 use crate::net::Ring;
 use crate::ops::{self, Op};
 use crate::problem::Problem;
@@ -167,7 +167,7 @@
     fn asked(&self, req: &Request, route: &str) -> Result<Asked, Problem> {
         let head = |k: &str| req.header(k).map(|h| h.last().as_str().to_string());
         let given = head("x-errand-id");
-        if given.as_deref().is_some_and(|i| !js::good_name(i)) {
+        if given.as_deref().is_some_and(|i| !json::good_name(i)) {
             return Err(Problem::BadErrand);
         }
         let id = given
@@ -192,7 +192,7 @@
             Ok(a) => a,
             Err(p) => return http::shed(p, "", 1),
         };
-        // why: what is not wanted here is turned away before its body is read
+        // what is not wanted here is turned away before its body is read
         let a = asked.clone();
         let shown = match self.soon(|rid| HallEvent::Knock { rid, asked: a }).await {
             Some(Reply::Come(shown)) => shown,
@@ -214,7 +214,7 @@
             Ok(b) => b,
             Err(p) => return http::shed(p, "", 1),
         };
-        if model && js::parse(&body, self.set.most_body).is_err() {
+        if model && json::parse(&body, self.set.most_body).is_err() {
             return http::shed(Problem::BadJson, "", 1);
         }
         let load = Load {
@@ -256,7 +256,7 @@
     }
 }
 
-fn changed(pid: Pid, r: Option<Reply>) -> Response {
+fn changed(pid: ProposalId, r: Option<Reply>) -> Response {
     match r {
         Some(Reply::Done(o)) => ops::result(pid, &o),
         _ => ops::result(pid, &crate::wire::OpOutcome::Unknown),
@@ -339,7 +339,7 @@
             }
             let piece = match Pin::new(&mut me.rx).poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
-                // why: a relay that vanished has not said that this is the end
+                // a relay that vanished has not said that this is the end
                 Poll::Ready(None) => Piece::Broke(Problem::StreamBroken),
                 Poll::Ready(Some(p)) => p,
             };
--- a/sorreldoor/src/edge/hall.rs
+++ b/sorreldoor/src/edge/hall.rs
@@ -1,9 +1,9 @@
 //! The edge's one reducer over all events, with effects as data.
 
-use crate::agree::{Ms, Pid};
+use crate::consensus::{Millis, ProposalId};
 use crate::errand::{Asked, ErrandFx, Plan, Shape, Table, Told};
 use crate::events::Ev;
-use crate::js::Val;
+use crate::json::Val;
 use crate::net::{Conn, NetEvent};
 use crate::problem::Problem;
 use crate::pull::{Pull, PullFx};
@@ -41,12 +41,12 @@
     },
     Change {
         rid: u64,
-        pid: Pid,
+        pid: ProposalId,
         cmd: Cmd,
     },
     Find {
         rid: u64,
-        pid: Pid,
+        pid: ProposalId,
     },
     /// What would become of such an errand now, of a caller in that region.
     Explain {
@@ -86,10 +86,10 @@
     pub(super) looks: Vec<(u64, u64)>,
     pub(super) changes: BTreeMap<u64, Conn>,
     /// Claims given up that the cores have not confirmed: id, and since when.
-    pub(super) frees: BTreeMap<u64, (String, Ms)>,
-    pub(super) frees_at: Ms,
+    pub(super) frees: BTreeMap<u64, (String, Millis)>,
+    pub(super) frees_at: Millis,
     pub leaving: bool,
-    pub now: Ms,
+    pub now: Millis,
     pub(super) out: Vec<HallFx>,
 }
 
@@ -100,7 +100,7 @@
     fn step(&mut self, ev: HallEvent, at: Now) -> Vec<HallFx> {
         self.now = self.now.max(at.mono);
         let now = self.now;
-        // why: what woke it may come before any alarm, and must find it shut
+        // what woke it may come before any alarm, and must find it shut
         if let Some(f) = self.pull.awake(now, at.wall) {
             self.pulled(f);
         }
@@ -315,7 +315,7 @@
             if region == self.plan.region {
                 return self.table.explain(&self.plan, a);
             }
-            // why: only an edge of that region knows what it would do
+            // only an edge of that region knows what it would do
             let all = self.plan.edges_for(Some(region), true, &a.key);
             let mut v = Val::object();
             let _ = v.insert("ask", all.first().cloned().ok_or(Problem::NoWorker)?);
@@ -329,7 +329,7 @@
 
     fn change(&mut self, rid: u64, p: Payload) {
         let Some(c) = self.pull.conn else {
-            // why: nothing has left this node, so it is surely not taken
+            // nothing has left this node, so it is surely not taken
             self.out.push(HallFx::Done(rid, OpOutcome::NotTaken));
             return;
         };
@@ -371,7 +371,7 @@
         let zones = crate::ops::zones(
             &self.plan.site,
             &s.view.emptied,
-            &s.roster.workers,
+            &s.registry.workers,
             &s.loads,
             s.seats.1.iter().map(|p| (p.zone, p.running)),
         );
--- a/sorreldoor/src/edge/relay.rs
+++ b/sorreldoor/src/edge/relay.rs
@@ -4,7 +4,7 @@
 use super::hall::HallEvent;
 use crate::errand::Told;
 use crate::http::{self, Broke, Call};
-use crate::js;
+use crate::json;
 use crate::net::Ring;
 use crate::problem::Problem;
 use crate::rules::{broken, Rule};
@@ -110,7 +110,7 @@
     }
 
     async fn whole(&self, r: Response) {
-        // why: a worker that says it did not take the errand may be believed
+        // a worker that says it did not take the errand may be believed
         let ran = r.header("x-ran").is_none_or(|h| h.last().as_str() != "no");
         let got = timeout(self.load.within, http::whole(r, MOST_RESULT)).await;
         let c = match got.unwrap_or(Err(Broke::Late)) {
@@ -142,7 +142,7 @@
         if !self.load.model {
             return None;
         }
-        let json = is(&c.kind, "application/json") && js::parse(&c.body, MOST_RESULT).is_ok();
+        let json = is(&c.kind, "application/json") && json::parse(&c.body, MOST_RESULT).is_ok();
         let missing = named.is_none();
         (missing || !json).then_some(Problem::WorkerGarbage)
     }
@@ -174,7 +174,7 @@
                 Told::Ended
             }
             Err(p) => {
-                // why: the reader must see that this is no end
+                // the reader must see that this is no end
                 let _ = tx.send(Piece::Broke(p)).await;
                 Told::Broke(p)
             }
@@ -200,7 +200,7 @@
             if n == 0 || line.last() != Some(&b'\n') {
                 return Err(Problem::StreamBroken);
             }
-            let v = js::parse(&line, MOST_EVENT as usize).map_err(|_| Problem::WorkerGarbage)?;
+            let v = json::parse(&line, MOST_EVENT as usize).map_err(|_| Problem::WorkerGarbage)?;
             let seq = v.get("seq").and_then(|s| s.as_u64());
             let whose = v.get("errand").and_then(|e| e.as_str());
             let odd = seq != Some(next) || whose.is_some_and(|w| w != self.load.id);
--- a/sorreldoor/src/edge/run.rs
+++ b/sorreldoor/src/edge/run.rs
@@ -74,7 +74,7 @@
     }
     fn give(&self, rid: u64, r: Reply) {
         let tx = self.lock().waiting.remove(&rid);
-        // why: whoever has stopped waiting needs no result
+        // whoever has stopped waiting needs no result
         let _ = tx.map(|t| t.try_send(r).is_ok());
     }
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -106,7 +106,7 @@
     let plan = Plan::new(set.names.clone(), set.node.clone(), set.zone, set.region);
     let pull = Pull::new(&set.seeds, set.permit_ms, 0, clock.now().wall)
         .named(&set.node)
-        .thrifty(&set.thrift);
+        .paced(&set.pacing);
     let desk = Desk::default();
     let api = Api {
         set: set.clone(),
@@ -140,7 +140,7 @@
         sweep_at: Instant::now(),
     };
     seam::turn(&mut hall, &clock, &mut hand, &rx);
-    // why: the last results are still on their way to their callers
+    // the last results are still on their way to their callers
     std::thread::sleep(Duration::from_millis(100));
     say(Ev::Stopped, "edge");
     Ok(())
@@ -164,7 +164,7 @@
 
 impl Hand<Hall> for Daemon {
     fn goes_on(&mut self, hall: &Hall) -> bool {
-        // why: a task may have ended while its last word still waits in the
+        // a task may have ended while its last word still waits in the
         // ring, so only what the table has let go of is forgotten
         if Instant::now() >= self.sweep_at {
             self.sweep_at = Instant::now() + Duration::from_secs(1);
@@ -174,7 +174,7 @@
         if hall.leaving && self.stop_at.is_none() {
             self.stop_at = Some(Instant::now() + Duration::from_millis(self.set.drain_ms));
         }
-        // why: what runs is finished, up to the cutoff the settings give; then
+        // what runs is finished, up to the cutoff the settings give; then
         // nothing more is let in, and who is in hears a last word
         let Some(end) = self.stop_at else { return true };
         if hall.idle() {
@@ -260,7 +260,7 @@
     }
 
     fn word(&self, token: u64, w: Word) {
-        // why: a task that has ended needs no word
+        // a task that has ended needs no word
         let _ = self.tasks.get(&token).map(|t| t.words.try_send(w).is_ok());
     }
 }
--- a/sorreldoor/src/edge/session.rs
+++ b/sorreldoor/src/edge/session.rs
@@ -1,19 +1,19 @@
 //! The edge's session with a core: frames in, news taken, no step back.
 
 use super::hall::{Hall, HallFx};
-use crate::agree::{Ms, Noted};
+use crate::consensus::{Millis, Noted};
 use crate::core::KEEP_MS;
 use crate::errand::Wish;
 use crate::events::Ev;
 use crate::net::{Conn, NetEvent};
 use crate::pull::Granted;
-use crate::roster::Roster;
+use crate::registry::WorkerRegistry;
 use crate::wire::*;
 use std::sync::Arc;
 
 /// Ends of claims that are told again, at most, and how often.
 const FREES: usize = 65_536;
-const FREE_AGAIN: Ms = 500;
+const FREE_AGAIN: Millis = 500;
 
 impl Hall {
     pub(super) fn net(&mut self, n: NetEvent) {
@@ -38,7 +38,7 @@
                     .collect();
                 for rid in lost {
                     self.changes.remove(&rid);
-                    // why: it left on that session, so it may have been taken
+                    // it left on that session, so it may have been taken
                     self.out.push(HallFx::Done(rid, OpOutcome::Unknown));
                 }
             }
@@ -58,16 +58,16 @@
                 self.frees.remove(&rid);
             }
             Payload::OpDone { rid, outcome } => self.on_done(rid, outcome),
-            // why: renewals are sign of life enough on the session's own line
+            // renewals are sign of life enough on the session's own line
             Payload::Ping { .. } if self.pull.conn == Some(conn) => {}
             Payload::Ping { .. } => self.out.push(HallFx::Send(conn, Payload::Ping { no: 0 })),
-            Payload::Roster(r) => self.take_roster(r),
+            Payload::WorkerRegistry(r) => self.take_registry(r),
             _ => {}
         }
     }
 
     fn on_grant(&mut self, no: u64, ok: bool, news: News) {
-        // why: news from a core that could not prove itself may be old, and is
+        // news from a core that could not prove itself may be old, and is
         // taken only by an edge that has none at all
         let some = news.record.as_ref().is_some_and(|r| r.doc.is_some());
         match self.pull.granted(no, ok, some, self.now) {
@@ -80,10 +80,10 @@
         }
     }
 
-    fn take_roster(&mut self, r: Arc<Roster>) {
-        if r.serial > self.pull.have.roster {
-            self.pull.have.roster = r.serial;
-            self.plan.take_roster(r);
+    fn take_registry(&mut self, r: Arc<WorkerRegistry>) {
+        if r.serial > self.pull.have.registry {
+            self.pull.have.registry = r.serial;
+            self.plan.take_registry(r);
         }
     }
 
@@ -95,7 +95,7 @@
 
     fn take_news(&mut self, n: News) {
         let was = self.plan.shown.view.serial;
-        // why: an answer that was long on its way must not undo a newer one
+        // an answer that was long on its way must not undo a newer one
         if let Some(v) = n.record.filter(|v| v.rev > self.pull.have.record) {
             self.pull.have.record = v.rev;
             if !self.plan.take_view(v) {
@@ -107,8 +107,8 @@
                 self.say(Ev::SetupAdopted, format!("serial {now}"));
             }
         }
-        if let Some(r) = n.roster {
-            self.take_roster(r);
+        if let Some(r) = n.registry {
+            self.take_registry(r);
         }
         if let Some(l) = n.loads {
             self.pull.have.loads = l.mark();
@@ -135,7 +135,7 @@
     pub(super) fn claim(&mut self, rid: u64, w: Wish) {
         let (id, by, keep_ms) = (w.id, self.by(rid), w.keep_ms);
         let claim = Noted { id, by, keep_ms };
-        // why: without a session it is asked again by the pass over claims
+        // without a session it is asked again by the pass over claims
         if let Some(c) = self.pull.conn {
             self.out
                 .push(HallFx::Send(c, Payload::Claim { rid, claim }));
--- a/sorreldoor/src/errand/again.rs
+++ b/sorreldoor/src/errand/again.rs
@@ -2,7 +2,7 @@
 //! the returns it has asked for, so that a crowd does not come back as one,
 //! and returns stay a small part of what else comes.
 
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::problem::Problem;
 
 /// Seconds that the calendar reaches.
@@ -21,7 +21,7 @@
 
 impl Rate {
     fn turn(&mut self, seconds: u64) {
-        // why: what came in a crowd should still count a while after it
+        // what came in a crowd should still count a while after it
         for _ in 0..seconds.min(60) {
             self.mean = (self.mean * 15 + self.now * 100) / 16;
             self.now = 0;
@@ -55,7 +55,7 @@
 }
 
 impl Again {
-    fn turn(&mut self, now: Ms) {
+    fn turn(&mut self, now: Millis) {
         let s = now / 1000;
         let by = s.saturating_sub(self.at);
         if by == 0 {
@@ -70,12 +70,12 @@
         self.at = s;
     }
 
-    pub fn came(&mut self, now: Ms) {
+    pub fn came(&mut self, now: Millis) {
         self.turn(now);
         self.first.now += 1;
     }
 
-    pub fn done(&mut self, now: Ms) {
+    pub fn done(&mut self, now: Millis) {
         self.turn(now);
         self.served.now += 1;
     }
@@ -84,17 +84,17 @@
     fn room(&self) -> u64 {
         let first = self.first.mean * PART / 100;
         let served = self.best * ROOM / 100;
-        // why: with nothing measured yet somebody must still come back
+        // with nothing measured yet somebody must still come back
         first.min(served).max(100)
     }
 
     /// Seconds from now, with `waiting` errands in line before it.
-    pub fn book(&mut self, why: Problem, waiting: usize, now: Ms) -> u64 {
+    pub fn book(&mut self, why: Problem, waiting: usize, now: Millis) -> u64 {
         self.turn(now);
         let (least, reach) = match why {
-            // why: another node may take it, so it need not wait for this one
+            // another node may take it, so it need not wait for this one
             Problem::Leaving | Problem::NoPermit => (1, 10),
-            // why: so long a lost worker or region is at least away
+            // so long a lost worker or region is at least away
             Problem::NoWorker | Problem::NoSetup => (2, DAYS / 2),
             _ => (1 + waiting as u64 * 100 / self.best.max(100), DAYS / 2),
         };
@@ -104,13 +104,13 @@
         self.spread += 1;
         for s in least..reach {
             let n = &mut self.booked[((self.at + s) % DAYS as u64) as usize];
-            // why: a room below one a second is one in several seconds
+            // a room below one a second is one in several seconds
             if u64::from(*n) < room / 100 {
                 *n += 1;
                 return s;
             }
         }
-        // why: more than fits is spread evenly, behind what is booked or, where
+        // more than fits is spread evenly, behind what is booked or, where
         // it may go to other nodes, over the same few seconds
         if reach < DAYS as u64 / 2 {
             return least + self.spread * 7 % (reach - least);
--- a/sorreldoor/src/errand/allowed.rs
+++ b/sorreldoor/src/errand/allowed.rs
@@ -42,7 +42,7 @@
         return false;
     };
     let near = w.region == p.region;
-    // why: setups may change between the match and this moment, and only
+    // setups may change between the match and this moment, and only
     // what the one in force allows may be done under it
     let home = !bound(r) || (near && e.asked.home == Some(w.region));
     let limit = s.spill.get(&(p.region, w.region));
--- a/sorreldoor/src/errand/claims.rs
+++ b/sorreldoor/src/errand/claims.rs
@@ -2,7 +2,7 @@
 //! sent under an id that its caller chose, the cores must have noted it.
 
 use super::{Asked, ErrandFx, Plan, Stage, Table};
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::core::KEEP_MS;
 use crate::problem::Problem;
 use crate::wire::Verdict;
@@ -12,21 +12,21 @@
     /// Its id is this edge's own, or it may be repeated.
     Needless,
     /// Asked, and when.
-    Asked(Ms),
+    Asked(Millis),
     Held,
 }
 
-const AGAIN_MS: Ms = 400;
+const AGAIN_MS: Millis = 400;
 
 /// What is to be claimed: an id, and how long it is to be remembered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wish {
     pub id: String,
-    pub keep_ms: Ms,
+    pub keep_ms: Millis,
 }
 
 impl Wish {
-    pub fn of(a: &Asked, cutoff_ms: Ms) -> Wish {
+    pub fn of(a: &Asked, cutoff_ms: Millis) -> Wish {
         Wish {
             id: a.id.clone(),
             keep_ms: cutoff_ms + KEEP_MS,
@@ -43,7 +43,7 @@
         id: &str,
         said: Verdict,
         permit: bool,
-        now: Ms,
+        now: Millis,
     ) {
         let Some(e) = self.rows.get_mut(&rid).filter(|e| e.asked.id == id) else {
             return;
@@ -63,7 +63,7 @@
             p.done(i);
             self.out.push(ErrandFx::Drop { rid, token });
         }
-        // why: some cores may have noted it, and it must not stand in the way
+        // some cores may have noted it, and it must not stand in the way
         self.forget(rid);
         let why = match said {
             Verdict::Full => Problem::ClaimsFull,
@@ -73,7 +73,7 @@
     }
 
     /// Ask again for claims that have had no answer.
-    pub fn pass_claims(&mut self, now: Ms) {
+    pub fn pass_claims(&mut self, now: Millis) {
         for (rid, e) in &mut self.rows {
             if matches!(e.claim, Claim::Asked(t) if now.saturating_sub(t) >= AGAIN_MS) {
                 e.claim = Claim::Asked(now);
@@ -95,10 +95,10 @@
     }
 
     /// Note an id that was sent from here.
-    pub(super) fn remember(&mut self, id: String, rid: u64, until: Ms, now: Ms) {
+    pub(super) fn remember(&mut self, id: String, rid: u64, until: Millis, now: Millis) {
         self.sent_ids.insert(id.clone(), rid);
         self.sent_order.push_back((until, id, rid));
-        // why: the cores remember for sure; this only spares asking them
+        // the cores remember for sure; this only spares asking them
         while let Some((t, id, of)) = self.sent_order.front().cloned() {
             if t > now && self.sent_order.len() <= super::REMEMBERED {
                 break;
--- a/sorreldoor/src/errand/ends.rs
+++ b/sorreldoor/src/errand/ends.rs
@@ -2,19 +2,19 @@
 
 use super::allowed::hope;
 use super::{Claim, ErrandFx, Plan, Stage, Table, Wish};
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::problem::Problem;
 use crate::rules::{broken, Rule};
 
 impl Table {
     /// Give up, at once, whatever cannot be done in time any more.
-    pub fn pass_cutoffs(&mut self, p: &mut Plan, now: Ms) {
+    pub fn pass_cutoffs(&mut self, p: &mut Plan, now: Millis) {
         let late: Vec<u64> = self
             .rows
             .iter()
             .filter(|(_, e)| {
                 let need = match e.stage {
-                    // why: what cannot finish in time should not wait for its turn
+                    // what cannot finish in time should not wait for its turn
                     Stage::Waiting => self.takes.get(&e.asked.route).copied().unwrap_or(0) / 2,
                     _ => 0,
                 };
@@ -52,13 +52,13 @@
 
     /// Shed what waits where nobody could take it, room or not: its zone was
     /// emptied, or every worker that its route allows is gone.
-    pub fn pass_hopeless(&mut self, p: &Plan, now: Ms) {
+    pub fn pass_hopeless(&mut self, p: &Plan, now: Millis) {
         let out: Vec<(u64, Problem)> = self
             .rows
             .iter()
             .filter(|(_, e)| e.stage == Stage::Waiting)
             .filter_map(|(rid, e)| {
-                // why: a worker may only be a moment away from being seen again
+                // a worker may only be a moment away from being seen again
                 let waited = now.saturating_sub(e.since) > HOPE_MS;
                 if p.emptied(p.zone) {
                     Some((*rid, Problem::Leaving))
@@ -88,7 +88,7 @@
     }
 
     /// The permit has run out: nothing may start any more.
-    pub fn pass_unpermitted(&mut self, now: Ms) {
+    pub fn pass_unpermitted(&mut self, now: Millis) {
         let waiting: Vec<u64> = self
             .rows
             .iter()
@@ -103,7 +103,7 @@
 
     /// A new setup: routes moved, so find each errand's again; what has not
     /// left yet must fit the new one as if it came now.
-    pub fn pass_setup(&mut self, p: &mut Plan, now: Ms) {
+    pub fn pass_setup(&mut self, p: &mut Plan, now: Millis) {
         let rids: Vec<u64> = self.rows.keys().copied().collect();
         for rid in rids {
             let Some(e) = self.rows.get_mut(&rid) else {
@@ -123,7 +123,7 @@
                 self.take_back(p, rid, r.is_some(), now);
                 continue;
             }
-            // why: it came as one that may be repeated, and is none any more
+            // it came as one that may be repeated, and is none any more
             let claims = r.is_some_and(|r| !r.repeatable) && e.asked.given;
             if claims && e.claim == Claim::Needless {
                 e.claim = Claim::Asked(now);
@@ -134,7 +134,7 @@
     }
 
     /// Shed what has not left and no longer fits.
-    fn take_back(&mut self, p: &mut Plan, rid: u64, known: bool, now: Ms) {
+    fn take_back(&mut self, p: &mut Plan, rid: u64, known: bool, now: Millis) {
         let Some(e) = self.rows.get(&rid) else {
             return;
         };
@@ -154,7 +154,7 @@
 }
 
 /// How long a waiting errand hopes for a worker when none is to be seen.
-const HOPE_MS: Ms = 3000;
+const HOPE_MS: Millis = 3000;
 
 /// The index of a route that the setup no longer has.
 const GONE: u16 = u16::MAX;
--- a/sorreldoor/src/errand/explain.rs
+++ b/sorreldoor/src/errand/explain.rs
@@ -2,7 +2,7 @@
 //! functions that serve it.
 
 use super::{Asked, Claim, Errand, Plan, Stage, Table};
-use crate::js::Val;
+use crate::json::Val;
 use crate::place::{self, Ask};
 use crate::problem::Problem;
 use crate::setup::{Kind, Route};
--- a/sorreldoor/src/errand/learn.rs
+++ b/sorreldoor/src/errand/learn.rs
@@ -2,14 +2,14 @@
 //! and by service for the duty that tunes weights.
 
 use super::Table;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 
 /// Pairs of route and service whose times are told, at most.
 const TOOK: usize = 256;
 
 impl Table {
     /// Remember how long the route's errands take once they are sent.
-    pub(super) fn learn(&mut self, rid: u64, now: Ms) {
+    pub(super) fn learn(&mut self, rid: u64, now: Millis) {
         self.again.done(now);
         if let Some(e) = self.rows.get(&rid) {
             let took = now.saturating_sub(e.sent_at);
--- a/sorreldoor/src/errand/mod.rs
+++ b/sorreldoor/src/errand/mod.rs
@@ -14,7 +14,7 @@
 pub use claims::{Claim, Wish};
 pub use plan::{Plan, Shown};
 
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::problem::Problem;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -76,9 +76,9 @@
     /// Whether it might be repeated, by the setup that it was sent under.
     pub repeats: bool,
     pub stage: Stage,
-    pub since: Ms,
-    pub cutoff: Ms,
-    pub sent_at: Ms,
+    pub since: Millis,
+    pub cutoff: Millis,
+    pub sent_at: Millis,
     pub tries: u32,
     /// Counted against the spill of its region.
     pub spilt: bool,
@@ -193,13 +193,13 @@
     /// Callers' ids of non-repeatable errands that were sent, so as never to
     /// send one again from here; and until when they are remembered.
     sent_ids: std::collections::HashMap<String, u64>,
-    sent_order: VecDeque<(Ms, String, u64)>,
+    sent_order: VecDeque<(Millis, String, u64)>,
     /// Moving mean of how long a route's errands take, in ms.
     takes: BTreeMap<String, u64>,
     /// By route and service: how many were finished, and their ms in all.
     pub took: BTreeMap<(String, String), (u64, u64)>,
     /// Workers that lately could not be reached, until when.
-    shunned: BTreeMap<usize, Ms>,
+    shunned: BTreeMap<usize, Millis>,
     next_token: u64,
     pub out: Vec<ErrandFx>,
 }
--- a/sorreldoor/src/errand/passes.rs
+++ b/sorreldoor/src/errand/passes.rs
@@ -2,7 +2,7 @@
 
 use super::allowed::{allowed, bound, repeatable};
 use super::{Asked, Claim, Errand, ErrandFx, Plan, Shape, Stage, Table, Told, Wish};
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::core::KEEP_MS;
 use crate::place::{self, Ask};
 use crate::problem::Problem;
@@ -10,18 +10,18 @@
 use crate::rules::{broken, Rule};
 use crate::setup::{Kind, Route};
 
-const SHUN_MS: Ms = 1000;
+const SHUN_MS: Millis = 1000;
 
 impl Table {
     /// Take an errand in, or shed it at once.
-    pub fn take(&mut self, p: &mut Plan, rid: u64, a: Asked, now: Ms) {
+    pub fn take(&mut self, p: &mut Plan, rid: u64, a: Asked, now: Millis) {
         if let Err(problem) = self.admit(p, rid, a, now) {
             self.shed(rid, problem, now);
         }
     }
 
     /// An errand came to the door, whatever becomes of it.
-    pub fn came(&mut self, p: &Plan, now: Ms) {
+    pub fn came(&mut self, p: &Plan, now: Millis) {
         self.again.came(now);
         if let Some(s) = &p.setup {
             let mine = s.spill.iter().filter(|((from, _), _)| *from == p.region);
@@ -35,7 +35,7 @@
         let route = s.route(&a.route).ok_or(Problem::UnknownRoute)?;
         let r = &s.routes[route as usize];
         if bound(r) && a.home.ok_or(Problem::BadErrand)? != p.region {
-            // why: the body must not pass through a region that is not its home
+            // the body must not pass through a region that is not its home
             let addr = p.edges_for(a.home, true, &a.key).first().cloned();
             let addr = addr.ok_or(Problem::NoWorker)?;
             self.out.push(ErrandFx::Elsewhere { rid, addr });
@@ -44,7 +44,7 @@
         if p.emptied(p.zone) {
             return Err(Problem::Leaving);
         }
-        // why: nobody here could take it, so waiting would only use up its time
+        // nobody here could take it, so waiting would only use up its time
         let lost = r.kind != Kind::Fetch && p.recovery(p.region) == Recovery::Lost;
         let spills = s
             .spill
@@ -56,18 +56,18 @@
         Ok(true)
     }
 
-    fn admit(&mut self, p: &Plan, rid: u64, a: Asked, now: Ms) -> Result<(), Problem> {
+    fn admit(&mut self, p: &Plan, rid: u64, a: Asked, now: Millis) -> Result<(), Problem> {
         let s = p.setup.as_ref().ok_or(Problem::NoSetup)?;
         let route = s.route(&a.route).ok_or(Problem::UnknownRoute)?;
         let r = &s.routes[route as usize];
         if !self.knock(p, rid, &a)? {
             return Ok(());
         }
-        // why: its body was read for another kind of errand, under another setup
+        // its body was read for another kind of errand, under another setup
         if !Shape::of(r).like(&a.shape) {
             return Err(Problem::GivenUp);
         }
-        // why: what was sent once from here must not be sent again
+        // what was sent once from here must not be sent again
         let open = self.rows.values().any(|e| a.given && e.asked.id == a.id);
         if !r.repeatable && a.given && (open || self.sent_ids.contains_key(&a.id)) {
             return Err(Problem::AlreadyTaken);
@@ -123,7 +123,7 @@
             .unwrap_or(0)
     }
 
-    pub fn shed(&mut self, rid: u64, problem: Problem, now: Ms) {
+    pub fn shed(&mut self, rid: u64, problem: Problem, now: Millis) {
         self.counts.shed += 1;
         let again_s = if problem.again() {
             let rows = self.rows.values();
@@ -140,7 +140,7 @@
     }
 
     /// Match what waits to workers with room, oldest first.
-    pub fn pass_match(&mut self, p: &mut Plan, now: Ms) {
+    pub fn pass_match(&mut self, p: &mut Plan, now: Millis) {
         self.shunned.retain(|_, t| *t > now);
         let waiting: Vec<u64> = self
             .rows
@@ -178,7 +178,7 @@
                 .find_map(|((_, to), _)| place::match_spot(s, ws, &p.spots, &skip, &a, *to))
                 .map(|i| (i, true))
         };
-        // why: a region that comes back cold is let in by how warm it is, so
+        // a region that comes back cold is let in by how warm it is, so
         // part of what it could take goes on elsewhere for a while
         let part = match p.recovery(p.region) {
             Recovery::Returning(n) if !r.home && r.kind != Kind::Fetch => u64::from(n),
@@ -222,7 +222,7 @@
     }
 
     /// What a worker's task tells. The one place where handing over is decided.
-    pub fn told(&mut self, p: &mut Plan, rid: u64, token: u64, t: Told, permit: bool, now: Ms) {
+    pub fn told(&mut self, p: &mut Plan, rid: u64, token: u64, t: Told, permit: bool, now: Millis) {
         let Some(e) = self.rows.get(&rid).filter(|e| e.token == token) else {
             self.out.push(ErrandFx::Drop { rid, token });
             return;
@@ -253,7 +253,7 @@
             }
             (Stage::Relaying(i), Told::Broke(_)) => {
                 self.bad(p, rid, i, Problem::StreamBroken);
-                // why: what a caller has seen of a stream cannot be gone on elsewhere
+                // what a caller has seen of a stream cannot be gone on elsewhere
                 self.counts.broken += 1;
                 self.end(p, rid, i);
             }
@@ -267,11 +267,18 @@
 
     /// Send, or take it back: after this either the worker may run it or the
     /// caller may be refused, never both.
-    pub(super) fn hand_over(&mut self, p: &mut Plan, rid: u64, i: usize, permit: bool, now: Ms) {
+    pub(super) fn hand_over(
+        &mut self,
+        p: &mut Plan,
+        rid: u64,
+        i: usize,
+        permit: bool,
+        now: Millis,
+    ) {
         let Some(e) = self.rows.get_mut(&rid) else {
             return;
         };
-        // why: until its id is noted as this edge's, another may be sending it
+        // until its id is noted as this edge's, another may be sending it
         if matches!(e.claim, Claim::Asked(_)) && !broken(Rule::Claim) {
             e.ready = true;
             return;
@@ -305,7 +312,7 @@
         e.sent_at = now;
         e.left = true;
         let s = p.setup.as_ref();
-        // why: a later setup may call it something else, but this one sent it
+        // a later setup may call it something else, but this one sent it
         e.repeats = s.is_some_and(|s| s.routes[e.route as usize].repeatable);
         let service = s.and_then(|s| s.services.iter().find(|v| v.name == e.service));
         let adapter = e.asked.adapter.clone();
@@ -322,7 +329,7 @@
     }
 
     /// Nothing of it has run: wait again, for another worker.
-    fn back(&mut self, p: &mut Plan, rid: u64, i: usize, free: bool, now: Ms) {
+    fn back(&mut self, p: &mut Plan, rid: u64, i: usize, free: bool, now: Millis) {
         p.done(i);
         let ok = free || self.retries.again();
         self.counts.again += u64::from(ok && !free);
@@ -341,7 +348,7 @@
         }
     }
 
-    pub(super) fn broke(&mut self, p: &mut Plan, rid: u64, i: usize, why: Problem, now: Ms) {
+    pub(super) fn broke(&mut self, p: &mut Plan, rid: u64, i: usize, why: Problem, now: Millis) {
         let Some(e) = self.rows.get(&rid).cloned() else {
             return;
         };
@@ -359,7 +366,7 @@
         self.counts.unknown += 1;
         let (id, worker) = (e.asked.id, p.name(i));
         self.out.push(ErrandFx::Unknown { id, worker });
-        // why: it may have run, so it must not be called refused
+        // it may have run, so it must not be called refused
         let honest = Problem::OutcomeUnknown;
         let said = if broken(Rule::Unknown) {
             Problem::NoWorker
--- a/sorreldoor/src/errand/plan.rs
+++ b/sorreldoor/src/errand/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::place::{self, Spot};
 use crate::record::{Recovery, View};
-use crate::roster::{Loads, Roster, Worker};
+use crate::registry::{Loads, Worker, WorkerRegistry};
 use crate::rules::{broken, Rule};
 use crate::setup::{self, Setup, Site};
 use crate::wire::Place;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Shown {
     pub view: View,
-    pub roster: Arc<Roster>,
+    pub registry: Arc<WorkerRegistry>,
     pub loads: Arc<Loads>,
     pub seats: (u64, Vec<Place>),
 }
@@ -55,7 +55,7 @@
 
     /// Take a newer view of the record; false if its setup cannot be read.
     pub fn take_view(&mut self, v: View) -> bool {
-        // why: no step back, whatever order news comes in
+        // no step back, whatever order news comes in
         if v.rev < self.shown.view.rev {
             return true;
         }
@@ -74,9 +74,9 @@
         ok
     }
 
-    pub fn take_roster(&mut self, r: Arc<Roster>) {
-        if r.serial >= self.shown.roster.serial {
-            self.shown.roster = r;
+    pub fn take_registry(&mut self, r: Arc<WorkerRegistry>) {
+        if r.serial >= self.shown.registry.serial {
+            self.shown.registry = r;
             self.rebuild();
         }
     }
@@ -128,7 +128,7 @@
             .iter()
             .map(|s| (s.node.clone(), s.region))
             .collect();
-        // why: an edge that is not listed yet must still count itself
+        // an edge that is not listed yet must still count itself
         if !self.edges.iter().any(|(e, _)| *e == self.me) {
             self.edges.push((self.me.clone(), self.region));
         }
@@ -136,9 +136,9 @@
         let Some(setup) = self.setup.clone() else {
             return;
         };
-        let roster = self.shown.roster.clone();
+        let registry = self.shown.registry.clone();
         let loads = self.shown.loads.clone();
-        for w in &roster.workers {
+        for w in &registry.workers {
             let Some(g) = setup.group(&w.group) else {
                 continue;
             };
@@ -182,7 +182,7 @@
             .map(|(e, _)| e.clone())
             .collect();
         if cap >= u64::from(slots) || broken(Rule::Warm) {
-            // why: what others send is seen half a second late, so no edge may
+            // what others send is seen half a second late, so no edge may
             // take all; but a share too small would leave free slots unused
             let here = near.contains(&self.me);
             let n = if here { near.len() } else { 2 * all.len() };
@@ -192,7 +192,7 @@
         if !set.contains(&self.me) {
             return (0, 0);
         }
-        // why: what a cold worker can bear holds for all edges together, so a
+        // what a cold worker can bear holds for all edges together, so a
         // few have it to themselves; they change over so that none goes without
         let turn = self.shown.loads.serial / TURN;
         let rank = place::rank(&set, &self.me, &format!("{}/{turn}", w.name));
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -54,7 +54,7 @@
 }
 
 pub async fn open(addr: SocketAddr, within: Duration) -> Result<TcpStream, Broke> {
-    // why: a fresh connection each time, so no reset of a reused one can leave
+    // a fresh connection each time, so no reset of a reused one can leave
     // it unknown whether an errand ran
     let s = timeout(within, TcpStream::connect(addr))
         .await
@@ -101,7 +101,7 @@
         (None, None) => bare,
         (None, Some(good)) => good,
         (Some(good), None) => good,
-        // why: two readers may each believe another of the two
+        // two readers may each believe another of the two
         (Some(_), Some(_)) => false,
     }
 }
@@ -125,14 +125,14 @@
     let place = text(&r, "location");
     let again_s = text(&r, "retry-after").and_then(|s| s.parse().ok());
     let mut b = Vec::new();
-    // why: whatever follows a result that has no body is not part of it
+    // whatever follows a result that has no body is not part of it
     if status != 204 && status != 304 {
         let mut body = r.take_body().take(most as u64 + 1);
         body.read_to_end(&mut b).await.map_err(|_| Broke::Short)?;
         if b.len() > most {
             return Err(Broke::Garbage);
         }
-        // why: async-h1 takes an early end of a counted body for its end
+        // async-h1 takes an early end of a counted body for its end
         if want.is_some_and(|n| n != b.len()) && !broken(Rule::ResultLength) {
             return Err(Broke::Short);
         }
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -5,7 +5,7 @@
 
 pub use call::{call, framed, open, send, whole, Broke, Call, Called};
 
-use crate::js::Val;
+use crate::json::Val;
 use crate::problem::Problem;
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
@@ -64,7 +64,7 @@
     {
         Watch(Some(task::spawn(async move {
             let mut b = [0; 1];
-            // why: bytes that wait belong to the next errand; only an end counts
+            // bytes that wait belong to the next errand; only an end counts
             if matches!(self.0.peek(&mut b).await, Ok(0) | Err(_)) {
                 f().await;
             }
@@ -131,7 +131,7 @@
         loop {
             let mut come = std::pin::pin!(l.accept());
             let got = std::future::poll_fn(|cx| {
-                // why: what has come already is served before the gate shuts
+                // what has come already is served before the gate shuts
                 if let Poll::Ready(r) = come.as_mut().poll(cx) {
                     return Poll::Ready(Some(r));
                 }
@@ -171,7 +171,7 @@
 async fn comes(s: &TcpStream, gate: &Gate) -> bool {
     let mut first = [0; 1];
     let mut waited = Duration::ZERO;
-    // why: an idle connection is kept, but not for ever, nor past the gate
+    // an idle connection is kept, but not for ever, nor past the gate
     while waited < IDLE {
         match timeout(LOOK, s.peek(&mut first)).await {
             Ok(got) => return matches!(got, Ok(1)),
@@ -209,7 +209,7 @@
             let line = s.clone();
             async move {
                 let r: Response = r.await;
-                // why: async-h1 would go on to read a body that does not end
+                // async-h1 would go on to read a body that does not end
                 if matches!(u16::from(r.status()), 408 | 413) {
                     task::spawn(async move {
                         task::sleep(LINGER).await;
@@ -228,7 +228,7 @@
             Ok(async_h1::server::ConnectionStatus::KeepAlive) if !gate.is_shut() => {}
             Ok(_) => return,
             Err(_) => {
-                // why: a head that is no HTTP, or too large, still gets a word
+                // a head that is no HTTP, or too large, still gets a word
                 if !begun.load(Ordering::SeqCst) {
                     let _ = timeout(HEAD, refuse(&mut s, Problem::BadErrand)).await;
                 }
@@ -262,7 +262,7 @@
         Err(_) => Err(Problem::SlowSender),
         Ok(Err(_)) => Err(Problem::BadErrand),
         Ok(Ok(_)) if b.len() > most => Err(Problem::BodyTooLarge),
-        // why: async-h1 takes an early end of a counted body for its end
+        // async-h1 takes an early end of a counted body for its end
         Ok(Ok(_)) if want.is_some_and(|n| n != b.len()) => Err(Problem::SlowSender),
         Ok(Ok(_)) => Ok(b),
     }
--- a/sorreldoor/src/js.rs
+++ b/sorreldoor/src/json.rs
@@ -15,7 +15,7 @@
     }
     let mut b = text.to_vec();
     let tape = simd_json::to_tape(&mut b).map_err(|e| format!("is not JSON: {e}"))?;
-    // why: the value form keeps one of two equal keys, so look before building it
+    // the value form keeps one of two equal keys, so look before building it
     walk(&tape.0, 0, 0)?;
     let mut b = text.to_vec();
     simd_json::to_owned_value(&mut b).map_err(|e| format!("is not JSON: {e}"))
@@ -57,7 +57,7 @@
 
 impl Faults {
     pub fn add(&mut self, path: &str, what: impl std::fmt::Display) {
-        // why: an endless list of faults helps nobody and must not fill memory
+        // an endless list of faults helps nobody and must not fill memory
         if self.0.len() < 100 {
             self.0.push(format!("{path}: {what}"));
         }
--- a/sorreldoor/src/lib.rs
+++ b/sorreldoor/src/lib.rs
@@ -1,6 +1,6 @@
 //! sorreldoor: serving of a language model across regions.
 
-pub mod agree;
+pub mod consensus;
 pub mod core;
 pub mod ctl;
 pub mod doctor;
@@ -8,21 +8,21 @@
 pub mod errand;
 pub mod events;
 pub mod http;
-pub mod js;
+pub mod json;
 pub mod net;
 pub mod ops;
+pub mod pacing;
 pub mod place;
 pub mod problem;
 pub mod proxy;
 pub mod pull;
 pub mod record;
-pub mod roster;
+pub mod registry;
 pub mod rules;
 mod run;
 pub mod seam;
 pub mod settings;
 pub mod setup;
 pub mod store;
-pub mod thrift;
 pub mod tune;
 pub mod wire;
--- a/sorreldoor/src/net.rs
+++ b/sorreldoor/src/net.rs
@@ -96,7 +96,7 @@
         let full = sent
             .as_ref()
             .is_some_and(|s| s.as_ref().is_err_and(|e| e.is_full()));
-        // why: a neighbour that does not read would fill the log as well
+        // a neighbour that does not read would fill the log as well
         if full
             && self
                 .full
@@ -121,7 +121,7 @@
                 task::sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            // why: a flood of connections must not take the node's memory
+            // a flood of connections must not take the node's memory
             if locked(&self.outs).len() >= self.most {
                 continue;
             }
@@ -146,7 +146,7 @@
                     me.clone().run(s, Some((addr, d.clone()))).await;
                 }
                 task::sleep(Duration::from_millis(wait)).await;
-                // why: where all start at once nobody should come late by this alone
+                // where all start at once nobody should come late by this alone
                 wait = (wait * 2).min(200);
             }
         });
@@ -167,7 +167,7 @@
         locked(&self.outs).insert(conn, tx);
         if let Some((_, d)) = &dial {
             d.conn.store(conn, Ordering::SeqCst);
-            // why: it may have been told to stop while it was connecting
+            // it may have been told to stop while it was connecting
             if d.stop.load(Ordering::SeqCst) {
                 return self.close(conn);
             }
--- a/sorreldoor/src/ops.rs
+++ b/sorreldoor/src/ops.rs
@@ -1,11 +1,11 @@
 //! Operators' errands as both roles take them: what a path and method mean.
 
-use crate::agree::Pid;
+use crate::consensus::ProposalId;
 use crate::http;
-use crate::js::Val;
+use crate::json::Val;
 use crate::problem::Problem;
 use crate::record::{Cmd, Outcome};
-use crate::roster::{Loads, Worker};
+use crate::registry::{Loads, Worker};
 use crate::setup::{self, Site};
 use crate::wire::OpOutcome;
 use http_types::{Method, Request, Response};
@@ -14,13 +14,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op {
-    Change { pid: Pid, cmd: Cmd },
+    Change { pid: ProposalId, cmd: Cmd },
     Check { faults: Vec<String> },
     Setup,
     Status,
     Metrics,
-    Proposal(Pid),
-    DropCore { pid: Pid, id: u64 },
+    Proposal(ProposalId),
+    DropCore { pid: ProposalId, id: u64 },
 }
 
 /// A fresh id from the system's randomness, through the standard library.
@@ -35,18 +35,18 @@
     h.finish().max(1)
 }
 
-pub fn fresh_pid() -> Pid {
-    (Pid::from(fresh()) << 64) | Pid::from(fresh())
+pub fn fresh_pid() -> ProposalId {
+    (ProposalId::from(fresh()) << 64) | ProposalId::from(fresh())
 }
 
-pub fn pid_text(p: Pid) -> String {
+pub fn pid_text(p: ProposalId) -> String {
     format!("{p:032x}")
 }
 
-pub fn read_pid(s: &str) -> Option<Pid> {
+pub fn read_pid(s: &str) -> Option<ProposalId> {
     Some(s)
         .filter(|s| (1..=32).contains(&s.len()))
-        .and_then(|s| Pid::from_str_radix(s, 16).ok())
+        .and_then(|s| ProposalId::from_str_radix(s, 16).ok())
         .filter(|p| *p != 0)
 }
 
@@ -55,7 +55,7 @@
     b.parse().map_err(|_| Problem::NoBase)
 }
 
-fn given_pid(req: &Request) -> Result<Pid, Problem> {
+fn given_pid(req: &Request) -> Result<ProposalId, Problem> {
     http::query(req, "id").map_or_else(
         || Ok(fresh_pid()),
         |s| read_pid(&s).ok_or(Problem::BadErrand),
@@ -136,7 +136,7 @@
 }
 
 /// The yes, the no, or the honest don't-know to a change.
-pub fn result(pid: Pid, o: &OpOutcome) -> Response {
+pub fn result(pid: ProposalId, o: &OpOutcome) -> Response {
     let mut v = Val::object();
     let _ = v.insert("proposal", pid_text(pid));
     let p = match o {
@@ -161,7 +161,7 @@
         OpOutcome::NotTaken => Problem::NotTaken,
         OpOutcome::Nothing => Problem::UnknownProposal,
     };
-    // why: neither a yes nor a no may be read out of a don't-know
+    // neither a yes nor a no may be read out of a don't-know
     if p != Problem::PendingUnknown {
         let _ = v.insert("taken", false);
     }
@@ -183,7 +183,7 @@
 
 /// A status' numbers and flags, flat, for whoever gathers metrics.
 pub fn metrics(status: &str) -> Response {
-    let v = crate::js::parse(status.as_bytes(), usize::MAX).unwrap_or_default();
+    let v = crate::json::parse(status.as_bytes(), usize::MAX).unwrap_or_default();
     let mut out = Val::object();
     let mut put = |prefix: &str, v: &Val| {
         for (k, x) in v.as_object().into_iter().flatten() {
@@ -206,7 +206,7 @@
 pub fn setup_view(serial: u64, doc: Option<&str>, emptied: &[String]) -> Response {
     let mut v = Val::object();
     let _ = v.insert("serial", serial);
-    let doc = doc.and_then(|d| crate::js::parse(d.as_bytes(), usize::MAX).ok());
+    let doc = doc.and_then(|d| crate::json::parse(d.as_bytes(), usize::MAX).ok());
     let _ = v.insert("setup", doc.unwrap_or_default());
     let _ = v.insert("emptied", list(emptied));
     http::ok(v)
--- a/sorreldoor/src/thrift.rs
+++ b/sorreldoor/src/pacing.rs
@@ -1,8 +1,8 @@
 //! How often a node speaks, and what it leaves unsaid: settings for sites
 //! where bytes, wake-ups and calls are dear.
 
-use crate::agree::{Ms, Pace};
-use crate::js::{Faults, Obj};
+use crate::consensus::{Millis, Timing};
+use crate::json::{Faults, Obj};
 
 /// Names of the settings read here.
 pub const KEYS: [&str; 9] = [
@@ -20,17 +20,17 @@
 /// Defaults are those of a site where none of it is dear. Times are in
 /// milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Thrift {
+pub struct Pacing {
     /// Between alarms of a core.
-    pub tick_ms: Ms,
+    pub tick_ms: Millis,
     /// Between a leader's heartbeats; none: a fortieth of `ack_ms`.
-    pub beat_ms: Option<Ms>,
+    pub beat_ms: Option<Millis>,
     /// Between an edge's renewals.
-    pub renew_ms: Ms,
+    pub renew_ms: Millis,
     /// A line on which nothing was said for so long is given a sign of life.
-    pub ping_ms: Ms,
+    pub ping_ms: Millis,
     /// Reads that come within so long are proved together; 0: each at once.
-    pub batch_ms: Ms,
+    pub batch_ms: Millis,
     /// The duty's holder asks workers for their load.
     pub gather: bool,
     /// Cores read each other's claims on errand ids.
@@ -38,12 +38,12 @@
     /// Cores tell each other what edges are doing, not only that they serve.
     pub accounts: bool,
     /// An edge without any record takes an unproven one after so long.
-    pub unproven_after_ms: Option<Ms>,
+    pub unproven_after_ms: Option<Millis>,
 }
 
-impl Default for Thrift {
-    fn default() -> Thrift {
-        Thrift {
+impl Default for Pacing {
+    fn default() -> Pacing {
+        Pacing {
             tick_ms: 10,
             beat_ms: None,
             renew_ms: 300,
@@ -57,10 +57,10 @@
     }
 }
 
-impl Thrift {
-    pub fn read(o: &Obj, f: &mut Faults) -> Thrift {
-        let d = Thrift::default();
-        Thrift {
+impl Pacing {
+    pub fn read(o: &Obj, f: &mut Faults) -> Pacing {
+        let d = Pacing::default();
+        Pacing {
             tick_ms: o.num("tick_ms", 1, 250, f).unwrap_or(d.tick_ms),
             beat_ms: o.num("beat_ms", 20, 2000, f),
             renew_ms: o.num("renew_ms", 50, 2000, f).unwrap_or(d.renew_ms),
@@ -74,13 +74,13 @@
     }
 
     /// The protocol's waits for answers within `ack_ms`.
-    pub fn pace(&self, ack_ms: Ms) -> Pace {
-        let p = Pace::for_ack(ack_ms);
+    pub fn timing(&self, ack_ms: Millis) -> Timing {
+        let p = Timing::for_ack(ack_ms);
         let beat = self.beat_ms.unwrap_or(p.beat);
-        // why: whoever misses three heartbeats may think its leader gone, and
+        // whoever misses three heartbeats may think its leader gone, and
         // no one sooner
         let least = beat * 4;
-        Pace {
+        Timing {
             beat,
             elect: p.elect.max(least),
             dead: p.dead.max(least),
--- a/sorreldoor/src/place.rs
+++ b/sorreldoor/src/place.rs
@@ -68,7 +68,7 @@
         .filter(|(_, w)| *w > 0)
         .collect();
     let sum: u64 = ws.iter().map(|(_, w)| w).sum();
-    // why: one prefix must keep to one service, or its cache is built twice
+    // one prefix must keep to one service, or its cache is built twice
     let by = if r.kind == Kind::Prefix { a.key } else { a.id };
     let mut at = mix(by, &r.name) % sum.max(1);
     let mut first = 0;
@@ -95,7 +95,7 @@
     a: &Ask,
     region: u8,
 ) -> Option<(u16, usize)> {
-    // why: a home-bound errand must not reach a worker anywhere else
+    // a home-bound errand must not reach a worker anywhere else
     if a.home.is_some_and(|h| h != region) {
         return None;
     }
@@ -128,7 +128,7 @@
     if kind != Kind::Prefix {
         return least;
     }
-    // why: the highest-ranked worker has the prefix warm, but a full one would
+    // the highest-ranked worker has the prefix warm, but a full one would
     // cost more in queueing than its cache saves
     all.iter()
         .filter(|(_, w)| w.calm())
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -11,7 +11,7 @@
 use super::shared::Shared;
 use super::stream::{relay, Flow};
 use super::table::{Heard, Pick, Rid, Target};
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::problem::Problem;
 use crate::seam::Clock;
 use crate::setup::hosted::{Kind, Route};
@@ -28,10 +28,10 @@
 /// Idle connections are taken again within this, for what may run twice.
 const ANY_AGE: Duration = Duration::from_secs(3600);
 /// Silence at a worker is not taken for its end before this.
-const LEAST_PATIENCE: Ms = 400;
-const LEAST_SMALL: Ms = 150;
+const LEAST_PATIENCE: Millis = 400;
+const LEAST_SMALL: Millis = 150;
 /// Between looks at whether a silent worker is to be left.
-pub const LOOK: Ms = 100;
+pub const LOOK: Millis = 100;
 
 /// What every sending of one request shares.
 pub struct Job {
@@ -58,14 +58,14 @@
     pub job: &'a Job,
     pub to: &'a Target,
     pub route: &'a Route,
-    pub deadline: Ms,
+    pub deadline: Millis,
 }
 
 impl<D: Dialect, C: Clock> Sending<'_, D, C> {
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Millis {
         self.sh.now()
     }
-    pub fn left(&self) -> Ms {
+    pub fn left(&self) -> Millis {
         self.deadline.saturating_sub(self.now())
     }
     pub fn heard(&self, h: Heard) {
@@ -80,7 +80,7 @@
     }
     /// Whether another worker could take it from here, its own having been
     /// silent for so long.
-    pub fn may_move(&self, silent: Ms) -> bool {
+    pub fn may_move(&self, silent: Millis) -> bool {
         let now = self.now();
         self.sh.lock().table.may_move(self.job.rid, silent, now)
     }
@@ -111,7 +111,7 @@
             }
             Pick::Refuse(p, again) => {
                 if flow.head_sent {
-                    // why: what stops here must not look like the end
+                    // what stops here must not look like the end
                     return false;
                 }
                 if let Some(b) = flow.failed.take() {
@@ -138,7 +138,7 @@
 }
 
 /// Until woken or the time is over; false once the caller is gone.
-async fn wait<D: Dialect, C: Clock>(sh: &Shared<D, C>, c: &Client, rid: Rid, ms: Ms) -> bool {
+async fn wait<D: Dialect, C: Clock>(sh: &Shared<D, C>, c: &Client, rid: Rid, ms: Millis) -> bool {
     let rx = sh.wait(rid);
     let woken = async {
         let _ = rx.recv().await;
@@ -158,7 +158,7 @@
 }
 
 async fn line_to<D: Dialect, C: Clock>(s: &Sending<'_, D, C>) -> Option<Line> {
-    // why: what may run once must not go out where an old end may be on its way
+    // what may run once must not go out where an old end may be on its way
     let within = if s.route.repeatable() { ANY_AGE } else { FRESH };
     let within = if s.to.fresh { Duration::ZERO } else { within };
     if let Some(l) = s.sh.pool.take(s.to.worker, within) {
@@ -246,13 +246,13 @@
 ) -> Result<Head, Heard> {
     let aim = Some(s.route.aim_ms).filter(|a| *a > 0);
     let small = s.route.kind == Kind::Idempotent;
-    // why: a small answer that is lost is best asked for again while that is in time
+    // a small answer that is lost is best asked for again while that is in time
     let (num, least) = if small {
         (6, LEAST_SMALL)
     } else {
         (10, LEAST_PATIENCE)
     };
-    let patience = aim.map_or(Ms::MAX / 4, |a| (a * num / 10).max(least));
+    let patience = aim.map_or(Millis::MAX / 4, |a| (a * num / 10).max(least));
     let since = s.now();
     let mut until = since.saturating_add(patience);
     loop {
@@ -267,7 +267,7 @@
             return Err(Heard::Broke);
         }
         if now >= until {
-            // why: only if another may take it is it worth leaving this one; a
+            // only if another may take it is it worth leaving this one; a
             // worker that speaks to others is slow, but not for twice as long
             let slow = small || now >= since.saturating_add(2 * patience);
             if s.may_move(if slow { 0 } else { patience }) {
@@ -294,7 +294,7 @@
 ) -> Sent {
     let other = told.id.as_ref().is_some_and(|i| *i != s.job.id);
     let ok = (200..300).contains(&head.status);
-    // why: a surplus answer stands where this one is due, and a success
+    // a surplus answer stands where this one is due, and a success
     // without a stamp or id is nobody's
     if other || (ok && (!told.stamped || told.id.is_none())) {
         s.drop_line(line);
@@ -323,7 +323,7 @@
         return relay(s, c, flow, line, head, framing).await;
     }
     if flow.head_sent {
-        // why: a stream can only be taken up by a stream
+        // a stream can only be taken up by a stream
         s.drop_line(line);
         s.heard(Heard::Broke);
         return Sent::Again;
@@ -333,7 +333,7 @@
         Err(h) => ended(s, c, flow, h).await,
         Ok(body) => {
             let bytes = plain(c, &head, &body);
-            // why: a worker's failure is its answer, unless another may do better
+            // a worker's failure is its answer, unless another may do better
             let again = head.status >= 500 && s.may_move(0);
             s.heard(Heard::Done(head.status));
             if again {
@@ -384,7 +384,7 @@
     head: &Head,
     d: &Decoder,
 ) {
-    // why: bytes behind a whole answer belong to no request
+    // bytes behind a whole answer belong to no request
     if d.done() && !head.closes() && line.buf.is_empty() {
         s.sh.pool.give(s.to.worker, line, head.keep_alive_s());
     } else {
--- a/sorreldoor/src/proxy/client.rs
+++ b/sorreldoor/src/proxy/client.rs
@@ -40,7 +40,7 @@
     /// Ready once the caller has hung up.
     pub async fn gone(&self) {
         let mut b = [0; 1];
-        // why: bytes that wait belong to the next request; only an end counts
+        // bytes that wait belong to the next request; only an end counts
         if !matches!(self.s.peek(&mut b).await, Ok(0) | Err(_)) {
             std::future::pending::<()>().await;
         }
@@ -73,7 +73,7 @@
             return;
         }
         let _ = self.s.shutdown(Shutdown::Write);
-        // why: closing with unread bytes resets, and the answer would be lost
+        // closing with unread bytes resets, and the answer would be lost
         let _ = timeout(LINGER, async {
             while matches!(self.buf.fill(&mut self.s).await, Ok(n) if n > 0) {
                 self.buf.eat(self.buf.len());
@@ -165,7 +165,7 @@
         if !keep || c.close {
             return;
         }
-        // why: a connection that always has bytes must let others run
+        // a connection that always has bytes must let others run
         task::yield_now().await;
     }
 }
@@ -207,7 +207,7 @@
     let rid = match began {
         Ok(r) => r,
         Err(p) => {
-            // why: a node that has just started needs a while to know its way,
+            // a node that has just started needs a while to know its way,
             // and callers heed a third of their time at most
             let third = asked.deadline_ms.unwrap_or(3000) / 3;
             let again = if p.again() { third.min(NEW) } else { 0 };
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -2,12 +2,12 @@
 //! core, the news it takes, and the table that news goes into.
 
 use super::table::Table;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::events::Ev;
 use crate::net::{Conn, NetEvent};
 use crate::pull::{Granted, Pull, PullFx};
 use crate::record::View;
-use crate::roster::Roster;
+use crate::registry::WorkerRegistry;
 use crate::seam::{Now, Reducer};
 use crate::setup::{self, Site};
 use crate::wire::*;
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// After its first list of nodes one waits so long for the rest of it.
-const WHOLE_MS: Ms = 1000;
+const WHOLE_MS: Millis = 1000;
 
 #[derive(Debug)]
 pub enum FrontEvent {
@@ -51,12 +51,12 @@
     pub view: View,
     pub leaving: bool,
     pub running: u32,
-    pub now: Ms,
+    pub now: Millis,
     /// What cores were last told of it.
     told_ready: bool,
     /// The nodes, ready or not, and until when they are not thought whole.
     all: Vec<(String, u16)>,
-    whole_at: Option<Ms>,
+    whole_at: Option<Millis>,
     out: Vec<FrontFx>,
 }
 
@@ -112,7 +112,7 @@
 
     /// It has a configuration and workers, and is not going down.
     pub fn ready(&self) -> bool {
-        !self.leaving && self.table.hosted().is_some() && self.pull.have.roster > 0
+        !self.leaving && self.table.hosted().is_some() && self.pull.have.registry > 0
     }
 
     /// The ready nodes as this one knows them, with itself.
@@ -132,7 +132,7 @@
     fn tell_ready(&mut self) {
         let ready = self.ready();
         let conn = self.pull.conn.filter(|_| ready != self.told_ready);
-        // why: callers must be sent here as soon, and elsewhere before the
+        // callers must be sent here as soon, and elsewhere before the
         // door shuts
         if let Some(c) = conn {
             let f = self.pull.renew(c, self.now);
@@ -189,26 +189,26 @@
             NetEvent::Down { conn } => self.pull.down(conn),
             NetEvent::Frame { payload, .. } => match *payload {
                 Payload::Grant { no, ok, news } => {
-                    // why: news from a core that could not prove itself may be
+                    // news from a core that could not prove itself may be
                     // old, and is taken only by a node that has none at all
                     let some = news.record.as_ref().is_some_and(|r| r.doc.is_some());
                     if self.pull.granted(no, ok, some, self.now) != Granted::No {
                         self.take_news(news);
                     }
                 }
-                Payload::Roster(r) => self.take_list(&r),
+                Payload::WorkerRegistry(r) => self.take_list(&r),
                 _ => {}
             },
         }
     }
 
     fn take_news(&mut self, n: News) {
-        // why: an answer that was long on its way must not undo a newer one
+        // an answer that was long on its way must not undo a newer one
         if let Some(v) = n.record.filter(|v| v.rev > self.pull.have.record) {
             self.pull.have.record = v.rev;
             self.take_view(v);
         }
-        if let Some(r) = n.roster {
+        if let Some(r) = n.registry {
             self.take_list(&r);
         }
         if let Some(s) = n.seats {
@@ -224,11 +224,11 @@
         }
     }
 
-    fn take_list(&mut self, r: &Roster) {
-        // why: lists are told by more than one way, and an older may come later
-        if r.serial > self.pull.have.roster {
-            self.pull.have.roster = r.serial;
-            self.table.take_roster(r, self.now);
+    fn take_list(&mut self, r: &WorkerRegistry) {
+        // lists are told by more than one way, and an older may come later
+        if r.serial > self.pull.have.registry {
+            self.pull.have.registry = r.serial;
+            self.table.take_registry(r, self.now);
         }
     }
 
@@ -248,7 +248,7 @@
             }
         }
         self.table.take_emptied(v.emptied.clone(), self.now);
-        // why: the text is read; keeping it would cost its size for nothing
+        // the text is read; keeping it would cost its size for nothing
         self.view = View {
             doc: v.doc.map(|_| Arc::default()),
             ..v
--- a/sorreldoor/src/proxy/http1.rs
+++ b/sorreldoor/src/proxy/http1.rs
@@ -32,7 +32,7 @@
         if self.at == self.b.len() {
             self.at = 0;
             self.b.clear();
-            // why: one large body must not keep its room for a whole connection
+            // one large body must not keep its room for a whole connection
             if self.b.capacity() > 4 * READ {
                 self.b = Vec::new();
             }
@@ -172,7 +172,7 @@
                 continue;
             }
             let v = std::str::from_utf8(v).map_err(|_| Fault::Malformed)?;
-            // why: a sign, a list or two lengths may be read two ways
+            // a sign, a list or two lengths may be read two ways
             let l = Some(v.trim())
                 .filter(|v| !v.is_empty() && v.bytes().all(|b| b.is_ascii_digit()))
                 .and_then(|v| v.parse().ok())
@@ -199,7 +199,7 @@
     pub fn request_framing(&self) -> Result<Framing, Fault> {
         let (n, c) = (self.length()?, self.chunked()?);
         match (n, c) {
-            // why: two framings at once are how a request is smuggled in another
+            // two framings at once are how a request is smuggled in another
             (Some(_), true) => Err(Fault::Malformed),
             (_, true) => Ok(Framing::Chunked),
             (Some(n), _) if n > 0 => Ok(Framing::Length(n)),
--- a/sorreldoor/src/proxy/listen.rs
+++ b/sorreldoor/src/proxy/listen.rs
@@ -2,7 +2,7 @@
 
 use super::client::Client;
 use super::pool::Line;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use async_std::task::sleep;
 use futures_lite::future::or;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 }
 
 /// Waits for bytes of a worker, for the caller to hang up, or for the time.
-pub async fn listen(line: &mut Line, c: Option<&Client>, ms: Ms) -> Woke {
+pub async fn listen(line: &mut Line, c: Option<&Client>, ms: Millis) -> Woke {
     let read = async {
         match line.buf.fill(&mut line.s).await {
             Ok(n) if n > 0 => Woke::Read,
--- a/sorreldoor/src/proxy/pool.rs
+++ b/sorreldoor/src/proxy/pool.rs
@@ -72,7 +72,7 @@
             if age < i.keep.min(within) && i.line.quiet() {
                 return Some(i.line);
             }
-            // why: the newest are on top, so what lies below is older still
+            // the newest are on top, so what lies below is older still
             if age >= within && age < i.keep {
                 l.idle.push(i);
                 return None;
@@ -85,7 +85,7 @@
     pub fn give(&self, worker: u32, mut line: Line, keep_s: Option<u64>) {
         line.reused = true;
         line.buf.shrink();
-        // why: at the last moment of the worker's time it may close as we send
+        // at the last moment of the worker's time it may close as we send
         let keep = keep_s.map_or(KEEP, |s| {
             Duration::from_millis((s * 1000).saturating_sub(300))
         });
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -80,7 +80,7 @@
     let table = Table::new(place, start.bounds, crate::ops::fresh());
     let pull = Pull::new(&set.seeds, set.permit_ms, now.mono, now.wall)
         .named(&set.node)
-        .thrifty(&set.thrift);
+        .paced(&set.pacing);
     let front = Front::new(me, set.names.clone(), pull, table);
     let sh = Arc::new(Shared::new(front, dialect, clock, set.reach.clone()));
     let (ring, rx) = bounded(RING);
@@ -131,7 +131,7 @@
             task::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        // why: with no room, a closed door sends the caller on at once
+        // with no room, a closed door sends the caller on at once
         if sh.open.load(Ordering::Relaxed) >= most {
             continue;
         }
--- a/sorreldoor/src/proxy/shared.rs
+++ b/sorreldoor/src/proxy/shared.rs
@@ -4,7 +4,7 @@
 use super::front::Front;
 use super::pool::Pool;
 use super::table::Rid;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::seam::Clock;
 use async_std::channel::{bounded, Receiver, Sender};
 use std::collections::{BTreeMap, HashMap};
@@ -53,7 +53,7 @@
         }
     }
 
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Millis {
         self.clock.now().mono
     }
 
--- a/sorreldoor/src/proxy/stream.rs
+++ b/sorreldoor/src/proxy/stream.rs
@@ -10,11 +10,11 @@
 use super::listen::{listen, Woke};
 use super::pool::Line;
 use super::table::Heard;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::seam::Clock;
 
 /// Silence in the middle of a stream is not taken for its end before this.
-const LEAST_GAP: Ms = 400;
+const LEAST_GAP: Millis = 400;
 
 /// How far a caller's stream has come, over all workers that served it.
 #[derive(Debug, Default)]
@@ -63,7 +63,7 @@
     while let Some(n) = event(&got[at..]) {
         let ev = &got[at..at + n];
         let id = id_of(ev);
-        // why: a worker that goes on from an older event must not repeat one
+        // a worker that goes on from an older event must not repeat one
         let new = id.is_none_or(|i| last.is_none_or(|l| i > l));
         if new {
             out.extend_from_slice(ev);
@@ -99,9 +99,9 @@
     let mut d = Decoder::new(framing);
     let mut got = Vec::new();
     let mut first = true;
-    // why: a pause shorter than what makes it late gives no reason to move
+    // a pause shorter than what makes it late gives no reason to move
     let gap = Some(s.route.gap_ms).filter(|g| *g > 0 && s.route.resume);
-    let gap = gap.map_or(Ms::MAX / 4, |g| g.max(LEAST_GAP));
+    let gap = gap.map_or(Millis::MAX / 4, |g| g.max(LEAST_GAP));
     let mut heard = s.now();
     let mut until = heard.saturating_add(gap);
     loop {
@@ -139,7 +139,7 @@
             return broke(s, line, Heard::Left);
         }
         if now >= until {
-            // why: a worker that speaks to others is slow, but not for twice as long
+            // a worker that speaks to others is slow, but not for twice as long
             let slow = now >= heard.saturating_add(2 * gap);
             if s.may_move(if slow { 0 } else { gap }) {
                 return broke(s, line, Heard::Broke);
@@ -151,7 +151,7 @@
             Woke::Late => {}
             Woke::Gone => return broke(s, line, Heard::Left),
             Woke::Broke if d.ended() => {
-                // why: only the worker's end tells the end of such a body, and the
+                // only the worker's end tells the end of such a body, and the
                 // caller gets it the same way
                 c.close = true;
                 let mut out = Vec::new();
--- a/sorreldoor/src/proxy/table/health.rs
+++ b/sorreldoor/src/proxy/table/health.rs
@@ -1,9 +1,9 @@
 //! Passive signs of a worker's health: out for a doubling time, back by trial.
 
-use crate::agree::Ms;
+use crate::consensus::Millis;
 
-const FIRST_OUT: Ms = 1000;
-const LONGEST_OUT: Ms = 10_000;
+const FIRST_OUT: Millis = 1000;
+const LONGEST_OUT: Millis = 10_000;
 /// Broken sendings in a row that put a worker out.
 const IN_A_ROW: u32 = 2;
 /// Share of failures, over this many sendings, that puts a worker out.
@@ -14,7 +14,7 @@
 /// Trials in a row that bring a worker back.
 const TRIALS: u32 = 2;
 /// From then on a request that runs once may be the trial.
-const PATIENT: Ms = 2000;
+const PATIENT: Millis = 2000;
 
 #[derive(Clone, Debug, Default)]
 pub struct Health {
@@ -22,7 +22,7 @@
     good: f64,
     bad: f64,
     /// Out until then; 0: in.
-    until: Ms,
+    until: Millis,
     level: u32,
     /// Trials passed since it was out.
     passed: u32,
@@ -43,18 +43,18 @@
         self.until > 0
     }
 
-    pub fn until(&self) -> Ms {
+    pub fn until(&self) -> Millis {
         self.until
     }
 
     /// May be tried now by one request.
-    pub fn due(&self, now: Ms, repeatable: bool) -> bool {
+    pub fn due(&self, now: Millis, repeatable: bool) -> bool {
         let from = self.until + if repeatable { 0 } else { PATIENT };
         !self.trial && now >= from
     }
 
     /// Heard a sign; `may` it be put out for its failures. True if it went out.
-    pub fn sign(&mut self, s: Sign, may: bool, now: Ms) -> bool {
+    pub fn sign(&mut self, s: Sign, may: bool, now: Millis) -> bool {
         self.good *= FADE;
         self.bad *= FADE;
         if s == Sign::Good {
@@ -71,7 +71,7 @@
         let often = n >= LEAST * 0.8 && self.bad / n > SHARE;
         let go = match (self.out(), s) {
             (true, _) => true,
-            // why: what takes no connection serves nobody, however many others are out
+            // what takes no connection serves nobody, however many others are out
             (_, Sign::NoConn) => true,
             _ => may && (self.row >= IN_A_ROW || often),
         };
@@ -81,8 +81,8 @@
         go
     }
 
-    fn go(&mut self, now: Ms) {
-        // why: failures of sendings from before it went out are one event
+    fn go(&mut self, now: Millis) {
+        // failures of sendings from before it went out are one event
         if self.out() && now < self.until {
             return;
         }
--- a/sorreldoor/src/proxy/table/heavy.rs
+++ b/sorreldoor/src/proxy/table/heavy.rs
@@ -2,14 +2,14 @@
 //! by all nodes from the configuration and the list alone.
 
 use super::state::Table;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::setup::hosted::{Hosted, Kind};
 
 /// From so many shared tokens on, a prefix is worth a way to another region:
 /// reading it anew takes longer than the way there and back.
 pub(super) const LONG_SHARED: u32 = 4096;
 /// Long prefixes seen within this keep short prompts away from their workers.
-pub(super) const LATELY: Ms = 30_000;
+pub(super) const LATELY: Millis = 30_000;
 
 impl Table {
     /// How much of each service's streams the homes of routes bind to a region.
@@ -48,13 +48,13 @@
                 .collect();
             let bound = |r: u8| s.bound.get(r as usize).copied().unwrap_or(0.0);
             let most = all.iter().map(|a| bound(a.1)).fold(0.0, f64::max);
-            // why: where others must run, a long prompt stalls those who have
+            // where others must run, a long prompt stalls those who have
             // nowhere else to go
             let quiet = |r: u8| bound(r) * 2.0 <= most;
             let apart = all.iter().any(|a| !quiet(a.1));
             let mut heavy: Vec<_> = all.iter().filter(|a| !apart || quiet(a.1)).collect();
             if !apart {
-                // why: without such a region a third of the workers takes them
+                // without such a region a third of the workers takes them
                 heavy.sort_by_key(|a| super::hash::mix(s.hash, a.2));
                 heavy.truncate(all.len().div_ceil(3));
             }
--- a/sorreldoor/src/proxy/table/mod.rs
+++ b/sorreldoor/src/proxy/table/mod.rs
@@ -17,7 +17,7 @@
 
 pub use state::{Counts, Table};
 
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::problem::Problem;
 use std::net::SocketAddr;
 
@@ -45,9 +45,9 @@
 pub enum Pick {
     Go(Target),
     /// Ask again when woken, at the latest in so many milliseconds.
-    Wait(Ms),
+    Wait(Millis),
     /// It is not sent (again): the kind, and when to come back, in milliseconds.
-    Refuse(Problem, Ms),
+    Refuse(Problem, Millis),
 }
 
 /// How one sending came to its end, or how it is going.
@@ -89,7 +89,7 @@
 pub struct Bounds {
     /// Further sendings in any window, over first ones.
     pub retry_ratio: f64,
-    pub retry_window_ms: Ms,
+    pub retry_window_ms: Millis,
     pub retry_slack: f64,
     /// A cold worker takes `warmup_per_s * warmup_excess + warmup_slack` a second.
     pub warmup_excess: f64,
--- a/sorreldoor/src/proxy/table/nodes.rs
+++ b/sorreldoor/src/proxy/table/nodes.rs
@@ -1,10 +1,10 @@
 //! The equal nodes, and this node's part of what holds for all of them together.
 
 use super::hash;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 
 /// A node that was ready within this time still has its part, in milliseconds.
-const LATELY: Ms = 30_000;
+const LATELY: Millis = 30_000;
 
 /// What the nodes of a region have of its own, as a share.
 const NEAR: f64 = 0.85;
@@ -13,7 +13,7 @@
 struct Node {
     hash: u64,
     region: u8,
-    seen: Ms,
+    seen: Millis,
 }
 
 #[derive(Clone, Debug)]
@@ -33,8 +33,8 @@
     }
 
     /// Names and regions of the ready nodes.
-    pub fn take(&mut self, all: impl Iterator<Item = (u64, u8)>, now: Ms) {
-        // why: a node missing for a moment still spends its part
+    pub fn take(&mut self, all: impl Iterator<Item = (u64, u8)>, now: Millis) {
+        // a node missing for a moment still spends its part
         self.all.retain(|n| now.saturating_sub(n.seen) < LATELY);
         let me = (self.me, self.region);
         for (hash, region) in all.chain([me]) {
@@ -77,12 +77,12 @@
     fn among(&self, t: u32, key: u64, of: impl Fn(&Node) -> bool) -> u32 {
         let all = || self.all.iter().filter(|n| of(n));
         let n = all().count() as u32;
-        // why: the others may have spent all of it while none is known
+        // the others may have spent all of it while none is known
         if n == 0 {
             return 0;
         }
         let mine = hash::mix(key, self.me);
-        // why: clocks are not shared, so who has the rest hangs on names alone
+        // clocks are not shared, so who has the rest hangs on names alone
         let rank = all().filter(|x| hash::mix(key, x.hash) > mine).count() as u32;
         t / n + u32::from(rank < t % n)
     }
--- a/sorreldoor/src/proxy/table/pick.rs
+++ b/sorreldoor/src/proxy/table/pick.rs
@@ -6,22 +6,22 @@
 use super::state::Table;
 use super::waits::{Line, Rank, TICK};
 use super::{Pick, Rid, Target};
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::problem::Problem;
 use crate::setup::hosted::{Hosted, Route};
 
 /// With less time left nothing is sent any more, in milliseconds.
-const TOO_LATE: Ms = 5;
+const TOO_LATE: Millis = 5;
 /// A worker heard of within so many milliseconds is there.
-const KNOWN: Ms = 200;
+const KNOWN: Millis = 200;
 /// When to come back after a refusal, in milliseconds.
-const AGAIN: (Ms, Ms) = (100, 400);
+const AGAIN: (Millis, Millis) = (100, 400);
 
 impl Table {
     /// The service next in this request's own order behind `after`, and its
     /// place in that order.
     pub(super) fn drawn(&self, r: &Req, route: &Route, after: f64) -> Option<(u32, f64)> {
-        // why: one prefix must keep to one service, or it is read twice
+        // one prefix must keep to one service, or it is read twice
         let draw = r.key().filter(|_| route.sticky).unwrap_or(r.draw);
         let all = route.split.iter().filter(|(_, w)| *w > 0);
         all.filter_map(|(c, w)| {
@@ -33,11 +33,11 @@
     }
 
     /// Decides on a request, under the configuration in force.
-    pub fn pick(&mut self, rid: Rid, now: Ms) -> Pick {
+    pub fn pick(&mut self, rid: Rid, now: Millis) -> Pick {
         self.tick(now);
         self.unwait(rid);
         if self.reqs.get(rid).is_some_and(|r| r.sending.is_some()) {
-            // why: it may be at one worker only; the last sending has no word left
+            // it may be at one worker only; the last sending has no word left
             self.heard(rid, super::Heard::Left, now);
         }
         let (Some(h), Some(mut r)) = (self.hosted.clone(), self.reqs.lend(rid)) else {
@@ -51,8 +51,8 @@
         p
     }
 
-    fn decide(&mut self, rid: Rid, r: &mut Req, route: Option<&Route>, now: Ms) -> Pick {
-        // why: what may have run must not run twice, whatever the routes say now
+    fn decide(&mut self, rid: Rid, r: &mut Req, route: Option<&Route>, now: Millis) -> Pick {
+        // what may have run must not run twice, whatever the routes say now
         if r.may_have_run && (r.once || !route.is_some_and(|x| x.repeatable())) {
             return Pick::Refuse(Problem::OutcomeUnknown, 0);
         }
@@ -89,9 +89,9 @@
         if now < until {
             return self.wait(r, line, rank, until, now);
         }
-        // why: a refusal while half the places are free is worse than a queue
+        // a refusal while half the places are free is worse than a queue
         let queue = o.taken * 2.0 < o.slots;
-        // why: what began must not end because it would have to wait
+        // what began must not end because it would have to wait
         if let Some(c) = o.full.filter(|_| queue || r.may_have_run) {
             return self.go(r, svc, c, route, now);
         }
@@ -101,7 +101,7 @@
     /// Whether a request that is at a worker could be taken up by another one:
     /// its route, its sendings so far, the budget and another worker's room
     /// allow it, and nothing was heard of its worker for `silent` ms.
-    pub fn may_move(&mut self, rid: Rid, silent: Ms, now: Ms) -> bool {
+    pub fn may_move(&mut self, rid: Rid, silent: Millis, now: Millis) -> bool {
         let (Some(r), Some(h)) = (self.reqs.lend(rid), self.hosted.clone()) else {
             return false;
         };
@@ -110,7 +110,7 @@
         yes
     }
 
-    fn movable(&mut self, r: &Req, h: &Hosted, silent: Ms, now: Ms) -> bool {
+    fn movable(&mut self, r: &Req, h: &Hosted, silent: Millis, now: Millis) -> bool {
         let route = r.route.filter(|_| r.edition == self.edition);
         let Some(route) = route.and_then(|i| h.routes.get(i as usize)) else {
             return false;
@@ -118,7 +118,7 @@
         let spent = r.sent >= route.attempts.max(1) || r.once || !route.repeatable();
         let late = r.deadline < now + TOO_LATE;
         let here = r.sending.and_then(|s| self.spots[s.spot as usize].as_ref());
-        // why: a worker that speaks to others is slow, not gone
+        // a worker that speaks to others is slow, not gone
         let dead = |w: &Spot| silent == 0 || w.pulse + silent <= now;
         let Some(w) = here.filter(|w| !spent && !late && dead(w.as_ref())) else {
             return false;
@@ -132,16 +132,16 @@
     }
 
     /// Something was heard of the worker that a request is at.
-    pub fn pulse(&mut self, rid: Rid, now: Ms) {
+    pub fn pulse(&mut self, rid: Rid, now: Millis) {
         let s = self.reqs.get(rid).and_then(|r| r.sending);
         if let Some(w) = s.and_then(|s| self.spots[s.spot as usize].as_mut()) {
             w.beat(now);
         }
     }
 
-    fn wait(&mut self, r: &mut Req, line: Line, rank: Rank, until: Ms, now: Ms) -> Pick {
+    fn wait(&mut self, r: &mut Req, line: Line, rank: Rank, until: Millis, now: Millis) -> Pick {
         self.counts.waited += u64::from(!std::mem::replace(&mut r.waited, true));
-        // why: one that shuns a worker must not hold up those behind it
+        // one that shuns a worker must not hold up those behind it
         if r.tried.is_empty() {
             r.waits = Some((line, rank));
             self.waits.put(line, rank, now);
@@ -150,7 +150,7 @@
     }
 
     /// The first service in the request's order that has workers for it.
-    fn offers(&mut self, r: &Req, route: &Route, now: Ms) -> (u32, Offer) {
+    fn offers(&mut self, r: &Req, route: &Route, now: Millis) -> (u32, Offer) {
         let first = self.drawn(r, route, 0.0).map_or(0, |s| s.0);
         for out in [false, true] {
             let mut after = 0.0;
@@ -171,20 +171,20 @@
         self.nodes.part(s, self.svcs[svc as usize].hash)
     }
 
-    fn refuse(&mut self, r: &Req, p: Problem, now: Ms) -> Pick {
-        // why: 503 promises that it did not run
+    fn refuse(&mut self, r: &Req, p: Problem, now: Millis) -> Pick {
+        // 503 promises that it did not run
         let p = match r.may_have_run {
             true => Problem::WorkerBroke,
             false => p,
         };
-        // why: callers heed it up to a third of the time that they have left
+        // callers heed it up to a third of the time that they have left
         let most = r.deadline.saturating_sub(now) / 3;
         let (lo, hi) = AGAIN;
-        let at = lo + (self.draw.unit() * (hi - lo) as f64) as Ms;
+        let at = lo + (self.draw.unit() * (hi - lo) as f64) as Millis;
         Pick::Refuse(p, if p.again() { at.min(most) } else { 0 })
     }
 
-    fn go(&mut self, r: &mut Req, svc: u32, c: Choice, route: &Route, now: Ms) -> Pick {
+    fn go(&mut self, r: &mut Req, svc: u32, c: Choice, route: &Route, now: Millis) -> Pick {
         let conf = self.conf(svc);
         let engine = conf.and_then(|s| s.engine);
         let conns = conf.map_or(1, |s| s.max_conns);
@@ -192,14 +192,14 @@
         let Some(w) = self.spots[c.spot as usize].as_mut() else {
             return Pick::Refuse(Problem::GivenUp, 0);
         };
-        // why: what may run once goes out only where the worker is known to be
+        // what may run once goes out only where the worker is known to be
         let fresh = w.suspect(now) || (!route.repeatable() && now >= w.pulse + KNOWN);
         w.mine += 1;
         w.unheard.get_or_insert(now);
         w.note_sent(now);
         w.reading += u64::from(c.reading);
         if let Some(e) = engine {
-            // why: others' requests fill its memory too
+            // others' requests fill its memory too
             w.kept.take(&r.parts, e.kv_tokens * 6 / 10);
         }
         let trial = w.health.out();
@@ -242,18 +242,18 @@
 
     /// Connections to one worker that this node may hold.
     fn conns(&self, all: u32, key: u64) -> u32 {
-        // why: a worker resets what is beyond the bound of all nodes
+        // a worker resets what is beyond the bound of all nodes
         self.nodes.part(f64::from(all) * 0.9, key).max(1)
     }
 }
 
 /// How long after its arrival a request may still wait, in milliseconds.
-fn patience(route: &Route, sent: bool) -> Ms {
+fn patience(route: &Route, sent: bool) -> Millis {
     let aim = match route.aim_ms {
         0 => route.timeout_ms / 2,
         a => a,
     };
-    // why: refused within a quarter of the aim, another try can still be in time
+    // refused within a quarter of the aim, another try can still be in time
     let q = aim / 4;
     if sent {
         q * 2
--- a/sorreldoor/src/proxy/table/rank.rs
+++ b/sorreldoor/src/proxy/table/rank.rs
@@ -6,7 +6,7 @@
 use super::reqs::Req;
 use super::spot::{Spot, COLD_SPAN};
 use super::state::Table;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::setup::hosted::{Route, Service};
 
 /// Fewer shared tokens than these are read anywhere at little cost.
@@ -45,7 +45,7 @@
 
 impl Offer {
     pub fn best(&self) -> Option<Choice> {
-        // why: another region is far; a worker here queues only briefly
+        // another region is far; a worker here queues only briefly
         self.here.or(self.far)
     }
 }
@@ -73,7 +73,14 @@
 
     /// Where this request could go among a service's workers. With `out`, those
     /// put out are looked at as well.
-    pub(super) fn offer(&mut self, svc: u32, r: &Req, route: &Route, out: bool, now: Ms) -> Offer {
+    pub(super) fn offer(
+        &mut self,
+        svc: u32,
+        r: &Req,
+        route: &Route,
+        out: bool,
+        now: Millis,
+    ) -> Offer {
         let mut o = Offer::default();
         let Some(conf) = self.conf(svc).map(Lite::from) else {
             return o;
@@ -96,7 +103,7 @@
             let all = v.spots.iter().filter_map(|i| of(*i));
             all.filter(|(i, w)| self.may(w, *i, r, route) && fit(w))
         };
-        // why: every node finds the same worker for a prefix without a word
+        // every node finds the same worker for a prefix without a word
         let first = l.key.and_then(|k| {
             let mine = |w: &Spot| {
                 if l.long {
@@ -120,12 +127,12 @@
             let cold = conf.per_s > 0.0 && w.cold(now);
             let all = self.cold_bound(&conf);
             let bound = || self.nodes.part_near(all, w.hash, w.region);
-            // why: a node that started anew forgot what it had sent
+            // a node that started anew forgot what it had sent
             let new = now < self.born.unwrap_or(now) + COLD_SPAN;
             if cold && (new || w.sent_lately(now) >= bound()) {
                 continue;
             }
-            // why: a few behind the places keep a worker busy, more only wait
+            // a few behind the places keep a worker busy, more only wait
             let room = load < slots * 1.5 && now >= w.full_until;
             let here = w.region == self.place.region || (l.long && load < slots);
             let to = match (room, here) {
@@ -160,9 +167,9 @@
         conf: &Lite,
         first: bool,
         noise: f64,
-        now: Ms,
+        now: Millis,
     ) -> Choice {
-        // why: what one node sends of a hot prefix, all of them send
+        // what one node sends of a hot prefix, all of them send
         let alike = if first && l.long {
             self.nodes.known()
         } else {
@@ -177,7 +184,7 @@
             false => (0, 0),
         };
         let several = r.parts.len() > 1;
-        // why: other nodes send this prefix there too; a single part may well
+        // other nodes send this prefix there too; a single part may well
         // be the request's own, and new
         let kept = match first && several {
             true => kept.max(l.shared),
@@ -188,7 +195,7 @@
             let v = &self.svcs[w.service as usize];
             let read = f64::from(reading) * v.per_token;
             let anew = f64::from(l.shared.saturating_sub(kept)) * v.per_token;
-            // why: whoever reads long stalls all that run beside it
+            // whoever reads long stalls all that run beside it
             let stall = (w.reading as f64) * v.per_token + read * (0.1 * load).min(1.0);
             let far = if w.region == self.place.region {
                 0.0
@@ -206,9 +213,9 @@
                 (_, true) => 8.0,
                 _ => 4.0,
             };
-            // why: nodes that turn from the first worker agree on the next
+            // nodes that turn from the first worker agree on the next
             let next = l.key.map_or(0.0, |k| hash::unit(hash::mix(k, w.hash)));
-            // why: a session's turns meet there, unless it is busy reading
+            // a session's turns meet there, unless it is busy reading
             let anew = if first && !several { anew * 0.5 } else { anew };
             let cold = if cold { 8.0 } else { 0.0 };
             w.slow * (queue + read + stall)
@@ -227,13 +234,13 @@
                 + if cold { 0.2 } else { 0.0 }
                 + if w.suspect(now) { 0.5 } else { 0.0 }
         };
-        // why: what is due for a trial comes back by one, a light one if it can
+        // what is due for a trial comes back by one, a light one if it can
         let trial = l.tokens <= LIGHT;
         Choice {
             spot: i,
             cost: match (w.health.out(), trial && w.health.until() <= now) {
                 (true, true) => -1.0,
-                // why: of those that are all out, the one out longest is least bad
+                // of those that are all out, the one out longest is least bad
                 (true, false) => cost + w.health.until().saturating_sub(now) as f64,
                 _ => cost,
             },
--- a/sorreldoor/src/proxy/table/reqs.rs
+++ b/sorreldoor/src/proxy/table/reqs.rs
@@ -6,7 +6,7 @@
 use super::state::Table;
 use super::waits::Line;
 use super::{Heard, Rid};
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use crate::problem::Problem;
 use crate::proxy::{Asked, Part};
 use crate::setup::hosted;
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sending {
     pub spot: u32,
-    pub at: Ms,
+    pub at: Millis,
     /// Parts that were thought kept there.
     pub hit: usize,
     /// Prompt tokens that it has to read.
@@ -30,14 +30,14 @@
 pub(super) struct Req {
     pub host: Box<str>,
     pub path: Box<str>,
-    pub arrived: Ms,
+    pub arrived: Millis,
     pub caller_ms: Option<u64>,
     pub parts: Box<[Part]>,
     pub tokens_in: u32,
     /// Route in the configuration of `edition`.
     pub route: Option<u32>,
     pub edition: u32,
-    pub deadline: Ms,
+    pub deadline: Millis,
     pub draw: u64,
     pub sending: Option<Sending>,
     /// Workers that it was meant for, and how many of them it reached.
@@ -130,8 +130,8 @@
         host: &str,
         path: &str,
         asked: Asked,
-        arrived: Ms,
-        now: Ms,
+        arrived: Millis,
+        now: Millis,
     ) -> Result<Rid, Problem> {
         self.tick(now);
         let h = self.hosted.as_ref().ok_or(Problem::NoSetup)?;
@@ -173,7 +173,7 @@
     /// Its route in the configuration in force when it was last looked up.
     pub fn route(&self, rid: Rid) -> Option<&hosted::Route> {
         let r = self.reqs.get(rid)?;
-        // why: an index means nothing in another configuration
+        // an index means nothing in another configuration
         let i = match r.edition == self.edition {
             true => r.route?,
             false => self.hosted.as_ref()?.find(&r.host, &r.path)?,
@@ -182,7 +182,7 @@
     }
 
     /// When it is no longer waited for, on the clock of `now`.
-    pub fn deadline(&self, rid: Rid) -> Ms {
+    pub fn deadline(&self, rid: Rid) -> Millis {
         self.reqs.get(rid).map_or(0, |r| r.deadline)
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// What came of the last sending of this request.
-    pub fn heard(&mut self, rid: Rid, h: Heard, now: Ms) {
+    pub fn heard(&mut self, rid: Rid, h: Heard, now: Millis) {
         self.tick(now);
         let Some(s) = self.reqs.get(rid).and_then(|r| r.sending) else {
             return;
@@ -221,7 +221,7 @@
                 if let Some(w) = &mut self.spots[s.spot as usize] {
                     w.full_until = now + FULL;
                 }
-                // why: an answer shows that it lives, however full
+                // an answer shows that it lives, however full
                 self.sign(s, Sign::Good, now);
                 self.note(rid, false, Some(Problem::NoWorker));
             }
@@ -233,7 +233,7 @@
                     w.stale = Some(serial);
                 }
                 self.note(rid, false, Some(Problem::GivenUp));
-                // why: the worker it was meant for is gone, so none has had it
+                // the worker it was meant for is gone, so none has had it
                 if let Some(r) = self.reqs.get_mut(rid) {
                     r.sent = r.sent.saturating_sub(1);
                 }
@@ -312,7 +312,7 @@
     }
 
     /// The request is over, whatever became of it.
-    pub fn end(&mut self, rid: Rid, now: Ms) {
+    pub fn end(&mut self, rid: Rid, now: Millis) {
         self.tick(now);
         self.unwait(rid);
         let at = self.reqs.get(rid).and_then(|r| r.sending).map(|s| s.spot);
@@ -331,14 +331,14 @@
     }
 
     /// The requests that may find a place now, the most urgent first.
-    pub fn woken(&mut self, now: Ms) -> Vec<Rid> {
+    pub fn woken(&mut self, now: Millis) -> Vec<Rid> {
         self.tick(now);
         self.waits.woken(now)
     }
 }
 
 /// The caller's patience and the operator's, whichever ends first.
-fn until(r: &hosted::Route, caller: Option<u64>, arrived: Ms) -> Ms {
+fn until(r: &hosted::Route, caller: Option<u64>, arrived: Millis) -> Millis {
     arrived + caller.unwrap_or(u64::MAX / 4).min(r.timeout_ms)
 }
 
--- a/sorreldoor/src/proxy/table/signs.rs
+++ b/sorreldoor/src/proxy/table/signs.rs
@@ -4,7 +4,7 @@
 use super::reqs::Sending;
 use super::state::Table;
 use super::Rid;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 
 /// Weight of a new measure among the earlier ones.
 const NEW: f64 = 0.1;
@@ -25,7 +25,7 @@
         i: u32,
         load: Option<(u32, u32, u32)>,
         cold_ms: Option<u64>,
-        now: Ms,
+        now: Millis,
     ) {
         let Some(w) = &mut self.spots[i as usize] else {
             return;
@@ -39,7 +39,7 @@
     }
 
     /// The first event: the prompt is read, and the worker's speed is known.
-    pub(super) fn first(&mut self, rid: Rid, now: Ms) {
+    pub(super) fn first(&mut self, rid: Rid, now: Millis) {
         let Some(s) = self.reqs.get_mut(rid).and_then(|r| r.sending.as_mut()) else {
             return;
         };
@@ -66,13 +66,13 @@
     }
 
     /// The whole answer is there, with the worker's own status.
-    pub(super) fn done(&mut self, rid: Rid, s: Sending, status: u16, now: Ms) {
+    pub(super) fn done(&mut self, rid: Rid, s: Sending, status: u16, now: Millis) {
         if status < 400 {
             self.first(rid, now);
             self.counts.served += 1;
         }
         match status {
-            // why: a deadline may have been too short; it tells of speed alone
+            // a deadline may have been too short; it tells of speed alone
             504 => {
                 if let Some(w) = &mut self.spots[s.spot as usize] {
                     blend(&mut w.slow, SLOWEST);
@@ -84,7 +84,7 @@
     }
 
     /// A sign of a worker's health.
-    pub(super) fn sign(&mut self, s: Sending, g: Sign, now: Ms) {
+    pub(super) fn sign(&mut self, s: Sending, g: Sign, now: Millis) {
         let may = g != Sign::Bad || self.may_eject(s.spot);
         let Some(w) = &mut self.spots[s.spot as usize] else {
             return;
@@ -92,7 +92,7 @@
         let was = w.health.out();
         let struck = w.health.sign(g, may, now);
         if g == Sign::NoConn {
-            // why: what it kept went with it
+            // what it kept went with it
             w.kept.clear();
         }
         if struck && !was {
@@ -103,7 +103,7 @@
         }
         w.health.calm();
         if w.health.back() {
-            // why: it may have been started anew, and says so only later
+            // it may have been started anew, and says so only later
             let svc = w.service;
             let warmup = self.conf(svc).map_or(0, |c| c.warmup_ms);
             self.chill(s.spot, warmup, now);
--- a/sorreldoor/src/proxy/table/spot.rs
+++ b/sorreldoor/src/proxy/table/spot.rs
@@ -2,19 +2,19 @@
 
 use super::health::Health;
 use super::kept::Kept;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 /// Sendings in this time count against a cold worker's bound of a second; more
 /// than a second, for a sending may leave later than it was decided.
-pub const COLD_SPAN: Ms = 1200;
+pub const COLD_SPAN: Millis = 1200;
 /// A report of load counts whole for so long, then fades by halves.
-const FRESH: Ms = 1000;
+const FRESH: Millis = 1000;
 /// A worker that said that it is full gets nothing for so long.
-pub const FULL: Ms = 100;
+pub const FULL: Millis = 100;
 /// A worker that owes a word for so long may be gone, in milliseconds.
-const SUSPECT: Ms = 300;
+const SUSPECT: Millis = 300;
 /// Sending times remembered of one worker, at most.
 const MOST_SENT: usize = 256;
 
@@ -37,17 +37,17 @@
     /// Long shared prefixes are kept here.
     pub heavy: bool,
     /// When anything was last heard of it.
-    pub pulse: Ms,
+    pub pulse: Millis,
     /// Since when this node waits for it to say anything at all.
-    pub unheard: Option<Ms>,
+    pub unheard: Option<Millis>,
     /// Requests of this node that are there.
     pub mine: u32,
     /// Requests of others there, as of `heard`.
     others: f64,
-    heard: Ms,
-    pub full_until: Ms,
-    pub cold_until: Ms,
-    sent: VecDeque<Ms>,
+    heard: Millis,
+    pub full_until: Millis,
+    pub cold_until: Millis,
+    sent: VecDeque<Millis>,
     /// Prompt tokens of this node's requests that are still being read there.
     pub reading: u64,
     pub kept: Kept,
@@ -85,34 +85,34 @@
         }
     }
 
-    pub fn cold(&self, now: Ms) -> bool {
+    pub fn cold(&self, now: Millis) -> bool {
         now < self.cold_until
     }
 
     /// Something came of it.
-    pub fn beat(&mut self, now: Ms) {
+    pub fn beat(&mut self, now: Millis) {
         self.pulse = self.pulse.max(now);
         self.unheard = Some(now).filter(|_| self.mine > 0);
     }
 
     /// It owes this node a word for so long that it may be gone.
-    pub fn suspect(&self, now: Ms) -> bool {
+    pub fn suspect(&self, now: Millis) -> bool {
         self.unheard.is_some_and(|t| now >= t + SUSPECT)
     }
 
     /// Running and waiting there, as far as is known.
-    pub fn load(&self, now: Ms) -> f64 {
+    pub fn load(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.heard);
         let fade = match age <= FRESH {
             true => 1.0,
-            // why: what is not heard again is tried again
+            // what is not heard again is tried again
             false => (-((age - FRESH) as f64) / 1500.0).exp2(),
         };
         f64::from(self.mine) + self.others * fade
     }
 
     /// Its own word; `mine` of them are this node's.
-    pub fn report(&mut self, running: u32, waiting: u32, slots: u32, now: Ms) {
+    pub fn report(&mut self, running: u32, waiting: u32, slots: u32, now: Millis) {
         self.others = (f64::from(running) + f64::from(waiting) - f64::from(self.mine)).max(0.0);
         self.heard = now;
         if slots > 0 {
@@ -120,7 +120,7 @@
         }
     }
 
-    pub fn note_sent(&mut self, now: Ms) {
+    pub fn note_sent(&mut self, now: Millis) {
         while self.sent.len() >= MOST_SENT
             || self.sent.front().is_some_and(|t| t + COLD_SPAN <= now)
         {
@@ -130,14 +130,14 @@
     }
 
     /// Takes back a sending that never left.
-    pub fn unsent(&mut self, then: Ms) {
+    pub fn unsent(&mut self, then: Millis) {
         if let Some(i) = self.sent.iter().rposition(|t| *t == then) {
             self.sent.remove(i);
         }
     }
 
     /// Sendings of this node in the last span.
-    pub fn sent_lately(&self, now: Ms) -> u32 {
+    pub fn sent_lately(&self, now: Millis) -> u32 {
         let n = self.sent.iter().rev().take_while(|t| **t + COLD_SPAN > now);
         n.count() as u32
     }
