--- a/sorreldoor/src/proxy/table/state.rs
+++ b/sorreldoor/src/proxy/table/state.rs
@@ -7,14 +7,14 @@
 use super::spot::Spot;
 use super::waits::Waits;
 use super::{Bounds, Place};
-use crate::agree::Ms;
-use crate::roster::Roster;
+use crate::consensus::Millis;
+use crate::registry::WorkerRegistry;
 use crate::setup::hosted::{Hosted, Service};
 use std::collections::HashMap;
 use std::sync::Arc;
 
 /// Services and workers whose newest list lags may turn up a little later.
-const MARGIN: Ms = 300;
+const MARGIN: Millis = 300;
 
 /// A service by name, as long as the table lives.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     /// Routes of streams bound to each region by their homes, in parts.
     pub bound: Vec<f64>,
     /// When a long shared prefix was last asked for.
-    pub long_at: Option<Ms>,
+    pub long_at: Option<Millis>,
     pub budget: Budget,
     /// Time to read one prompt token, in milliseconds.
     pub per_token: f64,
@@ -63,9 +63,9 @@
     pub(super) place: Place,
     pub(super) bounds: Bounds,
     pub(super) draw: Draw,
-    pub(super) now: Ms,
+    pub(super) now: Millis,
     /// When it was first used.
-    pub(super) born: Option<Ms>,
+    pub(super) born: Option<Millis>,
     pub(super) hosted: Option<Arc<Hosted>>,
     /// Counts configurations taken.
     pub(super) edition: u32,
@@ -111,12 +111,12 @@
         }
     }
 
-    pub(super) fn tick(&mut self, now: Ms) {
+    pub(super) fn tick(&mut self, now: Millis) {
         self.now = self.now.max(now);
         self.born.get_or_insert(now);
     }
 
-    fn svc(&mut self, name: &str, now: Ms) -> u32 {
+    fn svc(&mut self, name: &str, now: Millis) -> u32 {
         if let Some(i) = self.svc_by_name.get(name) {
             return *i;
         }
@@ -127,7 +127,7 @@
             spots: Vec::new(),
             bound: Vec::new(),
             long_at: None,
-            // why: only a node that starts anew may have forgotten what it spent
+            // only a node that starts anew may have forgotten what it spent
             budget: Budget::new(self.born.unwrap_or(now)),
             per_token: 0.02,
             first_ms: 50.0,
@@ -143,7 +143,7 @@
     }
 
     /// A configuration is in force from now on.
-    pub fn take_hosted(&mut self, h: Arc<Hosted>, now: Ms) {
+    pub fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis) {
         self.tick(now);
         self.edition = self.edition.wrapping_add(1);
         self.svcs.iter_mut().for_each(|s| s.conf = None);
@@ -161,7 +161,7 @@
     }
 
     /// The zones that nothing is sent to, all of them.
-    pub fn take_emptied(&mut self, zones: Vec<u16>, now: Ms) {
+    pub fn take_emptied(&mut self, zones: Vec<u16>, now: Millis) {
         self.tick(now);
         let back: Vec<u16> = self
             .emptied
@@ -170,7 +170,7 @@
             .filter(|z| !zones.contains(z))
             .collect();
         self.emptied = zones;
-        // why: workers of a zone that was empty may have turned cold in it
+        // workers of a zone that was empty may have turned cold in it
         for i in 0..self.spots.len() {
             let Some(s) = &self.spots[i] else { continue };
             if back.contains(&s.zone) {
@@ -182,7 +182,7 @@
     }
 
     /// Assumes a worker cold for so long.
-    pub(super) fn chill(&mut self, i: u32, ms: u64, now: Ms) {
+    pub(super) fn chill(&mut self, i: u32, ms: u64, now: Millis) {
         if let Some(s) = &mut self.spots[i as usize] {
             s.cold_until = s.cold_until.max(now + ms);
             if ms > 0 {
@@ -202,7 +202,7 @@
     }
 
     /// The platform's list; one that is older than the last is let go.
-    pub fn take_roster(&mut self, r: &Roster, now: Ms) {
+    pub fn take_registry(&mut self, r: &WorkerRegistry, now: Millis) {
         self.tick(now);
         if self.listed_once && r.serial < self.serial {
             return;
@@ -224,7 +224,7 @@
             }
             s.stale = s.stale.filter(|at| *at >= r.serial);
             let cold = match new && self.listed_once {
-                // why: a worker that starts among traffic is cold, though the
+                // a worker that starts among traffic is cold, though the
                 // list may not say so yet
                 true => w.cold_ms.max(warmup),
                 false => w.cold_ms,
@@ -249,7 +249,7 @@
 
     fn spot(&mut self, name: &str, addr: std::net::SocketAddr, svc: u32) -> (u32, bool) {
         let old = self.by_name.get(name).copied();
-        // why: a name that turns up in another service is another worker
+        // a name that turns up in another service is another worker
         if let Some(i) = old {
             let s = self.spots[i as usize].as_ref();
             if s.is_some_and(|s| s.service == svc) {
--- a/sorreldoor/src/proxy/table/waits.rs
+++ b/sorreldoor/src/proxy/table/waits.rs
@@ -1,21 +1,21 @@
 //! Requests that wait for a place, in order of priority, then of arrival.
 
 use super::Rid;
-use crate::agree::Ms;
+use crate::consensus::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What the waiting ones can be served by: service, and homes as bits.
 pub type Line = (u32, u64);
-pub type Rank = (u8, Ms, Rid);
+pub type Rank = (u8, Millis, Rid);
 
 /// Asked again after this at the latest, in milliseconds.
-pub const TICK: Ms = 20;
+pub const TICK: Millis = 20;
 
 #[derive(Clone, Debug, Default)]
 struct Row {
     ranks: BTreeSet<Rank>,
     freed: u32,
-    due: Ms,
+    due: Millis,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -28,7 +28,7 @@
         self.rows.values().map(|r| r.ranks.len()).sum()
     }
 
-    pub fn put(&mut self, l: Line, r: Rank, now: Ms) {
+    pub fn put(&mut self, l: Line, r: Rank, now: Millis) {
         let row = self.rows.entry(l).or_default();
         if row.ranks.is_empty() {
             row.due = now + TICK;
@@ -64,7 +64,7 @@
         self.rows.values_mut().for_each(|r| r.due = 0);
     }
 
-    pub fn woken(&mut self, now: Ms) -> Vec<Rid> {
+    pub fn woken(&mut self, now: Millis) -> Vec<Rid> {
         let mut out: Vec<Rank> = Vec::new();
         for row in self.rows.values_mut() {
             let n = match row.due <= now {
--- a/sorreldoor/src/pull.rs
+++ b/sorreldoor/src/pull.rs
@@ -1,29 +1,29 @@
 //! An edge's session and permit: it pulls what it lacks, and serves only
 //! while a core has proved to it, a moment ago, that it is up to date.
 
-use crate::agree::Ms;
+use crate::consensus::Millis;
+use crate::pacing::Pacing;
 use crate::rules::{broken, Rule};
-use crate::thrift::Thrift;
 use crate::wire::Have;
 use std::net::SocketAddr;
 
 /// Alarms farther apart than this mean that the process did not run.
-const GAP: Ms = 400;
+const GAP: Millis = 400;
 /// A wall clock that runs ahead of the monotonic one by so much was suspended.
 const JUMP: i64 = 1000;
-const SILENT: Ms = 900;
+const SILENT: Millis = 900;
 /// Between renewals, and between those while the permit runs out.
-const RENEW_MS: Ms = 300;
-const AGAIN_MS: Ms = 120;
+const RENEW_MS: Millis = 300;
+const AGAIN_MS: Millis = 120;
 /// Between tries to come to a core of one's own region.
-const HOME_MS: Ms = 10_000;
+const HOME_MS: Millis = 10_000;
 /// Between renewals, and silence of a core, while nothing is proved yet.
-const SOON_MS: Ms = 100;
-const SOON_SILENT: Ms = 500;
+const SOON_MS: Millis = 100;
+const SOON_SILENT: Millis = 500;
 /// A node is young, and has much to learn, for so long after its start.
-const YOUNG_MS: Ms = 1500;
+const YOUNG_MS: Millis = 1500;
 /// An unproved session looks for a core that can prove itself so often.
-const LOOK_MS: Ms = 800;
+const LOOK_MS: Millis = 800;
 
 #[derive(Clone, Debug)]
 pub struct Pull {
@@ -31,25 +31,25 @@
     at: usize,
     /// Spreads edges over the cores of their region.
     salt: String,
-    home_at: Ms,
+    home_at: Millis,
     /// A core of one's own region that is dialled beside the session's.
-    trying: Option<(SocketAddr, Ms)>,
+    trying: Option<(SocketAddr, Millis)>,
     pub dialled: Option<SocketAddr>,
     pub conn: Option<u64>,
     pub have: Have,
-    permit_ms: Ms,
-    permit_until: Ms,
+    permit_ms: Millis,
+    permit_until: Millis,
     no: u64,
     /// Renewals on their way: number and when they were sent.
-    sent: Vec<(u64, Ms)>,
-    renew_at: Ms,
-    heard: Ms,
-    last_event: Ms,
+    sent: Vec<(u64, Millis)>,
+    renew_at: Millis,
+    heard: Millis,
+    last_event: Millis,
     last_wall: i64,
     was: bool,
-    renew_ms: Ms,
-    began: Ms,
-    unproven_after: Option<Ms>,
+    renew_ms: Millis,
+    began: Millis,
+    unproven_after: Option<Millis>,
     /// A core has proved itself in this life.
     proved: bool,
     /// Something unproved was taken.
@@ -83,7 +83,7 @@
 }
 
 impl Pull {
-    pub fn new(seeds: &[SocketAddr], permit_ms: Ms, now: Ms, wall: i64) -> Pull {
+    pub fn new(seeds: &[SocketAddr], permit_ms: Millis, now: Millis, wall: i64) -> Pull {
         Pull {
             cores: seeds.iter().map(|s| (*s, false)).collect(),
             at: 0,
@@ -111,7 +111,7 @@
     }
 
     pub fn named(self, node: &str) -> Pull {
-        // why: not all need find the first seed dead when they start at once
+        // not all need find the first seed dead when they start at once
         let at = crate::place::mix(node, "seed") as usize % self.cores.len().max(1);
         Pull {
             at,
@@ -122,7 +122,7 @@
 
     /// Renewed so often, and content with an unproven record after so long
     /// without any.
-    pub fn thrifty(self, t: &Thrift) -> Pull {
+    pub fn paced(self, t: &Pacing) -> Pull {
         Pull {
             renew_ms: t.renew_ms,
             unproven_after: t.unproven_after_ms,
@@ -131,7 +131,7 @@
     }
 
     /// Silence after which a session counts as lost.
-    fn silent(&self) -> Ms {
+    fn silent(&self) -> Millis {
         if self.proved {
             SILENT.max(self.renew_ms * 2 + 300)
         } else {
@@ -140,7 +140,7 @@
     }
 
     /// Between renewals: a node that has just started asks often.
-    fn every(&self, now: Ms) -> Ms {
+    fn every(&self, now: Millis) -> Millis {
         let age = now.saturating_sub(self.began);
         let soon = age < YOUNG_MS || (!self.proved && age < YOUNG_MS * 4);
         if soon {
@@ -150,28 +150,28 @@
         }
     }
 
-    fn unproven(&self, now: Ms) -> bool {
+    fn unproven(&self, now: Millis) -> bool {
         let due = |ms| now.saturating_sub(self.began) >= ms;
-        // why: once anything was proved, nothing unproved is taken any more
+        // once anything was proved, nothing unproved is taken any more
         !self.proved && self.unproven_after.is_some_and(due)
     }
 
-    pub fn permit(&self, now: Ms) -> bool {
+    pub fn permit(&self, now: Millis) -> bool {
         now < self.permit_until || broken(Rule::Permit)
     }
 
-    pub fn left(&self, now: Ms) -> Ms {
+    pub fn left(&self, now: Millis) -> Millis {
         self.permit_until.saturating_sub(now)
     }
 
     /// To be called before anything else at every event: while the process
     /// or its machine slept, whatever it held may have become old.
-    pub fn awake(&mut self, now: Ms, wall: i64) -> Option<PullFx> {
+    pub fn awake(&mut self, now: Millis, wall: i64) -> Option<PullFx> {
         let gap = now.saturating_sub(self.last_event);
         let jump = (wall - self.last_wall) - gap as i64;
         self.last_event = now;
         self.last_wall = wall;
-        // why: while it slept the world may have moved on, and a monotonic
+        // while it slept the world may have moved on, and a monotonic
         // clock may have stood still with the machine
         if (gap > GAP || jump > JUMP) && !broken(Rule::Woken) {
             self.permit_until = 0;
@@ -183,7 +183,7 @@
         None
     }
 
-    pub fn alarm(&mut self, now: Ms) -> Vec<PullFx> {
+    pub fn alarm(&mut self, now: Millis) -> Vec<PullFx> {
         let mut out = Vec::new();
         self.go_home(now, &mut out);
         self.session(now, &mut out);
@@ -202,7 +202,7 @@
     }
 
     /// Ask for a renewal now; what is granted counts from this moment.
-    pub fn renew(&mut self, conn: u64, now: Ms) -> PullFx {
+    pub fn renew(&mut self, conn: u64, now: Millis) -> PullFx {
         self.no += 1;
         self.sent.push((self.no, now));
         if self.sent.len() > 64 {
@@ -222,7 +222,7 @@
     /// Come to a core of one's own region: what is asked of one far off costs
     /// its way twice, and a claim twice that. The old session stands until
     /// the new one does.
-    fn go_home(&mut self, now: Ms, out: &mut Vec<PullFx>) {
+    fn go_home(&mut self, now: Millis, out: &mut Vec<PullFx>) {
         let near = |a: &SocketAddr| self.cores.iter().any(|(c, n)| *n && c == a);
         if let Some((a, since)) = self.trying {
             let late = now.saturating_sub(since) > self.silent();
@@ -236,7 +236,7 @@
         if now < self.home_at || self.conn.is_none() || !(away || self.lone) {
             return;
         }
-        // why: one that gives what it cannot prove may be cut off from a
+        // one that gives what it cannot prove may be cut off from a
         // majority which others reach
         let every = if self.lone { LOOK_MS } else { HOME_MS };
         let wanted = |c: &&(SocketAddr, bool)| {
@@ -246,7 +246,7 @@
                 c.1
             }
         };
-        // why: the first may be down for good, so each time another is tried
+        // the first may be down for good, so each time another is tried
         let all: Vec<SocketAddr> = self.cores.iter().filter(wanted).map(|c| c.0).collect();
         let turn = (now / every) as usize % all.len().max(1);
         if let Some(a) = all.get(turn).copied() {
@@ -257,7 +257,7 @@
     }
 
     /// Keep a session with one core; go on to the next when it is silent.
-    fn session(&mut self, now: Ms, out: &mut Vec<PullFx>) {
+    fn session(&mut self, now: Millis, out: &mut Vec<PullFx>) {
         let silent = now.saturating_sub(self.heard) > self.silent();
         if self.dialled.is_some() && !silent {
             return;
@@ -278,7 +278,7 @@
 
     /// A connection stands; whether it is now the session's, and what the
     /// session leaves behind.
-    pub fn up(&mut self, conn: u64, addr: SocketAddr, now: Ms) -> Vec<PullFx> {
+    pub fn up(&mut self, conn: u64, addr: SocketAddr, now: Millis) -> Vec<PullFx> {
         let mut out = Vec::new();
         if self.trying.is_some_and(|(a, _)| a == addr) {
             self.trying = None;
@@ -290,7 +290,7 @@
         if self.dialled == Some(addr) {
             self.conn = Some(conn);
             self.heard = now;
-            // why: what it lacks comes within one round trip
+            // what it lacks comes within one round trip
             let ask = self.renew(conn, now);
             out.push(ask);
         }
@@ -305,7 +305,7 @@
 
     /// A grant came: it counts from when its renewal was sent. `some` tells
     /// that it brings a record.
-    pub fn granted(&mut self, no: u64, ok: bool, some: bool, now: Ms) -> Granted {
+    pub fn granted(&mut self, no: u64, ok: bool, some: bool, now: Millis) -> Granted {
         let Some(i) = self.sent.iter().position(|(n, _)| *n == no) else {
             return Granted::No;
         };
@@ -320,10 +320,10 @@
         if ok || lone {
             self.heard = now;
             self.permit_until = self.permit_until.max(at + self.permit_ms);
-            // why: what was sent to be sure is not needed any more
+            // what was sent to be sure is not needed any more
             self.renew_at = self.renew_at.max(at + self.every(now));
         } else {
-            // why: a core without a quorum is no use for long; look on sooner
+            // a core without a quorum is no use for long; look on sooner
             self.heard = self.heard.min(now.saturating_sub(self.silent() / 2));
         }
         match (ok, lone) {
--- a/sorreldoor/src/record/apply.rs
+++ b/sorreldoor/src/record/apply.rs
@@ -1,8 +1,8 @@
 //! Applying committed entries: the same everywhere, in the same order.
 
 use super::{decode, encode, Cmd, Kept, Outcome, Record, ANSWERED};
-use crate::agree::{Machine, Pid};
-use crate::js;
+use crate::consensus::{Machine, ProposalId};
+use crate::json;
 use crate::rules::{broken, Rule};
 use crate::setup;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
                 emptied,
             } => self.based(base, None, |r| r.zone(zone, emptied)),
             Cmd::Duty { holder, above } => {
-                // why: two that raced for the duty must not both think they hold it
+                // two that raced for the duty must not both think they hold it
                 if above != self.kept.epoch {
                     return self.old_epoch();
                 }
@@ -73,7 +73,7 @@
         to: Option<u64>,
         f: impl FnOnce(&mut Record) -> Result<(), Vec<String>>,
     ) -> Outcome {
-        // why: of two changes that build on one serial, only the first may win
+        // of two changes that build on one serial, only the first may win
         if base != self.kept.serial && !broken(Rule::Base) {
             let serial = self.kept.serial;
             if broken(Rule::Loser) && f(self).is_ok() {
@@ -100,9 +100,9 @@
 
     fn put(&mut self, doc: Vec<u8>) -> Result<(), Vec<String>> {
         let (s, v) = setup::read(&doc, &self.site)?;
-        self.kept.doc = Some(Arc::new(js::canon(&v)));
+        self.kept.doc = Some(Arc::new(json::canon(&v)));
         self.setup = Some(Arc::new(s));
-        // why: tuned weights speak of routes by index, which a new setup moves
+        // tuned weights speak of routes by index, which a new setup moves
         self.kept.weights = Default::default();
         Ok(())
     }
@@ -114,22 +114,22 @@
             .clone()
             .ok_or(vec!["edit: there is no setup to edit yet".to_string()])?;
         let one = |e| vec![format!("edit: {e}")];
-        let p = js::parse(patch.as_bytes(), setup::MOST_BYTES).map_err(one)?;
-        let mut v = js::parse(doc.as_bytes(), usize::MAX).map_err(one)?;
-        js::merge(&mut v, &p);
-        self.put(js::canon(&v).into_bytes())
+        let p = json::parse(patch.as_bytes(), setup::MOST_BYTES).map_err(one)?;
+        let mut v = json::parse(doc.as_bytes(), usize::MAX).map_err(one)?;
+        json::merge(&mut v, &p);
+        self.put(json::canon(&v).into_bytes())
     }
 
     fn items(&mut self, set: &str, drop: &str) -> Result<(), Vec<String>> {
         let one = |e: String| vec![format!("items: {e}")];
-        let part = |t: &str| js::parse(t.as_bytes(), setup::MOST_BYTES).map_err(one);
+        let part = |t: &str| json::parse(t.as_bytes(), setup::MOST_BYTES).map_err(one);
         let (set, drop) = (part(set)?, part(drop)?);
         let doc = match &self.kept.doc {
-            Some(d) => js::parse(d.as_bytes(), usize::MAX).map_err(one)?,
-            None => js::Val::default(),
+            Some(d) => json::parse(d.as_bytes(), usize::MAX).map_err(one)?,
+            None => json::Val::default(),
         };
         let v = super::items::changed(&doc, &set, &drop).map_err(one)?;
-        self.put(js::canon(&v).into_bytes())
+        self.put(json::canon(&v).into_bytes())
     }
 
     fn zone(&mut self, zone: u16, emptied: bool) -> Result<(), Vec<String>> {
@@ -163,7 +163,7 @@
                 .routes
                 .get(r as usize)
                 .and_then(|x| x.shares.iter().find(|h| h.service == v));
-            // why: whatever a tuner thinks, the operator's bounds hold here
+            // whatever a tuner thinks, the operator's bounds hold here
             if let Some(h) = share {
                 self.kept.weights.insert((r, v), w.clamp(h.least, h.most));
             }
@@ -180,8 +180,8 @@
 }
 
 impl Machine for Record {
-    fn apply(&mut self, _idx: u64, pid: Pid, data: &[u8]) -> Vec<u8> {
-        // why: a retry of an entry already applied gets the first answer
+    fn apply(&mut self, _idx: u64, pid: ProposalId, data: &[u8]) -> Vec<u8> {
+        // a retry of an entry already applied gets the first answer
         if let Some(o) = self.kept.answered.get(&pid) {
             return o.to_vec();
         }
@@ -203,7 +203,7 @@
         o.to_vec()
     }
 
-    fn answered(&self, pid: Pid) -> Option<Arc<Vec<u8>>> {
+    fn answered(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>> {
         self.kept.answered.get(&pid).cloned()
     }
 
--- a/sorreldoor/src/record/items.rs
+++ b/sorreldoor/src/record/items.rs
@@ -1,6 +1,6 @@
 //! Named items of a setup's `hosted` part, replaced or dropped one by one.
 
-use crate::js::Val;
+use crate::json::Val;
 use simd_json::prelude::*;
 use std::collections::{HashMap, HashSet};
 
--- a/sorreldoor/src/record/mod.rs
+++ b/sorreldoor/src/record/mod.rs
@@ -3,7 +3,7 @@
 mod apply;
 mod items;
 
-use crate::agree::Pid;
+use crate::consensus::ProposalId;
 use crate::setup::{Setup, Site};
 use im::{OrdMap, OrdSet, Vector};
 use serde::{Deserialize, Serialize};
@@ -105,8 +105,8 @@
     regions: OrdMap<u8, Recovery>,
     epoch: u64,
     holder: u64,
-    answered: OrdMap<Pid, Arc<Vec<u8>>>,
-    order: Vector<Pid>,
+    answered: OrdMap<ProposalId, Arc<Vec<u8>>>,
+    order: Vector<ProposalId>,
 }
 
 #[derive(Clone, Debug)]
@@ -166,7 +166,7 @@
 
 pub fn encode<T: Serialize>(t: &T) -> Vec<u8> {
     let mut b = Vec::new();
-    // why: writing to memory fails only where serde itself is misused
+    // writing to memory fails only where serde itself is misused
     ciborium::into_writer(t, &mut b).expect("plain data always encodes");
     b
 }
--- a/sorreldoor/src/roster.rs
+++ b/sorreldoor/src/registry.rs
@@ -1,6 +1,6 @@
 //! The platform's list of workers, and what workers report of their load.
 
-use crate::js::{self, Faults, Val};
+use crate::json::{self, Faults, Val};
 use crate::setup::Site;
 use serde::{Deserialize, Serialize};
 use simd_json::prelude::*;
@@ -77,7 +77,7 @@
 
 /// The list as of one of the platform's own serials, which only grow.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Roster {
+pub struct WorkerRegistry {
     pub serial: u64,
     pub workers: Vec<Worker>,
 }
@@ -113,10 +113,10 @@
     }
 }
 
-impl Roster {
+impl WorkerRegistry {
     /// The same, so many milliseconds later.
-    pub fn aged(&self, ms: u64) -> Roster {
-        Roster {
+    pub fn aged(&self, ms: u64) -> WorkerRegistry {
+        WorkerRegistry {
             serial: self.serial,
             workers: self.workers.iter().map(|w| w.aged(ms)).collect(),
         }
@@ -131,8 +131,8 @@
 
 const MOST: usize = 1 << 20;
 
-pub fn read_roster(text: &[u8], site: &Site) -> Result<Roster, String> {
-    let v = js::parse(text, MOST)?;
+pub fn read_registry(text: &[u8], site: &Site) -> Result<WorkerRegistry, String> {
+    let v = json::parse(text, MOST)?;
     let mut f = Faults::default();
     let serial = v.get("serial").and_then(|s| s.as_u64());
     if serial.is_none() {
@@ -148,11 +148,11 @@
         .enumerate()
         .filter_map(|(i, w)| worker(w, &format!("workers[{i}]"), site, &mut f))
         .collect();
-    let r = Roster {
+    let r = WorkerRegistry {
         serial: serial.unwrap_or(0),
         workers,
     };
-    // why: half a list would look like workers gone
+    // half a list would look like workers gone
     Some(r).filter(|_| f.none()).ok_or(f.0.join("; "))
 }
 
@@ -187,9 +187,9 @@
     })
 }
 
-/// A worker's own report; it must name itself as the roster does.
+/// A worker's own report; it must name itself as the registry does.
 pub fn read_load(text: &[u8], name: &str) -> Result<Load, String> {
-    let v = js::parse(text, MOST)?;
+    let v = json::parse(text, MOST)?;
     let mut f = Faults::default();
     let keys = [
         "worker", "running", "queued", "slots", "finished", "adapters", "weights",
--- a/sorreldoor/src/rules.rs
+++ b/sorreldoor/src/rules.rs
@@ -56,7 +56,7 @@
     use std::sync::OnceLock;
 
     thread_local! {
-        // why: tests run side by side, each on a thread of its own
+        // tests run side by side, each on a thread of its own
         static HERE: Cell<Option<Rule>> = const { Cell::new(None) };
     }
 
--- a/sorreldoor/src/settings.rs
+++ b/sorreldoor/src/settings.rs
@@ -1,8 +1,8 @@
 //! A process's own settings: one JSON file, flags over it, checked whole.
 
-use crate::js::{self, Faults, Obj, Val};
+use crate::json::{self, Faults, Obj, Val};
+use crate::pacing::{self, Pacing};
 use crate::setup::Site;
-use crate::thrift::{self, Thrift};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
     pub bootstrap: bool,
     /// The site is founded by its seeds, and further cores become voters too.
     pub grow: bool,
-    pub thrift: Thrift,
+    pub pacing: Pacing,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,7 +87,7 @@
     }
 
     pub fn read(text: &[u8], over: &Over, role: Role) -> Result<Settings, Vec<String>> {
-        let v = js::parse(text, 1 << 20).map_err(|e| vec![format!("settings: {e}")])?;
+        let v = json::parse(text, 1 << 20).map_err(|e| vec![format!("settings: {e}")])?;
         let mut f = Faults::default();
         let s = whole(&v, over, role, &mut f);
         s.filter(|_| f.none()).ok_or(f.0)
@@ -115,9 +115,9 @@
 }
 
 fn whole(v: &Val, over: &Over, role: Role, f: &mut Faults) -> Option<Settings> {
-    let o = f.object(v, "", &[KEYS, &thrift::KEYS].concat())?;
+    let o = f.object(v, "", &[KEYS, &pacing::KEYS].concat())?;
     let site = o.must_text("site", f).unwrap_or("").to_string();
-    if !site.is_empty() && !js::good_name(&site) {
+    if !site.is_empty() && !json::good_name(&site) {
         f.add("site", "must be a plain name");
     }
     let names = Arc::new(names(&o, f));
@@ -168,13 +168,13 @@
         most_connections: o.num("most_connections", 1, 65_536, f).unwrap_or(2048) as usize,
         bootstrap: o.flag("bootstrap", f).unwrap_or(true),
         grow,
-        thrift: Thrift::read(&o, f),
+        pacing: Pacing::read(&o, f),
     })
 }
 
 fn cores(o: &Obj, grow: bool, seeds: usize, f: &mut Faults) -> usize {
     let n = o.num("cores", 1, 9, f).map(|n| n as usize);
-    // why: a site that grows is founded by its seeds, however many there are
+    // a site that grows is founded by its seeds, however many there are
     n.unwrap_or(if grow { seeds.clamp(1, 9) } else { 3 })
 }
 
@@ -183,7 +183,7 @@
         .clone()
         .or_else(|| o.must_text(k, f).map(str::to_string));
     let s = got.unwrap_or_default();
-    if !s.is_empty() && !js::good_name(&s) {
+    if !s.is_empty() && !json::good_name(&s) {
         f.add(k, "must be a plain name");
     }
     s
@@ -197,7 +197,7 @@
     for (r, zs) in f.named(o.get("regions"), "regions") {
         let i = s.regions.len() as u8;
         s.regions.push(r.to_string());
-        let at = js::join("regions", r);
+        let at = json::join("regions", r);
         let wrap = std::iter::once((r, zs)).collect::<BTreeMap<_, _>>();
         for z in zones(wrap[r], &at, f) {
             if s.zones.iter().any(|(n, _)| *n == z) {
@@ -216,7 +216,7 @@
         .as_array()
         .and_then(|a| a.iter().map(|x| x.as_str().map(str::to_string)).collect());
     let all = all.unwrap_or_default();
-    if all.is_empty() || !all.iter().all(|z| js::good_name(z)) {
+    if all.is_empty() || !all.iter().all(|z| json::good_name(z)) {
         f.add(at, "must be a list of zone names");
     }
     all
@@ -289,7 +289,7 @@
         return out;
     };
     for (k, v) in m.iter() {
-        let at = js::join("reach", k);
+        let at = json::join("reach", k);
         let a = parse_addr(k, &at, f);
         let b = v.as_str().and_then(|s| parse_addr(s, &at, f));
         if v.as_str().is_none() {
--- a/sorreldoor/src/setup/check.rs
+++ b/sorreldoor/src/setup/check.rs
@@ -1,14 +1,14 @@
 //! Reading and checking a setup as a whole: all of it, or every fault.
 
 use super::{hosted_read, Group, Kind, Route, Service, Setup, Share, Site, Warm};
-use crate::js::{self, join, Faults, Obj, Val};
+use crate::json::{self, join, Faults, Obj, Val};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 pub const MOST_BYTES: usize = 4 << 20;
 
 pub fn read(text: &[u8], site: &Site) -> Result<(Setup, Val), Vec<String>> {
-    let v = js::parse(text, MOST_BYTES).map_err(|e| vec![format!("setup: {e}")])?;
+    let v = json::parse(text, MOST_BYTES).map_err(|e| vec![format!("setup: {e}")])?;
     let mut f = Faults::default();
     let s = whole(&v, site, &mut f);
     s.filter(|_| f.none()).map(|s| (s, v)).ok_or(f.0)
@@ -189,7 +189,7 @@
         f.add(&o.at("weight"), "is missing");
     }
     let weight = o.num("weight", 0, 1000, f).unwrap_or(0) as u32;
-    // why: without bounds of the operator's own, nothing may tune the weight
+    // without bounds of the operator's own, nothing may tune the weight
     let least = o.num("least", 0, 1000, f).map_or(weight, |n| n as u32);
     let most = o.num("most", 0, 1000, f).map_or(weight, |n| n as u32);
     if !(least..=most).contains(&weight) {
--- a/sorreldoor/src/setup/hosted.rs
+++ b/sorreldoor/src/setup/hosted.rs
@@ -118,7 +118,7 @@
         if rs.len() <= FEW {
             return rs.iter().copied().find(|i| path.starts_with(prefix(i)));
         }
-        // why: a host may have thousands of routes, a path has few slashes
+        // a host may have thousands of routes, a path has few slashes
         let ends = path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/');
         ends.map(|(n, _)| &path[..=n])
             .find_map(|p| rs.binary_search_by(|i| order(prefix(i), p)).ok())
--- a/sorreldoor/src/setup/hosted_read.rs
+++ b/sorreldoor/src/setup/hosted_read.rs
@@ -3,7 +3,7 @@
 
 use super::hosted::{Engine, Hosted, Kind, Limits, Route, Service};
 use super::Site;
-use crate::js::{join, Faults, Val};
+use crate::json::{join, Faults, Val};
 use simd_json::prelude::*;
 use std::collections::{HashMap, HashSet};
 
@@ -234,7 +234,7 @@
     if all.iter().map(|(_, w)| w).sum::<f64>() <= 0.0 {
         i.fault("split", "must give some service a weight above 0", f);
     }
-    // why: weights are whole inside, and fractions must keep their shares
+    // weights are whole inside, and fractions must keep their shares
     let by = if all.iter().all(|(_, w)| w.fract() == 0.0) {
         1.0
     } else {
@@ -251,7 +251,7 @@
             i.fault("homes", "must be a list of names of regions", f);
             return out;
         };
-        // why: a home that this site does not have must not come to mean
+        // a home that this site does not have must not come to mean
         // that every region may serve
         out.push(site.region(name).unwrap_or(u8::MAX));
     }
--- a/sorreldoor/src/store/mirror.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -1,6 +1,6 @@
 //! What the saves so far add up to; the same for the disk and the simulator.
 
-use crate::agree::{Entry, Hard, Kept, Last, Log, Noted, Save, Snap};
+use crate::consensus::{Entry, Hard, Kept, Last, Log, Noted, Save, Snap};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,7 +8,7 @@
 const OLD_MS: u64 = 900_000;
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Mirror {
+pub struct DurableState {
     pub hard: Hard,
     pub snap: Option<Snap>,
     pub entries: Vec<Entry>,
@@ -22,7 +22,7 @@
     pub seq: u64,
 }
 
-impl Mirror {
+impl DurableState {
     fn base(&self) -> Last {
         self.snap.as_ref().map_or(Last::default(), |s| s.last)
     }
@@ -128,7 +128,7 @@
             claims: VecDeque::from([("old".to_string(), 7)]),
             seq: 3,
         };
-        let mut m: Mirror = decode(&encode(&b)).expect("an image of the release before");
+        let mut m: DurableState = decode(&encode(&b)).expect("an image of the release before");
         // its saves still stand in the log behind the image
         m.take(4, &Save::Claims(vec![("later".into(), 8)]));
         let (id, by, keep_ms) = ("old".to_string(), 9, 5);
--- a/sorreldoor/src/store/mod.rs
+++ b/sorreldoor/src/store/mod.rs
@@ -1,12 +1,12 @@
 //! Keeping the core's log on disk; nothing counts before it is synced.
 
-mod mirror;
+mod durable_state;
 mod wal;
 
-pub use mirror::Mirror;
+pub use durable_state::DurableState;
 pub use wal::{keep_file, read_file, Opened, WalStore};
 
-use crate::agree::Save;
+use crate::consensus::Save;
 use std::io;
 
 /// A place for saves. A batch is safe when `save` has returned Ok; after an
--- a/sorreldoor/src/store/wal.rs
+++ b/sorreldoor/src/store/wal.rs
@@ -1,7 +1,7 @@
 //! The store proper: okaywal for the saves, one image file for the rest.
 
-use super::{Mirror, Store, StoreProblem};
-use crate::agree::Save;
+use super::{DurableState, Store, StoreProblem};
+use crate::consensus::Save;
 use crate::record::{decode, encode};
 use okaywal::{Configuration, Entry, EntryId, LogManager, SegmentReader, WriteAheadLog};
 use std::fs::{self, File};
@@ -15,7 +15,7 @@
 /// What was found while reading the log back.
 #[derive(Debug, Default)]
 struct Found {
-    mirror: Mirror,
+    durable_state: DurableState,
     /// Number of the last good batch.
     batch: u64,
     torn: bool,
@@ -37,7 +37,7 @@
             .flatten()
             .and_then(|c| c.first().and_then(|b| batch_of(b)));
         let Some((no, saves)) = got else {
-            // why: whether this is a torn end or a hole shows in what follows
+            // whether this is a torn end or a hole shows in what follows
             f.torn = true;
             return Ok(());
         };
@@ -50,7 +50,7 @@
         }
         f.batch = no;
         for (seq, save) in saves {
-            f.mirror.take(seq, &save);
+            f.durable_state.take(seq, &save);
         }
         Ok(())
     }
@@ -61,10 +61,10 @@
         _entries: &mut SegmentReader,
         _wal: &WriteAheadLog,
     ) -> io::Result<()> {
-        // why: the mirror holds all that the segment holds, and is saved whole
+        // the durable_state holds all that the segment holds, and is saved whole
         let image = {
             let f = lock(&self.state);
-            encode(&(f.batch, &f.mirror))
+            encode(&(f.batch, &f.durable_state))
         };
         keep_file(&self.dir, "image", &image)
     }
@@ -107,7 +107,7 @@
 /// A store, what it held, and whether a torn end was cut.
 pub struct Opened {
     pub store: WalStore,
-    pub mirror: Mirror,
+    pub durable_state: DurableState,
     pub torn: bool,
 }
 
@@ -121,15 +121,14 @@
         let logs = dir.join("log");
         fs::create_dir_all(&logs).map_err(unusable)?;
         let image = read_file(dir, "image").map_err(unusable)?;
-        let (batch, mirror) = match image {
-            None => (0, Mirror::default()),
-            Some(b) => {
-                decode::<(u64, Mirror)>(&b).ok_or(StoreProblem::Image { path: path.clone() })?
-            }
+        let (batch, durable_state) = match image {
+            None => (0, DurableState::default()),
+            Some(b) => decode::<(u64, DurableState)>(&b)
+                .ok_or(StoreProblem::Image { path: path.clone() })?,
         };
         let highest = highest_batch(&logs).map_err(unusable)?;
         let state = Arc::new(Mutex::new(Found {
-            mirror,
+            durable_state,
             batch,
             ..Found::default()
         }));
@@ -140,7 +139,7 @@
         let wal = Configuration::default_for(&logs)
             .open(manager)
             .map_err(unusable)?;
-        let (mirror, torn) = {
+        let (durable_state, torn) = {
             let f = lock(&state);
             let hole = (highest > f.batch + 1).then(|| {
                 format!(
@@ -151,16 +150,16 @@
             if let Some(what) = f.wrong.clone().or(hole) {
                 return Err(StoreProblem::Corrupt { path, what });
             }
-            (f.mirror.clone(), f.torn || highest > f.batch)
+            (f.durable_state.clone(), f.torn || highest > f.batch)
         };
-        let first_seq = mirror.seq;
+        let first_seq = durable_state.seq;
         Ok(Opened {
             store: WalStore {
                 wal,
                 state,
                 first_seq,
             },
-            mirror,
+            durable_state,
             torn,
         })
     }
@@ -197,10 +196,10 @@
         let no = {
             let mut f = lock(&self.state);
             f.batch += 1;
-            // why: a segment may be folded into the image as soon as this
-            // batch is in it, so the mirror must not lag behind the log
+            // a segment may be folded into the image as soon as this
+            // batch is in it, so the durable_state must not lag behind the log
             for (s, v) in &saves {
-                f.mirror.take(*s, v);
+                f.durable_state.take(*s, v);
             }
             f.batch
         };
@@ -216,7 +215,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::agree::{Body, Entry as E, Hard};
+    use crate::consensus::{Body, Entry as E, Hard};
     use assert_matches::assert_matches;
 
     fn dir(name: &str) -> PathBuf {
@@ -269,7 +268,7 @@
         let d = dir("again");
         write(&d, 20);
         let o = WalStore::open(&d).unwrap();
-        assert_eq!(o.mirror.entries.len(), 20);
+        assert_eq!(o.durable_state.entries.len(), 20);
         assert!(!o.torn);
     }
 
@@ -288,8 +287,8 @@
             s.save(&[(4001, Save::Hard(h))]).unwrap();
         }
         let o = WalStore::open(&d).unwrap();
-        assert_eq!(o.mirror.entries.len(), 4000);
-        assert_eq!(o.mirror.hard.term, 9);
+        assert_eq!(o.durable_state.entries.len(), 4000);
+        assert_eq!(o.durable_state.hard.term, 9);
         assert!(d.join("image").exists());
     }
 
@@ -303,7 +302,7 @@
         b[at + 100..].fill(0);
         fs::write(&p, b).unwrap();
         let o = WalStore::open(&d).unwrap();
-        assert_eq!(o.mirror.entries.len(), 4);
+        assert_eq!(o.durable_state.entries.len(), 4);
         assert!(o.torn);
     }
 
--- a/sorreldoor/src/tune.rs
+++ b/sorreldoor/src/tune.rs
@@ -1,6 +1,6 @@
 //! Moving weights by what workers report, never beyond the operator's bounds.
 
-use crate::roster::{Loads, Roster};
+use crate::registry::{Loads, WorkerRegistry};
 use crate::setup::{Route, Setup, Share};
 use crate::wire::Seat;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
         for l in &loads.rows {
             let now = i64::from(l.running + l.queued) * 100;
             let s = self.0.entry(l.name.clone()).or_insert(now);
-            // why: one look at a worker is mostly noise; about eight are not
+            // one look at a worker is mostly noise; about eight are not
             *s = if l.live { (*s * 7 + now) / 8 } else { now };
         }
         self.0.retain(|n, _| loads.of(n).is_some());
@@ -32,7 +32,13 @@
 }
 
 /// How full a service's live workers are, in percent; none if it has none.
-fn pressure(s: &Setup, service: u16, ro: &Roster, loads: &Loads, smooth: &Smooth) -> Option<i64> {
+fn pressure(
+    s: &Setup,
+    service: u16,
+    ro: &WorkerRegistry,
+    loads: &Loads,
+    smooth: &Smooth,
+) -> Option<i64> {
     let groups = &s.services[service as usize].groups;
     let mut used = 0i64;
     let mut room = 0i64;
@@ -112,7 +118,7 @@
 
 /// All that weights are tuned by at one moment.
 pub struct Now<'a> {
-    pub ro: &'a Roster,
+    pub ro: &'a WorkerRegistry,
     pub loads: &'a Loads,
     pub smooth: &'a Smooth,
     pub times: &'a Times,
@@ -129,10 +135,10 @@
         .iter()
         .zip(cs.iter().zip(is))
         .map(|(h, (c, w))| {
-            // why: one that is not known may have recovered, so it is tried
+            // one that is not known may have recovered, so it is tried
             let off = c.map_or(BAND, |c| (mean - c) * 100 / mean.max(1));
             let room = i64::from(h.most) - i64::from(h.least);
-            // why: small differences are noise, and chasing them would swing
+            // small differences are noise, and chasing them would swing
             if off.abs() < BAND || room == 0 {
                 return *w;
             }
@@ -153,7 +159,7 @@
             .map(|h| weight(tuned, i as u16, h.service).unwrap_or(h.weight))
             .collect();
         let next = route(s, r, &now, by);
-        // why: a route on which every share fell to nothing could not be served
+        // a route on which every share fell to nothing could not be served
         if next.iter().all(|w| *w == 0) {
             continue;
         }
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -1,9 +1,9 @@
 //! Frames between the site's own processes: a length, a protocol number, and
 //! a hash of the site's mark with one payload in ciborium.
 
-use crate::agree::{Member, Msg, Nid, Noted, Pid};
+use crate::consensus::{Member, Msg, NodeId, Noted, ProposalId};
 use crate::record::{Cmd, Outcome, View};
-use crate::roster::{Loads, Roster};
+use crate::registry::{Loads, WorkerRegistry};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    pub id: Nid,
+    pub id: NodeId,
     pub node: String,
     pub core: bool,
     pub region: u8,
@@ -70,7 +70,7 @@
 /// One core's sessions, under a serial of its own.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sessions {
-    pub core: Nid,
+    pub core: NodeId,
     pub boot: u64,
     pub serial: u64,
     pub seats: Vec<Seat>,
@@ -82,7 +82,7 @@
     #[serde(default, skip_serializing_if = "zero")]
     pub record: u64,
     #[serde(default, skip_serializing_if = "zero")]
-    pub roster: u64,
+    pub registry: u64,
     #[serde(default, skip_serializing_if = "zero")]
     pub loads: (u64, u64),
     /// Marks of what the lists of places and of cores hold.
@@ -97,7 +97,7 @@
     #[serde(default, skip_serializing_if = "zero")]
     pub record: Option<View>,
     #[serde(default, skip_serializing_if = "zero")]
-    pub roster: Option<Arc<Roster>>,
+    pub registry: Option<Arc<WorkerRegistry>>,
     #[serde(default, skip_serializing_if = "zero")]
     pub loads: Option<Arc<Loads>>,
     #[serde(default, skip_serializing_if = "zero")]
@@ -143,10 +143,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
     Hello(Hello),
-    Agree(Msg),
+    Consensus(Msg),
     Founding(Founding),
     Sessions(Sessions),
-    Roster(Arc<Roster>),
+    WorkerRegistry(Arc<WorkerRegistry>),
     Loads(Arc<Loads>),
     Renew {
         no: u64,
@@ -166,12 +166,12 @@
     },
     Op {
         rid: u64,
-        pid: Pid,
+        pid: ProposalId,
         cmd: Cmd,
     },
     OpFind {
         rid: u64,
-        pid: Pid,
+        pid: ProposalId,
     },
     OpDone {
         rid: u64,
@@ -271,7 +271,7 @@
 
 pub fn pack(site: &str, p: &Payload) -> Vec<u8> {
     let mut b = vec![0; 6];
-    // why: writing to memory fails only where serde itself is misused
+    // writing to memory fails only where serde itself is misused
     ciborium::into_writer(&(mark(site.as_bytes()), p), &mut b).expect("plain data always encodes");
     let n = (b.len() - 4) as u32;
     b[..4].copy_from_slice(&n.to_le_bytes());
@@ -296,7 +296,7 @@
     if p != PROTO {
         return Err(Refused::Protocol(p));
     }
-    // why: bounded depth, or a nested frame could exhaust the stack
+    // bounded depth, or a nested frame could exhaust the stack
     let (s, p): (u64, Payload) = ciborium::de::from_reader_with_recursion_limit(&b[2..], 64)
         .map_err(|_| Refused::Unreadable)?;
     let ours = s == mark(site.as_bytes());
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -1,10 +1,10 @@
 //! Seeded damage to everything that is read from outside: whatever comes of
 //! it is a value or a named fault, never a panic, and what is read is in bounds.
 
-use sorreldoor::agree::Machine;
-use sorreldoor::js;
+use sorreldoor::consensus::Machine;
+use sorreldoor::json;
 use sorreldoor::record::{encode, Cmd, Outcome, Record};
-use sorreldoor::roster::{read_load, read_roster};
+use sorreldoor::registry::{read_load, read_registry};
 use sorreldoor::settings::{Over, Role, Settings};
 use sorreldoor::setup::{self, Site};
 use sorreldoor::wire::{length, pack, unpack, Doing, Have, Hello, Payload};
@@ -203,13 +203,13 @@
     let mut faults = 0;
     for seed in 1..2500 {
         let mut d = Dice::new(seed);
-        let a = read_roster(&damaged(&mut d, list), &site);
+        let a = read_registry(&damaged(&mut d, list), &site);
         faults += usize::from(a.is_err_and(|e| !e.is_empty()));
         let b = read_load(&damaged(&mut d, load), "gpu0");
         faults += usize::from(b.is_err_and(|e| !e.is_empty()));
         let c = Settings::read(&damaged(&mut d, &set), &Over::default(), Role::Edge);
         faults += usize::from(c.is_err_and(|e| !e.is_empty()));
-        let _ = js::parse(&damaged(&mut d, &set), 1 << 16);
+        let _ = json::parse(&damaged(&mut d, &set), 1 << 16);
     }
     println!("{faults} faults named");
     assert!(faults > 3500);
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -1,8 +1,8 @@
 //! The `hosted` part of a setup: what is read, what is refused, and how
 //! operators' changes of whole documents and of single items go.
 
-use sorreldoor::agree::{Body, Machine};
-use sorreldoor::js::{self, Val};
+use sorreldoor::consensus::{Body, Machine};
+use sorreldoor::json::{self, Val};
 use sorreldoor::record::{decode, encode, Cmd, Outcome, Record};
 use sorreldoor::setup::hosted::Kind;
 use sorreldoor::setup::{self, Setup, Site};
@@ -141,7 +141,7 @@
     fn hosted(&self) -> Val {
         use simd_json::prelude::*;
         let d = self.0.view().doc.expect("there is a document");
-        let v = js::parse(d.as_bytes(), usize::MAX).expect("it is JSON");
+        let v = json::parse(d.as_bytes(), usize::MAX).expect("it is JSON");
         v.get("hosted").cloned().unwrap_or_default()
     }
     fn names(&self, k: &str) -> Vec<String> {
@@ -182,7 +182,7 @@
     use simd_json::prelude::*;
     let mut r = Run::new();
     r.put(0, 7);
-    let put = js::parse(DOC.as_bytes(), usize::MAX).expect("JSON");
+    let put = json::parse(DOC.as_bytes(), usize::MAX).expect("JSON");
     assert_eq!(Some(&r.hosted()), put.get("hosted"));
     let mut other = Record::new(Arc::new(site()));
     assert!(other.load(&r.0.image()));
--- a/sorreldoor/tests/position.rs
+++ b/sorreldoor/tests/position.rs
@@ -1,6 +1,6 @@
 //! The paper's Ls in its three cases, and the choice of z that follows.
 
-use sorreldoor::agree::position::{best, Load, View};
+use sorreldoor::consensus::position::{best, Load, View};
 use std::collections::BTreeMap;
 
 fn lat() -> BTreeMap<(u8, u8), u64> {
--- a/sorreldoor/tests/proxy.rs
+++ b/sorreldoor/tests/proxy.rs
@@ -97,7 +97,7 @@
 async fn two(path: &str, bad: Act, well: Act) -> (Option<Got>, usize) {
     let (a, b) = (stand(vec![bad.clone()]).await, stand(vec![bad]).await);
     let z = stand(vec![well]).await;
-    // why: whichever is tried first is in trouble, and the last one is well
+    // whichever is tried first is in trouble, and the last one is well
     let p = proxy(&[&a, &b, &z]).await;
     let g = Caller::new(&p).await.ask(path, "", "b").await;
     drop(p.sh.clone());
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -9,7 +9,7 @@
 use sorreldoor::proxy::table::{Bounds, Place, Table};
 use sorreldoor::proxy::{accept, Front, Plain, Shared};
 use sorreldoor::pull::Pull;
-use sorreldoor::roster::{Roster, Worker};
+use sorreldoor::registry::{Worker, WorkerRegistry};
 use sorreldoor::seam::{Clock, Machine, Now};
 use sorreldoor::setup::{self, Site};
 use sorreldoor::wire::Hello;
@@ -215,7 +215,7 @@
         ..Worker::blank()
     };
     let workers = stands.iter().enumerate().map(row).collect();
-    table.take_roster(&Roster { serial: 1, workers }, 1);
+    table.take_registry(&WorkerRegistry { serial: 1, workers }, 1);
     let pull = Pull::new(&[], 1000, 0, 0);
     let mut front = Front::new(Hello::default(), site, pull, table);
     front.now = 1;
--- a/sorreldoor/tests/record.rs
+++ b/sorreldoor/tests/record.rs
@@ -1,6 +1,6 @@
 //! The record: whose changes it refuses, and what tuning may not do.
 
-use sorreldoor::agree::Machine;
+use sorreldoor::consensus::Machine;
 use sorreldoor::record::{decode, encode, Cmd, Outcome, Record, Recovery};
 use sorreldoor::setup::Site;
 use std::sync::Arc;
--- a/sorreldoor/tests/table.rs
+++ b/sorreldoor/tests/table.rs
@@ -3,7 +3,7 @@
 use sorreldoor::problem::Problem;
 use sorreldoor::proxy::table::{Bounds, Heard, Pick, Place, Rid, Table, Target};
 use sorreldoor::proxy::{Asked, Part};
-use sorreldoor::roster::{Roster, Worker};
+use sorreldoor::registry::{Worker, WorkerRegistry};
 use sorreldoor::setup::hosted::{Engine, Hosted, Kind, Route, Service};
 use std::sync::Arc;
 
@@ -120,15 +120,15 @@
     zones.iter().enumerate().map(w).collect()
 }
 
-fn roster(serial: u64, workers: Vec<Worker>) -> Roster {
-    Roster { serial, workers }
+fn registry(serial: u64, workers: Vec<Worker>) -> WorkerRegistry {
+    WorkerRegistry { serial, workers }
 }
 
 fn table(h: Arc<Hosted>, workers: Vec<Worker>) -> Table {
     let mut t = Table::new(place("n0", 0), bounds(), 7);
     t.take_hosted(h, 0);
     t.take_nodes(vec![("n0".into(), 0)]);
-    t.take_roster(&roster(1, workers), 0);
+    t.take_registry(&registry(1, workers), 0);
     t
 }
 
--- a/sorreldoor/tests/table/drive.rs
+++ b/sorreldoor/tests/table/drive.rs
@@ -44,7 +44,7 @@
     Break(usize, Rid, u32),
     Again(usize, Rid),
     Free(u32),
-    Roster,
+    WorkerRegistry,
 }
 
 pub struct Drive {
@@ -89,7 +89,7 @@
                 let mut t = Table::new(place(&names[i].0, zones[i]), bounds(), seed);
                 t.take_hosted(h.clone(), skew[i]);
                 t.take_nodes(names.clone());
-                t.take_roster(&roster(1, list.clone()), skew[i]);
+                t.take_registry(&registry(1, list.clone()), skew[i]);
                 t
             })
             .collect();
@@ -132,7 +132,7 @@
         self.evs.push(Reverse((at, self.seq, e)));
     }
 
-    /// Plays until `end`; the list goes out to all nodes at `Roster` events.
+    /// Plays until `end`; the list goes out to all nodes at `WorkerRegistry` events.
     pub fn run(&mut self, end: u64, mut roster_at: impl FnMut(&mut Drive)) {
         for f in 0..self.flows.len() {
             let at = self.flows[f].from + self.rand.below(20);
@@ -177,7 +177,7 @@
                 Ev::Again(n, r) if self.waiting.contains(&(n, r)) => self.pick(n, r),
                 Ev::Again(..) => {}
                 Ev::Free(w) => self.leave(w),
-                Ev::Roster => roster_at(self),
+                Ev::WorkerRegistry => roster_at(self),
             }
         }
     }
@@ -190,7 +190,7 @@
         x.take_hosted(h, t);
         let all = 0..self.nodes.len();
         x.take_nodes(all.map(|i| (format!("n{i}"), (i % 3) as u16)).collect());
-        x.take_roster(&roster(1, self.list.clone()), t);
+        x.take_registry(&registry(1, self.list.clone()), t);
         self.nodes[n] = x;
         self.open.retain(|k, _| k.0 != n);
         self.waiting.retain(|k| k.0 != n);
@@ -231,7 +231,7 @@
         let mut parts = Vec::new();
         if fl.shared > 0 {
             let id = self.rand.below(fl.things) + 1 + (f as u64) * 1_000_000;
-            // why: parts differ in size, but a part is always the same
+            // parts differ in size, but a part is always the same
             let tokens = fl.shared / 2 + (id * 7919 % u64::from(fl.shared)) as u32;
             parts.push((id, tokens));
         }
--- a/sorreldoor/tests/table/fuzz.rs
+++ b/sorreldoor/tests/table/fuzz.rs
@@ -81,7 +81,7 @@
                     list.push(worker(&format!("w{born}"), g, x.below(3) as u16, 4));
                 }
                 serial += x.below(2);
-                t.take_roster(&roster(serial, list.clone()), now);
+                t.take_registry(&registry(serial, list.clone()), now);
                 stale.retain(|_, s| *s >= serial);
             }
             5..=34 => {
@@ -129,7 +129,7 @@
                     Pick::Wait(ms) => assert!((1..=20).contains(&ms)),
                     Pick::Refuse(p, ms) => {
                         assert!(ms * 3 <= s.deadline.saturating_sub(now));
-                        // why: 429 and 503 promise that it did not run
+                        // 429 and 503 promise that it did not run
                         assert!(!s.ran || p.status() != 503, "{p}");
                         t.end(r, now);
                         open.remove(&r);
@@ -160,7 +160,7 @@
                 if kind > 1 {
                     let at = s.at.take();
                     s.ran |= at.is_some() && ![3, 4, 5].contains(&kind);
-                    // why: the worker that was meant is gone, or none was reached
+                    // the worker that was meant is gone, or none was reached
                     s.sent -= u32::from(at.is_some() && (kind == 4 || kind == 5));
                     at.filter(|_| kind == 4).map(|n| stale.insert(n, serial));
                 }
@@ -180,7 +180,7 @@
     for r in open.keys() {
         t.end(*r, now);
     }
-    t.take_roster(&roster(serial + 1, vec![]), now);
+    t.take_registry(&registry(serial + 1, vec![]), now);
     let c = t.counts();
     assert_eq!((c.open, c.waiting, c.workers), (0, 0, 0));
     assert!(!format!("{t:?}").contains("Spot {"));
--- a/sorreldoor/tests/table/nodes.rs
+++ b/sorreldoor/tests/table/nodes.rs
@@ -32,8 +32,8 @@
     ] {
         let mut d = Drive::new(n, seed, usual(), workers());
         d.flows = vec![model_flow(per_s)];
-        // why: one is new among traffic, two turn cold where they are
-        d.put(20_000, Ev::Roster);
+        // one is new among traffic, two turn cold where they are
+        d.put(20_000, Ev::WorkerRegistry);
         d.run(25_000, |d| {
             let mut l = d.list.clone();
             l[3].cold_ms = 5000;
@@ -46,7 +46,7 @@
             });
             for i in 0..d.nodes.len() {
                 let t = d.clock(i);
-                d.nodes[i].take_roster(&roster(2, l.clone()), t);
+                d.nodes[i].take_registry(&registry(2, l.clone()), t);
             }
         });
         let cold = |w: usize, span: (u64, u64)| {
@@ -66,7 +66,7 @@
             d.refused
         );
         assert!(most.iter().all(|m| *m <= 51), "{n} {per_s}: {most:?}");
-        // why: with little to do others are better; with much they must help
+        // with little to do others are better; with much they must help
         let least = if per_s > 1000.0 { 15 } else { 0 };
         assert!(most.iter().all(|m| *m >= least), "{n} {per_s}: {most:?}");
     }
@@ -165,7 +165,7 @@
         d.firsts_at(0.99),
         d.refused
     );
-    // why: a worker bears about 48 in 0.42 s
+    // a worker bears about 48 in 0.42 s
     assert!(d.firsts_at(0.99) < 400);
     assert_eq!(d.refused, 0);
 }
@@ -193,7 +193,7 @@
         let zone = if i.is_multiple_of(2) { 0 } else { 2 };
         let mut t = Table::new(place(&format!("n{i}"), zone), bounds(), i);
         t.take_hosted(h.clone(), 0);
-        t.take_roster(&roster(1, workers()), 0);
+        t.take_registry(&registry(1, workers()), 0);
         t
     };
     (0..6).map(one).collect()
@@ -223,14 +223,14 @@
 
 #[test]
 fn nodes_agree_on_a_prefix_without_a_word() {
-    // why: reading it anew takes longer than the way to another region
+    // reading it anew takes longer than the way to another region
     let long = goes(&mut apart(&usual()), "/once/", 9000);
     for at in &long {
         assert!(at.iter().all(|w| *w == at[0]), "{at:?}");
     }
-    // why: a third of eighteen takes them, and all of these are used
+    // a third of eighteen takes them, and all of these are used
     assert_eq!(distinct(&long), 6);
-    // why: a short one is sooner read again than fetched from afar
+    // a short one is sooner read again than fetched from afar
     let short = goes(&mut apart(&usual()), "/once/", 1000);
     for at in &short {
         let here = |i: usize| REGIONS[if i.is_multiple_of(2) { 0 } else { 2 }];
@@ -269,12 +269,12 @@
     };
     let mut t = Table::new(place("n0", 0), bounds(), 1);
     t.take_hosted(usual(), 0);
-    t.take_roster(&roster(1, l.clone()), 0);
+    t.take_registry(&registry(1, l.clone()), 0);
     assert_eq!(sends(&mut t, 5000), 0);
     let mut t = table(usual(), l.clone());
     assert_eq!(sends(&mut t, 1000), 0);
     assert!(sends(&mut t, 3000) > 0);
-    // why: nodes that are missing for a moment still have their parts
+    // nodes that are missing for a moment still have their parts
     let mut t = table(usual(), l);
     t.take_nodes((0..12).map(|i| (format!("n{i}"), 0)).collect());
     t.take_nodes(vec![("n0".into(), 0)]);
@@ -295,9 +295,9 @@
             d.backs[w].broke = 0.2;
             d.backs[w].away = 0.3;
         }
-        // why: half the nodes at once, and again before the window is over
+        // half the nodes at once, and again before the window is over
         for at in [20_000, 20_900, 24_000, 27_000] {
-            d.put(at, Ev::Roster);
+            d.put(at, Ev::WorkerRegistry);
         }
         d.run(32_000, |d| {
             for i in 0..d.nodes.len() {
--- a/sorreldoor/tests/table/rules.rs
+++ b/sorreldoor/tests/table/rules.rs
@@ -52,7 +52,7 @@
             continue;
         }
         t.heard(r, h.clone(), 20_020);
-        // why: no connection means not sent, and a worker that is gone was not
+        // no connection means not sent, and a worker that is gone was not
         // sent to either, so a third worker is no third sending
         let third = matches!(t.pick(r, 20_020), Pick::Go(_));
         let unsent = [Heard::NoConn, Heard::Misdirected].contains(&h);
@@ -96,7 +96,7 @@
     t.take_hosted(both(0), 20_011);
     let second = go(t.pick(b, 20_011));
     assert!(second.name.starts_with("model") && second.priority == Some(1));
-    // why: a refused sending is looked up anew as well
+    // a refused sending is looked up anew as well
     t.heard(a, Heard::NotRun(None), 20_012);
     assert!(go(t.pick(a, 20_012)).name.starts_with("model"));
     let c = begin(&mut t, "/w/x", 20_012);
@@ -188,14 +188,14 @@
         v
     };
     assert!(!names(&mut t, 12).contains(&a.name));
-    t.take_roster(&roster(1, many("web", 6, &[0, 1])), 13);
+    t.take_registry(&registry(1, many("web", 6, &[0, 1])), 13);
     assert!(!names(&mut t, 14).contains(&a.name));
-    t.take_roster(&roster(2, many("web", 6, &[0, 1])), 4000);
+    t.take_registry(&registry(2, many("web", 6, &[0, 1])), 4000);
     assert!(names(&mut t, 4001).contains(&a.name));
-    t.take_roster(&roster(3, vec![worker("new", "web", 0, 6)]), 5000);
+    t.take_registry(&registry(3, vec![worker("new", "web", 0, 6)]), 5000);
     assert_eq!(names(&mut t, 5001), ["new"]);
-    // why: an older list that comes late changes nothing
-    t.take_roster(&roster(2, many("web", 6, &[0, 1])), 5002);
+    // an older list that comes late changes nothing
+    t.take_registry(&registry(2, many("web", 6, &[0, 1])), 5002);
     assert_eq!(names(&mut t, 5003), ["new"]);
 }
 
@@ -209,7 +209,7 @@
     let n = t.begin("h", "/web/x", a, 1000, 1010).unwrap();
     assert_eq!(t.deadline(n), 9000);
     assert!(matches!(t.pick(r, 1010), Pick::Wait(w) if w > 0));
-    // why: within a quarter of the aim it is told to come back
+    // within a quarter of the aim it is told to come back
     let at = 1200;
     match t.pick(r, at) {
         Pick::Refuse(Problem::NoWorker, ms) => assert!((100..=400).contains(&ms)),
@@ -243,7 +243,7 @@
     assert!(t.woken(4).is_empty());
     t.heard(held[0], Heard::Done(200), 5);
     assert_eq!(t.woken(5), [h1]);
-    // why: one that comes now stands behind those that wait already
+    // one that comes now stands behind those that wait already
     let h3 = late(&mut t, "/high/x", 5);
     go(t.pick(h1, 5));
     assert!(matches!(t.pick(h2, 6), Pick::Wait(_)));
@@ -256,7 +256,7 @@
 
 #[test]
 fn no_refusal_while_half_the_places_are_free() {
-    // why: a worker that turns requests away though it has room is tried again
+    // a worker that turns requests away though it has room is tried again
     let mut t = table(usual(), many("web", 8, &[0, 0]));
     let mut draw = 5u64;
     let mut open: Vec<Rid> = Vec::new();
--- a/sorreldoor/tests/table/spots.rs
+++ b/sorreldoor/tests/table/spots.rs
@@ -32,7 +32,7 @@
     }
     let early: Vec<u64> = hits.iter().copied().filter(|h| *h < 12_000).collect();
     assert!(early.len() <= 6, "{early:?}");
-    // why: the pause doubles
+    // the pause doubles
     assert!(
         early.windows(3).all(|w| w[2] - w[1] >= w[1] - w[0]),
         "{early:?}"
@@ -185,7 +185,7 @@
             let mut t = Table::new(place(&format!("n{i}"), 0), bounds(), 1);
             t.take_hosted(usual(), 0);
             t.take_nodes((0..93).map(|i| (format!("n{i}"), 0)).collect());
-            t.take_roster(&roster(1, many("model", 48, &[0])), 0);
+            t.take_registry(&registry(1, many("model", 48, &[0])), 0);
             sent(&mut t, "/once/x", 10).1.max_conns
         })
         .sum();
