--- a/rig/src/hollow/node.rs
+++ b/rig/src/hollow/node.rs
@@ -2,7 +2,7 @@
 //! the whole reducer where its processor time and memory are to be measured.
 
 use sorreldoor::consensus::{Millis, Noted};
-use sorreldoor::edge::{Hall, HallEvent, HallFx};
+use sorreldoor::edge::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::errand::Plan;
 use sorreldoor::net::{Conn, NetEvent};
 use sorreldoor::pull::{Granted, Pull, PullFx};
@@ -31,7 +31,7 @@
 
 pub enum Node {
     Hollow(Box<Hollow>),
-    Full(Box<Hall>),
+    Full(Box<EdgeController>),
 }
 
 /// How long a node serves on one renewal, in milliseconds, as the daemon has it.
@@ -60,7 +60,7 @@
     ) -> Node {
         let pull = Pull::new(seeds, PERMIT, now.mono, now.wall).named(&me.node);
         let plan = Plan::new(site, me.node.clone(), me.zone, me.region);
-        let mut h = Hall::new(me, plan, pull);
+        let mut h = EdgeController::new(me, plan, pull);
         let rows = took
             .into_iter()
             .map(|t| ((t.route, t.service), (t.n, t.ms)));
@@ -109,24 +109,24 @@
     pub fn alarm(&mut self, now: Now) -> Vec<Out> {
         match self {
             Node::Hollow(h) => h.alarm(now),
-            Node::Full(h) => outs(h.step(HallEvent::Alarm, now)),
+            Node::Full(h) => outs(h.step(EdgeEvent::Alarm, now)),
         }
     }
 
     pub fn net(&mut self, n: NetEvent, now: Now) -> Vec<Out> {
         match self {
             Node::Hollow(h) => h.net(n, now),
-            Node::Full(h) => outs(h.step(HallEvent::Net(n), now)),
+            Node::Full(h) => outs(h.step(EdgeEvent::Net(n), now)),
         }
     }
 }
 
-fn outs(fx: Vec<HallFx>) -> Vec<Out> {
+fn outs(fx: Vec<EdgeEffect>) -> Vec<Out> {
     fx.into_iter()
         .filter_map(|f| match f {
-            HallFx::Send(c, p) => Some(Out::Send(c, p)),
-            HallFx::Dial(a) => Some(Out::Dial(a)),
-            HallFx::Undial(a) => Some(Out::Undial(a)),
+            EdgeEffect::Send(c, p) => Some(Out::Send(c, p)),
+            EdgeEffect::Dial(a) => Some(Out::Dial(a)),
+            EdgeEffect::Undial(a) => Some(Out::Undial(a)),
             _ => None,
         })
         .collect()
--- a/rig/src/site/callers.rs
+++ b/rig/src/site/callers.rs
@@ -3,7 +3,7 @@
 
 use super::World;
 use sorreldoor::consensus::Millis;
-use sorreldoor::edge::HallEvent;
+use sorreldoor::edge::EdgeEvent;
 use sorreldoor::errand::{Asked, Shape as Form};
 use sorreldoor::problem::Problem;
 
@@ -126,7 +126,7 @@
             }
             w.reach_proc(p, boot, move |w| {
                 let asked = w.asked(n);
-                w.hall_step(p, HallEvent::Knock { rid: n, asked });
+                w.hall_step(p, EdgeEvent::Knock { rid: n, asked });
             });
         });
     }
@@ -147,7 +147,7 @@
                 });
                 let mut asked = w.asked(n);
                 asked.shape = shape;
-                w.hall_step(p, HallEvent::Errand { rid: n, asked });
+                w.hall_step(p, EdgeEvent::Errand { rid: n, asked });
             });
         });
     }
@@ -185,7 +185,8 @@
         let wait = s * 1000 + self.rng.below(1000);
         self.after(wait, move |w| {
             let region = w.procs[w.callers[&rid].edge].region;
-            let good = |w: &World, e: usize| w.hall(e).is_some_and(|h| h.ready().is_ok());
+            let good =
+                |w: &World, e: usize| w.edge_controller(e).is_some_and(|h| h.ready().is_ok());
             let all: Vec<usize> = w.edges();
             let near: Vec<usize> = all
                 .iter()
@@ -268,7 +269,7 @@
         let p = self.callers[&n].edge;
         let boot = self.procs[p].boot;
         self.got(n, Got::HungUp);
-        self.reach_proc(p, boot, move |w| w.hall_step(p, HallEvent::Gone { rid: n }));
+        self.reach_proc(p, boot, move |w| w.hall_step(p, EdgeEvent::Gone { rid: n }));
     }
 
     /// Traffic of a deployment's mix, `per_s` errands a second in all, spread
--- a/rig/src/site/mod.rs
+++ b/rig/src/site/mod.rs
@@ -279,8 +279,8 @@
         let all = w.run_until(end, |w| {
             edges
                 .iter()
-                .all(|e| w.hall(*e).is_some_and(|h| h.ready().is_ok()))
-                && w.hall(edges[0])
+                .all(|e| w.edge_controller(*e).is_some_and(|h| h.ready().is_ok()))
+                && w.edge_controller(edges[0])
                     .is_some_and(|h| h.plan.shown.seats.1.len() == edges.len())
         });
         assert!(all, "seed {seed}: every edge serves");
--- a/rig/src/site/operators.rs
+++ b/rig/src/site/operators.rs
@@ -2,14 +2,14 @@
 
 use super::{Change, World};
 use sorreldoor::core::ControllerEvent;
-use sorreldoor::edge::HallEvent;
+use sorreldoor::edge::EdgeEvent;
 use sorreldoor::record::Cmd;
 use sorreldoor::wire::OpOutcome;
 
 impl World {
     /// The serial that a process knows of.
     pub fn serial_at(&self, p: usize) -> Option<u64> {
-        match (self.controller(p), self.hall(p)) {
+        match (self.controller(p), self.edge_controller(p)) {
             (Some(h), _) => h.consensus.as_ref().map(|a| a.machine().serial()),
             (_, Some(h)) => Some(h.plan.shown.view.serial),
             _ => None,
@@ -18,7 +18,7 @@
 
     /// The document that an edge acts on now.
     pub fn doc_at(&self, p: usize) -> std::sync::Arc<String> {
-        self.hall(p)
+        self.edge_controller(p)
             .and_then(|h| h.plan.shown.view.doc.clone())
             .unwrap_or_default()
     }
@@ -56,7 +56,7 @@
             if core {
                 w.hub_step(p, ControllerEvent::Change { rid, pid, cmd });
             } else {
-                w.hall_step(p, HallEvent::Change { rid, pid, cmd });
+                w.hall_step(p, EdgeEvent::Change { rid, pid, cmd });
             }
         });
         at
--- a/rig/src/site/procs.rs
+++ b/rig/src/site/procs.rs
@@ -4,7 +4,7 @@
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Millis, Save};
 use sorreldoor::core::{Controller, ControllerEffect, ControllerEvent, Start};
-use sorreldoor::edge::{Hall, HallEvent, HallFx};
+use sorreldoor::edge::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::errand::Plan;
 use sorreldoor::net::NetEvent;
 use sorreldoor::pull::Pull;
@@ -17,7 +17,7 @@
 pub enum Role {
     Down,
     Core(Box<Controller>),
-    Edge(Box<Hall>),
+    Edge(Box<EdgeController>),
 }
 
 pub struct Proc {
@@ -176,7 +176,7 @@
             let pull = Pull::new(&seeds, permit, now, wall)
                 .named(&q.name)
                 .paced(&pacing);
-            q.role = Role::Edge(Box::new(Hall::new(me, plan, pull)));
+            q.role = Role::Edge(Box::new(EdgeController::new(me, plan, pull)));
         }
         let boot = q.boot;
         self.tick(p, boot);
@@ -201,7 +201,7 @@
         if self.procs[p].core {
             self.hub_step(p, ControllerEvent::Alarm);
         } else {
-            self.hall_step(p, HallEvent::Alarm);
+            self.hall_step(p, EdgeEvent::Alarm);
         }
     }
 
@@ -234,7 +234,7 @@
         if self.procs[p].core {
             self.hub_step(p, ControllerEvent::Net(n));
         } else {
-            self.hall_step(p, HallEvent::Net(n));
+            self.hall_step(p, EdgeEvent::Net(n));
         }
     }
 
@@ -245,7 +245,7 @@
         }
     }
 
-    pub fn hall(&self, p: usize) -> Option<&Hall> {
+    pub fn edge_controller(&self, p: usize) -> Option<&EdgeController> {
         match &self.procs[p].role {
             Role::Edge(h) => Some(h),
             _ => None,
@@ -342,7 +342,7 @@
         }
     }
 
-    pub fn hall_step(&mut self, p: usize, ev: HallEvent) {
+    pub fn hall_step(&mut self, p: usize, ev: EdgeEvent) {
         let now = self.clocks(p);
         let Role::Edge(h) = &mut self.procs[p].role else {
             return;
@@ -350,15 +350,15 @@
         let fx = h.step(ev, now);
         for f in fx {
             match f {
-                HallFx::Send(c, m) => self.send(p, c, m),
-                HallFx::Dial(a) => self.want(p, a),
-                HallFx::Undial(a) => self.undial(p, a),
-                HallFx::Done(rid, o) => self.changed(rid, o),
-                HallFx::Errand(f) => self.errand_fx(p, f),
-                HallFx::Come(rid, shape) => self.come(p, rid, shape),
-                HallFx::Where(rid, r) => self.whither(rid, r),
-                HallFx::Looked(..) | HallFx::Status(..) => {}
-                HallFx::Say(ev, s) => {
+                EdgeEffect::Send(c, m) => self.send(p, c, m),
+                EdgeEffect::Dial(a) => self.want(p, a),
+                EdgeEffect::Undial(a) => self.undial(p, a),
+                EdgeEffect::Done(rid, o) => self.changed(rid, o),
+                EdgeEffect::Errand(f) => self.errand_fx(p, f),
+                EdgeEffect::Come(rid, shape) => self.come(p, rid, shape),
+                EdgeEffect::Where(rid, r) => self.whither(rid, r),
+                EdgeEffect::Looked(..) | EdgeEffect::Status(..) => {}
+                EdgeEffect::Say(ev, s) => {
                     let name = self.procs[p].name.clone();
                     self.says.push((self.now, name, ev, s));
                 }
--- a/rig/src/site/workers.rs
+++ b/rig/src/site/workers.rs
@@ -198,7 +198,7 @@
             if matches!(told, Told::Broke(_)) && w.procs[p].tries.contains_key(&token) {
                 w.broken_off(p, rid);
             }
-            w.hall_step(p, sorreldoor::edge::HallEvent::Told { rid, token, told });
+            w.hall_step(p, sorreldoor::edge::EdgeEvent::Told { rid, token, told });
         });
     }
 
@@ -266,7 +266,9 @@
             return;
         };
         let id = self.callers[&caller].id.clone();
-        let serial = self.hall(p).map_or(0, |h| h.plan.shown.view.serial);
+        let serial = self
+            .edge_controller(p)
+            .map_or(0, |h| h.plan.shown.view.serial);
         self.handed.push(super::Handed {
             at: self.now,
             edge: p,
--- a/rig/tests/site/changes.rs
+++ b/rig/tests/site/changes.rs
@@ -128,7 +128,7 @@
         sound(&w, seed);
         assert!(w.leader().is_some(), "seed {seed}: two cores of three lead");
         for e in w.edges() {
-            let h = w.hall(e).expect("edges are up");
+            let h = w.edge_controller(e).expect("edges are up");
             assert!(
                 h.ready().is_ok() || h.plan.emptied(h.plan.zone),
                 "seed {seed}"
--- a/rig/tests/site/members.rs
+++ b/rig/tests/site/members.rs
@@ -7,7 +7,7 @@
         .edges()
         .into_iter()
         .find(|e| w.procs[*e].name != name && w.procs[*e].up);
-    e.and_then(|e| w.hall(e)).is_some_and(|h| {
+    e.and_then(|e| w.edge_controller(e)).is_some_and(|h| {
         let all = h.plan.edges_for(None, false, "k");
         all.iter().any(|n| n == name)
     })
@@ -22,13 +22,13 @@
         let end = w.now + 12_000;
         w.traffic(60, end, |_, _| true);
         let e = w.edges()[w.rng.below(9) as usize];
-        let at = w.hall(e).and_then(|h| h.pull.dialled);
+        let at = w.edge_controller(e).and_then(|h| h.pull.dialled);
         let core = w.cores().into_iter().find(|c| w.procs[*c].addr == at);
         let core = core.expect("an edge that serves has a core");
         w.cuts.insert((core, e));
         let from = w.now;
         let moved = w.run_until(from + 6000, |w| {
-            let h = w.hall(e).expect("the edge is up");
+            let h = w.edge_controller(e).expect("the edge is up");
             h.pull.dialled != at && h.ready().is_ok()
         });
         assert!(moved, "seed {seed}: it serves again through another core");
@@ -90,7 +90,7 @@
         let mut w = world(seed);
         w.run_for(2000);
         let at = |w: &World, e: usize| {
-            let a = w.hall(e).and_then(|h| h.pull.dialled);
+            let a = w.edge_controller(e).and_then(|h| h.pull.dialled);
             w.cores().into_iter().find(|c| w.procs[*c].addr == a)
         };
         for e in w.edges() {
@@ -102,7 +102,10 @@
         let c = at(&w, e).expect("a session");
         w.crash(c);
         w.run_for(4000);
-        assert!(w.hall(e).is_some_and(|h| h.ready().is_ok()), "seed {seed}");
+        assert!(
+            w.edge_controller(e).is_some_and(|h| h.ready().is_ok()),
+            "seed {seed}"
+        );
         w.start(c);
         w.run_for(14_000);
         let now = at(&w, e).expect("a session");
--- a/rig/tests/site/mutants.rs
+++ b/rig/tests/site/mutants.rs
@@ -63,7 +63,7 @@
     let end = w.now + 14_000;
     w.traffic(120, end, |_, _| true);
     let e = w.edges()[8];
-    let at = w.hall(e).and_then(|h| h.pull.dialled);
+    let at = w.edge_controller(e).and_then(|h| h.pull.dialled);
     let alone = w.cores().into_iter().find(|c| w.procs[*c].addr == at);
     let alone = alone.expect("an edge that serves has a core");
     for c in w.cores() {
--- a/rig/tests/site/pacing.rs
+++ b/rig/tests/site/pacing.rs
@@ -60,20 +60,24 @@
     for pacing in [Pacing::default(), frugal()] {
         let mut w = with(4, |w| w.pacing = pacing);
         let e = w.edges()[0];
-        let at = |w: &World| w.hall(e).map(|h| h.pull.have.seats);
+        let at = |w: &World| w.edge_controller(e).map(|h| h.pull.have.seats);
         let was = at(&w);
         let end = w.now + 5000;
         w.traffic(60, end, |_, _| true);
         w.run_for(20_000);
         assert_eq!(at(&w), was);
-        let (seats, n) = (&w.hall(e).expect("up").plan.shown.seats.1, w.edges().len());
+        let (seats, n) = (
+            &w.edge_controller(e).expect("up").plan.shown.seats.1,
+            w.edges().len(),
+        );
         assert_eq!(seats.iter().filter(|p| p.ready).count(), n);
         sound(&w, 4);
     }
 }
 
 fn serial(w: &World, e: usize) -> u64 {
-    w.hall(e).map_or(0, |h| h.plan.shown.registry.serial)
+    w.edge_controller(e)
+        .map_or(0, |h| h.plan.shown.registry.serial)
 }
 
 fn holder(w: &World) -> Option<usize> {
@@ -175,7 +179,7 @@
         w.crash(fresh);
         w.run_for(4000);
         w.start(fresh);
-        let ready = |w: &World, e: usize| w.hall(e).is_some_and(|h| h.ready().is_ok());
+        let ready = |w: &World, e: usize| w.edge_controller(e).is_some_and(|h| h.ready().is_ok());
         w.run_for(2500);
         assert!(!ready(&w, fresh), "seed {seed}: not before its time");
         let end = w.now + 12_000;
@@ -216,5 +220,5 @@
     w.crash(e);
     w.start(e);
     w.run_for(60_000);
-    assert!(w.hall(e).is_some_and(|h| h.ready().is_err()));
+    assert!(w.edge_controller(e).is_some_and(|h| h.ready().is_err()));
 }
--- a/rig/tests/site/regions.rs
+++ b/rig/tests/site/regions.rs
@@ -42,7 +42,7 @@
         let most = south.iter().map(|k| w.workers[*k].most_here).max();
         println!("seed {seed}: at most {most:?} at a cold worker");
         assert!(most <= Some(6), "{most:?}");
-        let counts = w.edges().into_iter().filter_map(|e| w.hall(e));
+        let counts = w.edges().into_iter().filter_map(|e| w.edge_controller(e));
         let (first, again) = counts.fold((0, 0), |(f, a), h| {
             let c = &h.table.counts;
             (f + c.first, a + c.again)
--- a/rig/tests/site/returns.rs
+++ b/rig/tests/site/returns.rs
@@ -31,7 +31,9 @@
 }
 
 fn change(w: &mut World) {
-    let base = w.hall(w.edges()[0]).map_or(0, |h| h.plan.shown.view.serial);
+    let base = w
+        .edge_controller(w.edges()[0])
+        .map_or(0, |h| h.plan.shown.view.serial);
     let (zone, at) = (0, w.cores()[0]);
     let emptied = false;
     let c = w.change(
@@ -62,14 +64,14 @@
 }
 
 fn ready(w: &World, e: usize) -> bool {
-    w.hall(e)
+    w.edge_controller(e)
         .is_some_and(|h| h.ready().is_ok() && h.plan.shown.registry.serial > 0)
 }
 
 /// What each edge acts by, which must only grow within its life.
 fn marks(w: &World) -> Vec<(u64, u64, u64)> {
     let of = |e: &usize| {
-        let h = w.hall(*e)?;
+        let h = w.edge_controller(*e)?;
         Some((
             h.pull.have.record,
             h.plan.shown.view.serial,
@@ -144,7 +146,7 @@
 }
 
 fn marks_of(w: &World, e: usize) -> u64 {
-    w.hall(e).map_or(0, |h| h.plan.shown.view.serial)
+    w.edge_controller(e).map_or(0, |h| h.plan.shown.view.serial)
 }
 
 /// A core that lost its disk has nothing to tell, and says nothing for news.
@@ -167,7 +169,7 @@
             w.cut_both(wiped, *c);
         }
         all_start(&mut w);
-        let has = |w: &World| w.hall(e).is_some_and(|h| h.pull.have.record > 0);
+        let has = |w: &World| w.edge_controller(e).is_some_and(|h| h.pull.have.record > 0);
         assert_eq!(watched(&mut w, 3000, has), None, "seed {seed}");
         w.cuts.clear();
         let back = |w: &World| ready(w, e) && marks_of(w, e) >= top;
--- a/rig/tests/site/zones.rs
+++ b/rig/tests/site/zones.rs
@@ -215,7 +215,7 @@
         assert!(w.leader().is_some(), "seed {seed}: two cores of three lead");
         sound(&w, seed);
         for e in w.edges().into_iter().filter(|e| w.procs[*e].up) {
-            let h = w.hall(e).expect("an edge that is up");
+            let h = w.edge_controller(e).expect("an edge that is up");
             assert!(
                 h.plan.shown.view.serial >= 2,
                 "seed {seed}: read back at every edge"
--- a/sorreldoor/src/edge/api.rs
+++ b/sorreldoor/src/edge/api.rs
@@ -1,6 +1,6 @@
 //! Callers' HTTP at an edge: where to go, errands, and operators' errands.
 
-use super::hall::HallEvent;
+use super::controller::EdgeEvent;
 use super::relay::{Brought, Load, Piece};
 use super::run::{Desk, Reply};
 use crate::consensus::ProposalId;
@@ -25,7 +25,7 @@
 #[derive(Clone)]
 pub struct Api {
     pub set: Arc<Settings>,
-    pub ring: Ring<HallEvent>,
+    pub ring: Ring<EdgeEvent>,
     pub desk: Desk,
 }
 
@@ -54,7 +54,7 @@
         r
     }
 
-    async fn ask(&self, within: Duration, f: impl FnOnce(u64) -> HallEvent) -> Option<Reply> {
+    async fn ask(&self, within: Duration, f: impl FnOnce(u64) -> EdgeEvent) -> Option<Reply> {
         let (rid, rx) = self.desk.open();
         if self.ring.send(f(rid)).await.is_err() {
             return None;
@@ -64,13 +64,13 @@
         got
     }
 
-    async fn soon(&self, f: impl FnOnce(u64) -> HallEvent) -> Option<Reply> {
+    async fn soon(&self, f: impl FnOnce(u64) -> EdgeEvent) -> Option<Reply> {
         let most = Duration::from_millis(self.set.ack_ms * 3 + 1000);
         self.ask(most, f).await
     }
 
     async fn ready(&self) -> Response {
-        match self.soon(|rid| HallEvent::Status { rid }).await {
+        match self.soon(|rid| EdgeEvent::Status { rid }).await {
             Some(Reply::Status { ready: Ok(()), .. }) => http::json(200, "{\"ready\":true}".into()),
             Some(Reply::Status { ready: Err(p), .. }) => http::shed(p, "", 1),
             _ => http::shed(Problem::Leaving, "", 1),
@@ -78,7 +78,7 @@
     }
 
     async fn status(&self) -> Response {
-        match self.soon(|rid| HallEvent::Status { rid }).await {
+        match self.soon(|rid| EdgeEvent::Status { rid }).await {
             Some(Reply::Status { text, .. }) => http::json(200, text),
             _ => http::shed(Problem::Leaving, "", 1),
         }
@@ -107,7 +107,7 @@
             Ok(a) => a,
             Err(p) => return http::shed(p, "", 1),
         };
-        match self.soon(|rid| HallEvent::Explain { rid, asked }).await {
+        match self.soon(|rid| EdgeEvent::Explain { rid, asked }).await {
             Some(Reply::Status { text, .. }) => http::json(200, text),
             Some(Reply::Where(Err(p))) => http::shed(p, "", 1),
             _ => http::shed(Problem::Leaving, "", 1),
@@ -119,7 +119,7 @@
             Ok(a) => a,
             Err(p) => return http::shed(p, "", 1),
         };
-        match self.soon(|rid| HallEvent::Where { rid, asked }).await {
+        match self.soon(|rid| EdgeEvent::Where { rid, asked }).await {
             Some(Reply::Where(Ok(all))) => {
                 let mut v = Val::object();
                 let _ = v.insert("addresses", all);
@@ -135,14 +135,14 @@
         match op {
             Op::Check { faults } => ops::checked(&faults),
             Op::Change { pid, cmd } => {
-                let r = self.soon(|rid| HallEvent::Change { rid, pid, cmd }).await;
+                let r = self.soon(|rid| EdgeEvent::Change { rid, pid, cmd }).await;
                 changed(pid, r)
             }
             Op::Proposal(pid) => {
-                let r = self.soon(|rid| HallEvent::Find { rid, pid }).await;
+                let r = self.soon(|rid| EdgeEvent::Find { rid, pid }).await;
                 changed(pid, r)
             }
-            Op::Setup => match self.soon(|rid| HallEvent::Look { rid }).await {
+            Op::Setup => match self.soon(|rid| EdgeEvent::Look { rid }).await {
                 Some(Reply::Looked(true, view)) => {
                     let doc = view.doc.as_ref().map(|d| d.as_str());
                     let names = &self.set.names;
@@ -156,7 +156,7 @@
                 _ => http::shed(Problem::NoCore, "", 1),
             },
             Op::Status => self.status().await,
-            Op::Metrics => match self.soon(|rid| HallEvent::Status { rid }).await {
+            Op::Metrics => match self.soon(|rid| EdgeEvent::Status { rid }).await {
                 Some(Reply::Status { text, .. }) => ops::metrics(&text),
                 _ => http::shed(Problem::Leaving, "", 1),
             },
@@ -194,7 +194,7 @@
         };
         // what is not wanted here is turned away before its body is read
         let a = asked.clone();
-        let shown = match self.soon(|rid| HallEvent::Knock { rid, asked: a }).await {
+        let shown = match self.soon(|rid| EdgeEvent::Knock { rid, asked: a }).await {
             Some(Reply::Come(shown)) => shown,
             Some(r) => return final_of(r, path, &asked.id),
             None => return http::shed(Problem::Leaving, "", 1),
@@ -237,9 +237,9 @@
         self.desk.bring(rid, load);
         let ring = self.ring.clone();
         let watch = peer.watch(move || async move {
-            let _ = ring.send(HallEvent::Gone { rid }).await;
+            let _ = ring.send(EdgeEvent::Gone { rid }).await;
         });
-        let sent = self.ring.send(HallEvent::Errand { rid, asked }).await;
+        let sent = self.ring.send(EdgeEvent::Errand { rid, asked }).await;
         let got = match sent {
             Ok(()) => timeout(LAST, rx.recv()).await.ok().and_then(|r| r.ok()),
             Err(_) => None,
--- a/sorreldoor/src/edge/hall.rs
+++ b/sorreldoor/src/edge/controller.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 #[derive(Debug)]
-pub enum HallEvent {
+pub enum EdgeEvent {
     Alarm,
     Net(NetEvent),
     /// A head has come; may its body be read?
@@ -64,7 +64,7 @@
 }
 
 #[derive(Debug)]
-pub enum HallFx {
+pub enum EdgeEffect {
     Send(Conn, Payload),
     Dial(SocketAddr),
     Undial(SocketAddr),
@@ -78,7 +78,7 @@
     Say(Ev, String),
 }
 
-pub struct Hall {
+pub struct EdgeController {
     pub me: Hello,
     pub plan: Plan,
     pub table: Table,
@@ -90,14 +90,14 @@
     pub(super) frees_at: Millis,
     pub leaving: bool,
     pub now: Millis,
-    pub(super) out: Vec<HallFx>,
+    pub(super) out: Vec<EdgeEffect>,
 }
 
-impl Reducer for Hall {
-    type Event = HallEvent;
-    type Fx = HallFx;
+impl Reducer for EdgeController {
+    type Event = EdgeEvent;
+    type Fx = EdgeEffect;
 
-    fn step(&mut self, ev: HallEvent, at: Now) -> Vec<HallFx> {
+    fn step(&mut self, ev: EdgeEvent, at: Now) -> Vec<EdgeEffect> {
         self.now = self.now.max(at.mono);
         let now = self.now;
         // what woke it may come before any alarm, and must find it shut
@@ -105,29 +105,29 @@
             self.pulled(f);
         }
         match ev {
-            HallEvent::Alarm => self.alarm(),
-            HallEvent::Net(n) => self.net(n),
-            HallEvent::Knock { rid, asked } => self.knock(rid, asked),
-            HallEvent::Errand { rid, asked } => match self.closed() {
+            EdgeEvent::Alarm => self.alarm(),
+            EdgeEvent::Net(n) => self.net(n),
+            EdgeEvent::Knock { rid, asked } => self.knock(rid, asked),
+            EdgeEvent::Errand { rid, asked } => match self.closed() {
                 Some(p) => self.shed(rid, p),
                 None => self.table.take(&mut self.plan, rid, asked, now),
             },
-            HallEvent::Gone { rid } => self.table.gone(&mut self.plan, rid),
-            HallEvent::Told { rid, token, told } => {
+            EdgeEvent::Gone { rid } => self.table.gone(&mut self.plan, rid),
+            EdgeEvent::Told { rid, token, told } => {
                 let permit = self.pull.permit(now);
                 self.table
                     .told(&mut self.plan, rid, token, told, permit, now);
             }
-            HallEvent::Where { rid, asked } => self.whither(rid, asked),
-            HallEvent::Change { rid, pid, cmd } => self.change(rid, Payload::Op { rid, pid, cmd }),
-            HallEvent::Find { rid, pid } => self.change(rid, Payload::OpFind { rid, pid }),
-            HallEvent::Explain { rid, asked } => self.explain(rid, asked),
-            HallEvent::Look { rid } => self.look(rid),
-            HallEvent::Status { rid } => {
+            EdgeEvent::Where { rid, asked } => self.whither(rid, asked),
+            EdgeEvent::Change { rid, pid, cmd } => self.change(rid, Payload::Op { rid, pid, cmd }),
+            EdgeEvent::Find { rid, pid } => self.change(rid, Payload::OpFind { rid, pid }),
+            EdgeEvent::Explain { rid, asked } => self.explain(rid, asked),
+            EdgeEvent::Look { rid } => self.look(rid),
+            EdgeEvent::Status { rid } => {
                 let s = self.status().encode();
-                self.out.push(HallFx::Status(rid, s));
+                self.out.push(EdgeEffect::Status(rid, s));
             }
-            HallEvent::Stop => {
+            EdgeEvent::Stop => {
                 self.leaving = true;
                 self.say(Ev::Leaving, "edge");
             }
@@ -157,15 +157,15 @@
                 }
                 _ => {}
             }
-            self.out.push(HallFx::Errand(f));
+            self.out.push(EdgeEffect::Errand(f));
         }
         std::mem::take(&mut self.out)
     }
 }
 
-impl Hall {
-    pub fn new(me: Hello, plan: Plan, pull: Pull) -> Hall {
-        Hall {
+impl EdgeController {
+    pub fn new(me: Hello, plan: Plan, pull: Pull) -> EdgeController {
+        EdgeController {
             me,
             plan,
             table: Table::default(),
@@ -181,7 +181,7 @@
     }
 
     pub(super) fn say(&mut self, ev: Ev, about: impl Into<String>) {
-        self.out.push(HallFx::Say(ev, about.into()));
+        self.out.push(EdgeEffect::Say(ev, about.into()));
     }
 
     fn shed(&mut self, rid: u64, problem: Problem) {
@@ -227,8 +227,8 @@
 
     pub(super) fn pulled(&mut self, f: PullFx) {
         match f {
-            PullFx::Dial(a) => self.out.push(HallFx::Dial(a)),
-            PullFx::Undial(a) => self.out.push(HallFx::Undial(a)),
+            PullFx::Dial(a) => self.out.push(EdgeEffect::Dial(a)),
+            PullFx::Undial(a) => self.out.push(EdgeEffect::Undial(a)),
             PullFx::Renew { conn, no, unproven } => {
                 let have = self.pull.have.clone();
                 let doing = Doing {
@@ -240,7 +240,7 @@
                     shed: self.table.counts.shed,
                     took: self.took(),
                 };
-                self.out.push(HallFx::Send(
+                self.out.push(EdgeEffect::Send(
                     conn,
                     Payload::Renew {
                         no,
@@ -280,7 +280,7 @@
         match self.table.knock(&self.plan, rid, &asked) {
             Ok(true) => {
                 let shape = self.shape(&asked.route);
-                self.out.push(HallFx::Come(rid, shape));
+                self.out.push(EdgeEffect::Come(rid, shape));
             }
             Ok(false) => {}
             Err(p) => self.shed(rid, p),
@@ -306,7 +306,7 @@
             let all = self.plan.edges_for(at, home, &a.key);
             Some(all).filter(|l| !l.is_empty()).ok_or(Problem::NoWorker)
         });
-        self.out.push(HallFx::Where(rid, r));
+        self.out.push(EdgeEffect::Where(rid, r));
     }
 
     fn explain(&mut self, rid: u64, a: Asked) {
@@ -322,24 +322,24 @@
             Ok(v)
         });
         self.out.push(match told {
-            Ok(v) => HallFx::Status(rid, v.encode()),
-            Err(p) => HallFx::Where(rid, Err(p)),
+            Ok(v) => EdgeEffect::Status(rid, v.encode()),
+            Err(p) => EdgeEffect::Where(rid, Err(p)),
         });
     }
 
     fn change(&mut self, rid: u64, p: Payload) {
         let Some(c) = self.pull.conn else {
             // nothing has left this node, so it is surely not taken
-            self.out.push(HallFx::Done(rid, OpOutcome::NotTaken));
+            self.out.push(EdgeEffect::Done(rid, OpOutcome::NotTaken));
             return;
         };
         self.changes.insert(rid, c);
-        self.out.push(HallFx::Send(c, p));
+        self.out.push(EdgeEffect::Send(c, p));
     }
 
     fn look(&mut self, rid: u64) {
         let Some(c) = self.pull.conn else {
-            self.out.push(HallFx::Looked(rid, false));
+            self.out.push(EdgeEffect::Looked(rid, false));
             return;
         };
         let f = self.pull.renew(c, self.now);
@@ -351,7 +351,7 @@
         let (ready, wait): (Vec<_>, Vec<_>) = self.looks.drain(..).partition(|(_, n)| *n <= no);
         self.looks = wait;
         for (rid, _) in ready {
-            self.out.push(HallFx::Looked(rid, ok));
+            self.out.push(EdgeEffect::Looked(rid, ok));
         }
     }
 
--- a/sorreldoor/src/edge/mod.rs
+++ b/sorreldoor/src/edge/mod.rs
@@ -1,10 +1,10 @@
 //! The edge node: callers' errands, under a setup it can show is current.
 
 mod api;
-mod hall;
+mod controller;
 mod relay;
 mod run;
 mod session;
 
-pub use hall::{Hall, HallEvent, HallFx};
+pub use controller::{EdgeController, EdgeEffect, EdgeEvent};
 pub use run::{run, run_with};
--- a/sorreldoor/src/edge/relay.rs
+++ b/sorreldoor/src/edge/relay.rs
@@ -1,7 +1,7 @@
 //! A worker's side of one errand: connect, wait for the word, send, and bring
 //! the result back whole, or a stream event by event.
 
-use super::hall::HallEvent;
+use super::controller::EdgeEvent;
 use crate::errand::Told;
 use crate::http::{self, Broke, Call};
 use crate::json;
@@ -66,7 +66,7 @@
     pub rid: u64,
     pub token: u64,
     pub load: Arc<Load>,
-    pub ring: Ring<HallEvent>,
+    pub ring: Ring<EdgeEvent>,
     pub words: Receiver<Word>,
     pub hand: Sender<Brought>,
 }
@@ -74,7 +74,7 @@
 impl Task {
     async fn tell(&self, told: Told) {
         let (rid, token) = (self.rid, self.token);
-        let _ = self.ring.send(HallEvent::Told { rid, token, told }).await;
+        let _ = self.ring.send(EdgeEvent::Told { rid, token, told }).await;
     }
 
     pub async fn run(self, to: SocketAddr) {
--- a/sorreldoor/src/edge/run.rs
+++ b/sorreldoor/src/edge/run.rs
@@ -1,7 +1,7 @@
-//! The edge's daemon: threads and rings around the hall's reducer.
+//! The edge's daemon: threads and rings around the controller's reducer.
 
 use super::api::Api;
-use super::hall::{Hall, HallEvent, HallFx};
+use super::controller::{EdgeController, EdgeEffect, EdgeEvent};
 use super::relay::{Brought, Load, Task, Word};
 use crate::errand::{ErrandFx, Plan, Shape};
 use crate::events::{say, Ev};
@@ -47,7 +47,7 @@
     loads: HashMap<u64, Arc<Load>>,
 }
 
-/// HTTP tasks that wait for the hall, and what they brought.
+/// HTTP tasks that wait for the controller, and what they brought.
 #[derive(Clone, Default)]
 pub struct Desk {
     inner: Arc<Mutex<Inner>>,
@@ -116,7 +116,7 @@
     let net = Net::new(
         set.site_mark(),
         ring.clone(),
-        HallEvent::Net as fn(NetEvent) -> HallEvent,
+        EdgeEvent::Net as fn(NetEvent) -> EdgeEvent,
         set.most_connections,
     );
     let gate = http::Gate::default();
@@ -126,9 +126,9 @@
     }));
     say(Ev::Started, format!("edge {}", set.node));
     say(Ev::Listening, format!("http {}", set.http));
-    crate::run::ticker(ring.clone(), TICK, || HallEvent::Alarm);
-    crate::run::on_term(ring.clone(), || HallEvent::Stop)?;
-    let mut hall = Hall::new(me, plan, pull);
+    crate::run::ticker(ring.clone(), TICK, || EdgeEvent::Alarm);
+    crate::run::on_term(ring.clone(), || EdgeEvent::Stop)?;
+    let mut controller = EdgeController::new(me, plan, pull);
     let mut hand = Daemon {
         net,
         set,
@@ -139,7 +139,7 @@
         stop_at: None,
         sweep_at: Instant::now(),
     };
-    seam::turn(&mut hall, &clock, &mut hand, &rx);
+    seam::turn(&mut controller, &clock, &mut hand, &rx);
     // the last results are still on their way to their callers
     std::thread::sleep(Duration::from_millis(100));
     say(Ev::Stopped, "edge");
@@ -152,58 +152,58 @@
 }
 
 struct Daemon {
-    net: Net<HallEvent>,
+    net: Net<EdgeEvent>,
     set: Arc<Settings>,
     desk: Desk,
-    ring: Ring<HallEvent>,
+    ring: Ring<EdgeEvent>,
     tasks: HashMap<u64, Running>,
     gate: http::Gate,
     stop_at: Option<Instant>,
     sweep_at: Instant,
 }
 
-impl Hand<Hall> for Daemon {
-    fn goes_on(&mut self, hall: &Hall) -> bool {
+impl Hand<EdgeController> for Daemon {
+    fn goes_on(&mut self, controller: &EdgeController) -> bool {
         // a task may have ended while its last word still waits in the
         // ring, so only what the table has let go of is forgotten
         if Instant::now() >= self.sweep_at {
             self.sweep_at = Instant::now() + Duration::from_secs(1);
-            let held: HashSet<u64> = hall.table.rows.values().map(|e| e.token).collect();
+            let held: HashSet<u64> = controller.table.rows.values().map(|e| e.token).collect();
             self.tasks.retain(|t, _| held.contains(t));
         }
-        if hall.leaving && self.stop_at.is_none() {
+        if controller.leaving && self.stop_at.is_none() {
             self.stop_at = Some(Instant::now() + Duration::from_millis(self.set.drain_ms));
         }
         // what runs is finished, up to the cutoff the settings give; then
         // nothing more is let in, and who is in hears a last word
         let Some(end) = self.stop_at else { return true };
-        if hall.idle() {
+        if controller.idle() {
             self.gate.shut();
         }
-        let done = hall.idle() && self.gate.open() == 0;
+        let done = controller.idle() && self.gate.open() == 0;
         !done && Instant::now() < end
     }
 
-    fn carry(&mut self, hall: &mut Hall, fx: HallFx) {
+    fn carry(&mut self, controller: &mut EdgeController, fx: EdgeEffect) {
         match fx {
-            HallFx::Send(c, p) => {
+            EdgeEffect::Send(c, p) => {
                 self.net.send(c, &p);
             }
-            HallFx::Dial(a) => self.net.dial(a, self.set.reached(a)),
-            HallFx::Undial(a) => self.net.undial(a),
-            HallFx::Come(rid, s) => self.desk.give(rid, Reply::Come(s)),
-            HallFx::Where(rid, r) => self.desk.give(rid, Reply::Where(r)),
-            HallFx::Done(rid, o) => self.desk.give(rid, Reply::Done(o)),
-            HallFx::Looked(rid, ok) => {
-                let v = Box::new(hall.plan.shown.view.clone());
+            EdgeEffect::Dial(a) => self.net.dial(a, self.set.reached(a)),
+            EdgeEffect::Undial(a) => self.net.undial(a),
+            EdgeEffect::Come(rid, s) => self.desk.give(rid, Reply::Come(s)),
+            EdgeEffect::Where(rid, r) => self.desk.give(rid, Reply::Where(r)),
+            EdgeEffect::Done(rid, o) => self.desk.give(rid, Reply::Done(o)),
+            EdgeEffect::Looked(rid, ok) => {
+                let v = Box::new(controller.plan.shown.view.clone());
                 self.desk.give(rid, Reply::Looked(ok, v));
             }
-            HallFx::Status(rid, text) => {
-                let ready = hall.ready();
+            EdgeEffect::Status(rid, text) => {
+                let ready = controller.ready();
                 self.desk.give(rid, Reply::Status { text, ready });
             }
-            HallFx::Say(ev, about) => say(ev, about),
-            HallFx::Errand(f) => self.errand(f),
+            EdgeEffect::Say(ev, about) => say(ev, about),
+            EdgeEffect::Errand(f) => self.errand(f),
         }
     }
 }
--- a/sorreldoor/src/edge/session.rs
+++ b/sorreldoor/src/edge/session.rs
@@ -1,6 +1,6 @@
 //! The edge's session with a core: frames in, news taken, no step back.
 
-use super::hall::{Hall, HallFx};
+use super::controller::{EdgeController, EdgeEffect};
 use crate::consensus::{Millis, Noted};
 use crate::core::KEEP_MS;
 use crate::errand::Wish;
@@ -15,12 +15,12 @@
 const FREES: usize = 65_536;
 const FREE_AGAIN: Millis = 500;
 
-impl Hall {
+impl EdgeController {
     pub(super) fn net(&mut self, n: NetEvent) {
         match n {
             NetEvent::Up { conn, dialled } => {
                 let h = self.me.clone();
-                self.out.push(HallFx::Send(conn, Payload::Hello(h)));
+                self.out.push(EdgeEffect::Send(conn, Payload::Hello(h)));
                 if let Some(a) = dialled {
                     let fx = self.pull.up(conn, a, self.now);
                     fx.into_iter().for_each(|f| self.pulled(f));
@@ -39,7 +39,7 @@
                 for rid in lost {
                     self.changes.remove(&rid);
                     // it left on that session, so it may have been taken
-                    self.out.push(HallFx::Done(rid, OpOutcome::Unknown));
+                    self.out.push(EdgeEffect::Done(rid, OpOutcome::Unknown));
                 }
             }
             NetEvent::Frame { conn, payload } => self.frame(conn, *payload),
@@ -60,7 +60,9 @@
             Payload::OpDone { rid, outcome } => self.on_done(rid, outcome),
             // renewals are sign of life enough on the session's own line
             Payload::Ping { .. } if self.pull.conn == Some(conn) => {}
-            Payload::Ping { .. } => self.out.push(HallFx::Send(conn, Payload::Ping { no: 0 })),
+            Payload::Ping { .. } => self
+                .out
+                .push(EdgeEffect::Send(conn, Payload::Ping { no: 0 })),
             Payload::WorkerRegistry(r) => self.take_registry(r),
             _ => {}
         }
@@ -89,7 +91,7 @@
 
     fn on_done(&mut self, rid: u64, outcome: OpOutcome) {
         if self.changes.remove(&rid).is_some() {
-            self.out.push(HallFx::Done(rid, outcome));
+            self.out.push(EdgeEffect::Done(rid, outcome));
         }
     }
 
@@ -138,7 +140,7 @@
         // without a session it is asked again by the pass over claims
         if let Some(c) = self.pull.conn {
             self.out
-                .push(HallFx::Send(c, Payload::Claim { rid, claim }));
+                .push(EdgeEffect::Send(c, Payload::Claim { rid, claim }));
         }
     }
 
@@ -155,7 +157,7 @@
         let by = self.by(rid);
         if let Some(c) = self.pull.conn {
             self.out
-                .push(HallFx::Send(c, Payload::Release { rid, id, by }));
+                .push(EdgeEffect::Send(c, Payload::Release { rid, id, by }));
         }
     }
 
@@ -188,7 +190,7 @@
             .map(|(id, rid)| (id, self.by(rid)))
             .collect();
         if !all.is_empty() {
-            self.out.push(HallFx::Send(conn, Payload::Sent { all }));
+            self.out.push(EdgeEffect::Send(conn, Payload::Sent { all }));
         }
     }
 }
