--- a/rig/src/hollow/report.rs
+++ b/rig/src/hollow/report.rs
@@ -175,7 +175,7 @@
             );
             put(row, "size.record", encode(&v).len() as f64);
         }
-        if let Some(r) = &h.registry {
+        if let Some(r) = h.worker_list.current() {
             put(row, "size.registry", encode(r).len() as f64);
         }
         put(row, "size.loads", encode(&h.loads).len() as f64);
--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -1,13 +1,15 @@
 //! The core's one reducer: frames, saves, operators and alarms in, effects out.
 
+use super::duty::Duty;
 use super::events::{ControllerEffect, ControllerEvent, OpFrom, Want};
 use super::lines::Line;
+use super::worker_list::WorkerList;
 use crate::consensus::*;
 use crate::events::Ev;
 use crate::net::{Conn, NetEvent};
 use crate::pacing::Pacing;
 use crate::record::{encode, Cmd, Outcome, Record};
-use crate::registry::{Loads, WorkerRegistry};
+use crate::registry::Loads;
 use crate::seam::{Now, Reducer};
 use crate::setup::Site;
 use crate::wire::*;
@@ -45,27 +47,15 @@
     pub(super) places: (u64, Arc<Vec<Place>>),
     /// The sessions as last told to other cores, and when.
     pub(super) told: (Vec<Seat>, Millis),
-    pub registry: Option<Arc<WorkerRegistry>>,
-    /// When the list came, for the times in it.
-    pub(super) roster_at: Millis,
-    pub(super) poll: super::duty::Poll,
-    pub roster_problem: Option<String>,
+    pub worker_list: WorkerList,
     pub loads: Arc<Loads>,
     pub(super) wants: Vec<Want>,
     pub(super) reading: BTreeMap<u64, Vec<Want>>,
     pub(super) next_rid: u64,
     pub(super) ops: BTreeMap<ProposalId, Vec<OpFrom>>,
-    pub(super) first_since: Option<Millis>,
-    pub(super) duty_at: Millis,
+    pub(super) duty: Duty,
     pub(super) duty_pid: Option<ProposalId>,
-    /// The epoch that this life has asked for, and the one that it was given.
-    pub(super) asked_epoch: Option<(ProposalId, u64)>,
-    pub(super) took: Option<u64>,
-    pub(super) tune_at: Millis,
-    pub(super) recovery: BTreeMap<u8, super::regions::Watch>,
     pub(super) claims: super::claims::Claims,
-    pub(super) smooth: crate::tune::Smooth,
-    pub(super) times: crate::tune::Times,
     pub(super) slow_at: Millis,
     pub(super) last_serial: u64,
     pub leaving: bool,
--- a/sorreldoor/src/core/delivery.rs
+++ b/sorreldoor/src/core/delivery.rs
@@ -6,7 +6,7 @@
 use crate::events::Ev;
 use crate::net::Conn;
 use crate::record::encode;
-use crate::registry::{Loads, Worker, WorkerRegistry};
+use crate::registry::Loads;
 use crate::rules::{broken, Rule};
 use crate::wire::*;
 use std::collections::BTreeMap;
@@ -100,24 +100,11 @@
     /// What a core that has just come needs to know at once.
     pub(super) fn brief(&mut self, conn: Conn) {
         self.send_sessions(conn);
-        if let Some(r) = self.roster_now() {
+        if let Some(r) = self.worker_list.at(self.now) {
             self.send(conn, Payload::WorkerRegistry(r));
         }
     }
 
-    /// The list of workers with its times as of now.
-    fn roster_now(&self) -> Option<Arc<WorkerRegistry>> {
-        let age = self.now.saturating_sub(self.roster_at);
-        self.registry.as_ref().map(|r| {
-            let timed = |w: &Worker| w.cold_ms > 0 || w.leaves_ms.is_some();
-            if r.workers.iter().any(timed) {
-                Arc::new(r.aged(age))
-            } else {
-                r.clone()
-            }
-        })
-    }
-
     pub(super) fn on_sessions(&mut self, from: Hello, s: Sessions) {
         let old = self.sessions.get(&from.id);
         // frames may pass each other on two lines; only news counts
@@ -302,44 +289,15 @@
         News {
             cores: Some((at, cores)).filter(|c| c.0 != have.cores && !c.1.is_empty()),
             record: r.filter(|r| r.rev() > have.record).map(|r| r.view()),
-            registry: self.roster_now().filter(|r| r.serial > have.registry),
+            registry: self
+                .worker_list
+                .at(self.now)
+                .filter(|r| r.serial > have.registry),
             loads: Some(self.loads.clone()).filter(|l| l.mark() > have.loads),
             seats: (self.places.0 != have.seats).then(places),
         }
     }
 
-    pub(super) fn on_registry(&mut self, r: Result<WorkerRegistry, String>) {
-        match r {
-            Ok(r) => {
-                self.roster_problem = None;
-                self.listed(r);
-            }
-            Err(e) => {
-                self.poll.failed();
-                if self.roster_problem.is_none() {
-                    self.say(Ev::RosterLost, e.clone());
-                }
-                self.roster_problem = Some(e);
-            }
-        }
-    }
-
-    /// A newer list, from the platform or from a core that reaches it.
-    pub(super) fn take_registry(&mut self, r: Arc<WorkerRegistry>) {
-        if self.registry.as_ref().is_some_and(|o| o.serial >= r.serial) {
-            return;
-        }
-        let n = r.workers.len();
-        self.say(Ev::RosterRead, format!("serial {}, {n} workers", r.serial));
-        self.registry = Some(r.clone());
-        self.roster_at = self.now;
-        let cores = self.live_cores(3000).into_values().map(|(c, _)| c);
-        // a worker that leaves must be known of before the next renewal
-        for c in cores.chain(self.seats.keys().copied()).collect::<Vec<_>>() {
-            self.send(c, Payload::WorkerRegistry(r.clone()));
-        }
-    }
-
     pub(super) fn take_loads(&mut self, l: Arc<Loads>) {
         let epoch = self.consensus.as_ref().map_or(0, |a| a.machine().epoch());
         // a deposed holder of the duty may still be gathering
--- a/sorreldoor/src/core/duty.rs
+++ b/sorreldoor/src/core/duty.rs
@@ -3,57 +3,69 @@
 
 use super::controller::Controller;
 use super::events::ControllerEffect;
+use super::regions::{region_capacity, RegionWatch};
 use crate::consensus::*;
 use crate::events::Ev;
-use crate::record::{encode, Cmd};
+use crate::record::{encode, Cmd, Recovery};
 use crate::registry::{Load, Loads, WorkerRegistry};
 use crate::tune;
 use crate::wire::Payload;
 use std::sync::Arc;
 
+/// A core is the first live one for so long before it takes the duty.
 const SETTLE_MS: Millis = 1000;
 const GATHER_MS: Millis = 500;
 const TUNE_MS: Millis = 2000;
 
-/// No word of a reading for so long means that it was lost.
-const LOST_MS: Millis = 5000;
-
-/// The reading of a list of workers that has no numbers of its own.
-#[derive(Clone, Copy, Debug)]
-pub struct Poll {
-    every: Option<Millis>,
-    at: Millis,
-    /// Since when a reading is under way.
-    asked: Option<Millis>,
-    /// Lists numbered in this life, and the epoch of the last.
-    count: u64,
-    epoch: u64,
+/// What a core remembers of the duty: its own claim to it, and its work.
+#[derive(Debug)]
+pub struct Duty {
+    /// Since when this core is the first live one.
+    first_since: Option<Millis>,
+    gather_at: Millis,
+    tune_at: Millis,
+    /// The epoch that this life has asked for, and the one that it was given.
+    asked_epoch: Option<(ProposalId, u64)>,
+    granted_epoch: Option<u64>,
+    regions: RegionWatch,
+    smooth: tune::Smooth,
+    times: tune::Times,
 }
 
-impl Poll {
-    pub fn new(every: Option<Millis>, now: Millis) -> Poll {
-        Poll {
-            every,
-            at: now,
-            asked: None,
-            count: 0,
-            epoch: 0,
+impl Duty {
+    /// Not held yet.
+    pub fn new(now: Millis) -> Duty {
+        Duty {
+            first_since: None,
+            gather_at: now,
+            tune_at: now,
+            asked_epoch: None,
+            granted_epoch: None,
+            regions: RegionWatch::default(),
+            smooth: tune::Smooth::default(),
+            times: tune::Times::default(),
         }
     }
 
-    pub fn failed(&mut self) {
-        self.asked = None;
+    /// Times that requests took, by route and service, as this core gathered
+    /// them while it held the duty.
+    pub fn times(&self) -> &tune::Times {
+        &self.times
+    }
+
+    /// A proposal of this core's own was answered.
+    pub fn answered(&mut self, id: ProposalId, taken: bool) {
+        // after a restart the log may still show the duty as this core's
+        // before it has caught up with what came after
+        let asked = self.asked_epoch.filter(|(asked, _)| taken && *asked == id);
+        self.granted_epoch = asked.map(|(_, epoch)| epoch).or(self.granted_epoch);
     }
 }
 
 impl Controller {
-    /// The holder alone reads the list: each reading has its price.
-    fn poll(&mut self) {
-        let Some(every) = self.poll.every else { return };
-        let busy = self.poll.asked.is_some_and(|t| self.now < t + LOST_MS);
-        if self.now >= self.poll.at && !busy {
-            self.poll.at = self.now + every;
-            self.poll.asked = Some(self.now);
+    /// The holder alone reads the list: each read has its price.
+    fn read_worker_list(&mut self) {
+        if self.worker_list.begin_read(self.now) {
             self.out.push(ControllerEffect::AskRegistry);
         }
     }
@@ -61,42 +73,42 @@
     /// A core without any list reads one itself: before there is a leader
     /// nobody holds the duty.
     pub(super) fn first_list(&mut self) {
-        if self.registry.is_none() && !self.leaving {
-            self.poll();
+        if self.worker_list.current().is_none() && !self.leaving {
+            self.read_worker_list();
         }
     }
 
-    /// A list that came: taken as it is where it has a number of its own; else
-    /// numbered under the holder's epoch, if it says anything new.
-    pub(super) fn listed(&mut self, r: WorkerRegistry) {
-        if self.poll.every.is_none() {
-            return self.take_registry(Arc::new(r));
-        }
-        self.poll.asked = None;
-        if !self.on_duty() {
-            // below what any holder has ever numbered, above nothing
-            if self.registry.is_none() {
-                let (serial, workers) = (1, r.workers);
-                self.take_registry(Arc::new(WorkerRegistry { serial, workers }));
+    /// A read of the list of workers has ended.
+    pub(super) fn on_registry(&mut self, read: Result<WorkerRegistry, String>) {
+        match read {
+            Ok(list) => {
+                let epoch = self.on_duty().then(|| self.epoch());
+                let newer = self.worker_list.read_done(list, epoch, self.now);
+                newer.into_iter().for_each(|list| self.take_registry(list));
+            }
+            Err(why) => {
+                if self.worker_list.read_failed(why.clone()) {
+                    self.say(Ev::RosterLost, why);
+                }
             }
-            return;
         }
-        let epoch = self.epoch();
-        let age = self.now.saturating_sub(self.roster_at);
-        let same = self
-            .registry
-            .as_ref()
-            .is_some_and(|o| o.same(&r.workers, age));
-        // a new holder's first list must be newer than all that an older
-        // one may still tell of
-        if same && self.poll.epoch == epoch {
+    }
+
+    /// A newer list, from the platform or from a core that reaches it.
+    pub(super) fn take_registry(&mut self, list: Arc<WorkerRegistry>) {
+        if !self.worker_list.adopt(list.clone(), self.now) {
             return;
         }
-        self.poll.epoch = epoch;
-        self.poll.count += 1;
-        let serial = (epoch << 32) | self.poll.count;
-        let workers = r.workers;
-        self.take_registry(Arc::new(WorkerRegistry { serial, workers }));
+        let n = list.workers.len();
+        self.say(
+            Ev::RosterRead,
+            format!("serial {}, {n} workers", list.serial),
+        );
+        let cores = self.live_cores(3000).into_values().map(|(c, _)| c);
+        // a worker that leaves must be known of before the next renewal
+        for c in cores.chain(self.seats.keys().copied()).collect::<Vec<_>>() {
+            self.send(c, Payload::WorkerRegistry(list.clone()));
+        }
     }
 
     /// The agreed order: by zone, then identity; voters only.
@@ -114,7 +126,7 @@
     /// an epoch must not begin anew within it.
     pub fn on_duty(&self) -> bool {
         let r = self.consensus.as_ref().map(|a| a.machine());
-        r.is_some_and(|r| r.holder() == self.me.id && self.took == Some(r.epoch()))
+        r.is_some_and(|r| r.holder() == self.me.id && self.duty.granted_epoch == Some(r.epoch()))
     }
 
     fn tunable(&self) -> bool {
@@ -125,10 +137,10 @@
 
     pub(super) fn duty_alarm(&mut self) {
         if self.first_live() != Some(self.me.id) || self.leaving {
-            self.first_since = None;
+            self.duty.first_since = None;
             return;
         }
-        let since = *self.first_since.get_or_insert(self.now);
+        let since = *self.duty.first_since.get_or_insert(self.now);
         if !self.on_duty() {
             // a core that flaps must not take the duty to and fro
             if self.now.saturating_sub(since) >= SETTLE_MS && self.duty_pid.is_none() {
@@ -136,14 +148,14 @@
             }
             return;
         }
-        if self.pacing.gather && self.now >= self.duty_at {
-            self.duty_at = self.now + GATHER_MS;
+        if self.pacing.gather && self.now >= self.duty.gather_at {
+            self.duty.gather_at = self.now + GATHER_MS;
             self.gather();
         }
-        self.poll();
-        self.watch_recovery();
-        if self.now >= self.tune_at && self.tunable() {
-            self.tune_at = self.now + TUNE_MS;
+        self.read_worker_list();
+        self.watch_regions();
+        if self.now >= self.duty.tune_at && self.tunable() {
+            self.duty.tune_at = self.now + TUNE_MS;
             self.tune();
         }
     }
@@ -153,7 +165,7 @@
         let holder = self.me.id;
         self.say(Ev::DutyTaken, format!("epoch {}", above + 1));
         self.propose(Cmd::Duty { holder, above });
-        self.asked_epoch = self.duty_pid.map(|pid| (pid, above + 1));
+        self.duty.asked_epoch = self.duty_pid.map(|pid| (pid, above + 1));
     }
 
     /// A proposal of this core's own has come to something.
@@ -161,10 +173,7 @@
         if self.duty_pid == Some(pid) {
             self.duty_pid = None;
         }
-        // after a restart the log may still show the duty as this core's
-        // before it has caught up with what came after
-        let asked = self.asked_epoch.filter(|(p, _)| taken && *p == pid);
-        self.took = asked.map(|(_, epoch)| epoch).or(self.took);
+        self.duty.answered(pid, taken);
     }
 
     pub(super) fn propose(&mut self, cmd: Cmd) {
@@ -178,11 +187,39 @@
         self.consensus.as_ref().map_or(0, |a| a.machine().epoch())
     }
 
+    /// Propose the next state of the first region that is due for one.
+    fn watch_regions(&mut self) {
+        let epoch = self.epoch();
+        if self.loads.epoch != epoch || self.duty_pid.is_some() {
+            return;
+        }
+        for region in 0..self.site.regions.len() as u8 {
+            let Some(state) = self.region_state_due(region) else {
+                continue;
+            };
+            let name = self.site.region_name(region).to_string();
+            let text = super::status::recovery_text(state);
+            self.say(Ev::RegionState, format!("{name}: {text}"));
+            return self.propose(Cmd::Region {
+                epoch,
+                region,
+                state,
+            });
+        }
+    }
+
+    fn region_state_due(&mut self, region: u8) -> Option<Recovery> {
+        let record = self.consensus.as_ref()?.machine();
+        let workers = self.worker_list.workers();
+        let room = region_capacity(record.setup()?, workers, &self.loads, region)?;
+        let is = record.region(region);
+        self.duty.regions.next_state(region, room, is, self.now)
+    }
+
     fn gather(&mut self) {
         let epoch = self.epoch();
-        let to = self.registry.as_ref().map_or(Vec::new(), |r| {
-            r.workers.iter().map(|w| (w.name.clone(), w.addr)).collect()
-        });
+        let workers = self.worker_list.workers().iter();
+        let to = workers.map(|w| (w.name.clone(), w.addr)).collect();
         self.out.push(ControllerEffect::AskLoads(epoch, to));
     }
 
@@ -208,7 +245,7 @@
             serial,
             rows,
         });
-        self.smooth.take(&l);
+        self.duty.smooth.take(&l);
         self.loads = l.clone();
         for (c, _) in self.live_cores(3000).into_values() {
             self.send(c, Payload::Loads(l.clone()));
@@ -216,19 +253,19 @@
     }
 
     fn tune(&mut self) {
-        let mut times = std::mem::take(&mut self.times);
+        let mut times = std::mem::take(&mut self.duty.times);
         times.take(&self.accounts());
-        self.times = times;
+        self.duty.times = times;
         let Some(a) = &self.consensus else { return };
         let r = a.machine();
-        let (Some(s), Some(ro)) = (r.setup(), &self.registry) else {
+        let (Some(s), Some(ro)) = (r.setup(), self.worker_list.current()) else {
             return;
         };
         let by = tune::Now {
             ro,
             loads: &self.loads,
-            smooth: &self.smooth,
-            times: &self.times,
+            smooth: &self.duty.smooth,
+            times: &self.duty.times,
         };
         let weights = tune::step(s, &r.view().weights, &by);
         let (epoch, serial) = (r.epoch(), r.serial());
--- a/sorreldoor/src/core/mod.rs
+++ b/sorreldoor/src/core/mod.rs
@@ -16,6 +16,7 @@
 mod source;
 mod start;
 mod status;
+mod worker_list;
 
 pub use api::{Api, Door};
 pub use book::KEEP_MS;
--- a/sorreldoor/src/core/regions.rs
+++ b/sorreldoor/src/core/regions.rs
@@ -1,95 +1,104 @@
 //! Regions lost and returning: what the duty's holder sees of their workers,
-//! and the state it proposes for the record.
+//! and the state that the record should have for each.
 
-use super::controller::Controller;
 use crate::consensus::Millis;
-use crate::record::{Cmd, Recovery};
+use crate::record::Recovery;
+use crate::registry::{Loads, Worker};
+use crate::setup::Setup;
+use std::collections::BTreeMap;
 
 /// So long without any live model worker makes a region lost.
 const LOST_MS: Millis = 1500;
 /// So long after it came back, a region is served in full in any case.
 const FULL_MS: Millis = 10_000;
-const STEP: u8 = 10;
+/// A returning region's share rises by at least so many percent at a time, so
+/// that each worker's finished request is not a proposal.
+const STEP_PERCENT: u8 = 10;
+/// From so many percent on, a region is served in full.
+const NEARLY_FULL_PERCENT: u8 = 95;
 
-/// What the holder remembers of a region between looks.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Watch {
-    dark_since: Option<Millis>,
-    back_since: Option<Millis>,
+/// The live model workers of a region: their slots, and how many of these they
+/// can bear by how warm they are.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Capacity {
+    slots: u64,
+    warm: u64,
 }
 
-impl Controller {
-    /// Live model workers of a region: their slots, and how many of those
-    /// they can bear by how warm they are.
-    fn warmth(&self, region: u8) -> Option<(u64, u64)> {
-        let s = self.consensus.as_ref()?.machine().setup()?.clone();
-        let r = self.registry.as_ref()?;
-        let mut listed = 0;
-        let (mut slots, mut cap) = (0, 0);
-        for w in r.workers.iter().filter(|w| w.region == region) {
-            let Some(g) = s.group(&w.group).map(|g| &s.groups[g as usize]) else {
-                continue;
-            };
-            if !g.model || w.leaving {
-                continue;
-            }
-            listed += 1;
-            if let Some(l) = self.loads.of(&w.name).filter(|l| l.live) {
-                let n = u64::from(l.slots.max(1).min(g.slots));
-                let warm = u64::from(g.warm.first) + l.finished / u64::from(g.warm.after.max(1));
-                slots += n;
-                cap += warm.min(n);
-            }
-        }
-        // a region that is meant to have no workers is not lost
-        (listed > 0).then_some((slots, cap))
+impl Capacity {
+    fn percent(self) -> u8 {
+        (self.warm * 100 / self.slots.max(1)).min(100) as u8
     }
+}
 
-    pub(super) fn watch_recovery(&mut self) {
-        let Some(epoch) = self.consensus.as_ref().map(|a| a.machine().epoch()) else {
-            return;
+/// What a region's workers can bear now; none for a region that is meant to
+/// have no model workers.
+pub fn region_capacity(
+    setup: &Setup,
+    workers: &[Worker],
+    loads: &Loads,
+    region: u8,
+) -> Option<Capacity> {
+    let mut listed = false;
+    let mut sum = Capacity::default();
+    for worker in workers.iter().filter(|w| w.region == region && !w.leaving) {
+        let group = setup.group(&worker.group);
+        let group = group.map(|g| &setup.groups[g as usize]);
+        let Some(group) = group.filter(|g| g.model) else {
+            continue;
         };
-        if self.loads.epoch != epoch || self.duty_pid.is_some() {
-            return;
-        }
-        for region in 0..self.site.regions.len() as u8 {
-            if let Some(state) = self.recovery_due(region) {
-                let name = self.site.region_name(region).to_string();
-                let text = super::status::recovery_text(state);
-                self.say(crate::events::Ev::RegionState, format!("{name}: {text}"));
-                return self.propose(Cmd::Region {
-                    epoch,
-                    region,
-                    state,
-                });
-            }
+        listed = true;
+        if let Some(load) = loads.of(&worker.name).filter(|l| l.live) {
+            let slots = u64::from(load.slots.max(1).min(group.slots));
+            let finished = load.finished / u64::from(group.warm.after.max(1));
+            let warm = u64::from(group.warm.first) + finished;
+            sum.slots += slots;
+            sum.warm += warm.min(slots);
         }
     }
+    listed.then_some(sum)
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+struct Seen {
+    dark_since: Option<Millis>,
+    back_since: Option<Millis>,
+}
+
+/// What the holder remembers of each region between looks.
+#[derive(Clone, Debug, Default)]
+pub struct RegionWatch {
+    seen: BTreeMap<u8, Seen>,
+}
 
-    fn recovery_due(&mut self, region: u8) -> Option<Recovery> {
-        let (slots, cap) = self.warmth(region)?;
-        let now = self.now;
-        let is = self.consensus.as_ref()?.machine().region(region);
-        let w = self.recovery.entry(region).or_default();
-        if slots == 0 {
-            w.back_since = None;
-            let since = *w.dark_since.get_or_insert(now);
+impl RegionWatch {
+    /// The state that is due for a region which is in state `is`, if another.
+    pub fn next_state(
+        &mut self,
+        region: u8,
+        room: Capacity,
+        is: Recovery,
+        now: Millis,
+    ) -> Option<Recovery> {
+        let seen = self.seen.entry(region).or_default();
+        if room.slots == 0 {
+            seen.back_since = None;
+            let since = *seen.dark_since.get_or_insert(now);
             let lost = now.saturating_sub(since) >= LOST_MS;
             return (lost && is != Recovery::Lost).then_some(Recovery::Lost);
         }
-        w.dark_since = None;
+        seen.dark_since = None;
         if is == Recovery::Served {
             return None;
         }
-        let since = *w.back_since.get_or_insert(now);
-        let part = (cap * 100 / slots).min(100) as u8;
-        // steps, so that each worker's finished errand is not a proposal
-        if part >= 95 || now.saturating_sub(since) >= FULL_MS {
+        let since = *seen.back_since.get_or_insert(now);
+        let percent = room.percent();
+        if percent >= NEARLY_FULL_PERCENT || now.saturating_sub(since) >= FULL_MS {
             return Some(Recovery::Served);
         }
         match is {
-            Recovery::Returning(p) if part < p + STEP => None,
-            _ => Some(Recovery::Returning(part)),
+            Recovery::Returning(was) if percent < was + STEP_PERCENT => None,
+            _ => Some(Recovery::Returning(percent)),
         }
     }
 }
--- a/sorreldoor/src/core/start.rs
+++ b/sorreldoor/src/core/start.rs
@@ -1,7 +1,9 @@
 //! A controller as it starts: from nothing, or from what its store kept.
 
 use super::controller::Controller;
+use super::duty::Duty;
 use super::events::Start;
+use super::worker_list::WorkerList;
 use crate::consensus::{Consensus, Kept, Machine, Millis};
 use crate::record::Record;
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,25 +38,15 @@
             merged: Vec::new(),
             places: (0, Arc::default()),
             told: (Vec::new(), now),
-            registry: None,
-            roster_problem: None,
-            roster_at: now,
-            poll: super::duty::Poll::new(s.poll_ms, now),
+            worker_list: WorkerList::new(s.poll_ms, now),
             loads: Arc::default(),
             wants: Vec::new(),
             reading: BTreeMap::new(),
             next_rid: 1,
             ops: BTreeMap::new(),
-            first_since: None,
-            duty_at: now,
+            duty: Duty::new(now),
             duty_pid: None,
-            asked_epoch: None,
-            took: None,
-            tune_at: now,
-            recovery: BTreeMap::new(),
             claims: super::claims::Claims::new(&[], s.most_claims, now),
-            smooth: Default::default(),
-            times: Default::default(),
             slow_at: now,
             last_serial: 0,
             leaving: false,
--- a/sorreldoor/src/core/status.rs
+++ b/sorreldoor/src/core/status.rs
@@ -82,18 +82,18 @@
         let zones = crate::ops::zones(
             &self.site,
             &emptied.unwrap_or_default(),
-            self.registry.as_ref().map_or(&[][..], |r| &r.workers),
+            self.worker_list.workers(),
             &self.loads,
             self.all_seats().iter().map(|s| (s.hello.zone, s.running)),
         );
         let _ = v.insert("zones", zones);
         let _ = v.insert("edges", self.edges());
         let _ = v.insert("workers", self.workers());
+        let _ = v.insert("roster_serial", self.worker_list.serial());
         let _ = v.insert(
-            "roster_serial",
-            self.registry.as_ref().map_or(0, |r| r.serial),
+            "roster_problem",
+            self.worker_list.problem().map(str::to_string),
         );
-        let _ = v.insert("roster_problem", self.roster_problem.clone());
         v
     }
 
@@ -111,7 +111,7 @@
             .map(|(i, r, h)| {
                 let name = s.map_or("", |s| &s.services[h.service as usize].name);
                 let tuned = crate::tune::weight(&view.weights, i as u16, h.service);
-                let took = self.times.of(&r.name, name);
+                let took = self.duty.times().of(&r.name, name);
                 let mut o = Val::object();
                 let _ = o.insert("route", r.name.as_str());
                 let _ = o.insert("service", name);
@@ -153,7 +153,7 @@
     }
 
     fn workers(&self) -> Vec<Val> {
-        let ws = self.registry.as_ref().map_or(&[][..], |r| &r.workers);
+        let ws = self.worker_list.workers();
         ws.iter()
             .map(|w| {
                 let mut o = Val::object();
--- /dev/null
+++ b/sorreldoor/src/core/worker_list.rs
@@ -0,0 +1,151 @@
+//! The list of workers as one core holds it: when to read it, how a list
+//! without numbers of its own is numbered, and how old its times are.
+
+use crate::consensus::Millis;
+use crate::registry::{Worker, WorkerRegistry};
+use std::sync::Arc;
+
+/// A read without any word for so long is taken for lost.
+const READ_TIMEOUT_MS: Millis = 5000;
+/// The serial of a list that was read by a core without the duty: below what
+/// any holder of the duty numbers, above no list at all.
+const UNNUMBERED_SERIAL: u64 = 1;
+
+/// The newest list that a core knows, and the reads that bring newer ones.
+#[derive(Clone, Debug)]
+pub struct WorkerList {
+    /// Between reads of a list that this core numbers itself; none where the
+    /// list comes with numbers of its own.
+    interval: Option<Millis>,
+    next_read_at: Millis,
+    reading_since: Option<Millis>,
+    /// Lists numbered in this life, and the epoch of the last of them.
+    numbered: u64,
+    numbered_epoch: u64,
+    current: Option<Arc<WorkerRegistry>>,
+    received_at: Millis,
+    problem: Option<String>,
+}
+
+impl WorkerList {
+    /// No list yet; `interval` is given where this core numbers the lists.
+    pub fn new(interval: Option<Millis>, now: Millis) -> WorkerList {
+        WorkerList {
+            interval,
+            next_read_at: now,
+            reading_since: None,
+            numbered: 0,
+            numbered_epoch: 0,
+            current: None,
+            received_at: now,
+            problem: None,
+        }
+    }
+
+    /// The newest list, with its times as they were when it came.
+    pub fn current(&self) -> Option<&Arc<WorkerRegistry>> {
+        self.current.as_ref()
+    }
+
+    /// The serial of the newest list, or 0.
+    pub fn serial(&self) -> u64 {
+        self.current.as_ref().map_or(0, |list| list.serial)
+    }
+
+    /// The workers of the newest list.
+    pub fn workers(&self) -> &[Worker] {
+        self.current.as_ref().map_or(&[], |list| &list.workers)
+    }
+
+    /// Why the last read failed.
+    pub fn problem(&self) -> Option<&str> {
+        self.problem.as_deref()
+    }
+
+    /// The newest list with its times counted down to `now`.
+    pub fn at(&self, now: Millis) -> Option<Arc<WorkerRegistry>> {
+        let age = now.saturating_sub(self.received_at);
+        let timed = |w: &Worker| w.cold_ms > 0 || w.leaves_ms.is_some();
+        self.current.as_ref().map(|list| {
+            if list.workers.iter().any(timed) {
+                Arc::new(list.aged(age))
+            } else {
+                list.clone()
+            }
+        })
+    }
+
+    /// Whether a read is due now; if so it counts as begun.
+    pub fn begin_read(&mut self, now: Millis) -> bool {
+        let Some(interval) = self.interval else {
+            return false;
+        };
+        let reading = self
+            .reading_since
+            .is_some_and(|since| now < since + READ_TIMEOUT_MS);
+        if now < self.next_read_at || reading {
+            return false;
+        }
+        self.next_read_at = now + interval;
+        self.reading_since = Some(now);
+        true
+    }
+
+    /// A read failed; true if the one before had not.
+    pub fn read_failed(&mut self, why: String) -> bool {
+        self.reading_since = None;
+        self.problem.replace(why).is_none()
+    }
+
+    /// A read brought `list`: what is to be adopted and told, if anything.
+    /// `epoch` is the duty's where this core holds it.
+    pub fn read_done(
+        &mut self,
+        list: WorkerRegistry,
+        epoch: Option<u64>,
+        now: Millis,
+    ) -> Option<Arc<WorkerRegistry>> {
+        self.problem = None;
+        if self.interval.is_none() {
+            return Some(Arc::new(list));
+        }
+        self.reading_since = None;
+        let serial = match epoch {
+            Some(epoch) => self.next_serial(&list, epoch, now)?,
+            None if self.current.is_none() => UNNUMBERED_SERIAL,
+            None => return None,
+        };
+        let workers = list.workers;
+        Some(Arc::new(WorkerRegistry { serial, workers }))
+    }
+
+    /// The number of a list under the holder's epoch, if it says anything new.
+    fn next_serial(&mut self, list: &WorkerRegistry, epoch: u64, now: Millis) -> Option<u64> {
+        let age = now.saturating_sub(self.received_at);
+        let same = self
+            .current
+            .as_ref()
+            .is_some_and(|old| old.same(&list.workers, age));
+        // a new holder's first list must be newer than all that an older
+        // one may still tell of
+        if same && self.numbered_epoch == epoch {
+            return None;
+        }
+        self.numbered_epoch = epoch;
+        self.numbered += 1;
+        Some((epoch << 32) | self.numbered)
+    }
+
+    /// Take a list if it is newer than the one at hand.
+    pub fn adopt(&mut self, list: Arc<WorkerRegistry>, now: Millis) -> bool {
+        let newer = self
+            .current
+            .as_ref()
+            .is_none_or(|old| old.serial < list.serial);
+        if newer {
+            self.current = Some(list);
+            self.received_at = now;
+        }
+        newer
+    }
+}
