--- a/rig/src/disk.rs
+++ b/rig/src/disk.rs
@@ -9,18 +9,31 @@
     pub kept: DurableState,
     pub sync_ms: Millis,
     pub stuck: bool,
+    /// Bytes of log and snapshots given to it since it was opened.
+    pub saved_bytes: u64,
     unsynced: VecDeque<(u64, Save)>,
     busy_until: Millis,
     next_until: Millis,
     first_seq: u64,
 }
 
+fn size(save: &Save) -> u64 {
+    const SMALL: usize = 64;
+    let bytes = match save {
+        Save::Append { entries, .. } => entries.iter().map(|e| e.bytes()).sum(),
+        Save::Snap { snap, .. } => snap.image.len(),
+        _ => SMALL,
+    };
+    bytes as u64
+}
+
 impl Default for Disk {
     fn default() -> Disk {
         Disk {
             kept: DurableState::default(),
             sync_ms: 1,
             stuck: false,
+            saved_bytes: 0,
             unsynced: VecDeque::new(),
             busy_until: 0,
             next_until: 0,
@@ -37,6 +50,7 @@
 
     /// Take a save in; when it will be durable.
     pub fn queue(&mut self, seq: u64, save: Save, now: Millis) -> Millis {
+        self.saved_bytes += size(&save);
         self.unsynced.push_back((seq, save));
         // what comes during a sync is synced together by the next one
         if now >= self.busy_until {
--- a/rig/src/sim/askers.rs
+++ b/rig/src/sim/askers.rs
@@ -76,6 +76,14 @@
         pid
     }
 
+    /// Any change that builds on `base`.
+    pub fn order(&mut self, at: usize, base: u64, cmd: &Cmd) -> ProposalId {
+        let pid = self.begin(at, Act::Change { base });
+        let body = Body::Data(Arc::new(encode(cmd)));
+        self.give(at, Event::Propose { pid, body });
+        pid
+    }
+
     /// Ask again by the same id, at any node.
     pub fn again(&mut self, at: usize, pid: ProposalId) {
         let op = &mut self.ops[pid as usize - 1];
--- a/rig/src/sim/core.rs
+++ b/rig/src/sim/core.rs
@@ -1,6 +1,6 @@
 //! One simulated core: its reducer, its disk, its clock.
 
-use super::{member, Trail};
+use super::{member, Trail, Uplink};
 use crate::disk::Disk;
 use sorreldoor::consensus::*;
 use sorreldoor::record::Record;
@@ -17,6 +17,7 @@
     pub frozen_until: Millis,
     pub waiting: Vec<Event>,
     pub disk: Disk,
+    pub uplink: Uplink,
     /// Added to true time; jumps forward only, as a monotonic clock may.
     pub clock: Millis,
 }
@@ -42,6 +43,7 @@
             frozen_until: 0,
             waiting: Vec::new(),
             disk: Disk::default(),
+            uplink: Uplink::default(),
             clock: 0,
         }
     }
@@ -70,12 +72,20 @@
 
     pub fn crash(&mut self, survive: usize) {
         self.disk.crash(survive);
+        self.uplink = Uplink::default();
         self.consensus = None;
         self.boot += 1;
         self.waiting.clear();
         self.frozen_until = 0;
     }
 
+    /// Its disk is lost, and with it its identity: a new member in its place.
+    pub fn wipe(&mut self, id: NodeId) {
+        self.crash(0);
+        self.disk = Disk::default();
+        self.id = id;
+    }
+
     pub fn step(&mut self, ev: Event, now: Millis) -> Vec<Effect> {
         let t = now + self.clock;
         self.consensus
--- a/rig/src/sim/mod.rs
+++ b/rig/src/sim/mod.rs
@@ -5,11 +5,13 @@
 mod check;
 mod core;
 mod faults;
+mod uplink;
 
 pub use askers::{Act, Done, Op};
 pub use check::{check, same, Trail};
 pub use core::{Node, Watched};
 pub use faults::{ask, storm};
+pub use uplink::{Bandwidth, Uplink};
 
 use crate::rand::Rand;
 use sorreldoor::consensus::*;
@@ -25,8 +27,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum What {
     Tick(usize, u64),
-    Arrive { to: usize, from: NodeId, msg: Msg },
-    Synced { node: usize, boot: u64, seq: u64 },
+    Arrive {
+        to: usize,
+        from: NodeId,
+        msg: Msg,
+        /// The life of the receiver that the connection was to; without a
+        /// bandwidth there are no connections.
+        boot: Option<u64>,
+    },
+    Synced {
+        node: usize,
+        boot: u64,
+        seq: u64,
+    },
     Thaw(usize, u64),
 }
 
@@ -44,6 +57,8 @@
     pub jitter: Millis,
     pub loss: u64,
     pub twice: u64,
+    /// What each node can send; none: as much as it likes, in any order.
+    pub bandwidth: Option<Bandwidth>,
     /// Pairs (from, to) whose messages are lost.
     pub cuts: BTreeSet<(usize, usize)>,
     /// Messages that the filter names, by sender and receiver, are lost.
@@ -90,6 +105,7 @@
             jitter: 2,
             loss: 0,
             twice: 0,
+            bandwidth: None,
             cuts: BTreeSet::new(),
             drop_if: None,
             sent: BTreeMap::new(),
@@ -206,7 +222,17 @@
                 self.plan(at, What::Tick(i, boot));
                 self.give(i, Event::Alarm);
             }
-            What::Arrive { to, from, msg } => self.give(to, Event::Heard { from, msg }),
+            What::Arrive {
+                to,
+                from,
+                msg,
+                boot,
+            } => {
+                // a connection ends with the process that it was to
+                if boot.is_none_or(|b| b == self.nodes[to].boot) {
+                    self.give(to, Event::Heard { from, msg });
+                }
+            }
             What::Synced { node, boot, seq } => {
                 if self.nodes[node].boot == boot && self.nodes[node].up() {
                     if self.nodes[node].disk.stuck {
@@ -282,15 +308,51 @@
         if lost {
             return;
         }
+        if let Some(bandwidth) = self.bandwidth {
+            self.carry_in_order(bandwidth, i, t, msg);
+            return;
+        }
         let copies = 1 + u64::from(self.rng.chance(self.twice));
         for _ in 0..copies {
             let base = if away { self.far } else { self.near };
             let at = self.now + base + self.rng.below(self.jitter + 1);
             let (from, msg) = (self.nodes[i].id, msg.clone());
-            self.plan(at, What::Arrive { to: t, from, msg });
+            let boot = None;
+            self.plan(
+                at,
+                What::Arrive {
+                    to: t,
+                    from,
+                    msg,
+                    boot,
+                },
+            );
         }
     }
 
+    /// As one connection between two nodes does it: in order, behind all else
+    /// that the sender has not got rid of yet.
+    fn carry_in_order(&mut self, bandwidth: Bandwidth, i: usize, t: usize, msg: Msg) {
+        if !self.nodes[t].up() {
+            return;
+        }
+        let away = self.nodes[i].region != self.nodes[t].region;
+        let delay = if away { self.far } else { self.near };
+        let bytes = uplink::frame_bytes(&msg);
+        let left = self.nodes[i].uplink.send(bandwidth, self.now, bytes);
+        let from = self.nodes[i].id;
+        let boot = Some(self.nodes[t].boot);
+        self.plan(
+            left + delay,
+            What::Arrive {
+                to: t,
+                from,
+                msg,
+                boot,
+            },
+        );
+    }
+
     /// Run until some core leads and has committed in its term.
     pub fn settle(&mut self) -> usize {
         let end = self.now + 5000;
@@ -345,7 +407,7 @@
         Msg::Append { .. } => "append",
         Msg::AppendReply { .. } => "holds",
         Msg::Confirm { .. } => "confirm",
-        Msg::InstallSnapshot { .. } => "install",
+        Msg::Chunk(_) | Msg::ChunkReply { .. } => "chunk",
         Msg::Propose { .. } => "propose",
         Msg::ProposalResult { .. } => "answered",
         Msg::ReadIndexRequest { .. } | Msg::ReadIndexReply { .. } => "read",
--- a/rig/tests/agree_sim.rs
+++ b/rig/tests/consensus_sim.rs
@@ -6,7 +6,9 @@
 fn run(seed: u64, shape: &[RegionId], broken: Broken) -> Vec<String> {
     let mut timing = Timing::for_ack(2000);
     timing.broken = broken;
-    timing.keep_log = 40;
+    // a snapshot every five entries and twenty kept behind it, so that whoever
+    // lacks more is sent a snapshot
+    timing.keep_log = 5;
     let mut s = Sim::new(seed, shape, timing);
     s.most_events = 400_000;
     s.loss = seed % 7;
--- a/sorreldoor/src/consensus/accept.rs
+++ b/sorreldoor/src/consensus/accept.rs
@@ -4,7 +4,7 @@
 use super::types::*;
 
 impl<M: Machine> Consensus<M> {
-    fn follow(&mut self, term: u64, gl: NodeId, round: u64) {
+    pub(super) fn follow(&mut self, term: u64, gl: NodeId, round: u64) {
         if term > self.hard.term {
             self.take_term(term, Some(gl));
         }
@@ -62,7 +62,7 @@
     }
 
     /// Where the sender should go on from when its last append did not fit.
-    fn fall_back(&self, idx: u64) -> u64 {
+    pub(super) fn fall_back(&self, idx: u64) -> u64 {
         let last = self.log.last().idx;
         if idx > last {
             return last;
@@ -114,7 +114,8 @@
             if !self.machine.load(&snap.image) {
                 return;
             }
-            let keep = self.log.term_at(idx) == Some(snap.last.term);
+            let keep = self.log.term_at(idx) == Some(snap.last.term)
+                || (self.timing.broken == Broken::InstallKeepsLog && idx <= self.log.last().idx);
             if keep {
                 self.log.compact(idx);
             } else {
--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -6,6 +6,11 @@
 use super::types::*;
 use std::sync::Arc;
 
+/// A log may grow by this much more than its snapshot before the next one.
+const SPARE_LOG_BYTES: usize = 256 * 1024;
+/// Entries kept behind a snapshot, as a multiple of those between two.
+const TAIL_FACTOR: u64 = 4;
+
 impl<M: Machine> Consensus<M> {
     /// What `id` is known to hold, synced, in this term.
     fn upto(&self, id: NodeId) -> u64 {
@@ -251,8 +256,20 @@
         self.machine.answered(pid)
     }
 
+    /// A snapshot is due once the log after the last has as many bytes as it,
+    /// so that what making it costs is paid by what was appended.
+    fn snapshot_due(&self) -> bool {
+        let (at, bytes) = self
+            .image
+            .as_ref()
+            .map_or((0, 0), |s| (s.last.idx, s.image.len()));
+        let entries = self.applied.saturating_sub(at);
+        entries >= self.timing.keep_log
+            || (entries > 0 && self.log.bytes_after(at) > bytes + SPARE_LOG_BYTES)
+    }
+
     fn compact(&mut self) {
-        if self.applied.saturating_sub(self.log.base().idx) < self.timing.keep_log {
+        if !self.snapshot_due() {
             return;
         }
         let Some(last) = self.log.at(self.applied) else {
@@ -263,7 +280,15 @@
             members: self.log.members_at(last.idx).to_vec(),
             image: Arc::new(self.machine.image()),
         };
-        self.log.compact(last.idx);
+        // whoever is being sent the snapshot before still needs what follows it
+        let keep = if self.timing.broken == Broken::CompactAll {
+            last.idx
+        } else {
+            let bytes = snap.image.len() + SPARE_LOG_BYTES;
+            let count = self.timing.keep_log * TAIL_FACTOR;
+            self.log.tail(last.idx, count, bytes)
+        };
+        self.log.compact(keep);
         self.image = Some(snap.clone());
         self.save(Save::Snap { snap, reset: false });
     }
--- a/sorreldoor/src/consensus/log.rs
+++ b/sorreldoor/src/consensus/log.rs
@@ -55,31 +55,47 @@
         self.term_at(idx).map(|term| Last { term, idx })
     }
 
-    /// Entries from `from` to `upto` at most, bounded in count and bytes.
-    pub fn range(&self, from: u64, upto: u64) -> Vec<Entry> {
+    /// Entries from `from` to `upto` at most, up to the first large one, and no
+    /// more than fit into `room`.
+    pub fn range(&self, from: u64, upto: u64, room: usize) -> Vec<Entry> {
         let a = from.saturating_sub(self.base.idx + 1) as usize;
         let z = (upto.saturating_sub(self.base.idx) as usize).min(self.entries.len());
-        let mut room = 512 * 1024usize;
+        let mut room = room;
         self.entries
             .get(a..z)
             .unwrap_or(&[])
             .iter()
-            .take(64)
-            .enumerate()
-            .take_while(|(i, e)| {
-                let n = match &e.body {
-                    Body::Data(d) => d.len(),
-                    _ => 64,
-                };
-                // the first always fits, or one large setup could never be sent
-                let ok = *i == 0 || room >= n;
-                room = room.saturating_sub(n);
-                ok
+            .take_while(|entry| {
+                let fits = !entry.large() && room >= entry.bytes();
+                room = room.saturating_sub(entry.bytes());
+                fits
             })
-            .map(|(_, e)| e.clone())
+            .cloned()
             .collect()
     }
 
+    /// Bytes of the entries after `idx`.
+    pub fn bytes_after(&self, idx: u64) -> usize {
+        let skip = idx.saturating_sub(self.base.idx) as usize;
+        self.entries.iter().skip(skip).map(Entry::bytes).sum()
+    }
+
+    /// The first index to keep so that `upto` and the entries before it are no
+    /// more than `count` and `bytes`.
+    pub fn tail(&self, upto: u64, count: u64, bytes: usize) -> u64 {
+        let mut from = upto;
+        let mut room = bytes;
+        while from > self.base.idx && upto - from < count {
+            let size = self.get(from).map_or(0, Entry::bytes);
+            if size > room {
+                break;
+            }
+            room -= size;
+            from -= 1;
+        }
+        from
+    }
+
     pub fn push(&mut self, entries: Vec<Entry>) {
         let mut idx = self.last().idx;
         for e in entries {
--- a/sorreldoor/src/consensus/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -2,6 +2,7 @@
 //! Nothing in here reads a clock, does I/O or starts a thread.
 
 mod accept;
+mod chunk;
 mod commit;
 mod elect;
 mod log;
@@ -12,9 +13,12 @@
 mod replicate;
 mod state;
 mod tally;
+mod transfer;
 mod types;
 
+pub use chunk::{Chunk, ContentHeader};
 pub use log::Log;
 pub use node::{Consensus, Kept};
 pub use position::{best, Load};
+pub use transfer::{CHUNK_BYTES, WINDOW_BYTES};
 pub use types::*;
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -1,7 +1,9 @@
 //! The reducer's state in one struct, and the one door for all events.
 
+use super::chunk::ContentHeader;
 use super::log::Log;
 use super::position::Load;
+use super::transfer::{Incoming, Transfer};
 use super::types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -16,7 +18,7 @@
 
 /// What a leader knows of one node in its own term.
 #[derive(Clone, Debug, Default)]
-pub struct Row {
+pub struct Progress {
     pub upto: u64,
     pub next: u64,
     /// What the last append sent was to follow on.
@@ -24,6 +26,41 @@
     pub round: u64,
     pub seen: Millis,
     pub sent: Millis,
+    /// Entries sent and not acknowledged: the last index and the bytes of each
+    /// message.
+    pub in_flight: VecDeque<(u64, usize)>,
+    /// A snapshot or a large entry that is sent in chunks.
+    pub transfer: Option<Transfer>,
+}
+
+impl Progress {
+    /// The member holds the log up to `upto`.
+    pub fn acknowledge(&mut self, upto: u64) {
+        self.upto = self.upto.max(upto);
+        self.next = self.next.max(self.upto + 1);
+        let held = self.upto;
+        while self.in_flight.front().is_some_and(|(i, _)| *i <= held) {
+            self.in_flight.pop_front();
+        }
+        let arrived = |t: &Transfer| t.header().last().idx <= held;
+        if self.transfer.as_ref().is_some_and(arrived) {
+            self.transfer = None;
+        }
+    }
+
+    /// The member's log ends, or parts from this one, after `idx`.
+    pub fn fall_back(&mut self, idx: u64) {
+        self.next = idx.max(self.upto) + 1;
+        self.in_flight.clear();
+        let entry = |t: &Transfer| matches!(t.header(), ContentHeader::Entry { .. });
+        if self.transfer.as_ref().is_some_and(entry) {
+            self.transfer = None;
+        }
+    }
+
+    pub fn bytes_in_flight(&self) -> usize {
+        self.in_flight.iter().map(|(_, bytes)| bytes).sum()
+    }
 }
 
 /// An election under way, global or domain.
@@ -106,7 +143,9 @@
     pub(super) poll: Poll,
     pub(super) dpoll: Poll,
     /// Rows of all nodes at the Global Leader, of the region at a Domain Leader.
-    pub(super) rows: BTreeMap<NodeId, Row>,
+    pub(super) rows: BTreeMap<NodeId, Progress>,
+    /// Contents that others are sending here, by sender.
+    pub(super) incoming: BTreeMap<NodeId, Incoming>,
     pub(super) dseen: BTreeMap<NodeId, Millis>,
     /// How far this log is known to equal the Global Leader's in this term.
     pub(super) verified: u64,
@@ -178,6 +217,7 @@
             poll: Poll::default(),
             dpoll: Poll::default(),
             rows: BTreeMap::new(),
+            incoming: BTreeMap::new(),
             dseen: BTreeMap::new(),
             verified: 0,
             round: 0,
@@ -296,12 +336,8 @@
                 upto,
                 holders,
             } => self.on_confirm(term, upto, holders),
-            Msg::InstallSnapshot {
-                term,
-                gl,
-                snap,
-                round,
-            } => self.on_install(from, (term, gl, round), snap),
+            Msg::Chunk(chunk) => self.on_chunk(from, *chunk),
+            Msg::ChunkReply { term, id, held } => self.on_chunk_reply(from, term, id, held),
             Msg::Propose { pid, origin, body } => self.on_propose(pid, origin, body),
             Msg::ProposalResult { pid, outcome } => self.finish(pid, Ok(outcome)),
             Msg::ReadIndexRequest { rid } => self.on_read_ask(from, rid),
--- a/sorreldoor/src/consensus/reads.rs
+++ b/sorreldoor/src/consensus/reads.rs
@@ -4,6 +4,9 @@
 use super::quorum;
 use super::types::*;
 
+/// What a slow link carries at least, with other traffic on it.
+const SLOW_BYTES_PER_MS: Millis = 500;
+
 impl<M: Machine> Consensus<M> {
     pub(super) fn ask(&mut self, pid: ProposalId, body: Body) {
         if let Some(o) = self.outcome(pid) {
@@ -196,10 +199,15 @@
     pub(super) fn reads_alarm(&mut self) {
         let (now, again, most) = (self.now, self.timing.resend * 2, self.timing.ack_ms * 2);
         let due = |sent: Option<Millis>| sent.is_none_or(|t| now.saturating_sub(t) >= again);
+        // a large body may still be on its way when a small one would be late
+        let body_due = |a: &Ask| {
+            let wait = again + a.body.bytes() as Millis / SLOW_BYTES_PER_MS;
+            a.sent.is_none_or(|t| now.saturating_sub(t) >= wait)
+        };
         let pids: Vec<(ProposalId, bool, bool)> = self
             .asks
             .iter()
-            .filter(|(_, a)| due(a.sent))
+            .filter(|(_, a)| body_due(a))
             .map(|(p, a)| (*p, now.saturating_sub(a.since) >= most, a.sent.is_some()))
             .collect();
         for (p, old, sent) in pids {
--- a/sorreldoor/src/consensus/replicate.rs
+++ b/sorreldoor/src/consensus/replicate.rs
@@ -1,9 +1,12 @@
 //! Sending the log: Global Leader to Domain Leaders, those to their regions.
 
-use super::node::{Consensus, Role, Row};
+use super::node::{Consensus, Progress, Role};
 use super::quorum;
 use super::types::*;
 
+/// Bytes of entries sent to one member and not acknowledged by it yet.
+const APPEND_WINDOW_BYTES: usize = 64 * 1024;
+
 impl<M: Machine> Consensus<M> {
     /// Take up the leadership just won.
     pub(super) fn lead(&mut self) {
@@ -13,10 +16,10 @@
         self.gl = Some(self.me);
         self.forget_lead();
         for o in self.others() {
-            let row = Row {
+            let row = Progress {
                 next,
                 seen: now,
-                ..Row::default()
+                ..Progress::default()
             };
             self.rows.insert(o, row);
         }
@@ -74,10 +77,10 @@
         if self.role == Role::Leader {
             self.rows.retain(|i, _| ms.iter().any(|m| m.id == *i));
             for m in ms.iter().filter(|m| m.id != self.me) {
-                self.rows.entry(m.id).or_insert_with(|| Row {
+                self.rows.entry(m.id).or_insert_with(|| Progress {
                     next,
                     seen: now,
-                    ..Row::default()
+                    ..Progress::default()
                 });
             }
         }
@@ -139,6 +142,15 @@
         self.judge();
     }
 
+    /// Whose log it is that this node passes on, and the round of heartbeats.
+    pub(super) fn leader_and_round(&self) -> (NodeId, u64) {
+        if self.role == Role::Leader {
+            (self.me, self.round)
+        } else {
+            (self.gl.unwrap_or(0), self.round_from)
+        }
+    }
+
     fn send_append(&mut self, to: NodeId, beat: bool) {
         let lead = self.role == Role::Leader;
         let upto = if lead {
@@ -146,16 +158,16 @@
         } else {
             self.verified
         };
-        let (gl, round) = if lead {
-            (self.me, self.round)
-        } else {
-            (self.gl.unwrap_or(0), self.round_from)
-        };
-        let (term, now, resend) = (self.hard.term, self.now, self.timing.resend);
-        let row = self.rows.entry(to).or_insert_with(|| Row {
+        let (gl, round) = self.leader_and_round();
+        let (term, now) = (self.hard.term, self.now);
+        let row = self.rows.entry(to).or_insert_with(|| Progress {
             next: upto + 1,
-            ..Row::default()
+            ..Progress::default()
         });
+        if row.transfer.is_some() {
+            self.send_chunks(to, beat);
+            return;
+        }
         row.next = row.next.min(upto + 1).max(1);
         if row.next > upto && !beat {
             return;
@@ -163,24 +175,27 @@
         let next = row.next;
         let Some(prev) = self.log.at(next - 1) else {
             // what was compacted away is only in the snapshot
-            let due = now.saturating_sub(row.sent) >= resend || row.sent == 0;
-            let snap = self.image.clone().filter(|_| due);
-            if let Some(snap) = snap {
-                row.sent = now;
-                self.send(
-                    to,
-                    Msg::InstallSnapshot {
-                        term,
-                        gl,
-                        snap,
-                        round,
-                    },
-                );
-            }
+            self.begin_snapshot(to);
+            self.send_chunks(to, beat);
             return;
         };
-        let entries = self.log.range(next, upto);
+        if let Some(entry) = self.log.get(next).filter(|e| next <= upto && e.large()) {
+            let entry = entry.clone();
+            (row.probe, row.sent) = (prev.idx, now);
+            self.begin_entry(to, prev, &entry);
+            self.send_chunks(to, beat);
+            return;
+        }
+        let room = APPEND_WINDOW_BYTES.saturating_sub(row.bytes_in_flight());
+        let entries = self.log.range(next, upto, room);
+        if entries.is_empty() && !beat {
+            return;
+        }
         row.next = next + entries.len() as u64;
+        if !entries.is_empty() {
+            let bytes = entries.iter().map(Entry::bytes).sum();
+            row.in_flight.push_back((row.next - 1, bytes));
+        }
         row.sent = now;
         row.probe = prev.idx;
         let commit = self.commit.min(upto);
@@ -302,12 +317,11 @@
                 row.seen = now;
             }
             grew |= h.upto > row.upto || h.round > row.round;
-            row.upto = row.upto.max(h.upto);
             row.round = row.round.max(h.round);
-            row.next = row.next.max(row.upto + 1);
+            row.acknowledge(h.upto);
         }
         if let (Some(h), Some(row)) = (hint, self.rows.get_mut(&from)) {
-            row.next = h.max(row.upto) + 1;
+            row.fall_back(h);
             // a node that says it lost what it acked must not make the two
             // answer each other at once for ever; the next heartbeat tries again
             if row.probe != row.next - 1 || self.now.saturating_sub(row.sent) >= self.timing.resend
--- a/sorreldoor/src/consensus/state.rs
+++ b/sorreldoor/src/consensus/state.rs
@@ -40,6 +40,10 @@
     pub fn log(&self) -> &Log {
         &self.log
     }
+    /// Bytes of the newest snapshot's image.
+    pub fn snapshot_bytes(&self) -> usize {
+        self.image.as_ref().map_or(0, |s| s.image.len())
+    }
     pub fn members(&self) -> &[Member] {
         self.log.members()
     }
--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -1,5 +1,6 @@
 //! Words that the reducer, its store and its neighbours share.
 
+use super::chunk::Chunk;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -43,6 +44,29 @@
     pub body: Body,
 }
 
+impl Body {
+    /// What it takes in memory and on the wire, near enough.
+    pub fn bytes(&self) -> usize {
+        const OVERHEAD: usize = 64;
+        match self {
+            Body::Noop => OVERHEAD,
+            Body::Data(data) => OVERHEAD + data.len(),
+            Body::Members(members) => OVERHEAD * (1 + members.len()),
+        }
+    }
+}
+
+impl Entry {
+    pub fn bytes(&self) -> usize {
+        self.body.bytes()
+    }
+
+    /// Too large for one message.
+    pub fn large(&self) -> bool {
+        matches!(&self.body, Body::Data(data) if data.len() > super::CHUNK_BYTES)
+    }
+}
+
 /// How new a log is: last term first, then length.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Last {
@@ -165,11 +189,13 @@
         upto: u64,
         holders: Vec<NodeId>,
     },
-    InstallSnapshot {
+    /// A part of a snapshot or of a large entry; empty, it is a heartbeat.
+    Chunk(Box<Chunk>),
+    /// The receiver holds the first `held` bytes of the content.
+    ChunkReply {
         term: u64,
-        gl: NodeId,
-        snap: Snap,
-        round: u64,
+        id: u64,
+        held: u64,
     },
     Propose {
         pid: ProposalId,
@@ -311,6 +337,13 @@
     ReadUnproved,
     /// Vote for logs older than one's own.
     VoteStale,
+    /// Send snapshots and large entries in one message, and again while the
+    /// first is still on its way.
+    SendWhole,
+    /// Keep entries behind an installed snapshot that conflict with it.
+    InstallKeepsLog,
+    /// Keep no entries behind a new snapshot for those who receive the last.
+    CompactAll,
 }
 
 impl Timing {
--- a/sorreldoor/src/net.rs
+++ b/sorreldoor/src/net.rs
@@ -21,6 +21,8 @@
 
 const OUT: usize = 1024;
 const IDLE: Duration = Duration::from_secs(3);
+/// Bytes that must come within `IDLE`, or the connection counts as dead.
+const PIECE: usize = 16 * 1024;
 const DIAL: Duration = Duration::from_millis(800);
 
 #[derive(Debug)]
@@ -193,10 +195,9 @@
             let got = match wire::length(head) {
                 Err(e) => Err(e),
                 Ok(n) => {
-                    let mut b = vec![0; n];
-                    if !matches!(timeout(IDLE, s.read_exact(&mut b)).await, Ok(Ok(()))) {
+                    let Some(b) = read_frame(&mut s, n).await else {
                         return;
-                    }
+                    };
                     wire::unpack(&self.mark, &b)
                 }
             };
@@ -218,6 +219,16 @@
     }
 }
 
+/// Read a frame's `n` bytes. A slow link may take its time, as long as
+/// something comes.
+async fn read_frame(s: &mut TcpStream, n: usize) -> Option<Vec<u8>> {
+    let mut frame = vec![0; n];
+    for piece in frame.chunks_mut(PIECE) {
+        timeout(IDLE, s.read_exact(piece)).await.ok()?.ok()?;
+    }
+    Some(frame)
+}
+
 async fn write(mut s: TcpStream, rx: Receiver<Arc<Vec<u8>>>) {
     while let Ok(b) = rx.recv().await {
         if s.write_all(&b).await.is_err() {
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// Raised when a frame changes in a way that an older node cannot read.
-pub const PROTO: u16 = 3;
+pub const PROTO: u16 = 4;
 /// The largest setup fits in, with the outcomes a snapshot keeps beside it.
 pub const MOST_FRAME: usize = 16 << 20;
 
