--- a/rig/tests/catch_up.rs
+++ b/rig/tests/catch_up.rs
@@ -1,7 +1,7 @@
 //! Members that were away for hundreds of changes, on links that carry only so
 //! much: they catch up, and nobody loses its leader over it.
 
-use rig::sim::{check, same, Bandwidth, Done, Sim};
+use rig::sim::{check, same, storm, Bandwidth, Done, Sim};
 use sorreldoor::consensus::{
     Body, Broken, Consensus, Event, Member, Millis, Note, ProposalId, RegionId, Timing,
     CHUNK_BYTES, WINDOW_BYTES,
@@ -496,3 +496,54 @@
     }
     sound(&mut s);
 }
+
+/// Losses, cuts, kills and stuck disks while large configurations come in;
+/// chunks are lost, doubled and out of order, or in order on a slow link.
+fn storm_with_large_configurations(seed: u64, shape: &[RegionId], bandwidth: Option<Bandwidth>) {
+    let mut s = Sim::new(
+        seed,
+        shape,
+        Timing {
+            keep_log: 5,
+            ..timing(Broken::None)
+        },
+    );
+    s.most_events = 2_000_000;
+    s.bandwidth = bandwidth;
+    s.settle();
+    for mark in 0..4 {
+        s.loss = seed % 7;
+        s.twice = seed % 5;
+        s.jitter = 1 + seed % 40;
+        let at = s.rng.below(shape.len() as u64) as usize;
+        let base = s.top_serial();
+        let doc = configuration(400 + 100 * mark, mark);
+        s.order(
+            at,
+            base,
+            &Cmd::Put {
+                base,
+                to: None,
+                doc,
+            },
+        );
+        storm(&mut s, 3000);
+        let mut wrong = check(&s);
+        wrong.extend(same(&s));
+        assert!(wrong.is_empty(), "seed {seed}, {shape:?}: {wrong:#?}");
+    }
+    let leader = s.settle();
+    changes(&mut s, leader, 3);
+}
+
+#[test]
+fn storms_with_large_configurations_break_nothing() {
+    for (i, shape) in SHAPES.iter().enumerate() {
+        for seed in 0..8 {
+            let seed = seed + 100 * i as u64;
+            storm_with_large_configurations(seed, shape, None);
+            let slow = Bandwidth::megabits_per_second(10);
+            storm_with_large_configurations(seed, shape, Some(slow));
+        }
+    }
+}
--- /dev/null
+++ b/rig/tests/restart.rs
@@ -0,0 +1,127 @@
+//! Members that start again: none leads, votes or answers by less than what
+//! was committed.
+
+use rig::sim::{check, Done, Sim};
+use sorreldoor::consensus::{Broken, NodeId, RegionId, Timing};
+
+fn timing(broken: Broken) -> Timing {
+    Timing {
+        broken,
+        ..Timing::for_ack(2000)
+    }
+}
+
+fn change(s: &mut Sim, at: usize) -> bool {
+    s.timed(at, 4000).is_some()
+}
+
+/// The highest index that any node knows to be committed.
+fn committed(s: &Sim) -> u64 {
+    let nodes = s.nodes.iter().filter_map(|n| n.consensus.as_ref());
+    nodes.map(|c| c.commit_idx()).max().unwrap_or(0)
+}
+
+/// Whether any node leads now whose log lacks what was `committed`.
+fn leads_with_old_state(s: &Sim, committed: u64) -> bool {
+    let leader = s.leader().and_then(|l| s.nodes[l].consensus.as_ref());
+    leader.is_some_and(|c| c.log().last().idx < committed)
+}
+
+/// One member is down while the others change the configuration; it comes
+/// back as the leader dies, so it is needed for the majority.
+fn returns_as_the_leader_dies(seed: u64, shape: &[RegionId], broken: Broken) -> bool {
+    let mut s = Sim::new(seed, shape, timing(broken));
+    let leader = s.settle();
+    let away = (leader + 1 + seed as usize % 2) % 3;
+    s.crash(away);
+    s.run_for(1000);
+    for _ in 0..30 {
+        assert!(change(&mut s, leader), "seed {seed}");
+    }
+    let committed = committed(&s);
+    s.crash(leader);
+    s.start(away);
+    let mut old = false;
+    for _ in 0..80 {
+        s.run_for(50);
+        old |= leads_with_old_state(&s, committed);
+    }
+    assert!(
+        s.leader().is_some() || broken != Broken::None,
+        "seed {seed}"
+    );
+    old || !check(&s).is_empty()
+}
+
+#[test]
+fn a_member_that_was_away_never_leads_with_old_state() {
+    for shape in [[0, 0, 0], [0, 0, 1], [0, 1, 2]] {
+        for seed in 0..20 {
+            let old = returns_as_the_leader_dies(seed, &shape, Broken::None);
+            assert!(!old, "{shape:?}, seed {seed}");
+        }
+    }
+    let caught = (0..20).find(|s| returns_as_the_leader_dies(*s, &[0, 0, 0], Broken::VoteStale));
+    println!("votes for older logs: seen with seed {caught:?}");
+    assert!(caught.is_some());
+}
+
+/// Entries are on two of three; one of the two dies, the other loses its disk.
+/// Whether the third then leads without them.
+fn wiped_as(identity: Option<NodeId>) -> bool {
+    let mut s = Sim::new(3, &[0, 0, 0], timing(Broken::None));
+    let leader = s.settle();
+    let (wiped, behind) = ((leader + 1) % 3, (leader + 2) % 3);
+    s.isolate(behind);
+    for _ in 0..10 {
+        assert!(change(&mut s, leader));
+    }
+    let committed = committed(&s);
+    s.crash(leader);
+    let identity = identity.unwrap_or(s.nodes[wiped].id);
+    s.nodes[wiped].wipe(identity);
+    s.cuts.clear();
+    s.start(wiped);
+    s.run_for(8000);
+    leads_with_old_state(&s, committed)
+}
+
+#[test]
+fn a_wiped_member_does_not_vote_under_its_old_identity() {
+    assert!(!wiped_as(Some(99)), "a new identity has no vote");
+    // the rule taken away: its blank vote elects one that lacks the entries
+    assert!(wiped_as(None));
+}
+
+/// What a member replays at its start is committed, and is nevertheless not
+/// given out as current before a leader has proved itself.
+#[test]
+fn replayed_state_is_not_read_as_current() {
+    for seed in 0..10 {
+        let mut s = Sim::new(seed, &[0, 0, 1], timing(Broken::None));
+        let leader = s.settle();
+        for _ in 0..20 {
+            assert!(change(&mut s, leader));
+        }
+        s.run_for(500);
+        let restarted = (leader + 1) % 3;
+        s.crash(restarted);
+        for _ in 0..20 {
+            assert!(change(&mut s, leader));
+        }
+        s.isolate(restarted);
+        s.start(restarted);
+        let replayed = s.nodes[restarted].record().map_or(0, |r| r.serial());
+        assert!((10..=20).contains(&replayed), "seed {seed}: {replayed}");
+        let behind_the_cut = s.read(restarted);
+        s.run_for(6000);
+        assert_eq!(s.op(behind_the_cut).done, Done::Unknown, "seed {seed}");
+        s.cuts.clear();
+        s.run_for(2000);
+        let healed = s.read(restarted);
+        s.run_for(1000);
+        assert_eq!(s.op(healed).done, Done::Saw(40), "seed {seed}");
+        let wrong = check(&s);
+        assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
+    }
+}
