--- a/sorreldoor/src/proxy/answer.rs
+++ b/sorreldoor/src/proxy/answer.rs
@@ -1,9 +1,9 @@
-//! Workers' answers as they go to callers.
+//! Workers' answers as they go to clients.
 
 use super::client::Client;
 use super::http1::Head;
 
-/// The worker's head as it goes to the caller, without the empty line.
+/// The worker's head as it goes to the client, without the empty line.
 pub fn head_out(head: &Head) -> Vec<u8> {
     let first = head.raw.split(|b| *b == b'\r').next().unwrap_or(&[]);
     let rest = first.split(|b| *b == b' ').skip(1);
@@ -22,13 +22,13 @@
     b
 }
 
-/// A whole answer as it goes to the caller.
-pub fn plain(c: &Client, head: &Head, body: &[u8]) -> Vec<u8> {
+/// A whole answer as it goes to the client.
+pub fn whole_answer(client: &Client, head: &Head, body: &[u8]) -> Vec<u8> {
     let mut b = head_out(head);
     if !matches!(head.status, 204 | 304) {
         b.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
     }
-    if c.close {
+    if client.close {
         b.extend_from_slice(b"Connection: close\r\n");
     }
     b.extend_from_slice(b"\r\n");
@@ -36,15 +36,11 @@
     b
 }
 
-/// The framing of a stream to the caller.
-pub fn stream_head(c: &mut Client, head: &Head) -> Vec<u8> {
+/// The framing of a stream to the client.
+pub fn stream_head(client: &Client, head: &Head) -> Vec<u8> {
     let mut b = head_out(head);
-    if c.old {
-        c.close = true;
-    } else {
-        b.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
-    }
-    if c.close {
+    b.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
+    if client.close {
         b.extend_from_slice(b"Connection: close\r\n");
     }
     b.extend_from_slice(b"\r\n");
--- a/sorreldoor/src/proxy/http1.rs
+++ b/sorreldoor/src/proxy/http1.rs
@@ -2,7 +2,6 @@
 //! kept as the bytes that came.
 
 use async_std::io::{self, Read};
-use async_std::net::TcpStream;
 use std::ops::Range;
 use std::pin::Pin;
 use std::task::Poll;
@@ -52,7 +51,7 @@
     }
     /// Reads more; the number of bytes, 0 at the end. What was read is kept
     /// even if the wait for more is given up.
-    pub async fn fill(&mut self, s: &mut TcpStream) -> io::Result<usize> {
+    pub async fn fill<R: Read + Unpin>(&mut self, s: &mut R) -> io::Result<usize> {
         if self.at > 0 && self.at * 2 >= self.b.len() {
             self.b.drain(..self.at);
             self.at = 0;
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -2,24 +2,33 @@
 //! are the table's, and names of headers are a dialect's.
 
 mod answer;
+pub mod attempt;
+mod await_head;
 pub mod body;
 mod carry;
 mod client;
+mod delivery;
 pub mod dialect;
 mod door;
+mod events;
+mod exchange;
 mod front;
 pub mod http1;
-mod listen;
-mod plain;
+mod plain_dialect;
 mod pool;
+mod read_whole;
 mod run;
+mod send;
+mod serve;
 mod shared;
 mod stream;
 pub mod table;
+pub mod verdict;
+mod wait;
 
 pub use dialect::{Asked, Dialect, Forward, Part, Told};
 pub use door::{serve as serve_door, Answer};
 pub use front::{Front, FrontEvent, FrontFx, Seen};
-pub use plain::Plain;
+pub use plain_dialect::Plain;
 pub use run::{accept, run, Answering, Door, Shown, Start};
 pub use shared::Shared;
--- a/sorreldoor/src/proxy/pool.rs
+++ b/sorreldoor/src/proxy/pool.rs
@@ -1,6 +1,9 @@
-//! Connections to workers, kept for the next request to the same life of a worker.
+//! Connections to workers, kept for the next request to the same life of a
+//! worker. A connection that holds or receives any byte while it is idle is
+//! closed: such a byte belongs to no request.
 
 use super::http1::Buf;
+use crate::rules::{broken, Rule};
 use async_std::net::TcpStream;
 use std::collections::HashMap;
 use std::future::Future;
@@ -10,104 +13,139 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// A worker that says nothing of its time is taken to keep a connection so long.
-const KEEP: Duration = Duration::from_secs(4);
-/// What may have run only once goes out on a connection used so lately.
-pub const FRESH: Duration = Duration::from_millis(1500);
+/// How long a worker that says nothing of it is taken to keep an idle connection.
+const DEFAULT_KEEP: Duration = Duration::from_secs(4);
+/// A connection is given up so long before the worker's own time is over, as it
+/// may close it while a request is on its way.
+const KEEP_MARGIN_MS: u64 = 300;
+/// A request that may not be repeated uses connections idle for less than this.
+pub const RECENT: Duration = Duration::from_millis(1500);
 
-/// One connection to a worker, between two requests or under one.
+/// One connection to a worker, idle or under one request.
 #[derive(Debug)]
-pub struct Line {
-    pub s: TcpStream,
+pub struct Connection {
+    pub stream: TcpStream,
     pub buf: Buf,
+    /// It has carried a request before.
     pub reused: bool,
+    /// The present request was written whole.
+    pub request_sent: bool,
 }
 
-impl Line {
-    pub async fn connect(to: SocketAddr) -> std::io::Result<Line> {
-        let s = TcpStream::connect(to).await?;
-        let _ = s.set_nodelay(true);
-        let (buf, reused) = (Buf::default(), false);
-        Ok(Line { s, buf, reused })
+impl Connection {
+    pub async fn connect(to: SocketAddr) -> std::io::Result<Connection> {
+        let stream = TcpStream::connect(to).await?;
+        let _ = stream.set_nodelay(true);
+        Ok(Connection {
+            stream,
+            buf: Buf::default(),
+            reused: false,
+            request_sent: false,
+        })
     }
 
-    /// Whether nothing has come on it while it was idle, neither bytes nor its end.
-    fn quiet(&self) -> bool {
-        let mut b = [0; 1];
-        let mut look = pin!(self.s.peek(&mut b));
-        let mut cx = Context::from_waker(Waker::noop());
-        self.buf.is_empty() && matches!(look.as_mut().poll(&mut cx), Poll::Pending)
+    /// Whether neither bytes nor the end have come on it while it was idle.
+    fn is_quiet(&self) -> bool {
+        if broken(Rule::CleanConnection) {
+            return true;
+        }
+        let mut byte = [0; 1];
+        let mut peek = pin!(self.stream.peek(&mut byte));
+        let mut context = Context::from_waker(Waker::noop());
+        self.buf.is_empty() && matches!(peek.as_mut().poll(&mut context), Poll::Pending)
     }
 }
 
 struct Idle {
-    line: Line,
+    connection: Connection,
     since: Instant,
     keep: Duration,
 }
 
 #[derive(Default)]
-struct Lines {
+struct WorkerConnections {
+    /// The most recently used is last.
     idle: Vec<Idle>,
     busy: u32,
 }
 
+/// The idle connections of this node, by worker.
 #[derive(Default)]
 pub struct Pool {
-    all: Mutex<HashMap<u32, Lines>>,
+    workers: Mutex<HashMap<u32, WorkerConnections>>,
 }
 
 impl Pool {
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<u32, Lines>> {
-        self.all.lock().unwrap_or_else(|p| p.into_inner())
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<u32, WorkerConnections>> {
+        self.workers.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// A kept connection, used within `within`; counted as busy until given back or lost.
-    pub fn take(&self, worker: u32, within: Duration) -> Option<Line> {
-        let mut all = self.lock();
-        let l = all.entry(worker).or_default();
-        l.busy += 1;
-        while let Some(i) = l.idle.pop() {
-            let age = i.since.elapsed();
-            if age < i.keep.min(within) && i.line.quiet() {
-                return Some(i.line);
+    /// Counts one more connection as busy, and hands out an idle one that was
+    /// used within `within`, if there is one. Each call is ended by one of
+    /// [`Pool::give_back`] and [`Pool::closed`].
+    pub fn take(&self, worker: u32, within: Duration) -> Option<Connection> {
+        let mut workers = self.lock();
+        let of_worker = workers.entry(worker).or_default();
+        of_worker.busy += 1;
+        while let Some(idle) = of_worker.idle.pop() {
+            let age = idle.since.elapsed();
+            if age < idle.keep.min(within) && idle.connection.is_quiet() {
+                return Some(idle.connection);
             }
-            // the newest are on top, so what lies below is older still
-            if age >= within && age < i.keep {
-                l.idle.push(i);
+            // those below have been idle for longer still
+            if age >= within && age < idle.keep {
+                of_worker.idle.push(idle);
                 return None;
             }
         }
         None
     }
 
-    /// Back after a whole answer; `keep_s` is the worker's own word.
-    pub fn give(&self, worker: u32, mut line: Line, keep_s: Option<u64>) {
-        line.reused = true;
-        line.buf.shrink();
-        // at the last moment of the worker's time it may close as we send
-        let keep = keep_s.map_or(KEEP, |s| {
-            Duration::from_millis((s * 1000).saturating_sub(300))
+    /// Counts one more connection as busy, which the caller opens itself.
+    pub fn take_new(&self, worker: u32) {
+        self.lock().entry(worker).or_default().busy += 1;
+    }
+
+    /// Closes the longest idle connections to a worker beyond `most` in all,
+    /// busy ones included, before a new one is opened.
+    pub fn make_room(&self, worker: u32, most: u32) {
+        if let Some(of_worker) = self.lock().get_mut(&worker) {
+            let room = most.saturating_sub(of_worker.busy) as usize;
+            let surplus = of_worker.idle.len().saturating_sub(room);
+            of_worker.idle.drain(..surplus);
+        }
+    }
+
+    /// Keeps a connection behind a whole answer; `keep_s` is the worker's own word.
+    pub fn give_back(&self, worker: u32, mut connection: Connection, keep_s: Option<u64>) {
+        connection.reused = true;
+        connection.request_sent = false;
+        connection.buf.shrink();
+        let keep = keep_s.map_or(DEFAULT_KEEP, |s| {
+            Duration::from_millis((s * 1000).saturating_sub(KEEP_MARGIN_MS))
+        });
+        let mut workers = self.lock();
+        let of_worker = workers.entry(worker).or_default();
+        of_worker.busy = of_worker.busy.saturating_sub(1);
+        of_worker.idle.push(Idle {
+            connection,
+            since: Instant::now(),
+            keep,
         });
-        let mut all = self.lock();
-        let l = all.entry(worker).or_default();
-        l.busy = l.busy.saturating_sub(1);
-        let since = Instant::now();
-        l.idle.push(Idle { line, since, keep });
     }
 
     /// A connection that was taken is not coming back.
-    pub fn lost(&self, worker: u32) {
-        if let Some(l) = self.lock().get_mut(&worker) {
-            l.busy = l.busy.saturating_sub(1);
+    pub fn closed(&self, worker: u32) {
+        if let Some(of_worker) = self.lock().get_mut(&worker) {
+            of_worker.busy = of_worker.busy.saturating_sub(1);
         }
     }
 
     /// Closes what is past its time.
     pub fn sweep(&self) {
-        self.lock().retain(|_, l| {
-            l.idle.retain(|i| i.since.elapsed() < i.keep);
-            l.busy > 0 || !l.idle.is_empty()
+        self.lock().retain(|_, of_worker| {
+            of_worker.idle.retain(|i| i.since.elapsed() < i.keep);
+            of_worker.busy > 0 || !of_worker.idle.is_empty()
         });
     }
 }
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -1,9 +1,9 @@
 //! The proxy's daemon: sockets, timers and signals around its front.
 
-use super::client;
 use super::dialect::Dialect;
 use super::door::{self, Answer};
 use super::front::{Front, FrontEvent, FrontFx, Seen};
+use super::serve;
 use super::shared::Shared;
 use super::table::{Bounds, Place, Table};
 use crate::events::{say, Ev};
@@ -28,6 +28,10 @@
 /// After a stop callers are still let in for so long: they hold older lists.
 const LET_IN: Duration = Duration::from_millis(2500);
 
+/// So long before the grace is over, what waits for a worker is refused, while
+/// its answer can still arrive.
+const QUEUE_MARGIN: Duration = Duration::from_millis(1000);
+
 /// What a proxy node needs beside the settings that all nodes have.
 pub struct Start {
     pub set: Settings,
@@ -144,7 +148,7 @@
     s: TcpStream,
 ) {
     sh.open.fetch_add(1, Ordering::Relaxed);
-    client::serve(sh.clone(), s).await;
+    serve::serve(sh.clone(), s).await;
     sh.open.fetch_sub(1, Ordering::Relaxed);
 }
 
@@ -205,6 +209,9 @@
 /// Whether the node may end: nothing runs, and callers had time to learn.
 fn left<D: Dialect, C: Clock>(sh: &Shared<D, C>, since: Instant, grace: Duration) -> bool {
     let gone = since.elapsed();
+    if gone + QUEUE_MARGIN >= grace {
+        sh.close_queue();
+    }
     if gone >= LET_IN.min(grace / 2) {
         sh.bell.close();
         let idle = sh.running.load(Ordering::Relaxed) == 0;
--- a/sorreldoor/src/proxy/shared.rs
+++ b/sorreldoor/src/proxy/shared.rs
@@ -22,6 +22,8 @@
     waiting: Mutex<HashMap<Rid, Sender<()>>>,
     /// No new connections are kept; answers say so.
     pub leaving: AtomicBool,
+    /// Requests that wait for a worker are refused from now on.
+    pub queue_closed: AtomicBool,
     /// Client connections, and requests under way.
     pub open: AtomicUsize,
     pub running: AtomicUsize,
@@ -46,6 +48,7 @@
             reach,
             waiting: Mutex::default(),
             leaving: AtomicBool::new(false),
+            queue_closed: AtomicBool::new(false),
             open: AtomicUsize::new(0),
             running: AtomicUsize::new(0),
             bell,
@@ -92,6 +95,20 @@
         self.leaving.load(Ordering::Relaxed)
     }
 
+    pub fn is_queue_closed(&self) -> bool {
+        self.queue_closed.load(Ordering::Relaxed)
+    }
+
+    /// Refuses all that waits for a worker: it has not run, and there is no
+    /// time left for it to run here.
+    pub fn close_queue(&self) {
+        if !self.queue_closed.swap(true, Ordering::Relaxed) {
+            for tx in self.waiters().values() {
+                let _ = tx.try_send(());
+            }
+        }
+    }
+
     pub fn reached(&self, a: SocketAddr) -> SocketAddr {
         self.reach.get(&a).copied().unwrap_or(a)
     }
--- a/sorreldoor/src/proxy/stream.rs
+++ b/sorreldoor/src/proxy/stream.rs
@@ -1,186 +1,180 @@
-//! Streams of events: passed on as they come, taken up at another worker
+//! Streams of events: passed on as they come, continued at another worker
 //! where the route allows, and never made to look finished when they are not.
 
-use super::answer::stream_head;
+use super::answer::{stream_head, whole_answer};
+use super::attempt::Event;
 use super::body::Decoder;
-use super::carry::{give_back, Sending, Sent, LOOK};
 use super::client::Client;
+use super::delivery::Delivery;
 use super::dialect::Dialect;
+use super::events::{self, Passed};
+use super::exchange::{Exchange, Outcome, SILENCE_CHECK_MS};
 use super::http1::{Framing, Head};
-use super::listen::{listen, Woke};
-use super::pool::Line;
+use super::pool::Connection;
 use super::table::Heard;
+use super::wait::{wait_for_worker, Wakeup};
 use crate::consensus::Millis;
 use crate::seam::Clock;
 
 /// Silence in the middle of a stream is not taken for its end before this.
-const LEAST_GAP: Millis = 400;
+const LEAST_GAP_MS: Millis = 400;
+const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// How far a caller's stream has come, over all workers that served it.
-#[derive(Debug, Default)]
-pub struct Flow {
-    pub head_sent: bool,
-    /// The last event that went to the caller, or that it said it has.
-    pub last: Option<u64>,
-    /// A worker's failure, kept in case no other worker does better.
-    pub failed: Option<Vec<u8>>,
-}
-
-impl Flow {
-    pub fn new(last: Option<u64>) -> Flow {
-        Flow {
-            last,
-            ..Flow::default()
-        }
-    }
-}
-
-/// The length of the first whole event, with its empty line.
-fn event(b: &[u8]) -> Option<usize> {
-    let mut at = 0;
-    while let Some(i) = b[at..].iter().position(|c| *c == b'\n') {
-        let end = at + i + 1;
-        let line = &b[at..end - 1];
-        let line = line.strip_suffix(b"\r").unwrap_or(line);
-        if line.is_empty() {
-            return Some(end);
-        }
-        at = end;
-    }
-    None
-}
-
-fn id_of(ev: &[u8]) -> Option<u64> {
-    ev.split(|b| *b == b'\n')
-        .filter_map(|l| l.strip_prefix(b"id:"))
-        .find_map(|v| std::str::from_utf8(v.trim_ascii()).ok()?.parse().ok())
-}
-
-/// Whole events at the front of `got`, less those the caller has.
-fn pass(got: &mut Vec<u8>, last: &mut Option<u64>, all: bool) -> Vec<u8> {
-    let mut out = Vec::new();
-    let mut at = 0;
-    while let Some(n) = event(&got[at..]) {
-        let ev = &got[at..at + n];
-        let id = id_of(ev);
-        // a worker that goes on from an older event must not repeat one
-        let new = id.is_none_or(|i| last.is_none_or(|l| i > l));
-        if new {
-            out.extend_from_slice(ev);
-            *last = id.or(*last);
-        }
-        at += n;
-    }
-    got.drain(..at);
-    if all {
-        out.append(got);
+fn chunk(bytes: &[u8], out: &mut Vec<u8>) {
+    if !bytes.is_empty() {
+        out.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
+        out.extend_from_slice(bytes);
+        out.extend_from_slice(b"\r\n");
     }
-    out
 }
 
-fn chunk(c: &Client, b: &[u8], out: &mut Vec<u8>) {
-    if c.old {
-        out.extend_from_slice(b);
-    } else if !b.is_empty() {
-        out.extend_from_slice(format!("{:x}\r\n", b.len()).as_bytes());
-        out.extend_from_slice(b);
-        out.extend_from_slice(b"\r\n");
-    }
+/// A stream between a worker and the client.
+struct Relay<'a, 'b, D, C> {
+    exchange: &'a Exchange<'b, D, C>,
+    client: &'a mut Client,
+    delivery: &'a mut Delivery,
+    head: Head,
+    /// When the client was last given anything.
+    passed_at: Millis,
+    first: bool,
 }
 
+/// Passes a stream on until it ends, breaks, or is left for another worker.
 pub async fn relay<D: Dialect, C: Clock>(
-    s: &Sending<'_, D, C>,
-    c: &mut Client,
-    flow: &mut Flow,
-    mut line: Line,
+    exchange: &Exchange<'_, D, C>,
+    client: &mut Client,
+    delivery: &mut Delivery,
+    mut connection: Connection,
     head: Head,
     framing: Framing,
-) -> Sent {
-    let mut d = Decoder::new(framing);
-    let mut got = Vec::new();
-    let mut first = true;
-    // a pause shorter than what makes it late gives no reason to move
-    let gap = Some(s.route.gap_ms).filter(|g| *g > 0 && s.route.resume);
-    let gap = gap.map_or(Millis::MAX / 4, |g| g.max(LEAST_GAP));
-    let mut heard = s.now();
-    let mut until = heard.saturating_add(gap);
+) -> Outcome {
+    let mut decoder = Decoder::new(framing);
+    let mut received = Vec::new();
+    let gap = longest_gap(exchange);
+    let mut relay = Relay {
+        exchange,
+        client,
+        delivery,
+        head,
+        passed_at: exchange.now(),
+        first: true,
+    };
+    let mut until = relay.passed_at.saturating_add(gap);
     loop {
-        let whole = match d.run(&mut line.buf, &mut got) {
-            Ok(w) => w,
-            Err(_) => return broke(s, line, Heard::Broke),
+        let Ok(whole) = decoder.run(&mut connection.buf, &mut received) else {
+            return relay.broke(connection, Event::Malformed);
         };
-        let mut out = Vec::new();
-        let evs = pass(&mut got, &mut flow.last, whole);
-        if !evs.is_empty() || whole {
-            if !flow.head_sent {
-                out = stream_head(c, &head);
-                flow.head_sent = true;
-            }
-            chunk(c, &evs, &mut out);
-            if whole && !c.old {
-                out.extend_from_slice(b"0\r\n\r\n");
-            }
-            if !c.write(&out).await {
-                return broke(s, line, Heard::Left);
+        let passed = events::pass(&mut received, relay.delivery.last_event, whole);
+        if !passed.bytes.is_empty() || whole {
+            if !relay.pass(passed, whole).await {
+                exchange.close(connection);
+                return exchange.client_gone();
             }
-            if std::mem::take(&mut first) {
-                s.heard(Heard::First);
-            }
-            heard = s.now();
-            until = heard.saturating_add(gap);
+            until = relay.passed_at.saturating_add(gap);
         }
         if whole {
-            give_back(s, line, &head, &d);
-            s.heard(Heard::Done(head.status));
-            return Sent::Answered(!c.close);
+            exchange.release(connection, &relay.head, &decoder);
+            return relay.finished();
         }
-        let now = s.now();
-        if now >= s.deadline {
-            return broke(s, line, Heard::Left);
+        let now = exchange.now();
+        if now >= exchange.deadline {
+            return relay.late(connection).await;
         }
         if now >= until {
             // a worker that speaks to others is slow, but not for twice as long
-            let slow = now >= heard.saturating_add(2 * gap);
-            if s.may_move(if slow { 0 } else { gap }) {
-                return broke(s, line, Heard::Broke);
+            let slow = now >= relay.passed_at.saturating_add(2 * gap);
+            if exchange.may_move(if slow { 0 } else { gap }) {
+                return relay.broke(connection, Event::Silence);
             }
-            until = now + LOOK;
+            until = now + SILENCE_CHECK_MS;
         }
-        match listen(&mut line, None, until.min(s.deadline) - now).await {
-            Woke::Read => s.pulse(),
-            Woke::Late => {}
-            Woke::Gone => return broke(s, line, Heard::Left),
-            Woke::Broke if d.ended() => {
-                // only the worker's end tells the end of such a body, and the
-                // caller gets it the same way
-                c.close = true;
-                let mut out = Vec::new();
-                if !flow.head_sent {
-                    out = stream_head(c, &head);
-                }
-                let evs = pass(&mut got, &mut flow.last, true);
-                chunk(c, &evs, &mut out);
-                if !c.old {
-                    out.extend_from_slice(b"0\r\n\r\n");
-                }
-                let _ = c.write(&out).await;
-                s.drop_line(line);
-                s.heard(Heard::Done(head.status));
-                return Sent::Answered(false);
+        let wait_ms = until.min(exchange.deadline) - now;
+        match wait_for_worker(&mut connection, None, wait_ms).await {
+            Wakeup::BytesRead => exchange.worker_alive(),
+            Wakeup::TimedOut => {}
+            Wakeup::WorkerReset => return relay.broke(connection, Event::Reset),
+            Wakeup::WorkerClosed | Wakeup::ClientGone => {
+                return relay.broke(connection, Event::Closed)
             }
-            Woke::Broke => return broke(s, line, Heard::Broke),
         }
     }
 }
 
-/// The stream ends here at this worker; whether it goes on is the table's to say.
-fn broke<D: Dialect, C: Clock>(s: &Sending<'_, D, C>, line: Line, h: Heard) -> Sent {
-    s.drop_line(line);
-    let left = h == Heard::Left;
-    s.heard(h);
-    if left {
-        Sent::Answered(false)
-    } else {
-        Sent::Again
+/// A pause shorter than what makes an answer late gives no reason to move.
+fn longest_gap<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Millis {
+    let gap = Some(exchange.route.gap_ms).filter(|g| *g > 0 && exchange.route.resume);
+    gap.map_or(Millis::MAX / 4, |g| g.max(LEAST_GAP_MS))
+}
+
+impl<D: Dialect, C: Clock> Relay<'_, '_, D, C> {
+    /// Gives events to the client; false once it is gone.
+    async fn pass(&mut self, passed: Passed, whole: bool) -> bool {
+        self.delivery.last_event = passed.last_event.or(self.delivery.last_event);
+        let written = match self.client.http10 {
+            true => self.pass_held(&passed, whole).await,
+            false => self.pass_chunk(&passed, whole).await,
+        };
+        if std::mem::take(&mut self.first) {
+            self.exchange.heard(Heard::First);
+        }
+        self.passed_at = self.exchange.now();
+        written
+    }
+
+    async fn pass_chunk(&mut self, passed: &Passed, whole: bool) -> bool {
+        let mut out = Vec::new();
+        if !self.delivery.head_sent {
+            out = stream_head(self.client, &self.head);
+            self.delivery.head_sent = true;
+        }
+        chunk(&passed.bytes, &mut out);
+        if whole {
+            out.extend_from_slice(LAST_CHUNK);
+        }
+        self.exchange.progressed(Event::PartDelivered {
+            resumable: passed.resumable,
+        });
+        self.client.write(&out).await
+    }
+
+    /// Without chunks only a length shows that a stream is whole, so such a
+    /// client gets it at its end.
+    async fn pass_held(&mut self, passed: &Passed, whole: bool) -> bool {
+        self.delivery.hold(&passed.bytes);
+        if !whole {
+            return true;
+        }
+        let body = self.delivery.take_held();
+        let answer = whole_answer(self.client, &self.head, &body);
+        self.client.write(&answer).await
+    }
+
+    fn finished(self) -> Outcome {
+        self.exchange.heard(Heard::Done(self.head.status));
+        self.exchange.progressed(Event::ClientDone);
+        let keep_alive = !self.client.close;
+        Outcome::Finished { keep_alive }
+    }
+
+    /// The stream ends here at this worker; whether it goes on is the table's
+    /// to say.
+    fn broke(self, connection: Connection, event: Event) -> Outcome {
+        self.exchange.close(connection);
+        self.delivery.forget_held();
+        self.exchange.worker_failed(event)
+    }
+
+    /// Its time is over; the worker is not to blame.
+    async fn late(self, connection: Connection) -> Outcome {
+        self.exchange.close(connection);
+        self.exchange.progressed(Event::DeadlinePassed);
+        self.exchange.heard(Heard::Left);
+        let head_sent = self.delivery.head_sent;
+        let keep_alive = !head_sent
+            && self
+                .client
+                .answer(crate::problem::Problem::DeadlinePassed, 0)
+                .await;
+        Outcome::Finished { keep_alive }
     }
 }
--- a/sorreldoor/src/proxy/table/pick.rs
+++ b/sorreldoor/src/proxy/table/pick.rs
@@ -8,6 +8,7 @@
 use super::{Pick, Rid, Target};
 use crate::consensus::Millis;
 use crate::problem::Problem;
+use crate::proxy::attempt::{ClientAnswer, Event, Repeatability};
 use crate::setup::hosted::{Hosted, Route};
 
 /// With less time left nothing is sent any more, in milliseconds.
@@ -52,9 +53,11 @@
     }
 
     fn decide(&mut self, rid: Rid, r: &mut Req, route: Option<&Route>, now: Millis) -> Pick {
-        // what may have run must not run twice, whatever the routes say now
-        if r.may_have_run && (r.once || !route.is_some_and(|x| x.repeatable())) {
-            return Pick::Refuse(Problem::OutcomeUnknown, 0);
+        // without a route nothing says that it may run twice
+        let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
+        r.progress.on(Event::ConfigurationChanged(kind));
+        if !r.progress.may_send_again() {
+            return self.refuse(r, Problem::Leaving, now);
         }
         let Some(route) = route else {
             return Pick::Refuse(Problem::UnknownRoute, 0);
@@ -92,7 +95,7 @@
         // a refusal while half the places are free is worse than a queue
         let queue = o.taken * 2.0 < o.slots;
         // what began must not end because it would have to wait
-        if let Some(c) = o.full.filter(|_| queue || r.may_have_run) {
+        if let Some(c) = o.full.filter(|_| queue || r.progress.may_have_run()) {
             return self.go(r, svc, c, route, now);
         }
         self.refuse(r, Problem::NoWorker, now)
@@ -115,7 +118,7 @@
         let Some(route) = route.and_then(|i| h.routes.get(i as usize)) else {
             return false;
         };
-        let spent = r.sent >= route.attempts.max(1) || r.once || !route.repeatable();
+        let spent = r.sent >= route.attempts.max(1) || !r.progress.may_run_twice();
         let late = r.deadline < now + TOO_LATE;
         let here = r.sending.and_then(|s| self.spots[s.spot as usize].as_ref());
         // a worker that speaks to others is slow, not gone
@@ -172,10 +175,11 @@
     }
 
     fn refuse(&mut self, r: &Req, p: Problem, now: Millis) -> Pick {
-        // 503 promises that it did not run
-        let p = match r.may_have_run {
-            true => Problem::WorkerBroke,
-            false => p,
+        let p = match r.progress.client_answer() {
+            ClientAnswer::Refused => p,
+            ClientAnswer::GatewayTimeout => Problem::DeadlinePassed,
+            _ if r.progress.may_run_twice() => Problem::WorkerBroke,
+            _ => Problem::OutcomeUnknown,
         };
         // callers heed it up to a third of the time that they have left
         let most = r.deadline.saturating_sub(now) / 3;
@@ -212,7 +216,8 @@
         let all: u32 = r.parts.iter().map(|p| p.tokens).sum();
         self.counts.read += u64::from(c.reading);
         self.counts.hit += u64::from(all.max(r.tokens_in).saturating_sub(c.reading));
-        r.once |= !route.repeatable();
+        r.progress
+            .on(Event::WorkerChosen(Repeatability::from(route)));
         r.tried.push(c.spot);
         r.sent += 1;
         r.sending = Some(Sending {
--- a/sorreldoor/src/proxy/table/reqs.rs
+++ b/sorreldoor/src/proxy/table/reqs.rs
@@ -8,6 +8,7 @@
 use super::{Heard, Rid};
 use crate::consensus::Millis;
 use crate::problem::Problem;
+use crate::proxy::attempt::{Event, Repeatability, RequestProgress};
 use crate::proxy::{Asked, Part};
 use crate::setup::hosted;
 
@@ -45,10 +46,7 @@
     pub sent: u32,
     /// Some sending arrived, or may have.
     pub arrived_once: bool,
-    /// A worker may have begun work on it.
-    pub may_have_run: bool,
-    /// At some sending it was not to run more than once.
-    pub once: bool,
+    pub progress: RequestProgress,
     pub last: Option<Problem>,
     pub waits: Option<(Line, super::waits::Rank)>,
     pub waited: bool,
@@ -151,8 +149,7 @@
             tried: Vec::new(),
             sent: 0,
             arrived_once: false,
-            may_have_run: false,
-            once: false,
+            progress: RequestProgress::new(Repeatability::from(&h.routes[i as usize])),
             last: None,
             waits: None,
             waited: false,
@@ -212,7 +209,7 @@
             Heard::Done(status) => {
                 self.done(rid, s, status, now);
                 self.close(rid, true);
-                self.note(rid, true, None);
+                self.note(rid, Event::AnswerComplete, None);
             }
             Heard::NotRun(load) => {
                 self.head(s.spot, load, None, now);
@@ -223,7 +220,7 @@
                 }
                 // an answer shows that it lives, however full
                 self.sign(s, Sign::Good, now);
-                self.note(rid, false, Some(Problem::NoWorker));
+                self.note(rid, Event::NotRun, Some(Problem::NoWorker));
             }
             Heard::Misdirected => {
                 self.unread(rid, s);
@@ -232,7 +229,7 @@
                 if let Some(w) = &mut self.spots[s.spot as usize] {
                     w.stale = Some(serial);
                 }
-                self.note(rid, false, Some(Problem::GivenUp));
+                self.note(rid, Event::NotRun, Some(Problem::GivenUp));
                 // the worker it was meant for is gone, so none has had it
                 if let Some(r) = self.reqs.get_mut(rid) {
                     r.sent = r.sent.saturating_sub(1);
@@ -243,28 +240,40 @@
                 self.close(rid, false);
                 self.never_left(rid, s);
                 self.sign(s, Sign::NoConn, now);
-                self.note(rid, false, Some(Problem::GivenUp));
+                self.note(rid, Event::ConnectFailed, Some(Problem::GivenUp));
             }
             Heard::Broke => {
                 self.close(rid, true);
                 self.sign(s, Sign::Bad, now);
-                self.note(rid, true, Some(Problem::WorkerBroke));
+                self.note(rid, Event::Closed, Some(Problem::WorkerBroke));
             }
             Heard::Left => {
                 self.close(rid, true);
-                self.note(rid, true, None);
+                self.note(rid, Event::Closed, None);
             }
         }
         self.let_go(s.spot);
     }
 
-    fn note(&mut self, rid: Rid, ran: bool, last: Option<Problem>) {
+    fn note(&mut self, rid: Rid, event: Event, last: Option<Problem>) {
         if let Some(r) = self.reqs.get_mut(rid) {
-            r.may_have_run |= ran;
+            r.progress.on(event);
             r.last = last;
         }
     }
 
+    /// Something happened to a request that only its own progress depends on.
+    pub fn progressed(&mut self, rid: Rid, event: Event) {
+        if let Some(r) = self.reqs.get_mut(rid) {
+            r.progress.on(event);
+        }
+    }
+
+    /// How far a request has come.
+    pub fn progress(&self, rid: Rid) -> Option<RequestProgress> {
+        self.reqs.get(rid).map(|r| r.progress)
+    }
+
     /// The sending ends; its place is free.
     fn close(&mut self, rid: Rid, arrived: bool) {
         let Some(r) = self.reqs.get_mut(rid) else {
--- a/sorreldoor/src/rules.rs
+++ b/sorreldoor/src/rules.rs
@@ -38,6 +38,11 @@
     ResultLength "result-length";
     ResultOwner "result-owner";
     Sequence "sequence";
+    SendOnce "send-once";
+    HonestRefusal "honest-refusal";
+    AnswerId "answer-id";
+    CleanConnection "clean-connection";
+    WholeAnswer "whole-answer";
 }
 
 /// Whether a test has broken this rule.
