--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -317,10 +317,26 @@
             return self.op_done(from, OpOutcome::NotTaken);
         }
         self.ops.entry(pid).or_default().push(from);
+        let cmd = self.bound_to_zone_state(cmd);
         let body = Body::Data(Arc::new(encode(&cmd)));
         self.agreed(Event::Propose { pid, body });
     }
 
+    /// An evacuation holds only for the state of its zone that this core knows
+    /// as the call comes: it has no id and no base, so a copy that is held up
+    /// could not be told from a new call otherwise.
+    fn bound_to_zone_state(&self, cmd: Cmd) -> Cmd {
+        let record = self.consensus.as_ref().map(|a| a.machine());
+        match (cmd, record) {
+            (Cmd::Evacuate { zone, emptied }, Some(record)) => Cmd::EvacuateOnce {
+                zone,
+                emptied,
+                changes: record.zone_changes(zone),
+            },
+            (cmd, _) => cmd,
+        }
+    }
+
     fn on_result(&mut self, pid: ProposalId, r: Result<Arc<Vec<u8>>, Lost>) {
         let outcome = match r {
             // a membership change has no outcome of its own but having happened
--- a/sorreldoor/src/ops.rs
+++ b/sorreldoor/src/ops.rs
@@ -157,12 +157,16 @@
             let _ = v.insert("epoch", *epoch);
             Problem::StaleSerial
         }
-        OpOutcome::Unknown => Problem::PendingUnknown,
+        OpOutcome::Got(Outcome::NotYet { serial }) => {
+            let _ = v.insert("serial", *serial);
+            Problem::BaseAhead
+        }
+        OpOutcome::Got(Outcome::Unsure { .. }) | OpOutcome::Unknown => Problem::PendingUnknown,
         OpOutcome::NotTaken => Problem::NotTaken,
         OpOutcome::Nothing => Problem::UnknownProposal,
     };
     // neither a yes nor a no may be read out of a don't-know
-    if p != Problem::PendingUnknown {
+    if !matches!(p, Problem::PendingUnknown | Problem::BaseAhead) {
         let _ = v.insert("taken", false);
     }
     let _ = v.insert("problem", p.code());
--- a/sorreldoor/src/problem.rs
+++ b/sorreldoor/src/problem.rs
@@ -44,6 +44,7 @@
     HomeElsewhere "home-elsewhere" 307 false "this errand is bound to its home region; go to the address given";
     AlreadyTaken "already-taken" 409 false "an errand with this id was taken here before and will not run again";
     StaleSerial "stale-serial" 409 true "the setup has moved on from the serial this builds on";
+    BaseAhead "base-ahead" 503 true "the serial that the change builds on is not there yet; the same change may be sent again";
     NoBase "no-base" 428 false "the change does not say which serial it builds on";
     BadSetup "bad-setup" 422 false "the setup has faults; none of it takes effect";
     TooManyConnections "too-many-connections" 503 true "this node holds as many connections as it takes";
--- a/sorreldoor/src/record/apply.rs
+++ b/sorreldoor/src/record/apply.rs
@@ -1,6 +1,6 @@
 //! Applying committed entries: the same everywhere, in the same order.
 
-use super::{decode, encode, Cmd, Kept, Outcome, Record, ANSWERED};
+use super::{decode, encode, Cmd, Kept, Outcome, Record};
 use crate::consensus::{Machine, ProposalId};
 use crate::json;
 use crate::rules::{broken, Rule};
@@ -21,6 +21,11 @@
             Cmd::Evacuate { zone, emptied } => self
                 .zone(zone, emptied)
                 .map_or_else(|faults| Outcome::Bad { faults }, |()| self.changed()),
+            Cmd::EvacuateOnce {
+                zone,
+                emptied,
+                changes,
+            } => self.evacuate_once(zone, emptied, changes),
             Cmd::Zone {
                 base,
                 zone,
@@ -75,11 +80,10 @@
     ) -> Outcome {
         // of two changes that build on one serial, only the first may win
         if base != self.kept.serial && !broken(Rule::Base) {
-            let serial = self.kept.serial;
             if broken(Rule::Loser) && f(self).is_ok() {
                 self.kept.rev += 1;
             }
-            return Outcome::Stale { serial };
+            return self.not_current(base);
         }
         let serial = to.unwrap_or(self.kept.serial + 1);
         if serial <= self.kept.serial {
@@ -98,6 +102,28 @@
         )
     }
 
+    /// The outcome of an order on another version than the current one.
+    fn not_current(&self, base: u64) -> Outcome {
+        let serial = self.kept.serial;
+        // a base that is still to come may be current when another copy of
+        // the order is applied, so this copy must not be answered with a no
+        if base > serial && !broken(Rule::NotYet) {
+            return Outcome::NotYet { serial };
+        }
+        Outcome::Stale { serial }
+    }
+
+    fn evacuate_once(&mut self, zone: u16, emptied: bool, changes: u64) -> Outcome {
+        let done = self.kept.emptied.contains(&zone) == emptied;
+        let overtaken = changes != self.zone_changes(zone) && !broken(Rule::EvacuateOnce);
+        if overtaken && !done {
+            return Outcome::Unsure {
+                serial: self.kept.serial,
+            };
+        }
+        self.run(Cmd::Evacuate { zone, emptied })
+    }
+
     fn put(&mut self, doc: Vec<u8>) -> Result<(), Vec<String>> {
         let (s, v) = setup::read(&doc, &self.site)?;
         self.kept.doc = Some(Arc::new(json::canon(&v)));
@@ -136,11 +162,16 @@
         if self.site.zone_name(zone) == "?" {
             return Err(vec![format!("zone: there is no zone {zone}")]);
         }
+        if emptied == self.kept.emptied.contains(&zone) {
+            return Ok(());
+        }
         if emptied {
             self.kept.emptied.insert(zone);
         } else {
             self.kept.emptied.remove(&zone);
         }
+        let changes = self.zone_changes(zone) + 1;
+        self.kept.zone_changes.insert(zone, changes);
         Ok(())
     }
 
@@ -179,32 +210,56 @@
     }
 }
 
-impl Machine for Record {
-    fn apply(&mut self, _idx: u64, pid: ProposalId, data: &[u8]) -> Vec<u8> {
-        // a retry of an entry already applied gets the first answer
-        if let Some(o) = self.kept.answered.get(&pid) {
-            return o.to_vec();
+impl Record {
+    /// The outcome of a proposal that was taken before.
+    fn taken_before(&self, id: ProposalId) -> Option<Outcome> {
+        let known = self.kept.taken.version_of(id);
+        let serial = known.filter(|_| !broken(Rule::AppliedOnce))?;
+        if broken(Rule::RefusalKept) && serial == REFUSED {
+            let serial = self.kept.serial;
+            return Some(Outcome::Stale { serial });
         }
-        let o = decode::<Cmd>(data).map_or(
-            Outcome::Bad {
-                faults: vec!["proposal: cannot be read".into()],
-            },
-            |c| self.run(c),
-        );
-        let o = Arc::new(encode(&o));
-        self.kept.answered.insert(pid, o.clone());
-        self.kept.order.push_back(pid);
-        if self.kept.order.len() > ANSWERED {
-            self.kept
-                .order
-                .pop_front()
-                .and_then(|p| self.kept.answered.remove(&p));
+        Some(Outcome::Taken { serial })
+    }
+
+    /// Applies a proposal that is not known to have been taken.
+    fn apply_new(&mut self, id: ProposalId, cmd: Cmd) -> Outcome {
+        let base = cmd.base();
+        if base.is_some_and(|base| self.kept.taken.may_have_forgotten(base)) {
+            let serial = self.kept.serial;
+            return Outcome::Unsure { serial };
+        }
+        let outcome = self.run(cmd);
+        match (&outcome, base) {
+            (Outcome::Taken { serial }, Some(_)) => self.kept.taken.insert_order(id, *serial),
+            (Outcome::Taken { serial }, None) => self.kept.taken.insert_proposal(id, *serial),
+            (_, Some(_)) if broken(Rule::RefusalKept) => self.kept.taken.insert_order(id, REFUSED),
+            _ => {}
         }
-        o.to_vec()
+        outcome
+    }
+}
+
+/// Stands for a refusal where a test has them kept; no version is 0.
+const REFUSED: u64 = 0;
+
+impl Machine for Record {
+    fn apply(&mut self, _idx: u64, pid: ProposalId, data: &[u8]) -> Vec<u8> {
+        // a copy of an order that was taken, from another core or another try
+        let outcome = self
+            .taken_before(pid)
+            .unwrap_or_else(|| match decode::<Cmd>(data) {
+                Some(cmd) => self.apply_new(pid, cmd),
+                None => Outcome::Bad {
+                    faults: vec!["proposal: cannot be read".into()],
+                },
+            });
+        encode(&outcome)
     }
 
     fn answered(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>> {
-        self.kept.answered.get(&pid).cloned()
+        let before = self.taken_before(pid)?;
+        Some(Arc::new(encode(&before)))
     }
 
     fn image(&self) -> Vec<u8> {
@@ -212,9 +267,13 @@
     }
 
     fn load(&mut self, image: &[u8]) -> bool {
-        let Some(k) = decode::<Kept>(image) else {
+        let Some(mut k) = decode::<Kept>(image) else {
             return false;
         };
+        k.upgrade();
+        if broken(Rule::TakenInImage) {
+            k.taken = Default::default();
+        }
         let setup = k
             .doc
             .as_ref()
--- a/sorreldoor/src/record/mod.rs
+++ b/sorreldoor/src/record/mod.rs
@@ -2,12 +2,16 @@
 
 mod apply;
 mod items;
+mod taken;
+
+pub use taken::REMEMBERED_ORDERS;
 
 use crate::consensus::ProposalId;
 use crate::setup::{Setup, Site};
 use im::{OrdMap, OrdSet, Vector};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
+use taken::TakenOrders;
 
 /// What a proposal asks of the record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -60,14 +64,55 @@
         zone: u16,
         emptied: bool,
     },
+    /// `Evacuate` as a core proposes it: only while the zone has been emptied
+    /// and taken back as often as that core knew when the call came. A copy
+    /// that was held up until after later changes of the zone has no effect.
+    EvacuateOnce {
+        zone: u16,
+        emptied: bool,
+        changes: u64,
+    },
+}
+
+impl Cmd {
+    /// The version that an operator's order builds on, where it names one.
+    pub fn base(&self) -> Option<u64> {
+        match self {
+            Cmd::Put { base, .. }
+            | Cmd::Edit { base, .. }
+            | Cmd::Zone { base, .. }
+            | Cmd::Items { base, .. } => Some(*base),
+            _ => None,
+        }
+    }
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    Taken { serial: u64 },
-    Stale { serial: u64 },
-    Bad { faults: Vec<String> },
-    OldEpoch { epoch: u64 },
+    Taken {
+        serial: u64,
+    },
+    /// Refused for good: the version it builds on has been passed.
+    Stale {
+        serial: u64,
+    },
+    /// Refused for good: it is faulty, on the very version it builds on.
+    Bad {
+        faults: Vec<String>,
+    },
+    OldEpoch {
+        epoch: u64,
+    },
+    /// No answer: the version it builds on is not there yet, so the same
+    /// order may be taken when it is sent again.
+    NotYet {
+        serial: u64,
+    },
+    /// No answer: whether it was taken once cannot be told any more, or an
+    /// evacuation may have been overtaken. Nothing was changed.
+    Unsure {
+        serial: u64,
+    },
 }
 
 /// Where a region stands between being lost and being served in full.
@@ -90,6 +135,7 @@
     pub regions: Vec<(u8, Recovery)>,
 }
 
+/// How many outcomes the release before kept.
 const ANSWERED: usize = 4096;
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -105,10 +151,38 @@
     regions: OrdMap<u8, Recovery>,
     epoch: u64,
     holder: u64,
+    #[serde(default)]
+    taken: TakenOrders,
+    /// How often each zone was emptied or taken back.
+    #[serde(default)]
+    zone_changes: OrdMap<u16, u64>,
+    /// Outcomes as the release before kept them, yes and no alike; only read.
+    #[serde(default, skip_serializing)]
     answered: OrdMap<ProposalId, Arc<Vec<u8>>>,
+    #[serde(default, skip_serializing)]
     order: Vector<ProposalId>,
 }
 
+impl Kept {
+    /// Takes over the outcomes that the release before kept.
+    fn upgrade(&mut self) {
+        let order = std::mem::take(&mut self.order);
+        let answered = std::mem::take(&mut self.answered);
+        let full = order.len() >= ANSWERED;
+        let outcomes = order.iter().filter_map(|id| Some((id, answered.get(id)?)));
+        for (n, (id, bytes)) in outcomes.enumerate() {
+            let Some(Outcome::Taken { serial }) = decode(bytes) else {
+                continue;
+            };
+            // what was dropped before the oldest one had no higher version
+            if full && n == 0 {
+                self.taken.forgotten_up_to(serial);
+            }
+            self.taken.insert_order(*id, serial);
+        }
+    }
+}
+
 #[derive(Clone, Debug)]
 pub struct Record {
     site: Arc<Site>,
@@ -143,6 +217,10 @@
     pub fn emptied(&self, zone: u16) -> bool {
         self.kept.emptied.contains(&zone)
     }
+    /// How often a zone was emptied or taken back.
+    pub fn zone_changes(&self, zone: u16) -> u64 {
+        self.kept.zone_changes.get(&zone).copied().unwrap_or(0)
+    }
     pub fn region(&self, r: u8) -> Recovery {
         self.kept
             .regions
--- a/sorreldoor/src/rules.rs
+++ b/sorreldoor/src/rules.rs
@@ -35,6 +35,11 @@
     Learned "learned";
     Base "base";
     Loser "loser";
+    NotYet "not-yet";
+    AppliedOnce "applied-once";
+    RefusalKept "refusal-kept";
+    TakenInImage "taken-in-image";
+    EvacuateOnce "evacuate-once";
     ResultLength "result-length";
     ResultOwner "result-owner";
     Sequence "sequence";
--- a/sorreldoor/tests/record.rs
+++ b/sorreldoor/tests/record.rs
@@ -1,7 +1,7 @@
 //! The record: whose changes it refuses, and what tuning may not do.
 
 use sorreldoor::consensus::Machine;
-use sorreldoor::record::{decode, encode, Cmd, Outcome, Record, Recovery};
+use sorreldoor::record::{decode, encode, Cmd, Outcome, Record, Recovery, REMEMBERED_ORDERS};
 use sorreldoor::setup::Site;
 use std::sync::Arc;
 
@@ -95,3 +95,188 @@
     assert_eq!(other.view(), r.0.view());
     assert!(!other.load(b"not an image"));
 }
+
+fn apply(r: &mut Record, id: u128, cmd: &Cmd) -> Outcome {
+    decode(&r.apply(0, id, &encode(cmd))).expect("an outcome")
+}
+
+fn put(base: u64, to: u64) -> Cmd {
+    let doc = DOC.to_string();
+    let to = Some(to);
+    Cmd::Put { base, to, doc }
+}
+
+#[test]
+fn an_order_before_its_base_is_not_refused_and_is_taken_later() {
+    let mut r = Record::new(site());
+    assert_eq!(
+        apply(&mut r, 2, &put(7, 9)),
+        Outcome::NotYet { serial: 0 },
+        "version 7 may still be on its way"
+    );
+    assert_eq!(r.answered(2), None, "nothing is kept of what was not taken");
+    assert_eq!(apply(&mut r, 1, &put(0, 7)), Outcome::Taken { serial: 7 });
+    assert_eq!(apply(&mut r, 2, &put(7, 9)), Outcome::Taken { serial: 9 });
+    assert_eq!(apply(&mut r, 2, &put(7, 9)), Outcome::Taken { serial: 9 });
+    assert_eq!(r.serial(), 9);
+}
+
+#[test]
+fn a_refusal_is_final_whatever_comes_after_it() {
+    let mut r = Record::new(site());
+    apply(&mut r, 1, &put(0, 5));
+    apply(&mut r, 2, &put(5, 6));
+    // lost its race; not above its base; faulty on its base
+    let stale = put(5, 7);
+    let low = put(6, 6);
+    let faulty = Cmd::Edit {
+        base: 6,
+        patch: r#"{"services":null}"#.into(),
+    };
+    assert_eq!(apply(&mut r, 3, &stale), Outcome::Stale { serial: 6 });
+    assert!(matches!(apply(&mut r, 4, &low), Outcome::Bad { .. }));
+    assert!(matches!(apply(&mut r, 5, &faulty), Outcome::Bad { .. }));
+    for base in 6..40 {
+        for (id, cmd) in [(3, &stale), (4, &low), (5, &faulty)] {
+            let again = apply(&mut r, id, cmd);
+            let refused = matches!(again, Outcome::Stale { .. } | Outcome::Bad { .. });
+            assert!(refused, "{id} on {base}: {again:?}");
+        }
+        assert_eq!(r.serial(), base, "a refused order changed the version");
+        let next = apply(&mut r, 100 + u128::from(base), &put(base, base + 1));
+        assert_eq!(next, Outcome::Taken { serial: base + 1 });
+    }
+}
+
+#[test]
+fn one_number_with_other_content_is_refused() {
+    let mut r = Record::new(site());
+    apply(&mut r, 1, &put(0, 5));
+    assert_eq!(apply(&mut r, 2, &put(5, 7)), Outcome::Taken { serial: 7 });
+    // another body has another id: same base and number, and it must lose
+    assert_eq!(apply(&mut r, 3, &put(5, 7)), Outcome::Stale { serial: 7 });
+    assert_eq!(apply(&mut r, 2, &put(5, 7)), Outcome::Taken { serial: 7 });
+}
+
+fn zone(base: u64) -> Cmd {
+    let (zone, emptied) = (0, base.is_multiple_of(2));
+    Cmd::Zone {
+        base,
+        zone,
+        emptied,
+    }
+}
+
+#[test]
+fn a_taken_order_is_acknowledged_again_or_left_open_never_refused() {
+    let mut r = Record::new(site());
+    let limit = REMEMBERED_ORDERS as u64;
+    let all = limit + 300;
+    for base in 0..all {
+        let taken = Outcome::Taken { serial: base + 1 };
+        assert_eq!(apply(&mut r, u128::from(base) + 1, &zone(base)), taken);
+        // the duty's own proposals must not push operators' orders out
+        let tune = Cmd::Tune {
+            epoch: 0,
+            serial: base + 1,
+            weights: vec![],
+        };
+        apply(&mut r, (1 << 100) + u128::from(base), &tune);
+    }
+    let image = r.image();
+    let mut restored = Record::new(site());
+    assert!(restored.load(&image));
+    for r in [&mut r, &mut restored] {
+        for base in 0..all {
+            let again = apply(r, u128::from(base) + 1, &zone(base));
+            let want = if base < 300 {
+                Outcome::Unsure { serial: all }
+            } else {
+                Outcome::Taken { serial: base + 1 }
+            };
+            assert_eq!(again, want, "order on {base}");
+        }
+        assert_eq!(r.serial(), all, "no repeat was entered twice");
+        // an order on an old base that never was taken is refused still
+        let late = apply(r, 1 << 90, &zone(400));
+        assert_eq!(late, Outcome::Stale { serial: all });
+    }
+    let bytes = image.len() as u64 / limit;
+    println!("{} bytes of image for {limit} orders", image.len());
+    assert!(bytes < 32, "{bytes} bytes an order");
+}
+
+#[test]
+fn an_evacuation_held_up_until_after_its_end_has_no_effect() {
+    let mut r = Record::new(site());
+    let order = |emptied, changes| Cmd::EvacuateOnce {
+        zone: 1,
+        emptied,
+        changes,
+    };
+    // two copies of one call, one held up at another core
+    assert_eq!(
+        apply(&mut r, 1, &order(true, 0)),
+        Outcome::Taken { serial: 0 }
+    );
+    assert_eq!(
+        apply(&mut r, 2, &order(true, 0)),
+        Outcome::Taken { serial: 0 }
+    );
+    assert_eq!(
+        apply(&mut r, 3, &order(false, 1)),
+        Outcome::Taken { serial: 0 }
+    );
+    assert_eq!(
+        apply(&mut r, 4, &order(true, 0)),
+        Outcome::Unsure { serial: 0 }
+    );
+    assert!(!r.emptied(1), "a late copy emptied the zone again");
+    // the same zone emptied anew is another call
+    assert_eq!(
+        apply(&mut r, 5, &order(true, 2)),
+        Outcome::Taken { serial: 0 }
+    );
+    assert!(r.emptied(1));
+    let mut restored = Record::new(site());
+    assert!(restored.load(&r.image()));
+    assert_eq!(restored.zone_changes(1), 3);
+}
+
+/// The replicated state as the release before wrote it, as far as it matters.
+#[derive(serde::Serialize)]
+struct OldImage {
+    rev: u64,
+    serial: u64,
+    doc: Option<String>,
+    emptied: Vec<u16>,
+    weights: std::collections::BTreeMap<(u16, u16), u32>,
+    regions: std::collections::BTreeMap<u8, Recovery>,
+    epoch: u64,
+    holder: u64,
+    answered: std::collections::BTreeMap<u128, Vec<u8>>,
+    order: Vec<u128>,
+}
+
+#[test]
+fn taken_orders_of_the_release_before_are_taken_over() {
+    let taken = encode(&Outcome::Taken { serial: 7 });
+    let refused = encode(&Outcome::Stale { serial: 7 });
+    let old = OldImage {
+        rev: 3,
+        serial: 7,
+        doc: None,
+        emptied: vec![],
+        weights: Default::default(),
+        regions: Default::default(),
+        epoch: 0,
+        holder: 0,
+        answered: [(1, taken), (2, refused)].into(),
+        order: vec![1, 2],
+    };
+    let mut r = Record::new(site());
+    assert!(r.load(&encode(&old)));
+    assert_eq!(apply(&mut r, 1, &zone(0)), Outcome::Taken { serial: 7 });
+    // refused there when 7 was not current yet
+    assert_eq!(apply(&mut r, 2, &zone(7)), Outcome::Taken { serial: 8 });
+}
