--- a/rig/src/site/mod.rs
+++ b/rig/src/site/mod.rs
@@ -7,8 +7,10 @@
 mod docs;
 mod faults;
 mod history;
+pub mod linearizable;
 mod net;
 mod operators;
+mod orders;
 mod procs;
 mod runs;
 mod workers;
@@ -17,6 +19,7 @@
 pub use check::check;
 pub use docs::any_doc;
 pub use faults::Storm;
+pub use orders::{Orders, Trouble, FIRST};
 pub use procs::{Proc, Role};
 pub use workers::Wk;
 
@@ -84,6 +87,11 @@
     pub left_at: BTreeMap<usize, Millis>,
     pub callers: BTreeMap<u64, Caller>,
     pub changes: Vec<Change>,
+    /// Orders that are sent again until they have a clear answer.
+    pub orders: Orders,
+    pub trouble: Trouble,
+    /// Entries that a core keeps before it folds its log into a snapshot.
+    pub keep_log: Option<u64>,
     pub handed: Vec<Handed>,
     /// Every connection an edge asked for to a worker: when, for whom.
     pub opened: Vec<(Millis, u64)>,
@@ -146,6 +154,9 @@
             left_at: BTreeMap::new(),
             callers: BTreeMap::new(),
             changes: Vec::new(),
+            orders: Orders::default(),
+            trouble: Trouble::default(),
+            keep_log: None,
             handed: Vec::new(),
             opened: Vec::new(),
             bodies: Vec::new(),
--- a/rig/src/site/operators.rs
+++ b/rig/src/site/operators.rs
@@ -64,6 +64,7 @@
 
     pub(crate) fn changed(&mut self, rid: u64, o: OpOutcome) {
         let now = self.now;
+        self.order_answered(rid, &o);
         if let Some(c) = self.changes.iter_mut().find(|c| c.rid == rid) {
             if c.outcome.is_none() {
                 c.outcome = Some(o);
--- a/rig/src/site/procs.rs
+++ b/rig/src/site/procs.rs
@@ -134,6 +134,8 @@
         let (ack, permit, site) = (self.ack_ms, self.permit_ms, self.site.clone());
         let most = self.most_claims;
         let (grow, replace_ms) = (self.grow, self.replace_ms);
+        let mut timing = self.pacing.timing(ack);
+        timing.keep_log = self.keep_log.unwrap_or(timing.keep_log);
         let (pacing, holder_polls) = (self.pacing.clone(), self.holder_polls);
         let q = &mut self.procs[p];
         q.up = true;
@@ -160,7 +162,7 @@
                 seeds,
                 cores: 3,
                 replace_ms,
-                timing: pacing.timing(ack),
+                timing,
                 seed,
                 promise: q.promise.clone(),
                 sure: q.sure,
@@ -280,7 +282,8 @@
             ControllerEffect::Undial(a) => self.undial(p, a),
             ControllerEffect::Close(c) => self.close(c),
             ControllerEffect::Done(rid, o) => self.changed(rid, o),
-            ControllerEffect::Looked(..) | ControllerEffect::Viewed(..) => {}
+            ControllerEffect::Viewed(rid, ok) => self.viewed(p, rid, ok),
+            ControllerEffect::Looked(..) => {}
             ControllerEffect::AskRegistry => {
                 self.polls += 1;
                 let serial = 0;
--- a/rig/tests/site/main.rs
+++ b/rig/tests/site/main.rs
@@ -8,6 +8,7 @@
 mod loads;
 mod members;
 mod mutants;
+mod orders;
 mod pacing;
 mod regions;
 mod returns;
