--- a/sorreldoor/src/core/api.rs
+++ b/sorreldoor/src/core/api.rs
@@ -4,7 +4,7 @@
 use super::source::OperatorDoor;
 use crate::events::{say, Ev};
 use crate::http;
-use crate::ops::{self, Op};
+use crate::operator_api::{self, OperatorRequest};
 use crate::problem::Problem;
 use crate::settings::Settings;
 use async_std::net::TcpListener;
@@ -48,7 +48,7 @@
         if req.method() == Method::Get && path == "/ready" {
             return self.ready().await;
         }
-        match ops::read(&mut req, &self.set.names).await {
+        match operator_api::read(&mut req, &self.set.names).await {
             None => http::shed(Problem::UnknownPath, &path, 1),
             Some(Err(p)) => http::shed(p, "", 1),
             Some(Ok(op)) => self.run(op).await,
@@ -63,12 +63,16 @@
         }
     }
 
-    async fn run(&self, op: Op) -> Response {
+    async fn run(&self, op: OperatorRequest) -> Response {
         match op {
-            Op::Check { faults } => ops::checked(&faults),
-            Op::Change { pid, cmd } => ops::result(pid, &self.front.change(pid, cmd).await),
-            Op::DropCore { pid, id } => ops::result(pid, &self.front.drop_core(pid, id).await),
-            Op::Setup => match self.front.look().await {
+            OperatorRequest::Check { faults } => operator_api::checked(&faults),
+            OperatorRequest::Change { pid, cmd } => {
+                operator_api::result(pid, &self.front.change(pid, cmd).await)
+            }
+            OperatorRequest::DropCore { pid, id } => {
+                operator_api::result(pid, &self.front.drop_core(pid, id).await)
+            }
+            OperatorRequest::Setup => match self.front.look().await {
                 Some(Looked { ok: true, view, .. }) => {
                     let doc = view.doc.as_ref().map(|d| d.as_str());
                     let zones: Vec<String> = view
@@ -76,19 +80,21 @@
                         .iter()
                         .map(|z| self.set.names.zone_name(*z).to_string())
                         .collect();
-                    ops::setup_view(view.serial, doc, &zones)
+                    operator_api::setup_view(view.serial, doc, &zones)
                 }
                 _ => http::shed(Problem::NoCore, "", 1),
             },
-            Op::Status => match self.front.look().await {
+            OperatorRequest::Status => match self.front.look().await {
                 Some(Looked { status, .. }) => http::json(200, status),
                 _ => http::shed(Problem::NoCore, "", 1),
             },
-            Op::Metrics => match self.front.look().await {
-                Some(Looked { status, .. }) => ops::metrics(&status),
+            OperatorRequest::Metrics => match self.front.look().await {
+                Some(Looked { status, .. }) => operator_api::metrics(&status),
                 _ => http::shed(Problem::NoCore, "", 1),
             },
-            Op::Proposal(pid) => ops::result(pid, &self.front.find(pid).await),
+            OperatorRequest::Proposal(pid) => {
+                operator_api::result(pid, &self.front.find(pid).await)
+            }
         }
     }
 }
--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -349,7 +349,7 @@
         self.proposed(pid, taken);
         let asked = self.ops.remove(&pid).unwrap_or_default();
         if !asked.is_empty() {
-            let id = crate::ops::pid_text(pid);
+            let id = crate::order_id::format_proposal_id(pid);
             let (ev, about) = match &outcome {
                 OpOutcome::Got(Outcome::Taken { serial }) => {
                     (Ev::ChangeTaken, format!("{id} as serial {serial}"))
--- a/sorreldoor/src/core/run.rs
+++ b/sorreldoor/src/core/run.rs
@@ -31,7 +31,7 @@
     if let Some(id) = read_file(dir, "identity")?.and_then(|b| decode::<u64>(&b)) {
         return Ok(id);
     }
-    let id = crate::ops::fresh() >> 1;
+    let id = crate::order_id::random_id() >> 1;
     keep_file(dir, "identity", &encode(&id))?;
     say(Ev::Identity, format!("{id:x}"));
     Ok(id)
@@ -109,14 +109,14 @@
             addr: listen.to_string(),
             http: set.http.to_string(),
             founded: false,
-            boot: crate::ops::fresh(),
+            boot: crate::order_id::random_id(),
         },
         site: set.names.clone(),
         seeds: set.seeds.clone(),
         cores: set.cores,
         replace_ms: set.replace_ms,
         timing: set.pacing.timing(set.ack_ms),
-        seed: crate::ops::fresh(),
+        seed: crate::order_id::random_id(),
         promise,
         sure: sure.is_some(),
         most_claims: set.most_claims,
--- a/sorreldoor/src/core/status.rs
+++ b/sorreldoor/src/core/status.rs
@@ -79,7 +79,7 @@
         let _ = c.insert("sure", self.sure());
         let _ = v.insert("claims", c);
         let emptied = self.consensus.as_ref().map(|a| a.machine().view().emptied);
-        let zones = crate::ops::zones(
+        let zones = crate::operator_api::zones(
             &self.site,
             &emptied.unwrap_or_default(),
             self.worker_list.workers(),
--- a/sorreldoor/src/ctl/mod.rs
+++ b/sorreldoor/src/ctl/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::http::{self, Broke, Call, Called};
 use crate::json::{self, Val};
-use crate::ops;
+use crate::order_id;
 use async_std::task;
 use gumdrop::Options;
 use http_types::Method;
@@ -169,7 +169,7 @@
             "",
         ),
         What::DropCore(o) => {
-            let id = ops::pid_text(ops::fresh_pid());
+            let id = order_id::format_proposal_id(order_id::random_proposal_id());
             let path = format!("/v1/cores/{}/drop?id={id}", o.id);
             c.change(Method::Post, &path, Vec::new(), &id)
         }
@@ -300,8 +300,8 @@
         let Some(base) = base else {
             return usage("--base: say which serial this builds on; see: ctl get");
         };
-        let id = id.unwrap_or_else(|| ops::pid_text(ops::fresh_pid()));
-        if ops::read_pid(&id).is_none() {
+        let id = id.unwrap_or_else(|| order_id::format_proposal_id(order_id::random_proposal_id()));
+        if order_id::parse_proposal_id(&id).is_none() {
             return usage("--id: must be up to 32 hex digits");
         }
         self.change(m, &format!("{path}?base={base}&id={id}"), body, &id)
--- a/sorreldoor/src/edge/api.rs
+++ b/sorreldoor/src/edge/api.rs
@@ -8,7 +8,8 @@
 use crate::http;
 use crate::json::{self, Val};
 use crate::net::Ring;
-use crate::ops::{self, Op};
+use crate::operator_api::{self, OperatorRequest};
+use crate::order_id;
 use crate::problem::Problem;
 use crate::settings::Settings;
 use async_std::channel::Receiver;
@@ -45,7 +46,7 @@
             _ if path.starts_with("/v1/errand/") => {
                 return self.errand(&mut req, &path, peer).await;
             }
-            _ => match ops::read(&mut req, &self.set.names).await {
+            _ => match operator_api::read(&mut req, &self.set.names).await {
                 None => http::shed(Problem::UnknownPath, &path, 1),
                 Some(Err(p)) => http::shed(p, "", 1),
                 Some(Ok(op)) => self.op(op).await,
@@ -95,7 +96,7 @@
         Ok(Asked {
             route: http::query(req, "route").ok_or(Problem::BadErrand)?,
             key: http::query(req, "key").unwrap_or_default(),
-            id: ops::pid_text(ops::fresh_pid()),
+            id: order_id::format_proposal_id(order_id::random_proposal_id()),
             home,
             adapter: http::query(req, "adapter"),
             ..Asked::default()
@@ -131,18 +132,18 @@
         }
     }
 
-    async fn op(&self, op: Op) -> Response {
+    async fn op(&self, op: OperatorRequest) -> Response {
         match op {
-            Op::Check { faults } => ops::checked(&faults),
-            Op::Change { pid, cmd } => {
+            OperatorRequest::Check { faults } => operator_api::checked(&faults),
+            OperatorRequest::Change { pid, cmd } => {
                 let r = self.soon(|rid| EdgeEvent::Change { rid, pid, cmd }).await;
                 changed(pid, r)
             }
-            Op::Proposal(pid) => {
+            OperatorRequest::Proposal(pid) => {
                 let r = self.soon(|rid| EdgeEvent::Find { rid, pid }).await;
                 changed(pid, r)
             }
-            Op::Setup => match self.soon(|rid| EdgeEvent::Look { rid }).await {
+            OperatorRequest::Setup => match self.soon(|rid| EdgeEvent::Look { rid }).await {
                 Some(Reply::Looked(true, view)) => {
                     let doc = view.doc.as_ref().map(|d| d.as_str());
                     let names = &self.set.names;
@@ -151,16 +152,16 @@
                         .iter()
                         .map(|z| names.zone_name(*z).to_string())
                         .collect();
-                    ops::setup_view(view.serial, doc, &zones)
+                    operator_api::setup_view(view.serial, doc, &zones)
                 }
                 _ => http::shed(Problem::NoCore, "", 1),
             },
-            Op::Status => self.status().await,
-            Op::Metrics => match self.soon(|rid| EdgeEvent::Status { rid }).await {
-                Some(Reply::Status { text, .. }) => ops::metrics(&text),
+            OperatorRequest::Status => self.status().await,
+            OperatorRequest::Metrics => match self.soon(|rid| EdgeEvent::Status { rid }).await {
+                Some(Reply::Status { text, .. }) => operator_api::metrics(&text),
                 _ => http::shed(Problem::Leaving, "", 1),
             },
-            Op::DropCore { .. } => http::shed(Problem::UnknownPath, "ask a core", 1),
+            OperatorRequest::DropCore { .. } => http::shed(Problem::UnknownPath, "ask a core", 1),
         }
     }
 
@@ -172,7 +173,7 @@
         }
         let id = given
             .clone()
-            .unwrap_or_else(|| ops::pid_text(ops::fresh_pid()));
+            .unwrap_or_else(|| order_id::format_proposal_id(order_id::random_proposal_id()));
         let key = head("x-prefix-key").unwrap_or_default();
         Ok(Asked {
             route: route.to_string(),
@@ -258,8 +259,8 @@
 
 fn changed(pid: ProposalId, r: Option<Reply>) -> Response {
     match r {
-        Some(Reply::Done(o)) => ops::result(pid, &o),
-        _ => ops::result(pid, &crate::wire::OpOutcome::Unknown),
+        Some(Reply::Done(o)) => operator_api::result(pid, &o),
+        _ => operator_api::result(pid, &crate::wire::OpOutcome::Unknown),
     }
 }
 
--- a/sorreldoor/src/edge/controller.rs
+++ b/sorreldoor/src/edge/controller.rs
@@ -368,7 +368,7 @@
         let _ = v.insert("leaving", self.leaving);
         let _ = v.insert("open_errands", self.table.rows.len());
         let s = &self.plan.shown;
-        let zones = crate::ops::zones(
+        let zones = crate::operator_api::zones(
             &self.plan.site,
             &s.view.emptied,
             &s.registry.workers,
--- a/sorreldoor/src/edge/run.rs
+++ b/sorreldoor/src/edge/run.rs
@@ -93,7 +93,7 @@
     let web = task::block_on(TcpListener::bind(set.http))
         .map_err(|e| format!("http: cannot bind {}: {e}", set.http))?;
     let me = Hello {
-        id: crate::ops::fresh() >> 1,
+        id: crate::order_id::random_id() >> 1,
         node: set.node.clone(),
         core: false,
         region: set.region,
@@ -101,7 +101,7 @@
         addr: String::new(),
         http: set.http.to_string(),
         founded: false,
-        boot: crate::ops::fresh(),
+        boot: crate::order_id::random_id(),
     };
     let plan = Plan::new(set.names.clone(), set.node.clone(), set.zone, set.region);
     let pull = Pull::new(&set.seeds, set.permit_ms, 0, clock.now().wall)
--- a/sorreldoor/src/ops.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -1,8 +1,10 @@
-//! Operators' errands as both roles take them: what a path and method mean.
+//! The operators' HTTP interface as both roles serve it: which request a call
+//! is, and how its outcome is answered.
 
 use crate::consensus::ProposalId;
 use crate::http;
 use crate::json::Val;
+use crate::order_id::{format_proposal_id, parse_proposal_id, random_proposal_id};
 use crate::problem::Problem;
 use crate::record::{Cmd, Outcome};
 use crate::registry::{Loads, Worker};
@@ -12,8 +14,9 @@
 use simd_json::prelude::*;
 use std::time::Duration;
 
+/// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Op {
+pub enum OperatorRequest {
     Change { pid: ProposalId, cmd: Cmd },
     Check { faults: Vec<String> },
     Setup,
@@ -23,33 +26,6 @@
     DropCore { pid: ProposalId, id: u64 },
 }
 
-/// A fresh id from the system's randomness, through the standard library.
-pub fn fresh() -> u64 {
-    use std::hash::{BuildHasher, Hasher};
-    let mut h = std::collections::hash_map::RandomState::new().build_hasher();
-    let t = std::time::SystemTime::now()
-        .duration_since(std::time::UNIX_EPOCH)
-        .map_or(0, |d| d.as_nanos() as u64);
-    h.write_u64(t);
-    h.write_u32(std::process::id());
-    h.finish().max(1)
-}
-
-pub fn fresh_pid() -> ProposalId {
-    (ProposalId::from(fresh()) << 64) | ProposalId::from(fresh())
-}
-
-pub fn pid_text(p: ProposalId) -> String {
-    format!("{p:032x}")
-}
-
-pub fn read_pid(s: &str) -> Option<ProposalId> {
-    Some(s)
-        .filter(|s| (1..=32).contains(&s.len()))
-        .and_then(|s| ProposalId::from_str_radix(s, 16).ok())
-        .filter(|p| *p != 0)
-}
-
 fn base(req: &Request) -> Result<u64, Problem> {
     let b = http::query(req, "base").ok_or(Problem::NoBase)?;
     b.parse().map_err(|_| Problem::NoBase)
@@ -57,24 +33,24 @@
 
 fn given_pid(req: &Request) -> Result<ProposalId, Problem> {
     http::query(req, "id").map_or_else(
-        || Ok(fresh_pid()),
-        |s| read_pid(&s).ok_or(Problem::BadErrand),
+        || Ok(random_proposal_id()),
+        |s| parse_proposal_id(&s).ok_or(Problem::BadErrand),
     )
 }
 
 /// What an operator asks for; none where the path is no operator's.
-pub async fn read(req: &mut Request, site: &Site) -> Option<Result<Op, Problem>> {
+pub async fn read(req: &mut Request, site: &Site) -> Option<Result<OperatorRequest, Problem>> {
     let path = req.url().path().to_string();
     let rest = path.strip_prefix("/v1/")?;
     let parts: Vec<&str> = rest.split('/').collect();
     let m = req.method();
     Some(match (m, parts.as_slice()) {
-        (Method::Get, ["setup"]) => Ok(Op::Setup),
-        (Method::Get, ["status"]) => Ok(Op::Status),
-        (Method::Get, ["metrics"]) => Ok(Op::Metrics),
-        (Method::Get, ["proposals", id]) => {
-            read_pid(id).map(Op::Proposal).ok_or(Problem::BadErrand)
-        }
+        (Method::Get, ["setup"]) => Ok(OperatorRequest::Setup),
+        (Method::Get, ["status"]) => Ok(OperatorRequest::Status),
+        (Method::Get, ["metrics"]) => Ok(OperatorRequest::Metrics),
+        (Method::Get, ["proposals", id]) => parse_proposal_id(id)
+            .map(OperatorRequest::Proposal)
+            .ok_or(Problem::BadErrand),
         (Method::Put, ["setup"]) => {
             doc(req, |base, doc| Cmd::Put {
                 base,
@@ -89,7 +65,7 @@
         (Method::Post, ["zones", z, "return"]) => zone(req, site, z, false),
         (Method::Post, ["cores", id, "drop"]) => u64::from_str_radix(id, 16)
             .map_err(|_| Problem::BadErrand)
-            .and_then(|id| given_pid(req).map(|pid| Op::DropCore { pid, id })),
+            .and_then(|id| given_pid(req).map(|pid| OperatorRequest::DropCore { pid, id })),
         (_, ["setup" | "status" | "metrics" | "check"] | ["proposals", _])
         | (_, ["zones", _, "empty" | "return"] | ["cores", _, "drop"]) => Err(Problem::BadMethod),
         _ => return None,
@@ -101,27 +77,30 @@
     String::from_utf8(b).map_err(|_| Problem::BadJson)
 }
 
-async fn doc(req: &mut Request, f: impl Fn(u64, String) -> Cmd) -> Result<Op, Problem> {
+async fn doc(
+    req: &mut Request,
+    f: impl Fn(u64, String) -> Cmd,
+) -> Result<OperatorRequest, Problem> {
     let base = base(req)?;
     let pid = given_pid(req)?;
     let t = text(req).await?;
-    Ok(Op::Change {
+    Ok(OperatorRequest::Change {
         pid,
         cmd: f(base, t),
     })
 }
 
-async fn check(req: &mut Request, site: &Site) -> Result<Op, Problem> {
+async fn check(req: &mut Request, site: &Site) -> Result<OperatorRequest, Problem> {
     let t = text(req).await?;
     let faults = setup::read(t.as_bytes(), site).err().unwrap_or_default();
-    Ok(Op::Check { faults })
+    Ok(OperatorRequest::Check { faults })
 }
 
-fn zone(req: &Request, site: &Site, z: &str, emptied: bool) -> Result<Op, Problem> {
+fn zone(req: &Request, site: &Site, z: &str, emptied: bool) -> Result<OperatorRequest, Problem> {
     let zone = site.zone(z).ok_or(Problem::UnknownZone)?;
     let base = base(req)?;
     let pid = given_pid(req)?;
-    Ok(Op::Change {
+    Ok(OperatorRequest::Change {
         pid,
         cmd: Cmd::Zone {
             base,
@@ -138,7 +117,7 @@
 /// The yes, the no, or the honest don't-know to a change.
 pub fn result(pid: ProposalId, o: &OpOutcome) -> Response {
     let mut v = Val::object();
-    let _ = v.insert("proposal", pid_text(pid));
+    let _ = v.insert("proposal", format_proposal_id(pid));
     let p = match o {
         OpOutcome::Got(Outcome::Taken { serial }) => {
             let _ = v.insert("taken", true);
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -65,7 +65,7 @@
     let set = start.set;
     let now = clock.now();
     let me = Hello {
-        id: crate::ops::fresh() >> 1,
+        id: crate::order_id::random_id() >> 1,
         node: set.node.clone(),
         core: false,
         region: set.region,
@@ -73,7 +73,7 @@
         addr: String::new(),
         http: set.http.to_string(),
         founded: false,
-        boot: crate::ops::fresh(),
+        boot: crate::order_id::random_id(),
     };
     let place = Place {
         node: set.node.clone(),
@@ -81,7 +81,7 @@
         region: set.region,
         regions: set.names.zones.iter().map(|(_, r)| *r).collect(),
     };
-    let table = Table::new(place, start.bounds, crate::ops::fresh());
+    let table = Table::new(place, start.bounds, crate::order_id::random_id());
     let pull = Pull::new(&set.seeds, set.permit_ms, now.mono, now.wall)
         .named(&set.node)
         .paced(&set.pacing);
