--- a/rig/src/tricks.rs
+++ b/rig/src/tricks.rs
@@ -66,8 +66,9 @@
 
 struct TrickStore<S>(S, Tricks);
 
-impl<S: Store> Store for TrickStore<S> {
-    fn save(&mut self, batch: &[(u64, Save)]) -> io::Result<()> {
+impl<S> TrickStore<S> {
+    /// Waits and refuses as the file says.
+    fn trouble(&self) -> io::Result<()> {
         while self.1.flag("stuck") {
             thread::sleep(Duration::from_millis(20));
         }
@@ -76,8 +77,20 @@
         if self.1.flag("full") {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
+        Ok(())
+    }
+}
+
+impl<S: Store> Store for TrickStore<S> {
+    fn save(&mut self, batch: &[(u64, Save)]) -> io::Result<()> {
+        self.trouble()?;
         self.0.save(batch)
     }
+
+    fn put(&mut self, name: &str, value: &[u8]) -> io::Result<()> {
+        self.trouble()?;
+        self.0.put(name, value)
+    }
 }
 
 /// Run one node; what it ends with.
--- a/rig/tests/conformance/answers.rs
+++ b/rig/tests/conformance/answers.rs
@@ -181,6 +181,29 @@
     assert_eq!(s.top_serial(), top);
 }
 
+/// A disk that takes writes again brings its core back without a restart: it
+/// follows, and can lead once the others need it.
+pub fn a_healed_disk_takes_part_again() {
+    use sorreldoor::consensus::Event;
+    let (mut s, l) = led_from(&[0, 0, 1], 0);
+    s.give(l, Event::SaveFailed);
+    s.run_for(3000);
+    assert!(s.leader().is_some_and(|n| n != l));
+    let top = s.timed((l + 1) % 3, ACK);
+    assert!(top.is_some(), "the others go on");
+    s.give(l, Event::SaveRecovered);
+    s.run_for(3000);
+    let holds = |s: &Sim, i: usize| s.nodes[i].consensus.as_ref().map(|a| a.applied_idx());
+    assert_eq!(holds(&s, l), holds(&s, (l + 1) % 3));
+    // with another core gone, its vote and its disk are needed
+    let other = s.leader().unwrap();
+    s.crash(other);
+    s.run_for(5000);
+    assert!(s.leader().is_some(), "it counts for a majority again");
+    assert!(s.timed(l, ACK).is_some());
+    sound(&s);
+}
+
 /// A disk that fails, and one that is stuck, take their core out of the way.
 pub fn a_bad_disk_steps_aside() {
     let (mut s, l) = led_from(&[0, 0, 1], 0);
--- a/rig/tests/conformance/main.rs
+++ b/rig/tests/conformance/main.rs
@@ -115,6 +115,10 @@
             "a failed or stuck disk steps aside",
             answers::a_bad_disk_steps_aside,
         ),
+        (
+            "a healed disk takes part again",
+            answers::a_healed_disk_takes_part_again,
+        ),
         (
             "terms fence late confirmations",
             answers::a_deposed_leaders_late_confirmation_is_ignored,
--- a/rig/tests/troubles.rs
+++ b/rig/tests/troubles.rs
@@ -181,8 +181,10 @@
         let (took, _) = change(f, f.edges()[0], 4);
         println!("a disk full: a change took {} ms", took.as_millis());
         assert!(f.until(LONG, |f| log(f, last).contains("E220")));
-        // room again, the same data folder: it comes back
+        // room again: it takes part again without a restart
         f.trick(last, "{}");
+        assert!(f.until(LONG, |f| log(f, last).contains("E224")));
+        // and with one, on the same data folder
         f.kill(last);
         f.spawn(last);
         assert!(f.until(LONG, Fleet::founded), "it is back with what it had");
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -290,6 +290,7 @@
             Event::Saved { seq } => self.on_saved(seq),
             Event::Gone { id } => self.on_gone(id),
             Event::SaveFailed => self.on_save_failed(),
+            Event::SaveRecovered => self.on_save_recovered(),
             Event::Propose { pid, body } => self.ask(pid, body),
             Event::Read { rid } => self.look(rid),
         }
--- a/sorreldoor/src/consensus/state.rs
+++ b/sorreldoor/src/consensus/state.rs
@@ -216,6 +216,16 @@
         }
     }
 
+    /// Takes part again, as a follower that knows no leader. While the disk
+    /// refused, nothing was taken in or answered, so the state in memory is
+    /// still the one that the store has been given.
+    pub(super) fn on_save_recovered(&mut self) {
+        self.failed = false;
+        self.gl = None;
+        self.reset_elect();
+        self.reset_delect();
+    }
+
     /// The highest index of the own log that is synced.
     pub(super) fn synced_upto(&self) -> u64 {
         self.unsaved
--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -233,7 +233,10 @@
     Gone {
         id: NodeId,
     },
+    /// A save was refused, and is tried again.
     SaveFailed,
+    /// The save that was refused is durable now.
+    SaveRecovered,
     Propose {
         pid: ProposalId,
         body: Body,
--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -84,6 +84,10 @@
                 self.say(Ev::DiskFailed, why);
                 self.agreed(Event::SaveFailed);
             }
+            ControllerEvent::SaveRecovered => {
+                self.say(Ev::DiskRecovered, "taking part again");
+                self.agreed(Event::SaveRecovered);
+            }
             ControllerEvent::Change { rid, pid, cmd } => self.change(OpFrom::Http(rid), pid, cmd),
             ControllerEvent::Reform { rid, pid, drop } => self.reform(rid, pid, drop),
             ControllerEvent::Look { rid } => self.wants.push(Want::Http(rid)),
--- a/sorreldoor/src/core/events.rs
+++ b/sorreldoor/src/core/events.rs
@@ -32,7 +32,10 @@
     Alarm,
     Net(NetEvent),
     Saved(u64),
+    /// The disk refuses; the store tries the same save again.
     SaveFailed(String),
+    /// All that was waiting for the disk has been synced after all.
+    SaveRecovered,
     Change {
         rid: u64,
         pid: ProposalId,
@@ -67,7 +70,7 @@
 #[derive(Debug)]
 pub enum ControllerEffect {
     Save(u64, Save),
-    /// Keep a small file, synced, before anything that follows.
+    /// Keep a small value, synced, before anything that follows.
     Keep(&'static str, Vec<u8>),
     Send(Conn, Payload),
     Dial(SocketAddr),
--- a/sorreldoor/src/core/mod.rs
+++ b/sorreldoor/src/core/mod.rs
@@ -13,6 +13,7 @@
 mod lines;
 mod regions;
 mod run;
+mod saving;
 mod source;
 mod start;
 mod status;
--- a/sorreldoor/src/core/run.rs
+++ b/sorreldoor/src/core/run.rs
@@ -4,39 +4,27 @@
 use super::controller::Controller;
 use super::events::{ControllerEffect, ControllerEvent, Start};
 use super::front::{Front, Looked, Reply};
+use super::saving::{self, Saver};
 use super::source::{Listed, OperatorDoor, WorkerSource};
-use crate::consensus::{Member, Save};
+use crate::consensus::Member;
 use crate::events::{say, Ev};
 use crate::http::{self, Call};
 use crate::net::{Net, NetEvent, Ring};
-use crate::record::{decode, encode};
+use crate::record::decode;
 use crate::registry::{self, Load};
-use crate::seam::{self, Hand, Now, Reducer};
+use crate::seam::{self, Hand};
 use crate::settings::Settings;
-use crate::store::{keep_file, read_file, Opened, Store, WalStore};
+use crate::store::{DurableStore, Folder, Store};
 use crate::wire::Hello;
-use async_std::channel::{bounded, Sender};
+use async_std::channel::bounded;
 use async_std::net::TcpListener;
 use async_std::task;
 use std::net::SocketAddr;
-use std::path::Path;
 use std::sync::Arc;
-use std::thread;
 use std::time::{Duration, Instant};
 
 const RING: usize = 4096;
 
-/// The core's identity: random, made once, synced before it is used.
-fn identity(dir: &Path) -> std::io::Result<u64> {
-    if let Some(id) = read_file(dir, "identity")?.and_then(|b| decode::<u64>(&b)) {
-        return Ok(id);
-    }
-    let id = crate::order_id::random_id() >> 1;
-    keep_file(dir, "identity", &encode(&id))?;
-    say(Ev::Identity, format!("{id:x}"));
-    Ok(id)
-}
-
 pub fn run(set: Settings) -> Result<(), String> {
     run_by(set, seam::Machine::default(), |s| s)
 }
@@ -46,7 +34,11 @@
 ///
 /// # Errors
 /// Why the core cannot start, in words.
-pub fn run_by<C, S>(set: Settings, clock: C, wrap: impl FnOnce(WalStore) -> S) -> Result<(), String>
+pub fn run_by<C, S>(
+    set: Settings,
+    clock: C,
+    wrap: impl FnOnce(DurableStore<Folder>) -> S,
+) -> Result<(), String>
 where
     C: seam::Clock,
     S: Store + 'static,
@@ -67,7 +59,7 @@
 pub fn run_with<C, S>(
     set: Settings,
     clock: C,
-    wrap: impl FnOnce(WalStore) -> S,
+    wrap: impl FnOnce(DurableStore<Folder>) -> S,
     source: Option<Arc<dyn WorkerSource>>,
     door: impl OperatorDoor,
 ) -> Result<(), String>
@@ -77,22 +69,10 @@
 {
     let set = Arc::new(set);
     let dir = set.data.clone().unwrap_or_default();
-    let id = identity(&dir).map_err(|e| format!("data: identity: {e}"))?;
-    let Opened {
-        store,
-        durable_state,
-        torn,
-    } = WalStore::open(&dir).map_err(|e| {
-        say(Ev::DiskCorrupt, &e);
-        e.to_string()
-    })?;
-    if torn {
-        say(Ev::DiskTorn, dir.display());
-    }
-    let promise = read_file(&dir, "promise")
-        .map_err(|e| format!("data: promise: {e}"))?
-        .and_then(|b| decode::<Vec<Member>>(&b));
-    let sure = read_file(&dir, "sure").map_err(|e| format!("data: sure: {e}"))?;
+    let mut store = saving::open(&dir)?;
+    let id = saving::identity(&mut store);
+    let promise = store.value("promise").and_then(decode::<Vec<Member>>);
+    let sure = store.value("sure").is_some();
     let (ring, rx) = bounded(RING);
     let listen = set.listen.ok_or("listen: is missing")?;
     let frames = task::block_on(TcpListener::bind(listen))
@@ -118,15 +98,15 @@
         timing: set.pacing.timing(set.ack_ms),
         seed: crate::order_id::random_id(),
         promise,
-        sure: sure.is_some(),
+        sure,
         most_claims: set.most_claims,
-        bootstrap: set.bootstrap,
+        // whoever lost its state to damage was a member once
+        bootstrap: set.bootstrap && !store.rejoins(),
         grow: set.grow,
         pacing: set.pacing.clone(),
         poll_ms,
     };
-    let kept = Some(durable_state).filter(|m| !m.blank()).map(|m| m.kept());
-    let controller = Controller::new(start, kept, 0);
+    let controller = Controller::new(start, store.kept(), 0);
     let net = Net::new(
         set.site_mark(),
         ring.clone(),
@@ -145,14 +125,14 @@
     if let Some(s) = source.clone().filter(|_| each) {
         task::spawn(watch_list(s, ring.clone()));
     }
-    let saves = store_thread(wrap(store), ring.clone());
+    let saver = Saver::start(wrap(store), ring.clone());
     let mut controller = controller;
     let mut hand = Daemon {
         net,
         set,
         front,
         source,
-        saves,
+        saver,
         ring,
         gate,
         stop_at: None,
@@ -162,39 +142,6 @@
     Ok(())
 }
 
-/// The store's own thread: batches what waits, syncs once for all of it.
-fn store_thread<S: Store + 'static>(
-    mut store: S,
-    ring: Ring<ControllerEvent>,
-) -> Sender<(u64, Save)> {
-    let (tx, rx) = bounded::<(u64, Save)>(RING);
-    thread::spawn(move || {
-        while let Ok(first) = rx.recv_blocking() {
-            let mut batch = vec![first];
-            while batch.len() < 256 {
-                let Ok(more) = rx.try_recv() else { break };
-                batch.push(more);
-            }
-            let began = Instant::now();
-            let last = batch.last().map_or(0, |(s, _)| *s);
-            let ev = match store.save(&batch) {
-                Ok(()) => ControllerEvent::Saved(last),
-                Err(e) => ControllerEvent::SaveFailed(e.to_string()),
-            };
-            let took = began.elapsed();
-            if took > Duration::from_millis(200) {
-                say(Ev::DiskSlow, format!("{} ms", took.as_millis()));
-            }
-            let failed = matches!(ev, ControllerEvent::SaveFailed(_));
-            // after a failed sync nobody knows what is on the disk
-            if ring.send_blocking(ev).is_err() || failed {
-                return;
-            }
-        }
-    });
-    tx
-}
-
 async fn read_list(src: Arc<dyn WorkerSource>, ring: Ring<ControllerEvent>) -> bool {
     let r = src.poll().await;
     ring.send(ControllerEvent::WorkerRegistry(r)).await.is_ok()
@@ -237,18 +184,18 @@
     let _ = ring.send(ControllerEvent::Loads { epoch, rows }).await;
 }
 
-struct Daemon {
+struct Daemon<S> {
     net: Net<ControllerEvent>,
     set: Arc<Settings>,
     front: Front,
     source: Option<Arc<dyn WorkerSource>>,
-    saves: Sender<(u64, Save)>,
+    saver: Saver<S>,
     ring: Ring<ControllerEvent>,
     gate: http::Gate,
     stop_at: Option<Instant>,
 }
 
-impl Hand<Controller> for Daemon {
+impl<S: Store + 'static> Hand<Controller> for Daemon<S> {
     fn goes_on(&mut self, controller: &Controller) -> bool {
         self.front.show(&controller.places().1);
         if controller.leaving && self.stop_at.is_none() {
@@ -264,28 +211,8 @@
 
     fn carry(&mut self, controller: &mut Controller, fx: ControllerEffect) {
         match fx {
-            ControllerEffect::Save(seq, save) => {
-                // a full ring means a stuck disk, and a lost save must
-                // never look like a kept one
-                if self.saves.try_send((seq, save)).is_err() {
-                    let ev = ControllerEvent::SaveFailed("the ring to the store is full".into());
-                    let at = Now {
-                        mono: controller.now,
-                        wall: 0,
-                    };
-                    let more = controller.step(ev, at);
-                    more.into_iter()
-                        .filter(|f| !matches!(f, ControllerEffect::Save(..)))
-                        .for_each(|f| self.carry(controller, f));
-                }
-            }
-            ControllerEffect::Keep(name, b) => {
-                let dir = self.set.data.clone().unwrap_or_default();
-                if let Err(e) = keep_file(&dir, name, &b) {
-                    say(Ev::DiskFailed, format!("{name}: {e}"));
-                    std::process::exit(1);
-                }
-            }
+            ControllerEffect::Save(seq, save) => self.saver.save(seq, save),
+            ControllerEffect::Keep(name, value) => self.saver.put(name, &value),
             ControllerEffect::Send(c, p) => {
                 self.net.send(c, &p);
             }
@@ -311,7 +238,7 @@
     }
 }
 
-impl Daemon {
+impl<S> Daemon<S> {
     fn looked(&self, controller: &Controller, rid: u64, ok: bool, status: String) {
         let a = controller.consensus.as_ref();
         let l = Looked {
--- a/sorreldoor/src/doctor/look.rs
+++ b/sorreldoor/src/doctor/look.rs
@@ -4,7 +4,7 @@
 use crate::http::{self, Call};
 use crate::json::{self, Val};
 use crate::settings::Settings;
-use crate::store::keep_file;
+use crate::store::probe_folder;
 use crate::wire::{self, Hello, Payload, Refused};
 use async_std::future::timeout;
 use async_std::io::ReadExt;
@@ -103,8 +103,7 @@
 
 fn disk(dir: &Path) -> Disk {
     let began = Instant::now();
-    let tried =
-        keep_file(dir, "doctor", b"probe").and_then(|()| std::fs::remove_file(dir.join("doctor")));
+    let tried = probe_folder(dir);
     let sync_ms = tried
         .map(|()| began.elapsed().as_millis() as u64)
         .map_err(|e| e.to_string());
--- a/sorreldoor/src/events.rs
+++ b/sorreldoor/src/events.rs
@@ -39,10 +39,11 @@
     Moving 215 Info "handing the global leadership over";
     Members 216 Info "core members changed";
     Replacing 217 Warn "replacing a core that has been gone too long";
-    DiskFailed 220 Error "disk cannot be written or synced; this core stands aside";
+    DiskFailed 220 Error "disk cannot be written or synced; this core stands aside until it can";
     DiskSlow 221 Warn "a save took long";
-    DiskCorrupt 222 Error "data folder is damaged; refusing to start";
+    DiskCorrupt 222 Error "data folder is damaged; its state is given up and this core joins anew";
     DiskTorn 223 Warn "an unfinished save at the end of the log was cut";
+    DiskRecovered 224 Info "disk takes writes again; this core takes part again";
     FrameRefused 230 Warn "closed a connection over a frame";
     SessionUp 240 Info "session with a core node stands";
     SessionLost 241 Warn "session with a core node lost";
--- a/sorreldoor/src/settings.rs
+++ b/sorreldoor/src/settings.rs
@@ -272,9 +272,7 @@
         f.add("data", "is missing");
         return;
     };
-    let tried = std::fs::create_dir_all(d)
-        .and_then(|_| crate::store::keep_file(d, "probe", b"x"))
-        .and_then(|_| std::fs::remove_file(d.join("probe")));
+    let tried = std::fs::create_dir_all(d).and_then(|_| crate::store::probe_folder(d));
     if let Err(e) = tried {
         f.add("data", format!("{} is not writable: {e}", d.display()));
     }
--- a/sorreldoor/src/store/mod.rs
+++ b/sorreldoor/src/store/mod.rs
@@ -1,32 +1,35 @@
-//! Keeping the core's log on disk; nothing counts before it is synced.
+//! Keeping the core's state on disk; nothing counts before it is synced.
 
+mod disk;
 mod durable_state;
-mod wal;
+mod durable_store;
+mod frame;
+mod legacy;
+mod probe;
+mod recovery;
 
-pub use durable_state::DurableState;
-pub use wal::{keep_file, read_file, Opened, WalStore};
+pub use disk::{Disk, Folder};
+pub use durable_state::{Change, DurableState};
+pub use durable_store::{DurableStore, Opened};
+pub use legacy::Before;
+pub use probe::probe_folder;
 
 use crate::consensus::Save;
 use std::io;
 
-/// A place for saves. A batch is safe when `save` has returned Ok; after an
-/// error nothing more may be asked of the store.
+/// The two files of a store. They are made once and never renamed or removed.
+pub const FILES: [&str; 2] = ["state-a", "state-b"];
+
+/// A place for what a core keeps. What was given is durable when a call has
+/// returned Ok. After an error the same call is to be made again: until one
+/// succeeds, the change may or may not be on the disk.
 pub trait Store: Send {
+    /// # Errors
+    /// The disk refuses.
     fn save(&mut self, batch: &[(u64, Save)]) -> io::Result<()>;
-}
-
-#[derive(Debug, snafu::Snafu)]
-#[snafu(visibility(pub(crate)))]
-pub enum StoreProblem {
-    #[snafu(display("data: cannot use {path}: {source}"))]
-    Unusable { path: String, source: io::Error },
-    #[snafu(display(
-        "data: the log in {path} is damaged before its end ({what}); \
-         replace this core by a blank one, do not repair the log by hand"
-    ))]
-    Corrupt { path: String, what: String },
-    #[snafu(display(
-        "data: the image in {path} cannot be read; replace this core by a blank one"
-    ))]
-    Image { path: String },
+    /// Keeps a small value under a name.
+    ///
+    /// # Errors
+    /// The disk refuses.
+    fn put(&mut self, name: &str, value: &[u8]) -> io::Result<()>;
 }
--- /dev/null
+++ b/sorreldoor/tests/store/sim_disk.rs
@@ -0,0 +1,301 @@
+//! A disk in memory that forgets, tears, fills and fails as real ones do.
+
+use sorreldoor::store::Disk;
+use std::collections::BTreeMap;
+use std::io::{self, ErrorKind};
+use std::sync::{Arc, Mutex, MutexGuard};
+
+/// A small repeatable generator (xorshift).
+#[derive(Clone, Debug)]
+pub struct Random(u64);
+
+impl Random {
+    pub fn new(seed: u64) -> Random {
+        Random(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1)
+    }
+
+    pub fn below(&mut self, bound: usize) -> usize {
+        self.0 ^= self.0 << 13;
+        self.0 ^= self.0 >> 7;
+        self.0 ^= self.0 << 17;
+        (self.0 >> 11) as usize % bound.max(1)
+    }
+
+    pub fn chance(&mut self, one_in: usize) -> bool {
+        self.below(one_in) == 0
+    }
+}
+
+#[derive(Clone, Debug)]
+enum Unsynced {
+    Write {
+        offset: usize,
+        bytes: Vec<u8>,
+        /// A sync failed over it: no later one writes it.
+        dropped: bool,
+    },
+    Length(usize),
+}
+
+#[derive(Clone, Debug, Default)]
+struct SimFile {
+    durable: Vec<u8>,
+    /// As processes read it while the machine has power.
+    visible: Vec<u8>,
+    unsynced: Vec<Unsynced>,
+    name_synced: bool,
+}
+
+fn overwrite(content: &mut Vec<u8>, offset: usize, bytes: &[u8]) {
+    let end = offset + bytes.len();
+    if content.len() < end {
+        content.resize(end, 0);
+    }
+    content[offset..end].copy_from_slice(bytes);
+}
+
+impl SimFile {
+    fn sync(&mut self) {
+        for change in self.unsynced.drain(..) {
+            match change {
+                Unsynced::Write { dropped: true, .. } => {}
+                Unsynced::Write { offset, bytes, .. } => {
+                    overwrite(&mut self.durable, offset, &bytes);
+                }
+                Unsynced::Length(length) => self.durable.resize(length, 0),
+            }
+        }
+    }
+
+    fn lose_power(&mut self, loss: Loss, random: &mut Random) {
+        for change in std::mem::take(&mut self.unsynced) {
+            let fate = match loss {
+                Loss::All => 0,
+                Loss::Nothing => 1,
+                Loss::EachByItself => random.below(4),
+            };
+            match (change, fate) {
+                (_, 0) => {}
+                (Unsynced::Length(length), _) => self.durable.resize(length, 0),
+                (Unsynced::Write { offset, bytes, .. }, 1) => {
+                    overwrite(&mut self.durable, offset, &bytes);
+                }
+                (Unsynced::Write { offset, bytes, .. }, 2) => {
+                    let kept = random.below(bytes.len() + 1);
+                    overwrite(&mut self.durable, offset, &bytes[..kept]);
+                }
+                (Unsynced::Write { offset, bytes, .. }, _) => {
+                    for (sector, part) in bytes.chunks(64).enumerate() {
+                        if random.chance(2) {
+                            overwrite(&mut self.durable, offset + sector * 64, part);
+                        }
+                    }
+                }
+            }
+        }
+        self.visible = self.durable.clone();
+    }
+}
+
+/// How much of what was not synced a loss of power takes.
+#[derive(Clone, Copy, Debug)]
+enum Loss {
+    All,
+    Nothing,
+    EachByItself,
+}
+
+#[derive(Debug)]
+pub struct State {
+    files: BTreeMap<String, SimFile>,
+    random: Random,
+    /// Operations that succeed from now on; then the process is dead.
+    left: usize,
+    /// The disk refuses every change.
+    pub full: bool,
+    /// One in so many changes or syncs fails; 0: none.
+    pub fails_one_in: usize,
+    pub operations: usize,
+    pub writes: usize,
+    pub bytes: usize,
+    pub syncs: usize,
+}
+
+/// Handles share one disk, so that it outlives the store on it.
+#[derive(Clone, Debug)]
+pub struct SimDisk(Arc<Mutex<State>>);
+
+impl SimDisk {
+    pub fn new(seed: u64) -> SimDisk {
+        SimDisk(Arc::new(Mutex::new(State {
+            files: BTreeMap::new(),
+            random: Random::new(seed),
+            left: usize::MAX,
+            full: false,
+            fails_one_in: 0,
+            operations: 0,
+            writes: 0,
+            bytes: 0,
+            syncs: 0,
+        })))
+    }
+
+    pub fn state(&self) -> MutexGuard<'_, State> {
+        self.0.lock().unwrap()
+    }
+
+    /// The process dies after so many more operations.
+    pub fn die_after(&self, operations: usize) {
+        self.state().left = operations;
+    }
+
+    pub fn revive(&self) {
+        self.state().left = usize::MAX;
+    }
+
+    pub fn lose_power(&self) {
+        let mut state = self.state();
+        let State { files, random, .. } = &mut *state;
+        let loss = [
+            Loss::All,
+            Loss::Nothing,
+            Loss::EachByItself,
+            Loss::EachByItself,
+        ];
+        let loss = loss[random.below(loss.len())];
+        files.retain(|_, f| f.name_synced || random.chance(2));
+        for file in files.values_mut() {
+            file.name_synced = true;
+            file.lose_power(loss, random);
+        }
+    }
+
+    /// The bytes of a file, to look at or to damage.
+    pub fn with_bytes<T>(&self, name: &str, act: impl FnOnce(&mut Vec<u8>) -> T) -> T {
+        let mut state = self.state();
+        let file = state.files.entry(name.to_string()).or_default();
+        let out = act(&mut file.durable);
+        file.visible = file.durable.clone();
+        out
+    }
+}
+
+impl State {
+    fn step(&mut self) -> io::Result<()> {
+        if self.left == 0 {
+            return Err(io::Error::other("the process is dead"));
+        }
+        self.left = self.left.saturating_sub(1);
+        self.operations += 1;
+        Ok(())
+    }
+
+    fn change(&mut self) -> io::Result<()> {
+        self.step()?;
+        if self.full {
+            return Err(ErrorKind::StorageFull.into());
+        }
+        Ok(())
+    }
+
+    fn fails(&mut self) -> bool {
+        self.fails_one_in > 0 && self.random.chance(self.fails_one_in)
+    }
+
+    fn file(&mut self, name: &str) -> io::Result<&mut SimFile> {
+        self.files
+            .get_mut(name)
+            .ok_or_else(|| ErrorKind::NotFound.into())
+    }
+}
+
+impl Disk for SimDisk {
+    fn create(&mut self, name: &str) -> io::Result<bool> {
+        let mut state = self.state();
+        state.step()?;
+        if state.files.contains_key(name) {
+            return Ok(false);
+        }
+        if state.full {
+            return Err(ErrorKind::StorageFull.into());
+        }
+        state.files.insert(name.to_string(), SimFile::default());
+        Ok(true)
+    }
+
+    fn length(&mut self, name: &str) -> io::Result<u64> {
+        Ok(self.state().file(name)?.visible.len() as u64)
+    }
+
+    fn set_length(&mut self, name: &str, length: u64) -> io::Result<()> {
+        let mut state = self.state();
+        state.change()?;
+        let file = state.file(name)?;
+        file.visible.resize(length as usize, 0);
+        file.unsynced.push(Unsynced::Length(length as usize));
+        Ok(())
+    }
+
+    fn read(&mut self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
+        let mut state = self.state();
+        let file = state.file(name)?;
+        let bytes = file.visible.get(offset as usize..offset as usize + length);
+        bytes
+            .map(<[u8]>::to_vec)
+            .ok_or_else(|| ErrorKind::UnexpectedEof.into())
+    }
+
+    fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        let mut state = self.state();
+        state.change()?;
+        state.writes += 1;
+        state.bytes += bytes.len();
+        // a refused write may have taken some of its bytes
+        let refused = state.fails();
+        let taken = match refused {
+            true => state.random.below(bytes.len() + 1),
+            false => bytes.len(),
+        };
+        let offset = offset as usize;
+        let bytes = bytes[..taken].to_vec();
+        let file = state.file(name)?;
+        overwrite(&mut file.visible, offset, &bytes);
+        let dropped = false;
+        file.unsynced.push(Unsynced::Write {
+            offset,
+            bytes,
+            dropped,
+        });
+        match refused {
+            true => Err(ErrorKind::StorageFull.into()),
+            false => Ok(()),
+        }
+    }
+
+    fn sync(&mut self, name: &str) -> io::Result<()> {
+        let mut state = self.state();
+        state.change()?;
+        state.syncs += 1;
+        let refused = state.fails();
+        if !refused {
+            state.file(name)?.sync();
+            return Ok(());
+        }
+        let State { files, random, .. } = &mut *state;
+        let file = files.get_mut(name).ok_or(ErrorKind::NotFound)?;
+        for change in &mut file.unsynced {
+            if let Unsynced::Write { dropped, .. } = change {
+                *dropped |= random.chance(2);
+            }
+        }
+        Err(io::Error::other("sync failed"))
+    }
+
+    fn sync_folder(&mut self) -> io::Result<()> {
+        let mut state = self.state();
+        state.step()?;
+        let files = state.files.values_mut();
+        files.for_each(|file| file.name_synced = true);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/sorreldoor/tests/store/state.rs
@@ -0,0 +1,36 @@
+//! What saves add up to.
+
+use serde::Serialize;
+use sorreldoor::consensus::{Entry, Hard, Noted, Save, Snap};
+use sorreldoor::record::{decode, encode};
+use sorreldoor::store::DurableState;
+use std::collections::VecDeque;
+
+/// What an early release kept on disk, as it wrote it.
+#[derive(Serialize)]
+struct Before {
+    hard: Hard,
+    snap: Option<Snap>,
+    entries: Vec<Entry>,
+    claims: VecDeque<(String, u128)>,
+    seq: u64,
+}
+
+#[test]
+fn what_the_release_before_kept_is_read() {
+    let before = Before {
+        hard: Hard::default(),
+        snap: None,
+        entries: Vec::new(),
+        claims: VecDeque::from([("old".to_string(), 7)]),
+        seq: 3,
+    };
+    let mut state: DurableState = decode(&encode(&before)).expect("an image of that release");
+    // its saves still stand in the log behind the image
+    state.take(4, &Save::Claims(vec![("later".into(), 8)]));
+    let (id, by, keep_ms) = ("old".to_string(), 9, 5);
+    state.take(5, &Save::Noted(vec![Noted { id, by, keep_ms }]));
+    let kept = state.kept().claims;
+    let by = |id: &str| kept.iter().find(|n| n.id == id).map(|n| n.by);
+    assert_eq!((kept.len(), by("old"), by("later")), (2, Some(9), Some(8)));
+}
