--- a/rig/src/emul/breach.rs
+++ b/rig/src/emul/breach.rs
@@ -77,7 +77,7 @@
             return;
         }
         let mut own = (*h).clone();
-        let each = own.routes.iter_mut();
+        let each = own.routes.iter_mut().map(Arc::make_mut);
         match self.b {
             Breach::Homes => each.for_each(|r| r.homes.clear()),
             Breach::Twice => each.for_each(|r| r.attempts = r.attempts.max(2)),
--- a/rig/src/emul/news.rs
+++ b/rig/src/emul/news.rs
@@ -45,7 +45,7 @@
         });
         let mut h = Hosted {
             services: services.collect(),
-            routes: routes.collect(),
+            routes: routes.map(Arc::new).collect(),
             ..Hosted::default()
         };
         index(&mut h);
--- a/rig/src/emul/simple.rs
+++ b/rig/src/emul/simple.rs
@@ -59,7 +59,7 @@
 
     fn found(&self, path: &str) -> Option<&Route> {
         let i = self.hosted.find(HOST, path)?;
-        self.hosted.routes.get(i as usize)
+        self.hosted.routes.get(i as usize).map(|r| &**r)
     }
 
     fn choose(&mut self, h: &Held) -> Option<usize> {
--- a/rig/src/emul/trouble.rs
+++ b/rig/src/emul/trouble.rs
@@ -131,10 +131,10 @@
             "route" => {
                 let (c, s) = (t.count as usize, t.service as u16);
                 let was = self.mix.classes[c].service as u16;
-                self.adopt(move |h| h.routes[c].split = vec![(s, 1)]);
+                self.adopt(move |h| Arc::make_mut(&mut h.routes[c]).split = vec![(s, 1)]);
                 if t.for_s > 0.0 {
                     self.act(end, move |w| {
-                        w.adopt(move |h| h.routes[c].split = vec![(was, 1)]);
+                        w.adopt(move |h| Arc::make_mut(&mut h.routes[c]).split = vec![(was, 1)]);
                     });
                 }
             }
--- a/rig/src/hollow/meter.rs
+++ b/rig/src/hollow/meter.rs
@@ -91,7 +91,7 @@
     pub fn of(&mut self, core: usize, n: &News) -> Vec<(&'static str, usize)> {
         let mut out = Vec::new();
         if let Some(v) = &n.record {
-            out.push(("record", self.size("record", 0, (v.rev, v.serial), v)));
+            out.push(("record", v.bytes.len()));
         }
         if let Some(r) = &n.registry {
             out.push(("registry", self.size("registry", 0, (r.serial, 0), r)));
--- a/rig/src/hollow/node.rs
+++ b/rig/src/hollow/node.rs
@@ -160,8 +160,10 @@
                     self.out.push(Out::Send(conn, Payload::Ping { no: 0 }));
                 }
                 Payload::Grant { no, ok, news } => {
-                    let some = news.record.as_ref().is_some_and(|r| r.doc.is_some());
-                    if self.pull.granted(no, ok, some, now.mono) != Granted::No {
+                    let some = news.record.as_ref().is_some_and(|r| r.has_document);
+                    if news.record_withheld {
+                        self.pull.withheld(no, now.mono);
+                    } else if self.pull.granted(no, ok, some, now.mono) != Granted::No {
                         self.take(news);
                     }
                 }
@@ -203,7 +205,7 @@
     fn take(&mut self, n: News) {
         let have = &mut self.pull.have;
         if let Some(v) = n.record {
-            have.record = v.rev;
+            have.record = v.revision;
             self.serial = self.serial.max(v.serial);
         }
         if let Some(r) = n.registry {
--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -49,6 +49,7 @@
     pub(super) told: (Vec<Seat>, Millis),
     pub worker_list: WorkerList,
     pub loads: Arc<Loads>,
+    pub(super) updates: super::updates::Updates,
     pub(super) wants: Vec<Want>,
     pub(super) reading: BTreeMap<u64, Vec<Want>>,
     pub(super) next_rid: u64,
--- a/sorreldoor/src/core/delivery.rs
+++ b/sorreldoor/src/core/delivery.rs
@@ -2,6 +2,7 @@
 
 use super::controller::Controller;
 use super::events::{ControllerEffect, Want};
+use super::updates::Due;
 use crate::consensus::*;
 use crate::events::Ev;
 use crate::net::Conn;
@@ -28,6 +29,7 @@
             .collect();
         for c in old {
             self.seats.remove(&c);
+            self.updates.closed(c);
             self.out.push(ControllerEffect::Close(c));
         }
         self.say(Ev::NodeJoined, h.node.clone());
@@ -45,6 +47,7 @@
     }
 
     pub(super) fn unseat(&mut self, conn: Conn) {
+        self.updates.closed(conn);
         if let Some(s) = self.seats.remove(&conn) {
             self.say(Ev::NodeLost, s.hello.node);
             self.seats_changed();
@@ -208,7 +211,7 @@
         // without a leader in sight no proof will come, and who has
         // nothing to serve by need not wait for it
         if unproven && !led {
-            let news = self.news(&have);
+            let news = self.news(conn, &have);
             return self.send(
                 conn,
                 Payload::Grant {
@@ -265,7 +268,7 @@
                 }
                 Want::Grant { conn, no, have } => {
                     let news = if ok {
-                        self.news(&have)
+                        self.news(conn, &have)
                     } else {
                         News::default()
                     };
@@ -276,8 +279,16 @@
     }
 
     /// What the asker lacks, source by source.
-    fn news(&self, have: &Have) -> News {
-        let r = self.consensus.as_ref().map(|a| a.machine());
+    fn news(&mut self, conn: Conn, have: &Have) -> News {
+        let record = self.consensus.as_ref().map(|a| a.machine());
+        let due = record.map_or(Due::Nothing, |r| {
+            self.updates.due(r, conn, have.record, self.now)
+        });
+        let (record, record_withheld) = match due {
+            Due::Nothing => (None, false),
+            Due::Update(u) => (Some(u), false),
+            Due::Later => (None, true),
+        };
         let members = self.consensus.as_ref().map_or(&[][..], |a| a.members());
         let cores: Vec<(String, u8)> = members
             .iter()
@@ -288,7 +299,8 @@
         let places = || (self.places.0, self.places.1.to_vec());
         News {
             cores: Some((at, cores)).filter(|c| c.0 != have.cores && !c.1.is_empty()),
-            record: r.filter(|r| r.rev() > have.record).map(|r| r.view()),
+            record,
+            record_withheld,
             registry: self
                 .worker_list
                 .at(self.now)
--- a/sorreldoor/src/core/mod.rs
+++ b/sorreldoor/src/core/mod.rs
@@ -17,6 +17,7 @@
 mod source;
 mod start;
 mod status;
+pub mod updates;
 mod worker_list;
 
 pub use api::{Api, Door};
--- a/sorreldoor/src/core/start.rs
+++ b/sorreldoor/src/core/start.rs
@@ -40,6 +40,7 @@
             told: (Vec::new(), now),
             worker_list: WorkerList::new(s.poll_ms, now),
             loads: Arc::default(),
+            updates: Default::default(),
             wants: Vec::new(),
             reading: BTreeMap::new(),
             next_rid: 1,
--- a/sorreldoor/src/edge/controller.rs
+++ b/sorreldoor/src/edge/controller.rs
@@ -83,6 +83,8 @@
     pub plan: Plan,
     pub table: Table,
     pub pull: Pull,
+    /// The record as last told.
+    pub(super) copy: crate::record::Copy,
     pub(super) looks: Vec<(u64, u64)>,
     pub(super) changes: BTreeMap<u64, Conn>,
     /// Claims given up that the cores have not confirmed: id, and since when.
@@ -170,6 +172,7 @@
             plan,
             table: Table::default(),
             pull,
+            copy: Default::default(),
             looks: Vec::new(),
             changes: BTreeMap::new(),
             frees: BTreeMap::new(),
--- a/sorreldoor/src/edge/session.rs
+++ b/sorreldoor/src/edge/session.rs
@@ -71,7 +71,11 @@
     fn on_grant(&mut self, no: u64, ok: bool, news: News) {
         // news from a core that could not prove itself may be old, and is
         // taken only by an edge that has none at all
-        let some = news.record.as_ref().is_some_and(|r| r.doc.is_some());
+        let some = news.record.as_ref().is_some_and(|r| r.has_document);
+        if news.record_withheld {
+            self.pull.withheld(no, self.now);
+            return;
+        }
         match self.pull.granted(no, ok, some, self.now) {
             Granted::Proved => {
                 self.take_news(news);
@@ -98,11 +102,8 @@
     fn take_news(&mut self, n: News) {
         let was = self.plan.shown.view.serial;
         // an answer that was long on its way must not undo a newer one
-        if let Some(v) = n.record.filter(|v| v.rev > self.pull.have.record) {
-            self.pull.have.record = v.rev;
-            if !self.plan.take_view(v) {
-                self.say(Ev::SetupUnread, "");
-            }
+        if let Some(u) = n.record.filter(|u| u.revision > self.pull.have.record) {
+            self.take_update(&u);
             self.table.pass_setup(&mut self.plan, self.now);
             let now = self.plan.shown.view.serial;
             if now != was {
@@ -129,6 +130,24 @@
         }
     }
 
+    fn take_update(&mut self, encoded: &EncodedUpdate) {
+        let update = encoded.update();
+        if !update.as_ref().is_some_and(|u| self.copy.apply(u)) {
+            // it does not lead on from what is here; the whole will
+            self.pull.have.record = 0;
+            return self.say(Ev::SetupUnread, "");
+        }
+        self.pull.have.record = encoded.revision;
+        if !self.plan.take_view(self.copy.view()) {
+            self.say(Ev::SetupUnread, "");
+        }
+        if encoded.bytes.len() > LARGE_UPDATE {
+            let conn = self.pull.conn;
+            let renewal = conn.map(|c| self.pull.renew(c, self.now));
+            renewal.into_iter().for_each(|f| self.pulled(f));
+        }
+    }
+
     /// One try of one life of this edge, unlike any other.
     fn by(&self, rid: u64) -> u128 {
         (u128::from(self.me.boot) << 64) | u128::from(rid)
--- a/sorreldoor/src/json.rs
+++ b/sorreldoor/src/json.rs
@@ -21,6 +21,13 @@
     simd_json::to_owned_value(&mut b).map_err(|e| format!("is not JSON: {e}"))
 }
 
+/// Text that was written by `canon`, and so was checked before; null for any
+/// other that is no JSON.
+pub fn reparse(text: &str) -> Val {
+    let mut b = text.as_bytes().to_vec();
+    simd_json::to_owned_value(&mut b).unwrap_or_default()
+}
+
 /// Checks the node at `i`; gives the index after it.
 fn walk(t: &[Node], i: usize, depth: usize) -> Result<usize, String> {
     if depth > DEEPEST {
--- a/sorreldoor/src/net.rs
+++ b/sorreldoor/src/net.rs
@@ -2,7 +2,7 @@
 
 use crate::events::{say, Ev};
 use crate::wire::{self, Payload};
-use async_std::channel::{bounded, Receiver, Sender};
+use async_std::channel::{bounded, Receiver, Sender, TrySendError};
 use async_std::future::timeout;
 use async_std::io::prelude::*;
 use async_std::net::{TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 use async_std::task;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::Mutex;
 use std::time::Duration;
 
@@ -20,6 +20,8 @@
 pub type Ring<T> = Sender<T>;
 
 const OUT: usize = 1024;
+/// Bytes that may wait for one connection, beside a single frame of any size.
+const MAX_QUEUED: usize = 4 << 20;
 const IDLE: Duration = Duration::from_secs(3);
 /// Bytes that must come within `IDLE`, or the connection counts as dead.
 const PIECE: usize = 16 * 1024;
@@ -47,7 +49,69 @@
     conn: AtomicU64,
 }
 
-type Outs = Arc<Mutex<HashMap<Conn, Sender<Arc<Vec<u8>>>>>>;
+/// Frames that wait for a connection, bounded in number and bytes.
+#[derive(Clone)]
+pub struct Outgoing {
+    frames: Sender<Vec<u8>>,
+    queued: Arc<AtomicUsize>,
+}
+
+/// The writer's end of `Outgoing`.
+pub struct Queued {
+    frames: Receiver<Vec<u8>>,
+    queued: Arc<AtomicUsize>,
+}
+
+/// A queue of frames of one connection.
+pub fn queue() -> (Outgoing, Queued) {
+    let (tx, rx) = bounded(OUT);
+    let queued = Arc::new(AtomicUsize::new(0));
+    let writer = Queued {
+        frames: rx,
+        queued: queued.clone(),
+    };
+    (Outgoing { frames: tx, queued }, writer)
+}
+
+impl Outgoing {
+    /// Queues a frame unless too much waits already; whether it fitted, or
+    /// none where the connection is gone.
+    pub fn push(&self, frame: Vec<u8>) -> Option<bool> {
+        let bytes = frame.len();
+        let waiting = self.queued.fetch_add(bytes, Ordering::Relaxed);
+        let fits = waiting == 0 || waiting + bytes <= MAX_QUEUED;
+        let sent = match fits {
+            true => self.frames.try_send(frame),
+            false => Err(TrySendError::Full(frame)),
+        };
+        if sent.is_err() {
+            self.queued.fetch_sub(bytes, Ordering::Relaxed);
+        }
+        match sent {
+            Ok(()) => Some(true),
+            Err(e) if e.is_full() => Some(false),
+            Err(_) => None,
+        }
+    }
+
+    fn close(&self) {
+        self.frames.close();
+    }
+}
+
+impl Queued {
+    /// Waits for the next frame; none once the connection is given up. It
+    /// counts as waiting until it is `done`.
+    pub async fn next(&self) -> Option<Vec<u8>> {
+        self.frames.recv().await.ok()
+    }
+
+    pub fn done(&self, frame: &[u8]) {
+        self.queued.fetch_sub(frame.len(), Ordering::Relaxed);
+    }
+}
+
+type Outs = Arc<Mutex<HashMap<Conn, Outgoing>>>;
 
 /// All frame connections of one process.
 pub struct Net<E> {
@@ -93,11 +157,8 @@
     /// Queue a frame; false if the connection is gone or too far behind.
     pub fn send(&self, conn: Conn, p: &Payload) -> bool {
         let out = locked(&self.outs).get(&conn).cloned();
-        let b = Arc::new(wire::pack(&self.mark, p));
-        let sent = out.map(|o| o.try_send(b));
-        let full = sent
-            .as_ref()
-            .is_some_and(|s| s.as_ref().is_err_and(|e| e.is_full()));
+        let sent = out.and_then(|o| o.push(wire::pack(&self.mark, p)));
+        let full = sent == Some(false);
         // a neighbour that does not read would fill the log as well
         if full
             && self
@@ -107,14 +168,13 @@
         {
             say(Ev::RingFull, format!("to connection {conn}"));
         }
-        sent.is_some_and(|s| s.is_ok())
+        sent == Some(true)
     }
 
     pub fn close(&self, conn: Conn) {
-        locked(&self.outs)
-            .remove(&conn)
-            .map(|o| o.close())
-            .unwrap_or(false);
+        if let Some(out) = locked(&self.outs).remove(&conn) {
+            out.close();
+        }
     }
 
     pub async fn listen(self, l: TcpListener) {
@@ -165,7 +225,7 @@
     async fn run(self, s: TcpStream, dial: Option<(SocketAddr, Arc<Dial>)>) {
         let conn = self.next.fetch_add(1, Ordering::Relaxed);
         let _ = s.set_nodelay(true);
-        let (tx, rx) = bounded(OUT);
+        let (tx, rx) = queue();
         locked(&self.outs).insert(conn, tx);
         if let Some((_, d)) = &dial {
             d.conn.store(conn, Ordering::SeqCst);
@@ -229,11 +289,12 @@
     Some(frame)
 }
 
-async fn write(mut s: TcpStream, rx: Receiver<Arc<Vec<u8>>>) {
-    while let Ok(b) = rx.recv().await {
-        if s.write_all(&b).await.is_err() {
+async fn write(mut s: TcpStream, queued: Queued) {
+    while let Some(frame) = queued.next().await {
+        if s.write_all(&frame).await.is_err() {
             break;
         }
+        queued.done(&frame);
     }
     let _ = s.shutdown(std::net::Shutdown::Both);
 }
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -6,10 +6,11 @@
 use crate::events::Ev;
 use crate::net::{Conn, NetEvent};
 use crate::pull::{Granted, Pull, PullFx};
-use crate::record::View;
+use crate::record::{DocumentChanges, Update, View};
 use crate::registry::WorkerRegistry;
 use crate::seam::{Now, Reducer};
-use crate::setup::{self, Site};
+use crate::setup::hosted::Hosted;
+use crate::setup::Site;
 use crate::wire::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -191,8 +192,10 @@
                 Payload::Grant { no, ok, news } => {
                     // news from a core that could not prove itself may be
                     // old, and is taken only by a node that has none at all
-                    let some = news.record.as_ref().is_some_and(|r| r.doc.is_some());
-                    if self.pull.granted(no, ok, some, self.now) != Granted::No {
+                    let some = news.record.as_ref().is_some_and(|r| r.has_document);
+                    if news.record_withheld {
+                        self.pull.withheld(no, self.now);
+                    } else if self.pull.granted(no, ok, some, self.now) != Granted::No {
                         self.take_news(news);
                     }
                 }
@@ -204,9 +207,8 @@
 
     fn take_news(&mut self, n: News) {
         // an answer that was long on its way must not undo a newer one
-        if let Some(v) = n.record.filter(|v| v.rev > self.pull.have.record) {
-            self.pull.have.record = v.rev;
-            self.take_view(v);
+        if let Some(u) = n.record.filter(|u| u.revision > self.pull.have.record) {
+            self.take_update(&u);
         }
         if let Some(r) = n.registry {
             self.take_list(&r);
@@ -232,27 +234,50 @@
         }
     }
 
-    fn take_view(&mut self, v: View) {
-        let was = (self.view.serial, self.view.doc.is_some());
-        let same = was == (v.serial, v.doc.is_some());
-        let doc = v.doc.clone().filter(|_| !same);
-        if let Some(d) = doc {
-            match setup::read(d.as_bytes(), &self.site) {
-                Ok((s, _)) => {
-                    if let Some(h) = s.hosted {
-                        self.table.take_hosted(h, self.now);
-                    }
-                    self.say(Ev::SetupAdopted, format!("serial {}", v.serial));
-                }
-                Err(e) => self.say(Ev::SetupUnread, e.join("; ")),
+    fn take_update(&mut self, encoded: &EncodedUpdate) {
+        let leads_on = |u: &Update| u.from <= self.view.rev;
+        let Some(update) = encoded.update().filter(leads_on) else {
+            return self.ask_whole("an update that does not lead on");
+        };
+        if let Some(changes) = &update.document {
+            if let Err(faults) = self.take_document(update.from == 0, changes) {
+                return self.ask_whole(&faults.join("; "));
             }
         }
-        self.table.take_emptied(v.emptied.clone(), self.now);
+        if update.serial != self.view.serial {
+            self.say(Ev::SetupAdopted, format!("serial {}", update.serial));
+        }
+        self.pull.have.record = update.rev;
+        self.table.take_emptied(update.emptied.clone(), self.now);
         // the text is read; keeping it would cost its size for nothing
         self.view = View {
-            doc: v.doc.map(|_| Arc::default()),
-            ..v
+            rev: update.rev,
+            serial: update.serial,
+            doc: update.document.map(|_| Arc::default()),
+            emptied: update.emptied,
+            weights: Vec::new(),
+            regions: update.regions,
         };
+        if encoded.bytes.len() > LARGE_UPDATE {
+            // the core sends nothing more until it knows that this was taken
+            let conn = self.pull.conn;
+            let renewal = conn.map(|c| self.pull.renew(c, self.now));
+            renewal.into_iter().for_each(|f| self.pulled(f));
+        }
+    }
+
+    fn ask_whole(&mut self, why: &str) {
+        self.pull.have.record = 0;
+        self.say(Ev::SetupUnread, why);
+    }
+
+    fn take_document(&mut self, whole: bool, c: &DocumentChanges) -> Result<(), Vec<String>> {
+        let old = self.table.hosted().filter(|_| !whole).cloned();
+        let old: Arc<Hosted> = old.unwrap_or_default();
+        if let Some(hosted) = c.hosted(&old, &self.site)? {
+            self.table.take_hosted(Arc::new(hosted), self.now);
+        }
+        Ok(())
     }
 
     fn take_places(&mut self, all: Vec<Place>) {
--- a/sorreldoor/src/proxy/table/pick.rs
+++ b/sorreldoor/src/proxy/table/pick.rs
@@ -45,7 +45,7 @@
             return Pick::Refuse(Problem::GivenUp, 0);
         };
         self.refind(&mut r, &h);
-        let route = r.route.and_then(|i| h.routes.get(i as usize));
+        let route = r.route.and_then(|i| h.routes.get(i as usize)).map(|r| &**r);
         let p = self.decide(rid, &mut r, route, now);
         self.reqs.back(rid, r);
         self.counts.refused += u64::from(matches!(p, Pick::Refuse(..)));
--- a/sorreldoor/src/proxy/table/reqs.rs
+++ b/sorreldoor/src/proxy/table/reqs.rs
@@ -149,7 +149,7 @@
             tried: Vec::new(),
             sent: 0,
             arrived_once: false,
-            progress: RequestProgress::new(Repeatability::from(&h.routes[i as usize])),
+            progress: RequestProgress::new(Repeatability::from(&*h.routes[i as usize])),
             last: None,
             waits: None,
             waited: false,
@@ -175,7 +175,7 @@
             true => r.route?,
             false => self.hosted.as_ref()?.find(&r.host, &r.path)?,
         };
-        self.hosted.as_ref()?.routes.get(i as usize)
+        self.hosted.as_ref()?.routes.get(i as usize).map(|r| &**r)
     }
 
     /// When it is no longer waited for, on the clock of `now`.
--- a/sorreldoor/src/pull.rs
+++ b/sorreldoor/src/pull.rs
@@ -333,6 +333,17 @@
         }
     }
 
+    /// A core answered that it has a newer record and could not send it yet:
+    /// it is alive, but what this node has is not proved current.
+    pub fn withheld(&mut self, no: u64, now: Millis) {
+        let Some(i) = self.sent.iter().position(|(n, _)| *n == no) else {
+            return;
+        };
+        self.sent.drain(..=i);
+        self.heard = now;
+        self.renew_at = self.renew_at.min(now + AGAIN_MS);
+    }
+
     /// The cores as the site has them now; those of one's own region first.
     pub fn take_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
         let salt = &self.salt;
--- a/sorreldoor/src/record/apply.rs
+++ b/sorreldoor/src/record/apply.rs
@@ -1,10 +1,11 @@
 //! Applying committed entries: the same everywhere, in the same order.
 
-use super::{decode, encode, Cmd, Kept, Outcome, Record};
+use super::{decode, encode, Cmd, Document, Kept, Outcome, Record};
 use crate::consensus::{Machine, ProposalId};
 use crate::json;
 use crate::rules::{broken, Rule};
-use crate::setup;
+use crate::setup::hosted_change::{HostedChange, ListChange};
+use crate::setup::{self, Setup};
 use std::sync::Arc;
 
 impl Record {
@@ -126,18 +127,28 @@
 
     fn put(&mut self, doc: Vec<u8>) -> Result<(), Vec<String>> {
         let (s, v) = setup::read(&doc, &self.site)?;
-        self.kept.doc = Some(Arc::new(json::canon(&v)));
+        let revision = self.kept.rev + 1;
+        let document = self.kept.document.get_or_insert_with(Document::default);
+        document.replace(&v, revision);
         self.setup = Some(Arc::new(s));
-        // tuned weights speak of routes by index, which a new setup moves
-        self.kept.weights = Default::default();
+        self.forget_weights();
         Ok(())
     }
 
+    /// Tuned weights speak of routes by index, which a new setup moves.
+    fn forget_weights(&mut self) {
+        if !self.kept.weights.is_empty() {
+            self.kept.weights = Default::default();
+            self.kept.weights_revision = self.kept.rev + 1;
+        }
+    }
+
     fn edit(&mut self, patch: &str) -> Result<(), Vec<String>> {
         let doc = self
             .kept
-            .doc
-            .clone()
+            .document
+            .as_ref()
+            .map(Document::text)
             .ok_or(vec!["edit: there is no setup to edit yet".to_string()])?;
         let one = |e| vec![format!("edit: {e}")];
         let p = json::parse(patch.as_bytes(), setup::MOST_BYTES).map_err(one)?;
@@ -146,16 +157,37 @@
         self.put(json::canon(&v).into_bytes())
     }
 
+    /// Costs what is changed, not what is there.
     fn items(&mut self, set: &str, drop: &str) -> Result<(), Vec<String>> {
         let one = |e: String| vec![format!("items: {e}")];
         let part = |t: &str| json::parse(t.as_bytes(), setup::MOST_BYTES).map_err(one);
         let (set, drop) = (part(set)?, part(drop)?);
-        let doc = match &self.kept.doc {
-            Some(d) => json::parse(d.as_bytes(), usize::MAX).map_err(one)?,
-            None => json::Val::default(),
+        let mut document = self.kept.document.clone().unwrap_or_default();
+        document
+            .change_items(&set, &drop, self.kept.rev + 1)
+            .map_err(one)?;
+        if document.bytes() > setup::MOST_BYTES {
+            let most = setup::MOST_BYTES;
+            return Err(one(format!("the setup would be larger than {most} bytes")));
+        }
+        let Some(old) = self.setup.clone() else {
+            return self.put(document.text().into_bytes());
         };
-        let v = super::items::changed(&doc, &set, &drop).map_err(one)?;
-        self.put(json::canon(&v).into_bytes())
+        let hosted = old.hosted.clone().unwrap_or_default();
+        let rest = document.hosted_rest();
+        let change = HostedChange {
+            rest: Some(&rest),
+            services: ListChange::of(&set, &drop, "services"),
+            routes: ListChange::of(&set, &drop, "routes"),
+        };
+        let hosted = change.apply(&hosted, &self.site)?;
+        self.setup = Some(Arc::new(Setup {
+            hosted: Some(Arc::new(hosted)),
+            ..(*old).clone()
+        }));
+        self.kept.document = Some(document);
+        self.forget_weights();
+        Ok(())
     }
 
     fn zone(&mut self, zone: u16, emptied: bool) -> Result<(), Vec<String>> {
@@ -199,6 +231,7 @@
                 self.kept.weights.insert((r, v), w.clamp(h.least, h.most));
             }
         }
+        self.kept.weights_revision = self.kept.rev + 1;
         self.changed()
     }
 
@@ -274,14 +307,23 @@
         if broken(Rule::TakenInImage) {
             k.taken = Default::default();
         }
-        let setup = k
-            .doc
-            .as_ref()
-            .map(|d| setup::read(d.as_bytes(), &self.site));
-        if setup.as_ref().is_some_and(|s| s.is_err()) {
+        let older = k.doc.take();
+        if let Some(d) = k.document.as_mut() {
+            d.index();
+        }
+        let text = older.or_else(|| k.document.as_ref().map(|d| Arc::new(d.text())));
+        let read = text.map(|d| setup::read(d.as_bytes(), &self.site));
+        if read.as_ref().is_some_and(|s| s.is_err()) {
             return false;
         }
-        self.setup = setup.and_then(|s| s.ok()).map(|(s, _)| Arc::new(s));
+        let (setup, value) = read.and_then(|s| s.ok()).unzip();
+        if let Some(v) = value.filter(|_| k.document.is_none()) {
+            let mut document = Document::default();
+            document.replace(&v, k.rev);
+            k.document = Some(document);
+            k.weights_revision = k.rev;
+        }
+        self.setup = setup.map(Arc::new);
         self.kept = k;
         true
     }
--- a/sorreldoor/src/record/mod.rs
+++ b/sorreldoor/src/record/mod.rs
@@ -1,10 +1,15 @@
 //! The replicated state that the system acts on, and how entries change it.
 
 mod apply;
-mod items;
+mod document;
+mod item_list;
 mod taken;
+mod update;
 
+pub use document::{Document, DocumentChanges};
+pub use item_list::{ItemChange, ItemChanges};
 pub use taken::REMEMBERED_ORDERS;
+pub use update::{Copy, Update};
 
 use crate::consensus::ProposalId;
 use crate::setup::{Setup, Site};
@@ -144,10 +149,16 @@
     rev: u64,
     /// Raised by operators' changes only; what these build on.
     serial: u64,
+    /// The document as the release before wrote it; read, never written.
+    #[serde(default, skip_serializing)]
     doc: Option<Arc<String>>,
+    #[serde(default)]
+    document: Option<Document>,
     emptied: OrdSet<u16>,
     /// Tuned weights by route and service, within the operator's bounds.
     weights: OrdMap<(u16, u16), u32>,
+    #[serde(default)]
+    weights_revision: u64,
     regions: OrdMap<u8, Recovery>,
     epoch: u64,
     holder: u64,
@@ -229,12 +240,27 @@
             .unwrap_or(Recovery::Served)
     }
 
+    /// Whether there is a document.
+    pub fn has_document(&self) -> bool {
+        self.kept.document.is_some()
+    }
+
+    /// All of it, with the document as text.
     pub fn view(&self) -> View {
+        let text = self.kept.document.as_ref().map(Document::text);
+        View {
+            doc: text.map(Arc::new),
+            ..self.view_without_document()
+        }
+    }
+
+    /// All but the document, which is costly to write out.
+    pub fn view_without_document(&self) -> View {
         let k = &self.kept;
         View {
             rev: k.rev,
             serial: k.serial,
-            doc: k.doc.clone(),
+            doc: None,
             emptied: k.emptied.iter().copied().collect(),
             weights: k.weights.iter().map(|((r, s), w)| (*r, *s, *w)).collect(),
             regions: k.regions.iter().map(|(r, s)| (*r, *s)).collect(),
--- /dev/null
+++ b/sorreldoor/src/record/update.rs
@@ -0,0 +1,88 @@
+//! What a node with an older copy of the record is told.
+
+use super::document::{Document, DocumentChanges};
+use super::{Record, Recovery, View};
+use serde::{Deserialize, Serialize};
+use std::sync::Arc;
+
+/// Leads from any revision between `from` and `rev` to `rev`; from nothing at
+/// all where `from` is 0.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Update {
+    pub from: u64,
+    pub rev: u64,
+    pub serial: u64,
+    /// None where there is no document yet.
+    pub document: Option<DocumentChanges>,
+    pub emptied: Vec<u16>,
+    /// None where they have not changed since `from`.
+    pub weights: Option<Vec<(u16, u16, u32)>>,
+    pub regions: Vec<(u8, Recovery)>,
+}
+
+impl Record {
+    /// What a copy of revision `from` lacks.
+    pub fn update_since(&self, from: u64) -> Update {
+        let kept = &self.kept;
+        let document = kept.document.as_ref();
+        let changes = document.map(|d| d.changes_since(from));
+        // who has nothing, or is too far behind, is told the whole
+        let whole = from == 0 || from > kept.rev || changes == Some(None);
+        let from = if whole { 0 } else { from };
+        let new_weights = whole || kept.weights_revision > from;
+        let view = self.view_without_document();
+        Update {
+            from,
+            rev: kept.rev,
+            serial: kept.serial,
+            document: match whole {
+                true => document.map(Document::whole),
+                false => changes.flatten(),
+            },
+            emptied: view.emptied,
+            weights: Some(view.weights).filter(|_| new_weights),
+            regions: view.regions,
+        }
+    }
+}
+
+/// A copy of the record, kept current by updates.
+#[derive(Clone, Debug, Default)]
+pub struct Copy {
+    document: Option<Document>,
+    view: View,
+}
+
+impl Copy {
+    /// Brings the copy to where the update leads; false where the update
+    /// starts later than this copy is.
+    pub fn apply(&mut self, update: &Update) -> bool {
+        if update.from > self.view.rev {
+            return false;
+        }
+        if update.from == 0 {
+            *self = Copy::default();
+        }
+        if let Some(changes) = &update.document {
+            let document = self.document.get_or_insert_with(Document::default);
+            document.apply(changes, update.rev);
+        }
+        self.view.rev = update.rev;
+        self.view.serial = update.serial;
+        self.view.emptied = update.emptied.clone();
+        self.view.regions = update.regions.clone();
+        if let Some(weights) = &update.weights {
+            self.view.weights = weights.clone();
+        }
+        true
+    }
+
+    /// The copy with its document as text.
+    pub fn view(&self) -> View {
+        let text = self.document.as_ref().map(Document::text);
+        View {
+            doc: text.map(Arc::new),
+            ..self.view.clone()
+        }
+    }
+}
--- a/sorreldoor/src/setup/hosted.rs
+++ b/sorreldoor/src/setup/hosted.rs
@@ -2,6 +2,7 @@
 //! to workers of a service, under the operator's shares, bounds and homes.
 
 use std::collections::HashMap;
+use std::sync::Arc;
 
 /// What may be done again with a request that may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -98,7 +99,7 @@
 /// The `hosted` part of a setup; names are made dense.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hosted {
-    pub routes: Vec<Route>,
+    pub routes: Vec<Arc<Route>>,
     pub services: Vec<Service>,
     pub limits: Limits,
     /// Routes of a host, in lower case: those with the longest prefix first, then
--- a/sorreldoor/src/setup/hosted_read.rs
+++ b/sorreldoor/src/setup/hosted_read.rs
@@ -6,15 +6,16 @@
 use crate::json::{join, Faults, Val};
 use simd_json::prelude::*;
 use std::collections::{HashMap, HashSet};
+use std::sync::Arc;
 
 /// One item of a list, under its path.
-struct Item<'v> {
+pub(super) struct Item<'v> {
     v: &'v Val,
     at: String,
 }
 
 impl<'v> Item<'v> {
-    fn of(v: &'v Val, at: String, f: &mut Faults) -> Option<Item<'v>> {
+    pub(super) fn of(v: &'v Val, at: String, f: &mut Faults) -> Option<Item<'v>> {
         if !v.is_object() {
             f.add(&at, "must be an object");
             return None;
@@ -22,7 +23,7 @@
         Some(Item { v, at })
     }
 
-    fn get(&self, k: &str) -> Option<&'v Val> {
+    pub(super) fn get(&self, k: &str) -> Option<&'v Val> {
         self.v.get(k).filter(|v| !v.is_null())
     }
 
@@ -39,7 +40,7 @@
         s
     }
 
-    fn must_text(&self, k: &str, f: &mut Faults) -> &'v str {
+    pub(super) fn must_text(&self, k: &str, f: &mut Faults) -> &'v str {
         if self.get(k).is_none() {
             self.fault(k, "is missing", f);
         }
@@ -119,12 +120,10 @@
         .map(|(i, s)| (s.name.as_str(), i.min(usize::from(u16::MAX)) as u16))
         .collect();
     let items = top.items("routes", f);
-    let routes: Vec<Route> = items.iter().map(|i| route(i, &index, site, f)).collect();
+    let routes = items.iter().map(|i| route(i, &index, site, f));
+    let routes: Vec<Arc<Route>> = routes.map(Arc::new).collect();
     let by_host = by_host(&routes, f);
-    let limits = top
-        .get("limits")
-        .and_then(|v| Item::of(v, "hosted.limits".into(), f))
-        .map_or(Limits::default(), |i| limits(&i, f));
+    let limits = limits_of(&top, f);
     Some(Hosted {
         routes,
         services,
@@ -133,7 +132,15 @@
     })
 }
 
-fn by_host(routes: &[Route], f: &mut Faults) -> HashMap<String, Vec<u32>> {
+/// The limits of a `hosted` part, or those that hold without any.
+pub(super) fn limits_of(top: &Item, f: &mut Faults) -> Limits {
+    top.get("limits")
+        .and_then(|v| Item::of(v, "hosted.limits".into(), f))
+        .map_or(Limits::default(), |i| limits(&i, f))
+}
+
+/// Routes by host, in the order they are tried; no two of one prefix.
+pub(super) fn by_host(routes: &[Arc<Route>], f: &mut Faults) -> HashMap<String, Vec<u32>> {
     let mut out: HashMap<String, Vec<u32>> = HashMap::new();
     let mut seen: HashSet<(&str, &str)> = HashSet::new();
     for (i, r) in routes.iter().enumerate() {
@@ -153,7 +160,7 @@
     out
 }
 
-fn service(i: &Item, f: &mut Faults) -> Service {
+pub(super) fn service(i: &Item, f: &mut Faults) -> Service {
     let engine = i
         .get("engine")
         .and_then(|v| Item::of(v, join(&i.at, "engine"), f))
@@ -174,7 +181,7 @@
     }
 }
 
-fn route(i: &Item, services: &HashMap<&str, u16>, site: &Site, f: &mut Faults) -> Route {
+pub(super) fn route(i: &Item, services: &HashMap<&str, u16>, site: &Site, f: &mut Faults) -> Route {
     let kind = match i.text("kind", f) {
         Some("idempotent") => Kind::Idempotent,
         Some("stream") => Kind::Stream,
--- a/sorreldoor/src/setup/mod.rs
+++ b/sorreldoor/src/setup/mod.rs
@@ -2,6 +2,7 @@
 
 mod check;
 pub mod hosted;
+pub mod hosted_change;
 mod hosted_read;
 
 pub use check::{read, MOST_BYTES};
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -2,7 +2,7 @@
 //! a hash of the site's mark with one payload in ciborium.
 
 use crate::consensus::{Member, Msg, NodeId, Noted, ProposalId};
-use crate::record::{Cmd, Outcome, View};
+use crate::record::{decode, encode, Cmd, Outcome, Update};
 use crate::registry::{Loads, WorkerRegistry};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -92,10 +92,48 @@
     pub cores: u64,
 }
 
+/// From so many bytes on an update is large: whoever has taken it says so at
+/// once, and until then is sent no other.
+pub const LARGE_UPDATE: usize = 16 << 10;
+
+/// An update of the record, encoded once for all who lack the same.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct EncodedUpdate {
+    pub revision: u64,
+    pub serial: u64,
+    /// Whether there is a document at that revision.
+    pub has_document: bool,
+    #[serde(serialize_with = "as_bytes")]
+    pub bytes: Arc<Vec<u8>>,
+}
+
+fn as_bytes<S: serde::Serializer>(b: &Arc<Vec<u8>>, s: S) -> Result<S::Ok, S::Error> {
+    s.serialize_bytes(b)
+}
+
+impl EncodedUpdate {
+    pub fn new(u: &Update) -> EncodedUpdate {
+        EncodedUpdate {
+            revision: u.rev,
+            serial: u.serial,
+            has_document: u.document.is_some(),
+            bytes: Arc::new(encode(u)),
+        }
+    }
+
+    pub fn update(&self) -> Option<Update> {
+        decode(&self.bytes)
+    }
+}
+
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct News {
     #[serde(default, skip_serializing_if = "zero")]
-    pub record: Option<View>,
+    pub record: Option<EncodedUpdate>,
+    /// There is a newer record that did not come along: ask again soon. Such a
+    /// grant proves nothing about the record the receiver has.
+    #[serde(default, skip_serializing_if = "zero")]
+    pub record_withheld: bool,
     #[serde(default, skip_serializing_if = "zero")]
     pub registry: Option<Arc<WorkerRegistry>>,
     #[serde(default, skip_serializing_if = "zero")]
--- a/sorreldoor/tests/table.rs
+++ b/sorreldoor/tests/table.rs
@@ -63,7 +63,7 @@
 /// Service 0 has engines, service 1 has none.
 fn hosted(routes: Vec<Route>) -> Arc<Hosted> {
     let mut h = Hosted {
-        routes,
+        routes: routes.into_iter().map(Arc::new).collect(),
         services: vec![
             Service {
                 name: "model".into(),
--- a/sorreldoor/tests/table/nodes.rs
+++ b/sorreldoor/tests/table/nodes.rs
@@ -246,7 +246,7 @@
 fn long_prefixes_keep_out_of_the_region_that_others_are_bound_to() {
     let mut bound = route("bound", "/bound/", Kind::Stream, 0);
     bound.homes = vec![0];
-    let mut all: Vec<Route> = usual().routes.clone();
+    let mut all: Vec<Route> = usual().routes.iter().map(|r| (**r).clone()).collect();
     all.push(bound);
     let h = hosted(all);
     let long = goes(&mut apart(&h), "/once/", 9000);
