--- a/rig/tests/consensus_sim.rs
+++ b/rig/tests/consensus_sim.rs
@@ -58,6 +58,40 @@
     all(&[0, 0, 0, 1, 1, 1], 3000..3040);
 }
 
+/// A leader that was cut off is asked for reads while another takes changes.
+fn reads_at_a_deposed_leader(seed: u64, broken: Broken) -> Vec<String> {
+    let mut timing = Timing::for_ack(2000);
+    timing.broken = broken;
+    let mut s = Sim::new(seed, &[0, 0, 0], timing);
+    let old = s.settle();
+    s.isolate(old);
+    let end = s.now + 3000;
+    while s.now < end {
+        let next = s.leader().filter(|l| *l != old);
+        if let Some(next) = next {
+            let base = s.top_serial();
+            s.change(next, base);
+        }
+        s.run_for(20);
+        s.read(old);
+    }
+    s.heal();
+    s.run_for(6000);
+    check(&s)
+}
+
+#[test]
+fn a_deposed_leader_answers_no_read() {
+    for seed in 0..40 {
+        let wrong = reads_at_a_deposed_leader(seed, Broken::None);
+        assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
+    }
+    let caught =
+        (0..40).find(|seed| !reads_at_a_deposed_leader(*seed, Broken::ReadUnproved).is_empty());
+    println!("reads without proof: seen with seed {caught:?}");
+    assert!(caught.is_some());
+}
+
 /// Rules broken on purpose: the same storms must show each of them.
 #[test]
 fn the_checker_catches_every_broken_rule() {
