--- a/rig/tests/restart.rs
+++ b/rig/tests/restart.rs
@@ -125,3 +125,53 @@
         assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
     }
 }
+
+/// All lose power right after an acknowledgement, and one its disk; how long
+/// until a leader is there, and until it answers a read.
+fn one_wiped_and_all_dark(seed: u64, shape: &[RegionId], wiped: usize) -> (u64, u64) {
+    let pacing = sorreldoor::pacing::Pacing {
+        beat_ms: Some(150),
+        ..Default::default()
+    };
+    let mut s = Sim::new(seed, shape, pacing.timing(2000));
+    s.far = 55;
+    let leader = s.settle();
+    for _ in 0..5 {
+        assert!(change(&mut s, leader));
+    }
+    (0..shape.len()).for_each(|i| s.crash(i));
+    s.nodes[wiped].wipe(99);
+    s.run_for(3000);
+    for i in 0..shape.len() {
+        let wait = s.rng.below(60);
+        s.run_for(wait);
+        s.start(i);
+    }
+    let back = s.now;
+    assert!(s.run_until(back + 20_000, |s| s.leader().is_some()));
+    let led = s.now - back;
+    let at = s.leader().expect("a leader");
+    let read = s.read(at);
+    s.run_until(back + 20_000, |s| s.op(read).done != Done::Open);
+    (led, s.now - back)
+}
+
+#[test]
+fn a_site_with_one_disk_lost_is_soon_read_again() {
+    for shape in [
+        &[0, 0, 0][..],
+        &[0, 0, 1],
+        &[0, 0, 0, 1, 1],
+        &[0, 0, 1, 1, 2, 2],
+    ] {
+        for wiped in 0..shape.len() {
+            let mut all: Vec<(u64, u64)> = (0..30)
+                .map(|seed| one_wiped_and_all_dark(seed, shape, wiped))
+                .collect();
+            all.sort_unstable_by_key(|(_, read)| *read);
+            let (led, read) = all[all.len() - 1];
+            println!("{shape:?}, {wiped} wiped: led after {led} ms, read after {read} ms at worst");
+            assert!(read < 1600, "{shape:?}, {wiped} wiped: {read}");
+        }
+    }
+}
