--- a/sorreldoor/tests/proxy.rs
+++ b/sorreldoor/tests/proxy.rs
@@ -1,6 +1,8 @@
 //! The proxy on real sockets of this machine, between callers and stand-in
 //! workers that do what workers in trouble do.
 
+#[path = "proxy/clients.rs"]
+mod clients;
 #[path = "proxy/harness.rs"]
 mod harness;
 #[path = "proxy/streams.rs"]
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -60,6 +60,10 @@
     Events(u64, u64, bool),
     /// Events from `from` to `to`, then silence.
     Stall(u64, u64),
+    /// So many events without ids, broken off behind the last.
+    Unnumbered(u64),
+    /// A whole answer before the body is read, which it never is.
+    Early(&'static str),
 }
 
 /// A head as text, and a body.
@@ -110,8 +114,17 @@
                 return;
             }
         };
-        let f = head.request_framing().unwrap();
-        let body = body(&mut c, &mut b, f, 1 << 24).await.unwrap();
+        let early = {
+            let n = me.got.lock().unwrap().len();
+            matches!(acts.get(n).or(acts.last()), Some(Act::Early(_)))
+        };
+        let f = match early {
+            true => Framing::None,
+            false => head.request_framing().unwrap(),
+        };
+        let Ok(body) = body(&mut c, &mut b, f, 1 << 24).await else {
+            return;
+        };
         let id = head.get("x-request-id").unwrap_or("").to_string();
         let text = String::from_utf8_lossy(&head.raw).into_owned();
         let n = {
@@ -121,6 +134,10 @@
         };
         let act = acts.get(n).or(acts.last()).unwrap().clone();
         if !act_out(&mut c, &id, act).await {
+            if early {
+                // its end must not be a reset that takes the answer with it
+                task::sleep(Duration::from_millis(300)).await;
+            }
             return;
         }
     }
@@ -148,6 +165,12 @@
         Act::Silent | Act::Lost => return std::future::pending().await,
         Act::Events(a, z, true) => (events(id, a, z) + "0\r\n\r\n", true),
         Act::Events(a, z, false) => (events(id, a, z), false),
+        Act::Unnumbered(n) => {
+            let text = events(id, 1, n);
+            let bare = (1..=n).fold(text, |t, i| t.replace(&format!("id: {i}\n"), ":    \n"));
+            (bare, false)
+        }
+        Act::Early(b) => (whole(200, b, ""), false),
         Act::Stall(a, z) => {
             c.write_all(events(id, a, z).as_bytes()).await.unwrap();
             return std::future::pending().await;
@@ -187,6 +210,11 @@
 }
 
 pub async fn proxy(stands: &[&Stand]) -> Proxy {
+    proxy_with(SETUP, stands).await
+}
+
+/// A proxy under another configuration.
+pub async fn proxy_with(setup_text: &str, stands: &[&Stand]) -> Proxy {
     let site = Arc::new(Site {
         regions: vec!["r".into()],
         zones: vec![("z".into(), 0)],
@@ -204,7 +232,7 @@
         warmup_slack: 5.0,
     };
     let mut table = Table::new(place, bounds, 7);
-    let (s, _) = setup::read(SETUP.as_bytes(), &site).unwrap();
+    let (s, _) = setup::read(setup_text.as_bytes(), &site).unwrap();
     table.take_nodes(vec![("n1".into(), 0)]);
     table.take_hosted(s.hosted.unwrap(), 1);
     let row = |(i, s): (usize, &&Stand)| Worker {
--- a/sorreldoor/tests/proxy/streams.rs
+++ b/sorreldoor/tests/proxy/streams.rs
@@ -71,3 +71,16 @@
         });
     }
 }
+
+#[test]
+fn a_stream_whose_events_have_no_ids_is_not_continued() {
+    run(async {
+        let acts = || vec![Act::Unnumbered(3)];
+        let (a, b) = (stand(acts()).await, stand(acts()).await);
+        let p = proxy(&[&a, &b]).await;
+        let g = Caller::new(&p).await.ask("/ask/1", "", "p").await.unwrap();
+        assert!(!g.whole, "{g:?}");
+        assert_eq!(g.body.matches("piece 1\n").count(), 1, "{g:?}");
+        assert_eq!(a.count() + b.count(), 1, "no second run");
+    });
+}
