--- a/rig/src/hollow/node.rs
+++ b/rig/src/hollow/node.rs
@@ -177,7 +177,11 @@
         match f {
             PullFx::Dial(a) => self.out.push(Out::Dial(a)),
             PullFx::Undial(a) => self.out.push(Out::Undial(a)),
-            PullFx::Renew { conn, no, unproven } => {
+            PullFx::Renew {
+                conn,
+                no,
+                unverified,
+            } => {
                 // at a few dozen errands a second no two renewals tell the same
                 self.running = (self.running + 7) % 97;
                 self.took.iter_mut().for_each(|t| t.n += 1);
@@ -194,7 +198,7 @@
                     no,
                     have,
                     doing,
-                    unproven,
+                    unverified,
                 };
                 self.out.push(Out::Send(conn, p));
             }
--- a/rig/src/site/mod.rs
+++ b/rig/src/site/mod.rs
@@ -19,6 +19,7 @@
 pub use check::check;
 pub use docs::any_doc;
 pub use faults::Storm;
+pub use net::Cut;
 pub use orders::{Orders, Trouble, FIRST};
 pub use procs::{Proc, Role};
 pub use workers::Wk;
@@ -47,6 +48,15 @@
     pub outcome: Option<sorreldoor::wire::OpOutcome>,
 }
 
+/// An answered read of the record at a core.
+#[derive(Clone, Copy, Debug)]
+pub struct Read {
+    pub at: Millis,
+    /// It was proved current after it was asked for.
+    pub ok: bool,
+    pub serial: u64,
+}
+
 /// A hand-over to a worker as it left an edge.
 #[derive(Clone, Debug)]
 pub struct Handed {
@@ -92,6 +102,8 @@
     pub trouble: Trouble,
     /// Entries that a core keeps before it folds its log into a snapshot.
     pub keep_log: Option<u64>,
+    /// Answered reads of the record, by their number.
+    pub reads: BTreeMap<u64, Read>,
     pub handed: Vec<Handed>,
     /// Every connection an edge asked for to a worker: when, for whom.
     pub opened: Vec<(Millis, u64)>,
@@ -157,6 +169,7 @@
             orders: Orders::default(),
             trouble: Trouble::default(),
             keep_log: None,
+            reads: BTreeMap::new(),
             handed: Vec::new(),
             opened: Vec::new(),
             bodies: Vec::new(),
@@ -219,6 +232,16 @@
         f(self)
     }
 
+    /// A core has answered a read.
+    pub(crate) fn note_read(&mut self, core: usize, rid: u64, ok: bool) {
+        let read = Read {
+            at: self.now,
+            ok,
+            serial: self.serial_at(core).unwrap_or(0),
+        };
+        self.reads.insert(rid, read);
+    }
+
     pub fn number(&mut self) -> u64 {
         self.next += 1;
         self.next
--- a/rig/src/site/net.rs
+++ b/rig/src/site/net.rs
@@ -8,6 +8,31 @@
 
 const IDLE: Millis = 3000;
 
+/// How a core is cut off from the other cores.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Cut {
+    /// Nothing passes either way; connections fall silent.
+    Silent,
+    /// It is not heard, but hears.
+    Mute,
+    /// It does not hear, but is heard.
+    Deaf,
+    /// Connections break at once, and no new one is made.
+    Reset,
+    /// It is killed as the cut begins, and starts again behind it.
+    Restarted,
+}
+
+impl Cut {
+    pub const ALL: &'static [Cut] = &[
+        Cut::Silent,
+        Cut::Mute,
+        Cut::Deaf,
+        Cut::Reset,
+        Cut::Restarted,
+    ];
+}
+
 /// One end's half of a connection.
 pub(crate) struct Half {
     pub proc: usize,
@@ -141,12 +166,19 @@
     }
 
     pub(crate) fn close(&mut self, conn: u64) {
-        let Some(l) = self.conns.remove(&conn) else {
+        let Some(l) = self.conns.get(&conn) else {
             return;
         };
         let [a, b] = &l.halves;
         let dark = self.cuts.contains(&(a.proc, b.proc)) || self.cuts.contains(&(b.proc, a.proc));
-        let wait = if dark { IDLE } else { 2 };
+        self.close_after(conn, if dark { IDLE } else { 2 });
+    }
+
+    fn close_after(&mut self, conn: u64, wait: Millis) {
+        let Some(l) = self.conns.remove(&conn) else {
+            return;
+        };
+        let [a, b] = &l.halves;
         for h in [a, b] {
             let (p, boot) = (h.proc, h.boot);
             self.after(wait, move |w| {
@@ -173,6 +205,38 @@
         }
     }
 
+    /// Cut a core off from the other cores; edges still reach all.
+    pub fn cut_off(&mut self, core: usize, cut: Cut) {
+        let others = self.cores().into_iter().filter(|c| *c != core);
+        for other in others.collect::<Vec<_>>() {
+            if cut != Cut::Mute {
+                self.cuts.insert((other, core));
+            }
+            if cut != Cut::Deaf {
+                self.cuts.insert((core, other));
+            }
+            if matches!(cut, Cut::Reset | Cut::Restarted) {
+                self.close_between(core, other);
+            }
+        }
+        if cut == Cut::Restarted {
+            self.crash(core);
+            self.after(300, move |w| w.start(core));
+        }
+    }
+
+    /// Both ends see their connections end at once.
+    fn close_between(&mut self, a: usize, b: usize) {
+        let joins = |l: &Line| {
+            let ends = [l.halves[0].proc, l.halves[1].proc];
+            ends == [a, b] || ends == [b, a]
+        };
+        let all = self.conns.iter().filter(|(_, l)| joins(l));
+        for conn in all.map(|(c, _)| *c).collect::<Vec<_>>() {
+            self.close_after(conn, 2);
+        }
+    }
+
     pub fn cut_both(&mut self, a: usize, b: usize) {
         self.cuts.insert((a, b));
         self.cuts.insert((b, a));
--- a/rig/tests/site/main.rs
+++ b/rig/tests/site/main.rs
@@ -4,6 +4,7 @@
 mod claims;
 mod errands;
 mod founding;
+mod freshness;
 mod growth;
 mod loads;
 mod members;
--- a/sorreldoor/src/consensus/accept.rs
+++ b/sorreldoor/src/consensus/accept.rs
@@ -12,6 +12,7 @@
         let new = self.gl != Some(gl);
         self.gl = Some(gl);
         self.heard_gl = self.now;
+        self.led_at = Some(self.now);
         self.suspect = false;
         self.round_from = self.round_from.max(round);
         self.reset_elect();
@@ -20,6 +21,7 @@
             for p in self.asks.keys().copied().collect::<Vec<_>>() {
                 self.dispatch(p);
             }
+            self.resend_looks();
         }
     }
 
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -129,6 +129,8 @@
     pub(super) gl: Option<NodeId>,
     pub(super) leads: BTreeMap<RegionId, Lead>,
     pub(super) heard_gl: Millis,
+    /// When a Global Leader was last heard of, or this node led, in this life.
+    pub(super) led_at: Option<Millis>,
     pub(super) heard_dl: Millis,
     /// The line to the Global Leader was closed, and it was not heard since.
     pub(super) suspect: bool,
@@ -207,6 +209,7 @@
             gl: None,
             leads: BTreeMap::new(),
             heard_gl: now,
+            led_at: None,
             heard_dl: now,
             suspect: false,
             dled: false,
--- a/sorreldoor/src/consensus/reads.rs
+++ b/sorreldoor/src/consensus/reads.rs
@@ -198,7 +198,6 @@
     /// Retransmit what has had no answer, and give up what is too old.
     pub(super) fn reads_alarm(&mut self) {
         let (now, again, most) = (self.now, self.timing.resend * 2, self.timing.ack_ms * 2);
-        let due = |sent: Option<Millis>| sent.is_none_or(|t| now.saturating_sub(t) >= again);
         // a large body may still be on its way when a small one would be late
         let body_due = |a: &Ask| {
             let wait = again + a.body.bytes() as Millis / SLOW_BYTES_PER_MS;
@@ -219,19 +218,39 @@
                 self.dispatch(p);
             }
         }
-        let rids: Vec<(u64, bool)> = self
+        self.looks_alarm();
+    }
+
+    /// A read that is not proved and applied in its time is answered so, for
+    /// its asker to go to another core.
+    fn looks_alarm(&mut self) {
+        let (now, proof, resend) = (self.now, self.timing.proof, self.timing.resend);
+        let old = |l: &Look| now.saturating_sub(l.since) >= proof;
+        let late: Vec<u64> = self
             .looks
             .iter()
-            .filter(|(_, l)| l.idx.is_none() && due(l.sent))
-            .map(|(r, l)| (*r, now.saturating_sub(l.since) >= most))
+            .filter(|(_, l)| old(l))
+            .map(|(r, _)| *r)
             .collect();
-        for (r, old) in rids {
-            if old {
-                self.looks.remove(&r);
-                self.out.push(Effect::ReadReady { rid: r, ok: false });
-            } else {
-                self.send_look(r);
-            }
+        for rid in late {
+            self.looks.remove(&rid);
+            self.out.push(Effect::ReadReady { rid, ok: false });
+        }
+        let unsent = |t: Option<Millis>| t.is_none_or(|t| now.saturating_sub(t) >= resend);
+        let again = self
+            .looks
+            .iter()
+            .filter(|(_, l)| l.idx.is_none() && unsent(l.sent));
+        for rid in again.map(|(r, _)| *r).collect::<Vec<_>>() {
+            self.send_look(rid);
+        }
+    }
+
+    /// Ask a new leader for what the old one has not proved.
+    pub(super) fn resend_looks(&mut self) {
+        let open = self.looks.iter().filter(|(_, l)| l.idx.is_none());
+        for rid in open.map(|(r, _)| *r).collect::<Vec<_>>() {
+            self.send_look(rid);
         }
     }
 }
--- a/sorreldoor/src/consensus/replicate.rs
+++ b/sorreldoor/src/consensus/replicate.rs
@@ -3,6 +3,7 @@
 use super::node::{Consensus, Progress, Role};
 use super::quorum;
 use super::types::*;
+use crate::rules::{broken, Rule};
 
 /// Bytes of entries sent to one member and not acknowledged by it yet.
 const APPEND_WINDOW_BYTES: usize = 64 * 1024;
@@ -120,15 +121,17 @@
     }
 
     pub(super) fn lead_alarm(&mut self) {
-        let live = self.now.saturating_sub(self.timing.elect * 2);
+        // by then the others may have elected another
+        let live = self.now.saturating_sub(self.timing.elect);
         let vs = self.voters();
         let heard = quorum::most(&vs, |i| {
             i == self.me || self.rows.get(&i).is_some_and(|r| r.seen >= live)
         });
-        if !heard {
+        if !heard && !broken(Rule::StepDown) {
             self.step_down("no majority of cores heard");
             return;
         }
+        self.led_at = Some(self.now);
         if self.disk_stuck() {
             self.step_down("disk does not sync in time");
             return;
--- a/sorreldoor/src/consensus/state.rs
+++ b/sorreldoor/src/consensus/state.rs
@@ -7,6 +7,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// Election times without a leader after which a node takes itself for cut off.
+const CUT_OFF_ELECTIONS: Millis = 4;
+
 impl<M: Machine> Consensus<M> {
     // --- what others may look at ---
 
@@ -69,6 +72,14 @@
         let fresh = self.now.saturating_sub(self.heard_gl) < self.timing.elect * 2;
         self.role == Role::Leader || (self.gl.is_some() && fresh)
     }
+    /// Without word of any leader for longer than an election takes, though
+    /// there was one in this life: others may have a leader that this node
+    /// cannot reach.
+    pub fn cut_off(&self) -> bool {
+        let long = self.timing.elect * CUT_OFF_ELECTIONS;
+        let since = self.led_at.filter(|_| self.role != Role::Leader);
+        since.is_some_and(|t| self.now.saturating_sub(t) >= long)
+    }
     pub fn disk_failed(&self) -> bool {
         self.failed
     }
--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -313,6 +313,8 @@
     /// Wait after which a region rule that cannot be met is waived.
     pub waive: Millis,
     pub resend: Millis,
+    /// A read that is not proved within so long is answered as not proved.
+    pub proof: Millis,
     /// Age of an unfinished save after which the node holds its disk stuck.
     pub stuck: Millis,
     pub tp: Millis,
@@ -358,6 +360,7 @@
             dead: ack_ms / 5,
             waive: ack_ms / 5,
             resend: ack_ms / 10,
+            proof: ack_ms * 2 / 5,
             stuck: ack_ms / 3,
             tp: ack_ms * 5,
             batch: 0,
--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -3,6 +3,7 @@
 use super::duty::Duty;
 use super::events::{ControllerEffect, ControllerEvent, OpFrom, Want};
 use super::lines::Line;
+use super::reads::Reads;
 use super::worker_list::WorkerList;
 use crate::consensus::*;
 use crate::events::Ev;
@@ -50,8 +51,7 @@
     pub worker_list: WorkerList,
     pub loads: Arc<Loads>,
     pub(super) updates: super::updates::Updates,
-    pub(super) wants: Vec<Want>,
-    pub(super) reading: BTreeMap<u64, Vec<Want>>,
+    pub(super) reads: Reads,
     pub(super) next_rid: u64,
     pub(super) ops: BTreeMap<ProposalId, Vec<OpFrom>>,
     pub(super) duty: Duty,
@@ -60,8 +60,6 @@
     pub(super) slow_at: Millis,
     pub(super) last_serial: u64,
     pub leaving: bool,
-    /// Whether the last read was proved in time.
-    pub(super) quorum: bool,
     pub(super) wall: i64,
     pub now: Millis,
     pub(super) out: Vec<ControllerEffect>,
@@ -91,11 +89,9 @@
             }
             ControllerEvent::Change { rid, pid, cmd } => self.change(OpFrom::Http(rid), pid, cmd),
             ControllerEvent::Reform { rid, pid, drop } => self.reform(rid, pid, drop),
-            ControllerEvent::Look { rid } => self.wants.push(Want::Http(rid)),
-            ControllerEvent::View { rid } => self.wants.push(Want::View(rid)),
-            ControllerEvent::Find { rid, pid } => {
-                self.wants.push(Want::Find(OpFrom::Http(rid), pid))
-            }
+            ControllerEvent::Look { rid } => self.want(Want::Http(rid)),
+            ControllerEvent::View { rid } => self.want(Want::View(rid)),
+            ControllerEvent::Find { rid, pid } => self.want(Want::Find(OpFrom::Http(rid), pid)),
             ControllerEvent::WorkerRegistry(r) => self.on_registry(r),
             ControllerEvent::Loads { epoch, rows } => self.on_loads(epoch, rows),
             ControllerEvent::Stop => self.leaving = true,
@@ -119,6 +115,7 @@
 
     fn alarm(&mut self) {
         self.agreed(Event::Alarm);
+        self.reads_alarm();
         if self.now >= self.slow_at {
             self.slow_at = self.now + 250;
             self.slow_alarm();
@@ -201,8 +198,8 @@
                 no,
                 have,
                 doing,
-                unproven,
-            } => self.on_renew(conn, (no, have), doing, unproven),
+                unverified,
+            } => self.on_renew(conn, (no, have), doing, unverified),
             Payload::Op { rid, pid, cmd } => self.change(OpFrom::Edge(conn, rid), pid, cmd),
             Payload::Claim { rid, claim } => self.on_claim(conn, rid, claim),
             Payload::ClaimAsk { no, claim } if from.core => self.on_claim_ask(conn, no, claim),
@@ -226,9 +223,7 @@
                 };
                 self.on_claims_page(conn, &from, page)
             }
-            Payload::OpFind { rid, pid } => {
-                self.wants.push(Want::Find(OpFrom::Edge(conn, rid), pid))
-            }
+            Payload::OpFind { rid, pid } => self.want(Want::Find(OpFrom::Edge(conn, rid), pid)),
             _ => {}
         }
     }
@@ -321,6 +316,10 @@
         if self.consensus.is_none() || self.leaving {
             return self.op_done(from, OpOutcome::NotTaken);
         }
+        if self.consensus.as_ref().is_some_and(|a| a.cut_off()) {
+            // the operator does better to go on to another core at once
+            return self.op_done(from, OpOutcome::Unknown);
+        }
         self.ops.entry(pid).or_default().push(from);
         let cmd = self.bound_to_zone_state(cmd);
         let body = Body::Data(Arc::new(encode(&cmd)));
--- a/sorreldoor/src/core/delivery.rs
+++ b/sorreldoor/src/core/delivery.rs
@@ -120,7 +120,8 @@
 
     /// All sessions of all cores that are heard of, an edge once.
     fn merge(&mut self) {
-        let live = self.live_cores(3000);
+        // an edge beside a dead core must not be named longer than others
+        let live = self.live_cores(SEAT_MS);
         let mut all: BTreeMap<String, Seat> = BTreeMap::new();
         let others = self
             .sessions
@@ -194,7 +195,13 @@
         &self.places
     }
 
-    pub(super) fn on_renew(&mut self, conn: Conn, ask: (u64, Have), doing: Doing, unproven: bool) {
+    pub(super) fn on_renew(
+        &mut self,
+        conn: Conn,
+        ask: (u64, Have),
+        doing: Doing,
+        unverified: Unverified,
+    ) {
         let Some(s) = self.seats.get_mut(&conn) else {
             return;
         };
@@ -207,79 +214,32 @@
             self.seats_changed();
         }
         let (no, have) = ask;
-        let led = self.consensus.as_ref().is_some_and(|a| a.led());
-        // without a leader in sight no proof will come, and who has
-        // nothing to serve by need not wait for it
-        if unproven && !led {
+        let led = self.consensus.as_ref().is_some_and(|a| a.led()) || broken(Rule::Proof);
+        let offered = match unverified {
+            Unverified::None => false,
+            Unverified::FromStarting => !self.reads.proved,
+            Unverified::FromAny => !led,
+        };
+        if offered {
             let news = self.news(conn, &have);
-            return self.send(
-                conn,
-                Payload::Grant {
-                    no,
-                    ok: false,
-                    news,
-                },
-            );
-        }
-        self.wants.push(Want::Grant { conn, no, have });
-    }
-
-    /// One proof of leadership serves all who asked before it began.
-    pub(super) fn start_read(&mut self) {
-        if self.wants.is_empty() || self.reading.len() >= 4 {
-            return;
-        }
-        self.next_rid += 1;
-        let rid = self.next_rid;
-        let w = std::mem::take(&mut self.wants);
-        if self.consensus.is_none() || self.leaving {
-            return self.serve(w, false);
+            self.deny(conn, no, news);
+        } else if !led {
+            // no proof will come from here; the edge is to ask elsewhere
+            self.deny(conn, no, News::default());
         }
-        if broken(Rule::Proof) {
-            return self.serve(w, true);
+        if led {
+            self.want(Want::Grant { conn, no, have });
         }
-        self.reading.insert(rid, w);
-        self.agreed(Event::Read { rid });
     }
 
-    pub(super) fn on_read(&mut self, rid: u64, ok: bool) {
-        let w = self.reading.remove(&rid).unwrap_or_default();
-        self.quorum = ok;
-        self.serve(w, ok);
-    }
-
-    fn serve(&mut self, wants: Vec<Want>, ok: bool) {
-        for w in wants {
-            match w {
-                Want::Http(rid) => self.out.push(ControllerEffect::Looked(rid, ok)),
-                Want::View(rid) => self.out.push(ControllerEffect::Viewed(rid, ok)),
-                Want::Find(from, pid) => {
-                    let a = self.consensus.as_ref();
-                    let o = a.and_then(|a| a.machine().answered(pid));
-                    let o = o
-                        .and_then(|b| crate::record::decode(&b))
-                        .map(OpOutcome::Got);
-                    let none = if ok {
-                        OpOutcome::Nothing
-                    } else {
-                        OpOutcome::Unknown
-                    };
-                    self.op_done(from, o.unwrap_or(none));
-                }
-                Want::Grant { conn, no, have } => {
-                    let news = if ok {
-                        self.news(conn, &have)
-                    } else {
-                        News::default()
-                    };
-                    self.send(conn, Payload::Grant { no, ok, news });
-                }
-            }
-        }
+    /// Answer a renewal without a proof.
+    fn deny(&mut self, conn: Conn, no: u64, news: News) {
+        let ok = false;
+        self.send(conn, Payload::Grant { no, ok, news });
     }
 
     /// What the asker lacks, source by source.
-    fn news(&mut self, conn: Conn, have: &Have) -> News {
+    pub(super) fn news(&mut self, conn: Conn, have: &Have) -> News {
         let record = self.consensus.as_ref().map(|a| a.machine());
         let due = record.map_or(Due::Nothing, |r| {
             self.updates.due(r, conn, have.record, self.now)
--- a/sorreldoor/src/core/start.rs
+++ b/sorreldoor/src/core/start.rs
@@ -3,6 +3,7 @@
 use super::controller::Controller;
 use super::duty::Duty;
 use super::events::Start;
+use super::reads::Reads;
 use super::worker_list::WorkerList;
 use crate::consensus::{Consensus, Kept, Machine, Millis};
 use crate::record::Record;
@@ -41,8 +42,7 @@
             worker_list: WorkerList::new(s.poll_ms, now),
             loads: Arc::default(),
             updates: Default::default(),
-            wants: Vec::new(),
-            reading: BTreeMap::new(),
+            reads: Reads::default(),
             next_rid: 1,
             ops: BTreeMap::new(),
             duty: Duty::new(now),
@@ -51,7 +51,6 @@
             slow_at: now,
             last_serial: 0,
             leaving: false,
-            quorum: false,
             wall: 0,
             now,
             out: Vec::new(),
--- a/sorreldoor/src/core/status.rs
+++ b/sorreldoor/src/core/status.rs
@@ -24,7 +24,7 @@
         let _ = v.insert("id", hex(self.me.id));
         let _ = v.insert("founded", self.consensus.is_some());
         let _ = v.insert("leaving", self.leaving);
-        let _ = v.insert("quorum", self.quorum);
+        let _ = v.insert("quorum", self.reads.quorum);
         let _ = v.insert("wall_ms", self.wall);
         let _ = v.insert("cores_wanted", self.cores);
         if let Some(a) = &self.consensus {
--- a/sorreldoor/src/edge/controller.rs
+++ b/sorreldoor/src/edge/controller.rs
@@ -232,7 +232,11 @@
         match f {
             PullFx::Dial(a) => self.out.push(EdgeEffect::Dial(a)),
             PullFx::Undial(a) => self.out.push(EdgeEffect::Undial(a)),
-            PullFx::Renew { conn, no, unproven } => {
+            PullFx::Renew {
+                conn,
+                no,
+                unverified,
+            } => {
                 let have = self.pull.have.clone();
                 let doing = Doing {
                     serial: self.plan.shown.view.serial,
@@ -249,7 +253,7 @@
                         no,
                         have,
                         doing,
-                        unproven,
+                        unverified,
                     },
                 ));
             }
--- a/sorreldoor/src/edge/session.rs
+++ b/sorreldoor/src/edge/session.rs
@@ -81,7 +81,7 @@
                 self.take_news(news);
                 self.looked(no, true);
             }
-            Granted::Unproved => self.take_news(news),
+            Granted::Unverified => self.take_news(news),
             Granted::No => {}
         }
     }
--- a/sorreldoor/src/lib.rs
+++ b/sorreldoor/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod edge;
 pub mod errand;
 pub mod events;
+pub mod freshness;
 pub mod http;
 pub mod json;
 pub mod net;
--- a/sorreldoor/src/pacing.rs
+++ b/sorreldoor/src/pacing.rs
@@ -5,16 +5,17 @@
 use crate::json::{Faults, Obj};
 
 /// Names of the settings read here.
-pub const KEYS: [&str; 9] = [
+pub const KEYS: [&str; 10] = [
     "tick_ms",
     "beat_ms",
     "renew_ms",
+    "hedge_ms",
     "ping_ms",
     "batch_ms",
     "gather",
     "claims",
     "accounts",
-    "unproven_after_ms",
+    "unverified_after_ms",
 ];
 
 /// Defaults are those of a site where none of it is dear. Times are in
@@ -27,6 +28,8 @@
     pub beat_ms: Option<Millis>,
     /// Between an edge's renewals.
     pub renew_ms: Millis,
+    /// An edge's renewal without an answer for so long goes to one core more.
+    pub hedge_ms: Millis,
     /// A line on which nothing was said for so long is given a sign of life.
     pub ping_ms: Millis,
     /// Reads that come within so long are proved together; 0: each at once.
@@ -37,8 +40,8 @@
     pub claims: bool,
     /// Cores tell each other what edges are doing, not only that they serve.
     pub accounts: bool,
-    /// An edge without any record takes an unproven one after so long.
-    pub unproven_after_ms: Option<Millis>,
+    /// An edge without any record takes an unverified one after so long.
+    pub unverified_after_ms: Option<Millis>,
 }
 
 impl Default for Pacing {
@@ -47,12 +50,13 @@
             tick_ms: 10,
             beat_ms: None,
             renew_ms: 300,
+            hedge_ms: 400,
             ping_ms: 250,
             batch_ms: 0,
             gather: true,
             claims: true,
             accounts: true,
-            unproven_after_ms: None,
+            unverified_after_ms: None,
         }
     }
 }
@@ -64,12 +68,13 @@
             tick_ms: o.num("tick_ms", 1, 250, f).unwrap_or(d.tick_ms),
             beat_ms: o.num("beat_ms", 20, 2000, f),
             renew_ms: o.num("renew_ms", 50, 2000, f).unwrap_or(d.renew_ms),
+            hedge_ms: o.num("hedge_ms", 50, 2000, f).unwrap_or(d.hedge_ms),
             ping_ms: o.num("ping_ms", 50, 1000, f).unwrap_or(d.ping_ms),
             batch_ms: o.num("batch_ms", 0, 1000, f).unwrap_or(d.batch_ms),
             gather: o.flag("gather", f).unwrap_or(d.gather),
             claims: o.flag("claims", f).unwrap_or(d.claims),
             accounts: o.flag("accounts", f).unwrap_or(d.accounts),
-            unproven_after_ms: o.num("unproven_after_ms", 0, 600_000, f),
+            unverified_after_ms: o.num("unverified_after_ms", 0, 600_000, f),
         }
     }
 
@@ -85,6 +90,7 @@
             elect: p.elect.max(least),
             dead: p.dead.max(least),
             waive: p.waive.max(least),
+            proof: p.proof.max(least),
             batch: self.batch_ms,
             ..p
         }
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -153,7 +153,11 @@
         match f {
             PullFx::Dial(a) => self.out.push(FrontFx::Dial(a)),
             PullFx::Undial(a) => self.out.push(FrontFx::Undial(a)),
-            PullFx::Renew { conn, no, unproven } => {
+            PullFx::Renew {
+                conn,
+                no,
+                unverified,
+            } => {
                 let have = self.pull.have.clone();
                 self.told_ready = self.ready();
                 let doing = Doing {
@@ -166,7 +170,7 @@
                     no,
                     have,
                     doing,
-                    unproven,
+                    unverified,
                 };
                 self.out.push(FrontFx::Send(conn, p));
             }
--- /dev/null
+++ b/sorreldoor/src/pull/candidates.rs
@@ -0,0 +1,122 @@
+//! Cores that an edge tries beside its session's: one near by, or one more
+//! where a renewal has had no proof for too long.
+
+use super::{Pull, PullFx};
+use crate::consensus::Millis;
+use crate::net::Conn;
+use crate::rules::{broken, Rule};
+use std::net::SocketAddr;
+
+/// Between tries to come to a core of one's own region.
+const HOME_MS: Millis = 10_000;
+/// A core that is tried and proves nothing for so long is let go.
+const TRY_MS: Millis = 1300;
+
+/// A core that is tried beside the session's.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Candidate {
+    pub addr: SocketAddr,
+    pub conn: Option<Conn>,
+    since: Millis,
+    pub renew_at: Millis,
+    /// Tried for being near, not for want of an answer.
+    home: bool,
+}
+
+impl Pull {
+    /// Try a core of one's own region: what is asked of one far off costs its
+    /// way twice, and a claim twice that.
+    pub(super) fn go_home(&mut self, now: Millis, out: &mut Vec<PullFx>) {
+        let near = |a: &SocketAddr| self.cores.iter().any(|(c, n)| *n && c == a);
+        let away = self.dialled.as_ref().is_some_and(|a| !near(a));
+        if now < self.home_at || self.conn.is_none() || !away {
+            return;
+        }
+        let all: Vec<SocketAddr> = self.cores.iter().filter(|c| c.1).map(|c| c.0).collect();
+        // the first may be down for good, so each time another is tried
+        let turn = (now / HOME_MS) as usize % all.len().max(1);
+        if let Some(addr) = all.get(turn).copied() {
+            self.home_at = now + HOME_MS;
+            self.try_core(addr, true, now, out);
+        }
+    }
+
+    /// Try one core more where a renewal has had no proof for too long.
+    pub(super) fn hedge_alarm(&mut self, now: Millis, out: &mut Vec<PullFx>) {
+        if now < self.hedge_at || broken(Rule::Hedge) {
+            return;
+        }
+        self.hedge_at = now + self.hedge();
+        let n = self.cores.len();
+        let order = (0..n).map(|k| (self.next + k) % n);
+        let free = order
+            .filter(|i| !self.tried(self.cores[*i].0))
+            .collect::<Vec<_>>();
+        if let Some(i) = free.first().copied() {
+            self.next = i + 1;
+            self.try_core(self.cores[i].0, false, now, out);
+        }
+    }
+
+    fn tried(&self, addr: SocketAddr) -> bool {
+        self.dialled == Some(addr) || self.candidates.iter().any(|c| c.addr == addr)
+    }
+
+    fn try_core(&mut self, addr: SocketAddr, home: bool, now: Millis, out: &mut Vec<PullFx>) {
+        if self.tried(addr) {
+            return;
+        }
+        self.candidates.push(Candidate {
+            addr,
+            conn: None,
+            since: now,
+            renew_at: now,
+            home,
+        });
+        out.push(PullFx::Dial(addr));
+    }
+
+    /// Let go of those that proved nothing in their time.
+    pub(super) fn drop_candidates(&mut self, now: Millis, out: &mut Vec<PullFx>) {
+        let late = |c: &Candidate| now.saturating_sub(c.since) > TRY_MS;
+        for c in self.candidates.iter().filter(|c| late(c)) {
+            out.push(PullFx::Undial(c.addr));
+        }
+        self.candidates.retain(|c| !late(c));
+    }
+
+    pub(super) fn renew_candidates(&mut self, now: Millis, out: &mut Vec<PullFx>) {
+        let unverified = self.unverified(now);
+        let every = self.hedge();
+        for c in self.candidates.iter_mut().filter(|c| now >= c.renew_at) {
+            let Some(conn) = c.conn else { continue };
+            c.renew_at = now + every;
+            let no = self.lease.ask(conn, now);
+            out.push(PullFx::Renew {
+                conn,
+                no,
+                unverified,
+            });
+        }
+    }
+
+    /// The first core that proves itself has the session, a near one also
+    /// where the old one is well; the rest are let go.
+    pub(super) fn take_session(&mut self, conn: Conn) {
+        let won = self.candidates.iter().find(|c| c.conn == Some(conn));
+        let won = won.copied();
+        if let Some(won) = won {
+            let old = self.dialled.replace(won.addr);
+            self.due.extend(old.map(PullFx::Undial));
+            if !won.home {
+                self.due.push(PullFx::Lost);
+            }
+            self.conn = Some(conn);
+            self.candidates.retain(|c| c.addr != won.addr);
+        }
+        let needless = |c: &Candidate| won.is_some() || !c.home;
+        let gone = self.candidates.iter().filter(|c| needless(c));
+        self.due.extend(gone.map(|c| PullFx::Undial(c.addr)));
+        self.candidates.retain(|c| !needless(c));
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/pull/lease.rs
@@ -0,0 +1,82 @@
+//! An edge's freshness lease, and the renewals on their way that extend it.
+
+use crate::consensus::Millis;
+use crate::net::Conn;
+use crate::rules::{broken, Rule};
+
+/// Renewals that are remembered until they are answered, at most.
+const MOST_SENT: usize = 64;
+
+/// A renewal that was sent and not answered yet.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Renewal {
+    pub no: u64,
+    pub conn: Conn,
+    pub sent_at: Millis,
+}
+
+#[derive(Clone, Debug)]
+pub(super) struct Lease {
+    pub length: Millis,
+    pub until: Millis,
+    last_no: u64,
+    sent: Vec<Renewal>,
+}
+
+impl Lease {
+    pub fn new(length: Millis) -> Lease {
+        Lease {
+            length,
+            until: 0,
+            last_no: 0,
+            sent: Vec::new(),
+        }
+    }
+
+    pub fn holds(&self, now: Millis) -> bool {
+        now < self.until || broken(Rule::Permit)
+    }
+
+    pub fn left(&self, now: Millis) -> Millis {
+        self.until.saturating_sub(now)
+    }
+
+    pub fn last_no(&self) -> u64 {
+        self.last_no
+    }
+
+    /// Note a renewal as sent; its number.
+    pub fn ask(&mut self, conn: Conn, now: Millis) -> u64 {
+        self.last_no += 1;
+        self.sent.push(Renewal {
+            no: self.last_no,
+            conn,
+            sent_at: now,
+        });
+        if self.sent.len() > MOST_SENT {
+            self.sent.remove(0);
+        }
+        self.last_no
+    }
+
+    pub fn find(&self, no: u64) -> Option<Renewal> {
+        self.sent.iter().find(|r| r.no == no).copied()
+    }
+
+    /// Its answer makes the earlier ones on the same connection needless.
+    pub fn answered(&mut self, renewal: Renewal) {
+        self.sent
+            .retain(|r| r.conn != renewal.conn || r.no > renewal.no);
+    }
+
+    /// What is granted counts from when it was asked for.
+    pub fn extend(&mut self, sent_at: Millis) {
+        self.until = self.until.max(sent_at + self.length);
+    }
+
+    /// Nothing that was granted or asked for so far counts.
+    pub fn void(&mut self) {
+        self.until = 0;
+        self.sent.clear();
+    }
+}
--- a/sorreldoor/src/rules.rs
+++ b/sorreldoor/src/rules.rs
@@ -20,6 +20,8 @@
     Permit "permit";
     Woken "woken";
     Proof "proof";
+    Hedge "hedge";
+    StepDown "step-down";
     Allowed "allowed";
     Home "home";
     Spill "spill";
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -165,6 +165,18 @@
     pub took: Vec<Took>,
 }
 
+/// Which record that is not proved current an edge without any would take.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Unverified {
+    #[default]
+    None,
+    /// From a core to which no leader has proved itself since it started, as
+    /// after a loss of all cores.
+    FromStarting,
+    /// Also from one that has lost its majority: none that has one was found.
+    FromAny,
+}
+
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Founding {
     /// Sent by a blank core: the set it has promised to found with.
@@ -192,9 +204,8 @@
         have: Have,
         #[serde(default, skip_serializing_if = "zero")]
         doing: Doing,
-        /// An edge without any record takes one that is not proved current.
         #[serde(default, skip_serializing_if = "zero")]
-        unproven: bool,
+        unverified: Unverified,
     },
     Grant {
         no: u64,
