--- a/sorreldoor/src/consensus/accept.rs
+++ b/sorreldoor/src/consensus/accept.rs
@@ -53,7 +53,7 @@
             return;
         }
         let upto = prev.idx + rest.len() as u64;
-        if !self.take(prev.idx, rest) {
+        if !self.append_after(prev.idx, rest) {
             return;
         }
         self.verified = self.verified.max(upto);
@@ -77,28 +77,29 @@
         i
     }
 
-    /// Put entries after `at`, cutting what conflicts; false if that is absurd.
-    fn take(&mut self, at: u64, entries: Vec<Entry>) -> bool {
-        let new = entries
+    /// Append entries after index `at` and truncate what conflicts with them;
+    /// false if that would take back a committed entry.
+    fn append_after(&mut self, at: u64, entries: Vec<Entry>) -> bool {
+        let first_new = entries
             .iter()
             .enumerate()
             .position(|(i, e)| self.log.term_at(at + 1 + i as u64) != Some(e.term));
-        let Some(i) = new else { return true };
+        let Some(i) = first_new else { return true };
         let from = at + 1 + i as u64;
         if from <= self.commit {
             return false;
         }
-        let conf = self.log.conf_idx();
-        self.log.cut(from);
+        let last_change = self.log.conf_idx();
+        self.log.truncate_from(from);
         let rest = entries[i..].to_vec();
-        let has = rest.iter().any(|e| matches!(e.body, Body::Members(_)));
+        let changes_members = rest.iter().any(|e| matches!(e.body, Body::Members(_)));
         self.log.push(rest.clone());
         self.save(Save::Append {
             from,
             entries: rest,
             commit: self.commit,
         });
-        if has || conf >= from {
+        if changes_members || last_change >= from {
             self.members_changed();
         }
         true
--- a/sorreldoor/src/consensus/log.rs
+++ b/sorreldoor/src/consensus/log.rs
@@ -20,13 +20,13 @@
     }
 
     pub fn from_parts(snap: &Snap, entries: Vec<Entry>) -> Log {
-        let mut l = Log {
+        let mut log = Log {
             base: snap.last,
             base_members: snap.members.clone(),
             ..Log::default()
         };
-        l.push(entries);
-        l
+        log.push(entries);
+        log
     }
 
     pub fn base(&self) -> Last {
@@ -58,11 +58,11 @@
     /// Entries from `from` to `upto` at most, up to the first large one, and no
     /// more than fit into `room`.
     pub fn range(&self, from: u64, upto: u64, room: usize) -> Vec<Entry> {
-        let a = from.saturating_sub(self.base.idx + 1) as usize;
-        let z = (upto.saturating_sub(self.base.idx) as usize).min(self.entries.len());
+        let start = from.saturating_sub(self.base.idx + 1) as usize;
+        let end = (upto.saturating_sub(self.base.idx) as usize).min(self.entries.len());
         let mut room = room;
         self.entries
-            .get(a..z)
+            .get(start..end)
             .unwrap_or(&[])
             .iter()
             .take_while(|entry| {
@@ -108,9 +108,9 @@
     }
 
     /// Drop `from` and everything after it.
-    pub fn cut(&mut self, from: u64) {
-        let n = from.saturating_sub(self.base.idx + 1) as usize;
-        self.entries.truncate(n);
+    pub fn truncate_from(&mut self, from: u64) {
+        let kept = from.saturating_sub(self.base.idx + 1) as usize;
+        self.entries.truncate(kept);
         self.confs.retain(|(i, _)| *i < from);
     }
 
@@ -131,15 +131,19 @@
         self.confs.last().map_or(self.base.idx, |(i, _)| *i)
     }
 
+    /// Forget the entries up to and with `upto`, which become the new base.
     pub fn compact(&mut self, upto: u64) {
-        let Some(at) = self.at(upto) else { return };
-        let n = (upto - self.base.idx) as usize;
+        let Some(position) = self.at(upto) else {
+            return;
+        };
+        let forgotten = (upto - self.base.idx) as usize;
         self.base_members = self.members_at(upto).to_vec();
-        self.entries.drain(..n);
+        self.entries.drain(..forgotten);
         self.confs.retain(|(i, _)| *i > upto);
-        self.base = at;
+        self.base = position;
     }
 
+    /// Begin anew at a snapshot.
     pub fn reset(&mut self, snap: &Snap) {
         *self = Log::from_parts(snap, Vec::new());
     }
