--- a/sorreldoor/src/core/delivery.rs
+++ b/sorreldoor/src/core/delivery.rs
@@ -217,7 +217,7 @@
         let led = self.consensus.as_ref().is_some_and(|a| a.led()) || broken(Rule::Proof);
         let offered = match unverified {
             Unverified::None => false,
-            Unverified::FromStarting => !self.reads.proved,
+            Unverified::FromStarting => !self.reads.proved || broken(Rule::Unverified),
             Unverified::FromAny => !led,
         };
         if offered {
--- a/sorreldoor/src/rules.rs
+++ b/sorreldoor/src/rules.rs
@@ -22,6 +22,7 @@
     Proof "proof";
     Hedge "hedge";
     StepDown "step-down";
+    Unverified "unverified";
     Allowed "allowed";
     Home "home";
     Spill "spill";
