--- /dev/null
+++ b/rig/tests/large_config.rs
@@ -0,0 +1,114 @@
+//! Rules of delivering large configurations, each broken on purpose: what the
+//! tests of `sorreldoor/tests/updates.rs` hold must then fail.
+
+use sorreldoor::consensus::Machine;
+use sorreldoor::core::updates::{Due, Updates, MAX_IN_FLIGHT};
+use sorreldoor::record::{encode, Cmd, Copy, Record};
+use sorreldoor::rules::{break_only, Rule};
+use sorreldoor::setup::Site;
+use sorreldoor::wire::EncodedUpdate;
+use std::sync::Arc;
+
+fn record(routes: usize) -> Record {
+    let routes: Vec<String> = (0..routes).map(route).collect();
+    let routes = routes.join(",");
+    let doc = format!(r#"{{"hosted":{{"routes":[{routes}],"services":[{{"name":"s"}}]}}}}"#);
+    let mut record = Record::new(Arc::new(Site::default()));
+    apply(
+        &mut record,
+        1,
+        Cmd::Put {
+            base: 0,
+            to: None,
+            doc,
+        },
+    );
+    assert_eq!(record.serial(), 1, "the document is taken");
+    record
+}
+
+fn route(i: usize) -> String {
+    format!(r#"{{"name":"r{i}","host":"h","prefix":"/p{i}/","timeout_ms":50,"service":"s"}}"#)
+}
+
+fn apply(record: &mut Record, n: u64, cmd: Cmd) {
+    record.apply(n, u128::from(n), &encode(&cmd));
+}
+
+fn items(record: &mut Record, n: u64, set: &str, drop: &str) {
+    let (set, drop) = (set.to_string(), drop.to_string());
+    let base = record.serial();
+    apply(
+        record,
+        n,
+        Cmd::Items {
+            base,
+            to: None,
+            set,
+            drop,
+        },
+    );
+}
+
+fn bytes_of_a_change(routes: usize) -> usize {
+    let mut record = record(routes);
+    let have = record.rev();
+    items(
+        &mut record,
+        2,
+        &format!(r#"{{"routes":[{}]}}"#, route(9000)),
+        "{}",
+    );
+    EncodedUpdate::new(&record.update_since(have)).bytes.len()
+}
+
+/// Without differences a change costs what the configuration does.
+#[test]
+fn telling_the_whole_grows_with_the_routes() {
+    assert!(bytes_of_a_change(5000) < bytes_of_a_change(100) + 64);
+    break_only(Some(Rule::Differences));
+    assert!(bytes_of_a_change(5000) > 20 * bytes_of_a_change(100));
+}
+
+fn copy_after_a_deletion() -> (Copy, Record) {
+    let mut record = record(10);
+    let mut copy = Copy::default();
+    assert!(copy.apply(&record.update_since(0)));
+    let have = record.rev();
+    items(&mut record, 2, "{}", r#"{"routes":["r3"]}"#);
+    assert!(copy.apply(&record.update_since(have)));
+    (copy, record)
+}
+
+/// Deletions that are not told leave routes that are no more.
+#[test]
+fn deletions_untold_leave_another_copy() {
+    let (copy, record) = copy_after_a_deletion();
+    assert_eq!(copy.view(), record.view());
+    break_only(Some(Rule::Deletions));
+    let (copy, record) = copy_after_a_deletion();
+    assert_ne!(copy.view(), record.view());
+}
+
+/// Bytes that a core sends to `readers` that take nothing but ask on.
+fn sent_to_slow(readers: u64, times: u64) -> usize {
+    let record = record(5000);
+    let mut updates = Updates::default();
+    let mut sent = 0;
+    for time in 0..times {
+        for conn in 0..readers {
+            if let Due::Update(u) = updates.due(&record, conn, 0, time * 100) {
+                sent += u.bytes.len();
+            }
+        }
+    }
+    sent
+}
+
+/// Without the bound each renewal of a slow reader queues another copy.
+#[test]
+fn copies_unbounded_pile_up() {
+    assert!(sent_to_slow(93, 20) <= MAX_IN_FLIGHT);
+    break_only(Some(Rule::CopiesBounded));
+    assert!(sent_to_slow(93, 20) > 50 * MAX_IN_FLIGHT);
+}
--- a/sorreldoor/src/core/updates.rs
+++ b/sorreldoor/src/core/updates.rs
@@ -4,6 +4,7 @@
 use crate::consensus::Millis;
 use crate::net::Conn;
 use crate::record::Record;
+use crate::rules::{broken, Rule};
 use crate::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::collections::BTreeMap;
 
@@ -60,7 +61,7 @@
         }
         let update = self.encoded(record, have);
         let bytes = update.bytes.len();
-        if bytes > LARGE_UPDATE {
+        if bytes > LARGE_UPDATE && !broken(Rule::CopiesBounded) {
             if !self.fits(bytes) {
                 return Due::Later;
             }
--- a/sorreldoor/src/record/update.rs
+++ b/sorreldoor/src/record/update.rs
@@ -2,6 +2,7 @@
 
 use super::document::{Document, DocumentChanges};
 use super::{Record, Recovery, View};
+use crate::rules::{broken, Rule};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -28,6 +29,7 @@
         let changes = document.map(|d| d.changes_since(from));
         // who has nothing, or is too far behind, is told the whole
         let whole = from == 0 || from > kept.rev || changes == Some(None);
+        let whole = whole || broken(Rule::Differences);
         let from = if whole { 0 } else { from };
         let new_weights = whole || kept.weights_revision > from;
         let view = self.view_without_document();
--- a/sorreldoor/src/rules.rs
+++ b/sorreldoor/src/rules.rs
@@ -51,6 +51,9 @@
     AnswerId "answer-id";
     CleanConnection "clean-connection";
     WholeAnswer "whole-answer";
+    Differences "differences";
+    Deletions "deletions";
+    CopiesBounded "copies-bounded";
 }
 
 /// Whether a test has broken this rule.
