--- a/sorreldoor/src/rules.rs
+++ b/sorreldoor/src/rules.rs
@@ -20,6 +20,9 @@
     Permit "permit";
     Woken "woken";
     Proof "proof";
+    Hedge "hedge";
+    StepDown "step-down";
+    Unverified "unverified";
     Allowed "allowed";
     Home "home";
     Spill "spill";
@@ -48,6 +51,9 @@
     AnswerId "answer-id";
     CleanConnection "clean-connection";
     WholeAnswer "whole-answer";
+    Differences "differences";
+    Deletions "deletions";
+    CopiesBounded "copies-bounded";
 }
 
 /// Whether a test has broken this rule.
