--- a/rig/tests/restart.rs
+++ b/rig/tests/restart.rs
@@ -2,7 +2,9 @@
 //! was committed.
 
 use rig::sim::{check, Done, Sim};
-use sorreldoor::consensus::{Broken, NodeId, RegionId, Timing};
+use rig::site::World;
+use sorreldoor::consensus::{Broken, NodeId, RegionId, Save, Timing};
+use std::sync::Arc;
 
 fn timing(broken: Broken) -> Timing {
     Timing {
@@ -175,3 +177,19 @@
         }
     }
 }
+
+/// A member whose snapshot cannot be read does not go on without it.
+#[test]
+#[should_panic(expected = "cannot read the snapshot")]
+fn an_unreadable_snapshot_stops_the_start() {
+    let mut w = World::ready(1, rig::shapes::press());
+    let core = w.cores()[0];
+    w.crash(core);
+    let disk = &mut w.procs[core].disk;
+    let mut snap = disk.kept.snap.clone().expect("a founded core has one");
+    snap.image = Arc::new(b"not an image".to_vec());
+    let seq = disk.kept.seq + 1;
+    let reset = false;
+    disk.kept.take(seq, &Save::Snap { snap, reset });
+    w.start(core);
+}
--- a/sorreldoor/src/core/start.rs
+++ b/sorreldoor/src/core/start.rs
@@ -61,7 +61,8 @@
             h.claims.learn.sure = s.sure || promised;
             let mut r = Record::new(h.site.clone());
             if let Some(s) = &k.snap {
-                r.load(&s.image);
+                // to go on with an empty record would be to lead with old state
+                assert!(r.load(&s.image), "this release cannot read the snapshot");
             }
             h.consensus = Some(Consensus::new(h.me.id, h.timing.clone(), k, r, h.seed, now));
             h.me.founded = true;
