--- a/rig/days/row.py
+++ b/rig/days/row.py
@@ -15,10 +15,10 @@
 
 def verdict(report_path, output_path):
     """The broken rules with their counts, and the gate as this day shows it."""
-    path = pathlib.Path(report_path)
-    if not path.exists():
+    try:
+        report = json.loads(pathlib.Path(report_path).read_text())
+    except (OSError, ValueError):
         return NO_REPORT, last_line(output_path)
-    report = json.loads(path.read_text())
     broken = report["breaks"]
     rules = ", ".join(f"{rule} {count}" for rule, count in sorted(broken.items()))
     shortfalls = list(report["short"])
