--- a/rig/src/hollow/core.rs
+++ b/rig/src/hollow/core.rs
@@ -3,6 +3,7 @@
 use super::{given, Act, Pending, Proc, Role, World};
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Timing};
+use sorreldoor::core::membership::Policy;
 use sorreldoor::core::{Controller, ControllerEffect, ControllerEvent, Start};
 use sorreldoor::pacing::Pacing;
 use sorreldoor::record::{Cmd, Outcome};
@@ -26,7 +27,11 @@
             site: self.site.clone(),
             seeds: self.seeds(),
             cores: self.size.cores,
-            replace_ms: 30_000,
+            members: Policy {
+                voters: self.size.cores,
+                zones: 1,
+                silent_ms: 30_000,
+            },
             timing: Timing::for_ack(2000),
             seed: self.rng.draw(),
             promise: None,
@@ -52,6 +57,7 @@
             http: format!("10.2.{}.{}:8443", p / 250, p % 250 + 1),
             founded: false,
             boot,
+            ..Hello::default()
         }
     }
 
--- a/rig/src/sim/mod.rs
+++ b/rig/src/sim/mod.rs
@@ -395,6 +395,7 @@
         zone: i as u16,
         addr: format!("127.0.0.1:{}", 1000 + i),
         voter,
+        outgoing: false,
     }
 }
 
--- a/rig/src/site/mod.rs
+++ b/rig/src/site/mod.rs
@@ -119,6 +119,8 @@
     pub pacing: Pacing,
     pub grow: bool,
     pub replace_ms: Millis,
+    /// Cores that may be lost at once.
+    pub tolerate: usize,
     /// The duty's holder alone reads the list of workers, this often.
     pub holder_polls: Option<Millis>,
     /// Readings of the list by the duty's holder.
@@ -181,6 +183,7 @@
             pacing: Pacing::default(),
             grow: false,
             replace_ms: 10_000,
+            tolerate: 1,
             holder_polls: None,
             polls: 0,
             bytes: BTreeMap::new(),
--- a/rig/tests/site/main.rs
+++ b/rig/tests/site/main.rs
@@ -12,6 +12,7 @@
 mod orders;
 mod pacing;
 mod regions;
+mod replacing;
 mod returns;
 mod setups;
 mod swings;
--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -74,7 +74,7 @@
         let anchor = if self.timing.broken == Broken::NoAnchor {
             own.max(1)
         } else {
-            quorum::held_by_most(&self.voters(), |i| self.upto(i))
+            self.quorum().holds(|i| self.upto(i))
         };
         let old = self.now.saturating_sub(self.timing.waive);
         let aged = self
@@ -168,7 +168,7 @@
         let theirs = glr.map_or(Vec::new(), |g| self.region_voters(g));
         let has = |i: NodeId| holders.contains(&i) || (!theirs.contains(&i) && self.upto(i) >= c);
         let both = glr != Some(r) && quorum::most(&theirs, |i| holders.contains(&i));
-        if both && quorum::most(&self.voters(), has) {
+        if both && self.quorum().reached(has) {
             self.advance(c);
             if let Some(g) = self.gl {
                 self.tell(g, None);
@@ -202,6 +202,10 @@
     }
 
     fn answer(&mut self, idx: u64, e: &Entry, outcome: Arc<Vec<u8>>) {
+        // what a leader adds by itself has no asker
+        if e.pid == 0 {
+            return;
+        }
         self.finish(e.pid, Ok(outcome.clone()));
         if e.origin == self.me {
             return;
@@ -299,6 +303,9 @@
             self.hand_on(id, t);
             return;
         }
+        if self.stopping {
+            return self.hand_over();
+        }
         if self.now < self.judge_at {
             return;
         }
@@ -328,14 +335,18 @@
             .filter(|l| l.id != self.me && self.now.saturating_sub(l.seen) < self.timing.dead)
             .map(|l| l.id);
         if let Some(id) = lead {
-            // no entry is added from here on, so the next leader's log
-            // becomes as new as any, and what is proposed meanwhile is retried
-            self.moving = Some((id, self.now));
-            self.note(Note::Moving { to: id });
-            self.hand_on(id, self.now);
+            self.move_to(id);
         }
     }
 
+    pub(super) fn move_to(&mut self, id: NodeId) {
+        // no entry is added from here on, so the next leader's log
+        // becomes as new as any, and what is proposed meanwhile is retried
+        self.moving = Some((id, self.now));
+        self.note(Note::Moving { to: id });
+        self.hand_on(id, self.now);
+    }
+
     /// Hand over once the other's log is as long as this one's.
     fn hand_on(&mut self, id: NodeId, since: Millis) {
         let last = self.log.last().idx;
--- a/sorreldoor/src/consensus/elect.rs
+++ b/sorreldoor/src/consensus/elect.rs
@@ -26,13 +26,13 @@
                 i == self.me || self.dseen.get(&i).is_some_and(|t| *t >= live)
             });
             // a leader its region no longer hears must not stand in the way
-            if !ok || self.disk_stuck() {
+            if !ok || self.disk_stuck() || !self.is_voter() {
                 self.drole = Role::Follower;
                 self.reset_delect();
             } else if self.now >= self.dbeat_at {
                 self.domain_beat();
             }
-        } else if self.now >= self.delect_at && self.is_voter() && !self.disk_stuck() {
+        } else if self.now >= self.delect_at && self.may_lead() {
             self.sound_domain();
         }
     }
@@ -72,7 +72,7 @@
                 self.unled_at = self.now;
                 self.unled += 1;
             }
-            if self.is_voter() && self.may_stand() && !self.disk_stuck() {
+            if self.may_lead() && self.may_stand() {
                 self.sound_global();
             }
         }
@@ -266,7 +266,7 @@
     }
 
     pub(super) fn on_move_now(&mut self, term: u64) {
-        if term == self.hard.term && self.drole == Role::Leader && !self.disk_stuck() {
+        if term == self.hard.term && self.role != Role::Leader && self.may_lead() {
             self.stand_global();
             self.check_polls();
         }
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -172,6 +172,8 @@
     pub(super) lat: BTreeMap<(RegionId, RegionId), Millis>,
     pub(super) judge_at: Millis,
     pub(super) moving: Option<(NodeId, Millis)>,
+    /// This node has been told to stop.
+    pub(super) stopping: bool,
     pub(super) seq: u64,
     pub(super) saved: u64,
     pub(super) unsaved: VecDeque<(u64, Millis, u64)>,
@@ -242,6 +244,7 @@
             lat: BTreeMap::new(),
             judge_at: 0,
             moving: None,
+            stopping: false,
             seq: 0,
             saved: 0,
             unsaved: VecDeque::new(),
@@ -289,12 +292,14 @@
         self.now = self.now.max(now);
         match ev {
             Event::Alarm => self.alarm(),
+            Event::Stop => self.on_stop(),
             Event::Heard { from, msg } => self.heard(from, msg),
             Event::Saved { seq } => self.on_saved(seq),
             Event::Gone { id } => self.on_gone(id),
             Event::SaveFailed => self.on_save_failed(),
             Event::SaveRecovered => self.on_save_recovered(),
             Event::Propose { pid, body } => self.ask(pid, body),
+            Event::Reconfigure(next) => self.reconfigure(&next),
             Event::Read { rid } => self.look(rid),
         }
         std::mem::take(&mut self.out)
--- a/sorreldoor/src/consensus/reads.rs
+++ b/sorreldoor/src/consensus/reads.rs
@@ -63,11 +63,13 @@
         if self.moving.is_some() || self.inflight.contains_key(&pid) || !room {
             return;
         }
-        if let Body::Members(ms) = &body {
-            if !self.may_change(ms) {
-                return;
-            }
-        }
+        let body = match body {
+            Body::Members(next) => match self.dropped_member(&next) {
+                Some(ms) => Body::Members(ms),
+                None => return,
+            },
+            other => other,
+        };
         if let Some(r) = quorum::region_of(self.log.members(), origin) {
             self.load.entry(r).or_default().writes += 1;
         }
@@ -80,16 +82,6 @@
         });
     }
 
-    /// One change at a time, one voter at most, and only once this term's
-    /// first entry is committed.
-    fn may_change(&self, new: &[Member]) -> bool {
-        let settled = self.log.conf_idx() <= self.commit
-            && self.log.term_at(self.commit) == Some(self.hard.term);
-        let was: std::collections::BTreeSet<NodeId> = self.voters().into_iter().collect();
-        let will: std::collections::BTreeSet<NodeId> = quorum::voters(new).map(|m| m.id).collect();
-        settled && !will.is_empty() && was.symmetric_difference(&will).count() <= 1
-    }
-
     pub(super) fn look(&mut self, rid: u64) {
         if self.failed || self.looks.len() >= self.timing.most_pending {
             self.out.push(Effect::ReadReady { rid, ok: false });
@@ -152,11 +144,10 @@
 
     /// Let go the reads whose round a majority of all cores has echoed.
     pub(super) fn prove_reads(&mut self) {
-        let vs = self.voters();
+        let quorum = self.quorum();
         while let Some(p) = self.proofs.front().cloned() {
-            let proved = quorum::most(&vs, |i| {
-                i == self.me || self.rows.get(&i).is_some_and(|r| r.round >= p.round)
-            });
+            let proved = quorum
+                .reached(|i| i == self.me || self.rows.get(&i).is_some_and(|r| r.round >= p.round));
             if !proved {
                 break;
             }
--- a/sorreldoor/src/consensus/replicate.rs
+++ b/sorreldoor/src/consensus/replicate.rs
@@ -123,10 +123,9 @@
     pub(super) fn lead_alarm(&mut self) {
         // by then the others may have elected another
         let live = self.now.saturating_sub(self.timing.elect);
-        let vs = self.voters();
-        let heard = quorum::most(&vs, |i| {
-            i == self.me || self.rows.get(&i).is_some_and(|r| r.seen >= live)
-        });
+        let heard = self
+            .quorum()
+            .reached(|i| i == self.me || self.rows.get(&i).is_some_and(|r| r.seen >= live));
         if !heard && !broken(Rule::StepDown) {
             self.step_down("no majority of cores heard");
             return;
@@ -142,7 +141,10 @@
         self.watch_regions();
         self.pump();
         self.pay_owed();
-        self.judge();
+        self.end_joint();
+        if self.role == Role::Leader {
+            self.judge();
+        }
     }
 
     /// Whose log it is that this node passes on, and the round of heartbeats.
--- a/sorreldoor/src/consensus/state.rs
+++ b/sorreldoor/src/consensus/state.rs
@@ -62,6 +62,11 @@
             .then(|| self.rows.get(&id).map(|r| self.now.saturating_sub(r.seen)))
             .flatten()
     }
+    /// Whether the newest members are committed, and no change is under way.
+    pub fn members_settled(&self) -> bool {
+        let committed = self.log.conf_idx() <= self.commit;
+        committed && !quorum::is_joint(self.log.members())
+    }
     pub fn caught_up(&self, id: NodeId) -> bool {
         self.rows
             .get(&id)
@@ -98,6 +103,15 @@
         quorum::voters(self.log.members()).map(|m| m.id).collect()
     }
 
+    /// Who must agree to a commit, an election or a proof of leading.
+    pub(super) fn quorum(&self) -> quorum::Quorum {
+        let q = quorum::Quorum::of(self.log.members());
+        if self.timing.broken == Broken::NewSetOnly {
+            return q.newest_only();
+        }
+        q
+    }
+
     pub(super) fn region_voters(&self, r: RegionId) -> Vec<NodeId> {
         quorum::in_region(self.log.members(), r)
     }
--- a/sorreldoor/src/consensus/tally.rs
+++ b/sorreldoor/src/consensus/tally.rs
@@ -8,8 +8,7 @@
     /// The election bounds: N-1 Domain Leaders taking part, a log as new as
     /// N-2 others, and a majority of all cores. Only the last is never waived.
     fn elected(&self) -> bool {
-        let vs = self.voters();
-        if !quorum::most(&vs, |i| self.poll.yes.contains(&i)) {
+        if !self.quorum().reached(|i| self.poll.yes.contains(&i)) {
             return false;
         }
         let n = quorum::regions(self.log.members()).len();
--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -25,7 +25,16 @@
     pub region: RegionId,
     pub zone: u16,
     pub addr: String,
+    /// It votes in the newest set of voters.
     pub voter: bool,
+    /// It voted in the set that a change under way replaces. Only a joint
+    /// configuration has such members.
+    #[serde(default, skip_serializing_if = "is_false")]
+    pub outgoing: bool,
+}
+
+fn is_false(flag: &bool) -> bool {
+    !*flag
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -221,6 +230,9 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
+    /// This node is to stop: it stands in no election any more, and hands
+    /// its leadership over.
+    Stop,
     Alarm,
     Heard {
         from: NodeId,
@@ -241,6 +253,8 @@
         pid: ProposalId,
         body: Body,
     },
+    /// Change the members to these, if this node leads and none is under way.
+    Reconfigure(Vec<Member>),
     Read {
         rid: u64,
     },
@@ -349,6 +363,8 @@
     InstallKeepsLog,
     /// Keep no entries behind a new snapshot for those who receive the last.
     CompactAll,
+    /// During a change of voters, ask only the new set.
+    NewSetOnly,
 }
 
 impl Timing {
--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -3,6 +3,7 @@
 use super::duty::Duty;
 use super::events::{ControllerEffect, ControllerEvent, OpFrom, Want};
 use super::lines::Line;
+use super::membership::{Membership, LOOK_MS};
 use super::reads::Reads;
 use super::worker_list::WorkerList;
 use crate::consensus::*;
@@ -22,13 +23,13 @@
     pub me: Hello,
     pub site: Arc<Site>,
     pub(super) cores: usize,
-    pub(super) replace_ms: Millis,
+    pub(super) membership: Membership,
+    /// When the leader looks at the members again.
+    pub(super) members_at: Millis,
     pub(super) bootstrap: bool,
     pub(super) grow: bool,
     /// The addresses that found the site, where it grows.
     pub(super) founders: BTreeSet<SocketAddr>,
-    /// Non-voters, and since when this core has seen them wait.
-    pub(super) waiting: BTreeMap<NodeId, Millis>,
     /// Where a founded core said that the members are.
     pub(super) known: BTreeSet<SocketAddr>,
     pub(super) pacing: Pacing,
@@ -94,7 +95,7 @@
             ControllerEvent::Find { rid, pid } => self.want(Want::Find(OpFrom::Http(rid), pid)),
             ControllerEvent::WorkerRegistry(r) => self.on_registry(r),
             ControllerEvent::Loads { epoch, rows } => self.on_loads(epoch, rows),
-            ControllerEvent::Stop => self.leaving = true,
+            ControllerEvent::Stop => self.stop(),
         }
         self.start_read();
         std::mem::take(&mut self.out)
@@ -115,6 +116,10 @@
 
     fn alarm(&mut self) {
         self.agreed(Event::Alarm);
+        if self.now >= self.members_at {
+            self.members_at = self.now + LOOK_MS;
+            self.members_alarm();
+        }
         self.reads_alarm();
         if self.now >= self.slow_at {
             self.slow_at = self.now + 250;
@@ -133,7 +138,6 @@
             let live = self.live_cores(1500);
             self.ask_founded(&live);
         } else {
-            self.members_alarm();
             self.duty_alarm();
         }
         self.first_list();
@@ -244,6 +248,9 @@
             self.seat(conn, h.clone());
         }
         let core = h.core;
+        if core {
+            self.membership.on_hello(&h);
+        }
         if let Some(l) = self.lines.get_mut(&conn) {
             l.hello = Some(h);
         }
--- a/sorreldoor/src/core/events.rs
+++ b/sorreldoor/src/core/events.rs
@@ -1,5 +1,6 @@
 //! What goes into the controller's reducer, and what comes out.
 
+use super::membership::Policy;
 use crate::consensus::*;
 use crate::events::Ev;
 use crate::net::{Conn, NetEvent};
@@ -93,7 +94,8 @@
     pub site: Arc<Site>,
     pub seeds: Vec<SocketAddr>,
     pub cores: usize,
-    pub replace_ms: Millis,
+    /// How many voters there should be, and how they are spread.
+    pub members: Policy,
     pub timing: Timing,
     pub seed: u64,
     pub promise: Option<Vec<Member>>,
@@ -103,7 +105,7 @@
     pub most_claims: usize,
     /// Without it a blank core joins a site and never founds one.
     pub bootstrap: bool,
-    /// The seeds found the site, and every further core becomes a voter.
+    /// The seeds found the site; further cores join it.
     pub grow: bool,
     pub pacing: Pacing,
     /// The holder of the duty alone reads the list of workers, this often,
--- a/sorreldoor/src/core/founding.rs
+++ b/sorreldoor/src/core/founding.rs
@@ -1,7 +1,8 @@
-//! Founding a site, joining one, and replacing a core that is gone.
+//! Founding a site, and finding the members of one that is founded.
 
 use super::controller::Controller;
-use super::events::{ControllerEffect, OpFrom};
+use super::events::ControllerEffect;
+use super::membership::learner;
 use crate::consensus::*;
 use crate::events::Ev;
 use crate::net::Conn;
@@ -12,16 +13,12 @@
 
 /// Between questions to founded cores.
 const ASK_MS: Millis = 250;
-/// A site that grows gives up a core silent for so many times `replace_ms`.
-const LONG: Millis = 10;
 
-fn member_of(h: &Hello, voter: bool) -> Member {
+fn founding_voter(hello: &Hello) -> Member {
+    let voter = true;
     Member {
-        id: h.id,
-        region: h.region,
-        zone: h.zone,
-        addr: h.addr.clone(),
         voter,
+        ..learner(hello)
     }
 }
 
@@ -110,7 +107,7 @@
         // a core that is no seed waits until the seeds have founded
         let mine = set.iter().any(|h| h.id == self.me.id);
         let ready = self.promise.is_none() && mine && set.len() == wanted;
-        ready.then(|| set.into_iter().map(|h| member_of(h, true)).collect())
+        ready.then(|| set.into_iter().map(founding_voter).collect())
     }
 
     fn founder(&self, h: &Hello) -> bool {
@@ -181,172 +178,6 @@
         }
     }
 
-    /// Take in blank cores, and give a lost core's seat to its replacement.
-    pub(super) fn members_alarm(&mut self) {
-        let Some(a) = &self.consensus else { return };
-        if !a.leads_globally() || self.duty_pid.is_some() {
-            return;
-        }
-        let ms = a.members().to_vec();
-        self.note_waiting(&ms);
-        let live = self.freshest();
-        let next = joiner(&ms, &live, self.grow)
-            .or_else(|| self.usurped(&ms, &live))
-            .or_else(|| self.promoted(&ms))
-            .or_else(|| self.removed(&ms));
-        if let Some((ms, why)) = next {
-            self.say(Ev::Replacing, why);
-            self.propose_members(ms);
-        }
-    }
-
-    /// Since when each non-voter has been seen waiting.
-    fn note_waiting(&mut self, ms: &[Member]) {
-        let waits = |id: &NodeId| ms.iter().any(|m| m.id == *id && !m.voter);
-        self.waiting.retain(|id, _| waits(id));
-        for m in ms.iter().filter(|m| !m.voter) {
-            self.waiting.entry(m.id).or_insert(self.now);
-        }
-    }
-
-    /// Live cores, one for each address: the one heard last. What an earlier
-    /// process there said is still on its line for a while.
-    fn freshest(&self) -> Vec<Hello> {
-        let since = self.now.saturating_sub(1500);
-        let heard = self.lines.values().filter(|l| l.heard >= since);
-        let mut by: BTreeMap<&str, (Millis, &Hello)> = BTreeMap::new();
-        for l in heard {
-            let Some(h) = l.hello.as_ref().filter(|h| h.core) else {
-                continue;
-            };
-            let at = by.entry(&h.addr).or_insert((l.heard, h));
-            if l.heard > at.0 {
-                *at = (l.heard, h);
-            }
-        }
-        by.into_values().map(|(_, h)| h.clone()).collect()
-    }
-
-    /// At a member's address another identity answers: the member's disk is
-    /// gone for certain. Its seat is given over once the newcomer has caught
-    /// up, without waiting; one that had no seat is just dropped.
-    fn usurped(&self, ms: &[Member], live: &[Hello]) -> Option<(Vec<Member>, String)> {
-        let a = self.consensus.as_ref()?;
-        let ready = |h: &Hello| ms.iter().any(|m| m.id == h.id) && a.caught_up(h.id);
-        let by = |m: &Member| {
-            let here = |h: &&Hello| h.addr == m.addr && h.id != m.id;
-            live.iter().find(here).filter(|h| !m.voter || ready(h))
-        };
-        let (old, new) = ms
-            .iter()
-            .filter(|m| m.id != self.me.id)
-            .find_map(|m| by(m).map(|h| (m, h)))?;
-        // first out, then in: what is left needs no word from the dead,
-        // and holds all that was ever agreed with it
-        let out = ms.iter().filter(|m| m.id != old.id).cloned().collect();
-        let why = format!("{:x} came back blank as {:x}", old.id, new.id);
-        Some((out, why))
-    }
-
-    fn propose_members(&mut self, ms: Vec<Member>) {
-        let pid = self.own_pid();
-        self.duty_pid = Some(pid);
-        let body = Body::Members(ms);
-        self.agreed(Event::Propose { pid, body });
-    }
-
-    fn silent(&self, m: &Member, ms: Millis) -> bool {
-        let silent = self.consensus.as_ref().and_then(|a| a.silent_for(m.id));
-        m.voter && m.id != self.me.id && silent.is_some_and(|s| s >= ms)
-    }
-
-    fn gone(&self, m: &Member) -> bool {
-        self.silent(m, self.replace_ms)
-    }
-
-    /// A caught-up non-voter gets a free seat, or the seat of a lost core of
-    /// its zone. A site that grows has a seat for everyone.
-    fn promoted(&self, ms: &[Member]) -> Option<(Vec<Member>, String)> {
-        let a = self.consensus.as_ref()?;
-        let voters = ms.iter().filter(|m| m.voter).count();
-        let fits = |l: &Member| {
-            let near = |m: &&Member| m.zone == l.zone;
-            let lost = ms.iter().filter(near).any(|m| self.gone(m));
-            // one that is silent may be just what the newcomer replaces,
-            // and its seat is then not needed beside the newcomer's
-            let quiet = ms
-                .iter()
-                .filter(near)
-                .any(|m| self.silent(m, self.timing.dead));
-            // and one that died as the newcomer came is not silent yet
-            let since = self.waiting.get(&l.id).copied().unwrap_or(self.now);
-            let seen = self.now.saturating_sub(since) >= self.timing.dead * 2;
-            let free = if self.grow {
-                !quiet && seen
-            } else {
-                voters < self.cores || lost
-            };
-            a.caught_up(l.id) && free
-        };
-        let l = ms.iter().find(|m| !m.voter && fits(m))?;
-        let mut out = ms.to_vec();
-        out.iter_mut()
-            .filter(|m| m.id == l.id)
-            .for_each(|m| m.voter = true);
-        Some((out, format!("{:x} becomes a voter", l.id)))
-    }
-
-    /// A lost core goes once there are more voters than the site should have;
-    /// where the site grows, once another of its zone waits for its seat.
-    fn removed(&self, ms: &[Member]) -> Option<(Vec<Member>, String)> {
-        let voters = ms.iter().filter(|m| m.voter).count();
-        let spare = |m: &Member| {
-            if !self.grow {
-                return voters > self.cores && self.gone(m);
-            }
-            let a = self.consensus.as_ref();
-            let waits = |l: &Member| !l.voter && l.zone == m.zone;
-            let heir = ms.iter().filter(|l| waits(l));
-            let heir = heir
-                .map(|l| l.id)
-                .any(|l| a.is_some_and(|a| a.caught_up(l)));
-            // one that is gone for long only makes majorities harder to
-            // reach; it joins again if it does come back
-            let long = voters > self.cores && self.silent(m, self.replace_ms * LONG);
-            (heir && self.gone(m)) || long
-        };
-        let lost = ms
-            .iter()
-            .find(|m| spare(m))
-            .or_else(|| ms.iter().find(|m| !m.voter && self.lost_learner(m)))?;
-        let out = ms.iter().filter(|m| m.id != lost.id).cloned().collect();
-        Some((out, format!("{:x} is removed", lost.id)))
-    }
-
-    fn lost_learner(&self, m: &Member) -> bool {
-        let silent = self.consensus.as_ref().and_then(|a| a.silent_for(m.id));
-        silent.is_some_and(|s| s >= self.replace_ms)
-    }
-
-    /// An operator gives up a core by name, without waiting.
-    pub(super) fn reform(&mut self, rid: u64, pid: ProposalId, drop: NodeId) {
-        let ms: Vec<Member> = self.consensus.as_ref().map_or(Vec::new(), |a| {
-            a.members()
-                .iter()
-                .filter(|m| m.id != drop)
-                .cloned()
-                .collect()
-        });
-        if ms.is_empty() || drop == self.me.id {
-            self.out
-                .push(ControllerEffect::Done(rid, OpOutcome::NotTaken));
-            return;
-        }
-        self.ops.entry(pid).or_default().push(OpFrom::Http(rid));
-        let body = Body::Members(ms);
-        self.agreed(Event::Propose { pid, body });
-    }
-
     pub(super) fn own_pid(&mut self) -> ProposalId {
         self.next_rid += 1;
         (ProposalId::from(self.me.id) << 64)
@@ -355,19 +186,6 @@
     }
 }
 
-/// A core that is no member yet becomes a non-voter: a blank one, or one that
-/// was given up and has come back.
-fn joiner(ms: &[Member], live: &[Hello], grow: bool) -> Option<(Vec<Member>, String)> {
-    let new = |h: &&Hello| ms.iter().all(|m| m.id != h.id);
-    let h = live.iter().find(new)?;
-    // an old address must not lead to two members
-    let taken = ms.iter().any(|m| m.addr == h.addr && m.voter);
-    let mut out = ms.to_vec();
-    out.push(member_of(h, false));
-    let room = ms.len() < 16 || (!taken && !grow);
-    Some((out, format!("{} joins as a non-voter", h.node))).filter(|_| room)
-}
-
 fn names(set: &[Member]) -> String {
     let v: Vec<String> = set.iter().map(|m| format!("{:x}", m.id)).collect();
     v.join(" ")
--- a/sorreldoor/src/core/mod.rs
+++ b/sorreldoor/src/core/mod.rs
@@ -11,6 +11,7 @@
 mod front;
 mod learn;
 mod lines;
+pub mod membership;
 mod reads;
 mod regions;
 mod run;
--- a/sorreldoor/src/core/start.rs
+++ b/sorreldoor/src/core/start.rs
@@ -3,6 +3,7 @@
 use super::controller::Controller;
 use super::duty::Duty;
 use super::events::Start;
+use super::membership::Membership;
 use super::reads::Reads;
 use super::worker_list::WorkerList;
 use crate::consensus::{Consensus, Kept, Machine, Millis};
@@ -17,11 +18,11 @@
             me: s.me,
             site: s.site,
             cores: s.cores,
-            replace_ms: s.replace_ms,
+            membership: Membership::new(s.members),
+            members_at: now,
             bootstrap: s.bootstrap,
             grow: s.grow,
             founders: s.seeds.iter().copied().filter(|_| s.grow).collect(),
-            waiting: BTreeMap::new(),
             known: BTreeSet::new(),
             pacing: s.pacing,
             timing: s.timing,
--- a/sorreldoor/src/core/status.rs
+++ b/sorreldoor/src/core/status.rs
@@ -26,7 +26,7 @@
         let _ = v.insert("leaving", self.leaving);
         let _ = v.insert("quorum", self.reads.quorum);
         let _ = v.insert("wall_ms", self.wall);
-        let _ = v.insert("cores_wanted", self.cores);
+        let _ = v.insert("voters_wanted", self.membership.policy.voters);
         if let Some(a) = &self.consensus {
             let r = a.machine();
             let _ = v.insert("leads", a.leads_globally());
@@ -61,6 +61,10 @@
                 })
                 .collect();
             let _ = v.insert("cores", ms);
+            let voters = a.members().iter().filter(|m| m.voter).count();
+            let _ = v.insert("voters", voters);
+            let differ = self.membership.shortfall(a.members());
+            let _ = v.insert("voters_differ", differ.map(|why| why.to_string()));
             let _ = v.insert("serial", r.serial());
             let _ = v.insert("rev", r.rev());
             let _ = v.insert("epoch", r.epoch());
--- a/sorreldoor/src/doctor/checks.rs
+++ b/sorreldoor/src/doctor/checks.rs
@@ -1,6 +1,7 @@
 //! What is looked for, in what was seen: pure, and a closed list.
 
 use super::look::{Seed, Seen};
+use super::members::members;
 use crate::json::Val;
 use simd_json::prelude::*;
 
@@ -188,6 +189,12 @@
         "a core has no say on claims yet",
         "wait until it has read the other cores; if it lasts, look at their ways",
     ),
+    (
+        27,
+        Warn,
+        "the voters are not what is wanted",
+        "wait some seconds; if it lasts, bring back cores, or start a blank one",
+    ),
 ];
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -270,19 +277,19 @@
     }
 }
 
-fn flag(v: &Val, k: &str) -> Option<bool> {
+pub(super) fn flag(v: &Val, k: &str) -> Option<bool> {
     v.get(k).and_then(|x| x.as_bool())
 }
 
-fn num(v: &Val, k: &str) -> u64 {
+pub(super) fn num(v: &Val, k: &str) -> u64 {
     v.get(k).and_then(|x| x.as_u64()).unwrap_or(0)
 }
 
-fn word(v: &Val, k: &str) -> String {
+pub(super) fn word(v: &Val, k: &str) -> String {
     v.get(k).and_then(|x| x.as_str()).unwrap_or("?").to_string()
 }
 
-fn rows<'v>(v: &'v Val, k: &str) -> &'v [Val] {
+pub(super) fn rows<'v>(v: &'v Val, k: &str) -> &'v [Val] {
     v.get(k).and_then(|x| x.as_array()).map_or(&[], |a| &a[..])
 }
 
@@ -306,24 +313,7 @@
     for r in rows(v, "regions_down") {
         out.push(Finding::new(12, r.as_str().unwrap_or("?")));
     }
-    let cores = rows(v, "cores");
-    for c in cores.iter().filter(|c| flag(c, "live") == Some(false)) {
-        let about = format!(
-            "{} in {} at {}",
-            word(c, "id"),
-            word(c, "zone"),
-            word(c, "addr")
-        );
-        out.push(Finding::new(13, about));
-    }
-    let voters = cores
-        .iter()
-        .filter(|c| flag(c, "voter") == Some(true))
-        .count() as u64;
-    let want = num(v, "cores_wanted");
-    if voters < want {
-        out.push(Finding::new(14, format!("{voters} of {want}")));
-    }
+    members(v, out);
     let serial = num(v, "serial");
     if serial == 0 {
         out.push(Finding::new(15, "serial 0"));
--- a/sorreldoor/src/doctor/mod.rs
+++ b/sorreldoor/src/doctor/mod.rs
@@ -3,6 +3,7 @@
 
 mod checks;
 mod look;
+mod members;
 
 pub use checks::{check, Finding, Severity, ALL};
 pub use look::{look, Disk, Seed, Seen};
--- a/sorreldoor/src/edge/run.rs
+++ b/sorreldoor/src/edge/run.rs
@@ -102,6 +102,7 @@
         http: set.http.to_string(),
         founded: false,
         boot: crate::order_id::random_id(),
+        ..Hello::default()
     };
     let plan = Plan::new(set.names.clone(), set.node.clone(), set.zone, set.region);
     let pull = Pull::new(&set.seeds, set.permit_ms, 0, clock.now().wall)
--- a/sorreldoor/src/events.rs
+++ b/sorreldoor/src/events.rs
@@ -38,7 +38,7 @@
     RegionUp 214 Info "region available again";
     Moving 215 Info "handing the global leadership over";
     Members 216 Info "core members changed";
-    Replacing 217 Warn "replacing a core that has been gone too long";
+    Replacing 217 Warn "a change of the members begins";
     DiskFailed 220 Error "disk cannot be written or synced; this core stands aside until it can";
     DiskSlow 221 Warn "a save took long";
     DiskCorrupt 222 Error "data folder is damaged; its state is given up and this core joins anew";
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -74,6 +74,7 @@
         http: set.http.to_string(),
         founded: false,
         boot: crate::order_id::random_id(),
+        ..Hello::default()
     };
     let place = Place {
         node: set.node.clone(),
--- a/sorreldoor/src/settings.rs
+++ b/sorreldoor/src/settings.rs
@@ -1,5 +1,6 @@
 //! A process's own settings: one JSON file, flags over it, checked whole.
 
+use crate::core::membership::Policy;
 use crate::json::{self, Faults, Obj, Val};
 use crate::pacing::{self, Pacing};
 use crate::setup::Site;
@@ -33,8 +34,14 @@
     pub most_claims: usize,
     /// A blank core may found a site with the others; else it only joins one.
     pub bootstrap: bool,
-    /// The site is founded by its seeds, and further cores become voters too.
+    /// The site is founded by its seeds, and further cores join it.
     pub grow: bool,
+    /// Cores that may be lost at once; none: as many as `cores` bear.
+    pub tolerate_nodes: Option<usize>,
+    /// Zones that may be lost at once.
+    pub tolerate_zones: usize,
+    /// This core may vote; else it only holds a copy.
+    pub voting: bool,
     pub pacing: Pacing,
 }
 
@@ -65,6 +72,9 @@
     "most_claims",
     "bootstrap",
     "grow",
+    "tolerate_nodes",
+    "tolerate_zones",
+    "voting",
 ];
 
 /// Values given as flags; each replaces the file's.
@@ -97,6 +107,20 @@
         self.reach.get(&a).copied().unwrap_or(a)
     }
 
+    /// How many voters there should be, and how they are spread.
+    pub fn members(&self) -> Policy {
+        let (zones, silent_ms) = (self.tolerate_zones, self.replace_ms);
+        let Some(nodes) = self.tolerate_nodes else {
+            let voters = self.cores;
+            return Policy {
+                voters,
+                zones,
+                silent_ms,
+            };
+        };
+        Policy::tolerating(nodes, zones, silent_ms)
+    }
+
     /// Equal on all nodes of one site, or they must not talk.
     pub fn site_mark(&self) -> String {
         let zones: Vec<String> = self
@@ -168,6 +192,9 @@
         most_connections: o.num("most_connections", 1, 65_536, f).unwrap_or(2048) as usize,
         bootstrap: o.flag("bootstrap", f).unwrap_or(true),
         grow,
+        tolerate_nodes: o.num("tolerate_nodes", 0, 4, f).map(|n| n as usize),
+        tolerate_zones: o.num("tolerate_zones", 0, 1, f).unwrap_or(1) as usize,
+        voting: o.flag("voting", f).unwrap_or(true),
         pacing: Pacing::read(&o, f),
     })
 }
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -26,6 +26,12 @@
     pub founded: bool,
     /// Differs at every start of the process.
     pub boot: u64,
+    /// For cores: its process has been told to stop.
+    #[serde(default, skip_serializing_if = "zero")]
+    pub stopping: bool,
+    /// For cores: it never votes.
+    #[serde(default, skip_serializing_if = "zero")]
+    pub learner_only: bool,
 }
 
 /// A node as its session shows it to others.
