--- a/rig/tests/site/freshness.rs
+++ b/rig/tests/site/freshness.rs
@@ -1,6 +1,9 @@
 //! How soon each edge goes by what was acknowledged, while a core is cut off
 //! from the other cores: every shape of cut, over several layouts of cores.
 
+mod starts;
+mod watch;
+
 use super::*;
 use rig::site::Cut;
 use sorreldoor::consensus::{Millis, ProposalId};
@@ -12,6 +15,7 @@
 use sorreldoor::rules::{break_only, Rule};
 use sorreldoor::wire::OpOutcome;
 use std::time::Duration;
+use watch::{top, Watch};
 
 /// Within so long of an acknowledgement every edge goes by it.
 const APPLY_MS: Millis = 3000;
@@ -24,9 +28,6 @@
 /// may be held.
 const READ_EVERY_MS: Millis = 200;
 const READ_MS: Millis = 900;
-/// The longest that a record which is not proved current may be served where
-/// another core can be asked.
-const UNVERIFIED_MS: Millis = 1000;
 /// Between orders.
 const EVERY_MS: Millis = 700;
 const CUT_MS: Millis = 20_000;
@@ -102,164 +103,6 @@
     w
 }
 
-/// An order as its operator sees it: sent again elsewhere until it is taken.
-struct Order {
-    sent: Millis,
-    base: u64,
-    /// Two that race, as proposals.
-    rivals: [ProposalId; 2],
-    tries: u64,
-    acked: Option<(Millis, u64)>,
-}
-
-/// Orders one after the other, and how late anything came.
-#[derive(Default)]
-struct Watch {
-    orders: Vec<Order>,
-    /// The longest that an edge went by something older than was acknowledged.
-    stale: Millis,
-    stale_at: String,
-    ack: Millis,
-    /// Reads under way: number, core, when asked, and the newest version that
-    /// was acknowledged by then.
-    reads: Vec<(u64, usize, Millis, u64)>,
-    /// The longest that a read took, and what was shown as current and was not.
-    read: Millis,
-    wrong: Vec<String>,
-}
-
-/// An operator gives an order to a core, at first or again.
-fn send(w: &mut World, core: usize, base: u64, pid: ProposalId) {
-    let (zone, emptied) = (0, false);
-    let cmd = Cmd::Zone {
-        base,
-        zone,
-        emptied,
-    };
-    let rid = w.number();
-    w.hub_step(core, ControllerEvent::Change { rid, pid, cmd });
-}
-
-/// When a core acknowledged one of the proposals.
-fn taken(w: &World, pids: &[ProposalId]) -> Option<Millis> {
-    let names = pids
-        .iter()
-        .map(|p| sorreldoor::order_id::format_proposal_id(*p));
-    let names: Vec<String> = names.collect();
-    let said = w.says.iter().filter(|(_, _, ev, _)| *ev == Ev::ChangeTaken);
-    let of = |text: &str| names.iter().any(|n| text.starts_with(n.as_str()));
-    said.filter(|(.., text)| of(text)).map(|(at, ..)| *at).min()
-}
-
-fn top(w: &World) -> u64 {
-    let serials = w.cores().into_iter().filter_map(|c| w.serial_at(c));
-    serials.max().unwrap_or(0)
-}
-
-impl Watch {
-    /// Two operators give orders on the same version, and go on to other cores
-    /// until one has been taken.
-    fn run(&mut self, w: &mut World, ms: Millis) {
-        let end = w.now + ms;
-        let mut next = w.now;
-        while w.now < end {
-            let open = self.orders.last().is_some_and(|o| o.acked.is_none());
-            if w.now >= next && !open {
-                next = w.now + EVERY_MS;
-                let acked = self.orders.iter().filter_map(|o| o.acked);
-                // a core that applied it may be down by now
-                let base = acked.map(|(_, serial)| serial).max().max(Some(top(w)));
-                let base = base.unwrap_or(0);
-                let rivals = [w.number(), w.number()].map(|n| u128::from(n) + (1 << 90));
-                self.orders.push(Order {
-                    sent: w.now,
-                    base,
-                    rivals,
-                    tries: 0,
-                    acked: None,
-                });
-            }
-            self.press(w);
-            self.read_all(w);
-            w.run_for(20);
-            self.look(w);
-            self.look_at_reads(w);
-        }
-    }
-
-    /// Send the newest orders, to other cores after a silence.
-    fn press(&mut self, w: &mut World) {
-        let Some(o) = self.orders.last_mut().filter(|o| o.acked.is_none()) else {
-            return;
-        };
-        if w.now < o.sent + o.tries * SILENCE_MS {
-            return;
-        }
-        let cores: Vec<usize> = w.cores().into_iter().filter(|c| w.procs[*c].up).collect();
-        for (k, pid) in o.rivals.into_iter().enumerate() {
-            let turn = (o.base + o.tries) as usize + k;
-            send(w, cores[turn % cores.len()], o.base, pid);
-        }
-        o.tries += 1;
-    }
-
-    /// Ask every core for the configuration, as operators do.
-    fn read_all(&mut self, w: &mut World) {
-        if w.now % READ_EVERY_MS >= 20 {
-            return;
-        }
-        let acked = self.orders.iter().filter_map(|o| o.acked);
-        let newest = acked.map(|(_, serial)| serial).max().unwrap_or(0);
-        for core in w.cores() {
-            let rid = w.number();
-            self.reads.push((rid, core, w.now, newest));
-            w.hub_step(core, ControllerEvent::View { rid });
-        }
-    }
-
-    fn look_at_reads(&mut self, w: &World) {
-        let answered = |rid: &u64| w.reads.get(rid).copied();
-        for (rid, core, asked, newest) in &self.reads {
-            let Some(read) = answered(rid) else { continue };
-            self.read = self.read.max(read.at - asked);
-            if read.ok && read.serial < *newest {
-                let name = &w.procs[*core].name;
-                let (serial, at) = (read.serial, read.at);
-                self.wrong
-                    .push(format!("{name} showed {serial} for {newest} at {at}"));
-            }
-        }
-        self.reads.retain(|(rid, ..)| answered(rid).is_none());
-    }
-
-    fn look(&mut self, w: &World) {
-        if let Some(o) = self.orders.last_mut() {
-            if o.acked.is_none() {
-                if let Some(at) = taken(w, &o.rivals) {
-                    o.acked = Some((at, o.base + 1));
-                } else if w.now > o.sent + GIVEN_UP_MS {
-                    o.acked = Some((w.now, 0));
-                }
-                if let Some((t, _)) = o.acked {
-                    self.ack = self.ack.max(t - o.sent);
-                }
-            }
-        }
-        for e in w.edges() {
-            let serial = w.serial_at(e).unwrap_or(0);
-            let acked = self.orders.iter().filter_map(|o| o.acked);
-            let Some((since, s)) = acked.filter(|(_, s)| *s > serial).min() else {
-                continue;
-            };
-            let late = w.now - since;
-            if late > self.stale {
-                self.stale = late;
-                self.stale_at = format!("{} lacks {s} at {}", w.procs[e].name, w.now);
-            }
-        }
-    }
-}
-
 fn layout(n: u64) -> (&'static str, rig::fleet::Shape, usize) {
     match n {
         0 => ("one region", one_region(), 0),
@@ -384,53 +227,3 @@
         sound(&w, seed);
     }
 }
-
-/// The longest that edges which start while a core is cut off serve by
-/// something older than was acknowledged before they started.
-fn old_after_start(seed: u64, cut: Cut) -> Millis {
-    let mut w = site(seed, press(), 0);
-    let cut_off = w.leader().expect("led");
-    w.cut_off(cut_off, cut);
-    w.run_for(3000);
-    let mut watch = Watch::default();
-    watch.run(&mut w, 1500);
-    let acked = watch.orders.iter().filter_map(|o| o.acked);
-    let newest = acked.map(|(_, serial)| serial).max().expect("an order");
-    w.run_for(1000);
-    for e in w.edges() {
-        w.crash(e);
-        w.start(e);
-    }
-    let mut old = 0;
-    for _ in 0..200 {
-        w.run_for(20);
-        let serves_old = |e: &usize| {
-            let ready = w.edge_controller(*e).is_some_and(|h| h.ready().is_ok());
-            ready && w.serial_at(*e) < Some(newest)
-        };
-        old += 20 * u64::from(w.edges().iter().any(serves_old));
-    }
-    let fresh = |e: &usize| w.serial_at(*e) >= Some(newest);
-    assert!(w.edges().iter().all(fresh), "seed {seed}: all are fresh");
-    old
-}
-
-/// An edge that starts takes no old record from a core behind a cut, or, where
-/// that core has started too, only until another has been asked.
-#[test]
-fn an_edge_that_starts_goes_by_no_old_record_for_long() {
-    let most = |cut: Cut| seeds(9200..9206).map(|s| old_after_start(s, cut)).max();
-    for cut in [Cut::Silent, Cut::Mute, Cut::Deaf, Cut::Reset] {
-        let old = most(cut);
-        println!("{cut:?}: old for {old:?} ms");
-        assert_eq!(old, Some(0));
-    }
-    let restarted = most(Cut::Restarted);
-    println!("Restarted: old for {restarted:?} ms");
-    assert!(restarted <= Some(UNVERIFIED_MS));
-    break_only(Some(Rule::Unverified));
-    let broken = most(Cut::Silent);
-    break_only(None);
-    println!("any record: old for {broken:?} ms");
-    assert!(broken > Some(0));
-}
