--- a/rig/src/sim/mod.rs
+++ b/rig/src/sim/mod.rs
@@ -5,6 +5,7 @@
 mod check;
 mod core;
 mod faults;
+mod queries;
 mod uplink;
 
 pub use askers::{Act, Done, Op};
@@ -352,40 +353,6 @@
             },
         );
     }
-
-    /// Run until some core leads and has committed in its term.
-    pub fn settle(&mut self) -> usize {
-        let end = self.now + 5000;
-        self.run_until(end, |s| s.leader().is_some());
-        self.run_for(500);
-        self.leader().expect("a healthy core elects a leader")
-    }
-
-    /// Ask for a change at `at` and wait; how long it took, if it was taken.
-    pub fn timed(&mut self, at: usize, most: Millis) -> Option<Millis> {
-        let serial = self.top_serial();
-        let p = self.change(at, serial);
-        let (start, end) = (self.now, self.now + most);
-        self.run_until(end, |s| s.op(p).done != Done::Open);
-        self.op(p).took().then(|| self.op(p).end - start)
-    }
-
-    pub fn top_serial(&self) -> u64 {
-        let all = self.nodes.iter().filter_map(|n| n.record());
-        all.map(|r| r.serial()).max().unwrap_or(0)
-    }
-
-    pub fn leader(&self) -> Option<usize> {
-        let lead = |n: &Node| {
-            n.consensus
-                .as_ref()
-                .filter(|a| a.leads_globally())
-                .map(|a| a.term())
-        };
-        (0..self.nodes.len())
-            .filter(|i| lead(&self.nodes[*i]).is_some())
-            .max_by_key(|i| lead(&self.nodes[*i]))
-    }
 }
 
 pub fn member(i: usize, region: RegionId, voter: bool) -> Member {
--- a/sorreldoor/src/edge/controller.rs
+++ b/sorreldoor/src/edge/controller.rs
@@ -361,42 +361,4 @@
             self.out.push(EdgeEffect::Looked(rid, ok));
         }
     }
-
-    pub fn status(&self) -> Val {
-        let c = &self.table.counts;
-        let mut v = Val::object();
-        let _ = v.insert("node", self.me.node.as_str());
-        let _ = v.insert("role", "edge");
-        let _ = v.insert("serial", self.plan.shown.view.serial);
-        let _ = v.insert("rev", self.plan.shown.view.rev);
-        let _ = v.insert("permit_left_ms", self.pull.left(self.now));
-        let _ = v.insert("session", self.pull.conn.is_some());
-        let _ = v.insert("core", self.pull.dialled.map(|a| a.to_string()));
-        let _ = v.insert("leaving", self.leaving);
-        let _ = v.insert("open_errands", self.table.rows.len());
-        let s = &self.plan.shown;
-        let zones = crate::operator_api::zones(
-            &self.plan.site,
-            &s.view.emptied,
-            &s.registry.workers,
-            &s.loads,
-            s.seats.1.iter().map(|p| (p.zone, p.running)),
-        );
-        let _ = v.insert("zones", zones);
-        let mut n = Val::object();
-        for (k, x) in [
-            ("first", c.first),
-            ("again", c.again),
-            ("served", c.served),
-            ("shed", c.shed),
-            ("unknown", c.unknown),
-            ("broken", c.broken),
-            ("gone", c.gone),
-            ("spilt", c.spilt),
-        ] {
-            let _ = n.insert(k, x);
-        }
-        let _ = v.insert("counts", n);
-        v
-    }
 }
--- a/sorreldoor/src/edge/mod.rs
+++ b/sorreldoor/src/edge/mod.rs
@@ -5,6 +5,7 @@
 mod relay;
 mod run;
 mod session;
+mod status;
 
 pub use controller::{EdgeController, EdgeEffect, EdgeEvent};
 pub use run::{run, run_with};
