--- a/sorreldoor/src/errand/plan.rs
+++ b/sorreldoor/src/errand/plan.rs
@@ -6,7 +6,7 @@
 use crate::rules::{broken, Rule};
 use crate::setup::{self, Setup, Site};
 use crate::wire::Place;
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -138,10 +138,12 @@
         };
         let registry = self.shown.registry.clone();
         let loads = self.shown.loads.clone();
+        let mut dealt: BTreeMap<(u16, u8), u64> = BTreeMap::new();
         for w in &registry.workers {
             let Some(g) = setup.group(&w.group) else {
                 continue;
             };
+            let dealt = dealt.entry((g, w.region)).or_default();
             let i = self.dense(&w.name);
             let grp = &setup.groups[g as usize];
             let l = loads.of(&w.name);
@@ -149,7 +151,8 @@
             let leaving = w.leaving && !broken(Rule::Leaving);
             let open = !leaving && !self.emptied(w.zone) && l.is_some_and(|l| l.live);
             let done = l.map_or(0, |l| l.finished);
-            let (most, cap) = self.most(w, slots, grp.warm, done);
+            let (most, cap) = self.most(w, slots, grp.warm, done, *dealt);
+            *dealt += u64::from(grp.warm.first);
             self.addrs[i] = Some(w.addr);
             self.spots[i] = Some(Spot {
                 name: w.name.clone(),
@@ -168,7 +171,8 @@
     }
 
     /// This edge's part of what a worker may hold: strict while it is cold.
-    fn most(&self, w: &Worker, slots: u32, warm: setup::Warm, done: u64) -> (u32, u32) {
+    /// `dealt` counts the first places of the workers before it.
+    fn most(&self, w: &Worker, slots: u32, warm: setup::Warm, done: u64, dealt: u64) -> (u32, u32) {
         let cap = u64::from(warm.first) + done / u64::from(warm.after.max(1));
         let all = self
             .edges
@@ -195,7 +199,7 @@
         // what a cold worker can bear holds for all edges together, so a
         // few have it to themselves; they change over so that none goes without
         let turn = self.shown.loads.serial / TURN;
-        let rank = place::rank(&set, &self.me, &format!("{}/{turn}", w.name));
+        let rank = place::dealt_rank(&set, &self.me, dealt + turn);
         (place::part_of(cap as u32, set.len(), rank), cap as u32)
     }
 
--- a/sorreldoor/src/place.rs
+++ b/sorreldoor/src/place.rs
@@ -143,8 +143,14 @@
     cap / n + u32::from((rank as u32) < cap % n)
 }
 
-/// Where this edge stands among all for one worker; the same on every edge.
-pub fn rank(edges: &[String], me: &str, worker: &str) -> usize {
-    let mine = mix(worker, me);
-    edges.iter().filter(|e| mix(worker, e) > mine).count()
+/// Where this edge stands in the queue for the places of one cold worker.
+///
+/// Workers are dealt out in turn: each begins in the ring of edges where the
+/// one before it left off (`start`), so that no edge goes without a place while
+/// all cold workers together have one for each. Ranks drawn for each worker by
+/// itself left some edges without any, for as long as the draw stood.
+pub fn dealt_rank(edges: &[String], me: &str, start: u64) -> usize {
+    let ring = edges.len().max(1) as u64;
+    let position = edges.iter().filter(|e| e.as_str() < me).count() as u64;
+    ((position + ring - start % ring) % ring) as usize
 }
--- a/sorreldoor/tests/place.rs
+++ b/sorreldoor/tests/place.rs
@@ -1,6 +1,6 @@
 //! Placement: few move when a worker comes or goes, and caps hold for all.
 
-use sorreldoor::place::{match_spot, part_of, rank, Ask, Spot};
+use sorreldoor::place::{dealt_rank, match_spot, part_of, Ask, Spot};
 use sorreldoor::setup::{read, Site};
 
 const DOC: &str = r#"{"groups":{"g":{"kind":"model"}},"services":{"s":{"groups":["g"]}},
@@ -58,12 +58,35 @@
 fn parts_of_a_cap_add_up_to_it_on_all_edges() {
     let edges: Vec<String> = (0..9).map(|i| format!("edge{i}")).collect();
     for cap in 0..30 {
-        for w in ["w1", "w2/7", "w3"] {
+        for start in 0..20 {
             let sum: u32 = edges
                 .iter()
-                .map(|e| part_of(cap, edges.len(), rank(&edges, e, w)))
+                .map(|e| part_of(cap, edges.len(), dealt_rank(&edges, e, start)))
                 .sum();
             assert_eq!(sum, cap);
         }
     }
 }
+
+/// Cold workers that together have a place for each edge leave none without.
+#[test]
+fn no_edge_goes_without_a_place_at_all_cold_workers() {
+    for count in 1..40u64 {
+        let edges: Vec<String> = (0..count).map(|i| format!("edge{i}")).collect();
+        for first in 1..5u64 {
+            let workers = count.div_ceil(first);
+            for turn in 0..count {
+                for edge in &edges {
+                    let places: u32 = (0..workers)
+                        .map(|worker| dealt_rank(&edges, edge, worker * first + turn))
+                        .map(|rank| part_of(first as u32, edges.len(), rank))
+                        .sum();
+                    assert!(
+                        places > 0,
+                        "{count} edges, {first} first, turn {turn}, {edge}"
+                    );
+                }
+            }
+        }
+    }
+}
