--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -8,6 +8,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+#[path = "updates/costs.rs"]
+mod costs;
 #[path = "updates/delivery.rs"]
 mod delivery;
 
