--- a/rig/src/sim/core.rs
+++ b/rig/src/sim/core.rs
@@ -25,8 +25,8 @@
 impl Node {
     pub fn founded(i: usize, region: RegionId, members: &[Member], site: &Arc<Site>) -> Node {
         let mut n = Node::blank(i, region);
-        let snap = Snap {
-            last: Last::default(),
+        let snap = Snapshot {
+            last: LogPosition::default(),
             members: members.to_vec(),
             image: Arc::new(Record::new(site.clone()).image()),
         };
--- a/sorreldoor/src/consensus/accept.rs
+++ b/sorreldoor/src/consensus/accept.rs
@@ -16,9 +16,9 @@
         self.suspect = false;
         self.round_from = self.round_from.max(round);
         self.reset_elect();
-        self.unled = 0;
+        self.elections_missed = 0;
         if new {
-            for p in self.asks.keys().copied().collect::<Vec<_>>() {
+            for p in self.pending_proposals.keys().copied().collect::<Vec<_>>() {
                 self.dispatch(p);
             }
             self.resend_looks();
@@ -29,7 +29,7 @@
         &mut self,
         from: NodeId,
         lead: (u64, NodeId, u64),
-        prev: Last,
+        prev: LogPosition,
         entries: Vec<Entry>,
         commit: u64,
     ) {
@@ -59,7 +59,7 @@
         self.verified = self.verified.max(upto);
         self.tell(from, None);
         self.advance(commit.min(self.verified));
-        self.pump_domain(round > 0);
+        self.replicate_in_domain(round > 0);
         self.try_fast();
     }
 
@@ -105,7 +105,7 @@
         true
     }
 
-    pub(super) fn on_install(&mut self, from: NodeId, lead: (u64, NodeId, u64), snap: Snap) {
+    pub(super) fn on_install(&mut self, from: NodeId, lead: (u64, NodeId, u64), snap: Snapshot) {
         let (term, gl, round) = lead;
         if term < self.hard.term || (self.role == Role::Leader && term == self.hard.term) {
             self.tell(from, None);
--- a/sorreldoor/src/consensus/chunk.rs
+++ b/sorreldoor/src/consensus/chunk.rs
@@ -1,6 +1,6 @@
 //! The messages that carry a large content in parts.
 
-use super::types::{Last, Member, NodeId, ProposalId};
+use super::types::{LogPosition, Member, NodeId, ProposalId};
 use serde::{Deserialize, Serialize};
 
 fn as_bytes<S: serde::Serializer>(b: &[u8], s: S) -> Result<S::Ok, S::Error> {
@@ -11,10 +11,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ContentHeader {
     /// The bytes are the machine's image.
-    Snapshot { last: Last, members: Vec<Member> },
+    Snapshot {
+        last: LogPosition,
+        members: Vec<Member>,
+    },
     /// The bytes are the body of the entry that follows `prev`.
     Entry {
-        prev: Last,
+        prev: LogPosition,
         term: u64,
         pid: ProposalId,
         origin: NodeId,
@@ -23,10 +26,10 @@
 
 impl ContentHeader {
     /// The position in the log that the content brings its receiver to.
-    pub fn last(&self) -> Last {
+    pub fn last(&self) -> LogPosition {
         match self {
             ContentHeader::Snapshot { last, .. } => *last,
-            ContentHeader::Entry { prev, term, .. } => Last {
+            ContentHeader::Entry { prev, term, .. } => LogPosition {
                 term: *term,
                 idx: prev.idx + 1,
             },
--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -1,6 +1,6 @@
 //! When an entry is committed, who answers for it, and where the leader stands.
 
-use super::node::{Consensus, Owed, Role};
+use super::node::{Consensus, OwedResult, Role};
 use super::position::{best, Load, View};
 use super::quorum;
 use super::types::*;
@@ -28,7 +28,7 @@
     pub(super) fn own_row(&mut self) {
         // a Domain Leader's own sync is news for the Global Leader only
         // through its held-back message, which has just been let go
-        if self.role != Role::Leader && self.drole == Role::Leader {
+        if self.role != Role::Leader && self.domain_role == Role::Leader {
             self.try_fast();
         }
     }
@@ -150,7 +150,7 @@
     /// Fast Return: commit here once both region majorities and the core
     /// majority hold in this term, without waiting for the Global Leader.
     pub(super) fn try_fast(&mut self) {
-        if self.drole != Role::Leader || self.role == Role::Leader {
+        if self.domain_role != Role::Leader || self.role == Role::Leader {
             return;
         }
         let Some((sure, holders)) = self.confirm.clone() else {
@@ -213,12 +213,12 @@
         let home = quorum::region_of(self.log.members(), e.origin);
         let mine = home == Some(self.region());
         let (pid, to) = (e.pid, e.origin);
-        if mine && (self.role == Role::Leader || self.drole == Role::Leader) {
+        if mine && (self.role == Role::Leader || self.domain_role == Role::Leader) {
             self.send(to, Msg::ProposalResult { pid, outcome });
         } else if self.role == Role::Leader {
             // its Domain Leader answers first; if it does not, we do
             let since = self.now;
-            let owed = Owed {
+            let owed = OwedResult {
                 since,
                 pid,
                 to,
@@ -229,7 +229,7 @@
     }
 
     /// Answer proposers whose Domain Leader has not been seen to answer.
-    pub(super) fn pay_owed(&mut self) {
+    pub(super) fn answer_overdue(&mut self) {
         let ms = self.log.members().to_vec();
         let fast = self.fast.clone();
         let home = |o: NodeId| quorum::region_of(&ms, o);
@@ -279,7 +279,7 @@
         let Some(last) = self.log.at(self.applied) else {
             return;
         };
-        let snap = Snap {
+        let snap = Snapshot {
             last,
             members: self.log.members_at(last.idx).to_vec(),
             image: Arc::new(self.machine.image()),
@@ -298,7 +298,7 @@
     }
 
     /// Every Tp: is there a region from which Ls would be clearly smaller?
-    pub(super) fn judge(&mut self) {
+    pub(super) fn consider_move(&mut self) {
         if let Some((id, t)) = self.moving {
             self.hand_on(id, t);
             return;
@@ -306,10 +306,10 @@
         if self.stopping {
             return self.hand_over();
         }
-        if self.now < self.judge_at {
+        if self.now < self.consider_move_at {
             return;
         }
-        self.judge_at = self.now + self.timing.tp;
+        self.consider_move_at = self.now + self.timing.tp;
         let all: Vec<RegionId> = quorum::regions(self.log.members()).into_iter().collect();
         let up: Vec<RegionId> = all.iter().copied().filter(|r| self.region_up(*r)).collect();
         let here = self.region();
--- a/sorreldoor/src/consensus/elect.rs
+++ b/sorreldoor/src/consensus/elect.rs
@@ -1,6 +1,6 @@
 //! Elections: Domain Leaders by their region, the Global Leader among them.
 
-use super::node::{Consensus, Lead, Poll, Role};
+use super::node::{Consensus, DomainLeader, Election, Role};
 use super::quorum;
 use super::types::*;
 
@@ -14,26 +14,26 @@
         }
         self.domain_alarm();
         self.global_alarm();
-        self.check_polls();
+        self.check_elections();
         self.reads_alarm();
     }
 
     fn domain_alarm(&mut self) {
         let mine = self.region_voters(self.region());
-        if self.drole == Role::Leader {
+        if self.domain_role == Role::Leader {
             let live = self.now.saturating_sub(self.timing.elect);
             let ok = quorum::most(&mine, |i| {
-                i == self.me || self.dseen.get(&i).is_some_and(|t| *t >= live)
+                i == self.me || self.domain_seen.get(&i).is_some_and(|t| *t >= live)
             });
             // a leader its region no longer hears must not stand in the way
             if !ok || self.disk_stuck() || !self.is_voter() {
-                self.drole = Role::Follower;
+                self.domain_role = Role::Follower;
                 self.reset_delect();
             } else if self.now >= self.dbeat_at {
                 self.domain_beat();
             }
         } else if self.now >= self.delect_at && self.may_lead() {
-            self.sound_domain();
+            self.start_domain_pre_vote();
         }
     }
 
@@ -45,7 +45,7 @@
         let r = self.region();
         self.leads.insert(
             r,
-            Lead {
+            DomainLeader {
                 id: self.me,
                 dterm,
                 seen: sent,
@@ -62,18 +62,18 @@
             self.lead_alarm();
             return;
         }
-        if self.drole == Role::Leader && self.now >= self.beat_at {
+        if self.domain_role == Role::Leader && self.now >= self.beat_at {
             self.beat_at = self.now + self.timing.beat;
-            self.pump_domain(false);
+            self.replicate_in_domain(false);
         }
         if self.now >= self.elect_at {
             self.soon_elect();
-            if self.now >= self.unled_at + self.timing.elect {
-                self.unled_at = self.now;
-                self.unled += 1;
+            if self.now >= self.election_missed_at + self.timing.elect {
+                self.election_missed_at = self.now;
+                self.elections_missed += 1;
             }
             if self.may_lead() && self.may_stand() {
-                self.sound_global();
+                self.start_pre_vote();
             }
         }
     }
@@ -83,7 +83,7 @@
     pub(super) fn on_gone(&mut self, id: NodeId) {
         let soon = self.now + self.rand(self.timing.elect / 8);
         if self.leads.get(&self.region()).is_some_and(|l| l.id == id) {
-            self.dled = false;
+            self.domain_leader_known = false;
             self.delect_at = self.delect_at.min(soon);
         }
         if self.gl == Some(id) {
@@ -99,23 +99,23 @@
         // may hold the newest log; there the region rule is waived
         // and where the one there is cannot win, since its own log or its own
         // view of the members is older than another's, that other must
-        self.drole == Role::Leader
-            || self.unled > UNLED
+        self.domain_role == Role::Leader
+            || self.elections_missed > UNLED
             || self.now.saturating_sub(seen.max(self.heard_dl)) > self.timing.waive
     }
 
     // --- domain ---
 
-    fn sound_domain(&mut self) {
+    fn start_domain_pre_vote(&mut self) {
         self.reset_delect();
-        self.drole = Role::PreCandidate;
-        self.dpoll = Poll {
+        self.domain_role = Role::PreCandidate;
+        self.domain_election = Election {
             since: self.now,
             yes: [self.me].into(),
-            ..Poll::default()
+            ..Election::default()
         };
         self.ask_domain(self.hard.dterm + 1, true);
-        self.check_polls();
+        self.check_elections();
     }
 
     pub(super) fn ask_domain(&mut self, dterm: u64, pre: bool) {
@@ -127,11 +127,11 @@
         }
     }
 
-    pub(super) fn on_domain_ask(&mut self, from: NodeId, dterm: u64, last: Last, pre: bool) {
+    pub(super) fn on_domain_ask(&mut self, from: NodeId, dterm: u64, last: LogPosition, pre: bool) {
         let newer = last >= self.log.last();
         if pre {
             let silent = self.now.saturating_sub(self.heard_dl) >= self.timing.elect / 2;
-            let quiet = (silent || !self.dled) && self.drole != Role::Leader;
+            let quiet = (silent || !self.domain_leader_known) && self.domain_role != Role::Leader;
             let yes = newer && quiet && dterm > self.hard.dterm && !self.disk_stuck();
             self.send_saved(from, Msg::DomainVoteReply { dterm, yes, pre });
             return;
@@ -153,7 +153,7 @@
     fn domain_term(&mut self, dterm: u64) {
         self.hard.dterm = dterm;
         self.hard.dvote = None;
-        self.drole = Role::Follower;
+        self.domain_role = Role::Follower;
         self.save_hard();
     }
 
@@ -168,9 +168,9 @@
             Role::Candidate
         };
         let at = self.hard.dterm + u64::from(pre);
-        if yes && self.drole == want && dterm == at {
-            self.dpoll.yes.insert(from);
-            self.check_polls();
+        if yes && self.domain_role == want && dterm == at {
+            self.domain_election.yes.insert(from);
+            self.check_elections();
         }
     }
 
@@ -183,7 +183,7 @@
             let seen = self.now;
             self.leads.insert(
                 r,
-                Lead {
+                DomainLeader {
                     id: from,
                     dterm,
                     seen,
@@ -197,18 +197,18 @@
             if dterm > self.hard.dterm {
                 self.domain_term(dterm);
             }
-            if self.drole != Role::Leader {
-                self.drole = Role::Follower;
+            if self.domain_role != Role::Leader {
+                self.domain_role = Role::Follower;
             }
             self.heard_dl = self.now;
-            self.dled = true;
+            self.domain_leader_known = true;
             self.reset_delect();
         }
         self.send_saved(from, Msg::DomainHeartbeatReply { dterm, sent });
     }
 
     pub(super) fn on_domain_back(&mut self, from: NodeId, _dterm: u64, sent: Millis) {
-        self.dseen.insert(from, self.now);
+        self.domain_seen.insert(from, self.now);
         let r = quorum::region_of(self.log.members(), from);
         let one = self.now.saturating_sub(sent).div_ceil(2);
         if let Some(r) = r.filter(|r| *r != self.region()) {
@@ -220,23 +220,23 @@
 
     // --- global ---
 
-    fn sound_global(&mut self) {
+    fn start_pre_vote(&mut self) {
         // asking again must not put off the waiver of the region rules
-        let since = Some(self.poll.since).filter(|_| self.role == Role::PreCandidate);
+        let since = Some(self.election.since).filter(|_| self.role == Role::PreCandidate);
         self.role = Role::PreCandidate;
-        self.poll = self.new_poll();
-        self.poll.since = since.unwrap_or(self.now);
+        self.election = self.new_election();
+        self.election.since = since.unwrap_or(self.now);
         self.ask_global(self.hard.term + 1, true);
-        self.check_polls();
+        self.check_elections();
     }
 
-    fn new_poll(&self) -> Poll {
-        let mut p = Poll {
+    fn new_election(&self) -> Election {
+        let mut p = Election {
             since: self.now,
             yes: [self.me].into(),
-            ..Poll::default()
+            ..Election::default()
         };
-        if self.drole == Role::Leader {
+        if self.domain_role == Role::Leader {
             p.leads.insert(self.me, self.log.last());
         }
         p
@@ -251,15 +251,15 @@
         }
     }
 
-    pub(super) fn stand_global(&mut self) {
+    pub(super) fn start_election(&mut self) {
         self.hard.term += 1;
         self.hard.vote = Some(self.me);
         self.gl = None;
         self.forget_term();
         self.save_hard();
         self.role = Role::Candidate;
-        self.poll = self.new_poll();
-        self.poll.seq = self.seq;
+        self.election = self.new_election();
+        self.election.seq = self.seq;
         let r = self.rand(self.timing.elect);
         self.elect_at = self.now + self.timing.elect + r;
         self.ask_global(self.hard.term, false);
@@ -267,14 +267,14 @@
 
     pub(super) fn on_move_now(&mut self, term: u64) {
         if term == self.hard.term && self.role != Role::Leader && self.may_lead() {
-            self.stand_global();
-            self.check_polls();
+            self.start_election();
+            self.check_elections();
         }
     }
 
-    pub(super) fn on_ask(&mut self, from: NodeId, term: u64, last: Last, pre: bool) {
+    pub(super) fn on_ask(&mut self, from: NodeId, term: u64, last: LogPosition, pre: bool) {
         let newer = last >= self.log.last() || self.timing.broken == Broken::VoteStale;
-        let leads = self.drole == Role::Leader;
+        let leads = self.domain_role == Role::Leader;
         let mine = self.log.last();
         if pre {
             // of two that ask at once only one may go on, or they would
@@ -329,7 +329,12 @@
         );
     }
 
-    pub(super) fn on_ans(&mut self, from: NodeId, ans: (u64, bool, bool), lead: Option<Last>) {
+    pub(super) fn on_ans(
+        &mut self,
+        from: NodeId,
+        ans: (u64, bool, bool),
+        lead: Option<LogPosition>,
+    ) {
         let (term, yes, pre) = ans;
         if !yes && term > self.hard.term {
             self.take_term(term, None);
@@ -345,53 +350,11 @@
             return;
         }
         if let Some(l) = lead {
-            self.poll.leads.insert(from, l);
+            self.election.leads.insert(from, l);
         }
         if yes {
-            self.poll.yes.insert(from);
+            self.election.yes.insert(from);
         }
-        self.check_polls();
-    }
-
-    /// Forget what only held in the term before.
-    fn forget_term(&mut self) {
-        self.verified = 0;
-        self.round_from = 0;
-        self.rows.clear();
-        self.confirm = None;
-        self.confirmed = 0;
-        self.fast.clear();
-        self.owed.clear();
-        self.inflight.clear();
-        self.born.clear();
-        self.proofs.clear();
-        self.moving = None;
-    }
-
-    pub(super) fn take_term(&mut self, term: u64, gl: Option<NodeId>) {
-        if self.role == Role::Leader {
-            self.note(Note::SteppedDown {
-                term: self.hard.term,
-                why: "a newer term",
-            });
-        }
-        self.hard.term = term;
-        self.hard.vote = None;
-        self.role = Role::Follower;
-        self.gl = gl;
-        self.forget_term();
-        self.save_hard();
-        self.reset_elect();
-    }
-
-    pub(super) fn step_down(&mut self, why: &'static str) {
-        if self.role == Role::Leader {
-            let term = self.hard.term;
-            self.note(Note::SteppedDown { term, why });
-        }
-        self.role = Role::Follower;
-        self.gl = None;
-        self.forget_term();
-        self.reset_elect();
+        self.check_elections();
     }
 }
--- a/sorreldoor/src/consensus/log.rs
+++ b/sorreldoor/src/consensus/log.rs
@@ -1,10 +1,10 @@
 //! The log in memory: a snapshot's place and the entries after it.
 
-use super::types::{Body, Entry, Last, Member, Snap};
+use super::types::{Body, Entry, LogPosition, Member, Snapshot};
 
 #[derive(Clone, Debug, Default)]
 pub struct Log {
-    base: Last,
+    base: LogPosition,
     base_members: Vec<Member>,
     entries: Vec<Entry>,
     /// Where membership changed, oldest first; the base's own list is apart.
@@ -19,7 +19,7 @@
         }
     }
 
-    pub fn from_parts(snap: &Snap, entries: Vec<Entry>) -> Log {
+    pub fn from_parts(snap: &Snapshot, entries: Vec<Entry>) -> Log {
         let mut log = Log {
             base: snap.last,
             base_members: snap.members.clone(),
@@ -29,12 +29,12 @@
         log
     }
 
-    pub fn base(&self) -> Last {
+    pub fn base(&self) -> LogPosition {
         self.base
     }
 
-    pub fn last(&self) -> Last {
-        self.entries.last().map_or(self.base, |e| Last {
+    pub fn last(&self) -> LogPosition {
+        self.entries.last().map_or(self.base, |e| LogPosition {
             term: e.term,
             idx: self.base.idx + self.entries.len() as u64,
         })
@@ -51,8 +51,8 @@
             .or_else(|| self.get(idx).map(|e| e.term))
     }
 
-    pub fn at(&self, idx: u64) -> Option<Last> {
-        self.term_at(idx).map(|term| Last { term, idx })
+    pub fn at(&self, idx: u64) -> Option<LogPosition> {
+        self.term_at(idx).map(|term| LogPosition { term, idx })
     }
 
     /// Entries from `from` to `upto` at most, up to the first large one, and no
@@ -144,7 +144,7 @@
     }
 
     /// Begin anew at a snapshot.
-    pub fn reset(&mut self, snap: &Snap) {
+    pub fn reset(&mut self, snap: &Snapshot) {
         *self = Log::from_parts(snap, Vec::new());
     }
 
--- a/sorreldoor/src/consensus/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -14,6 +14,7 @@
 mod replicate;
 mod state;
 mod tally;
+mod term;
 mod transfer;
 mod types;
 
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -65,25 +65,25 @@
 
 /// An election under way, global or domain.
 #[derive(Clone, Debug, Default)]
-pub struct Poll {
+pub struct Election {
     pub since: Millis,
     pub yes: BTreeSet<NodeId>,
     /// Domain Leaders that took part, with how new their logs are.
-    pub leads: BTreeMap<NodeId, Last>,
+    pub leads: BTreeMap<NodeId, LogPosition>,
 
     /// The own vote counts once this save is synced.
     pub seq: u64,
 }
 
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PendingProposal {
     pub body: Body,
     pub since: Millis,
     pub sent: Option<Millis>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Look {
+pub struct PendingRead {
     pub since: Millis,
     pub sent: Option<Millis>,
     pub idx: Option<u64>,
@@ -91,7 +91,7 @@
 
 /// A read that the Global Leader has to prove itself for.
 #[derive(Clone, Debug)]
-pub struct Proof {
+pub struct ReadProof {
     pub from: NodeId,
     pub rid: u64,
     pub idx: u64,
@@ -100,7 +100,7 @@
 
 /// The Domain Leader of a region, as heard of last.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lead {
+pub struct DomainLeader {
     pub id: NodeId,
     pub dterm: u64,
     pub seen: Millis,
@@ -108,7 +108,7 @@
 
 /// An outcome that a Domain Leader should give, or else we.
 #[derive(Clone, Debug)]
-pub struct Owed {
+pub struct OwedResult {
     pub since: Millis,
     pub pid: ProposalId,
     pub to: NodeId,
@@ -118,16 +118,16 @@
 pub struct Consensus<M: Machine> {
     pub(super) me: NodeId,
     pub(super) timing: Timing,
-    pub(super) hard: Hard,
+    pub(super) hard: HardState,
     pub(super) log: Log,
     pub(super) machine: M,
-    pub(super) image: Option<Snap>,
+    pub(super) image: Option<Snapshot>,
     pub(super) commit: u64,
     pub(super) applied: u64,
     pub(super) role: Role,
-    pub(super) drole: Role,
+    pub(super) domain_role: Role,
     pub(super) gl: Option<NodeId>,
-    pub(super) leads: BTreeMap<RegionId, Lead>,
+    pub(super) leads: BTreeMap<RegionId, DomainLeader>,
     pub(super) heard_gl: Millis,
     /// When a Global Leader was last heard of, or this node led, in this life.
     pub(super) led_at: Option<Millis>,
@@ -135,20 +135,20 @@
     /// The line to the Global Leader was closed, and it was not heard since.
     pub(super) suspect: bool,
     /// A Domain Leader of the own region was heard of, and is not known gone.
-    pub(super) dled: bool,
+    pub(super) domain_leader_known: bool,
     /// Election times that passed without word of a Global Leader, and when
     /// the last was counted.
-    pub(super) unled: u32,
-    pub(super) unled_at: Millis,
+    pub(super) elections_missed: u32,
+    pub(super) election_missed_at: Millis,
     pub(super) elect_at: Millis,
     pub(super) delect_at: Millis,
-    pub(super) poll: Poll,
-    pub(super) dpoll: Poll,
+    pub(super) election: Election,
+    pub(super) domain_election: Election,
     /// Rows of all nodes at the Global Leader, of the region at a Domain Leader.
     pub(super) rows: BTreeMap<NodeId, Progress>,
     /// Contents that others are sending here, by sender.
     pub(super) incoming: BTreeMap<NodeId, Incoming>,
-    pub(super) dseen: BTreeMap<NodeId, Millis>,
+    pub(super) domain_seen: BTreeMap<NodeId, Millis>,
     /// How far this log is known to equal the Global Leader's in this term.
     pub(super) verified: u64,
     pub(super) round: u64,
@@ -161,16 +161,16 @@
     pub(super) confirmed: u64,
     /// How far each Domain Leader says it has answered its own region.
     pub(super) fast: BTreeMap<RegionId, u64>,
-    pub(super) owed: BTreeMap<u64, Owed>,
+    pub(super) owed: BTreeMap<u64, OwedResult>,
     pub(super) born: VecDeque<(u64, Millis)>,
     pub(super) inflight: BTreeMap<ProposalId, u64>,
-    pub(super) asks: BTreeMap<ProposalId, Ask>,
-    pub(super) looks: BTreeMap<u64, Look>,
-    pub(super) proofs: VecDeque<Proof>,
+    pub(super) pending_proposals: BTreeMap<ProposalId, PendingProposal>,
+    pub(super) pending_reads: BTreeMap<u64, PendingRead>,
+    pub(super) proofs: VecDeque<ReadProof>,
     pub(super) down: BTreeSet<RegionId>,
     pub(super) load: BTreeMap<RegionId, Load>,
     pub(super) lat: BTreeMap<(RegionId, RegionId), Millis>,
-    pub(super) judge_at: Millis,
+    pub(super) consider_move_at: Millis,
     pub(super) moving: Option<(NodeId, Millis)>,
     /// This node has been told to stop.
     pub(super) stopping: bool,
@@ -207,23 +207,23 @@
             commit: base,
             applied: base,
             role: Role::Follower,
-            drole: Role::Follower,
+            domain_role: Role::Follower,
             gl: None,
             leads: BTreeMap::new(),
             heard_gl: now,
             led_at: None,
             heard_dl: now,
             suspect: false,
-            dled: false,
-            unled: 0,
-            unled_at: now,
+            domain_leader_known: false,
+            elections_missed: 0,
+            election_missed_at: now,
             elect_at: 0,
             delect_at: 0,
-            poll: Poll::default(),
-            dpoll: Poll::default(),
+            election: Election::default(),
+            domain_election: Election::default(),
             rows: BTreeMap::new(),
             incoming: BTreeMap::new(),
-            dseen: BTreeMap::new(),
+            domain_seen: BTreeMap::new(),
             verified: 0,
             round: 0,
             round_from: 0,
@@ -236,13 +236,13 @@
             owed: BTreeMap::new(),
             born: VecDeque::new(),
             inflight: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            looks: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
             proofs: VecDeque::new(),
             down: BTreeSet::new(),
             load: BTreeMap::new(),
             lat: BTreeMap::new(),
-            judge_at: 0,
+            consider_move_at: 0,
             moving: None,
             stopping: false,
             seq: 0,
@@ -254,7 +254,7 @@
             rng: seed | 1,
             out: Vec::new(),
         };
-        a.judge_at = now + a.timing.tp;
+        a.consider_move_at = now + a.timing.tp;
         a.soon_elect();
         a.reset_delect();
         // what was committed stays so, and need not wait for a leader
@@ -271,13 +271,13 @@
         seed: u64,
         now: Millis,
     ) -> Consensus<M> {
-        let snap = Snap {
-            last: Last::default(),
+        let snap = Snapshot {
+            last: LogPosition::default(),
             members: members.clone(),
             image: Arc::new(machine.image()),
         };
         let kept = Kept {
-            hard: Hard::default(),
+            hard: HardState::default(),
             log: Log::founded(members),
             snap: Some(snap.clone()),
             claims: Vec::new(),
@@ -358,8 +358,8 @@
 
 /// What a store gives back at start.
 pub struct Kept {
-    pub hard: Hard,
+    pub hard: HardState,
     pub log: Log,
-    pub snap: Option<Snap>,
+    pub snap: Option<Snapshot>,
     pub claims: Vec<Noted>,
 }
--- a/sorreldoor/src/consensus/reads.rs
+++ b/sorreldoor/src/consensus/reads.rs
@@ -1,6 +1,6 @@
 //! Proposals and reads as their askers see them.
 
-use super::node::{Ask, Consensus, Look, Proof, Role};
+use super::node::{Consensus, PendingProposal, PendingRead, ReadProof, Role};
 use super::quorum;
 use super::types::*;
 
@@ -16,24 +16,26 @@
             });
             return;
         }
-        if self.failed || self.asks.len() >= self.timing.most_pending {
+        if self.failed || self.pending_proposals.len() >= self.timing.most_pending {
             let outcome = Err(Lost::Full);
             self.out.push(Effect::Result { pid, outcome });
             return;
         }
         let since = self.now;
-        self.asks.entry(pid).or_insert(Ask {
-            body,
-            since,
-            sent: None,
-        });
+        self.pending_proposals
+            .entry(pid)
+            .or_insert(PendingProposal {
+                body,
+                since,
+                sent: None,
+            });
         self.dispatch(pid);
     }
 
     pub(super) fn dispatch(&mut self, pid: ProposalId) {
         let Some(gl) = self.gl else { return };
         let (now, origin) = (self.now, self.me);
-        let Some(a) = self.asks.get_mut(&pid) else {
+        let Some(a) = self.pending_proposals.get_mut(&pid) else {
             return;
         };
         a.sent = Some(now);
@@ -83,14 +85,14 @@
     }
 
     pub(super) fn look(&mut self, rid: u64) {
-        if self.failed || self.looks.len() >= self.timing.most_pending {
+        if self.failed || self.pending_reads.len() >= self.timing.most_pending {
             self.out.push(Effect::ReadReady { rid, ok: false });
             return;
         }
         let since = self.now;
-        self.looks.insert(
+        self.pending_reads.insert(
             rid,
-            Look {
+            PendingRead {
                 since,
                 sent: None,
                 idx: None,
@@ -102,7 +104,7 @@
     fn send_look(&mut self, rid: u64) {
         let Some(gl) = self.gl else { return };
         let now = self.now;
-        if let Some(l) = self.looks.get_mut(&rid) {
+        if let Some(l) = self.pending_reads.get_mut(&rid) {
             l.sent = Some(now);
         }
         if gl == self.me {
@@ -133,7 +135,7 @@
             self.beat_at = self.beat_at.min(self.beaten + self.timing.batch);
             self.round + 1
         };
-        self.proofs.push_back(Proof {
+        self.proofs.push_back(ReadProof {
             from,
             rid,
             idx,
@@ -165,7 +167,7 @@
     }
 
     pub(super) fn on_read_ans(&mut self, rid: u64, idx: u64) {
-        if let Some(l) = self.looks.get_mut(&rid) {
+        if let Some(l) = self.pending_reads.get_mut(&rid) {
             l.idx.get_or_insert(idx);
         }
         self.settle_applied();
@@ -175,13 +177,13 @@
     pub(super) fn settle_applied(&mut self) {
         let at = self.applied;
         let ready: Vec<u64> = self
-            .looks
+            .pending_reads
             .iter()
             .filter(|(_, l)| l.idx.is_some_and(|i| i <= at))
             .map(|(r, _)| *r)
             .collect();
         for rid in ready {
-            self.looks.remove(&rid);
+            self.pending_reads.remove(&rid);
             self.out.push(Effect::ReadReady { rid, ok: true });
         }
     }
@@ -190,12 +192,12 @@
     pub(super) fn reads_alarm(&mut self) {
         let (now, again, most) = (self.now, self.timing.resend * 2, self.timing.ack_ms * 2);
         // a large body may still be on its way when a small one would be late
-        let body_due = |a: &Ask| {
+        let body_due = |a: &PendingProposal| {
             let wait = again + a.body.bytes() as Millis / SLOW_BYTES_PER_MS;
             a.sent.is_none_or(|t| now.saturating_sub(t) >= wait)
         };
         let pids: Vec<(ProposalId, bool, bool)> = self
-            .asks
+            .pending_proposals
             .iter()
             .filter(|(_, a)| body_due(a))
             .map(|(p, a)| (*p, now.saturating_sub(a.since) >= most, a.sent.is_some()))
@@ -216,20 +218,20 @@
     /// its asker to go to another core.
     fn looks_alarm(&mut self) {
         let (now, proof, resend) = (self.now, self.timing.proof, self.timing.resend);
-        let old = |l: &Look| now.saturating_sub(l.since) >= proof;
+        let old = |l: &PendingRead| now.saturating_sub(l.since) >= proof;
         let late: Vec<u64> = self
-            .looks
+            .pending_reads
             .iter()
             .filter(|(_, l)| old(l))
             .map(|(r, _)| *r)
             .collect();
         for rid in late {
-            self.looks.remove(&rid);
+            self.pending_reads.remove(&rid);
             self.out.push(Effect::ReadReady { rid, ok: false });
         }
         let unsent = |t: Option<Millis>| t.is_none_or(|t| now.saturating_sub(t) >= resend);
         let again = self
-            .looks
+            .pending_reads
             .iter()
             .filter(|(_, l)| l.idx.is_none() && unsent(l.sent));
         for rid in again.map(|(r, _)| *r).collect::<Vec<_>>() {
@@ -237,9 +239,9 @@
         }
     }
 
-    /// Ask a new leader for what the old one has not proved.
+    /// PendingProposal a new leader for what the old one has not proved.
     pub(super) fn resend_looks(&mut self) {
-        let open = self.looks.iter().filter(|(_, l)| l.idx.is_none());
+        let open = self.pending_reads.iter().filter(|(_, l)| l.idx.is_none());
         for rid in open.map(|(r, _)| *r).collect::<Vec<_>>() {
             self.send_look(rid);
         }
--- a/sorreldoor/src/consensus/replicate.rs
+++ b/sorreldoor/src/consensus/replicate.rs
@@ -30,7 +30,7 @@
             }
             self.born.push_back((i, now));
         }
-        self.judge_at = now + self.timing.tp;
+        self.consider_move_at = now + self.timing.tp;
         let (term, id) = (self.hard.term, self.me);
         self.note(Note::GlobalLeader { term, id });
         let noop = Entry {
@@ -41,7 +41,7 @@
         };
         self.append(noop);
         self.beat();
-        for p in self.asks.keys().copied().collect::<Vec<_>>() {
+        for p in self.pending_proposals.keys().copied().collect::<Vec<_>>() {
             self.dispatch(p);
         }
     }
@@ -69,7 +69,7 @@
         if is_conf {
             self.members_changed();
         }
-        self.pump();
+        self.replicate();
     }
 
     pub(super) fn members_changed(&mut self) {
@@ -139,11 +139,11 @@
             self.beat();
         }
         self.watch_regions();
-        self.pump();
-        self.pay_owed();
+        self.replicate();
+        self.answer_overdue();
         self.end_joint();
         if self.role == Role::Leader {
-            self.judge();
+            self.consider_move();
         }
     }
 
@@ -218,28 +218,28 @@
     }
 
     /// Send what is new to whoever lacks it, then see what can be committed.
-    pub(super) fn pump(&mut self) {
+    pub(super) fn replicate(&mut self) {
         if self.role == Role::Leader {
             for t in self.targets() {
                 self.send_append(t, false);
             }
             self.commit_global();
             self.prove_reads();
-        } else if self.drole == Role::Leader {
-            self.pump_domain(false);
+        } else if self.domain_role == Role::Leader {
+            self.replicate_in_domain(false);
             self.try_fast();
         }
     }
 
     /// A Domain Leader passes on what it has verified.
-    pub(super) fn pump_domain(&mut self, beat: bool) {
+    pub(super) fn replicate_in_domain(&mut self, beat: bool) {
         let away = self.gl.is_some_and(|g| g != self.me);
         let fresh = self.now.saturating_sub(self.heard_gl) < self.timing.elect;
         let glr = self
             .gl
             .and_then(|g| quorum::region_of(self.log.members(), g));
         // in its own region the Global Leader speaks for itself
-        if self.drole != Role::Leader
+        if self.domain_role != Role::Leader
             || !away
             || !fresh
             || self.verified == 0
@@ -268,7 +268,7 @@
             round: self.round_from,
         };
         let mut rows = vec![me];
-        if self.drole == Role::Leader && self.role != Role::Leader {
+        if self.domain_role == Role::Leader && self.role != Role::Leader {
             let r = self.region();
             let ms = self.log.members();
             rows.extend(
@@ -287,7 +287,7 @@
             term: self.hard.term,
             rows,
             hint,
-            fast: if self.drole == Role::Leader {
+            fast: if self.domain_role == Role::Leader {
                 self.commit
             } else {
                 0
@@ -309,7 +309,7 @@
             self.take_term(term, None);
             return;
         }
-        let leads = self.role == Role::Leader || self.drole == Role::Leader;
+        let leads = self.role == Role::Leader || self.domain_role == Role::Leader;
         // an ack of another term says nothing about this one's log
         if term < self.hard.term || !leads {
             return;
@@ -344,6 +344,6 @@
         } else if let Some(g) = self.gl.filter(|_| grew) {
             self.tell(g, None);
         }
-        self.pump();
+        self.replicate();
     }
 }
--- a/sorreldoor/src/consensus/state.rs
+++ b/sorreldoor/src/consensus/state.rs
@@ -29,7 +29,7 @@
         self.role == Role::Leader
     }
     pub fn leads_domain(&self) -> bool {
-        self.drole == Role::Leader
+        self.domain_role == Role::Leader
     }
     pub fn global_leader(&self) -> Option<NodeId> {
         self.gl
@@ -142,7 +142,7 @@
         if !self.unheard() {
             return self.reset_elect();
         }
-        // it only asks whether others hear a leader, and unseats none
+        // it only pending_proposals whether others hear a leader, and unseats none
         let span = self.timing.elect / 4;
         self.elect_at = self.now + span + self.rand(span);
     }
@@ -157,7 +157,11 @@
     pub(super) fn reset_delect(&mut self) {
         let half = self.timing.elect / 2;
         // where no Domain Leader was heard of there is none to unseat
-        let span = if self.dled { half } else { half / 4 };
+        let span = if self.domain_leader_known {
+            half
+        } else {
+            half / 4
+        };
         self.delect_at = self.now + span + self.rand(span);
     }
 
@@ -222,8 +226,8 @@
             }
         }
         self.own_row();
-        self.pump();
-        self.check_polls();
+        self.replicate();
+        self.check_elections();
     }
 
     pub(super) fn on_save_failed(&mut self) {
@@ -231,12 +235,12 @@
         self.held_back.clear();
         self.note(Note::DiskFailed);
         self.step_down("disk failed");
-        self.drole = Role::Follower;
-        let pids: Vec<ProposalId> = self.asks.keys().copied().collect();
+        self.domain_role = Role::Follower;
+        let pids: Vec<ProposalId> = self.pending_proposals.keys().copied().collect();
         for p in pids {
             self.finish(p, Err(Lost::Unknown));
         }
-        for (rid, _) in std::mem::take(&mut self.looks) {
+        for (rid, _) in std::mem::take(&mut self.pending_reads) {
             self.out.push(Effect::ReadReady { rid, ok: false });
         }
     }
@@ -271,7 +275,7 @@
     }
 
     pub(super) fn finish(&mut self, pid: ProposalId, outcome: Result<Arc<Vec<u8>>, Lost>) {
-        if self.asks.remove(&pid).is_some() {
+        if self.pending_proposals.remove(&pid).is_some() {
             self.out.push(Effect::Result { pid, outcome });
         }
     }
--- a/sorreldoor/src/consensus/transfer.rs
+++ b/sorreldoor/src/consensus/transfer.rs
@@ -220,7 +220,7 @@
         self.begin(to, header, snap.image);
     }
 
-    pub(super) fn begin_entry(&mut self, to: NodeId, prev: Last, entry: &Entry) {
+    pub(super) fn begin_entry(&mut self, to: NodeId, prev: LogPosition, entry: &Entry) {
         let Body::Data(bytes) = &entry.body else {
             return;
         };
@@ -245,7 +245,7 @@
             self.take_term(term, None);
             return;
         }
-        let leads = self.role == Role::Leader || self.drole == Role::Leader;
+        let leads = self.role == Role::Leader || self.domain_role == Role::Leader;
         if term < self.hard.term || !leads {
             return;
         }
@@ -275,7 +275,7 @@
             // it stands for an empty append: the round is echoed and passed on
             self.tell(from, None);
             self.advance(chunk.commit.min(self.verified));
-            self.pump_domain(true);
+            self.replicate_in_domain(true);
         }
         if self.holds_content(&chunk.header) {
             self.incoming.retain(|_, i| i.id != chunk.id);
@@ -367,7 +367,7 @@
         let lead = (chunk.term, chunk.gl, chunk.round);
         match chunk.header {
             ContentHeader::Snapshot { last, members } => {
-                let snap = Snap {
+                let snap = Snapshot {
                     last,
                     members,
                     image: bytes,
--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -78,13 +78,13 @@
 
 /// How new a log is: last term first, then length.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Last {
+pub struct LogPosition {
     pub term: u64,
     pub idx: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     pub term: u64,
     pub vote: Option<NodeId>,
     pub dterm: u64,
@@ -95,17 +95,18 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Snap {
-    pub last: Last,
+pub struct Snapshot {
+    pub last: LogPosition,
     pub members: Vec<Member>,
     #[serde(serialize_with = "as_bytes")]
     pub image: Arc<Vec<u8>>,
 }
 
-/// One durable step. A store applies them in the order given.
+/// One durable step. A store applies them in the order given, and keeps them
+/// under the names of these variants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Save {
-    Hard(Hard),
+    Hard(HardState),
     /// Cut the log to before `from`, then append.
     Append {
         from: u64,
@@ -116,7 +117,7 @@
     },
     /// Forget the log up to the snapshot; `reset` forgets the rest too.
     Snap {
-        snap: Snap,
+        snap: Snapshot,
         reset: bool,
     },
     /// Not the log's own: errand ids claimed here, kept beside it. Written by
@@ -146,7 +147,7 @@
 pub enum Msg {
     DomainVoteRequest {
         dterm: u64,
-        last: Last,
+        last: LogPosition,
         pre: bool,
     },
     DomainVoteReply {
@@ -165,7 +166,7 @@
     },
     VoteRequest {
         term: u64,
-        last: Last,
+        last: LogPosition,
         pre: bool,
     },
     VoteReply {
@@ -173,12 +174,12 @@
         yes: bool,
         pre: bool,
         leads: bool,
-        last: Last,
+        last: LogPosition,
     },
     Append {
         term: u64,
         gl: NodeId,
-        prev: Last,
+        prev: LogPosition,
         entries: Vec<Entry>,
         commit: u64,
         round: u64,
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -1,6 +1,6 @@
 //! What the saves so far add up to; the same for the disk and the simulator.
 
-use crate::consensus::{Entry, Hard, Kept, Last, Log, Noted, Save, Snap};
+use crate::consensus::{Entry, HardState, Kept, Log, LogPosition, Noted, Save, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, VecDeque};
@@ -20,8 +20,8 @@
 /// in memory, not copied.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DurableState {
-    pub hard: Hard,
-    pub snap: Option<Snap>,
+    pub hard: HardState,
+    pub snap: Option<Snapshot>,
     pub entries: Vec<Entry>,
     /// Claims as the release before kept them.
     #[serde(default)]
@@ -37,8 +37,10 @@
 }
 
 impl DurableState {
-    fn base(&self) -> Last {
-        self.snap.as_ref().map_or(Last::default(), |s| s.last)
+    fn base(&self) -> LogPosition {
+        self.snap
+            .as_ref()
+            .map_or(LogPosition::default(), |s| s.last)
     }
 
     /// Takes in a change; one that is in already changes nothing.
@@ -65,7 +67,7 @@
         match save {
             Save::Hard(h) => {
                 let commit = self.hard.commit.max(h.commit);
-                self.hard = Hard {
+                self.hard = HardState {
                     commit,
                     ..h.clone()
                 };
--- a/sorreldoor/tests/store/state.rs
+++ b/sorreldoor/tests/store/state.rs
@@ -1,7 +1,7 @@
 //! What saves add up to.
 
 use serde::Serialize;
-use sorreldoor::consensus::{Entry, Hard, Noted, Save, Snap};
+use sorreldoor::consensus::{Entry, HardState, Noted, Save, Snapshot};
 use sorreldoor::record::{decode, encode};
 use sorreldoor::store::DurableState;
 use std::collections::VecDeque;
@@ -9,8 +9,8 @@
 /// What an early release kept on disk, as it wrote it.
 #[derive(Serialize)]
 struct Before {
-    hard: Hard,
-    snap: Option<Snap>,
+    hard: HardState,
+    snap: Option<Snapshot>,
     entries: Vec<Entry>,
     claims: VecDeque<(String, u128)>,
     seq: u64,
@@ -19,7 +19,7 @@
 #[test]
 fn what_the_release_before_kept_is_read() {
     let before = Before {
-        hard: Hard::default(),
+        hard: HardState::default(),
         snap: None,
         entries: Vec::new(),
         claims: VecDeque::from([("old".to_string(), 7)]),
--- a/sorreldoor/tests/store/work.rs
+++ b/sorreldoor/tests/store/work.rs
@@ -1,7 +1,7 @@
 //! Random work on a store, and what may be found of it after a crash.
 
 use super::sim_disk::{Random, SimDisk};
-use sorreldoor::consensus::{Body, Entry, Hard, Last, Noted, Save, Snap};
+use sorreldoor::consensus::{Body, Entry, HardState, LogPosition, Noted, Save, Snapshot};
 use sorreldoor::record::encode;
 use sorreldoor::store::{Before, Change, DurableState, DurableStore, Opened, Store};
 use std::borrow::Cow;
@@ -30,8 +30,8 @@
 }
 
 pub fn snapshot(index: u64, length: usize) -> Save {
-    let snap = Snap {
-        last: Last {
+    let snap = Snapshot {
+        last: LogPosition {
             term: index,
             idx: index,
         },
@@ -175,7 +175,7 @@
         let base = state.snap.as_ref().map_or(0, |s| s.last.idx);
         let last = base + state.entries.len() as u64;
         match self.random.below(12) {
-            0 => Save::Hard(Hard {
+            0 => Save::Hard(HardState {
                 term: state.hard.term + 1,
                 ..state.hard.clone()
             }),
