--- a/rig/src/hollow/meter.rs
+++ b/rig/src/hollow/meter.rs
@@ -72,7 +72,7 @@
         Payload::Grant { .. } => "grant",
         Payload::Consensus(Msg::Append { .. } | Msg::AppendReply { .. }) => "append",
         Payload::Consensus(_) => "agree",
-        Payload::Sessions(_) => "sessions",
+        Payload::SessionReport(_) => "sessions",
         Payload::WorkerRegistry(_) => "registry",
         Payload::Loads(_) => "loads",
         Payload::Ping { .. } => "ping",
@@ -99,7 +99,7 @@
         if let Some(l) = &n.loads {
             out.push(("loads", self.size("loads", 0, l.mark(), l)));
         }
-        if let Some(s) = &n.seats {
+        if let Some(s) = &n.edge_sessions {
             out.push(("seats", self.size("seats", core, (s.0, 0), &s.1)));
         }
         out
--- a/rig/src/hollow/node.rs
+++ b/rig/src/hollow/node.rs
@@ -218,8 +218,8 @@
         if let Some(l) = n.loads {
             have.loads = l.mark();
         }
-        if let Some(s) = n.seats {
-            have.seats = s.0;
+        if let Some(s) = n.edge_sessions {
+            have.edge_sessions = s.0;
         }
         if let Some((at, cores)) = n.cores {
             have.cores = at;
--- a/rig/src/hollow/report.rs
+++ b/rig/src/hollow/report.rs
@@ -179,9 +179,9 @@
             put(row, "size.registry", encode(r).len() as f64);
         }
         put(row, "size.loads", encode(&h.loads).len() as f64);
-        let seats = h.all_seats();
-        put(row, "size.seats", encode(&seats).len() as f64);
-        put(row, "seats", seats.len() as f64);
+        let edge_sessions = h.all_sessions();
+        put(row, "size.seats", encode(&edge_sessions).len() as f64);
+        put(row, "seats", edge_sessions.len() as f64);
     }
 
     fn changes(&self, row: &mut Row) {
--- a/rig/src/stand.rs
+++ b/rig/src/stand.rs
@@ -210,14 +210,14 @@
 }
 
 /// Counts an errand as here, and gives its slot back, whatever happens.
-struct Seat(Arc<Inner>, bool);
+struct EdgeSession(Arc<Inner>, bool);
 
-impl Seat {
-    fn take(w: &Arc<Inner>) -> Seat {
+impl EdgeSession {
+    fn take(w: &Arc<Inner>) -> EdgeSession {
         let mut b = locked(&w.book);
         b.queued += 1;
         b.most_here = b.most_here.max(b.queued + b.running);
-        Seat(w.clone(), false)
+        EdgeSession(w.clone(), false)
     }
 
     async fn run(&mut self, id: &str) {
@@ -231,7 +231,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for EdgeSession {
     fn drop(&mut self) {
         let mut b = locked(&self.0.book);
         if self.1 {
@@ -263,7 +263,7 @@
         r.insert_header("x-ran", "no");
         return r;
     }
-    let mut seat = Seat::take(&w);
+    let mut seat = EdgeSession::take(&w);
     seat.run(&id).await;
     let hit = warm(&w, &key);
     let chars = tail + if hit { 0 } else { prefix };
@@ -330,7 +330,14 @@
     at.is_some()
 }
 
-fn stream(w: Arc<Inner>, seat: Seat, id: String, named: String, n: u64, f: Fault) -> Response {
+fn stream(
+    w: Arc<Inner>,
+    seat: EdgeSession,
+    id: String,
+    named: String,
+    n: u64,
+    f: Fault,
+) -> Response {
     let (tx, rx) = bounded(1);
     let gap = Duration::from_millis(w.make.decode_ms);
     task::spawn(async move {
@@ -366,7 +373,7 @@
 async fn page(w: Arc<Inner>, req: Request) -> Response {
     let id = head(&req, "x-errand-id");
     let fault = locked(&w.book).fault;
-    let mut seat = Seat::take(&w);
+    let mut seat = EdgeSession::take(&w);
     seat.run(&id).await;
     task::sleep(Duration::from_millis(2)).await;
     match fault {
--- a/rig/tests/site/claims.rs
+++ b/rig/tests/site/claims.rs
@@ -39,8 +39,8 @@
         w.controller(b)
             .and_then(|h| h.consensus.as_ref())
             .is_some_and(|x| {
-                let seats = x.members().iter().filter(|m| m.voter);
-                let vs: Vec<u64> = seats.map(|m| m.id).collect();
+                let edge_sessions = x.members().iter().filter(|m| m.voter);
+                let vs: Vec<u64> = edge_sessions.map(|m| m.id).collect();
                 vs.len() == 3 && vs.contains(&id)
             })
     });
--- a/rig/tests/site/pacing.rs
+++ b/rig/tests/site/pacing.rs
@@ -61,17 +61,17 @@
     for pacing in [Pacing::default(), frugal()] {
         let mut w = with(4, |w| w.pacing = pacing);
         let e = w.edges()[0];
-        let at = |w: &World| w.edge_controller(e).map(|h| h.pull.have.seats);
+        let at = |w: &World| w.edge_controller(e).map(|h| h.pull.have.edge_sessions);
         let was = at(&w);
         let end = w.now + 5000;
         w.traffic(60, end, |_, _| true);
         w.run_for(20_000);
         assert_eq!(at(&w), was);
-        let (seats, n) = (
-            &w.edge_controller(e).expect("up").plan.shown.seats.1,
+        let (edge_sessions, n) = (
+            &w.edge_controller(e).expect("up").plan.shown.edge_sessions.1,
             w.edges().len(),
         );
-        assert_eq!(seats.iter().filter(|p| p.ready).count(), n);
+        assert_eq!(edge_sessions.iter().filter(|p| p.ready).count(), n);
         sound(&w, 4);
     }
 }
--- a/sorreldoor/src/core/lines.rs
+++ b/sorreldoor/src/core/connections.rs
@@ -13,7 +13,7 @@
 const EARLY_MS: Millis = 50;
 
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct Connection {
     pub dialled: Option<SocketAddr>,
     pub hello: Option<Hello>,
     pub heard: Millis,
@@ -27,7 +27,7 @@
         let since = self.now.saturating_sub(ms);
         let mut m: BTreeMap<NodeId, (Conn, Hello)> = BTreeMap::new();
         let mut put = |dialled: bool| {
-            for (c, l) in &self.lines {
+            for (c, l) in &self.connections {
                 let h = l.hello.as_ref().filter(|h| h.core && l.heard >= since);
                 if let Some(h) = h.filter(|_| l.dialled.is_some() == dialled) {
                     m.insert(h.id, (*c, h.clone()));
@@ -45,24 +45,24 @@
         let ms = self.pacing.ping_ms;
         // of two lines between cores one carries what is said; the other
         // only has to stay open, and so has an edge's, which gets its grants
-        let spare = |c: &Conn, l: &Line| match &l.hello {
-            Some(h) if h.core => self.line_to(h.id) != Some(*c),
+        let spare = |c: &Conn, l: &Connection| match &l.hello {
+            Some(h) if h.core => self.connection_to(h.id) != Some(*c),
             Some(_) => true,
             None => false,
         };
-        let due = |c: &Conn, l: &Line| {
+        let due = |c: &Conn, l: &Connection| {
             let every = if spare(c, l) { ms.max(SPARE_MS) } else { ms };
             self.now.saturating_sub(l.sent) + EARLY_MS >= every
         };
-        let all = self.lines.iter().filter(|(c, l)| due(c, l));
+        let all = self.connections.iter().filter(|(c, l)| due(c, l));
         for c in all.map(|(c, _)| *c).collect::<Vec<_>>() {
             self.send(c, Payload::Ping { no: 0 });
         }
     }
 
-    pub(super) fn line_to(&self, id: NodeId) -> Option<Conn> {
-        let named = |l: &Line| l.hello.as_ref().is_some_and(|h| h.id == id);
-        self.lines
+    pub(super) fn connection_to(&self, id: NodeId) -> Option<Conn> {
+        let named = |l: &Connection| l.hello.as_ref().is_some_and(|h| h.id == id);
+        self.connections
             .iter()
             .filter(|(_, l)| named(l))
             .max_by_key(|(_, l)| (l.dialled.is_some(), l.heard))
--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/core/controller.rs
@@ -1,8 +1,8 @@
 //! The core's one reducer: frames, saves, operators and alarms in, effects out.
 
+use super::connections::Connection;
 use super::duty::Duty;
 use super::events::{ControllerEffect, ControllerEvent, OpFrom, Want};
-use super::lines::Line;
 use super::membership::{Membership, LOOK_MS};
 use super::reads::Reads;
 use super::worker_list::WorkerList;
@@ -40,15 +40,15 @@
     pub(super) promises: BTreeMap<NodeId, Vec<Member>>,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) dials: BTreeSet<SocketAddr>,
-    pub(super) lines: BTreeMap<Conn, Line>,
-    pub(super) seats: BTreeMap<Conn, Seat>,
-    pub(super) seats_serial: u64,
-    pub(super) sessions: BTreeMap<NodeId, Sessions>,
+    pub(super) connections: BTreeMap<Conn, Connection>,
+    pub(super) edge_sessions: BTreeMap<Conn, EdgeSession>,
+    pub(super) report_serial: u64,
+    pub(super) session_reports: BTreeMap<NodeId, SessionReport>,
     /// All edges' sessions, and what edges are shown of them.
-    pub(super) merged: Vec<Seat>,
+    pub(super) merged: Vec<EdgeSession>,
     pub(super) places: (u64, Arc<Vec<Place>>),
     /// The sessions as last told to other cores, and when.
-    pub(super) told: (Vec<Seat>, Millis),
+    pub(super) told: (Vec<EdgeSession>, Millis),
     pub worker_list: WorkerList,
     pub loads: Arc<Loads>,
     pub(super) updates: super::updates::Updates,
@@ -108,7 +108,7 @@
     }
 
     pub(super) fn send(&mut self, conn: Conn, p: Payload) {
-        if let Some(l) = self.lines.get_mut(&conn) {
+        if let Some(l) = self.connections.get_mut(&conn) {
             l.sent = self.now;
         }
         self.out.push(ControllerEffect::Send(conn, p));
@@ -141,7 +141,7 @@
             self.duty_alarm();
         }
         self.first_list();
-        self.seats_alarm();
+        self.sessions_alarm();
         self.claims_alarm();
         self.ping();
     }
@@ -150,9 +150,9 @@
         match n {
             NetEvent::Up { conn, dialled } => {
                 let heard = self.now;
-                self.lines.insert(
+                self.connections.insert(
                     conn,
-                    Line {
+                    Connection {
                         dialled,
                         hello: None,
                         heard,
@@ -163,15 +163,15 @@
                 self.send(conn, Payload::Hello(hello));
             }
             NetEvent::Down { conn } => {
-                let was = self.lines.remove(&conn).and_then(|l| l.hello);
-                self.unseat(conn);
-                let core = was.filter(|h| h.core && self.line_to(h.id).is_none());
+                let was = self.connections.remove(&conn).and_then(|l| l.hello);
+                self.end_session(conn);
+                let core = was.filter(|h| h.core && self.connection_to(h.id).is_none());
                 if let Some(id) = core.map(|h| h.id) {
                     self.agreed(Event::Gone { id });
                 }
             }
             NetEvent::Frame { conn, payload } => {
-                if let Some(l) = self.lines.get_mut(&conn) {
+                if let Some(l) = self.connections.get_mut(&conn) {
                     l.heard = self.now;
                 }
                 self.frame(conn, *payload);
@@ -180,7 +180,7 @@
     }
 
     fn frame(&mut self, conn: Conn, p: Payload) {
-        let from = self.lines.get(&conn).and_then(|l| l.hello.clone());
+        let from = self.connections.get(&conn).and_then(|l| l.hello.clone());
         let from = match p {
             Payload::Hello(h) => return self.on_hello(conn, h),
             // who has not said who it is can ask for nothing
@@ -195,7 +195,7 @@
                 self.agreed(Event::Heard { from, msg });
             }
             Payload::Founding(f) if from.core => self.on_founding(conn, from, f),
-            Payload::Sessions(s) if from.core => self.on_sessions(from, s),
+            Payload::SessionReport(s) if from.core => self.on_sessions(from, s),
             Payload::WorkerRegistry(r) if from.core => self.take_registry(r),
             Payload::Loads(l) if from.core => self.take_loads(l),
             Payload::Renew {
@@ -235,7 +235,7 @@
     fn on_hello(&mut self, conn: Conn, h: Hello) {
         // a connection to oneself, through a seed, is of no use
         if h.id == self.me.id {
-            let addr = self.lines.get(&conn).and_then(|l| l.dialled);
+            let addr = self.connections.get(&conn).and_then(|l| l.dialled);
             if let Some(a) = addr {
                 self.seeds.retain(|s| *s != a);
                 self.dials.remove(&a);
@@ -245,13 +245,13 @@
             return;
         }
         if !h.core {
-            self.seat(conn, h.clone());
+            self.begin_session(conn, h.clone());
         }
         let core = h.core;
         if core {
             self.membership.on_hello(&h);
         }
-        if let Some(l) = self.lines.get_mut(&conn) {
+        if let Some(l) = self.connections.get_mut(&conn) {
             l.hello = Some(h);
         }
         if core {
@@ -275,7 +275,7 @@
         match e {
             Effect::Save { seq, save } => self.out.push(ControllerEffect::Save(seq, save)),
             Effect::Send { to, msg } => {
-                if let Some(c) = self.line_to(to) {
+                if let Some(c) = self.connection_to(to) {
                     self.send(c, Payload::Consensus(msg));
                 }
             }
--- a/sorreldoor/src/core/delivery.rs
+++ b/sorreldoor/src/core/delivery.rs
@@ -14,28 +14,28 @@
 use std::sync::Arc;
 
 /// An edge not heard of for so long has no session.
-const SEAT_MS: Millis = 1500;
+const SESSION_TIMEOUT_MS: Millis = 1500;
 /// Sessions that have not changed are told again so often.
-const RETELL_MS: Millis = 5000;
+const REPORT_AGAIN_MS: Millis = 5000;
 
 impl Controller {
-    pub(super) fn seat(&mut self, conn: Conn, h: Hello) {
+    pub(super) fn begin_session(&mut self, conn: Conn, h: Hello) {
         // a node has one session here; what is left of an older is stale
         let old: Vec<Conn> = self
-            .seats
+            .edge_sessions
             .iter()
             .filter(|(c, s)| s.hello.node == h.node && **c != conn)
             .map(|(c, _)| *c)
             .collect();
         for c in old {
-            self.seats.remove(&c);
+            self.edge_sessions.remove(&c);
             self.updates.closed(c);
             self.out.push(ControllerEffect::Close(c));
         }
         self.say(Ev::NodeJoined, h.node.clone());
-        self.seats.insert(
+        self.edge_sessions.insert(
             conn,
-            Seat {
+            EdgeSession {
                 hello: h,
                 serial: 0,
                 permit: false,
@@ -43,29 +43,29 @@
                 took: Vec::new(),
             },
         );
-        self.seats_changed();
+        self.sessions_changed();
     }
 
-    pub(super) fn unseat(&mut self, conn: Conn) {
+    pub(super) fn end_session(&mut self, conn: Conn) {
         self.updates.closed(conn);
-        if let Some(s) = self.seats.remove(&conn) {
+        if let Some(s) = self.edge_sessions.remove(&conn) {
             self.say(Ev::NodeLost, s.hello.node);
-            self.seats_changed();
+            self.sessions_changed();
         }
     }
 
-    fn seats_changed(&mut self) {
+    fn sessions_changed(&mut self) {
         self.merge();
         self.tell_sessions(true);
     }
 
     /// This core's sessions as other cores are told of them.
-    fn own_sessions(&self) -> Vec<Seat> {
-        let all = self.seats.values().cloned();
+    fn own_sessions(&self) -> Vec<EdgeSession> {
+        let all = self.edge_sessions.values().cloned();
         if self.pacing.accounts {
             return all.collect();
         }
-        let bare = |s: Seat| Seat {
+        let bare = |s: EdgeSession| EdgeSession {
             serial: 0,
             running: 0,
             took: Vec::new(),
@@ -75,29 +75,29 @@
     }
 
     fn tell_sessions(&mut self, now: bool) {
-        let seats = self.own_sessions();
-        let old = self.now.saturating_sub(self.told.1) >= RETELL_MS;
-        let new = seats != self.told.0;
+        let edge_sessions = self.own_sessions();
+        let old = self.now.saturating_sub(self.told.1) >= REPORT_AGAIN_MS;
+        let new = edge_sessions != self.told.0;
         // what has not changed was told; now and then again, since a full
         // ring may have dropped it
         if !(new || old || now) {
             return;
         }
-        self.seats_serial += u64::from(new);
-        self.told = (seats, self.now);
+        self.report_serial += u64::from(new);
+        self.told = (edge_sessions, self.now);
         for (c, _) in self.live_cores(3000).into_values() {
             self.send_sessions(c);
         }
     }
 
     fn send_sessions(&mut self, c: Conn) {
-        let s = Sessions {
+        let s = SessionReport {
             core: self.me.id,
             boot: self.me.boot,
-            serial: self.seats_serial,
-            seats: self.told.0.clone(),
+            serial: self.report_serial,
+            edge_sessions: self.told.0.clone(),
         };
-        self.send(c, Payload::Sessions(s));
+        self.send(c, Payload::SessionReport(s));
     }
 
     /// What a core that has just come needs to know at once.
@@ -108,12 +108,12 @@
         }
     }
 
-    pub(super) fn on_sessions(&mut self, from: Hello, s: Sessions) {
-        let old = self.sessions.get(&from.id);
+    pub(super) fn on_sessions(&mut self, from: Hello, s: SessionReport) {
+        let old = self.session_reports.get(&from.id);
         // frames may pass each other on two lines; only news counts
         let newer = old.is_none_or(|o| o.boot != s.boot || s.serial >= o.serial);
         if s.core == from.id && newer && old.is_none_or(|o| *o != s) {
-            self.sessions.insert(from.id, s);
+            self.session_reports.insert(from.id, s);
             self.merge();
         }
     }
@@ -121,22 +121,22 @@
     /// All sessions of all cores that are heard of, an edge once.
     fn merge(&mut self) {
         // an edge beside a dead core must not be named longer than others
-        let live = self.live_cores(SEAT_MS);
-        let mut all: BTreeMap<String, Seat> = BTreeMap::new();
+        let live = self.live_cores(SESSION_TIMEOUT_MS);
+        let mut all: BTreeMap<String, EdgeSession> = BTreeMap::new();
         let others = self
-            .sessions
+            .session_reports
             .iter()
             .filter(|(id, _)| live.contains_key(id))
-            .flat_map(|(_, s)| s.seats.iter());
-        for s in others.chain(self.seats.values()) {
+            .flat_map(|(_, s)| s.edge_sessions.iter());
+        for s in others.chain(self.edge_sessions.values()) {
             // what errands took is for tuning, and no edge needs it
-            let s = Seat {
+            let s = EdgeSession {
                 took: Vec::new(),
                 ..s.clone()
             };
             all.insert(s.hello.node.clone(), s);
         }
-        let all: Vec<Seat> = all.into_values().collect();
+        let all: Vec<EdgeSession> = all.into_values().collect();
         let places: Vec<Place> = all.iter().map(|s| self.place(s)).collect();
         if places != *self.places.1 {
             // the same list has the same mark on every core
@@ -146,7 +146,7 @@
     }
 
     /// What edges are shown of one of them.
-    fn place(&self, s: &Seat) -> Place {
+    fn place(&self, s: &EdgeSession) -> Place {
         let r = self.consensus.as_ref().map(|a| a.machine());
         // how much still runs matters where it is waited for, and would
         // elsewhere be news for everyone with each errand
@@ -161,17 +161,17 @@
         }
     }
 
-    pub(super) fn seats_alarm(&mut self) {
-        let silent = SEAT_MS.max(self.pacing.renew_ms * 2 + 500);
+    pub(super) fn sessions_alarm(&mut self) {
+        let silent = SESSION_TIMEOUT_MS.max(self.pacing.renew_ms * 2 + 500);
         let old = self.now.saturating_sub(silent);
         let lost: Vec<Conn> = self
-            .seats
+            .edge_sessions
             .keys()
-            .filter(|c| self.lines.get(c).is_none_or(|l| l.heard < old))
+            .filter(|c| self.connections.get(c).is_none_or(|l| l.heard < old))
             .copied()
             .collect();
         for c in lost {
-            self.unseat(c);
+            self.end_session(c);
             self.out.push(ControllerEffect::Close(c));
         }
         self.merge();
@@ -179,14 +179,17 @@
     }
 
     /// Every edge's own account of what its errands took.
-    pub(super) fn accounts(&self) -> Vec<&Seat> {
+    pub(super) fn accounts(&self) -> Vec<&EdgeSession> {
         let live = self.live_cores(3000);
-        let others = self.sessions.iter().filter(|(id, _)| live.contains_key(id));
-        let others = others.flat_map(|(_, s)| s.seats.iter());
-        others.chain(self.seats.values()).collect()
+        let others = self
+            .session_reports
+            .iter()
+            .filter(|(id, _)| live.contains_key(id));
+        let others = others.flat_map(|(_, s)| s.edge_sessions.iter());
+        others.chain(self.edge_sessions.values()).collect()
     }
 
-    pub fn all_seats(&self) -> &[Seat] {
+    pub fn all_sessions(&self) -> &[EdgeSession] {
         &self.merged
     }
 
@@ -202,7 +205,7 @@
         doing: Doing,
         unverified: Unverified,
     ) {
-        let Some(s) = self.seats.get_mut(&conn) else {
+        let Some(s) = self.edge_sessions.get_mut(&conn) else {
             return;
         };
         let turned = s.permit != doing.permit;
@@ -211,7 +214,7 @@
         s.running = doing.running;
         s.took = doing.took;
         if turned {
-            self.seats_changed();
+            self.sessions_changed();
         }
         let (no, have) = ask;
         let led = self.consensus.as_ref().is_some_and(|a| a.led()) || broken(Rule::Proof);
@@ -266,7 +269,7 @@
                 .at(self.now)
                 .filter(|r| r.serial > have.registry),
             loads: Some(self.loads.clone()).filter(|l| l.mark() > have.loads),
-            seats: (self.places.0 != have.seats).then(places),
+            edge_sessions: (self.places.0 != have.edge_sessions).then(places),
         }
     }
 
--- a/sorreldoor/src/core/duty.rs
+++ b/sorreldoor/src/core/duty.rs
@@ -106,7 +106,10 @@
         );
         let cores = self.live_cores(3000).into_values().map(|(c, _)| c);
         // a worker that leaves must be known of before the next renewal
-        for c in cores.chain(self.seats.keys().copied()).collect::<Vec<_>>() {
+        for c in cores
+            .chain(self.edge_sessions.keys().copied())
+            .collect::<Vec<_>>()
+        {
             self.send(c, Payload::WorkerRegistry(list.clone()));
         }
     }
--- a/sorreldoor/src/core/founding.rs
+++ b/sorreldoor/src/core/founding.rs
@@ -127,7 +127,7 @@
 
     pub(super) fn greet(&mut self) {
         self.me.founded = true;
-        let conns: Vec<Conn> = self.lines.keys().copied().collect();
+        let conns: Vec<Conn> = self.connections.keys().copied().collect();
         for c in conns {
             let h = self.me.clone();
             self.send(c, Payload::Hello(h));
--- a/sorreldoor/src/core/membership/mod.rs
+++ b/sorreldoor/src/core/membership/mod.rs
@@ -59,7 +59,7 @@
     /// process there said is still on its line for a while.
     fn freshest(&self) -> Vec<Hello> {
         let since = self.now.saturating_sub(HEARD_MS);
-        let heard = self.lines.values().filter(|l| l.heard >= since);
+        let heard = self.connections.values().filter(|l| l.heard >= since);
         let mut by: BTreeMap<&str, (Millis, &Hello)> = BTreeMap::new();
         for l in heard {
             let Some(h) = l.hello.as_ref().filter(|h| h.core) else {
@@ -79,7 +79,7 @@
         self.leaving = true;
         self.me.stopping = true;
         let core = |h: &Hello| h.core;
-        let lines = self.lines.iter();
+        let lines = self.connections.iter();
         let cores = lines.filter(|(_, l)| l.hello.as_ref().is_some_and(core));
         let conns: Vec<Conn> = cores.map(|(conn, _)| *conn).collect();
         for conn in conns {
--- a/sorreldoor/src/core/mod.rs
+++ b/sorreldoor/src/core/mod.rs
@@ -3,6 +3,7 @@
 mod api;
 mod book;
 mod claims;
+mod connections;
 mod controller;
 mod delivery;
 mod duty;
@@ -10,7 +11,6 @@
 mod founding;
 mod front;
 mod learn;
-mod lines;
 pub mod membership;
 mod reads;
 mod regions;
--- a/sorreldoor/src/core/status.rs
+++ b/sorreldoor/src/core/status.rs
@@ -88,7 +88,9 @@
             &emptied.unwrap_or_default(),
             self.worker_list.workers(),
             &self.loads,
-            self.all_seats().iter().map(|s| (s.hello.zone, s.running)),
+            self.all_sessions()
+                .iter()
+                .map(|s| (s.hello.zone, s.running)),
         );
         let _ = v.insert("zones", zones);
         let _ = v.insert("edges", self.edges());
@@ -141,7 +143,7 @@
     }
 
     fn edges(&self) -> Vec<Val> {
-        self.all_seats()
+        self.all_sessions()
             .iter()
             .map(|s| {
                 let mut o = Val::object();
--- a/sorreldoor/src/edge/session.rs
+++ b/sorreldoor/src/edge/session.rs
@@ -117,8 +117,8 @@
             self.pull.have.loads = l.mark();
             self.plan.take_loads(l);
         }
-        if let Some(s) = n.seats {
-            self.pull.have.seats = s.0;
+        if let Some(s) = n.edge_sessions {
+            self.pull.have.edge_sessions = s.0;
             self.plan.take_seats(s);
         }
         if let Some((at, cores)) = n.cores {
--- a/sorreldoor/src/edge/status.rs
+++ b/sorreldoor/src/edge/status.rs
@@ -23,7 +23,7 @@
             &s.view.emptied,
             &s.registry.workers,
             &s.loads,
-            s.seats.1.iter().map(|p| (p.zone, p.running)),
+            s.edge_sessions.1.iter().map(|p| (p.zone, p.running)),
         );
         let _ = v.insert("zones", zones);
         let mut n = Val::object();
--- a/sorreldoor/src/errand/plan.rs
+++ b/sorreldoor/src/errand/plan.rs
@@ -19,7 +19,7 @@
     pub view: View,
     pub registry: Arc<WorkerRegistry>,
     pub loads: Arc<Loads>,
-    pub seats: (u64, Vec<Place>),
+    pub edge_sessions: (u64, Vec<Place>),
 }
 
 #[derive(Default)]
@@ -90,7 +90,7 @@
     }
 
     pub fn take_seats(&mut self, s: (u64, Vec<Place>)) {
-        self.shown.seats = s;
+        self.shown.edge_sessions = s;
         self.rebuild();
     }
 
@@ -123,7 +123,7 @@
     fn rebuild(&mut self) {
         self.edges = self
             .shown
-            .seats
+            .edge_sessions
             .1
             .iter()
             .map(|s| (s.node.clone(), s.region))
@@ -240,7 +240,7 @@
     pub fn edges_for(&self, region: Option<u8>, only: bool, key: &str) -> Vec<String> {
         let mut all: Vec<&Place> = self
             .shown
-            .seats
+            .edge_sessions
             .1
             .iter()
             .filter(|s| s.ready && !self.emptied(s.zone))
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -217,8 +217,8 @@
         if let Some(r) = n.registry {
             self.take_list(&r);
         }
-        if let Some(s) = n.seats {
-            self.pull.have.seats = s.0;
+        if let Some(s) = n.edge_sessions {
+            self.pull.have.edge_sessions = s.0;
             self.take_places(s.1);
         }
         if let Some((at, cores)) = n.cores {
--- a/sorreldoor/src/tune.rs
+++ b/sorreldoor/src/tune.rs
@@ -2,7 +2,7 @@
 
 use crate::registry::{Loads, WorkerRegistry};
 use crate::setup::{Route, Setup, Share};
-use crate::wire::Seat;
+use crate::wire::EdgeSession;
 use std::collections::BTreeMap;
 
 /// Differences of pressure below this, in percent, move nothing.
@@ -69,10 +69,10 @@
 
 impl Times {
     /// Take in what edges told since the last look.
-    pub fn take(&mut self, seats: &[&Seat]) {
+    pub fn take(&mut self, edge_sessions: &[&EdgeSession]) {
         let mut new: BTreeMap<(String, String), (u64, u64)> = BTreeMap::new();
         let mut seen = BTreeMap::new();
-        for s in seats {
+        for s in edge_sessions {
             for t in &s.took {
                 let (route, service) = (t.route.clone(), t.service.clone());
                 let k = (s.hello.node.clone(), s.hello.boot, route, service);
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -36,7 +36,7 @@
 
 /// A node as its session shows it to others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct EdgeSession {
     pub hello: Hello,
     pub serial: u64,
     pub permit: bool,
@@ -75,11 +75,11 @@
 
 /// One core's sessions, under a serial of its own.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sessions {
+pub struct SessionReport {
     pub core: NodeId,
     pub boot: u64,
     pub serial: u64,
-    pub seats: Vec<Seat>,
+    pub edge_sessions: Vec<EdgeSession>,
 }
 
 /// What a node has, one serial for each source; what is newer it is sent.
@@ -93,7 +93,7 @@
     pub loads: (u64, u64),
     /// Marks of what the lists of places and of cores hold.
     #[serde(default, skip_serializing_if = "zero")]
-    pub seats: u64,
+    pub edge_sessions: u64,
     #[serde(default, skip_serializing_if = "zero")]
     pub cores: u64,
 }
@@ -145,7 +145,7 @@
     #[serde(default, skip_serializing_if = "zero")]
     pub loads: Option<Arc<Loads>>,
     #[serde(default, skip_serializing_if = "zero")]
-    pub seats: Option<(u64, Vec<Place>)>,
+    pub edge_sessions: Option<(u64, Vec<Place>)>,
     /// Where the cores are now, with their regions, under a mark of it.
     #[serde(default, skip_serializing_if = "zero")]
     pub cores: Option<(u64, Vec<(String, u8)>)>,
@@ -201,7 +201,7 @@
     Hello(Hello),
     Consensus(Msg),
     Founding(Founding),
-    Sessions(Sessions),
+    SessionReport(SessionReport),
     WorkerRegistry(Arc<WorkerRegistry>),
     Loads(Arc<Loads>),
     Renew {
