--- a/rig/tests/site/claims.rs
+++ b/rig/tests/site/claims.rs
@@ -39,9 +39,10 @@
         w.controller(b)
             .and_then(|h| h.consensus.as_ref())
             .is_some_and(|x| {
-                let edge_sessions = x.members().iter().filter(|m| m.voter);
-                let vs: Vec<u64> = edge_sessions.map(|m| m.id).collect();
-                vs.len() == 3 && vs.contains(&id)
+                let voters = x.members().iter().filter(|m| m.voter);
+                let ids: Vec<u64> = voters.map(|m| m.id).collect();
+                // until its change has ended, the lost core still counts
+                ids.len() == 3 && ids.contains(&id) && x.members_settled()
             })
     });
     // it gets no seat where the core that it cannot reach leads
