--- a/sorreldoor/src/core/mod.rs
+++ b/sorreldoor/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core node: consensus, sessions, delivery, duties.
 
 mod api;
-mod book;
+pub mod book;
 mod claims;
 mod connections;
 mod controller;
@@ -20,7 +20,7 @@
 mod start;
 mod status;
 pub mod updates;
-mod worker_list;
+pub mod worker_list;
 
 pub use api::{Api, Door};
 pub use book::KEEP_MS;
--- a/sorreldoor/src/errand/mod.rs
+++ b/sorreldoor/src/errand/mod.rs
@@ -10,6 +10,7 @@
 mod passes;
 mod plan;
 
+pub use again::Again;
 pub use budget::{Retries, Spill};
 pub use claims::{Claim, Wish};
 pub use plan::{Plan, Shown};
