--- a/rig/src/hollow/core.rs
+++ b/rig/src/hollow/core.rs
@@ -21,7 +21,7 @@
 
 impl World {
     /// The one place where a core's reducer is made.
-    fn hub_of(&mut self, p: usize, boot: u64) -> Controller {
+    fn new_controller(&mut self, p: usize, boot: u64) -> Controller {
         let start = Start {
             me: self.hello(p, boot),
             site: self.site.clone(),
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn start_core(&mut self, p: usize, boot: u64) {
-        let controller = self.hub_of(p, boot);
+        let controller = self.new_controller(p, boot);
         self.procs[p].role = Role::Core(Box::new(Core {
             controller,
             disk: Disk::default(),
@@ -76,7 +76,7 @@
         self.after(0, Act::Poll(p, boot));
     }
 
-    pub(super) fn hub_at(&self, p: usize) -> Option<&Controller> {
+    pub(super) fn controller_at(&self, p: usize) -> Option<&Controller> {
         match &self.procs[p].role {
             Role::Core(c) => Some(&c.controller),
             _ => None,
@@ -85,7 +85,7 @@
 
     pub(super) fn leader(&self) -> Option<usize> {
         let leads = |p: &usize| {
-            let a = self.hub_at(*p).and_then(|h| h.consensus.as_ref());
+            let a = self.controller_at(*p).and_then(|h| h.consensus.as_ref());
             a.is_some_and(|a| a.leads_globally())
         };
         self.cores().find(leads)
@@ -93,7 +93,7 @@
 
     pub(super) fn on_duty(&self) -> Option<usize> {
         self.cores()
-            .find(|p| self.hub_at(*p).is_some_and(|h| h.on_duty()))
+            .find(|p| self.controller_at(*p).is_some_and(|h| h.on_duty()))
     }
 
     /// One event through a core's reducer, its host time under `what`.
@@ -103,11 +103,11 @@
         let Role::Core(c) = role else { return };
         let fx = meter.time(what, || c.controller.step(ev, now));
         for f in fx {
-            self.hub_fx(p, f);
+            self.core_effect(p, f);
         }
     }
 
-    fn hub_fx(&mut self, p: usize, f: ControllerEffect) {
+    fn core_effect(&mut self, p: usize, f: ControllerEffect) {
         let boot = self.procs[p].boot;
         let now = self.now;
         match f {
@@ -192,7 +192,7 @@
 
     pub(super) fn propose(&mut self, c: Pending) {
         let p = self.rng.below(self.size.cores as u64) as usize;
-        let a = self.hub_at(p).and_then(|h| h.consensus.as_ref());
+        let a = self.controller_at(p).and_then(|h| h.consensus.as_ref());
         let base = a.map_or(0, |a| a.machine().serial());
         let cmd = if base == 0 {
             let doc = given::setup(&self.size);
--- a/rig/src/hollow/report.rs
+++ b/rig/src/hollow/report.rs
@@ -163,7 +163,7 @@
 
     /// State as it is encoded, in bytes.
     fn sizes(&self, row: &mut Row) {
-        let Some(h) = self.cores().find_map(|p| self.hub_at(p)) else {
+        let Some(h) = self.cores().find_map(|p| self.controller_at(p)) else {
             return;
         };
         if let Some(a) = &h.consensus {
--- a/rig/src/site/operators.rs
+++ b/rig/src/site/operators.rs
@@ -54,7 +54,7 @@
         let core = self.procs[p].core;
         self.reach_proc(p, boot, move |w| {
             if core {
-                w.hub_step(p, ControllerEvent::Change { rid, pid, cmd });
+                w.core_step(p, ControllerEvent::Change { rid, pid, cmd });
             } else {
                 w.hall_step(p, EdgeEvent::Change { rid, pid, cmd });
             }
--- a/rig/src/site/orders.rs
+++ b/rig/src/site/orders.rs
@@ -212,7 +212,7 @@
         let (boot, core) = (self.procs[p].boot, self.procs[p].core);
         self.reach_proc(p, boot, move |w| {
             if core {
-                w.hub_step(p, ControllerEvent::Change { rid, pid, cmd });
+                w.core_step(p, ControllerEvent::Change { rid, pid, cmd });
             } else {
                 w.hall_step(p, EdgeEvent::Change { rid, pid, cmd });
             }
@@ -303,7 +303,7 @@
         self.orders.readings.push(Reading { rid, start, shown });
         let boot = self.procs[p].boot;
         self.reach_proc(p, boot, move |w| {
-            w.hub_step(p, ControllerEvent::View { rid })
+            w.core_step(p, ControllerEvent::View { rid })
         });
     }
 
--- a/rig/src/site/procs.rs
+++ b/rig/src/site/procs.rs
@@ -204,7 +204,7 @@
             return;
         }
         if self.procs[p].core {
-            self.hub_step(p, ControllerEvent::Alarm);
+            self.core_step(p, ControllerEvent::Alarm);
         } else {
             self.hall_step(p, EdgeEvent::Alarm);
         }
@@ -216,7 +216,7 @@
         }
         let r = self.registry.clone();
         self.reach_proc(p, boot, move |w| {
-            w.hub_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
+            w.core_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
         });
         self.after(500, move |w| w.poll_registry(p, boot));
     }
@@ -237,7 +237,7 @@
 
     pub(crate) fn net_event(&mut self, p: usize, n: NetEvent) {
         if self.procs[p].core {
-            self.hub_step(p, ControllerEvent::Net(n));
+            self.core_step(p, ControllerEvent::Net(n));
         } else {
             self.hall_step(p, EdgeEvent::Net(n));
         }
@@ -257,17 +257,17 @@
         }
     }
 
-    pub fn hub_step(&mut self, p: usize, ev: ControllerEvent) {
+    pub fn core_step(&mut self, p: usize, ev: ControllerEvent) {
         let now = self.clocks(p);
         let Role::Core(h) = &mut self.procs[p].role else {
             return;
         };
         for f in h.step(ev, now) {
-            self.hub_fx(p, f);
+            self.core_effect(p, f);
         }
     }
 
-    fn hub_fx(&mut self, p: usize, f: ControllerEffect) {
+    fn core_effect(&mut self, p: usize, f: ControllerEffect) {
         let boot = self.procs[p].boot;
         match f {
             ControllerEffect::Save(seq, save) => {
@@ -297,7 +297,7 @@
                 let r = sorreldoor::registry::WorkerRegistry { serial, workers };
                 self.after(20, move |w| {
                     w.reach_proc(p, boot, move |w| {
-                        w.hub_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
+                        w.core_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
                     })
                 });
             }
@@ -307,7 +307,7 @@
                 self.after(40, move |w| {
                     let rows = names.iter().map(|n| w.load_of(n, region)).collect();
                     w.reach_proc(p, boot, move |w| {
-                        w.hub_step(p, ControllerEvent::Loads { epoch, rows })
+                        w.core_step(p, ControllerEvent::Loads { epoch, rows })
                     });
                 });
             }
@@ -327,7 +327,9 @@
             return;
         }
         self.procs[p].disk.synced(seq);
-        self.reach_proc(p, boot, move |w| w.hub_step(p, ControllerEvent::Saved(seq)));
+        self.reach_proc(p, boot, move |w| {
+            w.core_step(p, ControllerEvent::Saved(seq))
+        });
     }
 
     fn want(&mut self, p: usize, a: SocketAddr) {
--- a/rig/src/site/workers.rs
+++ b/rig/src/site/workers.rs
@@ -120,7 +120,7 @@
             .expect("a worker of that name")
     }
 
-    fn roster_group(&self, w: usize) -> String {
+    fn registered_group(&self, w: usize) -> String {
         let name = &self.workers[w].name;
         let row = self.registry.workers.iter().find(|r| r.name == *name);
         row.map_or_else(String::new, |r| r.group.clone())
@@ -276,7 +276,7 @@
             serial,
             id: id.clone(),
             caller,
-            group: self.roster_group(t.worker),
+            group: self.registered_group(t.worker),
             doc: self.doc_at(p),
         });
         let boot = self.procs[p].boot;
--- a/rig/src/stand.rs
+++ b/rig/src/stand.rs
@@ -210,14 +210,14 @@
 }
 
 /// Counts an errand as here, and gives its slot back, whatever happens.
-struct EdgeSession(Arc<Inner>, bool);
+struct WorkerSlot(Arc<Inner>, bool);
 
-impl EdgeSession {
-    fn take(w: &Arc<Inner>) -> EdgeSession {
+impl WorkerSlot {
+    fn take(w: &Arc<Inner>) -> WorkerSlot {
         let mut b = locked(&w.book);
         b.queued += 1;
         b.most_here = b.most_here.max(b.queued + b.running);
-        EdgeSession(w.clone(), false)
+        WorkerSlot(w.clone(), false)
     }
 
     async fn run(&mut self, id: &str) {
@@ -231,7 +231,7 @@
     }
 }
 
-impl Drop for EdgeSession {
+impl Drop for WorkerSlot {
     fn drop(&mut self) {
         let mut b = locked(&self.0.book);
         if self.1 {
@@ -263,8 +263,8 @@
         r.insert_header("x-ran", "no");
         return r;
     }
-    let mut seat = EdgeSession::take(&w);
-    seat.run(&id).await;
+    let mut slot = WorkerSlot::take(&w);
+    slot.run(&id).await;
     let hit = warm(&w, &key);
     let chars = tail + if hit { 0 } else { prefix };
     task::sleep(Duration::from_micros(chars * w.make.prefill_us)).await;
@@ -281,7 +281,7 @@
         _ => {}
     }
     if events > 0 {
-        return stream(w, seat, id, named, events, fault);
+        return stream(w, slot, id, named, events, fault);
     }
     task::sleep(Duration::from_millis(w.make.decode_ms)).await;
     let mut v = Val::object();
@@ -332,7 +332,7 @@
 
 fn stream(
     w: Arc<Inner>,
-    seat: EdgeSession,
+    slot: WorkerSlot,
     id: String,
     named: String,
     n: u64,
@@ -341,7 +341,7 @@
     let (tx, rx) = bounded(1);
     let gap = Duration::from_millis(w.make.decode_ms);
     task::spawn(async move {
-        let _seat = seat;
+        let _slot = slot;
         for i in 0..n {
             task::sleep(gap).await;
             if f == Fault::SkipEvent && i == 1 {
@@ -373,8 +373,8 @@
 async fn page(w: Arc<Inner>, req: Request) -> Response {
     let id = head(&req, "x-errand-id");
     let fault = locked(&w.book).fault;
-    let mut seat = EdgeSession::take(&w);
-    seat.run(&id).await;
+    let mut slot = WorkerSlot::take(&w);
+    slot.run(&id).await;
     task::sleep(Duration::from_millis(2)).await;
     match fault {
         Fault::Silent => {
--- a/rig/tests/site/freshness/watch.rs
+++ b/rig/tests/site/freshness/watch.rs
@@ -38,7 +38,7 @@
         emptied,
     };
     let rid = w.number();
-    w.hub_step(core, ControllerEvent::Change { rid, pid, cmd });
+    w.core_step(core, ControllerEvent::Change { rid, pid, cmd });
 }
 
 /// When a core acknowledged one of the proposals.
@@ -114,7 +114,7 @@
         for core in w.cores() {
             let rid = w.number();
             self.reads.push((rid, core, w.now, newest));
-            w.hub_step(core, ControllerEvent::View { rid });
+            w.core_step(core, ControllerEvent::View { rid });
         }
     }
 
--- a/rig/tests/site/pacing.rs
+++ b/rig/tests/site/pacing.rs
@@ -170,7 +170,7 @@
 /// and takes what the last one has; edges that had a proof serve no more, and
 /// once a majority is back only what is proved counts.
 #[test]
-fn an_edge_without_any_record_takes_an_unproven_one() {
+fn an_edge_without_any_record_takes_an_unverified_one() {
     for seed in seeds(7900..7910) {
         let mut w = with(seed, |w| w.pacing.unverified_after_ms = Some(3000));
         let all = w.cores();
@@ -212,7 +212,7 @@
 
 /// Without the setting an edge waits for a proof however long it takes.
 #[test]
-fn an_unproven_record_is_taken_only_where_that_is_set() {
+fn an_unverified_record_is_taken_only_where_that_is_set() {
     let mut w = with(3, |_| {});
     let all = w.cores();
     let e = w.edges()[0];
--- a/rig/tests/site/replacing.rs
+++ b/rig/tests/site/replacing.rs
@@ -38,7 +38,7 @@
 
 /// SIGTERM: the process ends by itself a little later.
 fn stop(w: &mut World, core: usize) {
-    w.hub_step(core, ControllerEvent::Stop);
+    w.core_step(core, ControllerEvent::Stop);
     let boot = w.procs[core].boot;
     w.after(300, move |w| {
         if w.procs[core].up && w.procs[core].boot == boot {
--- a/sorreldoor/src/edge/run.rs
+++ b/sorreldoor/src/edge/run.rs
@@ -1,4 +1,4 @@
-//! The edge's daemon: threads and rings around the controller's reducer.
+//! The edge's daemon: threads and rings around the edge controller.
 
 use super::api::Api;
 use super::controller::{EdgeController, EdgeEffect, EdgeEvent};
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn every_setting_of_thrift_is_on_the_page() {
+fn every_setting_of_pacing_is_on_the_page() {
     let text = page("docs/settings.md");
     for k in sorreldoor::pacing::KEYS {
         assert!(text.contains(&format!("\n| `{k}` | ")), "{k}");
--- a/sorreldoor/tests/table/drive.rs
+++ b/sorreldoor/tests/table/drive.rs
@@ -133,7 +133,7 @@
     }
 
     /// Plays until `end`; the list goes out to all nodes at `WorkerRegistry` events.
-    pub fn run(&mut self, end: u64, mut roster_at: impl FnMut(&mut Drive)) {
+    pub fn run(&mut self, end: u64, mut on_list: impl FnMut(&mut Drive)) {
         for f in 0..self.flows.len() {
             let at = self.flows[f].from + self.rand.below(20);
             self.put(at, Ev::Come(f));
@@ -177,7 +177,7 @@
                 Ev::Again(n, r) if self.waiting.contains(&(n, r)) => self.pick(n, r),
                 Ev::Again(..) => {}
                 Ev::Free(w) => self.leave(w),
-                Ev::WorkerRegistry => roster_at(self),
+                Ev::WorkerRegistry => on_list(self),
             }
         }
     }
