--- /dev/null
+++ b/sorreldoor/tests/formats/main.rs
@@ -0,0 +1,98 @@
+//! Frames between nodes and stored data keep their bytes: each sample is
+//! encoded and compared with `formats/samples.txt`, then read back from there.
+//!
+//! The samples were written by the release before the renaming of types and
+//! fields. A line that differs means that nodes of two builds would not
+//! understand each other, or that a data folder would not be read. Only a
+//! deliberate change of format, with a new `PROTO` and a reader for the old
+//! data, may replace a line (`SORRELDOOR_WRITE_SAMPLES=1 cargo test`).
+
+mod messages;
+mod samples;
+
+use samples::{durable_state, payloads, records, saves, site};
+use sorreldoor::consensus::{Machine, Save};
+use sorreldoor::record::{decode, encode, Record};
+use sorreldoor::store::DurableState;
+use sorreldoor::wire::{pack, unpack};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::path::PathBuf;
+
+const SITE_NAME: &str = "press";
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        let _ = write!(text, "{byte:02x}");
+        text
+    })
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+fn path() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/formats/samples.txt")
+}
+
+/// Every sample, by a name of its own.
+fn samples() -> BTreeMap<String, Vec<u8>> {
+    let mut all = BTreeMap::new();
+    for (index, payload) in payloads().iter().enumerate() {
+        all.insert(format!("frame-{index:02}"), pack(SITE_NAME, payload));
+    }
+    for (index, save) in saves().iter().enumerate() {
+        all.insert(format!("save-{index:02}"), encode(save));
+    }
+    all.insert("state".into(), encode(&durable_state()));
+    let (record, revision) = records();
+    all.insert("record".into(), record.image());
+    all.insert("update-whole".into(), encode(&record.update_since(0)));
+    all.insert("update".into(), encode(&record.update_since(revision)));
+    all
+}
+
+fn stored() -> BTreeMap<String, Vec<u8>> {
+    let text = std::fs::read_to_string(path()).expect("the samples are kept beside the test");
+    let lines = text.lines().filter_map(|line| line.split_once(' '));
+    lines
+        .map(|(name, hex)| (name.to_string(), bytes(hex)))
+        .collect()
+}
+
+#[test]
+fn every_sample_keeps_its_bytes() {
+    let fresh = samples();
+    if std::env::var_os("SORRELDOOR_WRITE_SAMPLES").is_some() {
+        let lines = fresh
+            .iter()
+            .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
+        std::fs::write(path(), lines.collect::<String>()).expect("the samples can be written");
+    }
+    let stored = stored();
+    let names: Vec<_> = stored.keys().collect();
+    assert_eq!(names, fresh.keys().collect::<Vec<_>>());
+    for (name, bytes) in &fresh {
+        assert_eq!(hex(&stored[name]), hex(bytes), "{name}");
+    }
+}
+
+#[test]
+fn every_stored_sample_is_read_as_what_it_was_made_of() {
+    let stored = stored();
+    for (index, payload) in payloads().iter().enumerate() {
+        let body = &stored[&format!("frame-{index:02}")][4..];
+        assert_eq!(unpack(SITE_NAME, body).as_ref(), Ok(payload));
+    }
+    for (index, save) in saves().iter().enumerate() {
+        let read: Option<Save> = decode(&stored[&format!("save-{index:02}")]);
+        assert_eq!(read.as_ref(), Some(save));
+    }
+    let state: DurableState = decode(&stored["state"]).expect("a state");
+    assert_eq!(encode(&state), encode(&durable_state()));
+    let mut record = Record::new(site());
+    assert!(record.load(&stored["record"]));
+    assert_eq!(record.view(), records().0.view());
+}
--- /dev/null
+++ b/sorreldoor/tests/formats/messages.rs
@@ -0,0 +1,143 @@
+//! Samples of what consensus sends and of what it is made of.
+
+use sorreldoor::consensus::{
+    Body, Chunk, ContentHeader, Entry, Held, LogPosition, Member, Msg, Noted,
+};
+use std::sync::Arc;
+
+pub(super) fn member(id: u64) -> Member {
+    Member {
+        id,
+        region: 1,
+        zone: 2,
+        addr: "10.0.0.1:70".into(),
+        voter: id != 3,
+        outgoing: id == 2,
+    }
+}
+
+pub(super) fn last() -> LogPosition {
+    LogPosition { term: 4, idx: 90 }
+}
+
+pub(super) fn entries() -> Vec<Entry> {
+    let bodies = [
+        Body::Noop,
+        Body::Data(Arc::new(vec![1, 2, 250])),
+        Body::Members(vec![member(1), member(2), member(3)]),
+    ];
+    let entry = |body| Entry {
+        term: 4,
+        pid: 1 << 70,
+        origin: 9,
+        body,
+    };
+    bodies.map(entry).to_vec()
+}
+
+pub(super) fn claim() -> Noted {
+    Noted {
+        id: "abc".into(),
+        by: 1 << 80,
+        keep_ms: 300_000,
+    }
+}
+
+pub(super) fn messages() -> Vec<Msg> {
+    let chunk = |header| {
+        Msg::Chunk(Box::new(Chunk {
+            term: 4,
+            gl: 1,
+            round: 8,
+            commit: 89,
+            header,
+            id: 77,
+            total: 5,
+            offset: 3,
+            data: vec![9, 9],
+        }))
+    };
+    vec![
+        Msg::DomainVoteRequest {
+            dterm: 2,
+            last: last(),
+            pre: true,
+        },
+        Msg::DomainVoteReply {
+            dterm: 2,
+            yes: true,
+            pre: false,
+        },
+        Msg::DomainHeartbeat {
+            dterm: 2,
+            sent: 500,
+        },
+        Msg::DomainHeartbeatReply {
+            dterm: 2,
+            sent: 500,
+        },
+        Msg::VoteRequest {
+            term: 4,
+            last: last(),
+            pre: false,
+        },
+        Msg::VoteReply {
+            term: 4,
+            yes: true,
+            pre: false,
+            leads: true,
+            last: last(),
+        },
+        Msg::Append {
+            term: 4,
+            gl: 1,
+            prev: last(),
+            entries: entries(),
+            commit: 88,
+            round: 8,
+        },
+        Msg::AppendReply {
+            term: 4,
+            rows: vec![Held {
+                id: 2,
+                upto: 88,
+                round: 8,
+            }],
+            hint: Some(70),
+            fast: 60,
+            lat: vec![(1, 30)],
+        },
+        Msg::Confirm {
+            term: 4,
+            upto: 88,
+            holders: vec![1, 2],
+        },
+        chunk(ContentHeader::Snapshot {
+            last: last(),
+            members: vec![member(1)],
+        }),
+        chunk(ContentHeader::Entry {
+            prev: last(),
+            term: 4,
+            pid: 6,
+            origin: 2,
+        }),
+        Msg::ChunkReply {
+            term: 4,
+            id: 77,
+            held: 5,
+        },
+        Msg::Propose {
+            pid: 6,
+            origin: 2,
+            body: Body::Noop,
+        },
+        Msg::ProposalResult {
+            pid: 6,
+            outcome: Arc::new(vec![3]),
+        },
+        Msg::ReadIndexRequest { rid: 5 },
+        Msg::ReadIndexReply { rid: 5, idx: 90 },
+        Msg::TimeoutNow { term: 4 },
+    ]
+}
--- /dev/null
+++ b/sorreldoor/tests/formats/samples.rs
@@ -0,0 +1,364 @@
+//! Samples of frames between nodes, of saves and of records.
+
+use super::messages::{claim, entries, member, messages};
+use sorreldoor::consensus::{HardState, LogPosition, Machine, Noted, Save, Snapshot};
+use sorreldoor::record::{encode, Cmd, Outcome, Record, Recovery};
+use sorreldoor::registry::{Load, Loads, Worker, WorkerRegistry};
+use sorreldoor::setup::Site;
+use sorreldoor::store::DurableState;
+use sorreldoor::wire::{
+    Doing, EdgeSession, EncodedUpdate, Founding, Have, Hello, News, OpOutcome, Payload, Place,
+    SessionReport, Took, Unverified, Verdict,
+};
+use std::sync::Arc;
+
+pub(super) const DOCUMENT: &str = r#"{"groups":{"g":{"kind":"model"}},"services":{"s":{"groups":["g"]},"t":{"groups":["g"]}},"routes":{"r":{"kind":"decode","shares":{"s":{"weight":50,"least":40,"most":60},"t":{"weight":50}}}},"hosted":{"routes":[{"name":"x","host":"a.example","prefix":"/p/","timeout_ms":900,"service":"y","kind":"stream"}],"services":[{"name":"y","max_conns":7}]}}"#;
+
+pub(super) fn hello(core: bool) -> Hello {
+    Hello {
+        id: 11,
+        node: "n1".into(),
+        core,
+        region: 1,
+        zone: 2,
+        addr: "10.0.0.1:70".into(),
+        http: "10.0.0.1:80".into(),
+        founded: core,
+        boot: 33,
+        stopping: core,
+        learner_only: core,
+    }
+}
+
+pub(super) fn took() -> Vec<Took> {
+    vec![Took {
+        route: "r".into(),
+        service: "s".into(),
+        n: 4,
+        ms: 900,
+    }]
+}
+
+pub(super) fn session() -> EdgeSession {
+    EdgeSession {
+        hello: hello(false),
+        serial: 5,
+        permit: true,
+        running: 3,
+        took: took(),
+    }
+}
+
+pub(super) fn registry() -> Arc<WorkerRegistry> {
+    let worker = Worker {
+        name: "w1".into(),
+        addr: "10.0.0.9:9000".parse().expect("an address"),
+        group: "g".into(),
+        zone: 1,
+        region: 1,
+        leaving: true,
+        slots: 8,
+        cold_ms: 200,
+        leaves_ms: Some(900),
+        version: "2".into(),
+    };
+    Arc::new(WorkerRegistry {
+        serial: 12,
+        workers: vec![worker],
+    })
+}
+
+pub(super) fn loads() -> Arc<Loads> {
+    let load = Load {
+        name: "w1".into(),
+        running: 2,
+        queued: 1,
+        slots: 8,
+        finished: 60,
+        adapters: vec!["a".into()],
+        weights: "v".into(),
+        live: true,
+    };
+    Arc::new(Loads {
+        epoch: 3,
+        serial: 14,
+        rows: vec![load],
+    })
+}
+
+pub(super) fn site() -> Arc<Site> {
+    Arc::new(Site {
+        regions: vec!["a".into(), "b".into()],
+        zones: vec![("a1".into(), 0), ("b1".into(), 1)],
+    })
+}
+
+pub(super) fn commands() -> Vec<Cmd> {
+    vec![
+        Cmd::Put {
+            base: 0,
+            to: Some(7),
+            doc: DOCUMENT.into(),
+        },
+        Cmd::Edit {
+            base: 7,
+            patch: r#"{"routes":{"r":{"cutoff_ms":900}}}"#.into(),
+        },
+        Cmd::Zone {
+            base: 8,
+            zone: 1,
+            emptied: true,
+        },
+        Cmd::Duty {
+            holder: 11,
+            above: 0,
+        },
+        Cmd::Tune {
+            epoch: 1,
+            serial: 9,
+            weights: vec![(0, 0, 55)],
+        },
+        Cmd::Region {
+            epoch: 1,
+            region: 1,
+            state: Recovery::Returning(40),
+        },
+        Cmd::Region {
+            epoch: 1,
+            region: 0,
+            state: Recovery::Lost,
+        },
+        Cmd::Region {
+            epoch: 1,
+            region: 0,
+            state: Recovery::Served,
+        },
+        Cmd::Items {
+            base: 9,
+            to: Some(10),
+            set: r#"{"services":[{"name":"z"}]}"#.into(),
+            drop: "{}".into(),
+        },
+        Cmd::Evacuate {
+            zone: 0,
+            emptied: true,
+        },
+        Cmd::EvacuateOnce {
+            zone: 0,
+            emptied: false,
+            changes: 1,
+        },
+    ]
+}
+
+pub(super) fn outcomes() -> Vec<Outcome> {
+    vec![
+        Outcome::Taken { serial: 3 },
+        Outcome::Stale { serial: 3 },
+        Outcome::Bad {
+            faults: vec!["no such route".into()],
+        },
+        Outcome::OldEpoch { epoch: 2 },
+        Outcome::NotYet { serial: 3 },
+        Outcome::Unsure { serial: 3 },
+    ]
+}
+
+/// A record to which all the commands were applied, with a step before the last.
+pub(super) fn records() -> (Record, u64) {
+    let mut record = Record::new(site());
+    let mut revision = 0;
+    for (index, command) in commands().iter().enumerate() {
+        if index == 8 {
+            revision = record.rev();
+        }
+        record.apply(index as u64 + 1, index as u128 + 1, &encode(command));
+    }
+    (record, revision)
+}
+
+pub(super) fn payloads() -> Vec<Payload> {
+    let (record, revision) = records();
+    let update = EncodedUpdate::new(&record.update_since(revision));
+    let doing = Doing {
+        serial: 5,
+        permit: true,
+        running: 3,
+        first: 90,
+        again: 8,
+        shed: 7,
+        took: took(),
+    };
+    let have = Have {
+        record: 4,
+        registry: 12,
+        loads: (3, 14),
+        edge_sessions: 6,
+        cores: 8,
+    };
+    let place = Place {
+        node: "n1".into(),
+        zone: 2,
+        region: 1,
+        http: "10.0.0.1:80".into(),
+        ready: true,
+        running: 4,
+    };
+    let news = News {
+        record: Some(update),
+        record_withheld: true,
+        registry: Some(registry()),
+        loads: Some(loads()),
+        edge_sessions: Some((6, vec![place])),
+        cores: Some((8, vec![("10.0.0.1:70".into(), 1)])),
+    };
+    let report = SessionReport {
+        core: 11,
+        boot: 33,
+        serial: 5,
+        edge_sessions: vec![session()],
+    };
+    let claims = vec![claim()];
+    let mut all = vec![
+        Payload::Hello(hello(true)),
+        Payload::Hello(hello(false)),
+        Payload::Founding(Founding::Promise {
+            set: vec![member(1)],
+        }),
+        Payload::Founding(Founding::Founded {
+            set: vec![member(1)],
+            at: vec!["h:1".into()],
+        }),
+        Payload::SessionReport(report),
+        Payload::WorkerRegistry(registry()),
+        Payload::Loads(loads()),
+        Payload::Renew {
+            no: 1,
+            have,
+            doing,
+            unverified: Unverified::FromStarting,
+        },
+        Payload::Renew {
+            no: 1,
+            have: Have::default(),
+            doing: Doing::default(),
+            unverified: Unverified::FromAny,
+        },
+        Payload::Grant {
+            no: 1,
+            ok: true,
+            news,
+        },
+        Payload::Grant {
+            no: 2,
+            ok: false,
+            news: News::default(),
+        },
+        Payload::OpFind {
+            rid: 5,
+            pid: 1 << 70,
+        },
+        Payload::Claim {
+            rid: 5,
+            claim: claim(),
+        },
+        Payload::ClaimAsk {
+            no: 1,
+            claim: claim(),
+        },
+        Payload::Release {
+            rid: 5,
+            id: "abc".into(),
+            by: 9,
+        },
+        Payload::Released { rid: 5 },
+        Payload::Free {
+            id: "abc".into(),
+            by: 9,
+        },
+        Payload::FreeDone { by: 9 },
+        Payload::Sent {
+            all: vec![("abc".into(), 9)],
+        },
+        Payload::ClaimsPull { from: 4 },
+        Payload::ClaimsPage {
+            from: 4,
+            all: claims,
+            next: 5,
+            end: true,
+        },
+        Payload::Ping { no: 1 },
+    ];
+    let verdicts = [
+        Verdict::Yes,
+        Verdict::Held(9),
+        Verdict::Freed,
+        Verdict::Full,
+    ];
+    for said in verdicts {
+        all.push(Payload::ClaimDone {
+            rid: 5,
+            id: "abc".into(),
+            said,
+        });
+        all.push(Payload::ClaimAns { no: 1, said });
+    }
+    let op = |cmd| Payload::Op {
+        rid: 5,
+        pid: 6,
+        cmd,
+    };
+    all.extend(commands().into_iter().map(op));
+    let done = |outcome| Payload::OpDone { rid: 5, outcome };
+    all.extend(outcomes().into_iter().map(OpOutcome::Got).map(done));
+    all.extend([OpOutcome::Unknown, OpOutcome::NotTaken, OpOutcome::Nothing].map(done));
+    all.extend(messages().into_iter().map(Payload::Consensus));
+    all
+}
+
+pub(super) fn saves() -> Vec<Save> {
+    let hard = HardState {
+        term: 4,
+        vote: Some(1),
+        dterm: 2,
+        dvote: Some(3),
+        commit: 1,
+    };
+    let position = LogPosition { term: 4, idx: 1 };
+    let snapshot = Snapshot {
+        last: position,
+        members: vec![member(1), member(2)],
+        image: Arc::new(vec![5; 20]),
+    };
+    vec![
+        Save::Hard(hard),
+        Save::Append {
+            from: 1,
+            entries: entries(),
+            commit: 1,
+        },
+        Save::Snap {
+            snap: snapshot,
+            reset: false,
+        },
+        Save::Claims(vec![("old".into(), 7)]),
+        Save::Noted(vec![
+            claim(),
+            Noted {
+                id: "gone".into(),
+                by: 1,
+                keep_ms: 5,
+            },
+        ]),
+        Save::Forgot(vec!["gone".into()]),
+    ]
+}
+
+pub(super) fn durable_state() -> DurableState {
+    let mut state = DurableState::default();
+    for (number, save) in (1..).zip(saves()) {
+        state.take(number, &save);
+    }
+    state.values.insert("sure".into(), vec![1]);
+    state
+}
