--- a/sorreldoor/src/proxy/table/heavy.rs
+++ b/sorreldoor/src/balancer/heavy.rs
@@ -2,8 +2,8 @@
 //! by all nodes from the configuration and the list alone.
 
 use super::state::Table;
+use crate::configuration::hosted::{Hosted, Kind};
 use crate::consensus::Millis;
-use crate::setup::hosted::{Hosted, Kind};
 
 /// From so many shared tokens on, a prefix is worth a way to another region:
 /// reading it anew takes longer than the way there and back.
--- a/sorreldoor/src/proxy/table/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -18,11 +18,11 @@
 pub use state::{Counts, Table};
 
 use crate::consensus::Millis;
-use crate::problem::Problem;
+use crate::error::ErrorCode;
 use std::net::SocketAddr;
 
 /// A request under way at this node.
-pub type Rid = u64;
+pub type RequestId = u64;
 
 /// Where one sending of a request goes.
 #[derive(Clone, Debug, PartialEq)]
@@ -47,7 +47,7 @@
     /// Ask again when woken, at the latest in so many milliseconds.
     Wait(Millis),
     /// It is not sent (again): the kind, and when to come back, in milliseconds.
-    Refuse(Problem, Millis),
+    Refuse(ErrorCode, Millis),
 }
 
 /// How one sending came to its end, or how it is going.
--- a/sorreldoor/src/proxy/table/pick.rs
+++ b/sorreldoor/src/balancer/pick.rs
@@ -5,11 +5,11 @@
 use super::spot::Spot;
 use super::state::Table;
 use super::waits::{Line, Rank, TICK};
-use super::{Pick, Rid, Target};
+use super::{Pick, RequestId, Target};
+use crate::configuration::hosted::{Hosted, Route};
 use crate::consensus::Millis;
-use crate::problem::Problem;
+use crate::error::ErrorCode;
 use crate::proxy::attempt::{ClientAnswer, Event, Repeatability};
-use crate::setup::hosted::{Hosted, Route};
 
 /// With less time left nothing is sent any more, in milliseconds.
 const TOO_LATE: Millis = 5;
@@ -34,47 +34,57 @@
     }
 
     /// Decides on a request, under the configuration in force.
-    pub fn pick(&mut self, rid: Rid, now: Millis) -> Pick {
+    pub fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
         self.tick(now);
-        self.unwait(rid);
-        if self.reqs.get(rid).is_some_and(|r| r.sending.is_some()) {
+        self.unwait(request_id);
+        if self
+            .reqs
+            .get(request_id)
+            .is_some_and(|r| r.sending.is_some())
+        {
             // it may be at one worker only; the last sending has no word left
-            self.heard(rid, super::Heard::Left, now);
+            self.heard(request_id, super::Heard::Left, now);
         }
-        let (Some(h), Some(mut r)) = (self.hosted.clone(), self.reqs.lend(rid)) else {
-            return Pick::Refuse(Problem::GivenUp, 0);
+        let (Some(h), Some(mut r)) = (self.hosted.clone(), self.reqs.lend(request_id)) else {
+            return Pick::Refuse(ErrorCode::GivenUp, 0);
         };
         self.refind(&mut r, &h);
         let route = r.route.and_then(|i| h.routes.get(i as usize)).map(|r| &**r);
-        let p = self.decide(rid, &mut r, route, now);
-        self.reqs.back(rid, r);
+        let p = self.decide(request_id, &mut r, route, now);
+        self.reqs.back(request_id, r);
         self.counts.refused += u64::from(matches!(p, Pick::Refuse(..)));
         p
     }
 
-    fn decide(&mut self, rid: Rid, r: &mut Req, route: Option<&Route>, now: Millis) -> Pick {
+    fn decide(
+        &mut self,
+        request_id: RequestId,
+        r: &mut Req,
+        route: Option<&Route>,
+        now: Millis,
+    ) -> Pick {
         // without a route nothing says that it may run twice
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
         r.progress.on(Event::ConfigurationChanged(kind));
         if !r.progress.may_send_again() {
-            return self.refuse(r, Problem::Leaving, now);
+            return self.refuse(r, ErrorCode::Leaving, now);
         }
         let Some(route) = route else {
-            return Pick::Refuse(Problem::UnknownRoute, 0);
+            return Pick::Refuse(ErrorCode::UnknownRoute, 0);
         };
         if r.deadline < now + TOO_LATE {
-            return self.refuse(r, Problem::GivenUp, now);
+            return self.refuse(r, ErrorCode::GivenUp, now);
         }
-        let last = r.last.unwrap_or(Problem::NoWorker);
+        let last = r.last.unwrap_or(ErrorCode::NoWorker);
         if r.sent >= route.attempts.max(1) {
             return self.refuse(r, last, now);
         }
         let Some((first, _)) = self.drawn(r, route, 0.0) else {
-            return self.refuse(r, Problem::NoWorker, now);
+            return self.refuse(r, ErrorCode::NoWorker, now);
         };
         let homes = route.homes.iter().fold(0u64, |m, x| m | 1 << (x & 63));
         let line = (first, homes);
-        let rank = (route.priority, r.arrived, rid);
+        let rank = (route.priority, r.arrived, request_id);
         let until = r.arrived + patience(route, r.arrived_once);
         let fresh = r.tried.is_empty();
         if fresh && now < until && self.waits.before(line, rank) {
@@ -98,18 +108,18 @@
         if let Some(c) = o.full.filter(|_| queue || r.progress.may_have_run()) {
             return self.go(r, svc, c, route, now);
         }
-        self.refuse(r, Problem::NoWorker, now)
+        self.refuse(r, ErrorCode::NoWorker, now)
     }
 
     /// Whether a request that is at a worker could be taken up by another one:
     /// its route, its sendings so far, the budget and another worker's room
     /// allow it, and nothing was heard of its worker for `silent` ms.
-    pub fn may_move(&mut self, rid: Rid, silent: Millis, now: Millis) -> bool {
-        let (Some(r), Some(h)) = (self.reqs.lend(rid), self.hosted.clone()) else {
+    pub fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
+        let (Some(r), Some(h)) = (self.reqs.lend(request_id), self.hosted.clone()) else {
             return false;
         };
         let yes = self.movable(&r, &h, silent, now);
-        self.reqs.back(rid, r);
+        self.reqs.back(request_id, r);
         yes
     }
 
@@ -135,8 +145,8 @@
     }
 
     /// Something was heard of the worker that a request is at.
-    pub fn pulse(&mut self, rid: Rid, now: Millis) {
-        let s = self.reqs.get(rid).and_then(|r| r.sending);
+    pub fn pulse(&mut self, request_id: RequestId, now: Millis) {
+        let s = self.reqs.get(request_id).and_then(|r| r.sending);
         if let Some(w) = s.and_then(|s| self.spots[s.spot as usize].as_mut()) {
             w.beat(now);
         }
@@ -174,12 +184,12 @@
         self.nodes.part(s, self.svcs[svc as usize].hash)
     }
 
-    fn refuse(&mut self, r: &Req, p: Problem, now: Millis) -> Pick {
+    fn refuse(&mut self, r: &Req, p: ErrorCode, now: Millis) -> Pick {
         let p = match r.progress.client_answer() {
             ClientAnswer::Refused => p,
-            ClientAnswer::GatewayTimeout => Problem::DeadlinePassed,
-            _ if r.progress.may_run_twice() => Problem::WorkerBroke,
-            _ => Problem::OutcomeUnknown,
+            ClientAnswer::GatewayTimeout => ErrorCode::DeadlinePassed,
+            _ if r.progress.may_run_twice() => ErrorCode::WorkerBroke,
+            _ => ErrorCode::OutcomeUnknown,
         };
         // callers heed it up to a third of the time that they have left
         let most = r.deadline.saturating_sub(now) / 3;
@@ -194,7 +204,7 @@
         let conns = conf.map_or(1, |s| s.max_conns);
         let b = &self.bounds;
         let Some(w) = self.spots[c.spot as usize].as_mut() else {
-            return Pick::Refuse(Problem::GivenUp, 0);
+            return Pick::Refuse(ErrorCode::GivenUp, 0);
         };
         // what may run once goes out only where the worker is known to be
         let fresh = w.suspect(now) || (!route.repeatable() && now >= w.pulse + KNOWN);
--- a/sorreldoor/src/proxy/table/rank.rs
+++ b/sorreldoor/src/balancer/rank.rs
@@ -6,8 +6,8 @@
 use super::reqs::Req;
 use super::spot::{Spot, COLD_SPAN};
 use super::state::Table;
+use crate::configuration::hosted::{Route, Service};
 use crate::consensus::Millis;
-use crate::setup::hosted::{Route, Service};
 
 /// Fewer shared tokens than these are read anywhere at little cost.
 const SMALL: u32 = 256;
@@ -66,7 +66,7 @@
     pub(super) fn may(&self, w: &Spot, i: u32, r: &Req, route: &Route) -> bool {
         w.open
             && w.stale.is_none()
-            && !self.emptied.contains(&w.zone)
+            && !self.evacuated.contains(&w.zone)
             && (route.homes.is_empty() || route.homes.contains(&w.region))
             && !r.tried.contains(&i)
     }
--- a/sorreldoor/src/proxy/table/reqs.rs
+++ b/sorreldoor/src/balancer/reqs.rs
@@ -5,12 +5,12 @@
 use super::spot::FULL;
 use super::state::Table;
 use super::waits::Line;
-use super::{Heard, Rid};
+use super::{Heard, RequestId};
+use crate::configuration::hosted;
 use crate::consensus::Millis;
-use crate::problem::Problem;
+use crate::error::ErrorCode;
 use crate::proxy::attempt::{Event, Repeatability, RequestProgress};
 use crate::proxy::{Asked, Part};
-use crate::setup::hosted;
 
 /// A sending that has not come to its end.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
     /// Some sending arrived, or may have.
     pub arrived_once: bool,
     pub progress: RequestProgress,
-    pub last: Option<Problem>,
+    pub last: Option<ErrorCode>,
     pub waits: Option<(Line, super::waits::Rank)>,
     pub waited: bool,
 }
@@ -80,7 +80,7 @@
         self.rows.len() - self.free.len()
     }
 
-    fn put(&mut self, r: Req) -> Rid {
+    fn put(&mut self, r: Req) -> RequestId {
         let i = self.free.pop().unwrap_or_else(|| {
             self.rows.push((0, None));
             self.rows.len() as u32 - 1
@@ -91,30 +91,31 @@
         u64::from(row.0) << 32 | u64::from(i)
     }
 
-    pub fn get(&self, rid: Rid) -> Option<&Req> {
-        let (life, r) = self.rows.get(rid as u32 as usize)?;
-        r.as_deref().filter(|_| u64::from(*life) == rid >> 32)
+    pub fn get(&self, request_id: RequestId) -> Option<&Req> {
+        let (life, r) = self.rows.get(request_id as u32 as usize)?;
+        r.as_deref()
+            .filter(|_| u64::from(*life) == request_id >> 32)
     }
 
-    pub fn get_mut(&mut self, rid: Rid) -> Option<&mut Req> {
-        let (life, r) = self.rows.get_mut(rid as u32 as usize)?;
-        let same = u64::from(*life) == rid >> 32;
+    pub fn get_mut(&mut self, request_id: RequestId) -> Option<&mut Req> {
+        let (life, r) = self.rows.get_mut(request_id as u32 as usize)?;
+        let same = u64::from(*life) == request_id >> 32;
         r.as_deref_mut().filter(|_| same)
     }
 
     /// Takes it out for a while; `back` puts it where it was.
-    pub fn lend(&mut self, rid: Rid) -> Option<Box<Req>> {
-        self.get(rid)?;
-        self.rows[rid as u32 as usize].1.take()
+    pub fn lend(&mut self, request_id: RequestId) -> Option<Box<Req>> {
+        self.get(request_id)?;
+        self.rows[request_id as u32 as usize].1.take()
     }
 
-    pub fn back(&mut self, rid: Rid, r: Box<Req>) {
-        self.rows[rid as u32 as usize].1 = Some(r);
+    pub fn back(&mut self, request_id: RequestId, r: Box<Req>) {
+        self.rows[request_id as u32 as usize].1 = Some(r);
     }
 
-    fn take(&mut self, rid: Rid) -> Option<Box<Req>> {
-        self.get(rid)?;
-        let i = rid as u32;
+    fn take(&mut self, request_id: RequestId) -> Option<Box<Req>> {
+        self.get(request_id)?;
+        let i = request_id as u32;
         self.free.push(i);
         self.rows[i as usize].1.take()
     }
@@ -130,10 +131,10 @@
         asked: Asked,
         arrived: Millis,
         now: Millis,
-    ) -> Result<Rid, Problem> {
+    ) -> Result<RequestId, ErrorCode> {
         self.tick(now);
-        let h = self.hosted.as_ref().ok_or(Problem::NoSetup)?;
-        let i = h.find(host, path).ok_or(Problem::UnknownRoute)?;
+        let h = self.hosted.as_ref().ok_or(ErrorCode::NoConfiguration)?;
+        let i = h.find(host, path).ok_or(ErrorCode::UnknownRoute)?;
         let r = Req {
             host: host.into(),
             path: path.into(),
@@ -168,8 +169,8 @@
     }
 
     /// Its route in the configuration in force when it was last looked up.
-    pub fn route(&self, rid: Rid) -> Option<&hosted::Route> {
-        let r = self.reqs.get(rid)?;
+    pub fn route(&self, request_id: RequestId) -> Option<&hosted::Route> {
+        let r = self.reqs.get(request_id)?;
         // an index means nothing in another configuration
         let i = match r.edition == self.edition {
             true => r.route?,
@@ -179,8 +180,8 @@
     }
 
     /// When it is no longer waited for, on the clock of `now`.
-    pub fn deadline(&self, rid: Rid) -> Millis {
-        self.reqs.get(rid).map_or(0, |r| r.deadline)
+    pub fn deadline(&self, request_id: RequestId) -> Millis {
+        self.reqs.get(request_id).map_or(0, |r| r.deadline)
     }
 
     /// Looks its route up anew if the configuration has changed.
@@ -195,88 +196,88 @@
     }
 
     /// What came of the last sending of this request.
-    pub fn heard(&mut self, rid: Rid, h: Heard, now: Millis) {
+    pub fn heard(&mut self, request_id: RequestId, h: Heard, now: Millis) {
         self.tick(now);
-        let Some(s) = self.reqs.get(rid).and_then(|r| r.sending) else {
+        let Some(s) = self.reqs.get(request_id).and_then(|r| r.sending) else {
             return;
         };
         if !matches!(h, Heard::NoConn | Heard::Broke | Heard::Left) {
-            self.pulse(rid, now);
+            self.pulse(request_id, now);
         }
         match h {
             Heard::Head { load, cold_ms } => self.head(s.spot, load, cold_ms, now),
-            Heard::First => self.first(rid, now),
+            Heard::First => self.first(request_id, now),
             Heard::Done(status) => {
-                self.done(rid, s, status, now);
-                self.close(rid, true);
-                self.note(rid, Event::AnswerComplete, None);
+                self.done(request_id, s, status, now);
+                self.close(request_id, true);
+                self.note(request_id, Event::AnswerComplete, None);
             }
             Heard::NotRun(load) => {
                 self.head(s.spot, load, None, now);
-                self.unread(rid, s);
-                self.close(rid, true);
+                self.unread(request_id, s);
+                self.close(request_id, true);
                 if let Some(w) = &mut self.spots[s.spot as usize] {
                     w.full_until = now + FULL;
                 }
                 // an answer shows that it lives, however full
                 self.sign(s, Sign::Good, now);
-                self.note(rid, Event::NotRun, Some(Problem::NoWorker));
+                self.note(request_id, Event::NotRun, Some(ErrorCode::NoWorker));
             }
             Heard::Misdirected => {
-                self.unread(rid, s);
-                self.close(rid, true);
-                let serial = self.serial;
+                self.unread(request_id, s);
+                self.close(request_id, true);
+                let version = self.version;
                 if let Some(w) = &mut self.spots[s.spot as usize] {
-                    w.stale = Some(serial);
+                    w.stale = Some(version);
                 }
-                self.note(rid, Event::NotRun, Some(Problem::GivenUp));
+                self.note(request_id, Event::NotRun, Some(ErrorCode::GivenUp));
                 // the worker it was meant for is gone, so none has had it
-                if let Some(r) = self.reqs.get_mut(rid) {
+                if let Some(r) = self.reqs.get_mut(request_id) {
                     r.sent = r.sent.saturating_sub(1);
                 }
             }
             Heard::NoConn => {
-                self.unread(rid, s);
-                self.close(rid, false);
-                self.never_left(rid, s);
+                self.unread(request_id, s);
+                self.close(request_id, false);
+                self.never_left(request_id, s);
                 self.sign(s, Sign::NoConn, now);
-                self.note(rid, Event::ConnectFailed, Some(Problem::GivenUp));
+                self.note(request_id, Event::ConnectFailed, Some(ErrorCode::GivenUp));
             }
             Heard::Broke => {
-                self.close(rid, true);
+                self.close(request_id, true);
                 self.sign(s, Sign::Bad, now);
-                self.note(rid, Event::Closed, Some(Problem::WorkerBroke));
+                self.note(request_id, Event::Closed, Some(ErrorCode::WorkerBroke));
             }
             Heard::Left => {
-                self.close(rid, true);
-                self.note(rid, Event::Closed, None);
+                self.close(request_id, true);
+                self.note(request_id, Event::Closed, None);
             }
         }
         self.let_go(s.spot);
     }
 
-    fn note(&mut self, rid: Rid, event: Event, last: Option<Problem>) {
-        if let Some(r) = self.reqs.get_mut(rid) {
+    fn note(&mut self, request_id: RequestId, event: Event, last: Option<ErrorCode>) {
+        if let Some(r) = self.reqs.get_mut(request_id) {
             r.progress.on(event);
             r.last = last;
         }
     }
 
     /// Something happened to a request that only its own progress depends on.
-    pub fn progressed(&mut self, rid: Rid, event: Event) {
-        if let Some(r) = self.reqs.get_mut(rid) {
+    pub fn progressed(&mut self, request_id: RequestId, event: Event) {
+        if let Some(r) = self.reqs.get_mut(request_id) {
             r.progress.on(event);
         }
     }
 
     /// How far a request has come.
-    pub fn progress(&self, rid: Rid) -> Option<RequestProgress> {
-        self.reqs.get(rid).map(|r| r.progress)
+    pub fn progress(&self, request_id: RequestId) -> Option<RequestProgress> {
+        self.reqs.get(request_id).map(|r| r.progress)
     }
 
     /// The sending ends; its place is free.
-    fn close(&mut self, rid: Rid, arrived: bool) {
-        let Some(r) = self.reqs.get_mut(rid) else {
+    fn close(&mut self, request_id: RequestId, arrived: bool) {
+        let Some(r) = self.reqs.get_mut(request_id) else {
             return;
         };
         let Some(s) = r.sending.take() else { return };
@@ -297,7 +298,7 @@
     }
 
     /// Nothing reached the worker: it costs no budget and no try.
-    fn never_left(&mut self, rid: Rid, s: Sending) {
+    fn never_left(&mut self, request_id: RequestId, s: Sending) {
         let b = &self.bounds;
         let Some(w) = &mut self.spots[s.spot as usize] else {
             return;
@@ -307,40 +308,46 @@
             self.svcs[w.service as usize].budget.unspent(b, s.at);
             self.counts.retried = self.counts.retried.saturating_sub(1);
         }
-        if let Some(r) = self.reqs.get_mut(rid) {
+        if let Some(r) = self.reqs.get_mut(request_id) {
             r.sent = r.sent.saturating_sub(1);
         }
     }
 
     /// The worker did not read the prompt after all.
-    fn unread(&mut self, rid: Rid, s: Sending) {
-        let Some(r) = self.reqs.get(rid) else { return };
+    fn unread(&mut self, request_id: RequestId, s: Sending) {
+        let Some(r) = self.reqs.get(request_id) else {
+            return;
+        };
         if let Some(w) = &mut self.spots[s.spot as usize] {
             w.kept.forget(&r.parts[s.hit.min(r.parts.len())..]);
         }
     }
 
     /// The request is over, whatever became of it.
-    pub fn end(&mut self, rid: Rid, now: Millis) {
+    pub fn end(&mut self, request_id: RequestId, now: Millis) {
         self.tick(now);
-        self.unwait(rid);
-        let at = self.reqs.get(rid).and_then(|r| r.sending).map(|s| s.spot);
-        self.close(rid, true);
-        self.reqs.take(rid);
+        self.unwait(request_id);
+        let at = self
+            .reqs
+            .get(request_id)
+            .and_then(|r| r.sending)
+            .map(|s| s.spot);
+        self.close(request_id, true);
+        self.reqs.take(request_id);
         if let Some(i) = at {
             self.let_go(i);
         }
     }
 
-    pub(super) fn unwait(&mut self, rid: Rid) {
-        let w = self.reqs.get_mut(rid).and_then(|r| r.waits.take());
+    pub(super) fn unwait(&mut self, request_id: RequestId) {
+        let w = self.reqs.get_mut(request_id).and_then(|r| r.waits.take());
         if let Some((l, k)) = w {
             self.waits.drop(l, k);
         }
     }
 
     /// The requests that may find a place now, the most urgent first.
-    pub fn woken(&mut self, now: Millis) -> Vec<Rid> {
+    pub fn woken(&mut self, now: Millis) -> Vec<RequestId> {
         self.tick(now);
         self.waits.woken(now)
     }
--- a/sorreldoor/src/proxy/table/signs.rs
+++ b/sorreldoor/src/balancer/signs.rs
@@ -3,7 +3,7 @@
 use super::health::Sign;
 use super::reqs::Sending;
 use super::state::Table;
-use super::Rid;
+use super::RequestId;
 use crate::consensus::Millis;
 
 /// Weight of a new measure among the earlier ones.
@@ -39,8 +39,12 @@
     }
 
     /// The first event: the prompt is read, and the worker's speed is known.
-    pub(super) fn first(&mut self, rid: Rid, now: Millis) {
-        let Some(s) = self.reqs.get_mut(rid).and_then(|r| r.sending.as_mut()) else {
+    pub(super) fn first(&mut self, request_id: RequestId, now: Millis) {
+        let Some(s) = self
+            .reqs
+            .get_mut(request_id)
+            .and_then(|r| r.sending.as_mut())
+        else {
             return;
         };
         if s.began {
@@ -66,9 +70,9 @@
     }
 
     /// The whole answer is there, with the worker's own status.
-    pub(super) fn done(&mut self, rid: Rid, s: Sending, status: u16, now: Millis) {
+    pub(super) fn done(&mut self, request_id: RequestId, s: Sending, status: u16, now: Millis) {
         if status < 400 {
-            self.first(rid, now);
+            self.first(request_id, now);
             self.counts.served += 1;
         }
         match status {
--- a/sorreldoor/src/proxy/table/state.rs
+++ b/sorreldoor/src/balancer/state.rs
@@ -7,9 +7,9 @@
 use super::spot::Spot;
 use super::waits::Waits;
 use super::{Bounds, Place};
+use crate::configuration::hosted::{Hosted, Service};
 use crate::consensus::Millis;
-use crate::registry::WorkerRegistry;
-use crate::setup::hosted::{Hosted, Service};
+use crate::discovery::WorkerRegistry;
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -69,8 +69,8 @@
     pub(super) hosted: Option<Arc<Hosted>>,
     /// Counts configurations taken.
     pub(super) edition: u32,
-    pub(super) emptied: Vec<u16>,
-    pub(super) serial: u64,
+    pub(super) evacuated: Vec<u16>,
+    pub(super) version: u64,
     listed_once: bool,
     pub(super) nodes: Nodes,
     pub(super) svcs: Vec<Svc>,
@@ -96,8 +96,8 @@
             born: None,
             hosted: None,
             edition: 0,
-            emptied: Vec::new(),
-            serial: 0,
+            evacuated: Vec::new(),
+            version: 0,
             listed_once: false,
             nodes,
             svcs: Vec::new(),
@@ -161,15 +161,15 @@
     }
 
     /// The zones that nothing is sent to, all of them.
-    pub fn take_emptied(&mut self, zones: Vec<u16>, now: Millis) {
+    pub fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
         self.tick(now);
         let back: Vec<u16> = self
-            .emptied
+            .evacuated
             .iter()
             .copied()
             .filter(|z| !zones.contains(z))
             .collect();
-        self.emptied = zones;
+        self.evacuated = zones;
         // workers of a zone that was empty may have turned cold in it
         for i in 0..self.spots.len() {
             let Some(s) = &self.spots[i] else { continue };
@@ -204,10 +204,10 @@
     /// The platform's list; one that is older than the last is let go.
     pub fn take_registry(&mut self, r: &WorkerRegistry, now: Millis) {
         self.tick(now);
-        if self.listed_once && r.serial < self.serial {
+        if self.listed_once && r.version < self.version {
             return;
         }
-        self.serial = r.serial;
+        self.version = r.version;
         let mut seen = vec![false; self.spots.len() + r.workers.len()];
         for w in &r.workers {
             let svc = self.svc(&w.group, now);
@@ -222,7 +222,7 @@
             if s.slots == 0 || w.slots > 0 {
                 s.slots = w.slots;
             }
-            s.stale = s.stale.filter(|at| *at >= r.serial);
+            s.stale = s.stale.filter(|at| *at >= r.version);
             let cold = match new && self.listed_once {
                 // a worker that starts among traffic is cold, though the
                 // list may not say so yet
--- a/sorreldoor/src/proxy/table/waits.rs
+++ b/sorreldoor/src/balancer/waits.rs
@@ -1,12 +1,12 @@
 //! Requests that wait for a place, in order of priority, then of arrival.
 
-use super::Rid;
+use super::RequestId;
 use crate::consensus::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What the waiting ones can be served by: service, and homes as bits.
 pub type Line = (u32, u64);
-pub type Rank = (u8, Millis, Rid);
+pub type Rank = (u8, Millis, RequestId);
 
 /// Asked again after this at the latest, in milliseconds.
 pub const TICK: Millis = 20;
@@ -64,7 +64,7 @@
         self.rows.values_mut().for_each(|r| r.due = 0);
     }
 
-    pub fn woken(&mut self, now: Millis) -> Vec<Rid> {
+    pub fn woken(&mut self, now: Millis) -> Vec<RequestId> {
         let mut out: Vec<Rank> = Vec::new();
         for row in self.rows.values_mut() {
             let n = match row.due <= now {
--- a/sorreldoor/src/setup/check.rs
+++ b/sorreldoor/src/configuration/check.rs
@@ -1,20 +1,20 @@
 //! Reading and checking a setup as a whole: all of it, or every fault.
 
-use super::{hosted_read, Group, Kind, Route, Service, Setup, Share, Site, Warm};
+use super::{hosted_read, Configuration, Group, Kind, Route, Service, Share, Site, Warm};
 use crate::json::{self, join, Faults, Obj, Val};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 pub const MOST_BYTES: usize = 4 << 20;
 
-pub fn read(text: &[u8], site: &Site) -> Result<(Setup, Val), Vec<String>> {
+pub fn read(text: &[u8], site: &Site) -> Result<(Configuration, Val), Vec<String>> {
     let v = json::parse(text, MOST_BYTES).map_err(|e| vec![format!("setup: {e}")])?;
     let mut f = Faults::default();
     let s = whole(&v, site, &mut f);
     s.filter(|_| f.none()).map(|s| (s, v)).ok_or(f.0)
 }
 
-fn whole(v: &Val, site: &Site, f: &mut Faults) -> Option<Setup> {
+fn whole(v: &Val, site: &Site, f: &mut Faults) -> Option<Configuration> {
     let keys = ["groups", "services", "routes", "spill", "retry", "hosted"];
     let o = f.object(v, "", &keys)?;
     let hosted = o.get("hosted").and_then(|h| hosted_read::read(h, site, f));
@@ -48,7 +48,7 @@
         .and_then(|r| f.object(r, "retry", &["percent"]))
         .and_then(|r| r.num("percent", 0, 20, f))
         .unwrap_or(10) as u32;
-    Some(Setup {
+    Some(Configuration {
         groups,
         services,
         routes,
--- a/sorreldoor/src/setup/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -94,7 +94,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Setup {
+pub struct Configuration {
     pub groups: Vec<Group>,
     pub services: Vec<Service>,
     pub routes: Vec<Route>,
@@ -106,7 +106,7 @@
     pub hosted: Option<Arc<hosted::Hosted>>,
 }
 
-impl Setup {
+impl Configuration {
     pub fn route(&self, name: &str) -> Option<u16> {
         self.routes
             .iter()
--- a/sorreldoor/src/consensus/accept.rs
+++ b/sorreldoor/src/consensus/accept.rs
@@ -3,7 +3,7 @@
 use super::node::{Consensus, Role};
 use super::types::*;
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     pub(super) fn follow(&mut self, term: u64, gl: NodeId, round: u64) {
         if term > self.hard.term {
             self.take_term(term, Some(gl));
--- a/sorreldoor/src/consensus/chunk.rs
+++ b/sorreldoor/src/consensus/chunk.rs
@@ -19,7 +19,8 @@
     Entry {
         prev: LogPosition,
         term: u64,
-        pid: ProposalId,
+        #[serde(rename = "pid")]
+        proposal_id: ProposalId,
         origin: NodeId,
     },
 }
--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -11,7 +11,7 @@
 /// Entries kept behind a snapshot, as a multiple of those between two.
 const TAIL_FACTOR: u64 = 4;
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     /// What `id` is known to hold, synced, in this term.
     fn upto(&self, id: NodeId) -> u64 {
         if id == self.me {
@@ -113,7 +113,7 @@
             .collect();
         let asking: std::collections::BTreeSet<RegionId> = (from + 1..=upto)
             .filter_map(|i| self.log.get(i))
-            .filter(|e| e.pid != 0)
+            .filter(|e| e.proposal_id != 0)
             .filter_map(|e| quorum::region_of(&ms, e.origin))
             .filter(|r| *r != mine)
             .collect();
@@ -190,10 +190,10 @@
             self.applied = idx;
             let outcome = match &e.body {
                 Body::Noop => continue,
-                Body::Data(d) => Arc::new(self.machine.apply(idx, e.pid, d)),
+                Body::Data(d) => Arc::new(self.machine.apply(idx, e.proposal_id, d)),
                 Body::Members(_) => Arc::new(Vec::new()),
             };
-            self.inflight.remove(&e.pid);
+            self.inflight.remove(&e.proposal_id);
             self.answer(idx, &e, outcome);
         }
         self.out.push(Effect::Applied { upto: self.applied });
@@ -203,24 +203,30 @@
 
     fn answer(&mut self, idx: u64, e: &Entry, outcome: Arc<Vec<u8>>) {
         // what a leader adds by itself has no asker
-        if e.pid == 0 {
+        if e.proposal_id == 0 {
             return;
         }
-        self.finish(e.pid, Ok(outcome.clone()));
+        self.finish(e.proposal_id, Ok(outcome.clone()));
         if e.origin == self.me {
             return;
         }
         let home = quorum::region_of(self.log.members(), e.origin);
         let mine = home == Some(self.region());
-        let (pid, to) = (e.pid, e.origin);
+        let (proposal_id, to) = (e.proposal_id, e.origin);
         if mine && (self.role == Role::Leader || self.domain_role == Role::Leader) {
-            self.send(to, Msg::ProposalResult { pid, outcome });
+            self.send(
+                to,
+                Msg::ProposalResult {
+                    proposal_id,
+                    outcome,
+                },
+            );
         } else if self.role == Role::Leader {
             // its Domain Leader answers first; if it does not, we do
             let since = self.now;
             let owed = OwedResult {
                 since,
-                pid,
+                proposal_id,
                 to,
                 outcome,
             };
@@ -251,13 +257,19 @@
             .filter_map(|i| self.owed.remove(&i))
             .collect::<Vec<_>>()
         {
-            let (pid, outcome) = (o.pid, o.outcome);
-            self.send(o.to, Msg::ProposalResult { pid, outcome });
+            let (proposal_id, outcome) = (o.proposal_id, o.outcome);
+            self.send(
+                o.to,
+                Msg::ProposalResult {
+                    proposal_id,
+                    outcome,
+                },
+            );
         }
     }
 
-    pub(super) fn outcome(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>> {
-        self.machine.answered(pid)
+    pub(super) fn outcome(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
+        self.machine.answered(proposal_id)
     }
 
     /// A snapshot is due once the log after the last has as many bytes as it,
--- a/sorreldoor/src/consensus/elect.rs
+++ b/sorreldoor/src/consensus/elect.rs
@@ -7,18 +7,18 @@
 /// Election times without a Global Leader after which any voter may stand.
 const UNLED: u32 = 1;
 
-impl<M: Machine> Consensus<M> {
-    pub(super) fn alarm(&mut self) {
+impl<M: StateMachine> Consensus<M> {
+    pub(super) fn tick(&mut self) {
         if self.failed {
             return;
         }
-        self.domain_alarm();
-        self.global_alarm();
+        self.tick_domain();
+        self.tick_global();
         self.check_elections();
-        self.reads_alarm();
+        self.tick_reads();
     }
 
-    fn domain_alarm(&mut self) {
+    fn tick_domain(&mut self) {
         let mine = self.region_voters(self.region());
         if self.domain_role == Role::Leader {
             let live = self.now.saturating_sub(self.timing.elect);
@@ -57,7 +57,7 @@
         }
     }
 
-    fn global_alarm(&mut self) {
+    fn tick_global(&mut self) {
         if self.role == Role::Leader {
             self.lead_alarm();
             return;
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug)]
 pub struct ReadProof {
     pub from: NodeId,
-    pub rid: u64,
+    pub request_id: u64,
     pub idx: u64,
     pub round: u64,
 }
@@ -110,12 +110,12 @@
 #[derive(Clone, Debug)]
 pub struct OwedResult {
     pub since: Millis,
-    pub pid: ProposalId,
+    pub proposal_id: ProposalId,
     pub to: NodeId,
     pub outcome: Arc<Vec<u8>>,
 }
 
-pub struct Consensus<M: Machine> {
+pub struct Consensus<M: StateMachine> {
     pub(super) me: NodeId,
     pub(super) timing: Timing,
     pub(super) hard: HardState,
@@ -184,7 +184,7 @@
     pub(super) out: Vec<Effect>,
 }
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     pub fn new(
         me: NodeId,
         timing: Timing,
@@ -291,16 +291,16 @@
     pub fn step(&mut self, ev: Event, now: Millis) -> Vec<Effect> {
         self.now = self.now.max(now);
         match ev {
-            Event::Alarm => self.alarm(),
+            Event::Tick => self.tick(),
             Event::Stop => self.on_stop(),
             Event::Heard { from, msg } => self.heard(from, msg),
             Event::Saved { seq } => self.on_saved(seq),
             Event::Gone { id } => self.on_gone(id),
             Event::SaveFailed => self.on_save_failed(),
             Event::SaveRecovered => self.on_save_recovered(),
-            Event::Propose { pid, body } => self.ask(pid, body),
+            Event::Propose { proposal_id, body } => self.ask(proposal_id, body),
             Event::Reconfigure(next) => self.reconfigure(&next),
-            Event::Read { rid } => self.look(rid),
+            Event::Read { request_id } => self.look(request_id),
         }
         std::mem::take(&mut self.out)
     }
@@ -347,10 +347,17 @@
             } => self.on_confirm(term, upto, holders),
             Msg::Chunk(chunk) => self.on_chunk(from, *chunk),
             Msg::ChunkReply { term, id, held } => self.on_chunk_reply(from, term, id, held),
-            Msg::Propose { pid, origin, body } => self.on_propose(pid, origin, body),
-            Msg::ProposalResult { pid, outcome } => self.finish(pid, Ok(outcome)),
-            Msg::ReadIndexRequest { rid } => self.on_read_ask(from, rid),
-            Msg::ReadIndexReply { rid, idx } => self.on_read_ans(rid, idx),
+            Msg::Propose {
+                proposal_id,
+                origin,
+                body,
+            } => self.on_propose(proposal_id, origin, body),
+            Msg::ProposalResult {
+                proposal_id,
+                outcome,
+            } => self.finish(proposal_id, Ok(outcome)),
+            Msg::ReadIndexRequest { request_id } => self.on_read_ask(from, request_id),
+            Msg::ReadIndexReply { request_id, idx } => self.on_read_ans(request_id, idx),
             Msg::TimeoutNow { term } => self.on_move_now(term),
         }
     }
--- a/sorreldoor/src/consensus/reads.rs
+++ b/sorreldoor/src/consensus/reads.rs
@@ -7,62 +7,78 @@
 /// What a slow link carries at least, with other traffic on it.
 const SLOW_BYTES_PER_MS: Millis = 500;
 
-impl<M: Machine> Consensus<M> {
-    pub(super) fn ask(&mut self, pid: ProposalId, body: Body) {
-        if let Some(o) = self.outcome(pid) {
+impl<M: StateMachine> Consensus<M> {
+    pub(super) fn ask(&mut self, proposal_id: ProposalId, body: Body) {
+        if let Some(o) = self.outcome(proposal_id) {
             self.out.push(Effect::Result {
-                pid,
+                proposal_id,
                 outcome: Ok(o),
             });
             return;
         }
         if self.failed || self.pending_proposals.len() >= self.timing.most_pending {
             let outcome = Err(Lost::Full);
-            self.out.push(Effect::Result { pid, outcome });
+            self.out.push(Effect::Result {
+                proposal_id,
+                outcome,
+            });
             return;
         }
         let since = self.now;
         self.pending_proposals
-            .entry(pid)
+            .entry(proposal_id)
             .or_insert(PendingProposal {
                 body,
                 since,
                 sent: None,
             });
-        self.dispatch(pid);
+        self.dispatch(proposal_id);
     }
 
-    pub(super) fn dispatch(&mut self, pid: ProposalId) {
+    pub(super) fn dispatch(&mut self, proposal_id: ProposalId) {
         let Some(gl) = self.gl else { return };
         let (now, origin) = (self.now, self.me);
-        let Some(a) = self.pending_proposals.get_mut(&pid) else {
+        let Some(a) = self.pending_proposals.get_mut(&proposal_id) else {
             return;
         };
         a.sent = Some(now);
         let body = a.body.clone();
         if gl == self.me {
-            self.on_propose(pid, origin, body);
+            self.on_propose(proposal_id, origin, body);
         } else {
-            self.send(gl, Msg::Propose { pid, origin, body });
+            self.send(
+                gl,
+                Msg::Propose {
+                    proposal_id,
+                    origin,
+                    body,
+                },
+            );
         }
     }
 
-    pub(super) fn on_propose(&mut self, pid: ProposalId, origin: NodeId, body: Body) {
+    pub(super) fn on_propose(&mut self, proposal_id: ProposalId, origin: NodeId, body: Body) {
         if self.role != Role::Leader {
             return;
         }
-        if let Some(outcome) = self.outcome(pid) {
+        if let Some(outcome) = self.outcome(proposal_id) {
             if origin == self.me {
-                self.finish(pid, Ok(outcome));
+                self.finish(proposal_id, Ok(outcome));
             } else {
-                self.send(origin, Msg::ProposalResult { pid, outcome });
+                self.send(
+                    origin,
+                    Msg::ProposalResult {
+                        proposal_id,
+                        outcome,
+                    },
+                );
             }
             return;
         }
         let room =
             self.log.last().idx.saturating_sub(self.commit) < self.timing.most_pending as u64;
         // a retry of what is already in the log must not enter it twice
-        if self.moving.is_some() || self.inflight.contains_key(&pid) || !room {
+        if self.moving.is_some() || self.inflight.contains_key(&proposal_id) || !room {
             return;
         }
         let body = match body {
@@ -78,43 +94,46 @@
         let term = self.hard.term;
         self.append(Entry {
             term,
-            pid,
+            proposal_id,
             origin,
             body,
         });
     }
 
-    pub(super) fn look(&mut self, rid: u64) {
+    pub(super) fn look(&mut self, request_id: u64) {
         if self.failed || self.pending_reads.len() >= self.timing.most_pending {
-            self.out.push(Effect::ReadReady { rid, ok: false });
+            self.out.push(Effect::ReadReady {
+                request_id,
+                ok: false,
+            });
             return;
         }
         let since = self.now;
         self.pending_reads.insert(
-            rid,
+            request_id,
             PendingRead {
                 since,
                 sent: None,
                 idx: None,
             },
         );
-        self.send_look(rid);
+        self.send_look(request_id);
     }
 
-    fn send_look(&mut self, rid: u64) {
+    fn send_look(&mut self, request_id: u64) {
         let Some(gl) = self.gl else { return };
         let now = self.now;
-        if let Some(l) = self.pending_reads.get_mut(&rid) {
+        if let Some(l) = self.pending_reads.get_mut(&request_id) {
             l.sent = Some(now);
         }
         if gl == self.me {
-            self.on_read_ask(gl, rid);
+            self.on_read_ask(gl, request_id);
         } else {
-            self.send(gl, Msg::ReadIndexRequest { rid });
+            self.send(gl, Msg::ReadIndexRequest { request_id });
         }
     }
 
-    pub(super) fn on_read_ask(&mut self, from: NodeId, rid: u64) {
+    pub(super) fn on_read_ask(&mut self, from: NodeId, request_id: u64) {
         let ready = self.log.term_at(self.commit) == Some(self.hard.term);
         if self.role != Role::Leader || !ready {
             return;
@@ -124,7 +143,7 @@
         }
         let idx = self.in_domain();
         if self.timing.broken == Broken::ReadUnproved {
-            self.read_proved(from, rid, idx);
+            self.read_proved(from, request_id, idx);
             return;
         }
         let round = if self.timing.batch == 0 {
@@ -137,7 +156,7 @@
         };
         self.proofs.push_back(ReadProof {
             from,
-            rid,
+            request_id,
             idx,
             round,
         });
@@ -154,20 +173,20 @@
                 break;
             }
             self.proofs.pop_front();
-            self.read_proved(p.from, p.rid, p.idx);
+            self.read_proved(p.from, p.request_id, p.idx);
         }
     }
 
-    fn read_proved(&mut self, from: NodeId, rid: u64, idx: u64) {
+    fn read_proved(&mut self, from: NodeId, request_id: u64, idx: u64) {
         if from == self.me {
-            self.on_read_ans(rid, idx);
+            self.on_read_ans(request_id, idx);
         } else {
-            self.send(from, Msg::ReadIndexReply { rid, idx });
+            self.send(from, Msg::ReadIndexReply { request_id, idx });
         }
     }
 
-    pub(super) fn on_read_ans(&mut self, rid: u64, idx: u64) {
-        if let Some(l) = self.pending_reads.get_mut(&rid) {
+    pub(super) fn on_read_ans(&mut self, request_id: u64, idx: u64) {
+        if let Some(l) = self.pending_reads.get_mut(&request_id) {
             l.idx.get_or_insert(idx);
         }
         self.settle_applied();
@@ -182,14 +201,17 @@
             .filter(|(_, l)| l.idx.is_some_and(|i| i <= at))
             .map(|(r, _)| *r)
             .collect();
-        for rid in ready {
-            self.pending_reads.remove(&rid);
-            self.out.push(Effect::ReadReady { rid, ok: true });
+        for request_id in ready {
+            self.pending_reads.remove(&request_id);
+            self.out.push(Effect::ReadReady {
+                request_id,
+                ok: true,
+            });
         }
     }
 
     /// Retransmit what has had no answer, and give up what is too old.
-    pub(super) fn reads_alarm(&mut self) {
+    pub(super) fn tick_reads(&mut self) {
         let (now, again, most) = (self.now, self.timing.resend * 2, self.timing.ack_ms * 2);
         // a large body may still be on its way when a small one would be late
         let body_due = |a: &PendingProposal| {
@@ -225,25 +247,28 @@
             .filter(|(_, l)| old(l))
             .map(|(r, _)| *r)
             .collect();
-        for rid in late {
-            self.pending_reads.remove(&rid);
-            self.out.push(Effect::ReadReady { rid, ok: false });
+        for request_id in late {
+            self.pending_reads.remove(&request_id);
+            self.out.push(Effect::ReadReady {
+                request_id,
+                ok: false,
+            });
         }
         let unsent = |t: Option<Millis>| t.is_none_or(|t| now.saturating_sub(t) >= resend);
         let again = self
             .pending_reads
             .iter()
             .filter(|(_, l)| l.idx.is_none() && unsent(l.sent));
-        for rid in again.map(|(r, _)| *r).collect::<Vec<_>>() {
-            self.send_look(rid);
+        for request_id in again.map(|(r, _)| *r).collect::<Vec<_>>() {
+            self.send_look(request_id);
         }
     }
 
     /// PendingProposal a new leader for what the old one has not proved.
     pub(super) fn resend_looks(&mut self) {
         let open = self.pending_reads.iter().filter(|(_, l)| l.idx.is_none());
-        for rid in open.map(|(r, _)| *r).collect::<Vec<_>>() {
-            self.send_look(rid);
+        for request_id in open.map(|(r, _)| *r).collect::<Vec<_>>() {
+            self.send_look(request_id);
         }
     }
 }
--- a/sorreldoor/src/consensus/reconfigure.rs
+++ b/sorreldoor/src/consensus/reconfigure.rs
@@ -11,7 +11,7 @@
 use super::quorum;
 use super::types::*;
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     /// The entry that begins the change to the members `next`; none where the
     /// change before is not committed, this term has committed nothing yet, or
     /// it would leave no voters.
@@ -58,7 +58,7 @@
         let body = Body::Members(members);
         self.append(Entry {
             term,
-            pid: 0,
+            proposal_id: 0,
             origin,
             body,
         });
--- a/sorreldoor/src/consensus/replicate.rs
+++ b/sorreldoor/src/consensus/replicate.rs
@@ -3,12 +3,12 @@
 use super::node::{Consensus, Progress, Role};
 use super::quorum;
 use super::types::*;
-use crate::rules::{broken, Rule};
+use crate::invariants::{broken, Invariant};
 
 /// Bytes of entries sent to one member and not acknowledged by it yet.
 const APPEND_WINDOW_BYTES: usize = 64 * 1024;
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     /// Take up the leadership just won.
     pub(super) fn lead(&mut self) {
         let now = self.now;
@@ -25,8 +25,8 @@
             self.rows.insert(o, row);
         }
         for i in self.commit + 1..next {
-            if let Some(e) = self.log.get(i).filter(|e| e.pid != 0) {
-                self.inflight.insert(e.pid, i);
+            if let Some(e) = self.log.get(i).filter(|e| e.proposal_id != 0) {
+                self.inflight.insert(e.proposal_id, i);
             }
             self.born.push_back((i, now));
         }
@@ -35,7 +35,7 @@
         self.note(Note::GlobalLeader { term, id });
         let noop = Entry {
             term,
-            pid: 0,
+            proposal_id: 0,
             origin: id,
             body: Body::Noop,
         };
@@ -55,8 +55,8 @@
 
     pub(super) fn append(&mut self, e: Entry) {
         let idx = self.log.last().idx + 1;
-        if e.pid != 0 {
-            self.inflight.insert(e.pid, idx);
+        if e.proposal_id != 0 {
+            self.inflight.insert(e.proposal_id, idx);
         }
         self.born.push_back((idx, self.now));
         let is_conf = matches!(e.body, Body::Members(_));
@@ -126,7 +126,7 @@
         let heard = self
             .quorum()
             .reached(|i| i == self.me || self.rows.get(&i).is_some_and(|r| r.seen >= live));
-        if !heard && !broken(Rule::StepDown) {
+        if !heard && !broken(Invariant::StepDown) {
             self.step_down("no majority of cores heard");
             return;
         }
--- a/sorreldoor/src/consensus/state.rs
+++ b/sorreldoor/src/consensus/state.rs
@@ -10,7 +10,7 @@
 /// Election times without a leader after which a node takes itself for cut off.
 const CUT_OFF_ELECTIONS: Millis = 4;
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     // --- what others may look at ---
 
     pub fn me(&self) -> NodeId {
@@ -240,8 +240,11 @@
         for p in pids {
             self.finish(p, Err(Lost::Unknown));
         }
-        for (rid, _) in std::mem::take(&mut self.pending_reads) {
-            self.out.push(Effect::ReadReady { rid, ok: false });
+        for (request_id, _) in std::mem::take(&mut self.pending_reads) {
+            self.out.push(Effect::ReadReady {
+                request_id,
+                ok: false,
+            });
         }
     }
 
@@ -274,9 +277,12 @@
                 .is_some_and(|(_, t, _)| self.now.saturating_sub(*t) > self.timing.stuck)
     }
 
-    pub(super) fn finish(&mut self, pid: ProposalId, outcome: Result<Arc<Vec<u8>>, Lost>) {
-        if self.pending_proposals.remove(&pid).is_some() {
-            self.out.push(Effect::Result { pid, outcome });
+    pub(super) fn finish(&mut self, proposal_id: ProposalId, outcome: Result<Arc<Vec<u8>>, Lost>) {
+        if self.pending_proposals.remove(&proposal_id).is_some() {
+            self.out.push(Effect::Result {
+                proposal_id,
+                outcome,
+            });
         }
     }
 }
--- a/sorreldoor/src/consensus/tally.rs
+++ b/sorreldoor/src/consensus/tally.rs
@@ -4,7 +4,7 @@
 use super::quorum;
 use super::types::*;
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     /// The election bounds: N-1 Domain Leaders taking part, a log as new as
     /// N-2 others, and a majority of all cores. Only the last is never waived.
     fn elected(&self) -> bool {
--- a/sorreldoor/src/consensus/term.rs
+++ b/sorreldoor/src/consensus/term.rs
@@ -3,7 +3,7 @@
 use super::node::{Consensus, Role};
 use super::types::*;
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     /// Forget what only held in the term before.
     pub(super) fn forget_term(&mut self) {
         self.verified = 0;
--- a/sorreldoor/src/consensus/transfer.rs
+++ b/sorreldoor/src/consensus/transfer.rs
@@ -141,7 +141,7 @@
         .fold(start, |hash, b| (hash ^ u64::from(*b)).wrapping_mul(PRIME))
 }
 
-impl<M: Machine> Consensus<M> {
+impl<M: StateMachine> Consensus<M> {
     // --- sending ---
 
     /// Send what the window allows; as a heartbeat, an empty chunk at least.
@@ -227,7 +227,7 @@
         let header = ContentHeader::Entry {
             prev,
             term: entry.term,
-            pid: entry.pid,
+            proposal_id: entry.proposal_id,
             origin: entry.origin,
         };
         self.begin(to, header, bytes.clone());
@@ -377,12 +377,12 @@
             ContentHeader::Entry {
                 prev,
                 term,
-                pid,
+                proposal_id,
                 origin,
             } => {
                 let entry = Entry {
                     term,
-                    pid,
+                    proposal_id,
                     origin,
                     body: Body::Data(bytes),
                 };
--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -47,7 +47,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub term: u64,
-    pub pid: ProposalId,
+    #[serde(rename = "pid")]
+    pub proposal_id: ProposalId,
     /// The core that took the proposal from its asker.
     pub origin: NodeId,
     pub body: Body,
@@ -208,20 +209,24 @@
         held: u64,
     },
     Propose {
-        pid: ProposalId,
+        #[serde(rename = "pid")]
+        proposal_id: ProposalId,
         origin: NodeId,
         body: Body,
     },
     ProposalResult {
-        pid: ProposalId,
+        #[serde(rename = "pid")]
+        proposal_id: ProposalId,
         #[serde(serialize_with = "as_bytes")]
         outcome: Arc<Vec<u8>>,
     },
     ReadIndexRequest {
-        rid: u64,
+        #[serde(rename = "rid")]
+        request_id: u64,
     },
     ReadIndexReply {
-        rid: u64,
+        #[serde(rename = "rid")]
+        request_id: u64,
         idx: u64,
     },
     TimeoutNow {
@@ -234,7 +239,7 @@
     /// This node is to stop: it stands in no election any more, and hands
     /// its leadership over.
     Stop,
-    Alarm,
+    Tick,
     Heard {
         from: NodeId,
         msg: Msg,
@@ -251,13 +256,13 @@
     /// The save that was refused is durable now.
     SaveRecovered,
     Propose {
-        pid: ProposalId,
+        proposal_id: ProposalId,
         body: Body,
     },
     /// Change the members to these, if this node leads and none is under way.
     Reconfigure(Vec<Member>),
     Read {
-        rid: u64,
+        request_id: u64,
     },
 }
 
@@ -281,11 +286,11 @@
         msg: Msg,
     },
     Result {
-        pid: ProposalId,
+        proposal_id: ProposalId,
         outcome: Result<Arc<Vec<u8>>, Lost>,
     },
     ReadReady {
-        rid: u64,
+        request_id: u64,
         ok: bool,
     },
     Applied {
@@ -308,11 +313,11 @@
 }
 
 /// The replicated state as the reducer sees it.
-pub trait Machine {
+pub trait StateMachine {
     /// Apply one committed entry; the outcome goes to whoever proposed it.
-    fn apply(&mut self, idx: u64, pid: ProposalId, data: &[u8]) -> Vec<u8>;
+    fn apply(&mut self, idx: u64, proposal_id: ProposalId, data: &[u8]) -> Vec<u8>;
     /// The first outcome of a proposal that was applied before.
-    fn answered(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>>;
+    fn answered(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>>;
     fn image(&self) -> Vec<u8>;
     fn load(&mut self, image: &[u8]) -> bool;
 }
--- a/sorreldoor/src/core/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -2,10 +2,10 @@
 
 use super::front::{Front, Looked};
 use super::source::OperatorDoor;
-use crate::events::{say, Ev};
+use crate::error::ErrorCode;
 use crate::http;
+use crate::log_events::{log_event, LogEvent};
 use crate::operator_api::{self, OperatorRequest};
-use crate::problem::Problem;
 use crate::settings::Settings;
 use async_std::net::TcpListener;
 use async_std::task;
@@ -28,7 +28,7 @@
         task::spawn(http::serve(web, most, gate, move |r, _| {
             api.clone().handle(r)
         }));
-        say(Ev::Listening, format!("http {at}"));
+        log_event(LogEvent::Listening, format!("http {at}"));
         Ok(())
     }
 }
@@ -49,7 +49,7 @@
             return self.ready().await;
         }
         match operator_api::read(&mut req, &self.set.names).await {
-            None => http::shed(Problem::UnknownPath, &path, 1),
+            None => http::shed(ErrorCode::UnknownPath, &path, 1),
             Some(Err(p)) => http::shed(p, "", 1),
             Some(Ok(op)) => self.run(op).await,
         }
@@ -58,42 +58,42 @@
     async fn ready(&self) -> Response {
         match self.front.look().await {
             Some(Looked { ok: true, .. }) => http::json(200, "{\"ready\":true}".into()),
-            Some(Looked { disk: false, .. }) => http::shed(Problem::DiskFailed, "", 5),
-            _ => http::shed(Problem::NoCore, "no quorum is reached from here", 1),
+            Some(Looked { disk: false, .. }) => http::shed(ErrorCode::DiskFailed, "", 5),
+            _ => http::shed(ErrorCode::NoCore, "no quorum is reached from here", 1),
         }
     }
 
     async fn run(&self, op: OperatorRequest) -> Response {
         match op {
             OperatorRequest::Check { faults } => operator_api::checked(&faults),
-            OperatorRequest::Change { pid, cmd } => {
-                operator_api::result(pid, &self.front.change(pid, cmd).await)
+            OperatorRequest::Change { proposal_id, cmd } => {
+                operator_api::result(proposal_id, &self.front.change(proposal_id, cmd).await)
             }
-            OperatorRequest::DropCore { pid, id } => {
-                operator_api::result(pid, &self.front.drop_core(pid, id).await)
+            OperatorRequest::DropCore { proposal_id, id } => {
+                operator_api::result(proposal_id, &self.front.drop_core(proposal_id, id).await)
             }
-            OperatorRequest::Setup => match self.front.look().await {
+            OperatorRequest::Configuration => match self.front.look().await {
                 Some(Looked { ok: true, view, .. }) => {
                     let doc = view.doc.as_ref().map(|d| d.as_str());
                     let zones: Vec<String> = view
-                        .emptied
+                        .evacuated
                         .iter()
                         .map(|z| self.set.names.zone_name(*z).to_string())
                         .collect();
-                    operator_api::setup_view(view.serial, doc, &zones)
+                    operator_api::configuration_view(view.version, doc, &zones)
                 }
-                _ => http::shed(Problem::NoCore, "", 1),
+                _ => http::shed(ErrorCode::NoCore, "", 1),
             },
             OperatorRequest::Status => match self.front.look().await {
                 Some(Looked { status, .. }) => http::json(200, status),
-                _ => http::shed(Problem::NoCore, "", 1),
+                _ => http::shed(ErrorCode::NoCore, "", 1),
             },
             OperatorRequest::Metrics => match self.front.look().await {
                 Some(Looked { status, .. }) => operator_api::metrics(&status),
-                _ => http::shed(Problem::NoCore, "", 1),
+                _ => http::shed(ErrorCode::NoCore, "", 1),
             },
-            OperatorRequest::Proposal(pid) => {
-                operator_api::result(pid, &self.front.find(pid).await)
+            OperatorRequest::Proposal(proposal_id) => {
+                operator_api::result(proposal_id, &self.front.find(proposal_id).await)
             }
         }
     }
--- a/sorreldoor/src/core/claims.rs
+++ b/sorreldoor/src/control_plane/claims.rs
@@ -6,9 +6,9 @@
 use super::controller::Controller;
 use super::events::ControllerEffect;
 use crate::consensus::{Millis, NodeId, Save};
-use crate::events::Ev;
+use crate::invariants::{broken, Invariant};
+use crate::log_events::LogEvent;
 use crate::net::Conn;
-use crate::rules::{broken, Rule};
 use crate::wire::{Hello, Payload, Verdict};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -19,7 +19,7 @@
 
 struct Open {
     conn: Conn,
-    rid: u64,
+    request_id: u64,
     claim: Noted,
     since: Millis,
     yes: BTreeSet<NodeId>,
@@ -81,7 +81,7 @@
     /// Say it once what it relies on is synced: what is new, and what was
     /// noted earlier and may still be on its way to the disk.
     pub(super) fn say_saved(&mut self, fresh: Vec<Noted>, s: Say) {
-        if broken(Rule::ClaimSynced) {
+        if broken(Invariant::ClaimSynced) {
             return self.say_claim(s);
         }
         let Some(a) = self.consensus.as_mut() else {
@@ -133,13 +133,13 @@
             .collect()
     }
 
-    pub(super) fn on_claim(&mut self, conn: Conn, rid: u64, claim: Noted) {
+    pub(super) fn on_claim(&mut self, conn: Conn, request_id: u64, claim: Noted) {
         let by = claim.by;
         let same = self.claims.open.iter_mut().find(|(_, o)| o.claim.by == by);
         let no = match same {
             // what stood in its way may have been given up meanwhile
             Some((no, o)) => {
-                (o.conn, o.rid) = (conn, rid);
+                (o.conn, o.request_id) = (conn, request_id);
                 o.no.clear();
                 *no
             }
@@ -147,7 +147,7 @@
                 self.claims.next += 1;
                 let o = Open {
                     conn,
-                    rid,
+                    request_id,
                     claim: claim.clone(),
                     since: self.now,
                     yes: BTreeSet::new(),
@@ -191,7 +191,7 @@
         if note == Note::Full && !self.claims.full {
             self.claims.full = true;
             let n = self.claims.book.count();
-            self.say(Ev::ClaimsFull, format!("{n} remembered"));
+            self.log_event(LogEvent::ClaimsFull, format!("{n} remembered"));
         }
         note
     }
@@ -266,8 +266,15 @@
             (_, true) => Verdict::Full,
             _ => Verdict::Held(nos.into_iter().flatten().next().unwrap_or(0)),
         };
-        let (rid, id) = (o.rid, o.claim.id);
-        self.send(o.conn, Payload::ClaimDone { rid, id, said });
+        let (request_id, id) = (o.request_id, o.claim.id);
+        self.send(
+            o.conn,
+            Payload::ClaimDone {
+                request_id,
+                id,
+                said,
+            },
+        );
     }
 
     fn free_here(&mut self, id: &str, by: By) {
@@ -324,8 +331,8 @@
             return;
         }
         if let Some(e) = self.claims.ending.remove(&by) {
-            let (c, rid) = e.to;
-            self.send(c, Payload::Released { rid });
+            let (c, request_id) = e.to;
+            self.send(c, Payload::Released { request_id });
         }
     }
 
@@ -345,7 +352,7 @@
         }
     }
 
-    pub(super) fn claims_alarm(&mut self) {
+    pub(super) fn tick_claims(&mut self) {
         let old = self.now.saturating_sub(WAIT_MS);
         self.claims.open.retain(|_, o| o.since > old);
         self.claims.ending.retain(|_, e| e.since > old);
--- a/sorreldoor/src/core/controller.rs
+++ b/sorreldoor/src/control_plane/controller.rs
@@ -6,14 +6,14 @@
 use super::membership::{Membership, LOOK_MS};
 use super::reads::Reads;
 use super::worker_list::WorkerList;
+use crate::configuration::Site;
 use crate::consensus::*;
-use crate::events::Ev;
+use crate::discovery::Loads;
+use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::pacing::Pacing;
-use crate::record::{encode, Cmd, Outcome, Record};
-use crate::registry::Loads;
-use crate::seam::{Now, Reducer};
-use crate::setup::Site;
+use crate::replicated_state::{encode, Command, Outcome, ReplicatedState};
+use crate::runtime::{Now, Reducer};
 use crate::wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -35,14 +35,14 @@
     pub(super) pacing: Pacing,
     pub(super) timing: Timing,
     pub(super) seed: u64,
-    pub consensus: Option<Consensus<Record>>,
+    pub consensus: Option<Consensus<ReplicatedState>>,
     pub(super) promise: Option<Vec<Member>>,
     pub(super) promises: BTreeMap<NodeId, Vec<Member>>,
     pub(super) seeds: Vec<SocketAddr>,
-    pub(super) dials: BTreeSet<SocketAddr>,
+    pub(super) peer_addresses: BTreeSet<SocketAddr>,
     pub(super) connections: BTreeMap<Conn, Connection>,
     pub(super) edge_sessions: BTreeMap<Conn, EdgeSession>,
-    pub(super) report_serial: u64,
+    pub(super) report_version: u64,
     pub(super) session_reports: BTreeMap<NodeId, SessionReport>,
     /// All edges' sessions, and what edges are shown of them.
     pub(super) merged: Vec<EdgeSession>,
@@ -53,13 +53,13 @@
     pub loads: Arc<Loads>,
     pub(super) updates: super::updates::Updates,
     pub(super) reads: Reads,
-    pub(super) next_rid: u64,
+    pub(super) next_request_id: u64,
     pub(super) ops: BTreeMap<ProposalId, Vec<OpFrom>>,
     pub(super) duty: Duty,
-    pub(super) duty_pid: Option<ProposalId>,
+    pub(super) duty_proposal_id: Option<ProposalId>,
     pub(super) claims: super::claims::Claims,
     pub(super) slow_at: Millis,
-    pub(super) last_serial: u64,
+    pub(super) last_version: u64,
     pub leaving: bool,
     pub(super) wall: i64,
     pub now: Millis,
@@ -68,31 +68,42 @@
 
 impl Reducer for Controller {
     type Event = ControllerEvent;
-    type Fx = ControllerEffect;
+    type Effect = ControllerEffect;
 
     fn step(&mut self, ev: ControllerEvent, now: Now) -> Vec<ControllerEffect> {
-        self.now = self.now.max(now.mono);
+        self.now = self.now.max(now.monotonic_ms);
         self.wall = now.wall;
         match ev {
-            ControllerEvent::Alarm => self.alarm(),
+            ControllerEvent::Tick => self.tick(),
             ControllerEvent::Net(n) => self.net(n),
             ControllerEvent::Saved(seq) => {
                 self.agreed(Event::Saved { seq });
                 self.claims_saved(seq);
             }
             ControllerEvent::SaveFailed(why) => {
-                self.say(Ev::DiskFailed, why);
+                self.log_event(LogEvent::DiskFailed, why);
                 self.agreed(Event::SaveFailed);
             }
             ControllerEvent::SaveRecovered => {
-                self.say(Ev::DiskRecovered, "taking part again");
+                self.log_event(LogEvent::DiskRecovered, "taking part again");
                 self.agreed(Event::SaveRecovered);
             }
-            ControllerEvent::Change { rid, pid, cmd } => self.change(OpFrom::Http(rid), pid, cmd),
-            ControllerEvent::Reform { rid, pid, drop } => self.reform(rid, pid, drop),
-            ControllerEvent::Look { rid } => self.want(Want::Http(rid)),
-            ControllerEvent::View { rid } => self.want(Want::View(rid)),
-            ControllerEvent::Find { rid, pid } => self.want(Want::Find(OpFrom::Http(rid), pid)),
+            ControllerEvent::Change {
+                request_id,
+                proposal_id,
+                cmd,
+            } => self.change(OpFrom::Http(request_id), proposal_id, cmd),
+            ControllerEvent::Reform {
+                request_id,
+                proposal_id,
+                drop,
+            } => self.reform(request_id, proposal_id, drop),
+            ControllerEvent::Look { request_id } => self.want(Want::Http(request_id)),
+            ControllerEvent::View { request_id } => self.want(Want::View(request_id)),
+            ControllerEvent::Find {
+                request_id,
+                proposal_id,
+            } => self.want(Want::Find(OpFrom::Http(request_id), proposal_id)),
             ControllerEvent::WorkerRegistry(r) => self.on_registry(r),
             ControllerEvent::Loads { epoch, rows } => self.on_loads(epoch, rows),
             ControllerEvent::Stop => self.stop(),
@@ -103,7 +114,7 @@
 }
 
 impl Controller {
-    pub(super) fn say(&mut self, ev: Ev, about: impl Into<String>) {
+    pub(super) fn log_event(&mut self, ev: LogEvent, about: impl Into<String>) {
         self.out.push(ControllerEffect::Say(ev, about.into()));
     }
 
@@ -114,13 +125,13 @@
         self.out.push(ControllerEffect::Send(conn, p));
     }
 
-    fn alarm(&mut self) {
-        self.agreed(Event::Alarm);
+    fn tick(&mut self) {
+        self.agreed(Event::Tick);
         if self.now >= self.members_at {
             self.members_at = self.now + LOOK_MS;
             self.members_alarm();
         }
-        self.reads_alarm();
+        self.tick_reads();
         if self.now >= self.slow_at {
             self.slow_at = self.now + 250;
             self.slow_alarm();
@@ -142,7 +153,7 @@
         }
         self.first_list();
         self.sessions_alarm();
-        self.claims_alarm();
+        self.tick_claims();
         self.ping();
     }
 
@@ -201,14 +212,18 @@
             Payload::Renew {
                 no,
                 have,
-                doing,
+                edge_status,
                 unverified,
-            } => self.on_renew(conn, (no, have), doing, unverified),
-            Payload::Op { rid, pid, cmd } => self.change(OpFrom::Edge(conn, rid), pid, cmd),
-            Payload::Claim { rid, claim } => self.on_claim(conn, rid, claim),
+            } => self.on_renew(conn, (no, have), edge_status, unverified),
+            Payload::Op {
+                request_id,
+                proposal_id,
+                cmd,
+            } => self.change(OpFrom::Edge(conn, request_id), proposal_id, cmd),
+            Payload::Claim { request_id, claim } => self.on_claim(conn, request_id, claim),
             Payload::ClaimAsk { no, claim } if from.core => self.on_claim_ask(conn, no, claim),
             Payload::ClaimAns { no, said } if from.core => self.on_claim_ans(from.id, no, said),
-            Payload::Release { rid, id, by } => self.free_all(&id, by, (conn, rid)),
+            Payload::Release { request_id, id, by } => self.free_all(&id, by, (conn, request_id)),
             Payload::Free { id, by } if from.core => self.on_free(conn, id, by),
             Payload::FreeDone { by } if from.core => self.on_free_done(from.id, by),
             Payload::Sent { all } => self.on_sent(all),
@@ -227,7 +242,10 @@
                 };
                 self.on_claims_page(conn, &from, page)
             }
-            Payload::OpFind { rid, pid } => self.want(Want::Find(OpFrom::Edge(conn, rid), pid)),
+            Payload::OpFind {
+                request_id,
+                proposal_id,
+            } => self.want(Want::Find(OpFrom::Edge(conn, request_id), proposal_id)),
             _ => {}
         }
     }
@@ -238,8 +256,8 @@
             let addr = self.connections.get(&conn).and_then(|l| l.dialled);
             if let Some(a) = addr {
                 self.seeds.retain(|s| *s != a);
-                self.dials.remove(&a);
-                self.out.push(ControllerEffect::Undial(a));
+                self.peer_addresses.remove(&a);
+                self.out.push(ControllerEffect::Disconnect(a));
             }
             self.out.push(ControllerEffect::Close(conn));
             return;
@@ -279,15 +297,18 @@
                     self.send(c, Payload::Consensus(msg));
                 }
             }
-            Effect::Result { pid, outcome } => self.on_result(pid, outcome),
-            Effect::ReadReady { rid, ok } => self.on_read(rid, ok),
+            Effect::Result {
+                proposal_id,
+                outcome,
+            } => self.on_result(proposal_id, outcome),
+            Effect::ReadReady { request_id, ok } => self.on_read(request_id, ok),
             Effect::Applied { .. } => self.on_applied(),
             Effect::Members(ms) => {
                 let names: Vec<String> = ms
                     .iter()
                     .map(|m| format!("{:x}{}", m.id, if m.voter { "" } else { "?" }))
                     .collect();
-                self.say(Ev::Members, names.join(" "));
+                self.log_event(LogEvent::Members, names.join(" "));
                 if !self.me.founded && ms.iter().any(|m| m.voter) {
                     self.greet();
                 }
@@ -300,26 +321,28 @@
     fn on_note(&mut self, n: Note) {
         let region = |r: RegionId| self.site.region_name(r).to_string();
         let (ev, about) = match n {
-            Note::GlobalLeader { term, .. } => (Ev::GlobalLeader, format!("term {term}")),
-            Note::DomainLeader { dterm, .. } => (Ev::DomainLeader, format!("term {dterm}")),
-            Note::SteppedDown { term, why } => (Ev::SteppedDown, format!("term {term}: {why}")),
-            Note::RegionDown { region: r } => (Ev::RegionDown, region(r)),
-            Note::RegionUp { region: r } => (Ev::RegionUp, region(r)),
-            Note::Moving { to } => (Ev::Moving, format!("to {to:x}")),
-            Note::DiskFailed => (Ev::DiskFailed, "standing aside".to_string()),
+            Note::GlobalLeader { term, .. } => (LogEvent::GlobalLeader, format!("term {term}")),
+            Note::DomainLeader { dterm, .. } => (LogEvent::DomainLeader, format!("term {dterm}")),
+            Note::SteppedDown { term, why } => {
+                (LogEvent::SteppedDown, format!("term {term}: {why}"))
+            }
+            Note::RegionDown { region: r } => (LogEvent::RegionDown, region(r)),
+            Note::RegionUp { region: r } => (LogEvent::RegionUp, region(r)),
+            Note::Moving { to } => (LogEvent::Moving, format!("to {to:x}")),
+            Note::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
         };
-        self.say(ev, about);
+        self.log_event(ev, about);
     }
 
     fn on_applied(&mut self) {
-        let serial = self.consensus.as_ref().map_or(0, |a| a.machine().serial());
-        if serial != self.last_serial {
-            self.last_serial = serial;
-            self.say(Ev::SetupAdopted, format!("serial {serial}"));
+        let version = self.consensus.as_ref().map_or(0, |a| a.machine().version());
+        if version != self.last_version {
+            self.last_version = version;
+            self.log_event(LogEvent::ConfigurationAdopted, format!("serial {version}"));
         }
     }
 
-    pub(super) fn change(&mut self, from: OpFrom, pid: ProposalId, cmd: Cmd) {
+    pub(super) fn change(&mut self, from: OpFrom, proposal_id: ProposalId, cmd: Command) {
         if self.consensus.is_none() || self.leaving {
             return self.op_done(from, OpOutcome::NotTaken);
         }
@@ -327,47 +350,47 @@
             // the operator does better to go on to another core at once
             return self.op_done(from, OpOutcome::Unknown);
         }
-        self.ops.entry(pid).or_default().push(from);
+        self.ops.entry(proposal_id).or_default().push(from);
         let cmd = self.bound_to_zone_state(cmd);
         let body = Body::Data(Arc::new(encode(&cmd)));
-        self.agreed(Event::Propose { pid, body });
+        self.agreed(Event::Propose { proposal_id, body });
     }
 
     /// An evacuation holds only for the state of its zone that this core knows
     /// as the call comes: it has no id and no base, so a copy that is held up
     /// could not be told from a new call otherwise.
-    fn bound_to_zone_state(&self, cmd: Cmd) -> Cmd {
+    fn bound_to_zone_state(&self, cmd: Command) -> Command {
         let record = self.consensus.as_ref().map(|a| a.machine());
         match (cmd, record) {
-            (Cmd::Evacuate { zone, emptied }, Some(record)) => Cmd::EvacuateOnce {
+            (Command::Evacuate { zone, evacuated }, Some(record)) => Command::EvacuateOnce {
                 zone,
-                emptied,
+                evacuated,
                 changes: record.zone_changes(zone),
             },
             (cmd, _) => cmd,
         }
     }
 
-    fn on_result(&mut self, pid: ProposalId, r: Result<Arc<Vec<u8>>, Lost>) {
+    fn on_result(&mut self, proposal_id: ProposalId, r: Result<Arc<Vec<u8>>, Lost>) {
         let outcome = match r {
             // a membership change has no outcome of its own but having happened
-            Ok(b) if b.is_empty() => OpOutcome::Got(Outcome::Taken { serial: 0 }),
-            Ok(b) => crate::record::decode(&b).map_or(OpOutcome::Unknown, OpOutcome::Got),
+            Ok(b) if b.is_empty() => OpOutcome::Got(Outcome::Taken { version: 0 }),
+            Ok(b) => crate::replicated_state::decode(&b).map_or(OpOutcome::Unknown, OpOutcome::Got),
             Err(Lost::Unknown) => OpOutcome::Unknown,
             Err(Lost::Full) => OpOutcome::NotTaken,
         };
         let taken = matches!(outcome, OpOutcome::Got(Outcome::Taken { .. }));
-        self.proposed(pid, taken);
-        let asked = self.ops.remove(&pid).unwrap_or_default();
+        self.proposed(proposal_id, taken);
+        let asked = self.ops.remove(&proposal_id).unwrap_or_default();
         if !asked.is_empty() {
-            let id = crate::order_id::format_proposal_id(pid);
+            let id = crate::order_id::format_proposal_id(proposal_id);
             let (ev, about) = match &outcome {
-                OpOutcome::Got(Outcome::Taken { serial }) => {
-                    (Ev::ChangeTaken, format!("{id} as serial {serial}"))
+                OpOutcome::Got(Outcome::Taken { version }) => {
+                    (LogEvent::ChangeTaken, format!("{id} as serial {version}"))
                 }
-                o => (Ev::ChangeRefused, format!("{id}: {o:?}")),
+                o => (LogEvent::ChangeRefused, format!("{id}: {o:?}")),
             };
-            self.say(ev, about);
+            self.log_event(ev, about);
         }
         for f in asked {
             self.op_done(f, outcome.clone());
@@ -376,8 +399,14 @@
 
     pub(super) fn op_done(&mut self, from: OpFrom, outcome: OpOutcome) {
         match from {
-            OpFrom::Http(rid) => self.out.push(ControllerEffect::Done(rid, outcome)),
-            OpFrom::Edge(c, rid) => self.send(c, Payload::OpDone { rid, outcome }),
+            OpFrom::Http(request_id) => self.out.push(ControllerEffect::Done(request_id, outcome)),
+            OpFrom::Edge(c, request_id) => self.send(
+                c,
+                Payload::OpDone {
+                    request_id,
+                    outcome,
+                },
+            ),
         }
     }
 }
--- a/sorreldoor/src/core/delivery.rs
+++ b/sorreldoor/src/control_plane/delivery.rs
@@ -4,11 +4,11 @@
 use super::events::{ControllerEffect, Want};
 use super::updates::Due;
 use crate::consensus::*;
-use crate::events::Ev;
+use crate::discovery::Loads;
+use crate::invariants::{broken, Invariant};
+use crate::log_events::LogEvent;
 use crate::net::Conn;
-use crate::record::encode;
-use crate::registry::Loads;
-use crate::rules::{broken, Rule};
+use crate::replicated_state::encode;
 use crate::wire::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,13 +32,13 @@
             self.updates.closed(c);
             self.out.push(ControllerEffect::Close(c));
         }
-        self.say(Ev::NodeJoined, h.node.clone());
+        self.log_event(LogEvent::NodeJoined, h.node.clone());
         self.edge_sessions.insert(
             conn,
             EdgeSession {
                 hello: h,
-                serial: 0,
-                permit: false,
+                version: 0,
+                lease: false,
                 running: 0,
                 took: Vec::new(),
             },
@@ -49,7 +49,7 @@
     pub(super) fn end_session(&mut self, conn: Conn) {
         self.updates.closed(conn);
         if let Some(s) = self.edge_sessions.remove(&conn) {
-            self.say(Ev::NodeLost, s.hello.node);
+            self.log_event(LogEvent::NodeLost, s.hello.node);
             self.sessions_changed();
         }
     }
@@ -66,7 +66,7 @@
             return all.collect();
         }
         let bare = |s: EdgeSession| EdgeSession {
-            serial: 0,
+            version: 0,
             running: 0,
             took: Vec::new(),
             ..s
@@ -83,7 +83,7 @@
         if !(new || old || now) {
             return;
         }
-        self.report_serial += u64::from(new);
+        self.report_version += u64::from(new);
         self.told = (edge_sessions, self.now);
         for (c, _) in self.live_cores(3000).into_values() {
             self.send_sessions(c);
@@ -94,7 +94,7 @@
         let s = SessionReport {
             core: self.me.id,
             boot: self.me.boot,
-            serial: self.report_serial,
+            version: self.report_version,
             edge_sessions: self.told.0.clone(),
         };
         self.send(c, Payload::SessionReport(s));
@@ -111,7 +111,7 @@
     pub(super) fn on_sessions(&mut self, from: Hello, s: SessionReport) {
         let old = self.session_reports.get(&from.id);
         // frames may pass each other on two lines; only news counts
-        let newer = old.is_none_or(|o| o.boot != s.boot || s.serial >= o.serial);
+        let newer = old.is_none_or(|o| o.boot != s.boot || s.version >= o.version);
         if s.core == from.id && newer && old.is_none_or(|o| *o != s) {
             self.session_reports.insert(from.id, s);
             self.merge();
@@ -150,13 +150,13 @@
         let r = self.consensus.as_ref().map(|a| a.machine());
         // how much still runs matters where it is waited for, and would
         // elsewhere be news for everyone with each errand
-        let counts = r.is_some_and(|r| r.emptied(s.hello.zone));
+        let counts = r.is_some_and(|r| r.evacuated(s.hello.zone));
         Place {
             node: s.hello.node.clone(),
             zone: s.hello.zone,
             region: s.hello.region,
             http: s.hello.http.clone(),
-            ready: s.permit,
+            ready: s.lease,
             running: if counts { s.running } else { 0 },
         }
     }
@@ -201,34 +201,34 @@
     pub(super) fn on_renew(
         &mut self,
         conn: Conn,
-        ask: (u64, Have),
-        doing: Doing,
+        ask: (u64, KnownVersions),
+        edge_status: EdgeStatus,
         unverified: Unverified,
     ) {
         let Some(s) = self.edge_sessions.get_mut(&conn) else {
             return;
         };
-        let turned = s.permit != doing.permit;
-        s.serial = doing.serial;
-        s.permit = doing.permit;
-        s.running = doing.running;
-        s.took = doing.took;
+        let turned = s.lease != edge_status.lease;
+        s.version = edge_status.version;
+        s.lease = edge_status.lease;
+        s.running = edge_status.running;
+        s.took = edge_status.took;
         if turned {
             self.sessions_changed();
         }
         let (no, have) = ask;
-        let led = self.consensus.as_ref().is_some_and(|a| a.led()) || broken(Rule::Proof);
+        let led = self.consensus.as_ref().is_some_and(|a| a.led()) || broken(Invariant::Proof);
         let offered = match unverified {
             Unverified::None => false,
-            Unverified::FromStarting => !self.reads.proved || broken(Rule::Unverified),
+            Unverified::FromStarting => !self.reads.proved || broken(Invariant::Unverified),
             Unverified::FromAny => !led,
         };
         if offered {
-            let news = self.news(conn, &have);
-            self.deny(conn, no, news);
+            let delta = self.delta(conn, &have);
+            self.deny(conn, no, delta);
         } else if !led {
             // no proof will come from here; the edge is to ask elsewhere
-            self.deny(conn, no, News::default());
+            self.deny(conn, no, StateDelta::default());
         }
         if led {
             self.want(Want::Grant { conn, no, have });
@@ -236,13 +236,13 @@
     }
 
     /// Answer a renewal without a proof.
-    fn deny(&mut self, conn: Conn, no: u64, news: News) {
+    fn deny(&mut self, conn: Conn, no: u64, delta: StateDelta) {
         let ok = false;
-        self.send(conn, Payload::Grant { no, ok, news });
+        self.send(conn, Payload::Grant { no, ok, delta });
     }
 
     /// What the asker lacks, source by source.
-    pub(super) fn news(&mut self, conn: Conn, have: &Have) -> News {
+    pub(super) fn delta(&mut self, conn: Conn, have: &KnownVersions) -> StateDelta {
         let record = self.consensus.as_ref().map(|a| a.machine());
         let due = record.map_or(Due::Nothing, |r| {
             self.updates.due(r, conn, have.record, self.now)
@@ -260,14 +260,14 @@
             .collect();
         let at = mark(&encode(&cores));
         let places = || (self.places.0, self.places.1.to_vec());
-        News {
+        StateDelta {
             cores: Some((at, cores)).filter(|c| c.0 != have.cores && !c.1.is_empty()),
             record,
             record_withheld,
             registry: self
                 .worker_list
                 .at(self.now)
-                .filter(|r| r.serial > have.registry),
+                .filter(|r| r.version > have.registry),
             loads: Some(self.loads.clone()).filter(|l| l.mark() > have.loads),
             edge_sessions: (self.places.0 != have.edge_sessions).then(places),
         }
--- a/sorreldoor/src/core/duty.rs
+++ b/sorreldoor/src/control_plane/duty.rs
@@ -5,10 +5,10 @@
 use super::events::ControllerEffect;
 use super::regions::{region_capacity, RegionWatch};
 use crate::consensus::*;
-use crate::events::Ev;
-use crate::record::{encode, Cmd, Recovery};
-use crate::registry::{Load, Loads, WorkerRegistry};
-use crate::tune;
+use crate::discovery::{Load, Loads, WorkerRegistry};
+use crate::log_events::LogEvent;
+use crate::replicated_state::{encode, Command, Recovery};
+use crate::weight_tuning;
 use crate::wire::Payload;
 use std::sync::Arc;
 
@@ -28,8 +28,8 @@
     asked_epoch: Option<(ProposalId, u64)>,
     granted_epoch: Option<u64>,
     regions: RegionWatch,
-    smooth: tune::Smooth,
-    times: tune::Times,
+    smooth: weight_tuning::Smooth,
+    times: weight_tuning::Times,
 }
 
 impl Duty {
@@ -42,14 +42,14 @@
             asked_epoch: None,
             granted_epoch: None,
             regions: RegionWatch::default(),
-            smooth: tune::Smooth::default(),
-            times: tune::Times::default(),
+            smooth: weight_tuning::Smooth::default(),
+            times: weight_tuning::Times::default(),
         }
     }
 
     /// Times that requests took, by route and service, as this core gathered
     /// them while it held the duty.
-    pub fn times(&self) -> &tune::Times {
+    pub fn times(&self) -> &weight_tuning::Times {
         &self.times
     }
 
@@ -88,7 +88,7 @@
             }
             Err(why) => {
                 if self.worker_list.read_failed(why.clone()) {
-                    self.say(Ev::RosterLost, why);
+                    self.log_event(LogEvent::RosterLost, why);
                 }
             }
         }
@@ -100,9 +100,9 @@
             return;
         }
         let n = list.workers.len();
-        self.say(
-            Ev::RosterRead,
-            format!("serial {}, {n} workers", list.serial),
+        self.log_event(
+            LogEvent::RosterRead,
+            format!("serial {}, {n} workers", list.version),
         );
         let cores = self.live_cores(3000).into_values().map(|(c, _)| c);
         // a worker that leaves must be known of before the next renewal
@@ -133,8 +133,11 @@
     }
 
     fn tunable(&self) -> bool {
-        let s = self.consensus.as_ref().and_then(|a| a.machine().setup());
-        let free = |r: &crate::setup::Route| r.shares.iter().any(|h| h.least < h.most);
+        let s = self
+            .consensus
+            .as_ref()
+            .and_then(|a| a.machine().configuration());
+        let free = |r: &crate::configuration::Route| r.shares.iter().any(|h| h.least < h.most);
         s.is_some_and(|s| s.routes.iter().any(free))
     }
 
@@ -146,7 +149,7 @@
         let since = *self.duty.first_since.get_or_insert(self.now);
         if !self.on_duty() {
             // a core that flaps must not take the duty to and fro
-            if self.now.saturating_sub(since) >= SETTLE_MS && self.duty_pid.is_none() {
+            if self.now.saturating_sub(since) >= SETTLE_MS && self.duty_proposal_id.is_none() {
                 self.take_duty();
             }
             return;
@@ -166,24 +169,26 @@
     fn take_duty(&mut self) {
         let above = self.consensus.as_ref().map_or(0, |a| a.machine().epoch());
         let holder = self.me.id;
-        self.say(Ev::DutyTaken, format!("epoch {}", above + 1));
-        self.propose(Cmd::Duty { holder, above });
-        self.duty.asked_epoch = self.duty_pid.map(|pid| (pid, above + 1));
+        self.log_event(LogEvent::DutyTaken, format!("epoch {}", above + 1));
+        self.propose(Command::Duty { holder, above });
+        self.duty.asked_epoch = self
+            .duty_proposal_id
+            .map(|proposal_id| (proposal_id, above + 1));
     }
 
     /// A proposal of this core's own has come to something.
-    pub(super) fn proposed(&mut self, pid: ProposalId, taken: bool) {
-        if self.duty_pid == Some(pid) {
-            self.duty_pid = None;
+    pub(super) fn proposed(&mut self, proposal_id: ProposalId, taken: bool) {
+        if self.duty_proposal_id == Some(proposal_id) {
+            self.duty_proposal_id = None;
         }
-        self.duty.answered(pid, taken);
+        self.duty.answered(proposal_id, taken);
     }
 
-    pub(super) fn propose(&mut self, cmd: Cmd) {
-        let pid = self.own_pid();
-        self.duty_pid = Some(pid);
+    pub(super) fn propose(&mut self, cmd: Command) {
+        let proposal_id = self.own_proposal_id();
+        self.duty_proposal_id = Some(proposal_id);
         let body = Body::Data(Arc::new(encode(&cmd)));
-        self.agreed(Event::Propose { pid, body });
+        self.agreed(Event::Propose { proposal_id, body });
     }
 
     fn epoch(&self) -> u64 {
@@ -193,7 +198,7 @@
     /// Propose the next state of the first region that is due for one.
     fn watch_regions(&mut self) {
         let epoch = self.epoch();
-        if self.loads.epoch != epoch || self.duty_pid.is_some() {
+        if self.loads.epoch != epoch || self.duty_proposal_id.is_some() {
             return;
         }
         for region in 0..self.site.regions.len() as u8 {
@@ -202,8 +207,8 @@
             };
             let name = self.site.region_name(region).to_string();
             let text = super::status::recovery_text(state);
-            self.say(Ev::RegionState, format!("{name}: {text}"));
-            return self.propose(Cmd::Region {
+            self.log_event(LogEvent::RegionState, format!("{name}: {text}"));
+            return self.propose(Command::Region {
                 epoch,
                 region,
                 state,
@@ -214,7 +219,7 @@
     fn region_state_due(&mut self, region: u8) -> Option<Recovery> {
         let record = self.consensus.as_ref()?.machine();
         let workers = self.worker_list.workers();
-        let room = region_capacity(record.setup()?, workers, &self.loads, region)?;
+        let room = region_capacity(record.configuration()?, workers, &self.loads, region)?;
         let is = record.region(region);
         self.duty.regions.next_state(region, room, is, self.now)
     }
@@ -235,17 +240,17 @@
             if was != Some(l.live) {
                 if !l.live {
                     self.out
-                        .push(ControllerEffect::Say(Ev::WorkerDark, l.name.clone()));
+                        .push(ControllerEffect::Say(LogEvent::WorkerDark, l.name.clone()));
                 } else if was.is_some() {
                     self.out
-                        .push(ControllerEffect::Say(Ev::WorkerBack, l.name.clone()));
+                        .push(ControllerEffect::Say(LogEvent::WorkerBack, l.name.clone()));
                 }
             }
         }
-        let serial = self.loads.serial + 1;
+        let version = self.loads.version + 1;
         let l = Arc::new(Loads {
             epoch,
-            serial,
+            version,
             rows,
         });
         self.duty.smooth.take(&l);
@@ -261,21 +266,21 @@
         self.duty.times = times;
         let Some(a) = &self.consensus else { return };
         let r = a.machine();
-        let (Some(s), Some(ro)) = (r.setup(), self.worker_list.current()) else {
+        let (Some(s), Some(ro)) = (r.configuration(), self.worker_list.current()) else {
             return;
         };
-        let by = tune::Now {
+        let by = weight_tuning::Now {
             ro,
             loads: &self.loads,
             smooth: &self.duty.smooth,
             times: &self.duty.times,
         };
-        let weights = tune::step(s, &r.view().weights, &by);
-        let (epoch, serial) = (r.epoch(), r.serial());
-        if !weights.is_empty() && self.duty_pid.is_none() {
-            self.propose(Cmd::Tune {
+        let weights = weight_tuning::step(s, &r.view().weights, &by);
+        let (epoch, version) = (r.epoch(), r.version());
+        if !weights.is_empty() && self.duty_proposal_id.is_none() {
+            self.propose(Command::Tune {
                 epoch,
-                serial,
+                version,
                 weights,
             });
         }
--- a/sorreldoor/src/core/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -1,13 +1,13 @@
 //! What goes into the controller's reducer, and what comes out.
 
 use super::membership::Policy;
+use crate::configuration::Site;
 use crate::consensus::*;
-use crate::events::Ev;
+use crate::discovery::{Load, WorkerRegistry};
+use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::pacing::Pacing;
-use crate::record::Cmd;
-use crate::registry::{Load, WorkerRegistry};
-use crate::setup::Site;
+use crate::replicated_state::Command;
 use crate::wire::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,12 +25,16 @@
     Http(u64),
     View(u64),
     Find(OpFrom, ProposalId),
-    Grant { conn: Conn, no: u64, have: Have },
+    Grant {
+        conn: Conn,
+        no: u64,
+        have: KnownVersions,
+    },
 }
 
 #[derive(Debug)]
 pub enum ControllerEvent {
-    Alarm,
+    Tick,
     Net(NetEvent),
     Saved(u64),
     /// The disk refuses; the store tries the same save again.
@@ -38,27 +42,27 @@
     /// All that was waiting for the disk has been synced after all.
     SaveRecovered,
     Change {
-        rid: u64,
-        pid: ProposalId,
-        cmd: Cmd,
+        request_id: u64,
+        proposal_id: ProposalId,
+        cmd: Command,
     },
     /// Replace the members, one voter at a time; from `ctl`.
     Reform {
-        rid: u64,
-        pid: ProposalId,
+        request_id: u64,
+        proposal_id: ProposalId,
         drop: NodeId,
     },
     Look {
-        rid: u64,
+        request_id: u64,
     },
     /// Like `Look`, without the status, which takes its time.
     View {
-        rid: u64,
+        request_id: u64,
     },
     /// What became of a proposal, once this core is proved current.
     Find {
-        rid: u64,
-        pid: ProposalId,
+        request_id: u64,
+        proposal_id: ProposalId,
     },
     WorkerRegistry(Result<WorkerRegistry, String>),
     Loads {
@@ -74,8 +78,8 @@
     /// Keep a small value, synced, before anything that follows.
     Keep(&'static str, Vec<u8>),
     Send(Conn, Payload),
-    Dial(SocketAddr),
-    Undial(SocketAddr),
+    Connect(SocketAddr),
+    Disconnect(SocketAddr),
     Close(Conn),
     Done(u64, OpOutcome),
     /// The state is proved current; the daemon reads it off now.
@@ -85,7 +89,7 @@
     AskRegistry,
     /// Ask these workers for their load, under the epoch given.
     AskLoads(u64, Vec<(String, SocketAddr)>),
-    Say(Ev, String),
+    Say(LogEvent, String),
 }
 
 /// What a controller starts from.
--- a/sorreldoor/src/core/founding.rs
+++ b/sorreldoor/src/control_plane/founding.rs
@@ -4,9 +4,9 @@
 use super::events::ControllerEffect;
 use super::membership::learner;
 use crate::consensus::*;
-use crate::events::Ev;
+use crate::log_events::LogEvent;
 use crate::net::Conn;
-use crate::record::{encode, Record};
+use crate::replicated_state::{encode, ReplicatedState};
 use crate::wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -37,13 +37,13 @@
         }
         want.extend(self.seeds.iter());
         want.retain(|a| Some(*a) != own);
-        for a in want.difference(&self.dials) {
-            self.out.push(ControllerEffect::Dial(*a));
+        for a in want.difference(&self.peer_addresses) {
+            self.out.push(ControllerEffect::Connect(*a));
         }
-        for a in self.dials.difference(&want) {
-            self.out.push(ControllerEffect::Undial(*a));
+        for a in self.peer_addresses.difference(&want) {
+            self.out.push(ControllerEffect::Disconnect(*a));
         }
-        self.dials = want;
+        self.peer_addresses = want;
     }
 
     /// A blank core: found with the others, or join what is founded.
@@ -58,7 +58,7 @@
             // cores that share one can both be founded
             self.out
                 .push(ControllerEffect::Keep("promise", encode(&set)));
-            self.say(Ev::Promised, names(&set));
+            self.log_event(LogEvent::Promised, names(&set));
             self.promise = Some(set);
         }
         let Some(set) = self.promise.clone() else {
@@ -115,14 +115,14 @@
     }
 
     fn found(&mut self, set: Vec<Member>) {
-        self.say(Ev::Founded, names(&set));
-        let r = Record::new(self.site.clone());
+        self.log_event(LogEvent::Founded, names(&set));
+        let r = ReplicatedState::new(self.site.clone());
         let (timing, seed, now) = (self.timing.clone(), self.seed, self.now);
         self.consensus = Some(Consensus::found(self.me.id, timing, set, r, seed, now));
         self.claims.learn.sure = true;
         self.keep_sure();
         self.greet();
-        self.agreed(Event::Alarm);
+        self.agreed(Event::Tick);
     }
 
     pub(super) fn greet(&mut self) {
@@ -163,12 +163,12 @@
                 if self.promise.as_ref() == Some(&set) && !set.is_empty() {
                     return self.found(set);
                 }
-                self.say(Ev::Joining, format!("through {}", from.node));
+                self.log_event(LogEvent::Joining, format!("through {}", from.node));
                 // a promise that came to nothing must not look like a founder's
                 self.out.push(ControllerEffect::Keep("promise", Vec::new()));
                 self.promise = None;
                 let k = crate::store::DurableState::default().kept();
-                let r = Record::new(self.site.clone());
+                let r = ReplicatedState::new(self.site.clone());
                 let (timing, seed, now) = (self.timing.clone(), self.seed, self.now);
                 self.consensus = Some(Consensus::new(self.me.id, timing, k, r, seed, now));
                 // it does not say that it is of the site before the log
@@ -178,11 +178,11 @@
         }
     }
 
-    pub(super) fn own_pid(&mut self) -> ProposalId {
-        self.next_rid += 1;
+    pub(super) fn own_proposal_id(&mut self) -> ProposalId {
+        self.next_request_id += 1;
         (ProposalId::from(self.me.id) << 64)
             | (ProposalId::from(self.me.boot as u32) << 32)
-            | ProposalId::from(self.next_rid as u32)
+            | ProposalId::from(self.next_request_id as u32)
     }
 }
 
--- a/sorreldoor/src/core/front.rs
+++ b/sorreldoor/src/control_plane/front.rs
@@ -4,7 +4,7 @@
 use super::events::ControllerEvent;
 use crate::consensus::ProposalId;
 use crate::net::Ring;
-use crate::record::{Cmd, View};
+use crate::replicated_state::{Command, View};
 use crate::wire::{OpOutcome, Place};
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
@@ -45,16 +45,16 @@
 
 impl Answers {
     pub fn open(&self) -> (u64, Receiver<Reply>) {
-        let rid = self.next.fetch_add(1, Ordering::Relaxed) + 1;
+        let request_id = self.next.fetch_add(1, Ordering::Relaxed) + 1;
         let (tx, rx) = bounded(1);
-        locked(&self.waiting).insert(rid, tx);
-        (rid, rx)
+        locked(&self.waiting).insert(request_id, tx);
+        (request_id, rx)
     }
-    pub fn close(&self, rid: u64) {
-        locked(&self.waiting).remove(&rid);
+    pub fn close(&self, request_id: u64) {
+        locked(&self.waiting).remove(&request_id);
     }
-    pub(super) fn give(&self, rid: u64, r: Reply) {
-        let tx = locked(&self.waiting).remove(&rid);
+    pub(super) fn give(&self, request_id: u64, r: Reply) {
+        let tx = locked(&self.waiting).remove(&request_id);
         // whoever has stopped waiting needs no result
         let _ = tx.map(|t| t.try_send(r).is_ok());
     }
@@ -81,14 +81,14 @@
     }
 
     async fn ask(&self, f: impl FnOnce(u64) -> ControllerEvent) -> Option<Reply> {
-        let (rid, rx) = self.answers.open();
-        if self.ring.send(f(rid)).await.is_err() {
+        let (request_id, rx) = self.answers.open();
+        if self.ring.send(f(request_id)).await.is_err() {
             return None;
         }
         // the reducer gives up by itself first; this is only the last resort
         let most = Duration::from_millis(self.ack_ms * 3 + 1000);
         let got = timeout(most, rx.recv()).await.ok().and_then(|r| r.ok());
-        self.answers.close(rid);
+        self.answers.close(request_id);
         got
     }
 
@@ -101,25 +101,40 @@
 
     /// Proposes a change; `Unknown` where no word came in time, and the same
     /// change may be proposed again under the same id.
-    pub async fn change(&self, pid: ProposalId, cmd: Cmd) -> OpOutcome {
-        self.done(|rid| ControllerEvent::Change { rid, pid, cmd })
-            .await
+    pub async fn change(&self, proposal_id: ProposalId, cmd: Command) -> OpOutcome {
+        self.done(|request_id| ControllerEvent::Change {
+            request_id,
+            proposal_id,
+            cmd,
+        })
+        .await
     }
 
     /// What became of a proposal.
-    pub async fn find(&self, pid: ProposalId) -> OpOutcome {
-        self.done(|rid| ControllerEvent::Find { rid, pid }).await
+    pub async fn find(&self, proposal_id: ProposalId) -> OpOutcome {
+        self.done(|request_id| ControllerEvent::Find {
+            request_id,
+            proposal_id,
+        })
+        .await
     }
 
     /// Gives up a core without waiting.
-    pub async fn drop_core(&self, pid: ProposalId, drop: u64) -> OpOutcome {
-        self.done(|rid| ControllerEvent::Reform { rid, pid, drop })
-            .await
+    pub async fn drop_core(&self, proposal_id: ProposalId, drop: u64) -> OpOutcome {
+        self.done(|request_id| ControllerEvent::Reform {
+            request_id,
+            proposal_id,
+            drop,
+        })
+        .await
     }
 
     /// The core's state with its status, proved current if `ok`.
     pub async fn look(&self) -> Option<Looked> {
-        match self.ask(|rid| ControllerEvent::Look { rid }).await {
+        match self
+            .ask(|request_id| ControllerEvent::Look { request_id })
+            .await
+        {
             Some(Reply::Looked(l)) => Some(l),
             _ => None,
         }
@@ -128,7 +143,10 @@
     /// The record, proved current after this was called; none where that
     /// cannot be had in time.
     pub async fn view(&self) -> Option<Box<View>> {
-        match self.ask(|rid| ControllerEvent::View { rid }).await {
+        match self
+            .ask(|request_id| ControllerEvent::View { request_id })
+            .await
+        {
             Some(Reply::Looked(l)) if l.ok => Some(l.view),
             _ => None,
         }
--- a/sorreldoor/src/core/learn.rs
+++ b/sorreldoor/src/control_plane/learn.rs
@@ -6,9 +6,9 @@
 use super::claims::Say;
 use super::controller::Controller;
 use crate::consensus::{Millis, NodeId};
-use crate::events::Ev;
+use crate::invariants::{broken, Invariant};
+use crate::log_events::LogEvent;
 use crate::net::Conn;
-use crate::rules::{broken, Rule};
 use crate::wire::{Hello, Payload};
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
             self.claims.learn.sure = true;
             self.keep_sure();
             let n = self.claims.book.count();
-            self.say(Ev::ClaimsLearned, format!("{n} claims"));
+            self.log_event(LogEvent::ClaimsLearned, format!("{n} claims"));
         }
     }
 
@@ -53,7 +53,7 @@
         if self.consensus.is_none() || self.now < self.claims.learn.at || !self.pacing.claims {
             return;
         }
-        if broken(Rule::Learned) {
+        if broken(Invariant::Learned) {
             return self.now_sure();
         }
         let sure = self.claims.learn.sure;
--- a/sorreldoor/src/core/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -12,7 +12,7 @@
 use super::controller::Controller;
 use super::events::{ControllerEffect, OpFrom};
 use crate::consensus::{Body, Event, Member, Millis, NodeId, ProposalId};
-use crate::events::Ev;
+use crate::log_events::LogEvent;
 use crate::net::Conn;
 use crate::wire::{Hello, OpOutcome, Payload};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
             live: &live,
         };
         if let Some(change) = self.membership.decide(&seen) {
-            self.say(Ev::Replacing, change.to_string());
+            self.log_event(LogEvent::Replacing, change.to_string());
             self.agreed(Event::Reconfigure(change.applied(&members)));
         }
     }
@@ -90,16 +90,19 @@
     }
 
     /// An operator gives up a core by name, without waiting.
-    pub(super) fn reform(&mut self, rid: u64, pid: ProposalId, drop: NodeId) {
+    pub(super) fn reform(&mut self, request_id: u64, proposal_id: ProposalId, drop: NodeId) {
         let members = self.consensus.as_ref().map_or(&[][..], |a| a.members());
         let rest = members.iter().filter(|m| m.id != drop);
         let rest: Vec<Member> = rest.cloned().collect();
         if rest.is_empty() || drop == self.me.id {
-            let refused = ControllerEffect::Done(rid, OpOutcome::NotTaken);
+            let refused = ControllerEffect::Done(request_id, OpOutcome::NotTaken);
             return self.out.push(refused);
         }
-        self.ops.entry(pid).or_default().push(OpFrom::Http(rid));
+        self.ops
+            .entry(proposal_id)
+            .or_default()
+            .push(OpFrom::Http(request_id));
         let body = Body::Members(rest);
-        self.agreed(Event::Propose { pid, body });
+        self.agreed(Event::Propose { proposal_id, body });
     }
 }
--- a/sorreldoor/src/core/reads.rs
+++ b/sorreldoor/src/control_plane/reads.rs
@@ -3,9 +3,9 @@
 
 use super::controller::Controller;
 use super::events::{ControllerEffect, Want};
-use crate::consensus::{Event, Machine, Millis, ProposalId};
-use crate::rules::{broken, Rule};
-use crate::wire::{News, OpOutcome, Payload};
+use crate::consensus::{Event, Millis, ProposalId, StateMachine};
+use crate::invariants::{broken, Invariant};
+use crate::wire::{OpOutcome, Payload, StateDelta};
 use std::collections::BTreeMap;
 
 /// Proofs under way at once, at most.
@@ -44,7 +44,7 @@
 impl Controller {
     pub(super) fn want(&mut self, want: Want) {
         let cut_off = self.consensus.as_ref().is_some_and(|a| a.cut_off());
-        if cut_off && !broken(Rule::Proof) {
+        if cut_off && !broken(Invariant::Proof) {
             // its asker does better to go on to another core at once
             return self.serve(vec![want], false);
         }
@@ -57,28 +57,28 @@
         if self.reads.waiting.is_empty() || self.reads.running.len() >= MOST_RUNNING {
             return;
         }
-        self.next_rid += 1;
-        let rid = self.next_rid;
+        self.next_request_id += 1;
+        let request_id = self.next_request_id;
         let reads = std::mem::take(&mut self.reads.waiting);
         if self.consensus.is_none() || self.leaving {
             return self.serve(wants(reads), false);
         }
-        if broken(Rule::Proof) {
+        if broken(Invariant::Proof) {
             return self.serve(wants(reads), true);
         }
-        self.reads.running.insert(rid, reads);
-        self.agreed(Event::Read { rid });
+        self.reads.running.insert(request_id, reads);
+        self.agreed(Event::Read { request_id });
     }
 
-    pub(super) fn on_read(&mut self, rid: u64, ok: bool) {
-        let reads = self.reads.running.remove(&rid).unwrap_or_default();
+    pub(super) fn on_read(&mut self, request_id: u64, ok: bool) {
+        let reads = self.reads.running.remove(&request_id).unwrap_or_default();
         self.reads.quorum = ok;
         self.reads.proved |= ok;
         self.serve(wants(reads), ok);
     }
 
     /// Nobody is held for longer than a proof may take.
-    pub(super) fn reads_alarm(&mut self) {
+    pub(super) fn tick_reads(&mut self) {
         let Some(limit) = self.now.checked_sub(self.timing.proof) else {
             return;
         };
@@ -89,29 +89,29 @@
     fn serve(&mut self, wants: Vec<Want>, ok: bool) {
         for want in wants {
             match want {
-                Want::Http(rid) => self.out.push(ControllerEffect::Looked(rid, ok)),
-                Want::View(rid) => self.out.push(ControllerEffect::Viewed(rid, ok)),
-                Want::Find(from, pid) => {
-                    let outcome = self.outcome_of(pid, ok);
+                Want::Http(request_id) => self.out.push(ControllerEffect::Looked(request_id, ok)),
+                Want::View(request_id) => self.out.push(ControllerEffect::Viewed(request_id, ok)),
+                Want::Find(from, proposal_id) => {
+                    let outcome = self.outcome_of(proposal_id, ok);
                     self.op_done(from, outcome);
                 }
                 Want::Grant { conn, no, have } => {
-                    let news = if ok {
-                        self.news(conn, &have)
+                    let delta = if ok {
+                        self.delta(conn, &have)
                     } else {
-                        News::default()
+                        StateDelta::default()
                     };
-                    self.send(conn, Payload::Grant { no, ok, news });
+                    self.send(conn, Payload::Grant { no, ok, delta });
                 }
             }
         }
     }
 
     /// What became of a proposal, as far as the record tells.
-    fn outcome_of(&self, pid: ProposalId, proved: bool) -> OpOutcome {
+    fn outcome_of(&self, proposal_id: ProposalId, proved: bool) -> OpOutcome {
         let record = self.consensus.as_ref().map(|a| a.machine());
-        let bytes = record.and_then(|r| r.answered(pid));
-        let outcome = bytes.and_then(|b| crate::record::decode(&b));
+        let bytes = record.and_then(|r| r.answered(proposal_id));
+        let outcome = bytes.and_then(|b| crate::replicated_state::decode(&b));
         let none = if proved {
             OpOutcome::Nothing
         } else {
--- a/sorreldoor/src/core/regions.rs
+++ b/sorreldoor/src/control_plane/regions.rs
@@ -1,10 +1,10 @@
 //! Regions lost and returning: what the duty's holder sees of their workers,
 //! and the state that the record should have for each.
 
+use crate::configuration::Configuration;
 use crate::consensus::Millis;
-use crate::record::Recovery;
-use crate::registry::{Loads, Worker};
-use crate::setup::Setup;
+use crate::discovery::{Loads, Worker};
+use crate::replicated_state::Recovery;
 use std::collections::BTreeMap;
 
 /// So long without any live model worker makes a region lost.
@@ -34,7 +34,7 @@
 /// What a region's workers can bear now; none for a region that is meant to
 /// have no model workers.
 pub fn region_capacity(
-    setup: &Setup,
+    configuration: &Configuration,
     workers: &[Worker],
     loads: &Loads,
     region: u8,
@@ -42,8 +42,8 @@
     let mut listed = false;
     let mut sum = Capacity::default();
     for worker in workers.iter().filter(|w| w.region == region && !w.leaving) {
-        let group = setup.group(&worker.group);
-        let group = group.map(|g| &setup.groups[g as usize]);
+        let group = configuration.group(&worker.group);
+        let group = group.map(|g| &configuration.groups[g as usize]);
         let Some(group) = group.filter(|g| g.model) else {
             continue;
         };
--- a/sorreldoor/src/core/run.rs
+++ b/sorreldoor/src/control_plane/run.rs
@@ -7,12 +7,12 @@
 use super::saving::{self, Saver};
 use super::source::{Listed, OperatorDoor, WorkerSource};
 use crate::consensus::Member;
-use crate::events::{say, Ev};
+use crate::discovery::{self, Load};
 use crate::http::{self, Call};
+use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent, Ring};
-use crate::record::decode;
-use crate::registry::{self, Load};
-use crate::seam::{self, Hand};
+use crate::replicated_state::decode;
+use crate::runtime::{self, EffectHandler};
 use crate::settings::Settings;
 use crate::store::{DurableStore, Folder, Store};
 use crate::wire::Hello;
@@ -26,7 +26,7 @@
 const RING: usize = 4096;
 
 pub fn run(set: Settings) -> Result<(), String> {
-    run_by(set, seam::Machine::default(), |s| s)
+    run_by(set, runtime::SystemClock::default(), |s| s)
 }
 
 /// With the product's own list of workers and door, and another clock, or
@@ -40,7 +40,7 @@
     wrap: impl FnOnce(DurableStore<Folder>) -> S,
 ) -> Result<(), String>
 where
-    C: seam::Clock,
+    C: runtime::Clock,
     S: Store + 'static,
 {
     let shared = Arc::new(set.clone());
@@ -64,7 +64,7 @@
     door: impl OperatorDoor,
 ) -> Result<(), String>
 where
-    C: seam::Clock,
+    C: runtime::Clock,
     S: Store + 'static,
 {
     let set = Arc::new(set);
@@ -118,11 +118,11 @@
     task::spawn(net.clone().listen(frames));
     let front = Front::new(ring.clone(), set.ack_ms);
     let gate = http::Gate::default();
-    say(Ev::Started, format!("core {} ({id:x})", set.node));
-    say(Ev::Listening, format!("frames {listen}"));
+    log_event(LogEvent::Started, format!("core {} ({id:x})", set.node));
+    log_event(LogEvent::Listening, format!("frames {listen}"));
     door.open(front.clone(), gate.clone())?;
     let tick = Duration::from_millis(set.pacing.tick_ms);
-    crate::run::ticker(ring.clone(), tick, || ControllerEvent::Alarm);
+    crate::run::ticker(ring.clone(), tick, || ControllerEvent::Tick);
     crate::run::on_term(ring.clone(), || ControllerEvent::Stop)?;
     if let Some(s) = source.clone().filter(|_| each) {
         task::spawn(watch_list(s, ring.clone()));
@@ -139,8 +139,8 @@
         gate,
         stop_at: None,
     };
-    seam::turn(&mut controller, &clock, &mut hand, &rx);
-    say(Ev::Stopped, "core");
+    runtime::run_event_loop(&mut controller, &clock, &mut hand, &rx);
+    log_event(LogEvent::Stopped, "core");
     Ok(())
 }
 
@@ -171,7 +171,7 @@
                 let l = got
                     .ok()
                     .filter(|c| c.status == 200)
-                    .and_then(|c| registry::read_load(&c.body, &name).ok());
+                    .and_then(|c| discovery::read_load(&c.body, &name).ok());
                 l.unwrap_or(Load {
                     name,
                     ..Load::default()
@@ -197,11 +197,11 @@
     stop_at: Option<Instant>,
 }
 
-impl<S: Store + 'static> Hand<Controller> for Daemon<S> {
-    fn goes_on(&mut self, controller: &Controller) -> bool {
+impl<S: Store + 'static> EffectHandler<Controller> for Daemon<S> {
+    fn keeps_running(&mut self, controller: &Controller) -> bool {
         self.front.show(&controller.places().1);
         if controller.leaving && self.stop_at.is_none() {
-            say(Ev::Leaving, "core");
+            log_event(LogEvent::Leaving, "core");
             // what was just acked should still reach the others
             self.stop_at = Some(Instant::now() + Duration::from_millis(300));
             self.gate.shut();
@@ -211,22 +211,26 @@
         self.stop_at.is_none_or(|t| Instant::now() < t || !heard(t))
     }
 
-    fn carry(&mut self, controller: &mut Controller, fx: ControllerEffect) {
-        match fx {
+    fn handle(&mut self, controller: &mut Controller, effect: ControllerEffect) {
+        match effect {
             ControllerEffect::Save(seq, save) => self.saver.save(seq, save),
             ControllerEffect::Keep(name, value) => self.saver.put(name, &value),
             ControllerEffect::Send(c, p) => {
                 self.net.send(c, &p);
             }
-            ControllerEffect::Dial(a) => self.net.dial(a, self.set.reached(a)),
-            ControllerEffect::Undial(a) => self.net.undial(a),
+            ControllerEffect::Connect(a) => self.net.dial(a, self.set.reached(a)),
+            ControllerEffect::Disconnect(a) => self.net.undial(a),
             ControllerEffect::Close(c) => self.net.close(c),
-            ControllerEffect::Done(rid, o) => self.front.answers.give(rid, Reply::Done(o)),
-            ControllerEffect::Looked(rid, ok) => {
+            ControllerEffect::Done(request_id, o) => {
+                self.front.answers.give(request_id, Reply::Done(o))
+            }
+            ControllerEffect::Looked(request_id, ok) => {
                 use simd_json::prelude::*;
-                self.looked(controller, rid, ok, controller.status().encode());
+                self.looked(controller, request_id, ok, controller.status().encode());
+            }
+            ControllerEffect::Viewed(request_id, ok) => {
+                self.looked(controller, request_id, ok, String::new())
             }
-            ControllerEffect::Viewed(rid, ok) => self.looked(controller, rid, ok, String::new()),
             ControllerEffect::AskRegistry => {
                 if let Some(s) = self.source.clone() {
                     task::spawn(read_list(s, self.ring.clone()));
@@ -235,13 +239,13 @@
             ControllerEffect::AskLoads(epoch, to) => {
                 task::spawn(ask_loads(self.set.clone(), epoch, to, self.ring.clone()));
             }
-            ControllerEffect::Say(ev, about) => say(ev, about),
+            ControllerEffect::Say(ev, about) => log_event(ev, about),
         }
     }
 }
 
 impl<S> Daemon<S> {
-    fn looked(&self, controller: &Controller, rid: u64, ok: bool, status: String) {
+    fn looked(&self, controller: &Controller, request_id: u64, ok: bool, status: String) {
         let a = controller.consensus.as_ref();
         let l = Looked {
             ok,
@@ -249,6 +253,6 @@
             status,
             view: Box::new(a.map(|a| a.machine().view()).unwrap_or_default()),
         };
-        self.front.answers.give(rid, Reply::Looked(l));
+        self.front.answers.give(request_id, Reply::Looked(l));
     }
 }
--- a/sorreldoor/src/core/saving.rs
+++ b/sorreldoor/src/control_plane/saving.rs
@@ -3,9 +3,9 @@
 
 use super::events::ControllerEvent;
 use crate::consensus::Save;
-use crate::events::{say, Ev};
+use crate::log_events::{log_event, LogEvent};
 use crate::net::Ring;
-use crate::record::{decode, encode};
+use crate::replicated_state::{decode, encode};
 use crate::store::{DurableStore, Folder, Opened, Store};
 use async_std::channel::{bounded, Receiver, Sender};
 use std::io;
@@ -35,14 +35,14 @@
             Err(e) if !may_pass(&e) => {
                 return Err(format!("data: cannot use {}: {e}", folder.display()));
             }
-            Err(e) if !refused => say(Ev::DiskFailed, e),
+            Err(e) if !refused => log_event(LogEvent::DiskFailed, e),
             Err(_) => {}
         }
         refused = true;
         thread::sleep(RETRY);
     };
     if refused {
-        say(Ev::DiskRecovered, folder.display());
+        log_event(LogEvent::DiskRecovered, folder.display());
     }
     let Opened {
         store,
@@ -50,10 +50,13 @@
         damage,
     } = opened;
     if torn {
-        say(Ev::DiskTorn, folder.display());
+        log_event(LogEvent::DiskTorn, folder.display());
     }
     if let Some(what) = damage {
-        say(Ev::DiskCorrupt, format!("{}: {what}", folder.display()));
+        log_event(
+            LogEvent::DiskCorrupt,
+            format!("{}: {what}", folder.display()),
+        );
     }
     Ok(store)
 }
@@ -78,7 +81,7 @@
     }
     let id = crate::order_id::random_id() >> 1;
     put_until_kept(|| store.put("identity", &encode(&id)));
-    say(Ev::Identity, format!("{id:x}"));
+    log_event(LogEvent::Identity, format!("{id:x}"));
     id
 }
 
@@ -86,13 +89,13 @@
     let mut refused = false;
     while let Err(e) = put() {
         if !refused {
-            say(Ev::DiskFailed, e);
+            log_event(LogEvent::DiskFailed, e);
         }
         refused = true;
         thread::sleep(RETRY);
     }
     if refused {
-        say(Ev::DiskRecovered, "");
+        log_event(LogEvent::DiskRecovered, "");
     }
 }
 
@@ -117,7 +120,10 @@
     /// like a kept one, and what was queued comes again from the others.
     pub(super) fn save(&self, seq: u64, save: Save) {
         if self.saves.try_send((seq, save)).is_err() {
-            say(Ev::DiskFailed, "too many saves wait for the disk; ending");
+            log_event(
+                LogEvent::DiskFailed,
+                "too many saves wait for the disk; ending",
+            );
             std::process::exit(1);
         }
     }
@@ -158,7 +164,7 @@
     }
     let took = began.elapsed();
     if took > SLOW {
-        say(Ev::DiskSlow, format!("{} ms", took.as_millis()));
+        log_event(LogEvent::DiskSlow, format!("{} ms", took.as_millis()));
     }
     let last = batch.last().map_or(0, |(seq, _)| *seq);
     ring.send_blocking(ControllerEvent::Saved(last)).ok()?;
--- a/sorreldoor/src/core/source.rs
+++ b/sorreldoor/src/control_plane/source.rs
@@ -2,8 +2,8 @@
 //! workers comes from, and who serves its operators.
 
 use super::front::Front;
+use crate::discovery::{self, WorkerRegistry};
 use crate::http::{self, Call};
-use crate::registry::{self, WorkerRegistry};
 use crate::settings::Settings;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
             let got = http::call(to, Call::get("/workers"), 1 << 20, most).await;
             got.map_err(|b| format!("{at}: {b:?}"))
                 .and_then(|c| match c.status {
-                    200 => registry::read_registry(&c.body, &set.names),
+                    200 => discovery::read_registry(&c.body, &set.names),
                     s => Err(format!("{at}: status {s}")),
                 })
         })
--- a/sorreldoor/src/core/start.rs
+++ b/sorreldoor/src/control_plane/start.rs
@@ -6,8 +6,8 @@
 use super::membership::Membership;
 use super::reads::Reads;
 use super::worker_list::WorkerList;
-use crate::consensus::{Consensus, Kept, Machine, Millis};
-use crate::record::Record;
+use crate::consensus::{Consensus, Kept, Millis, StateMachine};
+use crate::replicated_state::ReplicatedState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -32,10 +32,10 @@
             promise: s.promise.filter(|_| s.bootstrap),
             promises: BTreeMap::new(),
             seeds: s.seeds,
-            dials: BTreeSet::new(),
+            peer_addresses: BTreeSet::new(),
             connections: BTreeMap::new(),
             edge_sessions: BTreeMap::new(),
-            report_serial: 0,
+            report_version: 0,
             session_reports: BTreeMap::new(),
             merged: Vec::new(),
             places: (0, Arc::default()),
@@ -44,13 +44,13 @@
             loads: Arc::default(),
             updates: Default::default(),
             reads: Reads::default(),
-            next_rid: 1,
+            next_request_id: 1,
             ops: BTreeMap::new(),
             duty: Duty::new(now),
-            duty_pid: None,
+            duty_proposal_id: None,
             claims: super::claims::Claims::new(&[], s.most_claims, now),
             slow_at: now,
-            last_serial: 0,
+            last_version: 0,
             leaving: false,
             wall: 0,
             now,
@@ -60,7 +60,7 @@
             h.claims = super::claims::Claims::new(&k.claims, s.most_claims, now);
             // a founder forgets nothing; who joined later says so itself
             h.claims.learn.sure = s.sure || promised;
-            let mut r = Record::new(h.site.clone());
+            let mut r = ReplicatedState::new(h.site.clone());
             if let Some(s) = &k.snap {
                 // to go on with an empty record would be to lead with old state
                 assert!(r.load(&s.image), "this release cannot read the snapshot");
--- a/sorreldoor/src/core/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -2,7 +2,7 @@
 
 use super::controller::Controller;
 use crate::json::Val;
-use crate::record::Recovery;
+use crate::replicated_state::Recovery;
 use simd_json::prelude::*;
 
 fn hex(n: u64) -> Val {
@@ -65,11 +65,11 @@
             let _ = v.insert("voters", voters);
             let differ = self.membership.shortfall(a.members());
             let _ = v.insert("voters_differ", differ.map(|why| why.to_string()));
-            let _ = v.insert("serial", r.serial());
+            let _ = v.insert("serial", r.version());
             let _ = v.insert("rev", r.rev());
             let _ = v.insert("epoch", r.epoch());
             let _ = v.insert("duty", hex(r.holder()));
-            let _ = v.insert("emptied", self.emptied());
+            let _ = v.insert("emptied", self.evacuated());
             let mut rs = Val::object();
             for (i, n) in self.site.regions.iter().enumerate() {
                 let _ = rs.insert(n.clone(), recovery_text(r.region(i as u8)));
@@ -82,10 +82,13 @@
         let _ = c.insert("most", self.claims.book.most());
         let _ = c.insert("sure", self.sure());
         let _ = v.insert("claims", c);
-        let emptied = self.consensus.as_ref().map(|a| a.machine().view().emptied);
+        let evacuated = self
+            .consensus
+            .as_ref()
+            .map(|a| a.machine().view().evacuated);
         let zones = crate::operator_api::zones(
             &self.site,
-            &emptied.unwrap_or_default(),
+            &evacuated.unwrap_or_default(),
             self.worker_list.workers(),
             &self.loads,
             self.all_sessions()
@@ -95,10 +98,10 @@
         let _ = v.insert("zones", zones);
         let _ = v.insert("edges", self.edges());
         let _ = v.insert("workers", self.workers());
-        let _ = v.insert("roster_serial", self.worker_list.serial());
+        let _ = v.insert("roster_serial", self.worker_list.version());
         let _ = v.insert(
             "roster_problem",
-            self.worker_list.problem().map(str::to_string),
+            self.worker_list.error_code().map(str::to_string),
         );
         v
     }
@@ -109,14 +112,14 @@
         let Some(a) = &self.consensus else {
             return Vec::new();
         };
-        let (view, s) = (a.machine().view(), a.machine().setup());
+        let (view, s) = (a.machine().view(), a.machine().configuration());
         let routes = s.iter().flat_map(|s| s.routes.iter().enumerate());
         let shares = routes.flat_map(|(i, r)| r.shares.iter().map(move |h| (i, r, h)));
         shares
             .filter(|(_, _, h)| h.least < h.most)
             .map(|(i, r, h)| {
                 let name = s.map_or("", |s| &s.services[h.service as usize].name);
-                let tuned = crate::tune::weight(&view.weights, i as u16, h.service);
+                let tuned = crate::weight_tuning::weight(&view.weights, i as u16, h.service);
                 let took = self.duty.times().of(&r.name, name);
                 let mut o = Val::object();
                 let _ = o.insert("route", r.name.as_str());
@@ -131,11 +134,11 @@
             .collect()
     }
 
-    pub fn emptied(&self) -> Vec<String> {
+    pub fn evacuated(&self) -> Vec<String> {
         self.consensus.as_ref().map_or(Vec::new(), |a| {
             a.machine()
                 .view()
-                .emptied
+                .evacuated
                 .iter()
                 .map(|z| self.site.zone_name(*z).to_string())
                 .collect()
@@ -150,8 +153,8 @@
                 let _ = o.insert("node", s.hello.node.as_str());
                 let _ = o.insert("zone", self.site.zone_name(s.hello.zone));
                 let _ = o.insert("http", s.hello.http.as_str());
-                let _ = o.insert("serial", s.serial);
-                let _ = o.insert("permit", s.permit);
+                let _ = o.insert("serial", s.version);
+                let _ = o.insert("permit", s.lease);
                 let _ = o.insert("running", s.running);
                 o
             })
--- a/sorreldoor/src/core/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -2,9 +2,9 @@
 //! the same, and never more large ones on their way than links take.
 
 use crate::consensus::Millis;
+use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
-use crate::record::Record;
-use crate::rules::{broken, Rule};
+use crate::replicated_state::ReplicatedState;
 use crate::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::collections::BTreeMap;
 
@@ -46,7 +46,7 @@
 
 impl Updates {
     /// What an edge that has revision `have` is to be sent now.
-    pub fn due(&mut self, record: &Record, conn: Conn, have: u64, now: Millis) -> Due {
+    pub fn due(&mut self, record: &ReplicatedState, conn: Conn, have: u64, now: Millis) -> Due {
         let taken = |t: &Transfer| have >= t.revision;
         if self.transfers.get(&conn).is_some_and(taken) {
             self.transfers.remove(&conn);
@@ -61,7 +61,7 @@
         }
         let update = self.encoded(record, have);
         let bytes = update.bytes.len();
-        if bytes > LARGE_UPDATE && !broken(Rule::CopiesBounded) {
+        if bytes > LARGE_UPDATE && !broken(Invariant::CopiesBounded) {
             if !self.fits(bytes) {
                 return Due::Later;
             }
@@ -90,7 +90,7 @@
         in_flight == 0 || in_flight + bytes <= MAX_IN_FLIGHT
     }
 
-    fn encoded(&mut self, record: &Record, from: u64) -> EncodedUpdate {
+    fn encoded(&mut self, record: &ReplicatedState, from: u64) -> EncodedUpdate {
         if self.revision != record.rev() || self.encoded.len() > MAX_ENCODED {
             self.encoded.clear();
             self.revision = record.rev();
--- a/sorreldoor/src/core/worker_list.rs
+++ b/sorreldoor/src/control_plane/worker_list.rs
@@ -2,14 +2,14 @@
 //! without numbers of its own is numbered, and how old its times are.
 
 use crate::consensus::Millis;
-use crate::registry::{Worker, WorkerRegistry};
+use crate::discovery::{Worker, WorkerRegistry};
 use std::sync::Arc;
 
 /// A read without any word for so long is taken for lost.
 const READ_TIMEOUT_MS: Millis = 5000;
 /// The serial of a list that was read by a core without the duty: below what
 /// any holder of the duty numbers, above no list at all.
-const UNNUMBERED_SERIAL: u64 = 1;
+const UNNUMBERED_VERSION: u64 = 1;
 
 /// The newest list that a core knows, and the reads that bring newer ones.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     numbered_epoch: u64,
     current: Option<Arc<WorkerRegistry>>,
     received_at: Millis,
-    problem: Option<String>,
+    error_code: Option<String>,
 }
 
 impl WorkerList {
@@ -38,7 +38,7 @@
             numbered_epoch: 0,
             current: None,
             received_at: now,
-            problem: None,
+            error_code: None,
         }
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// The serial of the newest list, or 0.
-    pub fn serial(&self) -> u64 {
-        self.current.as_ref().map_or(0, |list| list.serial)
+    pub fn version(&self) -> u64 {
+        self.current.as_ref().map_or(0, |list| list.version)
     }
 
     /// The workers of the newest list.
@@ -58,8 +58,8 @@
     }
 
     /// Why the last read failed.
-    pub fn problem(&self) -> Option<&str> {
-        self.problem.as_deref()
+    pub fn error_code(&self) -> Option<&str> {
+        self.error_code.as_deref()
     }
 
     /// The newest list with its times counted down to `now`.
@@ -94,7 +94,7 @@
     /// A read failed; true if the one before had not.
     pub fn read_failed(&mut self, why: String) -> bool {
         self.reading_since = None;
-        self.problem.replace(why).is_none()
+        self.error_code.replace(why).is_none()
     }
 
     /// A read brought `list`: what is to be adopted and told, if anything.
@@ -105,18 +105,18 @@
         epoch: Option<u64>,
         now: Millis,
     ) -> Option<Arc<WorkerRegistry>> {
-        self.problem = None;
+        self.error_code = None;
         if self.interval.is_none() {
             return Some(Arc::new(list));
         }
         self.reading_since = None;
-        let serial = match epoch {
+        let version = match epoch {
             Some(epoch) => self.next_serial(&list, epoch, now)?,
-            None if self.current.is_none() => UNNUMBERED_SERIAL,
+            None if self.current.is_none() => UNNUMBERED_VERSION,
             None => return None,
         };
         let workers = list.workers;
-        Some(Arc::new(WorkerRegistry { serial, workers }))
+        Some(Arc::new(WorkerRegistry { version, workers }))
     }
 
     /// The number of a list under the holder's epoch, if it says anything new.
@@ -141,7 +141,7 @@
         let newer = self
             .current
             .as_ref()
-            .is_none_or(|old| old.serial < list.serial);
+            .is_none_or(|old| old.version < list.version);
         if newer {
             self.current = Some(list);
             self.received_at = now;
--- a/sorreldoor/src/ctl/mod.rs
+++ b/sorreldoor/src/ctl/mod.rs
@@ -153,7 +153,7 @@
         };
     let c = Ctl { at, json };
     match what {
-        What::Get(_) => c.read("/v1/setup", show::setup),
+        What::Get(_) => c.read("/v1/setup", show::configuration),
         What::Status(_) => c.read("/v1/status", show::status),
         What::Placement(p) => c.placement(p),
         What::Put(f) => c.file(Method::Put, f),
@@ -339,7 +339,7 @@
             Ok(b) => b,
             Err(c) => return c,
         };
-        let new = match json::parse(&body, crate::setup::MOST_BYTES) {
+        let new = match json::parse(&body, crate::configuration::MOST_BYTES) {
             Ok(v) => v,
             Err(e) => {
                 eprintln!("ctl: {file} {e}");
--- a/sorreldoor/src/ctl/show.rs
+++ b/sorreldoor/src/ctl/show.rs
@@ -16,11 +16,11 @@
     v.get(k).and_then(|a| a.as_array()).map_or(&[], |a| &a[..])
 }
 
-pub fn setup(v: &Val) -> String {
+pub fn configuration(v: &Val) -> String {
     let mut s = format!("serial {}\n", text(v, "serial"));
-    let emptied: Vec<String> = rows(v, "emptied").iter().map(plain).collect();
-    if !emptied.is_empty() {
-        s += &format!("emptied zones: {}\n", emptied.join(", "));
+    let evacuated: Vec<String> = rows(v, "emptied").iter().map(plain).collect();
+    if !evacuated.is_empty() {
+        s += &format!("emptied zones: {}\n", evacuated.join(", "));
     }
     let doc = v.get("setup").filter(|d| d.is_object());
     let pretty = doc.and_then(|d| simd_json::to_string_pretty(&sorted(d)).ok());
--- a/sorreldoor/src/ctl/watch.rs
+++ b/sorreldoor/src/ctl/watch.rs
@@ -65,7 +65,7 @@
         let named = |z: &&Val| z.get("zone").and_then(|n| n.as_str()) == Some(zone);
         let z = all.iter().find(named)?;
         let num = |k: &str| z.get(k).and_then(|n| n.as_u64()).unwrap_or(0);
-        let emptied = z.get("emptied").and_then(|e| e.as_bool()) == Some(true);
-        emptied.then(|| (num("at_workers"), num("at_edges")))
+        let evacuated = z.get("emptied").and_then(|e| e.as_bool()) == Some(true);
+        evacuated.then(|| (num("at_workers"), num("at_edges")))
     }
 }
--- a/sorreldoor/src/registry.rs
+++ b/sorreldoor/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The platform's list of workers, and what workers report of their load.
 
+use crate::configuration::Site;
 use crate::json::{self, Faults, Val};
-use crate::setup::Site;
 use serde::{Deserialize, Serialize};
 use simd_json::prelude::*;
 use std::net::SocketAddr;
@@ -25,7 +25,8 @@
     pub leaves_ms: Option<u64>,
     /// Of its software; empty where the list does not say.
     #[serde(default)]
-    pub version: String,
+    #[serde(rename = "version")]
+    pub software_version: String,
 }
 
 impl Worker {
@@ -41,7 +42,7 @@
             slots: 0,
             cold_ms: 0,
             leaves_ms: None,
-            version: String::new(),
+            software_version: String::new(),
         }
     }
 
@@ -78,7 +79,8 @@
 /// The list as of one of the platform's own serials, which only grow.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRegistry {
-    pub serial: u64,
+    #[serde(rename = "serial")]
+    pub version: u64,
     pub workers: Vec<Worker>,
 }
 
@@ -100,13 +102,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Loads {
     pub epoch: u64,
-    pub serial: u64,
+    #[serde(rename = "serial")]
+    pub version: u64,
     pub rows: Vec<Load>,
 }
 
 impl Loads {
     pub fn mark(&self) -> (u64, u64) {
-        (self.epoch, self.serial)
+        (self.epoch, self.version)
     }
     pub fn of(&self, name: &str) -> Option<&Load> {
         self.rows.iter().find(|l| l.name == name)
@@ -117,7 +120,7 @@
     /// The same, so many milliseconds later.
     pub fn aged(&self, ms: u64) -> WorkerRegistry {
         WorkerRegistry {
-            serial: self.serial,
+            version: self.version,
             workers: self.workers.iter().map(|w| w.aged(ms)).collect(),
         }
     }
@@ -134,8 +137,8 @@
 pub fn read_registry(text: &[u8], site: &Site) -> Result<WorkerRegistry, String> {
     let v = json::parse(text, MOST)?;
     let mut f = Faults::default();
-    let serial = v.get("serial").and_then(|s| s.as_u64());
-    if serial.is_none() {
+    let version = v.get("serial").and_then(|s| s.as_u64());
+    if version.is_none() {
         f.add("serial", "must be a whole number");
     }
     let rows = v.get("workers").and_then(|w| w.as_array());
@@ -149,7 +152,7 @@
         .filter_map(|(i, w)| worker(w, &format!("workers[{i}]"), site, &mut f))
         .collect();
     let r = WorkerRegistry {
-        serial: serial.unwrap_or(0),
+        version: version.unwrap_or(0),
         workers,
     };
     // half a list would look like workers gone
@@ -183,7 +186,7 @@
         slots: 0,
         cold_ms: 0,
         leaves_ms: None,
-        version: String::new(),
+        software_version: String::new(),
     })
 }
 
--- a/sorreldoor/src/doctor/checks.rs
+++ b/sorreldoor/src/doctor/checks.rs
@@ -314,11 +314,11 @@
         out.push(Finding::new(12, r.as_str().unwrap_or("?")));
     }
     members(v, out);
-    let serial = num(v, "serial");
-    if serial == 0 {
+    let version = num(v, "serial");
+    if version == 0 {
         out.push(Finding::new(15, "serial 0"));
     }
-    edges(v, serial, out);
+    edges(v, version, out);
     for w in rows(v, "workers") {
         if flag(w, "live") == Some(false) && flag(w, "leaving") == Some(false) {
             out.push(Finding::new(
@@ -364,21 +364,21 @@
     }
 }
 
-fn edges(v: &Val, serial: u64, out: &mut Vec<Finding>) {
+fn edges(v: &Val, version: u64, out: &mut Vec<Finding>) {
     let edges = rows(v, "edges");
     if edges.is_empty() {
         out.push(Finding::new(18, "no session at any core"));
     }
-    let emptied = rows(v, "emptied");
+    let evacuated = rows(v, "emptied");
     for e in edges {
         let node = word(e, "node");
         let at = num(e, "serial");
-        if at < serial {
-            out.push(Finding::new(16, format!("{node} is at {at} of {serial}")));
+        if at < version {
+            out.push(Finding::new(16, format!("{node} is at {at} of {version}")));
         }
         let zone = e.get("zone");
-        let away = emptied.iter().any(|z| Some(z) == zone);
-        if flag(e, "permit") == Some(false) && !away && serial > 0 {
+        let away = evacuated.iter().any(|z| Some(z) == zone);
+        if flag(e, "permit") == Some(false) && !away && version > 0 {
             out.push(Finding::new(17, node));
         }
     }
--- a/sorreldoor/src/problem.rs
+++ b/sorreldoor/src/error.rs
@@ -7,22 +7,22 @@
 macro_rules! problems {
     ($($kind:ident $code:literal $status:literal $again:literal $text:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-        pub enum Problem { $($kind),* }
+        pub enum ErrorCode { $($kind),* }
 
-        impl Problem {
-            pub const ALL: &'static [Problem] = &[$(Problem::$kind),*];
+        impl ErrorCode {
+            pub const ALL: &'static [ErrorCode] = &[$(ErrorCode::$kind),*];
             pub fn code(self) -> &'static str {
-                match self { $(Problem::$kind => $code),* }
+                match self { $(ErrorCode::$kind => $code),* }
             }
             pub fn status(self) -> u16 {
-                match self { $(Problem::$kind => $status),* }
+                match self { $(ErrorCode::$kind => $status),* }
             }
             /// Whether the result carries Retry-After.
             pub fn again(self) -> bool {
-                match self { $(Problem::$kind => $again),* }
+                match self { $(ErrorCode::$kind => $again),* }
             }
             pub fn text(self) -> &'static str {
-                match self { $(Problem::$kind => $text),* }
+                match self { $(ErrorCode::$kind => $text),* }
             }
         }
     };
@@ -43,13 +43,13 @@
     BodyTooLarge "body-too-large" 413 false "the body is larger than this node takes";
     HomeElsewhere "home-elsewhere" 307 false "this errand is bound to its home region; go to the address given";
     AlreadyTaken "already-taken" 409 false "an errand with this id was taken here before and will not run again";
-    StaleSerial "stale-serial" 409 true "the setup has moved on from the serial this builds on";
+    StaleVersion "stale-serial" 409 true "the setup has moved on from the serial this builds on";
     BaseAhead "base-ahead" 503 true "the serial that the change builds on is not there yet; the same change may be sent again";
     NoBase "no-base" 428 false "the change does not say which serial it builds on";
-    BadSetup "bad-setup" 422 false "the setup has faults; none of it takes effect";
+    InvalidConfiguration "bad-setup" 422 false "the setup has faults; none of it takes effect";
     TooManyConnections "too-many-connections" 503 true "this node holds as many connections as it takes";
-    NoSetup "no-setup" 503 true "no setup has been adopted yet";
-    NoPermit "no-permit" 503 true "this node cannot show that its setup is current";
+    NoConfiguration "no-setup" 503 true "no setup has been adopted yet";
+    NoLease "no-permit" 503 true "this node cannot show that its setup is current";
     NoWorker "no-worker" 503 true "no worker can take this errand now";
     QueueFull "queue-full" 503 true "as much waits already as can be served in time";
     ClaimsFull "claims-full" 503 true "the cores remember as many errand ids as they can; this one was not sent";
@@ -67,10 +67,10 @@
     StreamBroken "stream-broken" 502 false "the stream broke off before its last event";
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for ErrorCode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.code(), self.text())
     }
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for ErrorCode {}
--- a/sorreldoor/src/edge/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -4,13 +4,13 @@
 use super::relay::{Brought, Load, Piece};
 use super::run::{Desk, Reply};
 use crate::consensus::ProposalId;
-use crate::errand::{Asked, Shape};
+use crate::error::ErrorCode;
+use crate::gateway::request_table::{Asked, Shape};
 use crate::http;
 use crate::json::{self, Val};
 use crate::net::Ring;
 use crate::operator_api::{self, OperatorRequest};
 use crate::order_id;
-use crate::problem::Problem;
 use crate::settings::Settings;
 use async_std::channel::Receiver;
 use async_std::future::timeout;
@@ -47,7 +47,7 @@
                 return self.errand(&mut req, &path, peer).await;
             }
             _ => match operator_api::read(&mut req, &self.set.names).await {
-                None => http::shed(Problem::UnknownPath, &path, 1),
+                None => http::shed(ErrorCode::UnknownPath, &path, 1),
                 Some(Err(p)) => http::shed(p, "", 1),
                 Some(Ok(op)) => self.op(op).await,
             },
@@ -56,12 +56,12 @@
     }
 
     async fn ask(&self, within: Duration, f: impl FnOnce(u64) -> EdgeEvent) -> Option<Reply> {
-        let (rid, rx) = self.desk.open();
-        if self.ring.send(f(rid)).await.is_err() {
+        let (request_id, rx) = self.desk.open();
+        if self.ring.send(f(request_id)).await.is_err() {
             return None;
         }
         let got = timeout(within, rx.recv()).await.ok().and_then(|r| r.ok());
-        self.desk.close(rid);
+        self.desk.close(request_id);
         got
     }
 
@@ -71,30 +71,36 @@
     }
 
     async fn ready(&self) -> Response {
-        match self.soon(|rid| EdgeEvent::Status { rid }).await {
+        match self
+            .soon(|request_id| EdgeEvent::Status { request_id })
+            .await
+        {
             Some(Reply::Status { ready: Ok(()), .. }) => http::json(200, "{\"ready\":true}".into()),
             Some(Reply::Status { ready: Err(p), .. }) => http::shed(p, "", 1),
-            _ => http::shed(Problem::Leaving, "", 1),
+            _ => http::shed(ErrorCode::Leaving, "", 1),
         }
     }
 
     async fn status(&self) -> Response {
-        match self.soon(|rid| EdgeEvent::Status { rid }).await {
+        match self
+            .soon(|request_id| EdgeEvent::Status { request_id })
+            .await
+        {
             Some(Reply::Status { text, .. }) => http::json(200, text),
-            _ => http::shed(Problem::Leaving, "", 1),
+            _ => http::shed(ErrorCode::Leaving, "", 1),
         }
     }
 
-    fn home(&self, name: Option<String>) -> Result<Option<u8>, Problem> {
-        name.map(|n| self.set.names.region(&n).ok_or(Problem::BadErrand))
+    fn home(&self, name: Option<String>) -> Result<Option<u8>, ErrorCode> {
+        name.map(|n| self.set.names.region(&n).ok_or(ErrorCode::BadErrand))
             .transpose()
     }
 
     /// An errand as a query describes it.
-    fn described(&self, req: &Request) -> Result<Asked, Problem> {
+    fn described(&self, req: &Request) -> Result<Asked, ErrorCode> {
         let home = self.home(http::query(req, "region"))?;
         Ok(Asked {
-            route: http::query(req, "route").ok_or(Problem::BadErrand)?,
+            route: http::query(req, "route").ok_or(ErrorCode::BadErrand)?,
             key: http::query(req, "key").unwrap_or_default(),
             id: order_id::format_proposal_id(order_id::random_proposal_id()),
             home,
@@ -108,10 +114,13 @@
             Ok(a) => a,
             Err(p) => return http::shed(p, "", 1),
         };
-        match self.soon(|rid| EdgeEvent::Explain { rid, asked }).await {
+        match self
+            .soon(|request_id| EdgeEvent::Explain { request_id, asked })
+            .await
+        {
             Some(Reply::Status { text, .. }) => http::json(200, text),
             Some(Reply::Where(Err(p))) => http::shed(p, "", 1),
-            _ => http::shed(Problem::Leaving, "", 1),
+            _ => http::shed(ErrorCode::Leaving, "", 1),
         }
     }
 
@@ -120,7 +129,10 @@
             Ok(a) => a,
             Err(p) => return http::shed(p, "", 1),
         };
-        match self.soon(|rid| EdgeEvent::Where { rid, asked }).await {
+        match self
+            .soon(|request_id| EdgeEvent::Where { request_id, asked })
+            .await
+        {
             Some(Reply::Where(Ok(all))) => {
                 let mut v = Val::object();
                 let _ = v.insert("addresses", all);
@@ -128,48 +140,64 @@
                 http::ok(v)
             }
             Some(Reply::Where(Err(p))) => http::shed(p, "", 1),
-            _ => http::shed(Problem::Leaving, "", 1),
+            _ => http::shed(ErrorCode::Leaving, "", 1),
         }
     }
 
     async fn op(&self, op: OperatorRequest) -> Response {
         match op {
             OperatorRequest::Check { faults } => operator_api::checked(&faults),
-            OperatorRequest::Change { pid, cmd } => {
-                let r = self.soon(|rid| EdgeEvent::Change { rid, pid, cmd }).await;
-                changed(pid, r)
+            OperatorRequest::Change { proposal_id, cmd } => {
+                let r = self
+                    .soon(|request_id| EdgeEvent::Change {
+                        request_id,
+                        proposal_id,
+                        cmd,
+                    })
+                    .await;
+                changed(proposal_id, r)
             }
-            OperatorRequest::Proposal(pid) => {
-                let r = self.soon(|rid| EdgeEvent::Find { rid, pid }).await;
-                changed(pid, r)
+            OperatorRequest::Proposal(proposal_id) => {
+                let r = self
+                    .soon(|request_id| EdgeEvent::Find {
+                        request_id,
+                        proposal_id,
+                    })
+                    .await;
+                changed(proposal_id, r)
             }
-            OperatorRequest::Setup => match self.soon(|rid| EdgeEvent::Look { rid }).await {
-                Some(Reply::Looked(true, view)) => {
-                    let doc = view.doc.as_ref().map(|d| d.as_str());
-                    let names = &self.set.names;
-                    let zones: Vec<String> = view
-                        .emptied
-                        .iter()
-                        .map(|z| names.zone_name(*z).to_string())
-                        .collect();
-                    operator_api::setup_view(view.serial, doc, &zones)
+            OperatorRequest::Configuration => {
+                match self.soon(|request_id| EdgeEvent::Look { request_id }).await {
+                    Some(Reply::Looked(true, view)) => {
+                        let doc = view.doc.as_ref().map(|d| d.as_str());
+                        let names = &self.set.names;
+                        let zones: Vec<String> = view
+                            .evacuated
+                            .iter()
+                            .map(|z| names.zone_name(*z).to_string())
+                            .collect();
+                        operator_api::configuration_view(view.version, doc, &zones)
+                    }
+                    _ => http::shed(ErrorCode::NoCore, "", 1),
                 }
-                _ => http::shed(Problem::NoCore, "", 1),
-            },
+            }
             OperatorRequest::Status => self.status().await,
-            OperatorRequest::Metrics => match self.soon(|rid| EdgeEvent::Status { rid }).await {
+            OperatorRequest::Metrics => match self
+                .soon(|request_id| EdgeEvent::Status { request_id })
+                .await
+            {
                 Some(Reply::Status { text, .. }) => operator_api::metrics(&text),
-                _ => http::shed(Problem::Leaving, "", 1),
+                _ => http::shed(ErrorCode::Leaving, "", 1),
             },
-            OperatorRequest::DropCore { .. } => http::shed(Problem::UnknownPath, "ask a core", 1),
+            OperatorRequest::DropCore { .. } => http::shed(ErrorCode::UnknownPath, "ask a core", 1),
         }
     }
 
-    fn asked(&self, req: &Request, route: &str) -> Result<Asked, Problem> {
+    fn asked(&self, req: &Request, route: &str) -> Result<Asked, ErrorCode> {
         let head = |k: &str| req.header(k).map(|h| h.last().as_str().to_string());
         let given = head("x-errand-id");
         if given.as_deref().is_some_and(|i| !json::good_name(i)) {
-            return Err(Problem::BadErrand);
+            return Err(ErrorCode::BadErrand);
         }
         let id = given
             .clone()
@@ -195,10 +223,16 @@
         };
         // what is not wanted here is turned away before its body is read
         let a = asked.clone();
-        let shown = match self.soon(|rid| EdgeEvent::Knock { rid, asked: a }).await {
+        let shown = match self
+            .soon(|request_id| EdgeEvent::Knock {
+                request_id,
+                asked: a,
+            })
+            .await
+        {
             Some(Reply::Come(shown)) => shown,
             Some(r) => return final_of(r, path, &asked.id),
-            None => return http::shed(Problem::Leaving, "", 1),
+            None => return http::shed(ErrorCode::Leaving, "", 1),
         };
         asked.shape = shown;
         let model = shown.model;
@@ -209,14 +243,14 @@
             method == Method::Get
         };
         if !fits {
-            return http::shed(Problem::BadMethod, "", 1);
+            return http::shed(ErrorCode::BadMethod, "", 1);
         }
         let body = match http::body(req, self.set.most_body, BODY).await {
             Ok(b) => b,
             Err(p) => return http::shed(p, "", 1),
         };
         if model && json::parse(&body, self.set.most_body).is_err() {
-            return http::shed(Problem::BadJson, "", 1);
+            return http::shed(ErrorCode::BadJson, "", 1);
         }
         let load = Load {
             id: asked.id.clone(),
@@ -234,33 +268,36 @@
             within: Duration::from_millis(shown.cutoff_ms),
         };
         let id = asked.id.clone();
-        let (rid, rx) = self.desk.open();
-        self.desk.bring(rid, load);
+        let (request_id, rx) = self.desk.open();
+        self.desk.bring(request_id, load);
         let ring = self.ring.clone();
         let watch = peer.watch(move || async move {
-            let _ = ring.send(EdgeEvent::Gone { rid }).await;
+            let _ = ring.send(EdgeEvent::Gone { request_id }).await;
         });
-        let sent = self.ring.send(EdgeEvent::Errand { rid, asked }).await;
+        let sent = self
+            .ring
+            .send(EdgeEvent::Errand { request_id, asked })
+            .await;
         let got = match sent {
             Ok(()) => timeout(LAST, rx.recv()).await.ok().and_then(|r| r.ok()),
             Err(_) => None,
         };
-        self.desk.close(rid);
+        self.desk.close(request_id);
         match got {
             Some(Reply::Brought(Brought::Stream(rx))) => streamed(rx, &id, watch),
             Some(r) => {
                 watch.stop();
                 final_of(r, path, &id)
             }
-            None => http::shed(Problem::Leaving, "", 1),
+            None => http::shed(ErrorCode::Leaving, "", 1),
         }
     }
 }
 
-fn changed(pid: ProposalId, r: Option<Reply>) -> Response {
+fn changed(proposal_id: ProposalId, r: Option<Reply>) -> Response {
     match r {
-        Some(Reply::Done(o)) => operator_api::result(pid, &o),
-        _ => operator_api::result(pid, &crate::wire::OpOutcome::Unknown),
+        Some(Reply::Done(o)) => operator_api::result(proposal_id, &o),
+        _ => operator_api::result(proposal_id, &crate::wire::OpOutcome::Unknown),
     }
 }
 
@@ -269,7 +306,7 @@
     let mut out = match r {
         Reply::Shed(p, again) => http::shed(p, "", again),
         Reply::Elsewhere(addr) => {
-            let mut r = http::shed(Problem::HomeElsewhere, &addr, 1);
+            let mut r = http::shed(ErrorCode::HomeElsewhere, &addr, 1);
             r.insert_header("location", format!("http://{addr}{path}"));
             r
         }
@@ -292,7 +329,7 @@
             });
             r
         }
-        _ => http::shed(Problem::Leaving, "", 1),
+        _ => http::shed(ErrorCode::Leaving, "", 1),
     };
     out.insert_header("x-errand-id", id);
     out
@@ -341,7 +378,7 @@
             let piece = match Pin::new(&mut me.rx).poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
                 // a relay that vanished has not said that this is the end
-                Poll::Ready(None) => Piece::Broke(Problem::StreamBroken),
+                Poll::Ready(None) => Piece::Broke(ErrorCode::StreamBroken),
                 Poll::Ready(Some(p)) => p,
             };
             me.at = 0;
@@ -354,7 +391,7 @@
                 Piece::Broke(p) => {
                     let mut v = Val::object();
                     let _ = v.insert("problem", p.code());
-                    let _ = v.insert("text", Problem::StreamBroken.text());
+                    let _ = v.insert("text", ErrorCode::StreamBroken.text());
                     me.buf = (v.encode() + "\n").into_bytes();
                     me.broken = true;
                 }
--- a/sorreldoor/src/edge/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -1,14 +1,14 @@
 //! The edge's one reducer over all events, with effects as data.
 
 use crate::consensus::{Millis, ProposalId};
-use crate::errand::{Asked, ErrandFx, Plan, Shape, Table, Told};
-use crate::events::Ev;
+use crate::error::ErrorCode;
+use crate::gateway::request_table::{Asked, Plan, RequestEffect, Shape, Table, Told};
 use crate::json::Val;
+use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
-use crate::problem::Problem;
-use crate::pull::{Pull, PullFx};
-use crate::record::Cmd;
-use crate::seam::{Now, Reducer};
+use crate::replicated_state::Command;
+use crate::runtime::{Now, Reducer};
+use crate::subscription::{Pull, SubscriptionEffect};
 use crate::wire::*;
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
@@ -16,49 +16,49 @@
 
 #[derive(Debug)]
 pub enum EdgeEvent {
-    Alarm,
+    Tick,
     Net(NetEvent),
     /// A head has come; may its body be read?
     Knock {
-        rid: u64,
+        request_id: u64,
         asked: Asked,
     },
     Errand {
-        rid: u64,
+        request_id: u64,
         asked: Asked,
     },
     Gone {
-        rid: u64,
+        request_id: u64,
     },
     Told {
-        rid: u64,
+        request_id: u64,
         token: u64,
         told: Told,
     },
     Where {
-        rid: u64,
+        request_id: u64,
         asked: Asked,
     },
     Change {
-        rid: u64,
-        pid: ProposalId,
-        cmd: Cmd,
+        request_id: u64,
+        proposal_id: ProposalId,
+        cmd: Command,
     },
     Find {
-        rid: u64,
-        pid: ProposalId,
+        request_id: u64,
+        proposal_id: ProposalId,
     },
     /// What would become of such an errand now, of a caller in that region.
     Explain {
-        rid: u64,
+        request_id: u64,
         asked: Asked,
     },
     /// Read the setup, proved current from now on.
     Look {
-        rid: u64,
+        request_id: u64,
     },
     Status {
-        rid: u64,
+        request_id: u64,
     },
     Stop,
 }
@@ -66,16 +66,16 @@
 #[derive(Debug)]
 pub enum EdgeEffect {
     Send(Conn, Payload),
-    Dial(SocketAddr),
-    Undial(SocketAddr),
-    Errand(ErrandFx),
+    Connect(SocketAddr),
+    Disconnect(SocketAddr),
+    Errand(RequestEffect),
     /// The body may come: for a model, streamed, within so long.
     Come(u64, Shape),
-    Where(u64, Result<Vec<String>, Problem>),
+    Where(u64, Result<Vec<String>, ErrorCode>),
     Done(u64, OpOutcome),
     Looked(u64, bool),
     Status(u64, String),
-    Say(Ev, String),
+    Say(LogEvent, String),
 }
 
 pub struct EdgeController {
@@ -84,7 +84,7 @@
     pub table: Table,
     pub pull: Pull,
     /// The record as last told.
-    pub(super) copy: crate::record::Copy,
+    pub(super) copy: crate::replicated_state::Copy,
     pub(super) looks: Vec<(u64, u64)>,
     pub(super) changes: BTreeMap<u64, Conn>,
     /// Claims given up that the cores have not confirmed: id, and since when.
@@ -97,65 +97,91 @@
 
 impl Reducer for EdgeController {
     type Event = EdgeEvent;
-    type Fx = EdgeEffect;
+    type Effect = EdgeEffect;
 
     fn step(&mut self, ev: EdgeEvent, at: Now) -> Vec<EdgeEffect> {
-        self.now = self.now.max(at.mono);
+        self.now = self.now.max(at.monotonic_ms);
         let now = self.now;
         // what woke it may come before any alarm, and must find it shut
         if let Some(f) = self.pull.awake(now, at.wall) {
             self.pulled(f);
         }
         match ev {
-            EdgeEvent::Alarm => self.alarm(),
+            EdgeEvent::Tick => self.tick(),
             EdgeEvent::Net(n) => self.net(n),
-            EdgeEvent::Knock { rid, asked } => self.knock(rid, asked),
-            EdgeEvent::Errand { rid, asked } => match self.closed() {
-                Some(p) => self.shed(rid, p),
-                None => self.table.take(&mut self.plan, rid, asked, now),
+            EdgeEvent::Knock { request_id, asked } => self.knock(request_id, asked),
+            EdgeEvent::Errand { request_id, asked } => match self.closed() {
+                Some(p) => self.shed(request_id, p),
+                None => self.table.take(&mut self.plan, request_id, asked, now),
             },
-            EdgeEvent::Gone { rid } => self.table.gone(&mut self.plan, rid),
-            EdgeEvent::Told { rid, token, told } => {
-                let permit = self.pull.permit(now);
+            EdgeEvent::Gone { request_id } => self.table.gone(&mut self.plan, request_id),
+            EdgeEvent::Told {
+                request_id,
+                token,
+                told,
+            } => {
+                let lease = self.pull.lease(now);
                 self.table
-                    .told(&mut self.plan, rid, token, told, permit, now);
+                    .told(&mut self.plan, request_id, token, told, lease, now);
             }
-            EdgeEvent::Where { rid, asked } => self.whither(rid, asked),
-            EdgeEvent::Change { rid, pid, cmd } => self.change(rid, Payload::Op { rid, pid, cmd }),
-            EdgeEvent::Find { rid, pid } => self.change(rid, Payload::OpFind { rid, pid }),
-            EdgeEvent::Explain { rid, asked } => self.explain(rid, asked),
-            EdgeEvent::Look { rid } => self.look(rid),
-            EdgeEvent::Status { rid } => {
+            EdgeEvent::Where { request_id, asked } => self.whither(request_id, asked),
+            EdgeEvent::Change {
+                request_id,
+                proposal_id,
+                cmd,
+            } => self.change(
+                request_id,
+                Payload::Op {
+                    request_id,
+                    proposal_id,
+                    cmd,
+                },
+            ),
+            EdgeEvent::Find {
+                request_id,
+                proposal_id,
+            } => self.change(
+                request_id,
+                Payload::OpFind {
+                    request_id,
+                    proposal_id,
+                },
+            ),
+            EdgeEvent::Explain { request_id, asked } => self.explain(request_id, asked),
+            EdgeEvent::Look { request_id } => self.look(request_id),
+            EdgeEvent::Status { request_id } => {
                 let s = self.status().encode();
-                self.out.push(EdgeEffect::Status(rid, s));
+                self.out.push(EdgeEffect::Status(request_id, s));
             }
             EdgeEvent::Stop => {
                 self.leaving = true;
-                self.say(Ev::Leaving, "edge");
+                self.log_event(LogEvent::Leaving, "edge");
             }
         }
-        if self.pull.permit(self.now) {
+        if self.pull.lease(self.now) {
             self.table.pass_match(&mut self.plan, now);
         }
         let fx = std::mem::take(&mut self.table.out);
         for f in fx {
             match &f {
-                ErrandFx::Claim { rid, claim } => self.claim(*rid, claim.clone()),
-                ErrandFx::Release { rid, id } => self.release(*rid, id.clone()),
-                ErrandFx::Unknown { id, worker } => {
-                    self.say(Ev::ErrandUnknown, format!("{id} at {worker}"))
+                RequestEffect::Claim { request_id, claim } => {
+                    self.claim(*request_id, claim.clone())
+                }
+                RequestEffect::Release { request_id, id } => self.release(*request_id, id.clone()),
+                RequestEffect::Unknown { id, worker } => {
+                    self.log_event(LogEvent::ErrandUnknown, format!("{id} at {worker}"))
                 }
-                ErrandFx::Bad {
+                RequestEffect::Bad {
                     id,
                     worker,
-                    problem,
+                    error_code,
                 } => {
-                    let ev = if *problem == Problem::StreamBroken {
-                        Ev::StreamBroken
+                    let ev = if *error_code == ErrorCode::StreamBroken {
+                        LogEvent::StreamBroken
                     } else {
-                        Ev::ResultBad
+                        LogEvent::ResultBad
                     };
-                    self.say(ev, format!("{id} at {worker}: {}", problem.code()));
+                    self.log_event(ev, format!("{id} at {worker}: {}", error_code.code()));
                 }
                 _ => {}
             }
@@ -183,64 +209,64 @@
         }
     }
 
-    pub(super) fn say(&mut self, ev: Ev, about: impl Into<String>) {
+    pub(super) fn log_event(&mut self, ev: LogEvent, about: impl Into<String>) {
         self.out.push(EdgeEffect::Say(ev, about.into()));
     }
 
-    fn shed(&mut self, rid: u64, problem: Problem) {
-        self.table.shed(rid, problem, self.now);
+    fn shed(&mut self, request_id: u64, error_code: ErrorCode) {
+        self.table.shed(request_id, error_code, self.now);
     }
 
     /// Why nothing new is taken in just now.
-    fn closed(&self) -> Option<Problem> {
+    fn closed(&self) -> Option<ErrorCode> {
         if self.leaving {
-            return Some(Problem::Leaving);
+            return Some(ErrorCode::Leaving);
         }
-        Some(Problem::NoPermit).filter(|_| !self.pull.permit(self.now))
+        Some(ErrorCode::NoLease).filter(|_| !self.pull.lease(self.now))
     }
 
-    pub fn ready(&self) -> Result<(), Problem> {
+    pub fn ready(&self) -> Result<(), ErrorCode> {
         self.closed().map_or(Ok(()), Err)?;
         self.plan
-            .setup
+            .configuration
             .as_ref()
             .map(|_| ())
-            .ok_or(Problem::NoSetup)?;
+            .ok_or(ErrorCode::NoConfiguration)?;
         Some(())
-            .filter(|_| !self.plan.emptied(self.plan.zone))
-            .ok_or(Problem::Leaving)
+            .filter(|_| !self.plan.evacuated(self.plan.zone))
+            .ok_or(ErrorCode::Leaving)
     }
 
     pub fn idle(&self) -> bool {
         self.table.rows.is_empty()
     }
 
-    fn alarm(&mut self) {
-        for f in self.pull.alarm(self.now) {
+    fn tick(&mut self) {
+        for f in self.pull.tick(self.now) {
             self.pulled(f);
         }
         self.releases_alarm();
         self.table.pass_claims(self.now);
         self.table.pass_cutoffs(&mut self.plan, self.now);
         self.table.pass_hopeless(&self.plan, self.now);
-        if !self.pull.permit(self.now) {
+        if !self.pull.lease(self.now) {
             self.table.pass_unpermitted(self.now);
         }
     }
 
-    pub(super) fn pulled(&mut self, f: PullFx) {
+    pub(super) fn pulled(&mut self, f: SubscriptionEffect) {
         match f {
-            PullFx::Dial(a) => self.out.push(EdgeEffect::Dial(a)),
-            PullFx::Undial(a) => self.out.push(EdgeEffect::Undial(a)),
-            PullFx::Renew {
+            SubscriptionEffect::Connect(a) => self.out.push(EdgeEffect::Connect(a)),
+            SubscriptionEffect::Disconnect(a) => self.out.push(EdgeEffect::Disconnect(a)),
+            SubscriptionEffect::Renew {
                 conn,
                 no,
                 unverified,
             } => {
                 let have = self.pull.have.clone();
-                let doing = Doing {
-                    serial: self.plan.shown.view.serial,
-                    permit: self.ready().is_ok(),
+                let edge_status = EdgeStatus {
+                    version: self.plan.shown.view.version,
+                    lease: self.ready().is_ok(),
                     running: self.table.rows.len() as u32,
                     first: self.table.counts.first,
                     again: self.table.counts.again,
@@ -252,25 +278,25 @@
                     Payload::Renew {
                         no,
                         have,
-                        doing,
+                        edge_status,
                         unverified,
                     },
                 ));
             }
-            PullFx::Lost => self.say(Ev::SessionLost, "silent"),
-            PullFx::Woken(s) => self.say(Ev::Woken, s),
-            PullFx::PermitLost => self.say(Ev::PermitLost, ""),
-            PullFx::PermitBack => self.say(Ev::PermitBack, ""),
+            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
+            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::Woken, s),
+            SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
+            SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
         }
     }
 
     /// What errands took, by the names of the setup in force.
-    fn took(&self) -> Vec<Took> {
+    fn took(&self) -> Vec<RouteLatency> {
         let all = self.table.took.iter();
-        let s = self.plan.setup.as_ref();
+        let s = self.plan.configuration.as_ref();
         let known = |r: &str| s.is_some_and(|s| s.route(r).is_some());
         all.filter(|((r, _), _)| known(r))
-            .map(|((r, v), (n, ms))| Took {
+            .map(|((r, v), (n, ms))| RouteLatency {
                 route: r.clone(),
                 service: v.clone(),
                 n: *n,
@@ -279,44 +305,50 @@
             .collect()
     }
 
-    fn knock(&mut self, rid: u64, asked: Asked) {
+    fn knock(&mut self, request_id: u64, asked: Asked) {
         self.table.came(&self.plan, self.now);
         if let Some(p) = self.closed() {
-            return self.shed(rid, p);
+            return self.shed(request_id, p);
         }
-        match self.table.knock(&self.plan, rid, &asked) {
+        match self.table.knock(&self.plan, request_id, &asked) {
             Ok(true) => {
                 let shape = self.shape(&asked.route);
-                self.out.push(EdgeEffect::Come(rid, shape));
+                self.out.push(EdgeEffect::Come(request_id, shape));
             }
             Ok(false) => {}
-            Err(p) => self.shed(rid, p),
+            Err(p) => self.shed(request_id, p),
         }
     }
 
     fn shape(&self, route: &str) -> Shape {
-        let s = self.plan.setup.as_ref();
+        let s = self.plan.configuration.as_ref();
         let r = s.and_then(|s| s.route(route).map(|i| &s.routes[i as usize]));
         r.map_or(Shape::default(), Shape::of)
     }
 
     /// Where a caller should go with such an errand.
-    fn whither(&mut self, rid: u64, a: Asked) {
+    fn whither(&mut self, request_id: u64, a: Asked) {
         let r = self.closed().map_or(Ok(()), Err).and_then(|()| {
-            let s = self.plan.setup.as_ref().ok_or(Problem::NoSetup)?;
-            let route = s.route(&a.route).ok_or(Problem::UnknownRoute)?;
+            let s = self
+                .plan
+                .configuration
+                .as_ref()
+                .ok_or(ErrorCode::NoConfiguration)?;
+            let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
             let home = s.routes[route as usize].home;
             if home && a.home.is_none() {
-                return Err(Problem::BadErrand);
+                return Err(ErrorCode::BadErrand);
             }
             let at = a.home.or(Some(self.plan.region));
             let all = self.plan.edges_for(at, home, &a.key);
-            Some(all).filter(|l| !l.is_empty()).ok_or(Problem::NoWorker)
+            Some(all)
+                .filter(|l| !l.is_empty())
+                .ok_or(ErrorCode::NoWorker)
         });
-        self.out.push(EdgeEffect::Where(rid, r));
+        self.out.push(EdgeEffect::Where(request_id, r));
     }
 
-    fn explain(&mut self, rid: u64, a: Asked) {
+    fn explain(&mut self, request_id: u64, a: Asked) {
         let region = a.home.unwrap_or(self.plan.region);
         let told = self.closed().map_or(Ok(()), Err).and_then(|()| {
             if region == self.plan.region {
@@ -325,40 +357,41 @@
             // only an edge of that region knows what it would do
             let all = self.plan.edges_for(Some(region), true, &a.key);
             let mut v = Val::object();
-            let _ = v.insert("ask", all.first().cloned().ok_or(Problem::NoWorker)?);
+            let _ = v.insert("ask", all.first().cloned().ok_or(ErrorCode::NoWorker)?);
             Ok(v)
         });
         self.out.push(match told {
-            Ok(v) => EdgeEffect::Status(rid, v.encode()),
-            Err(p) => EdgeEffect::Where(rid, Err(p)),
+            Ok(v) => EdgeEffect::Status(request_id, v.encode()),
+            Err(p) => EdgeEffect::Where(request_id, Err(p)),
         });
     }
 
-    fn change(&mut self, rid: u64, p: Payload) {
+    fn change(&mut self, request_id: u64, p: Payload) {
         let Some(c) = self.pull.conn else {
             // nothing has left this node, so it is surely not taken
-            self.out.push(EdgeEffect::Done(rid, OpOutcome::NotTaken));
+            self.out
+                .push(EdgeEffect::Done(request_id, OpOutcome::NotTaken));
             return;
         };
-        self.changes.insert(rid, c);
+        self.changes.insert(request_id, c);
         self.out.push(EdgeEffect::Send(c, p));
     }
 
-    fn look(&mut self, rid: u64) {
+    fn look(&mut self, request_id: u64) {
         let Some(c) = self.pull.conn else {
-            self.out.push(EdgeEffect::Looked(rid, false));
+            self.out.push(EdgeEffect::Looked(request_id, false));
             return;
         };
         let f = self.pull.renew(c, self.now);
-        self.looks.push((rid, self.pull.last_no()));
+        self.looks.push((request_id, self.pull.last_no()));
         self.pulled(f);
     }
 
     pub(super) fn looked(&mut self, no: u64, ok: bool) {
         let (ready, wait): (Vec<_>, Vec<_>) = self.looks.drain(..).partition(|(_, n)| *n <= no);
         self.looks = wait;
-        for (rid, _) in ready {
-            self.out.push(EdgeEffect::Looked(rid, ok));
+        for (request_id, _) in ready {
+            self.out.push(EdgeEffect::Looked(request_id, ok));
         }
     }
 }
--- a/sorreldoor/src/edge/mod.rs
+++ b/sorreldoor/src/gateway/mod.rs
@@ -3,6 +3,7 @@
 mod api;
 mod controller;
 mod relay;
+pub mod request_table;
 mod run;
 mod session;
 mod status;
--- a/sorreldoor/src/edge/relay.rs
+++ b/sorreldoor/src/gateway/relay.rs
@@ -2,12 +2,12 @@
 //! the result back whole, or a stream event by event.
 
 use super::controller::EdgeEvent;
-use crate::errand::Told;
+use crate::error::ErrorCode;
+use crate::gateway::request_table::Told;
 use crate::http::{self, Broke, Call};
+use crate::invariants::{broken, Invariant};
 use crate::json;
 use crate::net::Ring;
-use crate::problem::Problem;
-use crate::rules::{broken, Rule};
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
 use async_std::io::prelude::*;
@@ -49,7 +49,7 @@
 pub enum Piece {
     Event(Vec<u8>),
     End,
-    Broke(Problem),
+    Broke(ErrorCode),
 }
 
 pub enum Brought {
@@ -63,7 +63,7 @@
 }
 
 pub struct Task {
-    pub rid: u64,
+    pub request_id: u64,
     pub token: u64,
     pub load: Arc<Load>,
     pub ring: Ring<EdgeEvent>,
@@ -73,8 +73,15 @@
 
 impl Task {
     async fn tell(&self, told: Told) {
-        let (rid, token) = (self.rid, self.token);
-        let _ = self.ring.send(EdgeEvent::Told { rid, token, told }).await;
+        let (request_id, token) = (self.request_id, self.token);
+        let _ = self
+            .ring
+            .send(EdgeEvent::Told {
+                request_id,
+                token,
+                told,
+            })
+            .await;
     }
 
     pub async fn run(self, to: SocketAddr) {
@@ -134,17 +141,17 @@
     }
 
     /// Why a result is not this errand's, though it came whole.
-    fn wrong(&self, c: &http::Called) -> Option<Problem> {
+    fn wrong(&self, c: &http::Called) -> Option<ErrorCode> {
         let named = c.errand.as_deref();
-        if named.is_some_and(|n| n != self.load.id) && !broken(Rule::ResultOwner) {
-            return Some(Problem::WrongErrand);
+        if named.is_some_and(|n| n != self.load.id) && !broken(Invariant::ResultOwner) {
+            return Some(ErrorCode::WrongErrand);
         }
         if !self.load.model {
             return None;
         }
         let json = is(&c.kind, "application/json") && json::parse(&c.body, MOST_RESULT).is_ok();
         let missing = named.is_none();
-        (missing || !json).then_some(Problem::WorkerGarbage)
+        (missing || !json).then_some(ErrorCode::WorkerGarbage)
     }
 
     async fn stream(&self, mut r: Response) {
@@ -155,9 +162,9 @@
         let odd = !http::framed(&r) || !is(kind, "application/x-ndjson");
         if named.as_deref() != Some(&self.load.id) || odd {
             let p = if odd || named.is_none() {
-                Problem::WorkerGarbage
+                ErrorCode::WorkerGarbage
             } else {
-                Problem::WrongErrand
+                ErrorCode::WrongErrand
             };
             return self.tell(Told::Broke(p)).await;
         }
@@ -167,7 +174,7 @@
         let lines = BufReader::new(r.take_body());
         let end = timeout(self.load.within, self.relay(lines, &tx))
             .await
-            .unwrap_or(Err(Problem::StreamBroken));
+            .unwrap_or(Err(ErrorCode::StreamBroken));
         let told = match end {
             Ok(()) => {
                 let _ = tx.send(Piece::End).await;
@@ -183,7 +190,7 @@
     }
 
     /// Pass on whole events in order until the one that says it is the last.
-    async fn relay<R>(&self, mut from: R, tx: &Sender<Piece>) -> Result<(), Problem>
+    async fn relay<R>(&self, mut from: R, tx: &Sender<Piece>) -> Result<(), ErrorCode>
     where
         R: async_std::io::BufRead + Unpin,
     {
@@ -196,22 +203,23 @@
                 .await
                 .ok()
                 .flatten()
-                .ok_or(Problem::StreamBroken)?;
+                .ok_or(ErrorCode::StreamBroken)?;
             if n == 0 || line.last() != Some(&b'\n') {
-                return Err(Problem::StreamBroken);
+                return Err(ErrorCode::StreamBroken);
             }
-            let v = json::parse(&line, MOST_EVENT as usize).map_err(|_| Problem::WorkerGarbage)?;
+            let v =
+                json::parse(&line, MOST_EVENT as usize).map_err(|_| ErrorCode::WorkerGarbage)?;
             let seq = v.get("seq").and_then(|s| s.as_u64());
             let whose = v.get("errand").and_then(|e| e.as_str());
             let odd = seq != Some(next) || whose.is_some_and(|w| w != self.load.id);
-            if odd && !broken(Rule::Sequence) {
-                return Err(Problem::WorkerGarbage);
+            if odd && !broken(Invariant::Sequence) {
+                return Err(ErrorCode::WorkerGarbage);
             }
             next += 1;
             let done = v.get("done").and_then(|d| d.as_bool()) == Some(true);
             tx.send(Piece::Event(line))
                 .await
-                .map_err(|_| Problem::StreamBroken)?;
+                .map_err(|_| ErrorCode::StreamBroken)?;
             if done {
                 return Ok(());
             }
@@ -254,10 +262,10 @@
     essence.eq_ignore_ascii_case(want)
 }
 
-fn kind(b: Broke) -> Problem {
+fn kind(b: Broke) -> ErrorCode {
     match b {
-        Broke::Short => Problem::WorkerShort,
-        Broke::Garbage => Problem::WorkerGarbage,
-        _ => Problem::WorkerBroke,
+        Broke::Short => ErrorCode::WorkerShort,
+        Broke::Garbage => ErrorCode::WorkerGarbage,
+        _ => ErrorCode::WorkerBroke,
     }
 }
--- a/sorreldoor/src/errand/again.rs
+++ b/sorreldoor/src/gateway/request_table/again.rs
@@ -3,7 +3,7 @@
 //! and returns stay a small part of what else comes.
 
 use crate::consensus::Millis;
-use crate::problem::Problem;
+use crate::error::ErrorCode;
 
 /// Seconds that the calendar reaches.
 const DAYS: usize = 120;
@@ -89,13 +89,13 @@
     }
 
     /// Seconds from now, with `waiting` errands in line before it.
-    pub fn book(&mut self, why: Problem, waiting: usize, now: Millis) -> u64 {
+    pub fn book(&mut self, why: ErrorCode, waiting: usize, now: Millis) -> u64 {
         self.turn(now);
         let (least, reach) = match why {
             // another node may take it, so it need not wait for this one
-            Problem::Leaving | Problem::NoPermit => (1, 10),
+            ErrorCode::Leaving | ErrorCode::NoLease => (1, 10),
             // so long a lost worker or region is at least away
-            Problem::NoWorker | Problem::NoSetup => (2, DAYS / 2),
+            ErrorCode::NoWorker | ErrorCode::NoConfiguration => (2, DAYS / 2),
             _ => (1 + waiting as u64 * 100 / self.best.max(100), DAYS / 2),
         };
         let reach = reach as u64;
--- a/sorreldoor/src/errand/allowed.rs
+++ b/sorreldoor/src/gateway/request_table/allowed.rs
@@ -1,13 +1,13 @@
 //! What the setup in force allows an errand, at the moment it is handed over.
 
 use super::{Errand, Plan, Shape};
-use crate::place::Spot;
-use crate::rules::{broken, Rule};
-use crate::setup::Route;
+use crate::configuration::Route;
+use crate::invariants::{broken, Invariant};
+use crate::placement::Spot;
 
 /// The errand's route in the setup of now, under its own name.
 fn route_of<'p>(p: &'p Plan, e: &Errand) -> Option<&'p Route> {
-    let s = p.setup.as_ref()?;
+    let s = p.configuration.as_ref()?;
     s.routes
         .get(e.route as usize)
         .filter(|r| r.name == e.asked.route)
@@ -15,7 +15,7 @@
 
 /// Whether errands of the route are bound to their home.
 pub(super) fn bound(r: &Route) -> bool {
-    r.home && !broken(Rule::Home)
+    r.home && !broken(Invariant::Home)
 }
 
 pub(super) fn repeatable(p: &Plan, e: &Errand) -> bool {
@@ -25,7 +25,7 @@
 /// Whether the setup in force lets this errand go to this worker.
 pub(super) fn allowed(p: &Plan, e: &Errand, i: usize) -> bool {
     let worker = p.spots.get(i).and_then(|w| w.as_ref());
-    worker.is_some_and(|w| broken(Rule::Allowed) || may(p, e, w, Some(&e.service)))
+    worker.is_some_and(|w| broken(Invariant::Allowed) || may(p, e, w, Some(&e.service)))
 }
 
 /// Whether any worker that the setup allows this errand is there at all.
@@ -38,7 +38,7 @@
 
 /// Whether a worker may have it, through the service given or through any.
 fn may(p: &Plan, e: &Errand, w: &Spot, through: Option<&str>) -> bool {
-    let Some((s, r)) = p.setup.as_ref().zip(route_of(p, e)) else {
+    let Some((s, r)) = p.configuration.as_ref().zip(route_of(p, e)) else {
         return false;
     };
     let near = w.region == p.region;
@@ -46,10 +46,10 @@
     // what the one in force allows may be done under it
     let home = !bound(r) || (near && e.asked.home == Some(w.region));
     let limit = s.spill.get(&(p.region, w.region));
-    let spill = near || limit.is_some_and(|n| *n > 0) || broken(Rule::Spill);
+    let spill = near || limit.is_some_and(|n| *n > 0) || broken(Invariant::Spill);
     let ws = &p.shown.view.weights;
     let share = r.shares.iter().any(|h| {
-        let n = crate::tune::weight(ws, e.route, h.service).unwrap_or(h.weight);
+        let n = crate::weight_tuning::weight(ws, e.route, h.service).unwrap_or(h.weight);
         let v = &s.services[h.service as usize];
         let named = through.is_none_or(|t| t == v.name);
         n > 0 && named && v.groups.contains(&w.group)
--- a/sorreldoor/src/errand/budget.rs
+++ b/sorreldoor/src/gateway/request_table/budget.rs
@@ -1,6 +1,6 @@
 //! Bounds on what an edge adds to real traffic, and on what leaves a region.
 
-use crate::rules::{broken, Rule};
+use crate::invariants::{broken, Invariant};
 use std::collections::BTreeMap;
 
 /// Retries as a share of first tries; unused room is kept up to a few.
@@ -19,7 +19,7 @@
     }
 
     pub fn again(&mut self) -> bool {
-        let ok = self.room >= 100 || broken(Rule::Budget);
+        let ok = self.room >= 100 || broken(Invariant::Budget);
         self.room = self.room.saturating_sub(if ok { 100 } else { 0 });
         ok
     }
--- a/sorreldoor/src/errand/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -1,10 +1,10 @@
 //! Claims as an edge makes them: before an errand that may not be repeated is
 //! sent under an id that its caller chose, the cores must have noted it.
 
-use super::{Asked, ErrandFx, Plan, Stage, Table};
+use super::{Asked, Plan, RequestEffect, Stage, Table};
 use crate::consensus::Millis;
-use crate::core::KEEP_MS;
-use crate::problem::Problem;
+use crate::control_plane::KEEP_MS;
+use crate::error::ErrorCode;
 use crate::wire::Verdict;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,13 +39,13 @@
     pub fn claimed(
         &mut self,
         p: &mut Plan,
-        rid: u64,
+        request_id: u64,
         id: &str,
         said: Verdict,
-        permit: bool,
+        lease: bool,
         now: Millis,
     ) {
-        let Some(e) = self.rows.get_mut(&rid).filter(|e| e.asked.id == id) else {
+        let Some(e) = self.rows.get_mut(&request_id).filter(|e| e.asked.id == id) else {
             return;
         };
         if !matches!(e.claim, Claim::Asked(_)) {
@@ -54,50 +54,53 @@
         if said == Verdict::Yes {
             e.claim = Claim::Held;
             if let (Stage::Opening(i), true) = (e.stage, e.ready) {
-                self.hand_over(p, rid, i, permit, now);
+                self.hand_over(p, request_id, i, lease, now);
             }
             return;
         }
         let token = e.token;
         if let Stage::Opening(i) = e.stage {
             p.done(i);
-            self.out.push(ErrandFx::Drop { rid, token });
+            self.out.push(RequestEffect::Drop { request_id, token });
         }
         // some cores may have noted it, and it must not stand in the way
-        self.forget(rid);
+        self.forget(request_id);
         let why = match said {
-            Verdict::Full => Problem::ClaimsFull,
-            _ => Problem::AlreadyTaken,
+            Verdict::Full => ErrorCode::ClaimsFull,
+            _ => ErrorCode::AlreadyTaken,
         };
-        self.shed(rid, why, now);
+        self.shed(request_id, why, now);
     }
 
     /// Ask again for claims that have had no answer.
     pub fn pass_claims(&mut self, now: Millis) {
-        for (rid, e) in &mut self.rows {
+        for (request_id, e) in &mut self.rows {
             if matches!(e.claim, Claim::Asked(t) if now.saturating_sub(t) >= AGAIN_MS) {
                 e.claim = Claim::Asked(now);
                 let claim = Wish::of(&e.asked, e.cutoff - e.since);
-                self.out.push(ErrandFx::Claim { rid: *rid, claim });
+                self.out.push(RequestEffect::Claim {
+                    request_id: *request_id,
+                    claim,
+                });
             }
         }
     }
 
     /// Take an errand out of the table; a claim on what never left is given up.
-    pub(super) fn forget(&mut self, rid: u64) {
-        let Some(e) = self.rows.remove(&rid) else {
+    pub(super) fn forget(&mut self, request_id: u64) {
+        let Some(e) = self.rows.remove(&request_id) else {
             return;
         };
         if e.claim != Claim::Needless && !e.left {
             let id = e.asked.id;
-            self.out.push(ErrandFx::Release { rid, id });
+            self.out.push(RequestEffect::Release { request_id, id });
         }
     }
 
     /// Note an id that was sent from here.
-    pub(super) fn remember(&mut self, id: String, rid: u64, until: Millis, now: Millis) {
-        self.sent_ids.insert(id.clone(), rid);
-        self.sent_order.push_back((until, id, rid));
+    pub(super) fn remember(&mut self, id: String, request_id: u64, until: Millis, now: Millis) {
+        self.sent_ids.insert(id.clone(), request_id);
+        self.sent_order.push_back((until, id, request_id));
         // the cores remember for sure; this only spares asking them
         while let Some((t, id, of)) = self.sent_order.front().cloned() {
             if t > now && self.sent_order.len() <= super::REMEMBERED {
@@ -115,8 +118,8 @@
         self.sent_order
             .iter()
             .rev()
-            .filter(|(_, id, rid)| self.sent_ids.get(id) == Some(rid))
-            .map(|(_, id, rid)| (id.clone(), *rid))
+            .filter(|(_, id, request_id)| self.sent_ids.get(id) == Some(request_id))
+            .map(|(_, id, request_id)| (id.clone(), *request_id))
             .take(4096)
             .collect()
     }
--- a/sorreldoor/src/errand/ends.rs
+++ b/sorreldoor/src/gateway/request_table/ends.rs
@@ -1,10 +1,10 @@
 //! Passes that end errands: cutoffs, callers gone, permits and setups changed.
 
 use super::allowed::hope;
-use super::{Claim, ErrandFx, Plan, Stage, Table, Wish};
+use super::{Claim, Plan, RequestEffect, Stage, Table, Wish};
 use crate::consensus::Millis;
-use crate::problem::Problem;
-use crate::rules::{broken, Rule};
+use crate::error::ErrorCode;
+use crate::invariants::{broken, Invariant};
 
 impl Table {
     /// Give up, at once, whatever cannot be done in time any more.
@@ -22,29 +22,29 @@
             })
             .map(|(r, _)| *r)
             .collect();
-        for rid in late {
-            let Some(e) = self.rows.get(&rid).cloned() else {
+        for request_id in late {
+            let Some(e) = self.rows.get(&request_id).cloned() else {
                 continue;
             };
             let token = e.token;
             match e.stage {
                 Stage::Waiting => {
-                    self.forget(rid);
-                    self.shed(rid, Problem::GivenUp, now);
+                    self.forget(request_id);
+                    self.shed(request_id, ErrorCode::GivenUp, now);
                 }
                 Stage::Opening(i) => {
-                    self.out.push(ErrandFx::Drop { rid, token });
-                    self.end(p, rid, i);
-                    self.shed(rid, Problem::GivenUp, now);
+                    self.out.push(RequestEffect::Drop { request_id, token });
+                    self.end(p, request_id, i);
+                    self.shed(request_id, ErrorCode::GivenUp, now);
                 }
                 Stage::Sent(i) => {
-                    self.out.push(ErrandFx::Drop { rid, token });
-                    self.broke(p, rid, i, Problem::WorkerBroke, now);
+                    self.out.push(RequestEffect::Drop { request_id, token });
+                    self.broke(p, request_id, i, ErrorCode::WorkerBroke, now);
                 }
                 Stage::Relaying(i) => {
-                    self.out.push(ErrandFx::Drop { rid, token });
+                    self.out.push(RequestEffect::Drop { request_id, token });
                     self.counts.broken += 1;
-                    self.end(p, rid, i);
+                    self.end(p, request_id, i);
                 }
             }
         }
@@ -53,37 +53,37 @@
     /// Shed what waits where nobody could take it, room or not: its zone was
     /// emptied, or every worker that its route allows is gone.
     pub fn pass_hopeless(&mut self, p: &Plan, now: Millis) {
-        let out: Vec<(u64, Problem)> = self
+        let out: Vec<(u64, ErrorCode)> = self
             .rows
             .iter()
             .filter(|(_, e)| e.stage == Stage::Waiting)
-            .filter_map(|(rid, e)| {
+            .filter_map(|(request_id, e)| {
                 // a worker may only be a moment away from being seen again
                 let waited = now.saturating_sub(e.since) > HOPE_MS;
-                if p.emptied(p.zone) {
-                    Some((*rid, Problem::Leaving))
+                if p.evacuated(p.zone) {
+                    Some((*request_id, ErrorCode::Leaving))
                 } else {
-                    (waited && !hope(p, e)).then_some((*rid, Problem::NoWorker))
+                    (waited && !hope(p, e)).then_some((*request_id, ErrorCode::NoWorker))
                 }
             })
             .collect();
-        for (rid, why) in out {
-            self.forget(rid);
-            self.shed(rid, why, now);
+        for (request_id, why) in out {
+            self.forget(request_id);
+            self.shed(request_id, why, now);
         }
     }
 
     /// The caller hung up: drop what runs for it.
-    pub fn gone(&mut self, p: &mut Plan, rid: u64) {
-        let Some(e) = self.rows.get(&rid).cloned() else {
+    pub fn gone(&mut self, p: &mut Plan, request_id: u64) {
+        let Some(e) = self.rows.get(&request_id).cloned() else {
             return;
         };
-        self.forget(rid);
+        self.forget(request_id);
         self.counts.gone += 1;
         if let Stage::Opening(i) | Stage::Sent(i) | Stage::Relaying(i) = e.stage {
             p.done(i);
             let token = e.token;
-            self.out.push(ErrandFx::Drop { rid, token });
+            self.out.push(RequestEffect::Drop { request_id, token });
         }
     }
 
@@ -95,21 +95,21 @@
             .filter(|(_, e)| e.stage == Stage::Waiting)
             .map(|(r, _)| *r)
             .collect();
-        for rid in waiting {
-            self.forget(rid);
-            self.shed(rid, Problem::NoPermit, now);
+        for request_id in waiting {
+            self.forget(request_id);
+            self.shed(request_id, ErrorCode::NoLease, now);
         }
     }
 
     /// A new setup: routes moved, so find each errand's again; what has not
     /// left yet must fit the new one as if it came now.
-    pub fn pass_setup(&mut self, p: &mut Plan, now: Millis) {
+    pub fn apply_configuration(&mut self, p: &mut Plan, now: Millis) {
         let rids: Vec<u64> = self.rows.keys().copied().collect();
-        for rid in rids {
-            let Some(e) = self.rows.get_mut(&rid) else {
+        for request_id in rids {
+            let Some(e) = self.rows.get_mut(&request_id) else {
                 continue;
             };
-            let s = p.setup.clone();
+            let s = p.configuration.clone();
             let i = s.as_ref().and_then(|s| s.route(&e.asked.route));
             e.route = i.unwrap_or(GONE);
             if matches!(e.stage, Stage::Sent(_) | Stage::Relaying(_)) {
@@ -118,9 +118,9 @@
             let r = s.as_ref().zip(i).map(|(s, i)| &s.routes[i as usize]);
             let fits = r.is_some_and(|r| super::Shape::of(r).like(&e.asked.shape));
             let bound = r.is_some_and(|r| r.home && e.asked.home != Some(p.region));
-            let bound = bound && !broken(Rule::Home);
+            let bound = bound && !broken(Invariant::Home);
             if !fits || bound {
-                self.take_back(p, rid, r.is_some(), now);
+                self.take_back(p, request_id, r.is_some(), now);
                 continue;
             }
             // it came as one that may be repeated, and is none any more
@@ -128,28 +128,28 @@
             if claims && e.claim == Claim::Needless {
                 e.claim = Claim::Asked(now);
                 let claim = Wish::of(&e.asked, e.cutoff - e.since);
-                self.out.push(ErrandFx::Claim { rid, claim });
+                self.out.push(RequestEffect::Claim { request_id, claim });
             }
         }
     }
 
     /// Shed what has not left and no longer fits.
-    fn take_back(&mut self, p: &mut Plan, rid: u64, known: bool, now: Millis) {
-        let Some(e) = self.rows.get(&rid) else {
+    fn take_back(&mut self, p: &mut Plan, request_id: u64, known: bool, now: Millis) {
+        let Some(e) = self.rows.get(&request_id) else {
             return;
         };
         let token = e.token;
         if let Stage::Opening(i) = e.stage {
-            self.out.push(ErrandFx::Drop { rid, token });
+            self.out.push(RequestEffect::Drop { request_id, token });
             p.done(i);
         }
-        self.forget(rid);
+        self.forget(request_id);
         let why = if known {
-            Problem::GivenUp
+            ErrorCode::GivenUp
         } else {
-            Problem::UnknownRoute
+            ErrorCode::UnknownRoute
         };
-        self.shed(rid, why, now);
+        self.shed(request_id, why, now);
     }
 }
 
--- a/sorreldoor/src/errand/explain.rs
+++ b/sorreldoor/src/gateway/request_table/explain.rs
@@ -2,17 +2,17 @@
 //! functions that serve it.
 
 use super::{Asked, Claim, Errand, Plan, Stage, Table};
+use crate::configuration::{Kind, Route};
+use crate::error::ErrorCode;
 use crate::json::Val;
-use crate::place::{self, Ask};
-use crate::problem::Problem;
-use crate::setup::{Kind, Route};
+use crate::placement::{self, Ask};
 use simd_json::prelude::*;
 
 impl Table {
     /// The way of an errand that came to this edge now.
-    pub fn explain(&self, p: &Plan, a: Asked) -> Result<Val, Problem> {
-        let s = p.setup.clone().ok_or(Problem::NoSetup)?;
-        let route = s.route(&a.route).ok_or(Problem::UnknownRoute)?;
+    pub fn explain(&self, p: &Plan, a: Asked) -> Result<Val, ErrorCode> {
+        let s = p.configuration.clone().ok_or(ErrorCode::NoConfiguration)?;
+        let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
         let r = &s.routes[route as usize];
         let e = trial(&a, route);
         let got = self.place(p, &e);
@@ -20,7 +20,7 @@
         let _ = v.insert("route", r.name.as_str());
         let _ = v.insert("key", a.key.as_str());
         let _ = v.insert("region", p.site.region_name(p.region));
-        let _ = v.insert("serial", p.shown.view.serial);
+        let _ = v.insert("serial", p.shown.view.version);
         let _ = v.insert("edges", p.edges_for(Some(p.region), r.home, &a.key));
         let _ = v.insert("services", shares(p, &a, route, r));
         let _ = v.insert("spill", limits(p));
@@ -58,7 +58,9 @@
 
 /// The route's shares in the order in which they are tried for this errand.
 fn shares(p: &Plan, a: &Asked, route: u16, r: &Route) -> Vec<Val> {
-    let Some(s) = &p.setup else { return Vec::new() };
+    let Some(s) = &p.configuration else {
+        return Vec::new();
+    };
     let (key, id) = (a.key.as_str(), a.id.as_str());
     let ask = Ask {
         route,
@@ -67,11 +69,11 @@
         ..Ask::default()
     };
     let ws = &p.shown.view.weights;
-    place::services(s, ws, &ask)
+    placement::services(s, ws, &ask)
         .into_iter()
         .filter_map(|v| r.shares.iter().find(|h| h.service == v))
         .map(|h| {
-            let tuned = crate::tune::weight(ws, route, h.service);
+            let tuned = crate::weight_tuning::weight(ws, route, h.service);
             let mut o = Val::object();
             let _ = o.insert("service", s.services[h.service as usize].name.as_str());
             let _ = o.insert("weight", tuned.unwrap_or(h.weight));
@@ -85,7 +87,7 @@
 
 fn limits(p: &Plan) -> Val {
     let mut v = Val::object();
-    let all = p.setup.iter().flat_map(|s| s.spill.iter());
+    let all = p.configuration.iter().flat_map(|s| s.spill.iter());
     for ((from, to), n) in all.filter(|((from, _), _)| *from == p.region) {
         debug_assert!(from != to);
         let _ = v.insert(p.site.region_name(*to).to_string(), *n);
@@ -108,13 +110,13 @@
 
 fn why(p: &Plan, a: &Asked, r: &Route, got: Option<((u16, usize), bool)>) -> String {
     let Some(((_, i), away)) = got else {
-        return if p.emptied(p.zone) {
+        return if p.evacuated(p.zone) {
             "this edge's zone is emptied".into()
         } else {
             "no worker that the setup allows has room now; it would wait".into()
         };
     };
-    let full = |w: &place::Spot| w.busy >= w.slots.min(w.cap);
+    let full = |w: &placement::Spot| w.busy >= w.slots.min(w.cap);
     let busy = p.spots[i].as_ref().is_some_and(full);
     let first = match r.kind {
         Kind::Prefix if !a.key.is_empty() && !busy => {
@@ -125,7 +127,9 @@
     };
     let place = match (away, p.recovery(p.region)) {
         (true, _) => " in another region, within the spill limit",
-        (false, crate::record::Recovery::Returning(_)) => " here; the region is returning",
+        (false, crate::replicated_state::Recovery::Returning(_)) => {
+            " here; the region is returning"
+        }
         _ => " here",
     };
     format!("{first}{place}")
