--- a/sorreldoor/src/errand/learn.rs
+++ b/sorreldoor/src/gateway/request_table/learn.rs
@@ -9,9 +9,9 @@
 
 impl Table {
     /// Remember how long the route's errands take once they are sent.
-    pub(super) fn learn(&mut self, rid: u64, now: Millis) {
+    pub(super) fn learn(&mut self, request_id: u64, now: Millis) {
         self.again.done(now);
-        if let Some(e) = self.rows.get(&rid) {
+        if let Some(e) = self.rows.get(&request_id) {
             let took = now.saturating_sub(e.sent_at);
             let t = self.takes.entry(e.asked.route.clone()).or_insert(took);
             *t = (*t * 7 + took) / 8;
--- a/sorreldoor/src/errand/mod.rs
+++ b/sorreldoor/src/gateway/request_table/mod.rs
@@ -16,7 +16,7 @@
 pub use plan::{Plan, Shown};
 
 use crate::consensus::Millis;
-use crate::problem::Problem;
+use crate::error::ErrorCode;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -29,9 +29,9 @@
 }
 
 impl Shape {
-    pub fn of(r: &crate::setup::Route) -> Shape {
+    pub fn of(r: &crate::configuration::Route) -> Shape {
         Shape {
-            model: r.kind != crate::setup::Kind::Fetch,
+            model: r.kind != crate::configuration::Kind::Fetch,
             streamed: r.streamed,
             cutoff_ms: r.cutoff_ms,
         }
@@ -109,43 +109,43 @@
     /// A stream was relayed to its last event.
     Ended,
     /// It broke off somehow after bytes may have left.
-    Broke(Problem),
+    Broke(ErrorCode),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum ErrandFx {
+pub enum RequestEffect {
     /// Connect to this worker for the errand.
     Open {
-        rid: u64,
+        request_id: u64,
         token: u64,
         worker: usize,
         addr: SocketAddr,
     },
     /// Send it now, asking for the adapter of the service it goes to.
     Go {
-        rid: u64,
+        request_id: u64,
         token: u64,
         adapter: Option<String>,
     },
     /// Drop the connection, with all that is on it.
     Drop {
-        rid: u64,
+        request_id: u64,
         token: u64,
     },
     /// Final: tell the caller this.
     Shed {
-        rid: u64,
-        problem: Problem,
+        request_id: u64,
+        error_code: ErrorCode,
         again_s: u64,
     },
     /// Final: hand on the worker's result that the task holds.
     Give {
-        rid: u64,
+        request_id: u64,
         token: u64,
     },
     /// A caller must go to another address.
     Elsewhere {
-        rid: u64,
+        request_id: u64,
         addr: String,
     },
     Unknown {
@@ -154,18 +154,18 @@
     },
     /// Claim the id with the cores, or give the claim up.
     Claim {
-        rid: u64,
+        request_id: u64,
         claim: Wish,
     },
     Release {
-        rid: u64,
+        request_id: u64,
         id: String,
     },
     /// For the log: a result refused, or a stream that broke.
     Bad {
         id: String,
         worker: String,
-        problem: Problem,
+        error_code: ErrorCode,
     },
 }
 
@@ -202,5 +202,5 @@
     /// Workers that lately could not be reached, until when.
     shunned: BTreeMap<usize, Millis>,
     next_token: u64,
-    pub out: Vec<ErrandFx>,
+    pub out: Vec<RequestEffect>,
 }
--- a/sorreldoor/src/errand/passes.rs
+++ b/sorreldoor/src/gateway/request_table/passes.rs
@@ -1,48 +1,48 @@
 //! The passes over the table: match, send, give up, settle.
 
 use super::allowed::{allowed, bound, repeatable};
-use super::{Asked, Claim, Errand, ErrandFx, Plan, Shape, Stage, Table, Told, Wish};
+use super::{Asked, Claim, Errand, Plan, RequestEffect, Shape, Stage, Table, Told, Wish};
+use crate::configuration::{Kind, Route};
 use crate::consensus::Millis;
-use crate::core::KEEP_MS;
-use crate::place::{self, Ask};
-use crate::problem::Problem;
-use crate::record::Recovery;
-use crate::rules::{broken, Rule};
-use crate::setup::{Kind, Route};
+use crate::control_plane::KEEP_MS;
+use crate::error::ErrorCode;
+use crate::invariants::{broken, Invariant};
+use crate::placement::{self, Ask};
+use crate::replicated_state::Recovery;
 
 const SHUN_MS: Millis = 1000;
 
 impl Table {
     /// Take an errand in, or shed it at once.
-    pub fn take(&mut self, p: &mut Plan, rid: u64, a: Asked, now: Millis) {
-        if let Err(problem) = self.admit(p, rid, a, now) {
-            self.shed(rid, problem, now);
+    pub fn take(&mut self, p: &mut Plan, request_id: u64, a: Asked, now: Millis) {
+        if let Err(error_code) = self.admit(p, request_id, a, now) {
+            self.shed(request_id, error_code, now);
         }
     }
 
     /// An errand came to the door, whatever becomes of it.
     pub fn came(&mut self, p: &Plan, now: Millis) {
         self.again.came(now);
-        if let Some(s) = &p.setup {
+        if let Some(s) = &p.configuration {
             let mine = s.spill.iter().filter(|((from, _), _)| *from == p.region);
             self.spill.came(mine.map(|((_, to), n)| (*to, *n)));
         }
     }
 
     /// What can be said at the door, before a body is read.
-    pub fn knock(&mut self, p: &Plan, rid: u64, a: &Asked) -> Result<bool, Problem> {
-        let s = p.setup.as_ref().ok_or(Problem::NoSetup)?;
-        let route = s.route(&a.route).ok_or(Problem::UnknownRoute)?;
+    pub fn knock(&mut self, p: &Plan, request_id: u64, a: &Asked) -> Result<bool, ErrorCode> {
+        let s = p.configuration.as_ref().ok_or(ErrorCode::NoConfiguration)?;
+        let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
         let r = &s.routes[route as usize];
-        if bound(r) && a.home.ok_or(Problem::BadErrand)? != p.region {
+        if bound(r) && a.home.ok_or(ErrorCode::BadErrand)? != p.region {
             // the body must not pass through a region that is not its home
             let addr = p.edges_for(a.home, true, &a.key).first().cloned();
-            let addr = addr.ok_or(Problem::NoWorker)?;
-            self.out.push(ErrandFx::Elsewhere { rid, addr });
+            let addr = addr.ok_or(ErrorCode::NoWorker)?;
+            self.out.push(RequestEffect::Elsewhere { request_id, addr });
             return Ok(false);
         }
-        if p.emptied(p.zone) {
-            return Err(Problem::Leaving);
+        if p.evacuated(p.zone) {
+            return Err(ErrorCode::Leaving);
         }
         // nobody here could take it, so waiting would only use up its time
         let lost = r.kind != Kind::Fetch && p.recovery(p.region) == Recovery::Lost;
@@ -51,26 +51,26 @@
             .iter()
             .any(|((from, to), n)| *from == p.region && self.spill.fits(*to, *n));
         if lost && (r.home || !spills) {
-            return Err(Problem::NoWorker);
+            return Err(ErrorCode::NoWorker);
         }
         Ok(true)
     }
 
-    fn admit(&mut self, p: &Plan, rid: u64, a: Asked, now: Millis) -> Result<(), Problem> {
-        let s = p.setup.as_ref().ok_or(Problem::NoSetup)?;
-        let route = s.route(&a.route).ok_or(Problem::UnknownRoute)?;
+    fn admit(&mut self, p: &Plan, request_id: u64, a: Asked, now: Millis) -> Result<(), ErrorCode> {
+        let s = p.configuration.as_ref().ok_or(ErrorCode::NoConfiguration)?;
+        let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
         let r = &s.routes[route as usize];
-        if !self.knock(p, rid, &a)? {
+        if !self.knock(p, request_id, &a)? {
             return Ok(());
         }
         // its body was read for another kind of errand, under another setup
         if !Shape::of(r).like(&a.shape) {
-            return Err(Problem::GivenUp);
+            return Err(ErrorCode::GivenUp);
         }
         // what was sent once from here must not be sent again
         let open = self.rows.values().any(|e| a.given && e.asked.id == a.id);
         if !r.repeatable && a.given && (open || self.sent_ids.contains_key(&a.id)) {
-            return Err(Problem::AlreadyTaken);
+            return Err(ErrorCode::AlreadyTaken);
         }
         let queue = self.queue_of(p, r);
         let waiting = self
@@ -79,19 +79,19 @@
             .filter(|e| e.stage == Stage::Waiting && e.route == route)
             .count();
         if waiting >= queue.max(1) {
-            return Err(Problem::QueueFull);
+            return Err(ErrorCode::QueueFull);
         }
         self.counts.first += 1;
         self.retries.first(s.retry_percent);
         let claim = if !r.repeatable && a.given {
             let claim = Wish::of(&a, r.cutoff_ms);
-            self.out.push(ErrandFx::Claim { rid, claim });
+            self.out.push(RequestEffect::Claim { request_id, claim });
             Claim::Asked(now)
         } else {
             Claim::Needless
         };
         self.rows.insert(
-            rid,
+            request_id,
             Errand {
                 asked: a,
                 route,
@@ -114,7 +114,7 @@
     }
 
     fn queue_of(&self, p: &Plan, r: &Route) -> usize {
-        let Some(s) = &p.setup else { return 0 };
+        let Some(s) = &p.configuration else { return 0 };
         r.shares
             .iter()
             .flat_map(|h| s.services[h.service as usize].groups.iter())
@@ -123,18 +123,18 @@
             .unwrap_or(0)
     }
 
-    pub fn shed(&mut self, rid: u64, problem: Problem, now: Millis) {
+    pub fn shed(&mut self, request_id: u64, error_code: ErrorCode, now: Millis) {
         self.counts.shed += 1;
-        let again_s = if problem.again() {
+        let again_s = if error_code.again() {
             let rows = self.rows.values();
             let waiting = rows.filter(|e| e.stage == Stage::Waiting).count();
-            self.again.book(problem, waiting, now)
+            self.again.book(error_code, waiting, now)
         } else {
             0
         };
-        self.out.push(ErrandFx::Shed {
-            rid,
-            problem,
+        self.out.push(RequestEffect::Shed {
+            request_id,
+            error_code,
             again_s,
         });
     }
@@ -148,18 +148,18 @@
             .filter(|(_, e)| e.stage == Stage::Waiting)
             .map(|(r, _)| *r)
             .collect();
-        for rid in waiting {
-            let Some(e) = self.rows.get(&rid) else {
+        for request_id in waiting {
+            let Some(e) = self.rows.get(&request_id) else {
                 continue;
             };
             if let Some((to, spilt)) = self.place(p, e) {
-                self.open_at(p, rid, to, spilt);
+                self.open_at(p, request_id, to, spilt);
             }
         }
     }
 
     pub(super) fn place(&self, p: &Plan, e: &Errand) -> Option<((u16, usize), bool)> {
-        let s = p.setup.as_ref()?;
+        let s = p.configuration.as_ref()?;
         let r = s.routes.get(e.route as usize)?;
         let a = Ask {
             route: e.route,
@@ -170,12 +170,13 @@
         };
         let skip = |i: usize| e.tried.contains(&i) || self.shunned.contains_key(&i);
         let ws = &p.shown.view.weights;
-        let here = || place::match_spot(s, ws, &p.spots, &skip, &a, p.region).map(|i| (i, false));
+        let here =
+            || placement::match_spot(s, ws, &p.spots, &skip, &a, p.region).map(|i| (i, false));
         let away = || {
             s.spill
                 .iter()
                 .filter(|((from, to), n)| *from == p.region && self.spill.fits(*to, **n))
-                .find_map(|((_, to), _)| place::match_spot(s, ws, &p.spots, &skip, &a, *to))
+                .find_map(|((_, to), _)| placement::match_spot(s, ws, &p.spots, &skip, &a, *to))
                 .map(|i| (i, true))
         };
         // a region that comes back cold is let in by how warm it is, so
@@ -184,14 +185,14 @@
             Recovery::Returning(n) if !r.home && r.kind != Kind::Fetch => u64::from(n),
             _ => 100,
         };
-        if place::mix(&e.asked.id, "part") % 100 < part {
+        if placement::mix(&e.asked.id, "part") % 100 < part {
             here().or_else(away)
         } else {
             away().or_else(here)
         }
     }
 
-    fn open_at(&mut self, p: &mut Plan, rid: u64, to: (u16, usize), spilt: bool) {
+    fn open_at(&mut self, p: &mut Plan, request_id: u64, to: (u16, usize), spilt: bool) {
         let (v, i) = to;
         let Some(addr) = p.addrs.get(i).copied().flatten() else {
             return;
@@ -202,10 +203,10 @@
         self.spill.count(region.filter(|_| spilt));
         self.counts.spilt += u64::from(spilt);
         let service = p
-            .setup
+            .configuration
             .as_ref()
             .map(|s| s.services[v as usize].name.clone());
-        if let Some(e) = self.rows.get_mut(&rid) {
+        if let Some(e) = self.rows.get_mut(&request_id) {
             e.stage = Stage::Opening(i);
             e.service = service.unwrap_or_default();
             e.spilt = spilt;
@@ -213,8 +214,8 @@
             e.tries += 1;
         }
         p.sent(i);
-        self.out.push(ErrandFx::Open {
-            rid,
+        self.out.push(RequestEffect::Open {
+            request_id,
             token,
             worker: i,
             addr,
@@ -222,44 +223,52 @@
     }
 
     /// What a worker's task tells. The one place where handing over is decided.
-    pub fn told(&mut self, p: &mut Plan, rid: u64, token: u64, t: Told, permit: bool, now: Millis) {
-        let Some(e) = self.rows.get(&rid).filter(|e| e.token == token) else {
-            self.out.push(ErrandFx::Drop { rid, token });
+    pub fn told(
+        &mut self,
+        p: &mut Plan,
+        request_id: u64,
+        token: u64,
+        t: Told,
+        lease: bool,
+        now: Millis,
+    ) {
+        let Some(e) = self.rows.get(&request_id).filter(|e| e.token == token) else {
+            self.out.push(RequestEffect::Drop { request_id, token });
             return;
         };
         match (e.stage, t) {
-            (Stage::Opening(i), Told::Ready) => self.hand_over(p, rid, i, permit, now),
+            (Stage::Opening(i), Told::Ready) => self.hand_over(p, request_id, i, lease, now),
             (Stage::Opening(i), Told::Unsent) => {
                 self.shunned.insert(i, now + SHUN_MS);
-                self.back(p, rid, i, false, now);
+                self.back(p, request_id, i, false, now);
             }
-            (Stage::Sent(i), Told::NotRun) => self.back(p, rid, i, false, now),
+            (Stage::Sent(i), Told::NotRun) => self.back(p, request_id, i, false, now),
             (Stage::Sent(i), Told::Whole) => {
-                self.learn(rid, now);
-                self.end(p, rid, i);
+                self.learn(request_id, now);
+                self.end(p, request_id, i);
                 self.counts.served += 1;
-                self.out.push(ErrandFx::Give { rid, token });
+                self.out.push(RequestEffect::Give { request_id, token });
             }
             (Stage::Sent(i), Told::Begun) => {
-                if let Some(e) = self.rows.get_mut(&rid) {
+                if let Some(e) = self.rows.get_mut(&request_id) {
                     e.stage = Stage::Relaying(i);
                 }
-                self.out.push(ErrandFx::Give { rid, token });
+                self.out.push(RequestEffect::Give { request_id, token });
             }
             (Stage::Relaying(i), Told::Ended) => {
-                self.learn(rid, now);
+                self.learn(request_id, now);
                 self.counts.served += 1;
-                self.end(p, rid, i);
+                self.end(p, request_id, i);
             }
             (Stage::Relaying(i), Told::Broke(_)) => {
-                self.bad(p, rid, i, Problem::StreamBroken);
+                self.bad(p, request_id, i, ErrorCode::StreamBroken);
                 // what a caller has seen of a stream cannot be gone on elsewhere
                 self.counts.broken += 1;
-                self.end(p, rid, i);
+                self.end(p, request_id, i);
             }
-            (Stage::Sent(i), Told::Broke(why)) => self.broke(p, rid, i, why, now),
+            (Stage::Sent(i), Told::Broke(why)) => self.broke(p, request_id, i, why, now),
             (Stage::Opening(i) | Stage::Sent(i) | Stage::Relaying(i), _) => {
-                self.broke(p, rid, i, Problem::WorkerGarbage, now)
+                self.broke(p, request_id, i, ErrorCode::WorkerGarbage, now)
             }
             (Stage::Waiting, _) => {}
         }
@@ -270,48 +279,48 @@
     pub(super) fn hand_over(
         &mut self,
         p: &mut Plan,
-        rid: u64,
+        request_id: u64,
         i: usize,
-        permit: bool,
+        lease: bool,
         now: Millis,
     ) {
-        let Some(e) = self.rows.get_mut(&rid) else {
+        let Some(e) = self.rows.get_mut(&request_id) else {
             return;
         };
         // until its id is noted as this edge's, another may be sending it
-        if matches!(e.claim, Claim::Asked(_)) && !broken(Rule::Claim) {
+        if matches!(e.claim, Claim::Asked(_)) && !broken(Invariant::Claim) {
             e.ready = true;
             return;
         }
         let token = e.token;
         let late = now >= e.cutoff;
-        let fits = permit && p.open(i) && !late && allowed(p, e, i);
+        let fits = lease && p.open(i) && !late && allowed(p, e, i);
         if !fits {
-            self.out.push(if broken(Rule::Refusal) {
+            self.out.push(if broken(Invariant::Refusal) {
                 let adapter = None;
-                ErrandFx::Go {
-                    rid,
+                RequestEffect::Go {
+                    request_id,
                     token,
                     adapter,
                 }
             } else {
-                ErrandFx::Drop { rid, token }
+                RequestEffect::Drop { request_id, token }
             });
-            if permit && !late {
-                return self.back(p, rid, i, true, now);
+            if lease && !late {
+                return self.back(p, request_id, i, true, now);
             }
-            self.end(p, rid, i);
+            self.end(p, request_id, i);
             let why = if late {
-                Problem::GivenUp
+                ErrorCode::GivenUp
             } else {
-                Problem::NoPermit
+                ErrorCode::NoLease
             };
-            return self.shed(rid, why, now);
+            return self.shed(request_id, why, now);
         }
         e.stage = Stage::Sent(i);
         e.sent_at = now;
         e.left = true;
-        let s = p.setup.as_ref();
+        let s = p.configuration.as_ref();
         // a later setup may call it something else, but this one sent it
         e.repeats = s.is_some_and(|s| s.routes[e.route as usize].repeatable);
         let service = s.and_then(|s| s.services.iter().find(|v| v.name == e.service));
@@ -319,21 +328,21 @@
         let adapter = adapter.or_else(|| service.and_then(|v| v.adapter.clone()));
         let (id, lasts) = (e.asked.id.clone(), e.cutoff - e.since);
         if !e.repeats && e.asked.given {
-            self.remember(id, rid, now + lasts + KEEP_MS, now);
+            self.remember(id, request_id, now + lasts + KEEP_MS, now);
         }
-        self.out.push(ErrandFx::Go {
-            rid,
+        self.out.push(RequestEffect::Go {
+            request_id,
             token,
             adapter,
         });
     }
 
     /// Nothing of it has run: wait again, for another worker.
-    fn back(&mut self, p: &mut Plan, rid: u64, i: usize, free: bool, now: Millis) {
+    fn back(&mut self, p: &mut Plan, request_id: u64, i: usize, free: bool, now: Millis) {
         p.done(i);
         let ok = free || self.retries.again();
         self.counts.again += u64::from(ok && !free);
-        let Some(e) = self.rows.get_mut(&rid) else {
+        let Some(e) = self.rows.get_mut(&request_id) else {
             return;
         };
         self.sent_ids.remove(&e.asked.id);
@@ -343,51 +352,58 @@
         e.left = false;
         e.tried.push(i);
         if !ok || e.tries >= 4 {
-            self.forget(rid);
-            self.shed(rid, Problem::NoWorker, now);
+            self.forget(request_id);
+            self.shed(request_id, ErrorCode::NoWorker, now);
         }
     }
 
-    pub(super) fn broke(&mut self, p: &mut Plan, rid: u64, i: usize, why: Problem, now: Millis) {
-        let Some(e) = self.rows.get(&rid).cloned() else {
+    pub(super) fn broke(
+        &mut self,
+        p: &mut Plan,
+        request_id: u64,
+        i: usize,
+        why: ErrorCode,
+        now: Millis,
+    ) {
+        let Some(e) = self.rows.get(&request_id).cloned() else {
             return;
         };
-        let again = e.repeats && repeatable(p, &e) || broken(Rule::Repeat);
+        let again = e.repeats && repeatable(p, &e) || broken(Invariant::Repeat);
         self.shunned.insert(i, now + SHUN_MS);
-        self.bad(p, rid, i, why);
+        self.bad(p, request_id, i, why);
         if again && now < e.cutoff && e.tries < 3 && self.retries.again() {
             self.counts.again += 1;
-            return self.back(p, rid, i, true, now);
+            return self.back(p, request_id, i, true, now);
         }
-        self.end(p, rid, i);
+        self.end(p, request_id, i);
         if again {
-            return self.shed(rid, why, now);
+            return self.shed(request_id, why, now);
         }
         self.counts.unknown += 1;
         let (id, worker) = (e.asked.id, p.name(i));
-        self.out.push(ErrandFx::Unknown { id, worker });
+        self.out.push(RequestEffect::Unknown { id, worker });
         // it may have run, so it must not be called refused
-        let honest = Problem::OutcomeUnknown;
-        let said = if broken(Rule::Unknown) {
-            Problem::NoWorker
+        let honest = ErrorCode::OutcomeUnknown;
+        let said = if broken(Invariant::Unknown) {
+            ErrorCode::NoWorker
         } else {
             honest
         };
-        self.shed(rid, said, now);
+        self.shed(request_id, said, now);
     }
 
-    fn bad(&mut self, p: &Plan, rid: u64, i: usize, problem: Problem) {
-        let id = self.rows.get(&rid).map(|e| e.asked.id.clone());
+    fn bad(&mut self, p: &Plan, request_id: u64, i: usize, error_code: ErrorCode) {
+        let id = self.rows.get(&request_id).map(|e| e.asked.id.clone());
         let worker = p.name(i);
-        self.out.extend(id.map(|id| ErrandFx::Bad {
+        self.out.extend(id.map(|id| RequestEffect::Bad {
             id,
             worker,
-            problem,
+            error_code,
         }));
     }
 
-    pub(super) fn end(&mut self, p: &mut Plan, rid: u64, i: usize) {
+    pub(super) fn end(&mut self, p: &mut Plan, request_id: u64, i: usize) {
         p.done(i);
-        self.forget(rid);
+        self.forget(request_id);
     }
 }
--- a/sorreldoor/src/errand/plan.rs
+++ b/sorreldoor/src/gateway/request_table/plan.rs
@@ -1,10 +1,10 @@
 //! All an edge was delivered, with names made dense: what passes read.
 
-use crate::place::{self, Spot};
-use crate::record::{Recovery, View};
-use crate::registry::{Loads, Worker, WorkerRegistry};
-use crate::rules::{broken, Rule};
-use crate::setup::{self, Setup, Site};
+use crate::configuration::{self, Configuration, Site};
+use crate::discovery::{Loads, Worker, WorkerRegistry};
+use crate::invariants::{broken, Invariant};
+use crate::placement::{self, Spot};
+use crate::replicated_state::{Recovery, View};
 use crate::wire::Place;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     pub zone: u16,
     pub region: u8,
     pub shown: Shown,
-    pub setup: Option<Arc<Setup>>,
+    pub configuration: Option<Arc<Configuration>>,
     /// Names of workers ever seen, in order of their dense index.
     index: HashMap<String, usize>,
     pub spots: Vec<Option<Spot>>,
@@ -59,23 +59,23 @@
         if v.rev < self.shown.view.rev {
             return true;
         }
-        let same = v.doc == self.shown.view.doc && self.setup.is_some();
+        let same = v.doc == self.shown.view.doc && self.configuration.is_some();
         let read = v
             .doc
             .as_ref()
             .filter(|_| !same)
-            .map(|d| setup::read(d.as_bytes(), &self.site));
+            .map(|d| configuration::read(d.as_bytes(), &self.site));
         self.shown.view = v;
         let ok = read.as_ref().is_none_or(|r| r.is_ok());
         if let Some(r) = read {
-            self.setup = r.ok().map(|(s, _)| Arc::new(s));
+            self.configuration = r.ok().map(|(s, _)| Arc::new(s));
         }
         self.rebuild();
         ok
     }
 
     pub fn take_registry(&mut self, r: Arc<WorkerRegistry>) {
-        if r.serial >= self.shown.registry.serial {
+        if r.version >= self.shown.registry.version {
             self.shown.registry = r;
             self.rebuild();
         }
@@ -106,8 +106,8 @@
         i
     }
 
-    pub fn emptied(&self, zone: u16) -> bool {
-        self.shown.view.emptied.contains(&zone) && !broken(Rule::Emptied)
+    pub fn evacuated(&self, zone: u16) -> bool {
+        self.shown.view.evacuated.contains(&zone) && !broken(Invariant::Evacuated)
     }
 
     pub fn recovery(&self, region: u8) -> Recovery {
@@ -133,23 +133,23 @@
             self.edges.push((self.me.clone(), self.region));
         }
         self.spots.iter_mut().for_each(|s| *s = None);
-        let Some(setup) = self.setup.clone() else {
+        let Some(configuration) = self.configuration.clone() else {
             return;
         };
         let registry = self.shown.registry.clone();
         let loads = self.shown.loads.clone();
         let mut dealt: BTreeMap<(u16, u8), u64> = BTreeMap::new();
         for w in &registry.workers {
-            let Some(g) = setup.group(&w.group) else {
+            let Some(g) = configuration.group(&w.group) else {
                 continue;
             };
             let dealt = dealt.entry((g, w.region)).or_default();
             let i = self.dense(&w.name);
-            let grp = &setup.groups[g as usize];
+            let grp = &configuration.groups[g as usize];
             let l = loads.of(&w.name);
             let slots = l.map_or(0, |l| l.slots).max(1).min(grp.slots);
-            let leaving = w.leaving && !broken(Rule::Leaving);
-            let open = !leaving && !self.emptied(w.zone) && l.is_some_and(|l| l.live);
+            let leaving = w.leaving && !broken(Invariant::Leaving);
+            let open = !leaving && !self.evacuated(w.zone) && l.is_some_and(|l| l.live);
             let done = l.map_or(0, |l| l.finished);
             let (most, cap) = self.most(w, slots, grp.warm, done, *dealt);
             *dealt += u64::from(grp.warm.first);
@@ -172,7 +172,14 @@
 
     /// This edge's part of what a worker may hold: strict while it is cold.
     /// `dealt` counts the first places of the workers before it.
-    fn most(&self, w: &Worker, slots: u32, warm: setup::Warm, done: u64, dealt: u64) -> (u32, u32) {
+    fn most(
+        &self,
+        w: &Worker,
+        slots: u32,
+        warm: configuration::Warm,
+        done: u64,
+        dealt: u64,
+    ) -> (u32, u32) {
         let cap = u64::from(warm.first) + done / u64::from(warm.after.max(1));
         let all = self
             .edges
@@ -185,7 +192,7 @@
             .filter(|(_, r)| *r == w.region)
             .map(|(e, _)| e.clone())
             .collect();
-        if cap >= u64::from(slots) || broken(Rule::Warm) {
+        if cap >= u64::from(slots) || broken(Invariant::Warm) {
             // what others send is seen half a second late, so no edge may
             // take all; but a share too small would leave free slots unused
             let here = near.contains(&self.me);
@@ -198,9 +205,9 @@
         }
         // what a cold worker can bear holds for all edges together, so a
         // few have it to themselves; they change over so that none goes without
-        let turn = self.shown.loads.serial / TURN;
-        let rank = place::dealt_rank(&set, &self.me, dealt + turn);
-        (place::part_of(cap as u32, set.len(), rank), cap as u32)
+        let turn = self.shown.loads.version / TURN;
+        let rank = placement::dealt_rank(&set, &self.me, dealt + turn);
+        (placement::part_of(cap as u32, set.len(), rank), cap as u32)
     }
 
     pub fn sent(&mut self, i: usize) {
@@ -243,12 +250,12 @@
             .edge_sessions
             .1
             .iter()
-            .filter(|s| s.ready && !self.emptied(s.zone))
+            .filter(|s| s.ready && !self.evacuated(s.zone))
             .filter(|s| !only || region == Some(s.region))
             .collect();
         all.sort_by_key(|s| {
             let away = region.is_some_and(|r| r != s.region);
-            (away, std::cmp::Reverse(place::mix(key, &s.node)))
+            (away, std::cmp::Reverse(placement::mix(key, &s.node)))
         });
         all.iter().map(|s| s.http.clone()).collect()
     }
--- a/sorreldoor/src/edge/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -3,15 +3,15 @@
 use super::api::Api;
 use super::controller::{EdgeController, EdgeEffect, EdgeEvent};
 use super::relay::{Brought, Load, Task, Word};
-use crate::errand::{ErrandFx, Plan, Shape};
-use crate::events::{say, Ev};
+use crate::error::ErrorCode;
+use crate::gateway::request_table::{Plan, RequestEffect, Shape};
 use crate::http;
+use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent, Ring};
-use crate::problem::Problem;
-use crate::pull::Pull;
-use crate::record::View;
-use crate::seam::{self, Clock, Hand};
+use crate::replicated_state::View;
+use crate::runtime::{self, Clock, EffectHandler};
 use crate::settings::Settings;
+use crate::subscription::Pull;
 use crate::wire::{Hello, OpOutcome};
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::net::TcpListener;
@@ -29,15 +29,15 @@
 pub enum Reply {
     /// The body may come; what the route asks of it.
     Come(Shape),
-    Shed(Problem, u64),
+    Shed(ErrorCode, u64),
     Elsewhere(String),
     Brought(Brought),
-    Where(Result<Vec<String>, Problem>),
+    Where(Result<Vec<String>, ErrorCode>),
     Done(OpOutcome),
     Looked(bool, Box<View>),
     Status {
         text: String,
-        ready: Result<(), Problem>,
+        ready: Result<(), ErrorCode>,
     },
 }
 
@@ -56,24 +56,24 @@
 
 impl Desk {
     pub fn open(&self) -> (u64, Receiver<Reply>) {
-        let rid = self.next.fetch_add(1, Ordering::Relaxed) + 1;
+        let request_id = self.next.fetch_add(1, Ordering::Relaxed) + 1;
         let (tx, rx) = bounded(1);
-        self.lock().waiting.insert(rid, tx);
-        (rid, rx)
+        self.lock().waiting.insert(request_id, tx);
+        (request_id, rx)
     }
-    pub fn close(&self, rid: u64) {
+    pub fn close(&self, request_id: u64) {
         let mut d = self.lock();
-        d.waiting.remove(&rid);
-        d.loads.remove(&rid);
+        d.waiting.remove(&request_id);
+        d.loads.remove(&request_id);
     }
-    pub fn bring(&self, rid: u64, l: Load) {
-        self.lock().loads.insert(rid, Arc::new(l));
+    pub fn bring(&self, request_id: u64, l: Load) {
+        self.lock().loads.insert(request_id, Arc::new(l));
     }
-    fn load(&self, rid: u64) -> Option<Arc<Load>> {
-        self.lock().loads.get(&rid).cloned()
+    fn load(&self, request_id: u64) -> Option<Arc<Load>> {
+        self.lock().loads.get(&request_id).cloned()
     }
-    fn give(&self, rid: u64, r: Reply) {
-        let tx = self.lock().waiting.remove(&rid);
+    fn give(&self, request_id: u64, r: Reply) {
+        let tx = self.lock().waiting.remove(&request_id);
         // whoever has stopped waiting needs no result
         let _ = tx.map(|t| t.try_send(r).is_ok());
     }
@@ -83,7 +83,7 @@
 }
 
 pub fn run(set: Settings) -> Result<(), String> {
-    run_with(set, seam::Machine::default())
+    run_with(set, runtime::SystemClock::default())
 }
 
 /// With another clock.
@@ -105,7 +105,7 @@
         ..Hello::default()
     };
     let plan = Plan::new(set.names.clone(), set.node.clone(), set.zone, set.region);
-    let pull = Pull::new(&set.seeds, set.permit_ms, 0, clock.now().wall)
+    let pull = Pull::new(&set.seeds, set.lease_ms, 0, clock.now().wall)
         .named(&set.node)
         .paced(&set.pacing);
     let desk = Desk::default();
@@ -125,9 +125,9 @@
     task::spawn(http::serve(web, most, gate.clone(), move |r, p| {
         api.clone().handle(r, p)
     }));
-    say(Ev::Started, format!("edge {}", set.node));
-    say(Ev::Listening, format!("http {}", set.http));
-    crate::run::ticker(ring.clone(), TICK, || EdgeEvent::Alarm);
+    log_event(LogEvent::Started, format!("edge {}", set.node));
+    log_event(LogEvent::Listening, format!("http {}", set.http));
+    crate::run::ticker(ring.clone(), TICK, || EdgeEvent::Tick);
     crate::run::on_term(ring.clone(), || EdgeEvent::Stop)?;
     let mut controller = EdgeController::new(me, plan, pull);
     let mut hand = Daemon {
@@ -140,10 +140,10 @@
         stop_at: None,
         sweep_at: Instant::now(),
     };
-    seam::turn(&mut controller, &clock, &mut hand, &rx);
+    runtime::run_event_loop(&mut controller, &clock, &mut hand, &rx);
     // the last results are still on their way to their callers
     std::thread::sleep(Duration::from_millis(100));
-    say(Ev::Stopped, "edge");
+    log_event(LogEvent::Stopped, "edge");
     Ok(())
 }
 
@@ -163,8 +163,8 @@
     sweep_at: Instant,
 }
 
-impl Hand<EdgeController> for Daemon {
-    fn goes_on(&mut self, controller: &EdgeController) -> bool {
+impl EffectHandler<EdgeController> for Daemon {
+    fn keeps_running(&mut self, controller: &EdgeController) -> bool {
         // a task may have ended while its last word still waits in the
         // ring, so only what the table has let go of is forgotten
         if Instant::now() >= self.sweep_at {
@@ -185,72 +185,77 @@
         !done && Instant::now() < end
     }
 
-    fn carry(&mut self, controller: &mut EdgeController, fx: EdgeEffect) {
-        match fx {
+    fn handle(&mut self, controller: &mut EdgeController, effect: EdgeEffect) {
+        match effect {
             EdgeEffect::Send(c, p) => {
                 self.net.send(c, &p);
             }
-            EdgeEffect::Dial(a) => self.net.dial(a, self.set.reached(a)),
-            EdgeEffect::Undial(a) => self.net.undial(a),
-            EdgeEffect::Come(rid, s) => self.desk.give(rid, Reply::Come(s)),
-            EdgeEffect::Where(rid, r) => self.desk.give(rid, Reply::Where(r)),
-            EdgeEffect::Done(rid, o) => self.desk.give(rid, Reply::Done(o)),
-            EdgeEffect::Looked(rid, ok) => {
+            EdgeEffect::Connect(a) => self.net.dial(a, self.set.reached(a)),
+            EdgeEffect::Disconnect(a) => self.net.undial(a),
+            EdgeEffect::Come(request_id, s) => self.desk.give(request_id, Reply::Come(s)),
+            EdgeEffect::Where(request_id, r) => self.desk.give(request_id, Reply::Where(r)),
+            EdgeEffect::Done(request_id, o) => self.desk.give(request_id, Reply::Done(o)),
+            EdgeEffect::Looked(request_id, ok) => {
                 let v = Box::new(controller.plan.shown.view.clone());
-                self.desk.give(rid, Reply::Looked(ok, v));
+                self.desk.give(request_id, Reply::Looked(ok, v));
             }
-            EdgeEffect::Status(rid, text) => {
+            EdgeEffect::Status(request_id, text) => {
                 let ready = controller.ready();
-                self.desk.give(rid, Reply::Status { text, ready });
+                self.desk.give(request_id, Reply::Status { text, ready });
             }
-            EdgeEffect::Say(ev, about) => say(ev, about),
+            EdgeEffect::Say(ev, about) => log_event(ev, about),
             EdgeEffect::Errand(f) => self.errand(f),
         }
     }
 }
 
 impl Daemon {
-    fn errand(&mut self, f: ErrandFx) {
+    fn errand(&mut self, f: RequestEffect) {
         match f {
-            ErrandFx::Open {
-                rid, token, addr, ..
-            } => self.open(rid, token, addr),
-            ErrandFx::Go { token, adapter, .. } => self.word(token, Word::Go(adapter)),
-            ErrandFx::Drop { token, .. } => {
+            RequestEffect::Open {
+                request_id,
+                token,
+                addr,
+                ..
+            } => self.open(request_id, token, addr),
+            RequestEffect::Go { token, adapter, .. } => self.word(token, Word::Go(adapter)),
+            RequestEffect::Drop { token, .. } => {
                 self.word(token, Word::Drop);
                 self.tasks.remove(&token);
             }
-            ErrandFx::Shed {
-                rid,
-                problem,
+            RequestEffect::Shed {
+                request_id,
+                error_code,
                 again_s,
-            } => self.desk.give(rid, Reply::Shed(problem, again_s)),
-            ErrandFx::Elsewhere { rid, addr } => self.desk.give(rid, Reply::Elsewhere(addr)),
-            ErrandFx::Give { rid, token } => {
+            } => self.desk.give(request_id, Reply::Shed(error_code, again_s)),
+            RequestEffect::Elsewhere { request_id, addr } => {
+                self.desk.give(request_id, Reply::Elsewhere(addr))
+            }
+            RequestEffect::Give { request_id, token } => {
                 let got = self
                     .tasks
                     .get(&token)
                     .and_then(|t| t.brought.try_recv().ok());
                 if let Some(b) = got {
-                    self.desk.give(rid, Reply::Brought(b));
+                    self.desk.give(request_id, Reply::Brought(b));
                 }
             }
-            ErrandFx::Unknown { .. }
-            | ErrandFx::Bad { .. }
-            | ErrandFx::Claim { .. }
-            | ErrandFx::Release { .. } => {}
+            RequestEffect::Unknown { .. }
+            | RequestEffect::Bad { .. }
+            | RequestEffect::Claim { .. }
+            | RequestEffect::Release { .. } => {}
         }
     }
 
-    fn open(&mut self, rid: u64, token: u64, addr: SocketAddr) {
-        let Some(load) = self.desk.load(rid) else {
+    fn open(&mut self, request_id: u64, token: u64, addr: SocketAddr) {
+        let Some(load) = self.desk.load(request_id) else {
             return;
         };
         let (words, rx) = bounded(4);
         let (hand, brought) = bounded(1);
         self.tasks.insert(token, Running { words, brought });
         let t = Task {
-            rid,
+            request_id,
             token,
             load,
             ring: self.ring.clone(),
--- a/sorreldoor/src/edge/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -2,12 +2,12 @@
 
 use super::controller::{EdgeController, EdgeEffect};
 use crate::consensus::{Millis, Noted};
-use crate::core::KEEP_MS;
-use crate::errand::Wish;
-use crate::events::Ev;
+use crate::control_plane::KEEP_MS;
+use crate::discovery::WorkerRegistry;
+use crate::gateway::request_table::Wish;
+use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
-use crate::pull::Granted;
-use crate::registry::WorkerRegistry;
+use crate::subscription::Granted;
 use crate::wire::*;
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
                 if let Some(a) = dialled {
                     let fx = self.pull.up(conn, a, self.now);
                     fx.into_iter().for_each(|f| self.pulled(f));
-                    self.say(Ev::SessionUp, a.to_string());
+                    self.log_event(LogEvent::SessionUp, a.to_string());
                     self.retell(conn);
                 }
             }
@@ -36,10 +36,11 @@
                     .filter(|(_, c)| **c == conn)
                     .map(|(r, _)| *r)
                     .collect();
-                for rid in lost {
-                    self.changes.remove(&rid);
+                for request_id in lost {
+                    self.changes.remove(&request_id);
                     // it left on that session, so it may have been taken
-                    self.out.push(EdgeEffect::Done(rid, OpOutcome::Unknown));
+                    self.out
+                        .push(EdgeEffect::Done(request_id, OpOutcome::Unknown));
                 }
             }
             NetEvent::Frame { conn, payload } => self.frame(conn, *payload),
@@ -48,16 +49,23 @@
 
     fn frame(&mut self, conn: Conn, p: Payload) {
         match p {
-            Payload::Grant { no, ok, news } => self.on_grant(no, ok, news),
-            Payload::ClaimDone { rid, id, said } => {
-                let (now, permit) = (self.now, self.pull.permit(self.now));
+            Payload::Grant { no, ok, delta } => self.on_grant(no, ok, delta),
+            Payload::ClaimDone {
+                request_id,
+                id,
+                said,
+            } => {
+                let (now, lease) = (self.now, self.pull.lease(self.now));
                 self.table
-                    .claimed(&mut self.plan, rid, &id, said, permit, now);
+                    .claimed(&mut self.plan, request_id, &id, said, lease, now);
             }
-            Payload::Released { rid } => {
-                self.frees.remove(&rid);
+            Payload::Released { request_id } => {
+                self.frees.remove(&request_id);
             }
-            Payload::OpDone { rid, outcome } => self.on_done(rid, outcome),
+            Payload::OpDone {
+                request_id,
+                outcome,
+            } => self.on_done(request_id, outcome),
             // renewals are sign of life enough on the session's own line
             Payload::Ping { .. } if self.pull.conn == Some(conn) => {}
             Payload::Ping { .. } => self
@@ -68,46 +76,46 @@
         }
     }
 
-    fn on_grant(&mut self, no: u64, ok: bool, news: News) {
+    fn on_grant(&mut self, no: u64, ok: bool, delta: StateDelta) {
         // news from a core that could not prove itself may be old, and is
         // taken only by an edge that has none at all
-        let some = news.record.as_ref().is_some_and(|r| r.has_document);
-        if news.record_withheld {
+        let some = delta.record.as_ref().is_some_and(|r| r.has_document);
+        if delta.record_withheld {
             self.pull.withheld(no, self.now);
             return;
         }
         match self.pull.granted(no, ok, some, self.now) {
             Granted::Proved => {
-                self.take_news(news);
+                self.apply_delta(delta);
                 self.looked(no, true);
             }
-            Granted::Unverified => self.take_news(news),
+            Granted::Unverified => self.apply_delta(delta),
             Granted::No => {}
         }
     }
 
     fn take_registry(&mut self, r: Arc<WorkerRegistry>) {
-        if r.serial > self.pull.have.registry {
-            self.pull.have.registry = r.serial;
+        if r.version > self.pull.have.registry {
+            self.pull.have.registry = r.version;
             self.plan.take_registry(r);
         }
     }
 
-    fn on_done(&mut self, rid: u64, outcome: OpOutcome) {
-        if self.changes.remove(&rid).is_some() {
-            self.out.push(EdgeEffect::Done(rid, outcome));
+    fn on_done(&mut self, request_id: u64, outcome: OpOutcome) {
+        if self.changes.remove(&request_id).is_some() {
+            self.out.push(EdgeEffect::Done(request_id, outcome));
         }
     }
 
-    fn take_news(&mut self, n: News) {
-        let was = self.plan.shown.view.serial;
+    fn apply_delta(&mut self, n: StateDelta) {
+        let was = self.plan.shown.view.version;
         // an answer that was long on its way must not undo a newer one
         if let Some(u) = n.record.filter(|u| u.revision > self.pull.have.record) {
             self.take_update(&u);
-            self.table.pass_setup(&mut self.plan, self.now);
-            let now = self.plan.shown.view.serial;
+            self.table.apply_configuration(&mut self.plan, self.now);
+            let now = self.plan.shown.view.version;
             if now != was {
-                self.say(Ev::SetupAdopted, format!("serial {now}"));
+                self.log_event(LogEvent::ConfigurationAdopted, format!("serial {now}"));
             }
         }
         if let Some(r) = n.registry {
@@ -135,11 +143,11 @@
         if !update.as_ref().is_some_and(|u| self.copy.apply(u)) {
             // it does not lead on from what is here; the whole will
             self.pull.have.record = 0;
-            return self.say(Ev::SetupUnread, "");
+            return self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
         self.pull.have.record = encoded.revision;
         if !self.plan.take_view(self.copy.view()) {
-            self.say(Ev::SetupUnread, "");
+            self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
         if encoded.bytes.len() > LARGE_UPDATE {
             let conn = self.pull.conn;
@@ -149,34 +157,34 @@
     }
 
     /// One try of one life of this edge, unlike any other.
-    fn by(&self, rid: u64) -> u128 {
-        (u128::from(self.me.boot) << 64) | u128::from(rid)
+    fn by(&self, request_id: u64) -> u128 {
+        (u128::from(self.me.boot) << 64) | u128::from(request_id)
     }
 
-    pub(super) fn claim(&mut self, rid: u64, w: Wish) {
-        let (id, by, keep_ms) = (w.id, self.by(rid), w.keep_ms);
+    pub(super) fn claim(&mut self, request_id: u64, w: Wish) {
+        let (id, by, keep_ms) = (w.id, self.by(request_id), w.keep_ms);
         let claim = Noted { id, by, keep_ms };
         // without a session it is asked again by the pass over claims
         if let Some(c) = self.pull.conn {
             self.out
-                .push(EdgeEffect::Send(c, Payload::Claim { rid, claim }));
+                .push(EdgeEffect::Send(c, Payload::Claim { request_id, claim }));
         }
     }
 
     /// Give a claim up: told again until a majority of cores has heard it, or
     /// its id would be held by what never ran.
-    pub(super) fn release(&mut self, rid: u64, id: String) {
+    pub(super) fn release(&mut self, request_id: u64, id: String) {
         if self.frees.len() < FREES {
-            self.frees.insert(rid, (id.clone(), self.now));
+            self.frees.insert(request_id, (id.clone(), self.now));
         }
-        self.send_release(rid, id);
+        self.send_release(request_id, id);
     }
 
-    fn send_release(&mut self, rid: u64, id: String) {
-        let by = self.by(rid);
+    fn send_release(&mut self, request_id: u64, id: String) {
+        let by = self.by(request_id);
         if let Some(c) = self.pull.conn {
             self.out
-                .push(EdgeEffect::Send(c, Payload::Release { rid, id, by }));
+                .push(EdgeEffect::Send(c, Payload::Release { request_id, id, by }));
         }
     }
 
@@ -192,11 +200,11 @@
             .frees
             .iter()
             .filter(|(_, (_, t))| *t <= before)
-            .map(|(rid, (id, _))| (*rid, id.clone()))
+            .map(|(request_id, (id, _))| (*request_id, id.clone()))
             .take(256)
             .collect();
-        for (rid, id) in due {
-            self.send_release(rid, id);
+        for (request_id, id) in due {
+            self.send_release(request_id, id);
         }
     }
 
@@ -206,7 +214,7 @@
             .table
             .sent_lately()
             .into_iter()
-            .map(|(id, rid)| (id, self.by(rid)))
+            .map(|(id, request_id)| (id, self.by(request_id)))
             .collect();
         if !all.is_empty() {
             self.out.push(EdgeEffect::Send(conn, Payload::Sent { all }));
--- a/sorreldoor/src/edge/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -10,7 +10,7 @@
         let mut v = Val::object();
         let _ = v.insert("node", self.me.node.as_str());
         let _ = v.insert("role", "edge");
-        let _ = v.insert("serial", self.plan.shown.view.serial);
+        let _ = v.insert("serial", self.plan.shown.view.version);
         let _ = v.insert("rev", self.plan.shown.view.rev);
         let _ = v.insert("permit_left_ms", self.pull.left(self.now));
         let _ = v.insert("session", self.pull.conn.is_some());
@@ -20,7 +20,7 @@
         let s = &self.plan.shown;
         let zones = crate::operator_api::zones(
             &self.plan.site,
-            &s.view.emptied,
+            &s.view.evacuated,
             &s.registry.workers,
             &s.loads,
             s.edge_sessions.1.iter().map(|p| (p.zone, p.running)),
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -1,7 +1,7 @@
 //! The caller's side of HTTP: one errand on a connection of its own, and a
 //! result read to its stated end.
 
-use crate::rules::{broken, Rule};
+use crate::invariants::{broken, Invariant};
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use http_types::headers::HeaderValue;
@@ -133,7 +133,7 @@
             return Err(Broke::Garbage);
         }
         // async-h1 takes an early end of a counted body for its end
-        if want.is_some_and(|n| n != b.len()) && !broken(Rule::ResultLength) {
+        if want.is_some_and(|n| n != b.len()) && !broken(Invariant::ResultLength) {
             return Err(Broke::Short);
         }
     }
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -5,8 +5,8 @@
 
 pub use call::{call, framed, open, send, whole, Broke, Call, Called};
 
+use crate::error::ErrorCode;
 use crate::json::Val;
-use crate::problem::Problem;
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
 use async_std::net::{TcpListener, TcpStream};
@@ -38,7 +38,7 @@
 }
 
 /// The result for a problem, straight from the table.
-pub fn shed(p: Problem, more: &str, again: u64) -> Response {
+pub fn shed(p: ErrorCode, more: &str, again: u64) -> Response {
     let mut v = Val::object();
     let _ = v.insert("problem", p.code());
     let _ = v.insert("text", p.text());
@@ -158,7 +158,7 @@
             let _ = s.set_nodelay(true);
             if n >= most {
                 let mut s = s;
-                let _ = timeout(HEAD, refuse(&mut s, Problem::TooManyConnections)).await;
+                let _ = timeout(HEAD, refuse(&mut s, ErrorCode::TooManyConnections)).await;
             } else {
                 one(s, &gate, f).await;
             }
@@ -182,7 +182,7 @@
     false
 }
 
-async fn refuse(s: &mut TcpStream, p: Problem) -> std::io::Result<()> {
+async fn refuse(s: &mut TcpStream, p: ErrorCode) -> std::io::Result<()> {
     use async_std::io::prelude::*;
     let mut r = shed(p, "", 1);
     r.insert_header("connection", "close");
@@ -230,7 +230,7 @@
             Err(_) => {
                 // a head that is no HTTP, or too large, still gets a word
                 if !begun.load(Ordering::SeqCst) {
-                    let _ = timeout(HEAD, refuse(&mut s, Problem::BadErrand)).await;
+                    let _ = timeout(HEAD, refuse(&mut s, ErrorCode::BadErrand)).await;
                 }
                 return;
             }
@@ -242,16 +242,16 @@
 async fn cut_late(mut s: TcpStream, begun: Arc<AtomicBool>) {
     task::sleep(HEAD).await;
     if !begun.load(Ordering::SeqCst) {
-        let _ = timeout(HEAD, refuse(&mut s, Problem::SlowSender)).await;
+        let _ = timeout(HEAD, refuse(&mut s, ErrorCode::SlowSender)).await;
         let _ = s.shutdown(std::net::Shutdown::Both);
     }
 }
 
 /// A body of at most `most` bytes that arrives within the time.
-pub async fn body(req: &mut Request, most: usize, within: Duration) -> Result<Vec<u8>, Problem> {
+pub async fn body(req: &mut Request, most: usize, within: Duration) -> Result<Vec<u8>, ErrorCode> {
     use async_std::io::ReadExt;
     if req.len().is_some_and(|n| n > most) {
-        return Err(Problem::BodyTooLarge);
+        return Err(ErrorCode::BodyTooLarge);
     }
     let want = req.len();
     let mut b = Vec::new();
@@ -259,11 +259,11 @@
     let mut body = body.take(most as u64 + 1);
     let got = timeout(within, body.read_to_end(&mut b)).await;
     match got {
-        Err(_) => Err(Problem::SlowSender),
-        Ok(Err(_)) => Err(Problem::BadErrand),
-        Ok(Ok(_)) if b.len() > most => Err(Problem::BodyTooLarge),
+        Err(_) => Err(ErrorCode::SlowSender),
+        Ok(Err(_)) => Err(ErrorCode::BadErrand),
+        Ok(Ok(_)) if b.len() > most => Err(ErrorCode::BodyTooLarge),
         // async-h1 takes an early end of a counted body for its end
-        Ok(Ok(_)) if want.is_some_and(|n| n != b.len()) => Err(Problem::SlowSender),
+        Ok(Ok(_)) if want.is_some_and(|n| n != b.len()) => Err(ErrorCode::SlowSender),
         Ok(Ok(_)) => Ok(b),
     }
 }
--- a/sorreldoor/src/rules.rs
+++ b/sorreldoor/src/invariants.rs
@@ -2,22 +2,22 @@
 //! builds can break one on purpose, to show that a check sees it; in what is
 //! shipped there is no switch, and every rule holds.
 
-macro_rules! rules {
+macro_rules! invariants {
     ($($rule:ident $name:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-        pub enum Rule { $($rule),* }
+        pub enum Invariant { $($rule),* }
 
-        impl Rule {
-            pub const ALL: &'static [Rule] = &[$(Rule::$rule),*];
+        impl Invariant {
+            pub const ALL: &'static [Invariant] = &[$(Invariant::$rule),*];
             pub fn name(self) -> &'static str {
-                match self { $(Rule::$rule => $name),* }
+                match self { $(Invariant::$rule => $name),* }
             }
         }
     };
 }
 
-rules! {
-    Permit "permit";
+invariants! {
+    Lease "permit";
     Woken "woken";
     Proof "proof";
     Hedge "hedge";
@@ -27,7 +27,7 @@
     Home "home";
     Spill "spill";
     Leaving "leaving";
-    Emptied "emptied";
+    Evacuated "emptied";
     Warm "warm";
     Budget "budget";
     Repeat "repeat";
@@ -58,7 +58,7 @@
 
 /// Whether a test has broken this rule.
 #[cfg(not(feature = "mutants"))]
-pub const fn broken(_: Rule) -> bool {
+pub const fn broken(_: Invariant) -> bool {
     false
 }
 
@@ -67,31 +67,31 @@
 
 #[cfg(feature = "mutants")]
 mod switch {
-    use super::Rule;
+    use super::Invariant;
     use std::cell::Cell;
     use std::sync::OnceLock;
 
     thread_local! {
         // tests run side by side, each on a thread of its own
-        static HERE: Cell<Option<Rule>> = const { Cell::new(None) };
+        static HERE: Cell<Option<Invariant>> = const { Cell::new(None) };
     }
 
     /// Rules that a whole process was started to break.
-    fn told() -> &'static [Rule] {
-        static TOLD: OnceLock<Vec<Rule>> = OnceLock::new();
+    fn told() -> &'static [Invariant] {
+        static TOLD: OnceLock<Vec<Invariant>> = OnceLock::new();
         TOLD.get_or_init(|| {
             let names = std::env::var("SORRELDOOR_BREAK").unwrap_or_default();
-            let one = |n: &str| Rule::ALL.iter().find(|r| r.name() == n).copied();
+            let one = |n: &str| Invariant::ALL.iter().find(|r| r.name() == n).copied();
             names.split(',').filter_map(one).collect()
         })
     }
 
-    pub fn broken(r: Rule) -> bool {
+    pub fn broken(r: Invariant) -> bool {
         HERE.get() == Some(r) || told().contains(&r)
     }
 
     /// From now on, on this thread, this rule is broken, or none is.
-    pub fn break_only(r: Option<Rule>) {
+    pub fn break_only(r: Option<Invariant>) {
         HERE.set(r);
     }
 }
--- a/sorreldoor/src/events.rs
+++ b/sorreldoor/src/log_events.rs
@@ -1,20 +1,20 @@
 //! Numbered log events. Every line a daemon logs starts with its number.
 
 macro_rules! events {
-    ($($name:ident $no:literal $level:ident $text:literal;)*) => {
+    ($($name:ident $number:literal $level:ident $text:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub enum Ev { $($name),* }
+        pub enum LogEvent { $($name),* }
 
-        impl Ev {
-            pub const ALL: &'static [Ev] = &[$(Ev::$name),*];
-            pub fn no(self) -> u16 {
-                match self { $(Ev::$name => $no),* }
+        impl LogEvent {
+            pub const ALL: &'static [LogEvent] = &[$(LogEvent::$name),*];
+            pub fn number(self) -> u16 {
+                match self { $(LogEvent::$name => $number),* }
             }
             pub fn level(self) -> log::Level {
-                match self { $(Ev::$name => log::Level::$level),* }
+                match self { $(LogEvent::$name => log::Level::$level),* }
             }
             pub fn text(self) -> &'static str {
-                match self { $(Ev::$name => $text),* }
+                match self { $(LogEvent::$name => $text),* }
             }
         }
     };
@@ -52,10 +52,10 @@
     DutyTaken 244 Info "takes up a duty under a new epoch";
     ClaimsLearned 245 Info "knows the claims on errand ids; has a say on new ones";
     ClaimsFull 246 Warn "as many errand ids are remembered as may be; new ones are shed";
-    PermitLost 250 Warn "permit ran out; serving nothing";
-    PermitBack 251 Info "permit renewed; serving";
-    SetupAdopted 252 Info "setup adopted";
-    SetupUnread 253 Error "a delivered setup could not be read; keeping none";
+    LeaseExpired 250 Warn "permit ran out; serving nothing";
+    LeaseRenewed 251 Info "permit renewed; serving";
+    ConfigurationAdopted 252 Info "setup adopted";
+    ConfigurationUnreadable 253 Error "a delivered setup could not be read; keeping none";
     RosterRead 260 Info "worker list changed";
     RosterLost 261 Warn "platform's worker list cannot be read";
     WorkerDark 262 Warn "a worker does not report its load";
@@ -69,6 +69,6 @@
 }
 
 /// Log one numbered event with what it is about.
-pub fn say(ev: Ev, about: impl std::fmt::Display) {
-    log::log!(target: "sorreldoor", ev.level(), "E{} {}: {}", ev.no(), ev.text(), about);
+pub fn log_event(ev: LogEvent, about: impl std::fmt::Display) {
+    log::log!(target: "sorreldoor", ev.level(), "E{} {}: {}", ev.number(), ev.text(), about);
 }
--- a/sorreldoor/src/main.rs
+++ b/sorreldoor/src/main.rs
@@ -13,11 +13,11 @@
     #[options(help = "show the version")]
     version: bool,
     #[options(command)]
-    role: Option<Cmd>,
+    role: Option<Command>,
 }
 
 #[derive(Debug, Options)]
-enum Cmd {
+enum Command {
     #[options(help = "run a core node: consensus, sessions, delivery; needs a data folder")]
     Core(Node),
     #[options(help = "run an edge node: takes callers' errands to workers")]
@@ -74,10 +74,10 @@
         return;
     }
     let code = match args.role {
-        Some(Cmd::Core(n)) => node(n, Role::Core),
-        Some(Cmd::Edge(n)) => node(n, Role::Edge),
-        Some(Cmd::Ctl(c)) => ctl::run(c),
-        Some(Cmd::Doctor(d)) => doctor::run(d),
+        Some(Command::Core(n)) => node(n, Role::Core),
+        Some(Command::Edge(n)) => node(n, Role::Edge),
+        Some(Command::Ctl(c)) => ctl::run(c),
+        Some(Command::Doctor(d)) => doctor::run(d),
         None => {
             eprintln!("sorreldoor: name a role: core, edge, ctl or doctor; see --help");
             2
@@ -111,8 +111,8 @@
         return 0;
     }
     let r = match role {
-        Role::Core => sorreldoor::core::run(set),
-        Role::Edge => sorreldoor::edge::run(set),
+        Role::Core => sorreldoor::control_plane::run(set),
+        Role::Edge => sorreldoor::gateway::run(set),
     };
     r.map_or_else(
         |e| {
--- a/sorreldoor/src/net.rs
+++ b/sorreldoor/src/net.rs
@@ -1,6 +1,6 @@
 //! Connections that carry frames: dialled again when lost, bounded both ways.
 
-use crate::events::{say, Ev};
+use crate::log_events::{log_event, LogEvent};
 use crate::wire::{self, Payload};
 use async_std::channel::{bounded, Receiver, Sender, TrySendError};
 use async_std::future::timeout;
@@ -44,7 +44,7 @@
 
 /// A standing dial: whether to stop, and the connection it has now.
 #[derive(Default)]
-struct Dial {
+struct Connect {
     stop: AtomicBool,
     conn: AtomicU64,
 }
@@ -120,7 +120,7 @@
     wrap: fn(NetEvent) -> E,
     outs: Outs,
     next: Arc<AtomicU64>,
-    dials: Arc<Mutex<HashMap<SocketAddr, Arc<Dial>>>>,
+    peer_addresses: Arc<Mutex<HashMap<SocketAddr, Arc<Connect>>>>,
     most: usize,
     full: Arc<AtomicU64>,
 }
@@ -133,7 +133,7 @@
             wrap: self.wrap,
             outs: self.outs.clone(),
             next: self.next.clone(),
-            dials: self.dials.clone(),
+            peer_addresses: self.peer_addresses.clone(),
             most: self.most,
             full: self.full.clone(),
         }
@@ -148,7 +148,7 @@
             wrap,
             outs: Arc::default(),
             next: Arc::new(AtomicU64::new(1)),
-            dials: Arc::default(),
+            peer_addresses: Arc::default(),
             most,
             full: Arc::default(),
         }
@@ -166,7 +166,7 @@
                 .fetch_add(1, Ordering::Relaxed)
                 .is_multiple_of(1000)
         {
-            say(Ev::RingFull, format!("to connection {conn}"));
+            log_event(LogEvent::RingFull, format!("to connection {conn}"));
         }
         sent == Some(true)
     }
@@ -194,11 +194,11 @@
 
     /// Keep a connection to `addr` until told otherwise; `to` is where to dial.
     pub fn dial(&self, addr: SocketAddr, to: SocketAddr) {
-        let d = Arc::new(Dial::default());
-        if locked(&self.dials).contains_key(&addr) {
+        let d = Arc::new(Connect::default());
+        if locked(&self.peer_addresses).contains_key(&addr) {
             return;
         }
-        locked(&self.dials).insert(addr, d.clone());
+        locked(&self.peer_addresses).insert(addr, d.clone());
         let me = self.clone();
         task::spawn(async move {
             let mut wait = 50;
@@ -215,14 +215,14 @@
     }
 
     pub fn undial(&self, addr: SocketAddr) {
-        let d = locked(&self.dials).remove(&addr);
+        let d = locked(&self.peer_addresses).remove(&addr);
         if let Some(d) = d {
             d.stop.store(true, Ordering::SeqCst);
             self.close(d.conn.load(Ordering::SeqCst));
         }
     }
 
-    async fn run(self, s: TcpStream, dial: Option<(SocketAddr, Arc<Dial>)>) {
+    async fn run(self, s: TcpStream, dial: Option<(SocketAddr, Arc<Connect>)>) {
         let conn = self.next.fetch_add(1, Ordering::Relaxed);
         let _ = s.set_nodelay(true);
         let (tx, rx) = queue();
@@ -271,7 +271,7 @@
                 }
                 Err(e) => {
                     let from = s.peer_addr().map(|a| a.to_string()).unwrap_or_default();
-                    say(Ev::FrameRefused, format!("from {from}: {e}"));
+                    log_event(LogEvent::FrameRefused, format!("from {from}: {e}"));
                     return;
                 }
             }
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -1,14 +1,14 @@
 //! The operators' HTTP interface as both roles serve it: which request a call
 //! is, and how its outcome is answered.
 
+use crate::configuration::{self, Site};
 use crate::consensus::ProposalId;
+use crate::discovery::{Loads, Worker};
+use crate::error::ErrorCode;
 use crate::http;
 use crate::json::Val;
 use crate::order_id::{format_proposal_id, parse_proposal_id, random_proposal_id};
-use crate::problem::Problem;
-use crate::record::{Cmd, Outcome};
-use crate::registry::{Loads, Worker};
-use crate::setup::{self, Site};
+use crate::replicated_state::{Command, Outcome};
 use crate::wire::OpOutcome;
 use http_types::{Method, Request, Response};
 use simd_json::prelude::*;
@@ -17,95 +17,113 @@
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
-    Change { pid: ProposalId, cmd: Cmd },
-    Check { faults: Vec<String> },
-    Setup,
+    Change {
+        proposal_id: ProposalId,
+        cmd: Command,
+    },
+    Check {
+        faults: Vec<String>,
+    },
+    Configuration,
     Status,
     Metrics,
     Proposal(ProposalId),
-    DropCore { pid: ProposalId, id: u64 },
+    DropCore {
+        proposal_id: ProposalId,
+        id: u64,
+    },
 }
 
-fn base(req: &Request) -> Result<u64, Problem> {
-    let b = http::query(req, "base").ok_or(Problem::NoBase)?;
-    b.parse().map_err(|_| Problem::NoBase)
+fn base(req: &Request) -> Result<u64, ErrorCode> {
+    let b = http::query(req, "base").ok_or(ErrorCode::NoBase)?;
+    b.parse().map_err(|_| ErrorCode::NoBase)
 }
 
-fn given_pid(req: &Request) -> Result<ProposalId, Problem> {
+fn given_proposal_id(req: &Request) -> Result<ProposalId, ErrorCode> {
     http::query(req, "id").map_or_else(
         || Ok(random_proposal_id()),
-        |s| parse_proposal_id(&s).ok_or(Problem::BadErrand),
+        |s| parse_proposal_id(&s).ok_or(ErrorCode::BadErrand),
     )
 }
 
 /// What an operator asks for; none where the path is no operator's.
-pub async fn read(req: &mut Request, site: &Site) -> Option<Result<OperatorRequest, Problem>> {
+pub async fn read(req: &mut Request, site: &Site) -> Option<Result<OperatorRequest, ErrorCode>> {
     let path = req.url().path().to_string();
     let rest = path.strip_prefix("/v1/")?;
     let parts: Vec<&str> = rest.split('/').collect();
     let m = req.method();
     Some(match (m, parts.as_slice()) {
-        (Method::Get, ["setup"]) => Ok(OperatorRequest::Setup),
+        (Method::Get, ["setup"]) => Ok(OperatorRequest::Configuration),
         (Method::Get, ["status"]) => Ok(OperatorRequest::Status),
         (Method::Get, ["metrics"]) => Ok(OperatorRequest::Metrics),
         (Method::Get, ["proposals", id]) => parse_proposal_id(id)
             .map(OperatorRequest::Proposal)
-            .ok_or(Problem::BadErrand),
+            .ok_or(ErrorCode::BadErrand),
         (Method::Put, ["setup"]) => {
-            doc(req, |base, doc| Cmd::Put {
+            doc(req, |base, doc| Command::Put {
                 base,
                 to: None,
                 doc,
             })
             .await
         }
-        (Method::Patch, ["setup"]) => doc(req, |base, patch| Cmd::Edit { base, patch }).await,
+        (Method::Patch, ["setup"]) => doc(req, |base, patch| Command::Edit { base, patch }).await,
         (Method::Post, ["check"]) => check(req, site).await,
         (Method::Post, ["zones", z, "empty"]) => zone(req, site, z, true),
         (Method::Post, ["zones", z, "return"]) => zone(req, site, z, false),
         (Method::Post, ["cores", id, "drop"]) => u64::from_str_radix(id, 16)
-            .map_err(|_| Problem::BadErrand)
-            .and_then(|id| given_pid(req).map(|pid| OperatorRequest::DropCore { pid, id })),
+            .map_err(|_| ErrorCode::BadErrand)
+            .and_then(|id| {
+                given_proposal_id(req)
+                    .map(|proposal_id| OperatorRequest::DropCore { proposal_id, id })
+            }),
         (_, ["setup" | "status" | "metrics" | "check"] | ["proposals", _])
-        | (_, ["zones", _, "empty" | "return"] | ["cores", _, "drop"]) => Err(Problem::BadMethod),
+        | (_, ["zones", _, "empty" | "return"] | ["cores", _, "drop"]) => Err(ErrorCode::BadMethod),
         _ => return None,
     })
 }
 
-async fn text(req: &mut Request) -> Result<String, Problem> {
-    let b = http::body(req, setup::MOST_BYTES, Duration::from_secs(10)).await?;
-    String::from_utf8(b).map_err(|_| Problem::BadJson)
+async fn text(req: &mut Request) -> Result<String, ErrorCode> {
+    let b = http::body(req, configuration::MOST_BYTES, Duration::from_secs(10)).await?;
+    String::from_utf8(b).map_err(|_| ErrorCode::BadJson)
 }
 
 async fn doc(
     req: &mut Request,
-    f: impl Fn(u64, String) -> Cmd,
-) -> Result<OperatorRequest, Problem> {
+    f: impl Fn(u64, String) -> Command,
+) -> Result<OperatorRequest, ErrorCode> {
     let base = base(req)?;
-    let pid = given_pid(req)?;
+    let proposal_id = given_proposal_id(req)?;
     let t = text(req).await?;
     Ok(OperatorRequest::Change {
-        pid,
+        proposal_id,
         cmd: f(base, t),
     })
 }
 
-async fn check(req: &mut Request, site: &Site) -> Result<OperatorRequest, Problem> {
+async fn check(req: &mut Request, site: &Site) -> Result<OperatorRequest, ErrorCode> {
     let t = text(req).await?;
-    let faults = setup::read(t.as_bytes(), site).err().unwrap_or_default();
+    let faults = configuration::read(t.as_bytes(), site)
+        .err()
+        .unwrap_or_default();
     Ok(OperatorRequest::Check { faults })
 }
 
-fn zone(req: &Request, site: &Site, z: &str, emptied: bool) -> Result<OperatorRequest, Problem> {
-    let zone = site.zone(z).ok_or(Problem::UnknownZone)?;
+fn zone(
+    req: &Request,
+    site: &Site,
+    z: &str,
+    evacuated: bool,
+) -> Result<OperatorRequest, ErrorCode> {
+    let zone = site.zone(z).ok_or(ErrorCode::UnknownZone)?;
     let base = base(req)?;
-    let pid = given_pid(req)?;
+    let proposal_id = given_proposal_id(req)?;
     Ok(OperatorRequest::Change {
-        pid,
-        cmd: Cmd::Zone {
+        proposal_id,
+        cmd: Command::Zone {
             base,
             zone,
-            emptied,
+            evacuated,
         },
     })
 }
@@ -115,37 +133,37 @@
 }
 
 /// The yes, the no, or the honest don't-know to a change.
-pub fn result(pid: ProposalId, o: &OpOutcome) -> Response {
+pub fn result(proposal_id: ProposalId, o: &OpOutcome) -> Response {
     let mut v = Val::object();
-    let _ = v.insert("proposal", format_proposal_id(pid));
+    let _ = v.insert("proposal", format_proposal_id(proposal_id));
     let p = match o {
-        OpOutcome::Got(Outcome::Taken { serial }) => {
+        OpOutcome::Got(Outcome::Taken { version }) => {
             let _ = v.insert("taken", true);
-            let _ = v.insert("serial", *serial);
+            let _ = v.insert("serial", *version);
             return http::ok(v);
         }
-        OpOutcome::Got(Outcome::Stale { serial }) => {
-            let _ = v.insert("serial", *serial);
-            Problem::StaleSerial
+        OpOutcome::Got(Outcome::Stale { version }) => {
+            let _ = v.insert("serial", *version);
+            ErrorCode::StaleVersion
         }
         OpOutcome::Got(Outcome::Bad { faults }) => {
             let _ = v.insert("faults", list(faults));
-            Problem::BadSetup
+            ErrorCode::InvalidConfiguration
         }
         OpOutcome::Got(Outcome::OldEpoch { epoch }) => {
             let _ = v.insert("epoch", *epoch);
-            Problem::StaleSerial
+            ErrorCode::StaleVersion
         }
-        OpOutcome::Got(Outcome::NotYet { serial }) => {
-            let _ = v.insert("serial", *serial);
-            Problem::BaseAhead
+        OpOutcome::Got(Outcome::NotYet { version }) => {
+            let _ = v.insert("serial", *version);
+            ErrorCode::BaseAhead
         }
-        OpOutcome::Got(Outcome::Unsure { .. }) | OpOutcome::Unknown => Problem::PendingUnknown,
-        OpOutcome::NotTaken => Problem::NotTaken,
-        OpOutcome::Nothing => Problem::UnknownProposal,
+        OpOutcome::Got(Outcome::Unsure { .. }) | OpOutcome::Unknown => ErrorCode::PendingUnknown,
+        OpOutcome::NotTaken => ErrorCode::NotTaken,
+        OpOutcome::Nothing => ErrorCode::UnknownProposal,
     };
     // neither a yes nor a no may be read out of a don't-know
-    if !matches!(p, Problem::PendingUnknown | Problem::BaseAhead) {
+    if !matches!(p, ErrorCode::PendingUnknown | ErrorCode::BaseAhead) {
         let _ = v.insert("taken", false);
     }
     let _ = v.insert("problem", p.code());
@@ -186,19 +204,19 @@
 }
 
 /// The setup in force, as any node shows it.
-pub fn setup_view(serial: u64, doc: Option<&str>, emptied: &[String]) -> Response {
+pub fn configuration_view(version: u64, doc: Option<&str>, evacuated: &[String]) -> Response {
     let mut v = Val::object();
-    let _ = v.insert("serial", serial);
+    let _ = v.insert("serial", version);
     let doc = doc.and_then(|d| crate::json::parse(d.as_bytes(), usize::MAX).ok());
     let _ = v.insert("setup", doc.unwrap_or_default());
-    let _ = v.insert("emptied", list(emptied));
+    let _ = v.insert("emptied", list(evacuated));
     http::ok(v)
 }
 
 /// Zone by zone: whether it is emptied, and what still runs there.
 pub fn zones(
     site: &Site,
-    emptied: &[u16],
+    evacuated: &[u16],
     workers: &[Worker],
     loads: &Loads,
     at_edges: impl Iterator<Item = (u16, u32)>,
@@ -214,7 +232,7 @@
         let busy = |w: &Worker| loads.of(&w.name).map_or(0, |l| l.running + l.queued);
         let mut o = Val::object();
         let _ = o.insert("zone", name);
-        let _ = o.insert("emptied", emptied.contains(&z));
+        let _ = o.insert("emptied", evacuated.contains(&z));
         let _ = o.insert("at_workers", mine.map(busy).sum::<u32>());
         let _ = o.insert("at_edges", busy_edges[usize::from(z)]);
         o
--- a/sorreldoor/src/place.rs
+++ b/sorreldoor/src/placement.rs
@@ -1,6 +1,6 @@
 //! Pure placement: which worker an errand should go to, given what is known.
 
-use crate::setup::{Kind, Setup};
+use crate::configuration::{Configuration, Kind};
 
 /// A worker as placement sees it, under its dense index.
 #[derive(Clone, Debug, Default)]
@@ -56,13 +56,13 @@
 }
 
 /// Where the errand's services stand in order, the weighted draw first.
-pub fn services(s: &Setup, tuned: &[(u16, u16, u32)], a: &Ask) -> Vec<u16> {
+pub fn services(s: &Configuration, tuned: &[(u16, u16, u32)], a: &Ask) -> Vec<u16> {
     let r = &s.routes[a.route as usize];
     let ws: Vec<(u16, u64)> = r
         .shares
         .iter()
         .map(|h| {
-            let w = crate::tune::weight(tuned, a.route, h.service).unwrap_or(h.weight);
+            let w = crate::weight_tuning::weight(tuned, a.route, h.service).unwrap_or(h.weight);
             (h.service, u64::from(w))
         })
         .filter(|(_, w)| *w > 0)
@@ -88,7 +88,7 @@
 
 /// The service and worker to go to in a region, or none that has room.
 pub fn match_spot(
-    s: &Setup,
+    s: &Configuration,
     tuned: &[(u16, u16, u32)],
     spots: &[Option<Spot>],
     skip: &dyn Fn(usize) -> bool,
--- a/sorreldoor/src/proxy/attempt.rs
+++ b/sorreldoor/src/proxy/attempt.rs
@@ -10,8 +10,8 @@
 //! process until a worker promises that it did not run. Neither silence, a
 //! reset, a close, a shutdown nor a new configuration takes that back.
 
-use crate::rules::{broken, Rule};
-use crate::setup::hosted::{Kind, Route};
+use crate::configuration::hosted::{Kind, Route};
+use crate::invariants::{broken, Invariant};
 
 /// How often a request may run, as its route says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -201,7 +201,7 @@
 
     /// Whether another run does no harm, however far the present one has come.
     pub fn may_run_twice(&self) -> bool {
-        if broken(Rule::SendOnce) {
+        if broken(Invariant::SendOnce) {
             return true;
         }
         let resumable = self.kind == Repeatability::ResumableStream;
@@ -219,7 +219,7 @@
         if self.delivered != Delivered::Nothing || self.state == State::Done {
             return ClientAnswer::CutConnection;
         }
-        if !self.may_have_run() || broken(Rule::HonestRefusal) {
+        if !self.may_have_run() || broken(Invariant::HonestRefusal) {
             return ClientAnswer::Refused;
         }
         match self.deadline_passed {
--- a/sorreldoor/src/proxy/await_head.rs
+++ b/sorreldoor/src/proxy/await_head.rs
@@ -7,9 +7,9 @@
 use super::http1::{take_answer, Buf, Head};
 use super::pool::Connection;
 use super::wait::{wait_for_worker, Wakeup};
+use crate::configuration::hosted::{Kind, Route};
 use crate::consensus::Millis;
-use crate::seam::Clock;
-use crate::setup::hosted::{Kind, Route};
+use crate::runtime::Clock;
 
 /// Silence at a worker is not taken for its end before this.
 const LEAST_PATIENCE_MS: Millis = 400;
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -16,12 +16,12 @@
 use super::send::{send, Sent};
 use super::shared::Shared;
 use super::stream::relay;
-use super::table::{Heard, Pick, Rid};
 use super::verdict::{judge, Expected, Verdict};
+use crate::balancer::{Heard, Pick, RequestId};
+use crate::configuration::hosted::{Kind, Route};
 use crate::consensus::Millis;
-use crate::problem::Problem;
-use crate::seam::Clock;
-use crate::setup::hosted::{Kind, Route};
+use crate::error::ErrorCode;
+use crate::runtime::Clock;
 use async_std::task::sleep;
 use futures_lite::future::or;
 use std::time::Duration;
@@ -37,21 +37,21 @@
 ) -> bool {
     let mut delivery = Delivery::new(request.last_event);
     loop {
-        let (pick, route, deadline) = pick(shared, request.rid);
+        let (pick, route, deadline) = pick(shared, request.request_id);
         let target = match pick {
             Pick::Go(target) => target,
             Pick::Wait(ms) => {
-                if !wait_in_queue(shared, client, request.rid, ms).await {
+                if !wait_in_queue(shared, client, request.request_id, ms).await {
                     return false;
                 }
                 continue;
             }
-            Pick::Refuse(problem, retry_after_ms) => {
-                return refuse(client, delivery, problem, retry_after_ms).await;
+            Pick::Refuse(error_code, retry_after_ms) => {
+                return refuse(client, delivery, error_code, retry_after_ms).await;
             }
         };
         let Some(route) = route else {
-            return client.answer(Problem::UnknownRoute, 0).await;
+            return client.answer(ErrorCode::UnknownRoute, 0).await;
         };
         let exchange = Exchange {
             shared,
@@ -67,22 +67,25 @@
     }
 }
 
-fn pick<D: Dialect, C: Clock>(shared: &Shared<D, C>, rid: Rid) -> (Pick, Option<Route>, Millis) {
+fn pick<D: Dialect, C: Clock>(
+    shared: &Shared<D, C>,
+    request_id: RequestId,
+) -> (Pick, Option<Route>, Millis) {
     let now = shared.now();
     let mut front = shared.lock();
     if shared.is_queue_closed() {
-        front.table.progressed(rid, Event::Shutdown);
+        front.table.progressed(request_id, Event::Shutdown);
     }
-    let pick = front.table.pick(rid, now);
-    let route = front.table.route(rid).cloned();
-    (pick, route, front.table.deadline(rid))
+    let pick = front.table.pick(request_id, now);
+    let route = front.table.route(request_id).cloned();
+    (pick, route, front.table.deadline(request_id))
 }
 
 /// Ends a request that no (other) worker gets.
 async fn refuse(
     client: &mut Client,
     mut delivery: Delivery,
-    problem: Problem,
+    error_code: ErrorCode,
     retry_after_ms: Millis,
 ) -> bool {
     if delivery.head_sent {
@@ -92,17 +95,17 @@
     if let Some(failure) = delivery.failure.take() {
         return client.write(&failure).await;
     }
-    client.answer(problem, retry_after_ms).await
+    client.answer(error_code, retry_after_ms).await
 }
 
 /// Until woken or the time is over; false once the client is gone.
 async fn wait_in_queue<D: Dialect, C: Clock>(
     shared: &Shared<D, C>,
     client: &Client,
-    rid: Rid,
+    request_id: RequestId,
     most_ms: Millis,
 ) -> bool {
-    let woken = shared.wait(rid);
+    let woken = shared.wait(request_id);
     let woken = async {
         let _ = woken.recv().await;
         true
@@ -116,7 +119,7 @@
         false
     };
     let go_on = or(woken, or(timer, gone)).await;
-    shared.waited(rid);
+    shared.waited(request_id);
     go_on
 }
 
@@ -161,7 +164,7 @@
     if exchange.time_left() > 0 || delivery.head_sent {
         return outcome;
     }
-    let keep_alive = client.answer(Problem::DeadlinePassed, 0).await;
+    let keep_alive = client.answer(ErrorCode::DeadlinePassed, 0).await;
     Outcome::Finished { keep_alive }
 }
 
--- a/sorreldoor/src/proxy/client.rs
+++ b/sorreldoor/src/proxy/client.rs
@@ -1,7 +1,7 @@
 //! A client's connection: what is read from it and written to it.
 
 use super::http1::Buf;
-use crate::problem::Problem;
+use crate::error::ErrorCode;
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use async_std::prelude::*;
@@ -37,7 +37,7 @@
     }
 
     /// An answer of this node's own.
-    pub async fn answer(&mut self, p: Problem, again_ms: u64) -> bool {
+    pub async fn answer(&mut self, p: ErrorCode, again_ms: u64) -> bool {
         let body = format!("{{\"problem\":\"{}\",\"text\":\"{}\"}}", p.code(), p.text());
         let status = p.status();
         let why = http_types::StatusCode::try_from(status).map_or("", |s| s.canonical_reason());
@@ -57,7 +57,7 @@
     }
 
     /// Answers what was not read whole, and lets the answer arrive.
-    pub async fn turn_away(&mut self, p: Problem) {
+    pub async fn turn_away(&mut self, p: ErrorCode) {
         self.close = true;
         if !self.answer(p, 0).await {
             return;
--- a/sorreldoor/src/proxy/exchange.rs
+++ b/sorreldoor/src/proxy/exchange.rs
@@ -7,18 +7,18 @@
 use super::http1::Head;
 use super::pool::Connection;
 use super::shared::Shared;
-use super::table::{Heard, Rid, Target};
+use crate::balancer::{Heard, RequestId, Target};
+use crate::configuration::hosted::Route;
 use crate::consensus::Millis;
-use crate::rules::{broken, Rule};
-use crate::seam::Clock;
-use crate::setup::hosted::Route;
+use crate::invariants::{broken, Invariant};
+use crate::runtime::Clock;
 
 /// Between two looks at whether a silent worker is to be left.
 pub const SILENCE_CHECK_MS: Millis = 100;
 
 /// A client's request as all its attempts send it.
 pub struct ClientRequest {
-    pub rid: Rid,
+    pub request_id: RequestId,
     pub method: String,
     pub id: String,
     /// Request line and headers that pass on, without the empty line.
@@ -58,13 +58,16 @@
     /// Reports a step within the attempt.
     pub fn progressed(&self, event: Event) {
         let mut front = self.shared.lock();
-        front.table.progressed(self.request.rid, event);
+        front.table.progressed(self.request.request_id, event);
     }
 
     /// Reports what the table places later requests by.
     pub fn heard(&self, heard: Heard) {
         let now = self.now();
-        self.shared.lock().table.heard(self.request.rid, heard, now);
+        self.shared
+            .lock()
+            .table
+            .heard(self.request.request_id, heard, now);
         self.shared.wake();
     }
 
@@ -92,7 +95,7 @@
     /// against its next use.
     pub fn release(&self, connection: Connection, head: &Head, decoder: &Decoder) {
         // bytes behind a whole answer belong to no request
-        let clean = connection.buf.is_empty() || broken(Rule::CleanConnection);
+        let clean = connection.buf.is_empty() || broken(Invariant::CleanConnection);
         let reusable = decoder.done() && connection.request_sent && !head.closes() && clean;
         if !reusable {
             return self.close(connection);
@@ -108,12 +111,12 @@
     pub fn may_move(&self, silent: Millis) -> bool {
         let now = self.now();
         let mut front = self.shared.lock();
-        front.table.may_move(self.request.rid, silent, now)
+        front.table.may_move(self.request.request_id, silent, now)
     }
 
     /// The worker was heard of.
     pub fn worker_alive(&self) {
         let now = self.now();
-        self.shared.lock().table.pulse(self.request.rid, now);
+        self.shared.lock().table.pulse(self.request.request_id, now);
     }
 }
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -1,16 +1,16 @@
 //! The control half of a node that serves hosted routes: its session with a
 //! core, the news it takes, and the table that news goes into.
 
-use super::table::Table;
+use crate::balancer::Table;
+use crate::configuration::hosted::Hosted;
+use crate::configuration::Site;
 use crate::consensus::Millis;
-use crate::events::Ev;
+use crate::discovery::WorkerRegistry;
+use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
-use crate::pull::{Granted, Pull, PullFx};
-use crate::record::{DocumentChanges, Update, View};
-use crate::registry::WorkerRegistry;
-use crate::seam::{Now, Reducer};
-use crate::setup::hosted::Hosted;
-use crate::setup::Site;
+use crate::replicated_state::{DocumentChanges, Update, View};
+use crate::runtime::{Now, Reducer};
+use crate::subscription::{Granted, Pull, SubscriptionEffect};
 use crate::wire::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,17 +20,17 @@
 
 #[derive(Debug)]
 pub enum FrontEvent {
-    Alarm,
+    Tick,
     Net(NetEvent),
     Stop,
 }
 
 #[derive(Debug)]
-pub enum FrontFx {
+pub enum FrontEffect {
     Send(Conn, Payload),
-    Dial(SocketAddr),
-    Undial(SocketAddr),
-    Say(Ev, String),
+    Connect(SocketAddr),
+    Disconnect(SocketAddr),
+    Say(LogEvent, String),
 }
 
 /// A ready node as callers are sent to it.
@@ -58,28 +58,28 @@
     /// The nodes, ready or not, and until when they are not thought whole.
     all: Vec<(String, u16)>,
     whole_at: Option<Millis>,
-    out: Vec<FrontFx>,
+    out: Vec<FrontEffect>,
 }
 
 impl Reducer for Front {
     type Event = FrontEvent;
-    type Fx = FrontFx;
+    type Effect = FrontEffect;
 
-    fn step(&mut self, ev: FrontEvent, at: Now) -> Vec<FrontFx> {
-        self.now = self.now.max(at.mono);
+    fn step(&mut self, ev: FrontEvent, at: Now) -> Vec<FrontEffect> {
+        self.now = self.now.max(at.monotonic_ms);
         if let Some(f) = self.pull.awake(self.now, at.wall) {
             self.pulled(f);
         }
         match ev {
-            FrontEvent::Alarm => {
-                for f in self.pull.alarm(self.now) {
+            FrontEvent::Tick => {
+                for f in self.pull.tick(self.now) {
                     self.pulled(f);
                 }
             }
             FrontEvent::Net(n) => self.net(n),
             FrontEvent::Stop => {
                 self.leaving = true;
-                self.say(Ev::Leaving, "edge");
+                self.log_event(LogEvent::Leaving, "edge");
             }
         }
         self.tell_ready();
@@ -107,8 +107,8 @@
         }
     }
 
-    fn say(&mut self, ev: Ev, about: impl Into<String>) {
-        self.out.push(FrontFx::Say(ev, about.into()));
+    fn log_event(&mut self, ev: LogEvent, about: impl Into<String>) {
+        self.out.push(FrontEffect::Say(ev, about.into()));
     }
 
     /// It has a configuration and workers, and is not going down.
@@ -149,34 +149,34 @@
         }
     }
 
-    fn pulled(&mut self, f: PullFx) {
+    fn pulled(&mut self, f: SubscriptionEffect) {
         match f {
-            PullFx::Dial(a) => self.out.push(FrontFx::Dial(a)),
-            PullFx::Undial(a) => self.out.push(FrontFx::Undial(a)),
-            PullFx::Renew {
+            SubscriptionEffect::Connect(a) => self.out.push(FrontEffect::Connect(a)),
+            SubscriptionEffect::Disconnect(a) => self.out.push(FrontEffect::Disconnect(a)),
+            SubscriptionEffect::Renew {
                 conn,
                 no,
                 unverified,
             } => {
                 let have = self.pull.have.clone();
                 self.told_ready = self.ready();
-                let doing = Doing {
-                    serial: self.view.serial,
-                    permit: self.ready(),
+                let edge_status = EdgeStatus {
+                    version: self.view.version,
+                    lease: self.ready(),
                     running: self.running,
-                    ..Doing::default()
+                    ..EdgeStatus::default()
                 };
                 let p = Payload::Renew {
                     no,
                     have,
-                    doing,
+                    edge_status,
                     unverified,
                 };
-                self.out.push(FrontFx::Send(conn, p));
+                self.out.push(FrontEffect::Send(conn, p));
             }
-            PullFx::Lost => self.say(Ev::SessionLost, "silent"),
-            PullFx::Woken(s) => self.say(Ev::Woken, s),
-            PullFx::PermitLost | PullFx::PermitBack => {}
+            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
+            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::Woken, s),
+            SubscriptionEffect::LeaseExpired | SubscriptionEffect::LeaseRenewed => {}
         }
     }
 
@@ -184,23 +184,23 @@
         match n {
             NetEvent::Up { conn, dialled } => {
                 let h = self.me.clone();
-                self.out.push(FrontFx::Send(conn, Payload::Hello(h)));
+                self.out.push(FrontEffect::Send(conn, Payload::Hello(h)));
                 if let Some(a) = dialled {
                     let fx = self.pull.up(conn, a, self.now);
                     fx.into_iter().for_each(|f| self.pulled(f));
-                    self.say(Ev::SessionUp, a.to_string());
+                    self.log_event(LogEvent::SessionUp, a.to_string());
                 }
             }
             NetEvent::Down { conn } => self.pull.down(conn),
             NetEvent::Frame { payload, .. } => match *payload {
-                Payload::Grant { no, ok, news } => {
+                Payload::Grant { no, ok, delta } => {
                     // news from a core that could not prove itself may be
                     // old, and is taken only by a node that has none at all
-                    let some = news.record.as_ref().is_some_and(|r| r.has_document);
-                    if news.record_withheld {
+                    let some = delta.record.as_ref().is_some_and(|r| r.has_document);
+                    if delta.record_withheld {
                         self.pull.withheld(no, self.now);
                     } else if self.pull.granted(no, ok, some, self.now) != Granted::No {
-                        self.take_news(news);
+                        self.apply_delta(delta);
                     }
                 }
                 Payload::WorkerRegistry(r) => self.take_list(&r),
@@ -209,7 +209,7 @@
         }
     }
 
-    fn take_news(&mut self, n: News) {
+    fn apply_delta(&mut self, n: StateDelta) {
         // an answer that was long on its way must not undo a newer one
         if let Some(u) = n.record.filter(|u| u.revision > self.pull.have.record) {
             self.take_update(&u);
@@ -232,8 +232,8 @@
 
     fn take_list(&mut self, r: &WorkerRegistry) {
         // lists are told by more than one way, and an older may come later
-        if r.serial > self.pull.have.registry {
-            self.pull.have.registry = r.serial;
+        if r.version > self.pull.have.registry {
+            self.pull.have.registry = r.version;
             self.table.take_registry(r, self.now);
         }
     }
@@ -248,17 +248,21 @@
                 return self.ask_whole(&faults.join("; "));
             }
         }
-        if update.serial != self.view.serial {
-            self.say(Ev::SetupAdopted, format!("serial {}", update.serial));
+        if update.version != self.view.version {
+            self.log_event(
+                LogEvent::ConfigurationAdopted,
+                format!("serial {}", update.version),
+            );
         }
         self.pull.have.record = update.rev;
-        self.table.take_emptied(update.emptied.clone(), self.now);
+        self.table
+            .set_evacuated_zones(update.evacuated.clone(), self.now);
         // the text is read; keeping it would cost its size for nothing
         self.view = View {
             rev: update.rev,
-            serial: update.serial,
+            version: update.version,
             doc: update.document.map(|_| Arc::default()),
-            emptied: update.emptied,
+            evacuated: update.evacuated,
             weights: Vec::new(),
             regions: update.regions,
         };
@@ -272,7 +276,7 @@
 
     fn ask_whole(&mut self, why: &str) {
         self.pull.have.record = 0;
-        self.say(Ev::SetupUnread, why);
+        self.log_event(LogEvent::ConfigurationUnreadable, why);
     }
 
     fn take_document(&mut self, whole: bool, c: &DocumentChanges) -> Result<(), Vec<String>> {
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -22,13 +22,12 @@
 mod serve;
 mod shared;
 mod stream;
-pub mod table;
 pub mod verdict;
 mod wait;
 
 pub use dialect::{Asked, Dialect, Forward, Part, Told};
 pub use door::{serve as serve_door, Answer};
-pub use front::{Front, FrontEvent, FrontFx, Seen};
+pub use front::{Front, FrontEffect, FrontEvent, Seen};
 pub use plain_dialect::Plain;
 pub use run::{accept, run, Answering, Door, Shown, Start};
 pub use shared::Shared;
--- a/sorreldoor/src/proxy/pool.rs
+++ b/sorreldoor/src/proxy/pool.rs
@@ -3,7 +3,7 @@
 //! closed: such a byte belongs to no request.
 
 use super::http1::Buf;
-use crate::rules::{broken, Rule};
+use crate::invariants::{broken, Invariant};
 use async_std::net::TcpStream;
 use std::collections::HashMap;
 use std::future::Future;
@@ -46,7 +46,7 @@
 
     /// Whether neither bytes nor the end have come on it while it was idle.
     fn is_quiet(&self) -> bool {
-        if broken(Rule::CleanConnection) {
+        if broken(Invariant::CleanConnection) {
             return true;
         }
         let mut byte = [0; 1];
--- a/sorreldoor/src/proxy/read_whole.rs
+++ b/sorreldoor/src/proxy/read_whole.rs
@@ -9,7 +9,7 @@
 use super::pool::Connection;
 use super::wait::{wait_for_worker, Wakeup};
 use crate::consensus::Millis;
-use crate::seam::Clock;
+use crate::runtime::Clock;
 
 /// A worker's whole answer in memory, at most.
 const MOST_ANSWER: usize = 32 << 20;
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -2,15 +2,15 @@
 
 use super::dialect::Dialect;
 use super::door::{self, Answer};
-use super::front::{Front, FrontEvent, FrontFx, Seen};
+use super::front::{Front, FrontEffect, FrontEvent, Seen};
 use super::serve;
 use super::shared::Shared;
-use super::table::{Bounds, Place, Table};
-use crate::events::{say, Ev};
+use crate::balancer::{Bounds, Place, Table};
+use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent};
-use crate::pull::Pull;
-use crate::seam::{Clock, Reducer};
+use crate::runtime::{Clock, Reducer};
 use crate::settings::Settings;
+use crate::subscription::Pull;
 use crate::wire::Hello;
 use async_std::channel::{bounded, Receiver};
 use async_std::future::timeout;
@@ -83,7 +83,7 @@
         regions: set.names.zones.iter().map(|(_, r)| *r).collect(),
     };
     let table = Table::new(place, start.bounds, crate::order_id::random_id());
-    let pull = Pull::new(&set.seeds, set.permit_ms, now.mono, now.wall)
+    let pull = Pull::new(&set.seeds, set.lease_ms, now.monotonic_ms, now.wall)
         .named(&set.node)
         .paced(&set.pacing);
     let front = Front::new(me, set.names.clone(), pull, table);
@@ -117,10 +117,10 @@
             });
             task::spawn(door::serve(l, f));
         }
-        say(Ev::Started, format!("edge {}", set.node));
+        log_event(LogEvent::Started, format!("edge {}", set.node));
         task::spawn(accept(l, sh.clone(), set.most_connections));
         control(sh, net, rx, start.grace, &set).await;
-        say(Ev::Stopped, "edge");
+        log_event(LogEvent::Stopped, "edge");
         Ok(())
     })
 }
@@ -171,7 +171,7 @@
             Ok(Err(_)) => return,
             Err(_) => {
                 tick_at = Instant::now() + TICK;
-                FrontEvent::Alarm
+                FrontEvent::Tick
             }
         };
         if matches!(ev, FrontEvent::Stop) && stop.is_none() {
@@ -186,12 +186,12 @@
         };
         for f in fx {
             match f {
-                FrontFx::Send(c, p) => {
+                FrontEffect::Send(c, p) => {
                     net.send(c, &p);
                 }
-                FrontFx::Dial(a) => net.dial(a, set.reached(a)),
-                FrontFx::Undial(a) => net.undial(a),
-                FrontFx::Say(ev, about) => say(ev, about),
+                FrontEffect::Connect(a) => net.dial(a, set.reached(a)),
+                FrontEffect::Disconnect(a) => net.undial(a),
+                FrontEffect::Say(ev, about) => log_event(ev, about),
             }
         }
         sh.wake();
--- a/sorreldoor/src/proxy/send.rs
+++ b/sorreldoor/src/proxy/send.rs
@@ -7,7 +7,7 @@
 use super::http1::Head;
 use super::pool::{Connection, RECENT};
 use crate::consensus::Millis;
-use crate::seam::Clock;
+use crate::runtime::Clock;
 use async_std::future::timeout;
 use async_std::io::prelude::WriteExt;
 use futures_lite::future::or;
--- a/sorreldoor/src/proxy/serve.rs
+++ b/sorreldoor/src/proxy/serve.rs
@@ -8,8 +8,8 @@
 use super::exchange::ClientRequest;
 use super::http1::{take_request, Buf, Fault, Framing, Head};
 use super::shared::Shared;
-use crate::problem::Problem;
-use crate::seam::Clock;
+use crate::error::ErrorCode;
+use crate::runtime::Clock;
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use async_std::task;
@@ -20,12 +20,12 @@
 
 /// Without any configuration a node asks clients back after so many milliseconds.
 const RETRY_AFTER_START_MS: u64 = 700;
-fn fault_of(f: Fault) -> Option<Problem> {
+fn fault_of(f: Fault) -> Option<ErrorCode> {
     match f {
         Fault::Ended | Fault::Cut => None,
-        Fault::Malformed => Some(Problem::BadRequest),
-        Fault::HeadTooLarge => Some(Problem::HeadTooLarge),
-        Fault::BodyTooLarge => Some(Problem::BodyTooLarge),
+        Fault::Malformed => Some(ErrorCode::BadRequest),
+        Fault::HeadTooLarge => Some(ErrorCode::HeadTooLarge),
+        Fault::BodyTooLarge => Some(ErrorCode::BodyTooLarge),
     }
 }
 
@@ -33,7 +33,7 @@
 async fn read_request<D: Dialect, C: Clock>(
     shared: &Shared<D, C>,
     client: &mut Client,
-) -> Result<(Head, Vec<u8>), Option<Problem>> {
+) -> Result<(Head, Vec<u8>), Option<ErrorCode>> {
     let lim = shared.lock().table.hosted().map(|h| h.limits);
     let lim = lim.unwrap_or_default();
     if client.buf.is_empty() {
@@ -51,7 +51,7 @@
     }
     let late = Duration::from_millis(lim.header_ms.max(1));
     let head = timeout(late, read_head(client, lim.header_bytes)).await;
-    let head = head.map_err(|_| Some(Problem::SlowSender))?;
+    let head = head.map_err(|_| Some(ErrorCode::SlowSender))?;
     let head = head.map_err(fault_of)?;
     let framing = head.request_framing().map_err(fault_of)?;
     let waits = head.get("expect");
@@ -65,7 +65,7 @@
         body(&mut client.stream, &mut client.buf, framing, lim.body_bytes),
     )
     .await;
-    let b = b.map_err(|_| Some(Problem::SlowSender))?;
+    let b = b.map_err(|_| Some(ErrorCode::SlowSender))?;
     Ok((head, b.map_err(fault_of)?))
 }
 
@@ -150,7 +150,7 @@
         .lock()
         .table
         .begin(host, head.path(), asked.clone(), now, now);
-    let rid = match began {
+    let request_id = match began {
         Ok(r) => r,
         Err(p) => {
             // a node that has just started needs a while to know its way,
@@ -165,7 +165,7 @@
         }
     };
     let request = ClientRequest {
-        rid,
+        request_id,
         method: head.method().to_string(),
         id: asked.id,
         wire,
@@ -174,7 +174,7 @@
     };
     let keep = carry(shared, client, &request).await;
     let now = shared.now();
-    shared.lock().table.end(rid, now);
+    shared.lock().table.end(request_id, now);
     shared.wake();
     keep
 }
--- a/sorreldoor/src/proxy/shared.rs
+++ b/sorreldoor/src/proxy/shared.rs
@@ -3,9 +3,9 @@
 use super::dialect::Dialect;
 use super::front::Front;
 use super::pool::Pool;
-use super::table::Rid;
+use crate::balancer::RequestId;
 use crate::consensus::Millis;
-use crate::seam::Clock;
+use crate::runtime::Clock;
 use async_std::channel::{bounded, Receiver, Sender};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     pub clock: C,
     pub reach: BTreeMap<SocketAddr, SocketAddr>,
     /// Requests that wait for a worker, to be woken.
-    waiting: Mutex<HashMap<Rid, Sender<()>>>,
+    waiting: Mutex<HashMap<RequestId, Sender<()>>>,
     /// No new connections are kept; answers say so.
     pub leaving: AtomicBool,
     /// Requests that wait for a worker are refused from now on.
@@ -57,25 +57,25 @@
     }
 
     pub fn now(&self) -> Millis {
-        self.clock.now().mono
+        self.clock.now().monotonic_ms
     }
 
     pub fn lock(&self) -> MutexGuard<'_, Front> {
         self.front.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    fn waiters(&self) -> MutexGuard<'_, HashMap<Rid, Sender<()>>> {
+    fn waiters(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<()>>> {
         self.waiting.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    pub fn wait(&self, rid: Rid) -> Receiver<()> {
+    pub fn wait(&self, request_id: RequestId) -> Receiver<()> {
         let (tx, rx) = bounded(1);
-        self.waiters().insert(rid, tx);
+        self.waiters().insert(request_id, tx);
         rx
     }
 
-    pub fn waited(&self, rid: Rid) {
-        self.waiters().remove(&rid);
+    pub fn waited(&self, request_id: RequestId) {
+        self.waiters().remove(&request_id);
     }
 
     /// Wakes those that may find a worker now.
--- a/sorreldoor/src/proxy/stream.rs
+++ b/sorreldoor/src/proxy/stream.rs
@@ -11,10 +11,10 @@
 use super::exchange::{Exchange, Outcome, SILENCE_CHECK_MS};
 use super::http1::{Framing, Head};
 use super::pool::Connection;
-use super::table::Heard;
 use super::wait::{wait_for_worker, Wakeup};
+use crate::balancer::Heard;
 use crate::consensus::Millis;
-use crate::seam::Clock;
+use crate::runtime::Clock;
 
 /// Silence in the middle of a stream is not taken for its end before this.
 const LEAST_GAP_MS: Millis = 400;
@@ -173,7 +173,7 @@
         let keep_alive = !head_sent
             && self
                 .client
-                .answer(crate::problem::Problem::DeadlinePassed, 0)
+                .answer(crate::error::ErrorCode::DeadlinePassed, 0)
                 .await;
         Outcome::Finished { keep_alive }
     }
--- a/sorreldoor/src/proxy/verdict.rs
+++ b/sorreldoor/src/proxy/verdict.rs
@@ -3,7 +3,7 @@
 use super::attempt::Event;
 use super::dialect::Told;
 use super::http1::{Framing, Head};
-use crate::rules::{broken, Rule};
+use crate::invariants::{broken, Invariant};
 
 /// What the proxy knows of the request that an answer should belong to.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 
 /// Decides whose answer `head` is before any byte of it may go to the client.
 pub fn judge(head: &Head, told: &Told, expected: &Expected) -> Verdict {
-    if !is_own(head, told, expected) && !broken(Rule::AnswerId) {
+    if !is_own(head, told, expected) && !broken(Invariant::AnswerId) {
         return Verdict::Unusable(Event::HeadOfOtherRequest);
     }
     if told.misdirected {
@@ -38,7 +38,7 @@
         return Verdict::Unusable(Event::Malformed);
     };
     // an end of the connection would look like the end of such an answer
-    if framing == Framing::Close && success && !broken(Rule::WholeAnswer) {
+    if framing == Framing::Close && success && !broken(Invariant::WholeAnswer) {
         return Verdict::Unusable(Event::Malformed);
     }
     match (told.not_run, success) {
--- a/sorreldoor/src/record/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -1,38 +1,38 @@
 //! Applying committed entries: the same everywhere, in the same order.
 
-use super::{decode, encode, Cmd, Document, Kept, Outcome, Record};
-use crate::consensus::{Machine, ProposalId};
+use super::{decode, encode, Command, Document, Kept, Outcome, ReplicatedState};
+use crate::configuration::hosted_change::{HostedChange, ListChange};
+use crate::configuration::{self, Configuration};
+use crate::consensus::{ProposalId, StateMachine};
+use crate::invariants::{broken, Invariant};
 use crate::json;
-use crate::rules::{broken, Rule};
-use crate::setup::hosted_change::{HostedChange, ListChange};
-use crate::setup::{self, Setup};
 use std::sync::Arc;
 
-impl Record {
-    fn run(&mut self, cmd: Cmd) -> Outcome {
+impl ReplicatedState {
+    fn run(&mut self, cmd: Command) -> Outcome {
         match cmd {
-            Cmd::Put { base, to, doc } => self.based(base, to, |r| r.put(doc.into_bytes())),
-            Cmd::Edit { base, patch } => self.based(base, None, |r| r.edit(&patch)),
-            Cmd::Items {
+            Command::Put { base, to, doc } => self.based(base, to, |r| r.put(doc.into_bytes())),
+            Command::Edit { base, patch } => self.based(base, None, |r| r.edit(&patch)),
+            Command::Items {
                 base,
                 to,
                 set,
                 drop,
             } => self.based(base, to, |r| r.items(&set, &drop)),
-            Cmd::Evacuate { zone, emptied } => self
-                .zone(zone, emptied)
+            Command::Evacuate { zone, evacuated } => self
+                .zone(zone, evacuated)
                 .map_or_else(|faults| Outcome::Bad { faults }, |()| self.changed()),
-            Cmd::EvacuateOnce {
+            Command::EvacuateOnce {
                 zone,
-                emptied,
+                evacuated,
                 changes,
-            } => self.evacuate_once(zone, emptied, changes),
-            Cmd::Zone {
+            } => self.evacuate_once(zone, evacuated, changes),
+            Command::Zone {
                 base,
                 zone,
-                emptied,
-            } => self.based(base, None, |r| r.zone(zone, emptied)),
-            Cmd::Duty { holder, above } => {
+                evacuated,
+            } => self.based(base, None, |r| r.zone(zone, evacuated)),
+            Command::Duty { holder, above } => {
                 // two that raced for the duty must not both think they hold it
                 if above != self.kept.epoch {
                     return self.old_epoch();
@@ -41,12 +41,12 @@
                 self.kept.holder = holder;
                 self.changed()
             }
-            Cmd::Tune {
+            Command::Tune {
                 epoch,
-                serial,
+                version,
                 weights,
-            } => self.tune(epoch, serial, weights),
-            Cmd::Region {
+            } => self.tune(epoch, version, weights),
+            Command::Region {
                 epoch,
                 region,
                 state,
@@ -69,7 +69,7 @@
     fn changed(&mut self) -> Outcome {
         self.kept.rev += 1;
         Outcome::Taken {
-            serial: self.kept.serial,
+            version: self.kept.version,
         }
     }
 
@@ -77,27 +77,27 @@
         &mut self,
         base: u64,
         to: Option<u64>,
-        f: impl FnOnce(&mut Record) -> Result<(), Vec<String>>,
+        f: impl FnOnce(&mut ReplicatedState) -> Result<(), Vec<String>>,
     ) -> Outcome {
         // of two changes that build on one serial, only the first may win
-        if base != self.kept.serial && !broken(Rule::Base) {
-            if broken(Rule::Loser) && f(self).is_ok() {
+        if base != self.kept.version && !broken(Invariant::Base) {
+            if broken(Invariant::Loser) && f(self).is_ok() {
                 self.kept.rev += 1;
             }
             return self.not_current(base);
         }
-        let serial = to.unwrap_or(self.kept.serial + 1);
-        if serial <= self.kept.serial {
+        let version = to.unwrap_or(self.kept.version + 1);
+        if version <= self.kept.version {
             let faults = vec![format!(
-                "serial: {serial} is not above {}",
-                self.kept.serial
+                "serial: {version} is not above {}",
+                self.kept.version
             )];
             return Outcome::Bad { faults };
         }
         f(self).map_or_else(
             |faults| Outcome::Bad { faults },
             |()| {
-                self.kept.serial = serial;
+                self.kept.version = version;
                 self.changed()
             },
         )
@@ -105,32 +105,32 @@
 
     /// The outcome of an order on another version than the current one.
     fn not_current(&self, base: u64) -> Outcome {
-        let serial = self.kept.serial;
+        let version = self.kept.version;
         // a base that is still to come may be current when another copy of
         // the order is applied, so this copy must not be answered with a no
-        if base > serial && !broken(Rule::NotYet) {
-            return Outcome::NotYet { serial };
+        if base > version && !broken(Invariant::NotYet) {
+            return Outcome::NotYet { version };
         }
-        Outcome::Stale { serial }
+        Outcome::Stale { version }
     }
 
-    fn evacuate_once(&mut self, zone: u16, emptied: bool, changes: u64) -> Outcome {
-        let done = self.kept.emptied.contains(&zone) == emptied;
-        let overtaken = changes != self.zone_changes(zone) && !broken(Rule::EvacuateOnce);
+    fn evacuate_once(&mut self, zone: u16, evacuated: bool, changes: u64) -> Outcome {
+        let done = self.kept.evacuated.contains(&zone) == evacuated;
+        let overtaken = changes != self.zone_changes(zone) && !broken(Invariant::EvacuateOnce);
         if overtaken && !done {
             return Outcome::Unsure {
-                serial: self.kept.serial,
+                version: self.kept.version,
             };
         }
-        self.run(Cmd::Evacuate { zone, emptied })
+        self.run(Command::Evacuate { zone, evacuated })
     }
 
     fn put(&mut self, doc: Vec<u8>) -> Result<(), Vec<String>> {
-        let (s, v) = setup::read(&doc, &self.site)?;
+        let (s, v) = configuration::read(&doc, &self.site)?;
         let revision = self.kept.rev + 1;
         let document = self.kept.document.get_or_insert_with(Document::default);
         document.replace(&v, revision);
-        self.setup = Some(Arc::new(s));
+        self.configuration = Some(Arc::new(s));
         self.forget_weights();
         Ok(())
     }
@@ -151,7 +151,7 @@
             .map(Document::text)
             .ok_or(vec!["edit: there is no setup to edit yet".to_string()])?;
         let one = |e| vec![format!("edit: {e}")];
-        let p = json::parse(patch.as_bytes(), setup::MOST_BYTES).map_err(one)?;
+        let p = json::parse(patch.as_bytes(), configuration::MOST_BYTES).map_err(one)?;
         let mut v = json::parse(doc.as_bytes(), usize::MAX).map_err(one)?;
         json::merge(&mut v, &p);
         self.put(json::canon(&v).into_bytes())
@@ -160,17 +160,17 @@
     /// Costs what is changed, not what is there.
     fn items(&mut self, set: &str, drop: &str) -> Result<(), Vec<String>> {
         let one = |e: String| vec![format!("items: {e}")];
-        let part = |t: &str| json::parse(t.as_bytes(), setup::MOST_BYTES).map_err(one);
+        let part = |t: &str| json::parse(t.as_bytes(), configuration::MOST_BYTES).map_err(one);
         let (set, drop) = (part(set)?, part(drop)?);
         let mut document = self.kept.document.clone().unwrap_or_default();
         document
             .change_items(&set, &drop, self.kept.rev + 1)
             .map_err(one)?;
-        if document.bytes() > setup::MOST_BYTES {
-            let most = setup::MOST_BYTES;
+        if document.bytes() > configuration::MOST_BYTES {
+            let most = configuration::MOST_BYTES;
             return Err(one(format!("the setup would be larger than {most} bytes")));
         }
-        let Some(old) = self.setup.clone() else {
+        let Some(old) = self.configuration.clone() else {
             return self.put(document.text().into_bytes());
         };
         let hosted = old.hosted.clone().unwrap_or_default();
@@ -181,7 +181,7 @@
             routes: ListChange::of(&set, &drop, "routes"),
         };
         let hosted = change.apply(&hosted, &self.site)?;
-        self.setup = Some(Arc::new(Setup {
+        self.configuration = Some(Arc::new(Configuration {
             hosted: Some(Arc::new(hosted)),
             ..(*old).clone()
         }));
@@ -190,33 +190,33 @@
         Ok(())
     }
 
-    fn zone(&mut self, zone: u16, emptied: bool) -> Result<(), Vec<String>> {
+    fn zone(&mut self, zone: u16, evacuated: bool) -> Result<(), Vec<String>> {
         if self.site.zone_name(zone) == "?" {
             return Err(vec![format!("zone: there is no zone {zone}")]);
         }
-        if emptied == self.kept.emptied.contains(&zone) {
+        if evacuated == self.kept.evacuated.contains(&zone) {
             return Ok(());
         }
-        if emptied {
-            self.kept.emptied.insert(zone);
+        if evacuated {
+            self.kept.evacuated.insert(zone);
         } else {
-            self.kept.emptied.remove(&zone);
+            self.kept.evacuated.remove(&zone);
         }
         let changes = self.zone_changes(zone) + 1;
         self.kept.zone_changes.insert(zone, changes);
         Ok(())
     }
 
-    fn tune(&mut self, epoch: u64, serial: u64, ws: Vec<(u16, u16, u32)>) -> Outcome {
+    fn tune(&mut self, epoch: u64, version: u64, ws: Vec<(u16, u16, u32)>) -> Outcome {
         if epoch != self.kept.epoch {
             return self.old_epoch();
         }
-        if serial != self.kept.serial {
+        if version != self.kept.version {
             return Outcome::Stale {
-                serial: self.kept.serial,
+                version: self.kept.version,
             };
         }
-        let Some(s) = self.setup.clone() else {
+        let Some(s) = self.configuration.clone() else {
             return Outcome::Bad {
                 faults: vec!["tune: there is no setup".into()],
             };
@@ -236,37 +236,39 @@
     }
 
     /// What a change would do, without doing it.
-    pub fn tried(&self, cmd: Cmd) -> (Outcome, Record) {
+    pub fn tried(&self, cmd: Command) -> (Outcome, ReplicatedState) {
         let mut r = self.clone();
         let o = r.run(cmd);
         (o, r)
     }
 }
 
-impl Record {
+impl ReplicatedState {
     /// The outcome of a proposal that was taken before.
     fn taken_before(&self, id: ProposalId) -> Option<Outcome> {
         let known = self.kept.taken.version_of(id);
-        let serial = known.filter(|_| !broken(Rule::AppliedOnce))?;
-        if broken(Rule::RefusalKept) && serial == REFUSED {
-            let serial = self.kept.serial;
-            return Some(Outcome::Stale { serial });
+        let version = known.filter(|_| !broken(Invariant::AppliedOnce))?;
+        if broken(Invariant::RefusalKept) && version == REFUSED {
+            let version = self.kept.version;
+            return Some(Outcome::Stale { version });
         }
-        Some(Outcome::Taken { serial })
+        Some(Outcome::Taken { version })
     }
 
     /// Applies a proposal that is not known to have been taken.
-    fn apply_new(&mut self, id: ProposalId, cmd: Cmd) -> Outcome {
+    fn apply_new(&mut self, id: ProposalId, cmd: Command) -> Outcome {
         let base = cmd.base();
         if base.is_some_and(|base| self.kept.taken.may_have_forgotten(base)) {
-            let serial = self.kept.serial;
-            return Outcome::Unsure { serial };
+            let version = self.kept.version;
+            return Outcome::Unsure { version };
         }
         let outcome = self.run(cmd);
         match (&outcome, base) {
-            (Outcome::Taken { serial }, Some(_)) => self.kept.taken.insert_order(id, *serial),
-            (Outcome::Taken { serial }, None) => self.kept.taken.insert_proposal(id, *serial),
-            (_, Some(_)) if broken(Rule::RefusalKept) => self.kept.taken.insert_order(id, REFUSED),
+            (Outcome::Taken { version }, Some(_)) => self.kept.taken.insert_order(id, *version),
+            (Outcome::Taken { version }, None) => self.kept.taken.insert_proposal(id, *version),
+            (_, Some(_)) if broken(Invariant::RefusalKept) => {
+                self.kept.taken.insert_order(id, REFUSED)
+            }
             _ => {}
         }
         outcome
@@ -276,22 +278,22 @@
 /// Stands for a refusal where a test has them kept; no version is 0.
 const REFUSED: u64 = 0;
 
-impl Machine for Record {
-    fn apply(&mut self, _idx: u64, pid: ProposalId, data: &[u8]) -> Vec<u8> {
+impl StateMachine for ReplicatedState {
+    fn apply(&mut self, _idx: u64, proposal_id: ProposalId, data: &[u8]) -> Vec<u8> {
         // a copy of an order that was taken, from another core or another try
-        let outcome = self
-            .taken_before(pid)
-            .unwrap_or_else(|| match decode::<Cmd>(data) {
-                Some(cmd) => self.apply_new(pid, cmd),
-                None => Outcome::Bad {
-                    faults: vec!["proposal: cannot be read".into()],
-                },
-            });
+        let outcome =
+            self.taken_before(proposal_id)
+                .unwrap_or_else(|| match decode::<Command>(data) {
+                    Some(cmd) => self.apply_new(proposal_id, cmd),
+                    None => Outcome::Bad {
+                        faults: vec!["proposal: cannot be read".into()],
+                    },
+                });
         encode(&outcome)
     }
 
-    fn answered(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>> {
-        let before = self.taken_before(pid)?;
+    fn answered(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
+        let before = self.taken_before(proposal_id)?;
         Some(Arc::new(encode(&before)))
     }
 
@@ -304,7 +306,7 @@
             return false;
         };
         k.upgrade();
-        if broken(Rule::TakenInImage) {
+        if broken(Invariant::TakenInImage) {
             k.taken = Default::default();
         }
         let older = k.doc.take();
@@ -312,18 +314,18 @@
             d.index();
         }
         let text = older.or_else(|| k.document.as_ref().map(|d| Arc::new(d.text())));
-        let read = text.map(|d| setup::read(d.as_bytes(), &self.site));
+        let read = text.map(|d| configuration::read(d.as_bytes(), &self.site));
         if read.as_ref().is_some_and(|s| s.is_err()) {
             return false;
         }
-        let (setup, value) = read.and_then(|s| s.ok()).unzip();
+        let (configuration, value) = read.and_then(|s| s.ok()).unzip();
         if let Some(v) = value.filter(|_| k.document.is_none()) {
             let mut document = Document::default();
             document.replace(&v, k.rev);
             k.document = Some(document);
             k.weights_revision = k.rev;
         }
-        self.setup = setup.map(Arc::new);
+        self.configuration = configuration.map(Arc::new);
         self.kept = k;
         true
     }
--- a/sorreldoor/src/record/document.rs
+++ b/sorreldoor/src/replicated_state/document.rs
@@ -3,10 +3,10 @@
 //! rest as text. Clones share what they have in common.
 
 use super::item_list::{ItemChanges, ItemList};
+use crate::configuration::hosted::Hosted;
+use crate::configuration::hosted_change::{HostedChange, ListChange};
+use crate::configuration::Site;
 use crate::json::{self, Val};
-use crate::setup::hosted::Hosted;
-use crate::setup::hosted_change::{HostedChange, ListChange};
-use crate::setup::Site;
 use serde::{Deserialize, Serialize};
 use simd_json::prelude::*;
 use std::sync::Arc;
--- a/sorreldoor/src/record/item_list.rs
+++ b/sorreldoor/src/replicated_state/item_list.rs
@@ -1,7 +1,7 @@
 //! A list of named JSON items that knows, for each, when it last changed.
 
+use crate::invariants::{broken, Invariant};
 use crate::json::{self, Val};
-use crate::rules::{broken, Rule};
 use im::OrdMap;
 use serde::{Deserialize, Serialize};
 use simd_json::prelude::*;
@@ -207,7 +207,7 @@
         });
         let gone = self.deleted.iter().filter(|(_, at)| **at > from);
         let gone = gone.filter(|(name, _)| !self.places.contains_key(*name));
-        let gone = gone.filter(|_| !broken(Rule::Deletions));
+        let gone = gone.filter(|_| !broken(Invariant::Deletions));
         Some(ItemChanges {
             given: self.given,
             set: set.collect(),
--- a/sorreldoor/src/record/mod.rs
+++ b/sorreldoor/src/replicated_state/mod.rs
@@ -11,8 +11,8 @@
 pub use taken::REMEMBERED_ORDERS;
 pub use update::{Copy, Update};
 
+use crate::configuration::{Configuration, Site};
 use crate::consensus::ProposalId;
-use crate::setup::{Setup, Site};
 use im::{OrdMap, OrdSet, Vector};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 
 /// What a proposal asks of the record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Cmd {
+pub enum Command {
     /// The whole document. Where `to` is given it is the new serial and must
     /// be above the present one; else the serial rises by one.
     Put {
@@ -30,23 +30,19 @@
         doc: String,
     },
     /// An RFC 7396 merge patch on the document.
-    Edit {
-        base: u64,
-        patch: String,
-    },
+    Edit { base: u64, patch: String },
     Zone {
         base: u64,
         zone: u16,
-        emptied: bool,
+        #[serde(rename = "emptied")]
+        evacuated: bool,
     },
     /// Take up the tuning duty; each taking raises the epoch.
-    Duty {
-        holder: u64,
-        above: u64,
-    },
+    Duty { holder: u64, above: u64 },
     Tune {
         epoch: u64,
-        serial: u64,
+        #[serde(rename = "serial")]
+        version: u64,
         weights: Vec<(u16, u16, u32)>,
     },
     Region {
@@ -67,26 +63,28 @@
     /// Like `Zone`, on top of whatever is there, and without a new serial.
     Evacuate {
         zone: u16,
-        emptied: bool,
+        #[serde(rename = "emptied")]
+        evacuated: bool,
     },
     /// `Evacuate` as a core proposes it: only while the zone has been emptied
     /// and taken back as often as that core knew when the call came. A copy
     /// that was held up until after later changes of the zone has no effect.
     EvacuateOnce {
         zone: u16,
-        emptied: bool,
+        #[serde(rename = "emptied")]
+        evacuated: bool,
         changes: u64,
     },
 }
 
-impl Cmd {
+impl Command {
     /// The version that an operator's order builds on, where it names one.
     pub fn base(&self) -> Option<u64> {
         match self {
-            Cmd::Put { base, .. }
-            | Cmd::Edit { base, .. }
-            | Cmd::Zone { base, .. }
-            | Cmd::Items { base, .. } => Some(*base),
+            Command::Put { base, .. }
+            | Command::Edit { base, .. }
+            | Command::Zone { base, .. }
+            | Command::Items { base, .. } => Some(*base),
             _ => None,
         }
     }
@@ -95,11 +93,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
     Taken {
-        serial: u64,
+        #[serde(rename = "serial")]
+        version: u64,
     },
     /// Refused for good: the version it builds on has been passed.
     Stale {
-        serial: u64,
+        #[serde(rename = "serial")]
+        version: u64,
     },
     /// Refused for good: it is faulty, on the very version it builds on.
     Bad {
@@ -111,12 +111,14 @@
     /// No answer: the version it builds on is not there yet, so the same
     /// order may be taken when it is sent again.
     NotYet {
-        serial: u64,
+        #[serde(rename = "serial")]
+        version: u64,
     },
     /// No answer: whether it was taken once cannot be told any more, or an
     /// evacuation may have been overtaken. Nothing was changed.
     Unsure {
-        serial: u64,
+        #[serde(rename = "serial")]
+        version: u64,
     },
 }
 
@@ -133,9 +135,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
     pub rev: u64,
-    pub serial: u64,
+    #[serde(rename = "serial")]
+    pub version: u64,
     pub doc: Option<Arc<String>>,
-    pub emptied: Vec<u16>,
+    #[serde(rename = "emptied")]
+    pub evacuated: Vec<u16>,
     pub weights: Vec<(u16, u16, u32)>,
     pub regions: Vec<(u8, Recovery)>,
 }
@@ -148,13 +152,15 @@
     /// Raised by every change of any kind.
     rev: u64,
     /// Raised by operators' changes only; what these build on.
-    serial: u64,
+    #[serde(rename = "serial")]
+    version: u64,
     /// The document as the release before wrote it; read, never written.
     #[serde(default, skip_serializing)]
     doc: Option<Arc<String>>,
     #[serde(default)]
     document: Option<Document>,
-    emptied: OrdSet<u16>,
+    #[serde(rename = "emptied")]
+    evacuated: OrdSet<u16>,
     /// Tuned weights by route and service, within the operator's bounds.
     weights: OrdMap<(u16, u16), u32>,
     #[serde(default)]
@@ -182,39 +188,39 @@
         let full = order.len() >= ANSWERED;
         let outcomes = order.iter().filter_map(|id| Some((id, answered.get(id)?)));
         for (n, (id, bytes)) in outcomes.enumerate() {
-            let Some(Outcome::Taken { serial }) = decode(bytes) else {
+            let Some(Outcome::Taken { version }) = decode(bytes) else {
                 continue;
             };
             // what was dropped before the oldest one had no higher version
             if full && n == 0 {
-                self.taken.forgotten_up_to(serial);
+                self.taken.forgotten_up_to(version);
             }
-            self.taken.insert_order(*id, serial);
+            self.taken.insert_order(*id, version);
         }
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Record {
+pub struct ReplicatedState {
     site: Arc<Site>,
     kept: Kept,
-    setup: Option<Arc<Setup>>,
+    configuration: Option<Arc<Configuration>>,
 }
 
-impl Record {
-    pub fn new(site: Arc<Site>) -> Record {
-        Record {
+impl ReplicatedState {
+    pub fn new(site: Arc<Site>) -> ReplicatedState {
+        ReplicatedState {
             site,
             kept: Kept::default(),
-            setup: None,
+            configuration: None,
         }
     }
 
     pub fn rev(&self) -> u64 {
         self.kept.rev
     }
-    pub fn serial(&self) -> u64 {
-        self.kept.serial
+    pub fn version(&self) -> u64 {
+        self.kept.version
     }
     pub fn epoch(&self) -> u64 {
         self.kept.epoch
@@ -222,11 +228,11 @@
     pub fn holder(&self) -> u64 {
         self.kept.holder
     }
-    pub fn setup(&self) -> Option<&Arc<Setup>> {
-        self.setup.as_ref()
+    pub fn configuration(&self) -> Option<&Arc<Configuration>> {
+        self.configuration.as_ref()
     }
-    pub fn emptied(&self, zone: u16) -> bool {
-        self.kept.emptied.contains(&zone)
+    pub fn evacuated(&self, zone: u16) -> bool {
+        self.kept.evacuated.contains(&zone)
     }
     /// How often a zone was emptied or taken back.
     pub fn zone_changes(&self, zone: u16) -> u64 {
@@ -259,9 +265,9 @@
         let k = &self.kept;
         View {
             rev: k.rev,
-            serial: k.serial,
+            version: k.version,
             doc: None,
-            emptied: k.emptied.iter().copied().collect(),
+            evacuated: k.evacuated.iter().copied().collect(),
             weights: k.weights.iter().map(|((r, s), w)| (*r, *s, *w)).collect(),
             regions: k.regions.iter().map(|(r, s)| (*r, *s)).collect(),
         }
--- a/sorreldoor/src/record/update.rs
+++ b/sorreldoor/src/replicated_state/update.rs
@@ -1,8 +1,8 @@
 //! What a node with an older copy of the record is told.
 
 use super::document::{Document, DocumentChanges};
-use super::{Record, Recovery, View};
-use crate::rules::{broken, Rule};
+use super::{Recovery, ReplicatedState, View};
+use crate::invariants::{broken, Invariant};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -12,16 +12,18 @@
 pub struct Update {
     pub from: u64,
     pub rev: u64,
-    pub serial: u64,
+    #[serde(rename = "serial")]
+    pub version: u64,
     /// None where there is no document yet.
     pub document: Option<DocumentChanges>,
-    pub emptied: Vec<u16>,
+    #[serde(rename = "emptied")]
+    pub evacuated: Vec<u16>,
     /// None where they have not changed since `from`.
     pub weights: Option<Vec<(u16, u16, u32)>>,
     pub regions: Vec<(u8, Recovery)>,
 }
 
-impl Record {
+impl ReplicatedState {
     /// What a copy of revision `from` lacks.
     pub fn update_since(&self, from: u64) -> Update {
         let kept = &self.kept;
@@ -29,19 +31,19 @@
         let changes = document.map(|d| d.changes_since(from));
         // who has nothing, or is too far behind, is told the whole
         let whole = from == 0 || from > kept.rev || changes == Some(None);
-        let whole = whole || broken(Rule::Differences);
+        let whole = whole || broken(Invariant::Differences);
         let from = if whole { 0 } else { from };
         let new_weights = whole || kept.weights_revision > from;
         let view = self.view_without_document();
         Update {
             from,
             rev: kept.rev,
-            serial: kept.serial,
+            version: kept.version,
             document: match whole {
                 true => document.map(Document::whole),
                 false => changes.flatten(),
             },
-            emptied: view.emptied,
+            evacuated: view.evacuated,
             weights: Some(view.weights).filter(|_| new_weights),
             regions: view.regions,
         }
@@ -70,8 +72,8 @@
             document.apply(changes, update.rev);
         }
         self.view.rev = update.rev;
-        self.view.serial = update.serial;
-        self.view.emptied = update.emptied.clone();
+        self.view.version = update.version;
+        self.view.evacuated = update.evacuated.clone();
         self.view.regions = update.regions.clone();
         if let Some(weights) = &update.weights {
             self.view.weights = weights.clone();
--- a/sorreldoor/src/seam.rs
+++ b/sorreldoor/src/runtime.rs
@@ -7,7 +7,7 @@
 /// What time it is, to one process: its own monotonic clock and the wall's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    pub mono: u64,
+    pub monotonic_ms: u64,
     pub wall: i64,
 }
 
@@ -18,19 +18,19 @@
 /// All of a duty's state, moved on by one event at a time.
 pub trait Reducer {
     type Event;
-    type Fx;
-    fn step(&mut self, ev: Self::Event, now: Now) -> Vec<Self::Fx>;
+    type Effect;
+    fn step(&mut self, ev: Self::Event, now: Now) -> Vec<Self::Effect>;
 }
 
 /// Carries out what a reducer asks for; false ends the duty.
-pub trait Hand<R: Reducer> {
-    fn carry(&mut self, r: &mut R, fx: R::Fx);
-    fn goes_on(&mut self, r: &R) -> bool;
+pub trait EffectHandler<R: Reducer> {
+    fn handle(&mut self, r: &mut R, effect: R::Effect);
+    fn keeps_running(&mut self, r: &R) -> bool;
 }
 
 /// The machine's clocks, in milliseconds. Where the system offers it, time
 /// that the machine spent suspended counts as time gone by.
-pub struct Machine {
+pub struct SystemClock {
     began: u64,
 }
 
@@ -50,16 +50,16 @@
         .as_millis() as u64
 }
 
-impl Default for Machine {
-    fn default() -> Machine {
-        Machine { began: gone_by() }
+impl Default for SystemClock {
+    fn default() -> SystemClock {
+        SystemClock { began: gone_by() }
     }
 }
 
-impl Clock for Machine {
+impl Clock for SystemClock {
     fn now(&self) -> Now {
         Now {
-            mono: gone_by().saturating_sub(self.began),
+            monotonic_ms: gone_by().saturating_sub(self.began),
             wall: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_millis() as i64),
@@ -68,17 +68,17 @@
 }
 
 /// A duty's thread: events from its ring through the reducer to the hand.
-pub fn turn<R, C, H>(r: &mut R, clock: &C, hand: &mut H, ring: &Receiver<R::Event>)
+pub fn run_event_loop<R, C, H>(r: &mut R, clock: &C, hand: &mut H, ring: &Receiver<R::Event>)
 where
     R: Reducer,
     C: Clock,
-    H: Hand<R>,
+    H: EffectHandler<R>,
 {
     while let Ok(ev) = ring.recv_blocking() {
-        for fx in r.step(ev, clock.now()) {
-            hand.carry(r, fx);
+        for effect in r.step(ev, clock.now()) {
+            hand.handle(r, effect);
         }
-        if !hand.goes_on(r) {
+        if !hand.keeps_running(r) {
             return;
         }
     }
--- a/sorreldoor/src/settings.rs
+++ b/sorreldoor/src/settings.rs
@@ -1,9 +1,9 @@
 //! A process's own settings: one JSON file, flags over it, checked whole.
 
-use crate::core::membership::Policy;
+use crate::configuration::Site;
+use crate::control_plane::membership::Policy;
 use crate::json::{self, Faults, Obj, Val};
 use crate::pacing::{self, Pacing};
-use crate::setup::Site;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     /// Where to dial for an address that is not reached directly.
     pub reach: BTreeMap<SocketAddr, SocketAddr>,
     pub ack_ms: u64,
-    pub permit_ms: u64,
+    pub lease_ms: u64,
     pub replace_ms: u64,
     pub drain_ms: u64,
     pub most_body: usize,
@@ -184,7 +184,7 @@
         platform,
         reach,
         ack_ms: o.num("ack_ms", 200, 60_000, f).unwrap_or(2000),
-        permit_ms: o.num("permit_ms", 500, 2500, f).unwrap_or(2000),
+        lease_ms: o.num("permit_ms", 500, 2500, f).unwrap_or(2000),
         replace_ms: o.num("replace_ms", 1000, 86_400_000, f).unwrap_or(10_000),
         drain_ms: o.num("drain_ms", 0, 600_000, f).unwrap_or(10_000),
         most_body: o.num("most_body", 1024, 64 << 20, f).unwrap_or(1 << 20) as usize,
--- a/sorreldoor/src/store/legacy.rs
+++ b/sorreldoor/src/store/legacy.rs
@@ -3,7 +3,7 @@
 
 use super::DurableState;
 use crate::consensus::Save;
-use crate::record::decode;
+use crate::replicated_state::decode;
 use okaywal::{Configuration, Entry, EntryId, LogManager, SegmentReader, WriteAheadLog};
 use std::fs::{self, File};
 use std::io;
--- a/sorreldoor/src/store/recovery.rs
+++ b/sorreldoor/src/store/recovery.rs
@@ -5,7 +5,7 @@
 use super::durable_state::{Change, DurableState};
 use super::frame::{read_record, record_bytes, scan_headers, Kind};
 use super::FILES;
-use crate::record::decode;
+use crate::replicated_state::decode;
 use std::io;
 
 /// Number of the very first record.
--- a/sorreldoor/src/pull/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -1,10 +1,10 @@
 //! Cores that an edge tries beside its session's: one near by, or one more
 //! where a renewal has had no proof for too long.
 
-use super::{Pull, PullFx};
+use super::{Pull, SubscriptionEffect};
 use crate::consensus::Millis;
+use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
-use crate::rules::{broken, Rule};
 use std::net::SocketAddr;
 
 /// Between tries to come to a core of one's own region.
@@ -26,7 +26,7 @@
 impl Pull {
     /// Try a core of one's own region: what is asked of one far off costs its
     /// way twice, and a claim twice that.
-    pub(super) fn go_home(&mut self, now: Millis, out: &mut Vec<PullFx>) {
+    pub(super) fn go_home(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         let near = |a: &SocketAddr| self.cores.iter().any(|(c, n)| *n && c == a);
         let away = self.dialled.as_ref().is_some_and(|a| !near(a));
         if now < self.home_at || self.conn.is_none() || !away {
@@ -42,8 +42,8 @@
     }
 
     /// Try one core more where a renewal has had no proof for too long.
-    pub(super) fn hedge_alarm(&mut self, now: Millis, out: &mut Vec<PullFx>) {
-        if now < self.hedge_at || broken(Rule::Hedge) {
+    pub(super) fn hedge_alarm(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
+        if now < self.hedge_at || broken(Invariant::Hedge) {
             return;
         }
         self.hedge_at = now + self.hedge();
@@ -62,7 +62,13 @@
         self.dialled == Some(addr) || self.candidates.iter().any(|c| c.addr == addr)
     }
 
-    fn try_core(&mut self, addr: SocketAddr, home: bool, now: Millis, out: &mut Vec<PullFx>) {
+    fn try_core(
+        &mut self,
+        addr: SocketAddr,
+        home: bool,
+        now: Millis,
+        out: &mut Vec<SubscriptionEffect>,
+    ) {
         if self.tried(addr) {
             return;
         }
@@ -73,26 +79,26 @@
             renew_at: now,
             home,
         });
-        out.push(PullFx::Dial(addr));
+        out.push(SubscriptionEffect::Connect(addr));
     }
 
     /// Let go of those that proved nothing in their time.
-    pub(super) fn drop_candidates(&mut self, now: Millis, out: &mut Vec<PullFx>) {
+    pub(super) fn drop_candidates(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         let late = |c: &Candidate| now.saturating_sub(c.since) > TRY_MS;
         for c in self.candidates.iter().filter(|c| late(c)) {
-            out.push(PullFx::Undial(c.addr));
+            out.push(SubscriptionEffect::Disconnect(c.addr));
         }
         self.candidates.retain(|c| !late(c));
     }
 
-    pub(super) fn renew_candidates(&mut self, now: Millis, out: &mut Vec<PullFx>) {
+    pub(super) fn renew_candidates(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         let unverified = self.unverified(now);
         let every = self.hedge();
         for c in self.candidates.iter_mut().filter(|c| now >= c.renew_at) {
             let Some(conn) = c.conn else { continue };
             c.renew_at = now + every;
             let no = self.lease.ask(conn, now);
-            out.push(PullFx::Renew {
+            out.push(SubscriptionEffect::Renew {
                 conn,
                 no,
                 unverified,
@@ -107,16 +113,17 @@
         let won = won.copied();
         if let Some(won) = won {
             let old = self.dialled.replace(won.addr);
-            self.due.extend(old.map(PullFx::Undial));
+            self.due.extend(old.map(SubscriptionEffect::Disconnect));
             if !won.home {
-                self.due.push(PullFx::Lost);
+                self.due.push(SubscriptionEffect::Lost);
             }
             self.conn = Some(conn);
             self.candidates.retain(|c| c.addr != won.addr);
         }
         let needless = |c: &Candidate| won.is_some() || !c.home;
         let gone = self.candidates.iter().filter(|c| needless(c));
-        self.due.extend(gone.map(|c| PullFx::Undial(c.addr)));
+        self.due
+            .extend(gone.map(|c| SubscriptionEffect::Disconnect(c.addr)));
         self.candidates.retain(|c| !needless(c));
     }
 }
--- a/sorreldoor/src/pull/lease.rs
+++ b/sorreldoor/src/subscription/lease.rs
@@ -1,8 +1,8 @@
 //! An edge's freshness lease, and the renewals on their way that extend it.
 
 use crate::consensus::Millis;
+use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
-use crate::rules::{broken, Rule};
 
 /// Renewals that are remembered until they are answered, at most.
 const MOST_SENT: usize = 64;
@@ -34,7 +34,7 @@
     }
 
     pub fn holds(&self, now: Millis) -> bool {
-        now < self.until || broken(Rule::Permit)
+        now < self.until || broken(Invariant::Lease)
     }
 
     pub fn left(&self, now: Millis) -> Millis {
--- a/sorreldoor/src/pull/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -7,10 +7,10 @@
 mod lease;
 
 use crate::consensus::Millis;
+use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
 use crate::pacing::Pacing;
-use crate::rules::{broken, Rule};
-use crate::wire::{Have, Unverified};
+use crate::wire::{KnownVersions, Unverified};
 use candidates::Candidate;
 use lease::{Lease, Renewal};
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     hedge_at: Millis,
     pub dialled: Option<SocketAddr>,
     pub conn: Option<Conn>,
-    pub have: Have,
+    pub have: KnownVersions,
     lease: Lease,
     renew_at: Millis,
     last_event: Millis,
@@ -57,7 +57,7 @@
     /// A core has proved itself in this life.
     proved: bool,
     /// What follows from a grant, carried out at the next alarm.
-    due: Vec<PullFx>,
+    due: Vec<SubscriptionEffect>,
 }
 
 /// What came of a grant.
@@ -71,9 +71,9 @@
 
 /// What the edge should do about its session now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PullFx {
-    Dial(SocketAddr),
-    Undial(SocketAddr),
+pub enum SubscriptionEffect {
+    Connect(SocketAddr),
+    Disconnect(SocketAddr),
     Renew {
         conn: Conn,
         no: u64,
@@ -81,8 +81,8 @@
     },
     Lost,
     Woken(String),
-    PermitLost,
-    PermitBack,
+    LeaseExpired,
+    LeaseRenewed,
 }
 
 impl Pull {
@@ -97,7 +97,7 @@
             hedge_at: now + SOON_HEDGE_MS,
             dialled: None,
             conn: None,
-            have: Have::default(),
+            have: KnownVersions::default(),
             lease: Lease::new(lease_ms),
             renew_at: now,
             last_event: now,
@@ -114,7 +114,7 @@
 
     pub fn named(self, node: &str) -> Pull {
         // not all need find the first seed dead when they start at once
-        let next = crate::place::mix(node, "seed") as usize % self.cores.len().max(1);
+        let next = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
         Pull {
             next,
             salt: node.to_string(),
@@ -169,7 +169,7 @@
         }
     }
 
-    pub fn permit(&self, now: Millis) -> bool {
+    pub fn lease(&self, now: Millis) -> bool {
         self.lease.holds(now)
     }
 
@@ -179,34 +179,36 @@
 
     /// To be called before anything else at every event: while the process
     /// or its machine slept, whatever it held may have become old.
-    pub fn awake(&mut self, now: Millis, wall: i64) -> Option<PullFx> {
+    pub fn awake(&mut self, now: Millis, wall: i64) -> Option<SubscriptionEffect> {
         let gap = now.saturating_sub(self.last_event);
         let jump = (wall - self.last_wall) - gap as i64;
         self.last_event = now;
         self.last_wall = wall;
         // while it slept the world may have moved on, and a monotonic
         // clock may have stood still with the machine
-        if (gap > GAP || jump > JUMP) && !broken(Rule::Woken) {
+        if (gap > GAP || jump > JUMP) && !broken(Invariant::Woken) {
             self.lease.void();
             self.renew_at = now;
             self.hedge_at = now + self.hedge();
-            return Some(PullFx::Woken(format!("gap {gap} ms, jump {jump} ms")));
+            return Some(SubscriptionEffect::Woken(format!(
+                "gap {gap} ms, jump {jump} ms"
+            )));
         }
         None
     }
 
-    pub fn alarm(&mut self, now: Millis) -> Vec<PullFx> {
+    pub fn tick(&mut self, now: Millis) -> Vec<SubscriptionEffect> {
         let mut out = std::mem::take(&mut self.due);
         self.drop_candidates(now, &mut out);
         self.session(now, &mut out);
         self.go_home(now, &mut out);
         self.hedge_alarm(now, &mut out);
-        if self.held != self.permit(now) {
+        if self.held != self.lease(now) {
             self.held = !self.held;
             out.push(if self.held {
-                PullFx::PermitBack
+                SubscriptionEffect::LeaseRenewed
             } else {
-                PullFx::PermitLost
+                SubscriptionEffect::LeaseExpired
             });
         }
         if let Some(conn) = self.conn.filter(|_| now >= self.renew_at) {
@@ -217,13 +219,13 @@
     }
 
     /// Ask for a renewal now; what is granted counts from this moment.
-    pub fn renew(&mut self, conn: Conn, now: Millis) -> PullFx {
+    pub fn renew(&mut self, conn: Conn, now: Millis) -> SubscriptionEffect {
         let no = self.lease.ask(conn, now);
         let soon = self.left(now) < self.lease.length / 2;
         let every = self.every(now);
         self.renew_at = now + if soon { AGAIN_MS.min(every) } else { every };
         let unverified = self.unverified(now);
-        PullFx::Renew {
+        SubscriptionEffect::Renew {
             conn,
             no,
             unverified,
@@ -235,7 +237,7 @@
     }
 
     /// Have a session with some core, proved or not.
-    fn session(&mut self, now: Millis, out: &mut Vec<PullFx>) {
+    fn session(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         if self.dialled.is_some() || self.cores.is_empty() {
             return;
         }
@@ -243,11 +245,11 @@
         self.next += 1;
         self.dialled = Some(addr);
         self.hedge_at = self.hedge_at.max(now + self.hedge());
-        out.push(PullFx::Dial(addr));
+        out.push(SubscriptionEffect::Connect(addr));
     }
 
     /// A connection stands; what is asked on it at once.
-    pub fn up(&mut self, conn: Conn, addr: SocketAddr, now: Millis) -> Vec<PullFx> {
+    pub fn up(&mut self, conn: Conn, addr: SocketAddr, now: Millis) -> Vec<SubscriptionEffect> {
         // what it lacks comes within one round trip
         if self.dialled == Some(addr) {
             self.conn = Some(conn);
@@ -322,7 +324,7 @@
     /// The cores as the site has them now; those of one's own region first.
     pub fn take_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
         let salt = &self.salt;
-        cores.sort_by_key(|(a, near)| (!near, crate::place::mix(salt, &a.to_string())));
+        cores.sort_by_key(|(a, near)| (!near, crate::placement::mix(salt, &a.to_string())));
         if !cores.is_empty() && cores != self.cores {
             self.cores = cores;
             let own = |(a, _): &(SocketAddr, bool)| Some(*a) == self.dialled;
--- a/sorreldoor/src/tune.rs
+++ b/sorreldoor/src/weight_tuning.rs
@@ -1,7 +1,7 @@
 //! Moving weights by what workers report, never beyond the operator's bounds.
 
-use crate::registry::{Loads, WorkerRegistry};
-use crate::setup::{Route, Setup, Share};
+use crate::configuration::{Configuration, Route, Share};
+use crate::discovery::{Loads, WorkerRegistry};
 use crate::wire::EdgeSession;
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
 
 /// How full a service's live workers are, in percent; none if it has none.
 fn pressure(
-    s: &Setup,
+    s: &Configuration,
     service: u16,
     ro: &WorkerRegistry,
     loads: &Loads,
@@ -102,7 +102,7 @@
 
 /// What a share costs an errand: its measured time where all shares have one,
 /// else how full its workers are. A service without live workers has none.
-fn costs(s: &Setup, r: &Route, now: &Now) -> Vec<Option<i64>> {
+fn costs(s: &Configuration, r: &Route, now: &Now) -> Vec<Option<i64>> {
     let full = |h: &Share| pressure(s, h.service, now.ro, now.loads, now.smooth);
     let name = |h: &Share| s.services[h.service as usize].name.as_str();
     let timed: Vec<Option<i64>> = r
@@ -124,7 +124,7 @@
     pub times: &'a Times,
 }
 
-fn route(s: &Setup, r: &Route, is: &[u32], now: &Now) -> Vec<u32> {
+fn route(s: &Configuration, r: &Route, is: &[u32], now: &Now) -> Vec<u32> {
     let cs = costs(s, r, now);
     let known: Vec<i64> = cs.iter().flatten().copied().collect();
     if known.len() < 2 {
@@ -150,7 +150,7 @@
 }
 
 /// The weights that should change, by route and service.
-pub fn step(s: &Setup, tuned: &[(u16, u16, u32)], by: &Now) -> Vec<(u16, u16, u32)> {
+pub fn step(s: &Configuration, tuned: &[(u16, u16, u32)], by: &Now) -> Vec<(u16, u16, u32)> {
     let mut out = Vec::new();
     for (i, r) in s.routes.iter().enumerate() {
         let now: Vec<u32> = r
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -2,8 +2,8 @@
 //! a hash of the site's mark with one payload in ciborium.
 
 use crate::consensus::{Member, Msg, NodeId, Noted, ProposalId};
-use crate::record::{decode, encode, Cmd, Outcome, Update};
-use crate::registry::{Loads, WorkerRegistry};
+use crate::discovery::{Loads, WorkerRegistry};
+use crate::replicated_state::{decode, encode, Command, Outcome, Update};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -38,12 +38,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EdgeSession {
     pub hello: Hello,
-    pub serial: u64,
-    pub permit: bool,
+    #[serde(rename = "serial")]
+    pub version: u64,
+    #[serde(rename = "permit")]
+    pub lease: bool,
     pub running: u32,
     /// What its errands took; told between cores only.
     #[serde(default)]
-    pub took: Vec<Took>,
+    pub took: Vec<RouteLatency>,
 }
 
 /// What an edge needs to know of another: where it is, and whether it serves.
@@ -66,7 +68,7 @@
 /// Errands of a route through a service that an edge has finished since its
 /// start, and their milliseconds in all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Took {
+pub struct RouteLatency {
     pub route: String,
     pub service: String,
     pub n: u64,
@@ -78,13 +80,14 @@
 pub struct SessionReport {
     pub core: NodeId,
     pub boot: u64,
-    pub serial: u64,
+    #[serde(rename = "serial")]
+    pub version: u64,
     pub edge_sessions: Vec<EdgeSession>,
 }
 
 /// What a node has, one serial for each source; what is newer it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Have {
+pub struct KnownVersions {
     #[serde(default, skip_serializing_if = "zero")]
     pub record: u64,
     #[serde(default, skip_serializing_if = "zero")]
@@ -106,7 +109,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EncodedUpdate {
     pub revision: u64,
-    pub serial: u64,
+    #[serde(rename = "serial")]
+    pub version: u64,
     /// Whether there is a document at that revision.
     pub has_document: bool,
     #[serde(serialize_with = "as_bytes")]
@@ -121,7 +125,7 @@
     pub fn new(u: &Update) -> EncodedUpdate {
         EncodedUpdate {
             revision: u.rev,
-            serial: u.serial,
+            version: u.version,
             has_document: u.document.is_some(),
             bytes: Arc::new(encode(u)),
         }
@@ -133,7 +137,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct StateDelta {
     #[serde(default, skip_serializing_if = "zero")]
     pub record: Option<EncodedUpdate>,
     /// There is a newer record that did not come along: ask again soon. Such a
@@ -153,11 +157,13 @@
 
 /// How an edge is doing, told with each renewal.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Doing {
+pub struct EdgeStatus {
     #[serde(default, skip_serializing_if = "zero")]
-    pub serial: u64,
+    #[serde(rename = "serial")]
+    pub version: u64,
     #[serde(default, skip_serializing_if = "zero")]
-    pub permit: bool,
+    #[serde(rename = "permit")]
+    pub lease: bool,
     #[serde(default, skip_serializing_if = "zero")]
     pub running: u32,
     /// First tries, retries and sheds since its start.
@@ -168,7 +174,7 @@
     #[serde(default, skip_serializing_if = "zero")]
     pub shed: u64,
     #[serde(default, skip_serializing_if = "zero")]
-    pub took: Vec<Took>,
+    pub took: Vec<RouteLatency>,
 }
 
 /// Which record that is not proved current an edge without any would take.
@@ -207,9 +213,10 @@
     Renew {
         no: u64,
         #[serde(default, skip_serializing_if = "zero")]
-        have: Have,
+        have: KnownVersions,
         #[serde(default, skip_serializing_if = "zero")]
-        doing: Doing,
+        #[serde(rename = "doing")]
+        edge_status: EdgeStatus,
         #[serde(default, skip_serializing_if = "zero")]
         unverified: Unverified,
     },
@@ -217,28 +224,36 @@
         no: u64,
         ok: bool,
         #[serde(default, skip_serializing_if = "zero")]
-        news: News,
+        #[serde(rename = "news")]
+        delta: StateDelta,
     },
     Op {
-        rid: u64,
-        pid: ProposalId,
-        cmd: Cmd,
+        #[serde(rename = "rid")]
+        request_id: u64,
+        #[serde(rename = "pid")]
+        proposal_id: ProposalId,
+        cmd: Command,
     },
     OpFind {
-        rid: u64,
-        pid: ProposalId,
+        #[serde(rename = "rid")]
+        request_id: u64,
+        #[serde(rename = "pid")]
+        proposal_id: ProposalId,
     },
     OpDone {
-        rid: u64,
+        #[serde(rename = "rid")]
+        request_id: u64,
         outcome: OpOutcome,
     },
     /// An edge claims an errand id; `by` is one try of one life of it.
     Claim {
-        rid: u64,
+        #[serde(rename = "rid")]
+        request_id: u64,
         claim: Noted,
     },
     ClaimDone {
-        rid: u64,
+        #[serde(rename = "rid")]
+        request_id: u64,
         id: String,
         said: Verdict,
     },
@@ -252,12 +267,14 @@
     },
     /// An edge gives up a claim on what it never sent.
     Release {
-        rid: u64,
+        #[serde(rename = "rid")]
+        request_id: u64,
         id: String,
         by: u128,
     },
     Released {
-        rid: u64,
+        #[serde(rename = "rid")]
+        request_id: u64,
     },
     Free {
         id: String,
--- a/sorreldoor/tests/claim_book.rs
+++ b/sorreldoor/tests/claim_book.rs
@@ -1,6 +1,6 @@
 //! The claims that one core has noted, and until when.
 
-use sorreldoor::core::book::{Book, By, Note, Noted};
+use sorreldoor::control_plane::book::{Book, By, Note, Noted};
 
 fn n(id: &str, by: By) -> Noted {
     let (id, keep_ms) = (id.to_string(), 1000);
--- a/sorreldoor/tests/formats/main.rs
+++ b/sorreldoor/tests/formats/main.rs
@@ -11,8 +11,8 @@
 mod samples;
 
 use samples::{durable_state, payloads, records, saves, site};
-use sorreldoor::consensus::{Machine, Save};
-use sorreldoor::record::{decode, encode, Record};
+use sorreldoor::consensus::{Save, StateMachine};
+use sorreldoor::replicated_state::{decode, encode, ReplicatedState};
 use sorreldoor::store::DurableState;
 use sorreldoor::wire::{pack, unpack};
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
     }
     let state: DurableState = decode(&stored["state"]).expect("a state");
     assert_eq!(encode(&state), encode(&durable_state()));
-    let mut record = Record::new(site());
+    let mut record = ReplicatedState::new(site());
     assert!(record.load(&stored["record"]));
     assert_eq!(record.view(), records().0.view());
 }
--- a/sorreldoor/tests/formats/messages.rs
+++ b/sorreldoor/tests/formats/messages.rs
@@ -28,7 +28,7 @@
     ];
     let entry = |body| Entry {
         term: 4,
-        pid: 1 << 70,
+        proposal_id: 1 << 70,
         origin: 9,
         body,
     };
@@ -119,7 +119,7 @@
         chunk(ContentHeader::Entry {
             prev: last(),
             term: 4,
-            pid: 6,
+            proposal_id: 6,
             origin: 2,
         }),
         Msg::ChunkReply {
@@ -128,16 +128,19 @@
             held: 5,
         },
         Msg::Propose {
-            pid: 6,
+            proposal_id: 6,
             origin: 2,
             body: Body::Noop,
         },
         Msg::ProposalResult {
-            pid: 6,
+            proposal_id: 6,
             outcome: Arc::new(vec![3]),
         },
-        Msg::ReadIndexRequest { rid: 5 },
-        Msg::ReadIndexReply { rid: 5, idx: 90 },
+        Msg::ReadIndexRequest { request_id: 5 },
+        Msg::ReadIndexReply {
+            request_id: 5,
+            idx: 90,
+        },
         Msg::TimeoutNow { term: 4 },
     ]
 }
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -1,14 +1,14 @@
 //! Samples of frames between nodes, of saves and of records.
 
 use super::messages::{claim, entries, member, messages};
-use sorreldoor::consensus::{HardState, LogPosition, Machine, Noted, Save, Snapshot};
-use sorreldoor::record::{encode, Cmd, Outcome, Record, Recovery};
-use sorreldoor::registry::{Load, Loads, Worker, WorkerRegistry};
-use sorreldoor::setup::Site;
+use sorreldoor::configuration::Site;
+use sorreldoor::consensus::{HardState, LogPosition, Noted, Save, Snapshot, StateMachine};
+use sorreldoor::discovery::{Load, Loads, Worker, WorkerRegistry};
+use sorreldoor::replicated_state::{encode, Command, Outcome, Recovery, ReplicatedState};
 use sorreldoor::store::DurableState;
 use sorreldoor::wire::{
-    Doing, EdgeSession, EncodedUpdate, Founding, Have, Hello, News, OpOutcome, Payload, Place,
-    SessionReport, Took, Unverified, Verdict,
+    EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello, KnownVersions, OpOutcome, Payload,
+    Place, RouteLatency, SessionReport, StateDelta, Unverified, Verdict,
 };
 use std::sync::Arc;
 
@@ -30,8 +30,8 @@
     }
 }
 
-pub(super) fn took() -> Vec<Took> {
-    vec![Took {
+pub(super) fn took() -> Vec<RouteLatency> {
+    vec![RouteLatency {
         route: "r".into(),
         service: "s".into(),
         n: 4,
@@ -42,8 +42,8 @@
 pub(super) fn session() -> EdgeSession {
     EdgeSession {
         hello: hello(false),
-        serial: 5,
-        permit: true,
+        version: 5,
+        lease: true,
         running: 3,
         took: took(),
     }
@@ -60,10 +60,10 @@
         slots: 8,
         cold_ms: 200,
         leaves_ms: Some(900),
-        version: "2".into(),
+        software_version: "2".into(),
     };
     Arc::new(WorkerRegistry {
-        serial: 12,
+        version: 12,
         workers: vec![worker],
     })
 }
@@ -81,7 +81,7 @@
     };
     Arc::new(Loads {
         epoch: 3,
-        serial: 14,
+        version: 14,
         rows: vec![load],
     })
 }
@@ -93,59 +93,59 @@
     })
 }
 
-pub(super) fn commands() -> Vec<Cmd> {
+pub(super) fn commands() -> Vec<Command> {
     vec![
-        Cmd::Put {
+        Command::Put {
             base: 0,
             to: Some(7),
             doc: DOCUMENT.into(),
         },
-        Cmd::Edit {
+        Command::Edit {
             base: 7,
             patch: r#"{"routes":{"r":{"cutoff_ms":900}}}"#.into(),
         },
-        Cmd::Zone {
+        Command::Zone {
             base: 8,
             zone: 1,
-            emptied: true,
+            evacuated: true,
         },
-        Cmd::Duty {
+        Command::Duty {
             holder: 11,
             above: 0,
         },
-        Cmd::Tune {
+        Command::Tune {
             epoch: 1,
-            serial: 9,
+            version: 9,
             weights: vec![(0, 0, 55)],
         },
-        Cmd::Region {
+        Command::Region {
             epoch: 1,
             region: 1,
             state: Recovery::Returning(40),
         },
-        Cmd::Region {
+        Command::Region {
             epoch: 1,
             region: 0,
             state: Recovery::Lost,
         },
-        Cmd::Region {
+        Command::Region {
             epoch: 1,
             region: 0,
             state: Recovery::Served,
         },
-        Cmd::Items {
+        Command::Items {
             base: 9,
             to: Some(10),
             set: r#"{"services":[{"name":"z"}]}"#.into(),
             drop: "{}".into(),
         },
-        Cmd::Evacuate {
+        Command::Evacuate {
             zone: 0,
-            emptied: true,
+            evacuated: true,
         },
-        Cmd::EvacuateOnce {
+        Command::EvacuateOnce {
             zone: 0,
-            emptied: false,
+            evacuated: false,
             changes: 1,
         },
     ]
@@ -153,20 +153,20 @@
 
 pub(super) fn outcomes() -> Vec<Outcome> {
     vec![
-        Outcome::Taken { serial: 3 },
-        Outcome::Stale { serial: 3 },
+        Outcome::Taken { version: 3 },
+        Outcome::Stale { version: 3 },
         Outcome::Bad {
             faults: vec!["no such route".into()],
         },
         Outcome::OldEpoch { epoch: 2 },
-        Outcome::NotYet { serial: 3 },
-        Outcome::Unsure { serial: 3 },
+        Outcome::NotYet { version: 3 },
+        Outcome::Unsure { version: 3 },
     ]
 }
 
 /// A record to which all the commands were applied, with a step before the last.
-pub(super) fn records() -> (Record, u64) {
-    let mut record = Record::new(site());
+pub(super) fn records() -> (ReplicatedState, u64) {
+    let mut record = ReplicatedState::new(site());
     let mut revision = 0;
     for (index, command) in commands().iter().enumerate() {
         if index == 8 {
@@ -180,16 +180,16 @@
 pub(super) fn payloads() -> Vec<Payload> {
     let (record, revision) = records();
     let update = EncodedUpdate::new(&record.update_since(revision));
-    let doing = Doing {
-        serial: 5,
-        permit: true,
+    let edge_status = EdgeStatus {
+        version: 5,
+        lease: true,
         running: 3,
         first: 90,
         again: 8,
         shed: 7,
         took: took(),
     };
-    let have = Have {
+    let have = KnownVersions {
         record: 4,
         registry: 12,
         loads: (3, 14),
@@ -204,7 +204,7 @@
         ready: true,
         running: 4,
     };
-    let news = News {
+    let delta = StateDelta {
         record: Some(update),
         record_withheld: true,
         registry: Some(registry()),
@@ -215,7 +215,7 @@
     let report = SessionReport {
         core: 11,
         boot: 33,
-        serial: 5,
+        version: 5,
         edge_sessions: vec![session()],
     };
     let claims = vec![claim()];
@@ -235,31 +235,31 @@
         Payload::Renew {
             no: 1,
             have,
-            doing,
+            edge_status,
             unverified: Unverified::FromStarting,
         },
         Payload::Renew {
             no: 1,
-            have: Have::default(),
-            doing: Doing::default(),
+            have: KnownVersions::default(),
+            edge_status: EdgeStatus::default(),
             unverified: Unverified::FromAny,
         },
         Payload::Grant {
             no: 1,
             ok: true,
-            news,
+            delta,
         },
         Payload::Grant {
             no: 2,
             ok: false,
-            news: News::default(),
+            delta: StateDelta::default(),
         },
         Payload::OpFind {
-            rid: 5,
-            pid: 1 << 70,
+            request_id: 5,
+            proposal_id: 1 << 70,
         },
         Payload::Claim {
-            rid: 5,
+            request_id: 5,
             claim: claim(),
         },
         Payload::ClaimAsk {
@@ -267,11 +267,11 @@
             claim: claim(),
         },
         Payload::Release {
-            rid: 5,
+            request_id: 5,
             id: "abc".into(),
             by: 9,
         },
-        Payload::Released { rid: 5 },
+        Payload::Released { request_id: 5 },
         Payload::Free {
             id: "abc".into(),
             by: 9,
@@ -297,19 +297,22 @@
     ];
     for said in verdicts {
         all.push(Payload::ClaimDone {
-            rid: 5,
+            request_id: 5,
             id: "abc".into(),
             said,
         });
         all.push(Payload::ClaimAns { no: 1, said });
     }
     let op = |cmd| Payload::Op {
-        rid: 5,
-        pid: 6,
+        request_id: 5,
+        proposal_id: 6,
         cmd,
     };
     all.extend(commands().into_iter().map(op));
-    let done = |outcome| Payload::OpDone { rid: 5, outcome };
+    let done = |outcome| Payload::OpDone {
+        request_id: 5,
+        outcome,
+    };
     all.extend(outcomes().into_iter().map(OpOutcome::Got).map(done));
     all.extend([OpOutcome::Unknown, OpOutcome::NotTaken, OpOutcome::Nothing].map(done));
     all.extend(messages().into_iter().map(Payload::Consensus));
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -1,13 +1,13 @@
 //! Seeded damage to everything that is read from outside: whatever comes of
 //! it is a value or a named fault, never a panic, and what is read is in bounds.
 
-use sorreldoor::consensus::Machine;
+use sorreldoor::configuration::{self, Site};
+use sorreldoor::consensus::StateMachine;
+use sorreldoor::discovery::{read_load, read_registry};
 use sorreldoor::json;
-use sorreldoor::record::{encode, Cmd, Outcome, Record};
-use sorreldoor::registry::{read_load, read_registry};
+use sorreldoor::replicated_state::{encode, Command, Outcome, ReplicatedState};
 use sorreldoor::settings::{Over, Role, Settings};
-use sorreldoor::setup::{self, Site};
-use sorreldoor::wire::{length, pack, unpack, Doing, Have, Hello, Payload};
+use sorreldoor::wire::{length, pack, unpack, EdgeStatus, Hello, KnownVersions, Payload};
 use std::path::Path;
 use std::sync::Arc;
 
@@ -80,24 +80,24 @@
         http: "127.0.0.1:1".into(),
         ..Hello::default()
     };
-    let cmd = Cmd::Put {
+    let cmd = Command::Put {
         base: 1,
         to: None,
         doc: "{}".into(),
     };
-    let (no, have, doing) = (4, Have::default(), Doing::default());
+    let (no, have, edge_status) = (4, KnownVersions::default(), EdgeStatus::default());
     let all = vec![("id".to_string(), 7u128); 3];
     vec![
         Payload::Hello(hello),
         Payload::Renew {
             no,
             have,
-            doing,
+            edge_status,
             unverified: sorreldoor::wire::Unverified::None,
         },
         Payload::Op {
-            rid: 1,
-            pid: 2,
+            request_id: 1,
+            proposal_id: 2,
             cmd,
         },
         Payload::Sent { all },
@@ -136,16 +136,16 @@
 fn damaged_setups_and_patches_have_faults_or_are_whole() {
     let site = site();
     let doc = example("press-setup.json");
-    let (good, _) = setup::read(&doc, &site).expect("the example is good");
+    let (good, _) = configuration::read(&doc, &site).expect("the example is good");
     let (mut ok, mut bad) = (0, 0);
     for seed in 1..2500 {
         let mut d = Dice::new(seed);
         let b = damaged(&mut d, &doc);
-        match setup::read(&b, &site) {
+        match configuration::read(&b, &site) {
             Ok((s, _)) => {
                 ok += 1;
                 assert!(s.retry_percent <= 20 && !s.routes.is_empty());
-                let fits = |h: &setup::Share| h.least <= h.weight && h.weight <= h.most;
+                let fits = |h: &configuration::Share| h.least <= h.weight && h.weight <= h.most;
                 assert!(s.routes.iter().all(|r| r.shares.iter().all(fits)));
             }
             Err(faults) => {
@@ -163,9 +163,9 @@
     );
     assert!(bad > 1000 && ok > 5);
     // patches on a record: taken whole or not at all
-    let mut r = Record::new(Arc::new(site));
+    let mut r = ReplicatedState::new(Arc::new(site));
     let text = String::from_utf8(doc).unwrap();
-    let put = Cmd::Put {
+    let put = Command::Put {
         base: 0,
         to: None,
         doc: text,
@@ -178,16 +178,16 @@
         let b = damaged(&mut d, patch);
         let patch = String::from_utf8_lossy(&b).into_owned();
         let before = r.view();
-        let base = before.serial;
+        let base = before.version;
         let out = r.apply(
             2,
             u128::from(seed) + 10,
-            &encode(&Cmd::Edit { base, patch }),
+            &encode(&Command::Edit { base, patch }),
         );
-        let out: Outcome = sorreldoor::record::decode(&out).expect("an outcome");
+        let out: Outcome = sorreldoor::replicated_state::decode(&out).expect("an outcome");
         match out {
-            Outcome::Taken { serial } => {
-                assert_eq!((serial, r.view().serial), (base + 1, base + 1))
+            Outcome::Taken { version } => {
+                assert_eq!((version, r.view().version), (base + 1, base + 1))
             }
             _ => assert_eq!(r.view(), before),
         }
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -1,11 +1,11 @@
 //! The `hosted` part of a setup: what is read, what is refused, and how
 //! operators' changes of whole documents and of single items go.
 
-use sorreldoor::consensus::{Body, Machine};
+use sorreldoor::configuration::hosted::Kind;
+use sorreldoor::configuration::{self, Configuration, Site};
+use sorreldoor::consensus::{Body, StateMachine};
 use sorreldoor::json::{self, Val};
-use sorreldoor::record::{decode, encode, Cmd, Outcome, Record};
-use sorreldoor::setup::hosted::Kind;
-use sorreldoor::setup::{self, Setup, Site};
+use sorreldoor::replicated_state::{decode, encode, Command, Outcome, ReplicatedState};
 use std::sync::Arc;
 
 fn site() -> Site {
@@ -26,8 +26,8 @@
   "engine":{"slots":48,"kv_tokens":318206,"stride":5,"models":[{"name":"m"}]}},
  {"name":"t"}],"limits":{"header_bytes":1000,"body_bytes":2000,"header_ms":30,"idle_ms":40}}}"#;
 
-fn read(doc: &str) -> Result<Setup, Vec<String>> {
-    setup::read(doc.as_bytes(), &site()).map(|(s, _)| s)
+fn read(doc: &str) -> Result<Configuration, Vec<String>> {
+    configuration::read(doc.as_bytes(), &site()).map(|(s, _)| s)
 }
 
 #[test]
@@ -114,24 +114,24 @@
     assert_eq!(h.find("h0.example", "/p1/"), None);
 }
 
-struct Run(Record, u128);
+struct Run(ReplicatedState, u128);
 
 impl Run {
     fn new() -> Run {
-        Run(Record::new(Arc::new(site())), 0)
+        Run(ReplicatedState::new(Arc::new(site())), 0)
     }
-    fn act(&mut self, c: Cmd) -> Outcome {
+    fn act(&mut self, c: Command) -> Outcome {
         self.1 += 1;
         let b = self.0.apply(self.1 as u64, self.1, &encode(&c));
         decode(&b).expect("an outcome")
     }
     fn put(&mut self, base: u64, to: u64) -> Outcome {
         let (to, doc) = (Some(to), DOC.to_string());
-        self.act(Cmd::Put { base, to, doc })
+        self.act(Command::Put { base, to, doc })
     }
     fn items(&mut self, base: u64, to: u64, set: &str, drop: &str) -> Outcome {
         let (to, set, drop) = (Some(to), set.to_string(), drop.to_string());
-        self.act(Cmd::Items {
+        self.act(Command::Items {
             base,
             to,
             set,
@@ -157,14 +157,14 @@
 #[test]
 fn a_given_serial_rises_by_what_was_given() {
     let mut r = Run::new();
-    assert_eq!(r.put(0, 7), Outcome::Taken { serial: 7 });
-    assert_eq!(r.put(0, 9), Outcome::Stale { serial: 7 });
+    assert_eq!(r.put(0, 7), Outcome::Taken { version: 7 });
+    assert_eq!(r.put(0, 9), Outcome::Stale { version: 7 });
     assert!(matches!(r.put(7, 7), Outcome::Bad { .. }));
     assert!(matches!(r.put(7, 6), Outcome::Bad { .. }));
-    assert_eq!(r.0.serial(), 7);
+    assert_eq!(r.0.version(), 7);
     let (base, to, doc) = (7, None, DOC.to_string());
-    let o = r.act(Cmd::Put { base, to, doc });
-    assert_eq!(o, Outcome::Taken { serial: 8 });
+    let o = r.act(Command::Put { base, to, doc });
+    assert_eq!(o, Outcome::Taken { version: 8 });
     // a proposal without the field, as an older core wrote it, is read
     #[derive(serde::Serialize)]
     enum Old {
@@ -172,7 +172,7 @@
     }
     let doc = DOC.to_string();
     let b = encode(&Old::Put { base: 8, doc });
-    assert!(matches!(decode(&b), Some(Cmd::Put { to: None, .. })));
+    assert!(matches!(decode(&b), Some(Command::Put { to: None, .. })));
 }
 
 /// All that was put comes back: fields not known here, the order of lists,
@@ -184,10 +184,10 @@
     r.put(0, 7);
     let put = json::parse(DOC.as_bytes(), usize::MAX).expect("JSON");
     assert_eq!(Some(&r.hosted()), put.get("hosted"));
-    let mut other = Record::new(Arc::new(site()));
+    let mut other = ReplicatedState::new(Arc::new(site()));
     assert!(other.load(&r.0.image()));
     assert_eq!(other.view(), r.0.view());
-    assert_eq!(other.setup(), r.0.setup());
+    assert_eq!(other.configuration(), r.0.configuration());
 }
 
 #[test]
@@ -200,11 +200,14 @@
       {"name":"r2","host":"a.example","prefix":"/z/","timeout_ms":30,"service":"t"}],
       "limits":{"idle_ms":99}}"#;
     let drop = r#"{"routes":["r1","none"]}"#;
-    assert_eq!(r.items(6, 9, set, drop), Outcome::Stale { serial: 7 });
-    assert_eq!(r.items(7, 9, set, drop), Outcome::Taken { serial: 9 });
+    assert_eq!(r.items(6, 9, set, drop), Outcome::Stale { version: 7 });
+    assert_eq!(r.items(7, 9, set, drop), Outcome::Taken { version: 9 });
     assert_eq!(r.names("routes"), ["r2", "r3", "new"]);
     assert_eq!(r.names("services"), ["s", "t"]);
-    let s = r.0.setup().and_then(|s| s.hosted.clone()).expect("hosted");
+    let s =
+        r.0.configuration()
+            .and_then(|s| s.hosted.clone())
+            .expect("hosted");
     assert_eq!(s.find("a.example", "/x/y/"), None);
     assert_eq!(s.find("a.example", "/z/"), Some(0));
     assert_eq!(s.limits.idle_ms, 99);
@@ -232,14 +235,14 @@
     let mut r = Run::new();
     r.put(0, 7);
     let rev = r.0.rev();
-    let go = |zone, emptied| Cmd::Evacuate { zone, emptied };
-    assert_eq!(r.act(go(1, true)), Outcome::Taken { serial: 7 });
-    assert_eq!((r.0.view().emptied, r.0.rev()), (vec![1], rev + 1));
+    let go = |zone, evacuated| Command::Evacuate { zone, evacuated };
+    assert_eq!(r.act(go(1, true)), Outcome::Taken { version: 7 });
+    assert_eq!((r.0.view().evacuated, r.0.rev()), (vec![1], rev + 1));
     assert!(matches!(r.act(go(9, true)), Outcome::Bad { .. }));
-    assert_eq!(r.put(7, 8), Outcome::Taken { serial: 8 });
-    assert_eq!(r.0.view().emptied, [1]);
-    assert_eq!(r.act(go(1, false)), Outcome::Taken { serial: 8 });
-    assert_eq!(r.0.view().emptied, Vec::<u16>::new());
+    assert_eq!(r.put(7, 8), Outcome::Taken { version: 8 });
+    assert_eq!(r.0.view().evacuated, [1]);
+    assert_eq!(r.act(go(1, false)), Outcome::Taken { version: 8 });
+    assert_eq!(r.0.view().evacuated, Vec::<u16>::new());
 }
 
 /// Bytes take about as much room as they are long, and what an older core
--- a/sorreldoor/tests/membership.rs
+++ b/sorreldoor/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Which change of the members is due, observation by observation.
 
 use sorreldoor::consensus::{Member, Millis, NodeId};
-use sorreldoor::core::membership::{
+use sorreldoor::control_plane::membership::{
     learner, Health, Membership, MembershipChange, Observed, Policy, Why,
 };
 use sorreldoor::wire::Hello;
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -1,9 +1,9 @@
 //! The pages and examples held against the code.
 
-use sorreldoor::events::Ev;
-use sorreldoor::problem::Problem;
+use sorreldoor::configuration;
+use sorreldoor::error::ErrorCode;
+use sorreldoor::log_events::LogEvent;
 use sorreldoor::settings::{Over, Role, Settings};
-use sorreldoor::setup;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -18,20 +18,20 @@
 #[test]
 fn the_catalogue_of_events_is_the_codes() {
     let text = page("docs/events.md");
-    let numbers: BTreeSet<u16> = Ev::ALL.iter().map(|e| e.no()).collect();
-    assert_eq!(numbers.len(), Ev::ALL.len(), "numbers are given once");
-    for e in Ev::ALL {
+    let numbers: BTreeSet<u16> = LogEvent::ALL.iter().map(|e| e.number()).collect();
+    assert_eq!(numbers.len(), LogEvent::ALL.len(), "numbers are given once");
+    for e in LogEvent::ALL {
         let level = e.level().to_string().to_lowercase();
-        let row = format!("| E{} | {level} | {} | ", e.no(), e.text());
+        let row = format!("| E{} | {level} | {} | ", e.number(), e.text());
         assert!(text.contains(&row), "{row}");
     }
-    assert_eq!(text.matches("\n| E").count(), Ev::ALL.len());
+    assert_eq!(text.matches("\n| E").count(), LogEvent::ALL.len());
 }
 
 #[test]
 fn the_table_of_problems_is_the_codes() {
     let text = page("docs/problems.md");
-    for p in Problem::ALL {
+    for p in ErrorCode::ALL {
         let again = if p.again() { "yes" } else { "no" };
         let row = format!(
             "| `{}` | {} | {again} | {} |",
@@ -41,7 +41,7 @@
         );
         assert!(text.contains(&row), "{row}");
     }
-    assert_eq!(text.matches("\n| `").count(), Problem::ALL.len());
+    assert_eq!(text.matches("\n| `").count(), ErrorCode::ALL.len());
 }
 
 #[test]
@@ -68,13 +68,13 @@
             names = Some(s.names.clone());
         }
         let text = page(&format!("examples/{site}-setup.json"));
-        let (s, _) = setup::read(text.as_bytes(), &names.unwrap()).unwrap();
+        let (s, _) = configuration::read(text.as_bytes(), &names.unwrap()).unwrap();
         assert!(s.routes.len() >= 3);
     }
 }
 
-fn north() -> setup::Site {
-    setup::Site {
+fn north() -> configuration::Site {
+    configuration::Site {
         regions: vec!["north".into()],
         zones: vec![("n1".into(), 0)],
     }
@@ -90,12 +90,12 @@
 #[test]
 fn the_example_of_hosted_routes_is_good() {
     let doc = block(&page("docs/hosted.md"), "    {\"hosted\"");
-    let (s, _) = setup::read(doc.as_bytes(), &north()).unwrap();
+    let (s, _) = configuration::read(doc.as_bytes(), &north()).unwrap();
     let h = s.hosted.unwrap();
     assert_eq!((h.routes.len(), h.services.len()), (2, 3));
     assert_eq!(h.find("desk.example", "/draft/x"), Some(0));
     assert_eq!(h.routes[0].homes, [0]);
-    assert_eq!(h.limits, setup::hosted::Limits::default());
+    assert_eq!(h.limits, configuration::hosted::Limits::default());
     // what the example leaves out is as the tables say
     let (r, v) = (&h.routes[1], &h.services[1]);
     assert_eq!((r.aim_ms, r.priority, r.attempts, r.gap_ms), (0, 0, 1, 0));
@@ -131,12 +131,12 @@
         with(r#""split":[1]"#),
         beside(r#"{"name":"r","host":"i","prefix":"/","timeout_ms":5,"service":"s0"}"#),
         beside(r#"{"name":"t","host":"h","prefix":"/p/","timeout_ms":5,"service":"s0"}"#),
-        format!("\"{}\"", "x".repeat(setup::MOST_BYTES)),
+        format!("\"{}\"", "x".repeat(configuration::MOST_BYTES)),
         r#"{"x":1,"x":2}"#.into(),
     ];
     for d in bad {
         let short: String = d.chars().take(300).collect();
-        let faults = setup::read(d.as_bytes(), &north()).unwrap_err();
+        let faults = configuration::read(d.as_bytes(), &north()).unwrap_err();
         let told = |f: &String| {
             let tail = f.split_once(": ").map_or(f.as_str(), |(_, t)| t);
             text.contains(f.as_str()) || text.contains(tail)
--- a/sorreldoor/tests/place.rs
+++ b/sorreldoor/tests/place.rs
@@ -1,7 +1,7 @@
 //! Placement: few move when a worker comes or goes, and caps hold for all.
 
-use sorreldoor::place::{dealt_rank, match_spot, part_of, Ask, Spot};
-use sorreldoor::setup::{read, Site};
+use sorreldoor::configuration::{read, Site};
+use sorreldoor::placement::{dealt_rank, match_spot, part_of, Ask, Spot};
 
 const DOC: &str = r#"{"groups":{"g":{"kind":"model"}},"services":{"s":{"groups":["g"]}},
  "routes":{"r":{"kind":"prefix","shares":{"s":{"weight":1}}}}}"#;
--- a/sorreldoor/tests/proxy/clients.rs
+++ b/sorreldoor/tests/proxy/clients.rs
@@ -75,7 +75,7 @@
             Act::Whole(200, "next"),
         ])
         .await;
-        let text = SETUP.replace("\"body_bytes\":100000", "\"body_bytes\":20000000");
+        let text = CONFIGURATION.replace("\"body_bytes\":100000", "\"body_bytes\":20000000");
         let p = proxy_with(&text, &[&w]).await;
         let mut c = Caller::new(&p).await;
         // more than the buffers of a connection take
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -4,14 +4,14 @@
 use async_std::io::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
+use sorreldoor::balancer::{Bounds, Place, Table};
+use sorreldoor::configuration::{self, Site};
+use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::proxy::body::*;
 use sorreldoor::proxy::http1::*;
-use sorreldoor::proxy::table::{Bounds, Place, Table};
 use sorreldoor::proxy::{accept, Front, Plain, Shared};
-use sorreldoor::pull::Pull;
-use sorreldoor::registry::{Worker, WorkerRegistry};
-use sorreldoor::seam::{Clock, Machine, Now};
-use sorreldoor::setup::{self, Site};
+use sorreldoor::runtime::{Clock, Now, SystemClock};
+use sorreldoor::subscription::Pull;
 use sorreldoor::wire::Hello;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -21,13 +21,13 @@
 
 /// A node that has been up for a while: its share of retries is earned by time.
 #[derive(Default)]
-pub struct Later(Machine);
+pub struct Later(SystemClock);
 
 impl Clock for Later {
     fn now(&self) -> Now {
         let n = self.0.now();
-        let mono = n.mono + 100_000;
-        Now { mono, ..n }
+        let monotonic_ms = n.monotonic_ms + 100_000;
+        Now { monotonic_ms, ..n }
     }
 }
 
@@ -196,7 +196,7 @@
     (a..=z).map(event).collect()
 }
 
-pub const SETUP: &str = r#"{"hosted":{"routes":[
+pub const CONFIGURATION: &str = r#"{"hosted":{"routes":[
  {"name":"get","host":"a.example","prefix":"/get/","kind":"idempotent","timeout_ms":3000,"aim_ms":400,"service":"web","attempts":3},
  {"name":"once","host":"a.example","prefix":"/once/","kind":"once","timeout_ms":3000,"aim_ms":400,"service":"web","attempts":3},
  {"name":"ask","host":"a.example","prefix":"/ask/","kind":"stream","timeout_ms":3000,"aim_ms":400,"service":"web","attempts":3,"resume":true,"gap_ms":300},
@@ -210,11 +210,11 @@
 }
 
 pub async fn proxy(stands: &[&Stand]) -> Proxy {
-    proxy_with(SETUP, stands).await
+    proxy_with(CONFIGURATION, stands).await
 }
 
 /// A proxy under another configuration.
-pub async fn proxy_with(setup_text: &str, stands: &[&Stand]) -> Proxy {
+pub async fn proxy_with(configuration_text: &str, stands: &[&Stand]) -> Proxy {
     let site = Arc::new(Site {
         regions: vec!["r".into()],
         zones: vec![("z".into(), 0)],
@@ -232,7 +232,7 @@
         warmup_slack: 5.0,
     };
     let mut table = Table::new(place, bounds, 7);
-    let (s, _) = setup::read(setup_text.as_bytes(), &site).unwrap();
+    let (s, _) = configuration::read(configuration_text.as_bytes(), &site).unwrap();
     table.take_nodes(vec![("n1".into(), 0)]);
     table.take_hosted(s.hosted.unwrap(), 1);
     let row = |(i, s): (usize, &&Stand)| Worker {
@@ -243,7 +243,13 @@
         ..Worker::blank()
     };
     let workers = stands.iter().enumerate().map(row).collect();
-    table.take_registry(&WorkerRegistry { serial: 1, workers }, 1);
+    table.take_registry(
+        &WorkerRegistry {
+            version: 1,
+            workers,
+        },
+        1,
+    );
     let pull = Pull::new(&[], 1000, 0, 0);
     let mut front = Front::new(Hello::default(), site, pull, table);
     front.now = 1;
--- a/sorreldoor/tests/record.rs
+++ b/sorreldoor/tests/record.rs
@@ -1,8 +1,10 @@
 //! The record: whose changes it refuses, and what tuning may not do.
 
-use sorreldoor::consensus::Machine;
-use sorreldoor::record::{decode, encode, Cmd, Outcome, Record, Recovery, REMEMBERED_ORDERS};
-use sorreldoor::setup::Site;
+use sorreldoor::configuration::Site;
+use sorreldoor::consensus::StateMachine;
+use sorreldoor::replicated_state::{
+    decode, encode, Command, Outcome, Recovery, ReplicatedState, REMEMBERED_ORDERS,
+};
 use std::sync::Arc;
 
 fn site() -> Arc<Site> {
@@ -15,20 +17,20 @@
 const DOC: &str = r#"{"groups":{"g":{"kind":"model"}},"services":{"s":{"groups":["g"]},"t":{"groups":["g"]}},
  "routes":{"r":{"kind":"decode","shares":{"s":{"weight":50,"least":40,"most":60},"t":{"weight":50}}}}}"#;
 
-struct Run(Record, u128);
+struct Run(ReplicatedState, u128);
 
 impl Run {
     fn new() -> Run {
-        Run(Record::new(site()), 0)
+        Run(ReplicatedState::new(site()), 0)
     }
-    fn act(&mut self, c: Cmd) -> Outcome {
+    fn act(&mut self, c: Command) -> Outcome {
         self.1 += 1;
         let b = self.0.apply(self.1 as u64, self.1, &encode(&c));
         decode(&b).expect("an outcome")
     }
     fn put(&mut self, base: u64) -> Outcome {
         let doc = DOC.to_string();
-        self.act(Cmd::Put {
+        self.act(Command::Put {
             base,
             to: None,
             doc,
@@ -39,30 +41,30 @@
 #[test]
 fn a_stale_duty_holder_is_refused() {
     let mut r = Run::new();
-    assert_eq!(r.put(0), Outcome::Taken { serial: 1 });
-    let duty = |holder, above| Cmd::Duty { holder, above };
-    assert_eq!(r.act(duty(7, 0)), Outcome::Taken { serial: 1 });
+    assert_eq!(r.put(0), Outcome::Taken { version: 1 });
+    let duty = |holder, above| Command::Duty { holder, above };
+    assert_eq!(r.act(duty(7, 0)), Outcome::Taken { version: 1 });
     // of two that race for the same epoch the second loses
     assert_eq!(r.act(duty(8, 0)), Outcome::OldEpoch { epoch: 1 });
-    assert_eq!(r.act(duty(8, 1)), Outcome::Taken { serial: 1 });
-    let tune = |epoch, serial| Cmd::Tune {
+    assert_eq!(r.act(duty(8, 1)), Outcome::Taken { version: 1 });
+    let tune = |epoch, version| Command::Tune {
         epoch,
-        serial,
+        version,
         weights: vec![(0, 0, 99), (0, 1, 99)],
     };
     assert_eq!(r.act(tune(1, 1)), Outcome::OldEpoch { epoch: 2 });
-    let lost = Cmd::Region {
+    let lost = Command::Region {
         epoch: 1,
         region: 0,
         state: Recovery::Lost,
     };
     assert_eq!(r.act(lost), Outcome::OldEpoch { epoch: 2 });
     assert_eq!(r.0.view().weights, vec![]);
-    assert_eq!(r.act(tune(2, 0)), Outcome::Stale { serial: 1 });
-    assert_eq!(r.act(tune(2, 1)), Outcome::Taken { serial: 1 });
+    assert_eq!(r.act(tune(2, 0)), Outcome::Stale { version: 1 });
+    assert_eq!(r.act(tune(2, 1)), Outcome::Taken { version: 1 });
     // within the operator's bounds, and not at all where none are given
     assert_eq!(r.0.view().weights, vec![(0, 0, 60), (0, 1, 50)]);
-    assert_eq!(r.put(1), Outcome::Taken { serial: 2 });
+    assert_eq!(r.put(1), Outcome::Taken { version: 2 });
     assert_eq!(r.0.view().weights, vec![]);
 }
 
@@ -70,14 +72,14 @@
 fn a_record_is_the_same_after_its_image() {
     let mut r = Run::new();
     r.put(0);
-    let (base, zone, emptied) = (1, 1, true);
-    r.act(Cmd::Zone {
+    let (base, zone, evacuated) = (1, 1, true);
+    r.act(Command::Zone {
         base,
         zone,
-        emptied,
+        evacuated,
     });
     let image = r.0.image();
-    let mut other = Record::new(site());
+    let mut other = ReplicatedState::new(site());
     assert!(other.load(&image));
     assert_eq!(other.view(), r.0.view());
     assert_eq!(other.image(), image);
@@ -85,55 +87,55 @@
     let again = other.apply(
         99,
         1,
-        &encode(&Cmd::Put {
+        &encode(&Command::Put {
             base: 0,
             to: None,
             doc: DOC.into(),
         }),
     );
-    assert_eq!(decode(&again), Some(Outcome::Taken { serial: 1 }));
+    assert_eq!(decode(&again), Some(Outcome::Taken { version: 1 }));
     assert_eq!(other.view(), r.0.view());
     assert!(!other.load(b"not an image"));
 }
 
-fn apply(r: &mut Record, id: u128, cmd: &Cmd) -> Outcome {
+fn apply(r: &mut ReplicatedState, id: u128, cmd: &Command) -> Outcome {
     decode(&r.apply(0, id, &encode(cmd))).expect("an outcome")
 }
 
-fn put(base: u64, to: u64) -> Cmd {
+fn put(base: u64, to: u64) -> Command {
     let doc = DOC.to_string();
     let to = Some(to);
-    Cmd::Put { base, to, doc }
+    Command::Put { base, to, doc }
 }
 
 #[test]
 fn an_order_before_its_base_is_not_refused_and_is_taken_later() {
-    let mut r = Record::new(site());
+    let mut r = ReplicatedState::new(site());
     assert_eq!(
         apply(&mut r, 2, &put(7, 9)),
-        Outcome::NotYet { serial: 0 },
+        Outcome::NotYet { version: 0 },
         "version 7 may still be on its way"
     );
     assert_eq!(r.answered(2), None, "nothing is kept of what was not taken");
-    assert_eq!(apply(&mut r, 1, &put(0, 7)), Outcome::Taken { serial: 7 });
-    assert_eq!(apply(&mut r, 2, &put(7, 9)), Outcome::Taken { serial: 9 });
-    assert_eq!(apply(&mut r, 2, &put(7, 9)), Outcome::Taken { serial: 9 });
-    assert_eq!(r.serial(), 9);
+    assert_eq!(apply(&mut r, 1, &put(0, 7)), Outcome::Taken { version: 7 });
+    assert_eq!(apply(&mut r, 2, &put(7, 9)), Outcome::Taken { version: 9 });
+    assert_eq!(apply(&mut r, 2, &put(7, 9)), Outcome::Taken { version: 9 });
+    assert_eq!(r.version(), 9);
 }
 
 #[test]
 fn a_refusal_is_final_whatever_comes_after_it() {
-    let mut r = Record::new(site());
+    let mut r = ReplicatedState::new(site());
     apply(&mut r, 1, &put(0, 5));
     apply(&mut r, 2, &put(5, 6));
     // lost its race; not above its base; faulty on its base
     let stale = put(5, 7);
     let low = put(6, 6);
-    let faulty = Cmd::Edit {
+    let faulty = Command::Edit {
         base: 6,
         patch: r#"{"services":null}"#.into(),
     };
-    assert_eq!(apply(&mut r, 3, &stale), Outcome::Stale { serial: 6 });
+    assert_eq!(apply(&mut r, 3, &stale), Outcome::Stale { version: 6 });
     assert!(matches!(apply(&mut r, 4, &low), Outcome::Bad { .. }));
     assert!(matches!(apply(&mut r, 5, &faulty), Outcome::Bad { .. }));
     for base in 6..40 {
@@ -142,64 +144,64 @@
             let refused = matches!(again, Outcome::Stale { .. } | Outcome::Bad { .. });
             assert!(refused, "{id} on {base}: {again:?}");
         }
-        assert_eq!(r.serial(), base, "a refused order changed the version");
+        assert_eq!(r.version(), base, "a refused order changed the version");
         let next = apply(&mut r, 100 + u128::from(base), &put(base, base + 1));
-        assert_eq!(next, Outcome::Taken { serial: base + 1 });
+        assert_eq!(next, Outcome::Taken { version: base + 1 });
     }
 }
 
 #[test]
 fn one_number_with_other_content_is_refused() {
-    let mut r = Record::new(site());
+    let mut r = ReplicatedState::new(site());
     apply(&mut r, 1, &put(0, 5));
-    assert_eq!(apply(&mut r, 2, &put(5, 7)), Outcome::Taken { serial: 7 });
+    assert_eq!(apply(&mut r, 2, &put(5, 7)), Outcome::Taken { version: 7 });
     // another body has another id: same base and number, and it must lose
-    assert_eq!(apply(&mut r, 3, &put(5, 7)), Outcome::Stale { serial: 7 });
-    assert_eq!(apply(&mut r, 2, &put(5, 7)), Outcome::Taken { serial: 7 });
+    assert_eq!(apply(&mut r, 3, &put(5, 7)), Outcome::Stale { version: 7 });
+    assert_eq!(apply(&mut r, 2, &put(5, 7)), Outcome::Taken { version: 7 });
 }
 
-fn zone(base: u64) -> Cmd {
-    let (zone, emptied) = (0, base.is_multiple_of(2));
-    Cmd::Zone {
+fn zone(base: u64) -> Command {
+    let (zone, evacuated) = (0, base.is_multiple_of(2));
+    Command::Zone {
         base,
         zone,
-        emptied,
+        evacuated,
     }
 }
 
 #[test]
 fn a_taken_order_is_acknowledged_again_or_left_open_never_refused() {
-    let mut r = Record::new(site());
+    let mut r = ReplicatedState::new(site());
     let limit = REMEMBERED_ORDERS as u64;
     let all = limit + 300;
     for base in 0..all {
-        let taken = Outcome::Taken { serial: base + 1 };
+        let taken = Outcome::Taken { version: base + 1 };
         assert_eq!(apply(&mut r, u128::from(base) + 1, &zone(base)), taken);
         // the duty's own proposals must not push operators' orders out
-        let tune = Cmd::Tune {
+        let tune = Command::Tune {
             epoch: 0,
-            serial: base + 1,
+            version: base + 1,
             weights: vec![],
         };
         apply(&mut r, (1 << 100) + u128::from(base), &tune);
     }
     let image = r.image();
-    let mut restored = Record::new(site());
+    let mut restored = ReplicatedState::new(site());
     assert!(restored.load(&image));
     for r in [&mut r, &mut restored] {
         for base in 0..all {
             let again = apply(r, u128::from(base) + 1, &zone(base));
             let want = if base < 300 {
-                Outcome::Unsure { serial: all }
+                Outcome::Unsure { version: all }
             } else {
-                Outcome::Taken { serial: base + 1 }
+                Outcome::Taken { version: base + 1 }
             };
             assert_eq!(again, want, "order on {base}");
         }
-        assert_eq!(r.serial(), all, "no repeat was entered twice");
+        assert_eq!(r.version(), all, "no repeat was entered twice");
         // an order on an old base that never was taken is refused still
         let late = apply(r, 1 << 90, &zone(400));
-        assert_eq!(late, Outcome::Stale { serial: all });
+        assert_eq!(late, Outcome::Stale { version: all });
     }
     let bytes = image.len() as u64 / limit;
     println!("{} bytes of image for {limit} orders", image.len());
@@ -208,37 +210,37 @@
 
 #[test]
 fn an_evacuation_held_up_until_after_its_end_has_no_effect() {
-    let mut r = Record::new(site());
-    let order = |emptied, changes| Cmd::EvacuateOnce {
+    let mut r = ReplicatedState::new(site());
+    let order = |evacuated, changes| Command::EvacuateOnce {
         zone: 1,
-        emptied,
+        evacuated,
         changes,
     };
     // two copies of one call, one held up at another core
     assert_eq!(
         apply(&mut r, 1, &order(true, 0)),
-        Outcome::Taken { serial: 0 }
+        Outcome::Taken { version: 0 }
     );
     assert_eq!(
         apply(&mut r, 2, &order(true, 0)),
-        Outcome::Taken { serial: 0 }
+        Outcome::Taken { version: 0 }
     );
     assert_eq!(
         apply(&mut r, 3, &order(false, 1)),
-        Outcome::Taken { serial: 0 }
+        Outcome::Taken { version: 0 }
     );
     assert_eq!(
         apply(&mut r, 4, &order(true, 0)),
-        Outcome::Unsure { serial: 0 }
+        Outcome::Unsure { version: 0 }
     );
-    assert!(!r.emptied(1), "a late copy emptied the zone again");
+    assert!(!r.evacuated(1), "a late copy emptied the zone again");
     // the same zone emptied anew is another call
     assert_eq!(
         apply(&mut r, 5, &order(true, 2)),
-        Outcome::Taken { serial: 0 }
+        Outcome::Taken { version: 0 }
     );
-    assert!(r.emptied(1));
-    let mut restored = Record::new(site());
+    assert!(r.evacuated(1));
+    let mut restored = ReplicatedState::new(site());
     assert!(restored.load(&r.image()));
     assert_eq!(restored.zone_changes(1), 3);
 }
@@ -247,9 +249,9 @@
 #[derive(serde::Serialize)]
 struct OldImage {
     rev: u64,
-    serial: u64,
+    version: u64,
     doc: Option<String>,
-    emptied: Vec<u16>,
+    evacuated: Vec<u16>,
     weights: std::collections::BTreeMap<(u16, u16), u32>,
     regions: std::collections::BTreeMap<u8, Recovery>,
     epoch: u64,
@@ -260,13 +262,13 @@
 
 #[test]
 fn taken_orders_of_the_release_before_are_taken_over() {
-    let taken = encode(&Outcome::Taken { serial: 7 });
-    let refused = encode(&Outcome::Stale { serial: 7 });
+    let taken = encode(&Outcome::Taken { version: 7 });
+    let refused = encode(&Outcome::Stale { version: 7 });
     let old = OldImage {
         rev: 3,
-        serial: 7,
+        version: 7,
         doc: None,
-        emptied: vec![],
+        evacuated: vec![],
         weights: Default::default(),
         regions: Default::default(),
         epoch: 0,
@@ -274,9 +276,9 @@
         answered: [(1, taken), (2, refused)].into(),
         order: vec![1, 2],
     };
-    let mut r = Record::new(site());
+    let mut r = ReplicatedState::new(site());
     assert!(r.load(&encode(&old)));
-    assert_eq!(apply(&mut r, 1, &zone(0)), Outcome::Taken { serial: 7 });
+    assert_eq!(apply(&mut r, 1, &zone(0)), Outcome::Taken { version: 7 });
     // refused there when 7 was not current yet
-    assert_eq!(apply(&mut r, 2, &zone(7)), Outcome::Taken { serial: 8 });
+    assert_eq!(apply(&mut r, 2, &zone(7)), Outcome::Taken { version: 8 });
 }
--- a/sorreldoor/tests/return_times.rs
+++ b/sorreldoor/tests/return_times.rs
@@ -1,7 +1,7 @@
 //! When callers are told to come back.
 
-use sorreldoor::errand::Again;
-use sorreldoor::problem::Problem;
+use sorreldoor::error::ErrorCode;
+use sorreldoor::gateway::request_table::Again;
 
 /// A crowd four times what is served: returns stay a fifth of what comes.
 #[test]
@@ -15,7 +15,7 @@
             if i % 4 == 0 {
                 a.done(now);
             } else if s >= 10 {
-                back[(s + a.book(Problem::QueueFull, 64, now)) as usize] += 1;
+                back[(s + a.book(ErrorCode::QueueFull, 64, now)) as usize] += 1;
             }
         }
     }
@@ -30,6 +30,6 @@
 fn a_single_caller_comes_back_soon() {
     let mut a = Again::default();
     a.came(5000);
-    assert!(a.book(Problem::NoPermit, 0, 5000) <= 2);
-    assert!((2..=3).contains(&a.book(Problem::NoWorker, 0, 5000)));
+    assert!(a.book(ErrorCode::NoLease, 0, 5000) <= 2);
+    assert!((2..=3).contains(&a.book(ErrorCode::NoWorker, 0, 5000)));
 }
--- a/sorreldoor/tests/settings.rs
+++ b/sorreldoor/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings and setups: every fault has its exact words, and a path.
 
+use sorreldoor::configuration::{read, Site};
 use sorreldoor::settings::{Over, Role, Settings};
-use sorreldoor::setup::{read, Site};
 
 fn faults(text: &str) -> Vec<String> {
     Settings::read(text.as_bytes(), &Over::default(), Role::Edge)
@@ -87,7 +87,7 @@
     }
 }
 
-const SETUP: &str = r#"{"groups":{"g":{"kind":"model","slots":4},"w":{"kind":"web"}},
+const CONFIGURATION: &str = r#"{"groups":{"g":{"kind":"model","slots":4},"w":{"kind":"web"}},
  "services":{"s":{"groups":["g"]},"t":{"groups":["g"]},"p":{"groups":["w"]}},
  "routes":{"r":{"kind":"prefix","shares":{"s":{"weight":50,"least":20,"most":80},"t":{"weight":50}}},
            "q":{"kind":"fetch","repeatable":true,"shares":{"p":{"weight":1}}}},
@@ -95,7 +95,7 @@
 
 #[test]
 fn each_fault_of_a_setup_is_listed_under_its_path() {
-    assert!(read(SETUP.as_bytes(), &site()).is_ok());
+    assert!(read(CONFIGURATION.as_bytes(), &site()).is_ok());
     let table = [
         (
             r#""slots":4"#,
@@ -159,8 +159,8 @@
         ),
     ];
     for (from, to, want) in table {
-        assert!(SETUP.contains(from), "{from}");
-        let f = read(SETUP.replacen(from, to, 1).as_bytes(), &site()).err();
+        assert!(CONFIGURATION.contains(from), "{from}");
+        let f = read(CONFIGURATION.replacen(from, to, 1).as_bytes(), &site()).err();
         assert_eq!(f, Some(vec![want.to_string()]), "{to}");
     }
     let deep = format!("{}1{}", "[".repeat(40), "]".repeat(40));
@@ -172,7 +172,7 @@
         f,
         Some(vec!["setup: is larger than 4194304 bytes".to_string()])
     );
-    let two = SETUP
+    let two = CONFIGURATION
         .replace(r#""slots":4"#, r#""slots":0"#)
         .replace(r#""percent":15"#, r#""percent":99"#);
     assert_eq!(
--- a/sorreldoor/tests/store/legacy.rs
+++ b/sorreldoor/tests/store/legacy.rs
@@ -3,7 +3,7 @@
 use super::work::{append, snapshot};
 use okaywal::{Configuration, LogManager, WriteAheadLog};
 use sorreldoor::consensus::Save;
-use sorreldoor::record::encode;
+use sorreldoor::replicated_state::encode;
 use sorreldoor::store::{DurableState, DurableStore, Folder, Opened, Store};
 use std::fs::{self, OpenOptions};
 use std::io;
--- a/sorreldoor/tests/store/state.rs
+++ b/sorreldoor/tests/store/state.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use sorreldoor::consensus::{Entry, HardState, Noted, Save, Snapshot};
-use sorreldoor::record::{decode, encode};
+use sorreldoor::replicated_state::{decode, encode};
 use sorreldoor::store::DurableState;
 use std::collections::VecDeque;
 
--- a/sorreldoor/tests/store/work.rs
+++ b/sorreldoor/tests/store/work.rs
@@ -2,7 +2,7 @@
 
 use super::sim_disk::{Random, SimDisk};
 use sorreldoor::consensus::{Body, Entry, HardState, LogPosition, Noted, Save, Snapshot};
-use sorreldoor::record::encode;
+use sorreldoor::replicated_state::encode;
 use sorreldoor::store::{Before, Change, DurableState, DurableStore, Opened, Store};
 use std::borrow::Cow;
 use std::io;
@@ -15,7 +15,7 @@
 pub fn entry(term: u64, length: usize) -> Entry {
     Entry {
         term,
-        pid: u128::from(term),
+        proposal_id: u128::from(term),
         origin: 1,
         body: Body::Data(Arc::new(vec![term as u8; length])),
     }
