--- a/sorreldoor/tests/table.rs
+++ b/sorreldoor/tests/table.rs
@@ -1,22 +1,22 @@
 //! The table of requests under way: each rule by itself, and nodes together.
 
-use sorreldoor::problem::Problem;
-use sorreldoor::proxy::table::{Bounds, Heard, Pick, Place, Rid, Table, Target};
+use sorreldoor::balancer::{Bounds, Heard, Pick, Place, RequestId, Table, Target};
+use sorreldoor::configuration::hosted::{Engine, Hosted, Kind, Route, Service};
+use sorreldoor::discovery::{Worker, WorkerRegistry};
+use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::{Asked, Part};
-use sorreldoor::registry::{Worker, WorkerRegistry};
-use sorreldoor::setup::hosted::{Engine, Hosted, Kind, Route, Service};
 use std::sync::Arc;
 
 #[path = "table/drive.rs"]
 mod drive;
 #[path = "table/fuzz.rs"]
 mod fuzz;
+#[path = "table/invariants.rs"]
+mod invariants;
 #[path = "table/marks.rs"]
 mod marks;
 #[path = "table/nodes.rs"]
 mod nodes;
-#[path = "table/rules.rs"]
-mod rules;
 #[path = "table/silence.rs"]
 mod silence;
 #[path = "table/spots.rs"]
@@ -111,7 +111,7 @@
         slots,
         cold_ms: 0,
         leaves_ms: None,
-        version: String::new(),
+        software_version: String::new(),
     }
 }
 
@@ -120,8 +120,8 @@
     zones.iter().enumerate().map(w).collect()
 }
 
-fn registry(serial: u64, workers: Vec<Worker>) -> WorkerRegistry {
-    WorkerRegistry { serial, workers }
+fn registry(version: u64, workers: Vec<Worker>) -> WorkerRegistry {
+    WorkerRegistry { version, workers }
 }
 
 fn table(h: Arc<Hosted>, workers: Vec<Worker>) -> Table {
@@ -147,7 +147,7 @@
     }
 }
 
-fn begin(t: &mut Table, path: &str, now: u64) -> Rid {
+fn begin(t: &mut Table, path: &str, now: u64) -> RequestId {
     t.begin("h", path, ask(&[]), now, now).unwrap()
 }
 
@@ -158,7 +158,7 @@
     }
 }
 
-fn sent(t: &mut Table, path: &str, now: u64) -> (Rid, Target) {
+fn sent(t: &mut Table, path: &str, now: u64) -> (RequestId, Target) {
     let r = begin(t, path, now);
     let g = go(t.pick(r, now));
     (r, g)
--- a/sorreldoor/tests/table/drive.rs
+++ b/sorreldoor/tests/table/drive.rs
@@ -23,7 +23,7 @@
 pub struct Back {
     pub slots: u32,
     pub running: u32,
-    pub queue: VecDeque<(usize, Rid, u64, u64)>,
+    pub queue: VecDeque<(usize, RequestId, u64, u64)>,
     pub kept: HashSet<u64>,
     pub reader_free: u64,
     /// Arrivals.
@@ -37,12 +37,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ev {
     Come(usize),
-    Reach(usize, Rid, u32),
-    Head(usize, Rid, u32),
-    End(usize, Rid, u32),
+    Reach(usize, RequestId, u32),
+    Head(usize, RequestId, u32),
+    End(usize, RequestId, u32),
     Wake(usize),
-    Break(usize, Rid, u32),
-    Again(usize, Rid),
+    Break(usize, RequestId, u32),
+    Again(usize, RequestId),
     Free(u32),
     WorkerRegistry,
 }
@@ -60,7 +60,7 @@
     evs: BinaryHeap<Reverse<(u64, u64, Ev)>>,
     seq: u64,
     /// By node and request: arrivals so far, parts, out_ms.
-    open: BTreeMap<(usize, Rid), (u32, Vec<Part>, u64)>,
+    open: BTreeMap<(usize, RequestId), (u32, Vec<Part>, u64)>,
     pub asked: Vec<u64>,
     pub further: Vec<u64>,
     pub served: u64,
@@ -71,7 +71,7 @@
     pub reread: u64,
     pub firsts: Vec<u64>,
     seen: HashSet<u64>,
-    waiting: HashSet<(usize, Rid)>,
+    waiting: HashSet<(usize, RequestId)>,
     pub round_robin: bool,
     turn: usize,
 }
@@ -214,12 +214,12 @@
         self.now + self.skew[n]
     }
 
-    fn heard(&mut self, n: usize, r: Rid, h: Heard) {
+    fn heard(&mut self, n: usize, r: RequestId, h: Heard) {
         let t = self.clock(n);
         self.nodes[n].heard(r, h, t);
     }
 
-    fn over(&mut self, n: usize, r: Rid) {
+    fn over(&mut self, n: usize, r: RequestId) {
         let t = self.clock(n);
         self.nodes[n].end(r, t);
         self.open.remove(&(n, r));
@@ -253,7 +253,7 @@
         }
     }
 
-    fn pick(&mut self, n: usize, r: Rid) {
+    fn pick(&mut self, n: usize, r: RequestId) {
         let t = self.clock(n);
         self.waiting.remove(&(n, r));
         match self.nodes[n].pick(r, t) {
@@ -287,7 +287,7 @@
         }
     }
 
-    fn reach(&mut self, n: usize, r: Rid, w: u32) {
+    fn reach(&mut self, n: usize, r: RequestId, w: u32) {
         let now = self.now;
         let Some(o) = self.open.get_mut(&(n, r)) else {
             return;
@@ -334,7 +334,7 @@
         }
     }
 
-    fn start(&mut self, n: usize, r: Rid, w: u32, read: u64, out: u64, came: u64) {
+    fn start(&mut self, n: usize, r: RequestId, w: u32, read: u64, out: u64, came: u64) {
         let now = self.now;
         let b = &mut self.backs[w as usize];
         b.running += 1;
--- a/sorreldoor/tests/table/fuzz.rs
+++ b/sorreldoor/tests/table/fuzz.rs
@@ -18,7 +18,7 @@
 
 const PATHS: [&str; 4] = ["/once/x", "/idem/x", "/web/x", "/webonce/x"];
 
-fn setups() -> Vec<Arc<Hosted>> {
+fn configurations() -> Vec<Arc<Hosted>> {
     let mut home = route("once", "/once/", Kind::Once, 0);
     home.homes = vec![0];
     let mut split = route("web", "/web/", Kind::Idempotent, 1);
@@ -44,18 +44,18 @@
 
 fn one(seed: u64) {
     let mut x = Rand(seed.wrapping_mul(0x9e37_79b9) | 1);
-    let hs = setups();
+    let hs = configurations();
     let mut h = hs[0].clone();
     let mut t = Table::new(place("n0", 0), bounds(), seed);
     t.take_hosted(h.clone(), 0);
     t.take_nodes(vec![("n0".into(), 0), ("n1".into(), 2)]);
     let mut list: Vec<Worker> = Vec::new();
-    let (mut serial, mut emptied, mut born, mut now) = (0, vec![], 0, 0u64);
-    let mut open: BTreeMap<Rid, Seen> = BTreeMap::new();
+    let (mut version, mut evacuated, mut born, mut now) = (0, vec![], 0, 0u64);
+    let mut open: BTreeMap<RequestId, Seen> = BTreeMap::new();
     let mut stale: BTreeMap<String, u64> = BTreeMap::new();
     for _ in 0..4000 {
         now += x.below(12);
-        let some = |x: &mut Rand, o: &BTreeMap<Rid, Seen>| {
+        let some = |x: &mut Rand, o: &BTreeMap<RequestId, Seen>| {
             let i = x.below(o.len().max(1) as u64) as usize;
             o.keys().nth(i).copied()
         };
@@ -65,8 +65,8 @@
                 t.take_hosted(h.clone(), now);
             }
             1 => {
-                emptied = (0..3u16).filter(|_| x.chance(0.2)).collect();
-                t.take_emptied(emptied.clone(), now);
+                evacuated = (0..3u16).filter(|_| x.chance(0.2)).collect();
+                t.set_evacuated_zones(evacuated.clone(), now);
             }
             2..=4 => {
                 list.retain(|_| x.chance(0.85));
@@ -80,9 +80,9 @@
                     let g = if x.chance(0.5) { "web" } else { "model" };
                     list.push(worker(&format!("w{born}"), g, x.below(3) as u16, 4));
                 }
-                serial += x.below(2);
-                t.take_registry(&registry(serial, list.clone()), now);
-                stale.retain(|_, s| *s >= serial);
+                version += x.below(2);
+                t.take_registry(&registry(version, list.clone()), now);
+                stale.retain(|_, s| *s >= version);
             }
             5..=34 => {
                 let path = PATHS[x.below(4) as usize];
@@ -112,7 +112,7 @@
                     Pick::Go(g) => {
                         let w = list.iter().find(|w| w.name == g.name).unwrap();
                         assert!(!w.leaving && w.leaves_ms.is_none());
-                        assert!(!emptied.contains(&w.zone));
+                        assert!(!evacuated.contains(&w.zone));
                         assert!(s.homes.is_empty() || s.homes.contains(&w.region));
                         assert!(!stale.contains_key(&w.name));
                         assert!(!s.tried.contains(&w.name) && s.sent < s.attempts);
@@ -162,7 +162,7 @@
                     s.ran |= at.is_some() && ![3, 4, 5].contains(&kind);
                     // the worker that was meant is gone, or none was reached
                     s.sent -= u32::from(at.is_some() && (kind == 4 || kind == 5));
-                    at.filter(|_| kind == 4).map(|n| stale.insert(n, serial));
+                    at.filter(|_| kind == 4).map(|n| stale.insert(n, version));
                 }
             }
             90..=95 => {
@@ -180,7 +180,7 @@
     for r in open.keys() {
         t.end(*r, now);
     }
-    t.take_registry(&registry(serial + 1, vec![]), now);
+    t.take_registry(&registry(version + 1, vec![]), now);
     let c = t.counts();
     assert_eq!((c.open, c.waiting, c.workers), (0, 0, 0));
     assert!(!format!("{t:?}").contains("Spot {"));
--- a/sorreldoor/tests/table/rules.rs
+++ b/sorreldoor/tests/table/invariants.rs
@@ -10,16 +10,16 @@
     let mut t = Table::new(place("n0", 0), bounds(), 7);
     assert_eq!(
         t.begin("h", "/web/x", ask(&[]), 0, 0),
-        Err(Problem::NoSetup)
+        Err(ErrorCode::NoConfiguration)
     );
     t.take_hosted(usual(), 0);
     assert_eq!(
         t.begin("h", "/no/x", ask(&[]), 0, 0),
-        Err(Problem::UnknownRoute)
+        Err(ErrorCode::UnknownRoute)
     );
     assert_eq!(
         t.begin("g", "/web/x", ask(&[]), 0, 0),
-        Err(Problem::UnknownRoute)
+        Err(ErrorCode::UnknownRoute)
     );
 }
 
@@ -28,7 +28,7 @@
     let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
     let (r, _) = sent(&mut t, "/webonce/x", 100);
     t.heard(r, Heard::Broke, 120);
-    assert_eq!(t.pick(r, 120), Pick::Refuse(Problem::OutcomeUnknown, 0));
+    assert_eq!(t.pick(r, 120), Pick::Refuse(ErrorCode::OutcomeUnknown, 0));
 }
 
 #[test]
@@ -69,7 +69,10 @@
     assert_ne!(a.name, b.name);
     t.heard(r, Heard::NotRun(None), 20_020);
     let p = t.pick(r, 20_020);
-    assert!(matches!(p, Pick::Refuse(Problem::WorkerBroke, _)), "{p:?}");
+    assert!(
+        matches!(p, Pick::Refuse(ErrorCode::WorkerBroke, _)),
+        "{p:?}"
+    );
 }
 
 #[test]
@@ -81,7 +84,10 @@
         20_005,
     );
     t.heard(r, Heard::Broke, 20_010);
-    assert_eq!(t.pick(r, 20_010), Pick::Refuse(Problem::OutcomeUnknown, 0));
+    assert_eq!(
+        t.pick(r, 20_010),
+        Pick::Refuse(ErrorCode::OutcomeUnknown, 0)
+    );
 }
 
 #[test]
@@ -101,7 +107,7 @@
     assert!(go(t.pick(a, 20_012)).name.starts_with("model"));
     let c = begin(&mut t, "/w/x", 20_012);
     t.take_hosted(hosted(vec![route("v", "/v/", Kind::Once, 1)]), 20_013);
-    assert_eq!(t.pick(c, 20_013), Pick::Refuse(Problem::UnknownRoute, 0));
+    assert_eq!(t.pick(c, 20_013), Pick::Refuse(ErrorCode::UnknownRoute, 0));
     assert!(t.route(c).is_none());
 }
 
@@ -155,16 +161,16 @@
         ("/web/", vec![worker("a", "model", 0, 6)], vec![], None),
         ("/web/", vec![], vec![], None),
     ];
-    for (path, ws, emptied, want) in cases {
+    for (path, ws, evacuated, want) in cases {
         let mut t = table(h.clone(), ws.clone());
-        t.take_emptied(emptied.clone(), 0);
+        t.set_evacuated_zones(evacuated.clone(), 0);
         for i in 0..20 {
             let r = begin(&mut t, path, i);
             let got = match t.pick(r, i) {
                 Pick::Go(g) => Some(g.name),
                 _ => None,
             };
-            assert_eq!(got.as_deref(), want, "{path} {ws:?} {emptied:?}");
+            assert_eq!(got.as_deref(), want, "{path} {ws:?} {evacuated:?}");
             t.end(r, i);
         }
     }
@@ -212,15 +218,15 @@
     // within a quarter of the aim it is told to come back
     let at = 1200;
     match t.pick(r, at) {
-        Pick::Refuse(Problem::NoWorker, ms) => assert!((100..=400).contains(&ms)),
+        Pick::Refuse(ErrorCode::NoWorker, ms) => assert!((100..=400).contains(&ms)),
         p => panic!("{p:?}"),
     }
     match t.pick(r, 5700) {
-        Pick::Refuse(Problem::NoWorker, ms) => assert!(ms <= 100),
+        Pick::Refuse(ErrorCode::NoWorker, ms) => assert!(ms <= 100),
         p => panic!("{p:?}"),
     }
     let p = t.pick(r, 5998);
-    assert!(matches!(p, Pick::Refuse(Problem::GivenUp, _)), "{p:?}");
+    assert!(matches!(p, Pick::Refuse(ErrorCode::GivenUp, _)), "{p:?}");
 }
 
 #[test]
@@ -231,7 +237,7 @@
         hosted(vec![low, route("high", "/high/", Kind::Once, 1)]),
         vec![worker("w", "web", 0, 2)],
     );
-    let held: Vec<Rid> = (0..3).map(|_| sent(&mut t, "/high/x", 0).0).collect();
+    let held: Vec<RequestId> = (0..3).map(|_| sent(&mut t, "/high/x", 0).0).collect();
     let late = |t: &mut Table, path: &str, now| {
         let r = begin(t, path, now);
         assert!(matches!(t.pick(r, now), Pick::Wait(_)));
@@ -259,7 +265,7 @@
     // a worker that turns requests away though it has room is tried again
     let mut t = table(usual(), many("web", 8, &[0, 0]));
     let mut draw = 5u64;
-    let mut open: Vec<Rid> = Vec::new();
+    let mut open: Vec<RequestId> = Vec::new();
     let mut refused = 0;
     for now in (0..60_000).step_by(3) {
         draw = draw.wrapping_mul(6364136223846793005).wrapping_add(99);
@@ -276,7 +282,7 @@
             match t.pick(r, now) {
                 Pick::Go(_) => open.push(r),
                 Pick::Refuse(p, _) => {
-                    assert_eq!(p, Problem::NoWorker);
+                    assert_eq!(p, ErrorCode::NoWorker);
                     assert!(open.len() * 2 >= 16, "{} of 16 taken", open.len());
                     refused += 1;
                     t.end(r, now);
--- a/sorreldoor/tests/table/spots.rs
+++ b/sorreldoor/tests/table/spots.rs
@@ -140,7 +140,7 @@
 fn a_slow_worker_gets_less_and_plain_requests_stay_in_their_zone() {
     let mut t = table(usual(), many("web", 6, &[0, 0, 1]));
     let mut got = [0; 3];
-    let mut ends: Vec<(u64, Rid)> = Vec::new();
+    let mut ends: Vec<(u64, RequestId)> = Vec::new();
     for now in 0..20_000u64 {
         for (_, r) in ends.iter().filter(|e| e.0 == now) {
             t.heard(*r, Heard::Done(200), now);
--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -1,9 +1,11 @@
 //! Updates of the record: what nodes with an older copy are told.
 
-use sorreldoor::consensus::Machine;
-use sorreldoor::record::{decode, encode, Cmd, Copy, Outcome, Record, Update};
-use sorreldoor::setup::hosted::Hosted;
-use sorreldoor::setup::{self, Site};
+use sorreldoor::configuration::hosted::Hosted;
+use sorreldoor::configuration::{self, Site};
+use sorreldoor::consensus::StateMachine;
+use sorreldoor::replicated_state::{
+    decode, encode, Command, Copy, Outcome, ReplicatedState, Update,
+};
 use sorreldoor::wire::EncodedUpdate;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -56,19 +58,19 @@
 }
 
 struct Core {
-    record: Record,
+    record: ReplicatedState,
     count: u128,
 }
 
 impl Core {
     fn new() -> Core {
         Core {
-            record: Record::new(site()),
+            record: ReplicatedState::new(site()),
             count: 0,
         }
     }
 
-    fn act(&mut self, cmd: Cmd) -> Outcome {
+    fn act(&mut self, cmd: Command) -> Outcome {
         self.count += 1;
         let said = self
             .record
@@ -77,8 +79,8 @@
     }
 
     fn put(&mut self, doc: String) -> Outcome {
-        let base = self.record.serial();
-        self.act(Cmd::Put {
+        let base = self.record.version();
+        self.act(Command::Put {
             base,
             to: None,
             doc,
@@ -86,8 +88,8 @@
     }
 
     fn items(&mut self, set: String, drop: String) -> Outcome {
-        let base = self.record.serial();
-        self.act(Cmd::Items {
+        let base = self.record.version();
+        self.act(Command::Items {
             base,
             to: None,
             set,
@@ -119,8 +121,8 @@
             }
             1 => {
                 let zone = random.below(3) as u16;
-                let emptied = random.below(2) == 0;
-                self.act(Cmd::Evacuate { zone, emptied });
+                let evacuated = random.below(2) == 0;
+                self.act(Command::Evacuate { zone, evacuated });
             }
             2 => {
                 let set = format!(r#"{{"services":[{}]}}"#, service(name(random) % 4, salt));
@@ -150,7 +152,7 @@
 /// Routes as a caller meets them: which service each leads to, in which order
 /// nothing depends on.
 fn meaning(h: &Hosted) -> BTreeMap<String, String> {
-    let split = |r: &setup::hosted::Route| {
+    let split = |r: &configuration::hosted::Route| {
         let names = r.split.iter().map(|(s, w)| (&h.services[*s as usize], *w));
         format!("{:?}", names.collect::<Vec<_>>())
     };
@@ -164,15 +166,15 @@
     all.chain([limits]).collect()
 }
 
-fn hosted_of(record: &Record) -> Arc<Hosted> {
-    let setup = record.setup().expect("a setup");
-    setup.hosted.clone().expect("a hosted part")
+fn hosted_of(record: &ReplicatedState) -> Arc<Hosted> {
+    let configuration = record.configuration().expect("a setup");
+    configuration.hosted.clone().expect("a hosted part")
 }
 
 /// The whole document, read anew.
-fn read_whole(record: &Record) -> Hosted {
+fn read_whole(record: &ReplicatedState) -> Hosted {
     let text = record.view().doc.expect("a document");
-    let (s, _) = setup::read(text.as_bytes(), &site()).expect("it is valid");
+    let (s, _) = configuration::read(text.as_bytes(), &site()).expect("it is valid");
     (*s.hosted.expect("a hosted part")).clone()
 }
 
@@ -220,7 +222,7 @@
         for step in 0..120 {
             core.random_change(&mut random);
             if step % 37 == 36 {
-                let mut other = Record::new(site());
+                let mut other = ReplicatedState::new(site());
                 assert!(other.load(&core.record.image()));
                 core.record = other;
             }
@@ -246,7 +248,7 @@
         let mut core = Core::new();
         core.put(with_routes(routes));
         let have = core.record.rev();
-        assert_eq!(core.one_route(3, 77), Outcome::Taken { serial: 2 });
+        assert_eq!(core.one_route(3, 77), Outcome::Taken { version: 2 });
         EncodedUpdate::new(&core.record.update_since(have))
             .bytes
             .len()
@@ -321,9 +323,9 @@
     #[derive(serde::Serialize)]
     struct Older {
         rev: u64,
-        serial: u64,
+        version: u64,
         doc: Option<Arc<String>>,
-        emptied: Vec<u16>,
+        evacuated: Vec<u16>,
         weights: BTreeMap<(u16, u16), u32>,
         regions: BTreeMap<u8, u8>,
         epoch: u64,
@@ -333,9 +335,9 @@
     }
     let older = Older {
         rev: 9,
-        serial: 7,
+        version: 7,
         doc: Some(Arc::new(with_routes(20))),
-        emptied: vec![1],
+        evacuated: vec![1],
         weights: BTreeMap::new(),
         regions: BTreeMap::new(),
         epoch: 0,
@@ -345,7 +347,7 @@
     };
     let mut core = Core::new();
     assert!(core.record.load(&encode(&older)));
-    assert_eq!((core.record.rev(), core.record.serial()), (9, 7));
+    assert_eq!((core.record.rev(), core.record.version()), (9, 7));
     assert_eq!(hosted_of(&core.record).routes.len(), 20);
     // what is told of it is told whole to whoever is behind it
     let mut edge = Edge::default();
--- a/sorreldoor/tests/updates/costs.rs
+++ b/sorreldoor/tests/updates/costs.rs
@@ -2,7 +2,7 @@
 //! must not grow.
 
 use super::{with_routes, Core, Edge};
-use sorreldoor::setup;
+use sorreldoor::configuration;
 use sorreldoor::wire::EncodedUpdate;
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
         let whole = EncodedUpdate::new(&core.record.update_since(0));
         let update = whole.update().expect("it can be read");
         let (take_whole, ()) = timed(|| edge.take(&update));
-        let (read_document, read) = timed(|| setup::read(doc.as_bytes(), &super::site()));
+        let (read_document, read) = timed(|| configuration::read(doc.as_bytes(), &super::site()));
         assert!(read.is_ok());
         let have = core.record.rev();
         let (edit, _) = timed(|| core.one_route(3, 77));
--- a/sorreldoor/tests/updates/delivery.rs
+++ b/sorreldoor/tests/updates/delivery.rs
@@ -1,7 +1,7 @@
 //! Updates on their way: large ones and queues are bounded.
 
 use super::{with_routes, Core};
-use sorreldoor::core::updates::{Due, Updates, MAX_IN_FLIGHT};
+use sorreldoor::control_plane::updates::{Due, Updates, MAX_IN_FLIGHT};
 use sorreldoor::net;
 use sorreldoor::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::sync::Arc;
--- a/rig/src/emul/breach.rs
+++ b/testbed/src/emul/breach.rs
@@ -1,12 +1,12 @@
 //! The product's table with one of its rules broken, to show that a check can fail.
 
 use super::policy::{Breach, Policy};
+use sorreldoor::balancer::{Heard, Pick, RequestId, Table};
+use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::consensus::Millis;
-use sorreldoor::problem::Problem;
-use sorreldoor::proxy::table::{Heard, Pick, Rid, Table};
+use sorreldoor::discovery::WorkerRegistry;
+use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::Asked;
-use sorreldoor::registry::WorkerRegistry;
-use sorreldoor::setup::hosted::{Hosted, Route};
 use std::collections::HashSet;
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     t: Table,
     b: Breach,
     had: bool,
-    begun: HashSet<Rid>,
+    begun: HashSet<RequestId>,
 }
 
 impl Breaker {
@@ -29,48 +29,48 @@
 }
 
 impl Policy for Breaker {
-    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<Rid, Problem> {
+    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<RequestId, ErrorCode> {
         Policy::begin(&mut self.t, path, asked, now)
     }
-    fn pick(&mut self, rid: Rid, now: Millis) -> Pick {
+    fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
         if self.b == Breach::Mute {
             return Pick::Wait(20);
         }
-        self.t.pick(rid, now)
+        self.t.pick(request_id, now)
     }
-    fn heard(&mut self, rid: Rid, h: Heard, now: Millis) {
+    fn heard(&mut self, request_id: RequestId, h: Heard, now: Millis) {
         let h = match h {
             Heard::Broke if self.b == Breach::Twice => Heard::NotRun(None),
             h => h,
         };
         if h == Heard::First {
-            self.begun.insert(rid);
+            self.begun.insert(request_id);
         }
-        self.t.heard(rid, h, now);
+        self.t.heard(request_id, h, now);
     }
-    fn pulse(&mut self, rid: Rid, now: Millis) {
-        self.t.pulse(rid, now);
+    fn pulse(&mut self, request_id: RequestId, now: Millis) {
+        self.t.pulse(request_id, now);
     }
-    fn may_move(&mut self, rid: Rid, silent: Millis, now: Millis) -> bool {
+    fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
         let stays = match self.b {
             Breach::Stay => true,
-            Breach::StayBegun => self.begun.contains(&rid),
+            Breach::StayBegun => self.begun.contains(&request_id),
             _ => false,
         };
-        !stays && self.t.may_move(rid, silent, now)
+        !stays && self.t.may_move(request_id, silent, now)
     }
-    fn end(&mut self, rid: Rid, now: Millis) {
-        self.begun.remove(&rid);
-        self.t.end(rid, now);
+    fn end(&mut self, request_id: RequestId, now: Millis) {
+        self.begun.remove(&request_id);
+        self.t.end(request_id, now);
     }
-    fn woken(&mut self, now: Millis) -> Vec<Rid> {
+    fn woken(&mut self, now: Millis) -> Vec<RequestId> {
         self.t.woken(now)
     }
-    fn deadline(&self, rid: Rid) -> Millis {
-        self.t.deadline(rid)
+    fn deadline(&self, request_id: RequestId) -> Millis {
+        self.t.deadline(request_id)
     }
-    fn route(&self, rid: Rid) -> Option<Route> {
-        self.t.route(rid).cloned()
+    fn route(&self, request_id: RequestId) -> Option<Route> {
+        self.t.route(request_id).cloned()
     }
     fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis) {
         if self.b == Breach::Routes && std::mem::replace(&mut self.had, true) {
@@ -92,9 +92,9 @@
         }
         self.t.take_registry(&own, now);
     }
-    fn take_emptied(&mut self, zones: Vec<u16>, now: Millis) {
+    fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
         if self.b != Breach::Zones {
-            self.t.take_emptied(zones, now);
+            self.t.set_evacuated_zones(zones, now);
         }
     }
     fn take_nodes(&mut self, all: Vec<(String, u16)>) {
--- a/rig/src/emul/check.rs
+++ b/testbed/src/emul/check.rs
@@ -96,8 +96,9 @@
         let h = &w.class(a.attempt).homes;
         !a.misdirected && !h.is_empty() && !h.contains(&w.workers[a.worker].region)
     };
-    let say = |a: &Arrival| format!("HOME: try {} at {}", a.attempt, w.workers[a.worker].name);
-    w.arrivals.iter().filter(bad).map(say).collect()
+    let log_event =
+        |a: &Arrival| format!("HOME: try {} at {}", a.attempt, w.workers[a.worker].name);
+    w.arrivals.iter().filter(bad).map(log_event).collect()
 }
 
 fn zones(w: &World) -> Vec<String> {
@@ -107,14 +108,14 @@
         let hit = |e: &Evac| e.zone == z && a.at > e.from + span && a.at < e.to;
         !a.misdirected && w.evacs.iter().any(hit) && w.in_touch(a.node, a.sent)
     };
-    let say = |a: &Arrival| {
+    let log_event = |a: &Arrival| {
         format!(
             "EVAC: zone {} at {} ms",
             w.workers[a.worker].zone,
             a.at / 1000
         )
     };
-    w.arrivals.iter().filter(bad).map(say).collect()
+    w.arrivals.iter().filter(bad).map(log_event).collect()
 }
 
 fn drains(w: &World) -> Vec<String> {
@@ -122,14 +123,14 @@
         let shut = w.workers[a.worker].shut;
         !a.misdirected && shut.is_some_and(|t| a.at > t) && w.in_touch(a.node, a.sent)
     };
-    let say = |a: &Arrival| {
+    let log_event = |a: &Arrival| {
         let x = &w.workers[a.worker];
         format!(
             "DRAIN: {} leaving since {:?} us, reached at {} us",
             x.name, x.leaving, a.at
         )
     };
-    w.arrivals.iter().filter(bad).map(say).collect()
+    w.arrivals.iter().filter(bad).map(log_event).collect()
 }
 
 fn routes(w: &World) -> Vec<String> {
--- a/rig/src/emul/news.rs
+++ b/testbed/src/emul/control.rs
@@ -4,9 +4,9 @@
 use super::node::Node;
 use super::policy::HOST;
 use super::*;
-use sorreldoor::proxy::table::{Bounds, Place};
-use sorreldoor::registry::Worker;
-use sorreldoor::setup::hosted::{Engine as Conf, Kind, Route, Service};
+use sorreldoor::balancer::{Bounds, Place};
+use sorreldoor::configuration::hosted::{Engine as Conf, Kind, Route, Service};
+use sorreldoor::discovery::Worker;
 
 impl World {
     /// The first configuration.
@@ -62,7 +62,7 @@
         index(&mut h);
         let h = Arc::new(h);
         self.versions.push((self.now, h.clone()));
-        self.spread(News::Hosted(h));
+        self.spread(ControlUpdate::Hosted(h));
     }
 
     /// The platform's list anew, from what it knows of workers.
@@ -78,14 +78,14 @@
             slots: w.slots,
             cold_ms: (w.cold.last()).map_or(0, |c| c.1.saturating_sub(now) / 1000),
             leaves_ms: w.leaves.map(|t| t.saturating_sub(now) / 1000),
-            version: String::new(),
+            software_version: String::new(),
         };
         let r = WorkerRegistry {
-            serial: self.registry.serial + 1,
+            version: self.registry.version + 1,
             workers: self.workers.iter().filter(|w| w.listed).map(row).collect(),
         };
         self.registry = Arc::new(r);
-        self.spread(News::WorkerRegistry(self.registry.clone()));
+        self.spread(ControlUpdate::WorkerRegistry(self.registry.clone()));
     }
 
     pub(super) fn lay_nodes(&mut self) {
@@ -106,7 +106,7 @@
                 frozen: 0,
                 rough: Vec::new(),
                 has: (false, false),
-                news: 0,
+                last_update: 0,
                 policy,
                 jobs: Default::default(),
                 by_try: HashMap::new(),
@@ -137,31 +137,31 @@
         self.rule.make(place, bounds, seed)
     }
 
-    fn spread(&mut self, n: News) {
+    fn spread(&mut self, n: ControlUpdate) {
         (0..self.nodes.len()).for_each(|i| self.tell(i, n.clone()));
     }
 
     /// News reach a node between `news_ms` and twice that later.
-    fn tell(&mut self, i: usize, n: News) {
+    fn tell(&mut self, i: usize, n: ControlUpdate) {
         let ms = self.mix.news_ms;
         let at = self.now + us((ms + self.rng.below(ms + 1)) as f64);
         // a node's session brings news in the order that they were made
         let x = &mut self.nodes[i];
-        x.news = x.news.max(at);
-        let (at, life) = (x.news, x.life);
+        x.last_update = x.last_update.max(at);
+        let (at, life) = (x.last_update, x.life);
         if x.up {
-            self.push(at, Ev::News(i, life, n));
+            self.push(at, Ev::ControlUpdate(i, life, n));
         }
     }
 
     /// All that a blank node must hear.
     pub(super) fn brief(&mut self, i: usize) {
         if let Some((_, h)) = self.versions.last().cloned() {
-            self.tell(i, News::Hosted(h));
+            self.tell(i, ControlUpdate::Hosted(h));
         }
-        self.tell(i, News::WorkerRegistry(self.registry.clone()));
-        self.tell(i, News::Emptied(self.emptied.clone()));
-        self.tell(i, News::Nodes(self.named()));
+        self.tell(i, ControlUpdate::WorkerRegistry(self.registry.clone()));
+        self.tell(i, ControlUpdate::Evacuated(self.evacuated.clone()));
+        self.tell(i, ControlUpdate::Nodes(self.named()));
     }
 
     fn named(&self) -> Vec<(String, u16)> {
@@ -182,20 +182,20 @@
         self.brief(i);
     }
 
-    pub(super) fn told(&mut self, n: usize, x: News) {
+    pub(super) fn told(&mut self, n: usize, x: ControlUpdate) {
         let now = self.ms();
         let node = &mut self.nodes[n];
         match x {
-            News::Hosted(h) => {
+            ControlUpdate::Hosted(h) => {
                 node.has.0 = true;
                 node.policy.take_hosted(h, now);
             }
-            News::WorkerRegistry(r) => {
+            ControlUpdate::WorkerRegistry(r) => {
                 node.has.1 = true;
                 node.policy.take_registry(&r, now);
             }
-            News::Emptied(z) => node.policy.take_emptied(z, now),
-            News::Nodes(all) => node.policy.take_nodes(all),
+            ControlUpdate::Evacuated(z) => node.policy.set_evacuated_zones(z, now),
+            ControlUpdate::Nodes(all) => node.policy.take_nodes(all),
         }
         if !self.ready.contains(&n) && node.has == (true, true) {
             self.act(self.now + us(500.0), |w| w.directory());
@@ -211,7 +211,7 @@
         let all: Vec<usize> = all.collect();
         if all != self.ready {
             self.ready = all;
-            let n = News::Nodes(self.named());
+            let n = ControlUpdate::Nodes(self.named());
             self.spread(n);
         }
     }
@@ -219,18 +219,18 @@
     pub(super) fn empty(&mut self, zone: u16, on: bool) {
         let now = self.now;
         if on {
-            self.emptied.push(zone);
+            self.evacuated.push(zone);
             self.evacs.push(Evac {
                 zone,
                 from: now,
                 to: Us::MAX,
             });
         } else {
-            self.emptied.retain(|z| *z != zone);
+            self.evacuated.retain(|z| *z != zone);
             let open = |e: &&mut Evac| e.zone == zone && e.to == Us::MAX;
             self.evacs.iter_mut().filter(open).for_each(|e| e.to = now);
         }
-        self.spread(News::Emptied(self.emptied.clone()));
+        self.spread(ControlUpdate::Evacuated(self.evacuated.clone()));
     }
 }
 
--- a/rig/src/emul/mod.rs
+++ b/testbed/src/emul/mod.rs
@@ -6,10 +6,10 @@
 mod breach;
 mod check;
 mod client;
+mod control;
 mod engine;
 mod lives;
 mod mix;
-mod news;
 mod node;
 mod policy;
 mod relay;
@@ -22,15 +22,15 @@
 pub use check::check;
 pub use engine::{Engine, Out, Task};
 pub use mix::*;
-pub use policy::{Breach, Policy, Rule};
+pub use policy::{Breach, Invariant, Policy};
 pub use storm::storm;
 pub use tally::Tally;
 
 use crate::rand::Rand;
 use client::{Ask, ToClient, Try};
 use node::{Node, Send};
-use sorreldoor::registry::WorkerRegistry;
-use sorreldoor::setup::hosted::Hosted;
+use sorreldoor::configuration::hosted::Hosted;
+use sorreldoor::discovery::WorkerRegistry;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -61,10 +61,10 @@
 
 /// What a node hears from the control plane.
 #[derive(Clone)]
-pub(crate) enum News {
+pub(crate) enum ControlUpdate {
     Hosted(Arc<Hosted>),
     WorkerRegistry(Arc<WorkerRegistry>),
-    Emptied(Vec<u16>),
+    Evacuated(Vec<u16>),
     Nodes(Vec<(String, u16)>),
 }
 
@@ -83,7 +83,7 @@
     Ans(u64, Ans),
     Timer(u64),
     Wake(usize, u32, u64, u64),
-    News(usize, u32, News),
+    ControlUpdate(usize, u32, ControlUpdate),
     Client(usize, ToClient),
     Patience(usize),
     Act(Box<dyn FnOnce(&mut World)>),
@@ -138,7 +138,7 @@
     /// For what is asked alone, so that all policies are asked the same.
     pub(crate) asking: Rand,
     pub(crate) mix: Arc<Mix>,
-    pub(crate) rule: Rule,
+    pub(crate) rule: Invariant,
     pub(crate) seed: u64,
     pub(crate) nodes: Vec<Node>,
     pub(crate) workers: Vec<Wk>,
@@ -150,7 +150,7 @@
     pub(crate) registry: Arc<WorkerRegistry>,
     /// Configurations with the time of their acknowledgement.
     pub(crate) versions: Vec<(Us, Arc<Hosted>)>,
-    pub(crate) emptied: Vec<u16>,
+    pub(crate) evacuated: Vec<u16>,
     pub(crate) evacs: Vec<Evac>,
     pub(crate) arrivals: Vec<Arrival>,
     /// Nodes as the directory gives them out.
@@ -171,7 +171,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, mix: Mix, rule: Rule) -> World {
+    pub fn new(seed: u64, mix: Mix, rule: Invariant) -> World {
         let mix = Arc::new(mix);
         let mut w = World {
             now: 0,
@@ -188,7 +188,7 @@
             sends: Vec::new(),
             registry: Arc::default(),
             versions: Vec::new(),
-            emptied: Vec::new(),
+            evacuated: Vec::new(),
             evacs: Vec::new(),
             arrivals: Vec::new(),
             ready: Vec::new(),
@@ -256,9 +256,10 @@
     /// The node that an event is for, and which of its lives.
     fn target(&self, ev: &Ev) -> Option<(usize, u32)> {
         match ev {
-            Ev::Ask(n, l, _) | Ev::Gone(n, l, _) | Ev::Wake(n, l, ..) | Ev::News(n, l, _) => {
-                Some((*n, *l))
-            }
+            Ev::Ask(n, l, _)
+            | Ev::Gone(n, l, _)
+            | Ev::Wake(n, l, ..)
+            | Ev::ControlUpdate(n, l, _) => Some((*n, *l)),
             Ev::SynAck(s, _) | Ev::Ans(s, _) | Ev::Timer(s) => {
                 let s = &self.sends[*s as usize];
                 Some((s.node, s.life))
@@ -296,8 +297,8 @@
             Ev::Served(s) => self.served(s),
             Ev::Ans(s, a) => self.answered(s, a),
             Ev::Timer(s) => self.timer(s),
-            Ev::Wake(n, _, rid, no) => self.woken(n, rid, no),
-            Ev::News(n, _, x) => self.told(n, x),
+            Ev::Wake(n, _, request_id, no) => self.woken(n, request_id, no),
+            Ev::ControlUpdate(n, _, x) => self.told(n, x),
             Ev::Client(t, m) => self.client_hears(t, m),
             Ev::Patience(t) => self.patience(t),
             Ev::Act(f) => f(self),
--- a/rig/src/emul/node.rs
+++ b/testbed/src/emul/node.rs
@@ -4,8 +4,8 @@
 use super::policy::Policy;
 use super::worker::Spoil;
 use super::*;
-use sorreldoor::problem::Problem;
-use sorreldoor::proxy::table::{Heard, Pick, Rid, Target};
+use sorreldoor::balancer::{Heard, Pick, RequestId, Target};
+use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::Asked;
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 pub(crate) struct Send {
     pub node: usize,
     pub life: u32,
-    pub rid: Rid,
+    pub request_id: RequestId,
     pub attempt: usize,
     /// The worker meant, its address and zone, and who is there.
     pub worker: usize,
@@ -92,10 +92,10 @@
     pub rough: Vec<(Us, Us)>,
     pub has: (bool, bool),
     /// When the newest news will have come.
-    pub news: Us,
+    pub last_update: Us,
     pub policy: Box<dyn Policy>,
-    pub jobs: BTreeMap<Rid, Job>,
-    pub by_try: HashMap<usize, Rid>,
+    pub jobs: BTreeMap<RequestId, Job>,
+    pub by_try: HashMap<usize, RequestId>,
     pub pool: HashMap<usize, Vec<Us>>,
 }
 
@@ -122,10 +122,10 @@
         let (from, x) = (tr.from, &mut self.nodes[n]);
         match x.policy.begin(&path, asked, now) {
             Err(p) => self.answer(t, p, 200 * u64::from(p.again())),
-            Ok(rid) => {
-                x.by_try.insert(t, rid);
+            Ok(request_id) => {
+                x.by_try.insert(t, request_id);
                 x.jobs.insert(
-                    rid,
+                    request_id,
                     Job {
                         attempt: t,
                         cur: None,
@@ -136,7 +136,7 @@
                         failed: false,
                     },
                 );
-                self.decide(n, rid);
+                self.decide(n, request_id);
             }
         }
     }
@@ -146,41 +146,41 @@
         self.push(at, Ev::Client(t, m));
     }
 
-    pub(super) fn answer(&mut self, t: usize, p: Problem, again: u64) {
+    pub(super) fn answer(&mut self, t: usize, p: ErrorCode, again: u64) {
         self.refusal(t, p);
         self.to(t, ToClient::Answer(p.status(), again));
     }
 
     /// The request is over at this node.
-    pub(super) fn over(&mut self, n: usize, rid: Rid) {
+    pub(super) fn over(&mut self, n: usize, request_id: RequestId) {
         let now = self.ms();
         let x = &mut self.nodes[n];
-        x.policy.end(rid, now);
-        if let Some(j) = x.jobs.remove(&rid) {
+        x.policy.end(request_id, now);
+        if let Some(j) = x.jobs.remove(&request_id) {
             x.by_try.remove(&j.attempt);
         }
         self.wake(n);
     }
 
-    pub(super) fn decide(&mut self, n: usize, rid: Rid) {
+    pub(super) fn decide(&mut self, n: usize, request_id: RequestId) {
         let now = self.ms();
         let x = &mut self.nodes[n];
-        let Some(j) = x.jobs.get_mut(&rid) else {
+        let Some(j) = x.jobs.get_mut(&request_id) else {
             return;
         };
         j.waiting = false;
         j.waits += 1;
         let (t, no, life) = (j.attempt, j.waits, x.life);
-        match x.policy.pick(rid, now) {
-            Pick::Go(to) => self.send(n, rid, &to),
+        match x.policy.pick(request_id, now) {
+            Pick::Go(to) => self.send(n, request_id, &to),
             Pick::Wait(ms) => {
                 j.waiting = true;
                 let at = self.now + us(ms.max(1) as f64);
-                self.push(at, Ev::Wake(n, life, rid, no));
+                self.push(at, Ev::Wake(n, life, request_id, no));
             }
             Pick::Refuse(p, again) => {
                 let (head, failed) = (j.head_sent, j.failed);
-                self.over(n, rid);
+                self.over(n, request_id);
                 match (head, failed) {
                     (true, _) => self.to(t, ToClient::Cut),
                     (_, true) => self.to(t, ToClient::Answer(500, 0)),
@@ -191,10 +191,10 @@
     }
 
     /// Its wait is over, unless it is another wait by now.
-    pub(super) fn woken(&mut self, n: usize, rid: Rid, no: u64) {
-        let j = self.nodes[n].jobs.get(&rid);
+    pub(super) fn woken(&mut self, n: usize, request_id: RequestId, no: u64) {
+        let j = self.nodes[n].jobs.get(&request_id);
         if j.is_some_and(|j| j.waiting && j.waits == no) {
-            self.decide(n, rid);
+            self.decide(n, request_id);
         }
     }
 
@@ -203,35 +203,35 @@
         let x = &mut self.nodes[n];
         let life = x.life;
         let all = x.policy.woken(now);
-        let of = |r: &Rid| x.jobs.get(r).filter(|j| j.waiting).map(|j| (*r, j.waits));
-        let all: Vec<(Rid, u64)> = all.iter().filter_map(of).collect();
-        for (rid, no) in all {
-            self.push(self.now, Ev::Wake(n, life, rid, no));
+        let of = |r: &RequestId| x.jobs.get(r).filter(|j| j.waiting).map(|j| (*r, j.waits));
+        let all: Vec<(RequestId, u64)> = all.iter().filter_map(of).collect();
+        for (request_id, no) in all {
+            self.push(self.now, Ev::Wake(n, life, request_id, no));
         }
     }
 
-    pub(super) fn heard(&mut self, n: usize, rid: Rid, h: Heard) {
+    pub(super) fn heard(&mut self, n: usize, request_id: RequestId, h: Heard) {
         let now = self.ms();
-        self.nodes[n].policy.heard(rid, h, now);
+        self.nodes[n].policy.heard(request_id, h, now);
         self.wake(n);
     }
 
-    fn send(&mut self, n: usize, rid: Rid, to: &Target) {
+    fn send(&mut self, n: usize, request_id: RequestId, to: &Target) {
         let now = self.ms();
         let sid = self.sends.len() as u64;
         let w = self.by_name.get(&to.name).copied().unwrap_or(0);
         let zone = self.workers[w].zone;
         let x = &mut self.nodes[n];
-        let Some(j) = x.jobs.get_mut(&rid) else {
+        let Some(j) = x.jobs.get_mut(&request_id) else {
             return;
         };
-        let Some(route) = x.policy.route(rid) else {
+        let Some(route) = x.policy.route(request_id) else {
             let t = j.attempt;
-            self.over(n, rid);
-            return self.answer(t, Problem::UnknownRoute, 0);
+            self.over(n, request_id);
+            return self.answer(t, ErrorCode::UnknownRoute, 0);
         };
-        let deadline = x.policy.deadline(rid);
-        let small = route.kind == sorreldoor::setup::hosted::Kind::Idempotent;
+        let deadline = x.policy.deadline(request_id);
+        let small = route.kind == sorreldoor::configuration::hosted::Kind::Idempotent;
         let patience = match route.aim_ms {
             0 => u64::MAX / 4,
             a if small => (a * 6 / 10).max(LEAST_SMALL),
@@ -241,7 +241,7 @@
         j.cur = Some(Cur {
             sid,
             phase: Phase::Connect,
-            stream: route.kind == sorreldoor::setup::hosted::Kind::Stream,
+            stream: route.kind == sorreldoor::configuration::hosted::Kind::Stream,
             began: false,
             pause: patience,
             until: now + CONNECT_MS.min(deadline.saturating_sub(now).max(1)),
@@ -256,7 +256,7 @@
         let s = Send {
             node: n,
             life: x.life,
-            rid,
+            request_id,
             attempt: j.attempt,
             worker: w,
             addr: to.addr,
@@ -281,7 +281,7 @@
         self.tally.conns += 1;
         let at = self.now + self.delay(self.nodes[n].zone, zone);
         self.push(at, Ev::Syn(sid));
-        self.alarm(sid);
+        self.tick(sid);
     }
 
     fn pooled(&mut self, n: usize, w: usize, within: Us) -> bool {
@@ -316,16 +316,16 @@
         (s.sent, s.until) = (self.now, at + left * 1000);
         self.tries[s.attempt].sends += 1;
         self.push(at, Ev::Work(sid));
-        self.alarm(sid);
+        self.tick(sid);
     }
 
     pub(super) fn cur(&mut self, sid: u64) -> Option<&mut Cur> {
         let s = &self.sends[sid as usize];
-        let j = self.nodes[s.node].jobs.get_mut(&s.rid)?;
+        let j = self.nodes[s.node].jobs.get_mut(&s.request_id)?;
         j.cur.as_mut().filter(|c| c.sid == sid)
     }
 
-    pub(super) fn alarm(&mut self, sid: u64) {
+    pub(super) fn tick(&mut self, sid: u64) {
         if let Some(c) = self.cur(sid) {
             let at = c.until.min(c.deadline) * 1000;
             self.push(at, Ev::Timer(sid));
--- a/rig/src/emul/policy.rs
+++ b/testbed/src/emul/policy.rs
@@ -3,28 +3,28 @@
 
 use super::breach::Breaker;
 use super::simple::Simple;
+use sorreldoor::balancer::{Bounds, Heard, Pick, Place, RequestId, Table};
+use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::consensus::Millis;
-use sorreldoor::problem::Problem;
-use sorreldoor::proxy::table::{Bounds, Heard, Pick, Place, Rid, Table};
+use sorreldoor::discovery::WorkerRegistry;
+use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::Asked;
-use sorreldoor::registry::WorkerRegistry;
-use sorreldoor::setup::hosted::{Hosted, Route};
 use std::sync::Arc;
 
 /// What a node asks of whoever decides; the table's own calls.
 pub trait Policy {
-    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<Rid, Problem>;
-    fn pick(&mut self, rid: Rid, now: Millis) -> Pick;
-    fn heard(&mut self, rid: Rid, h: Heard, now: Millis);
-    fn may_move(&mut self, rid: Rid, silent: Millis, now: Millis) -> bool;
-    fn pulse(&mut self, rid: Rid, now: Millis);
-    fn end(&mut self, rid: Rid, now: Millis);
-    fn woken(&mut self, now: Millis) -> Vec<Rid>;
-    fn deadline(&self, rid: Rid) -> Millis;
-    fn route(&self, rid: Rid) -> Option<Route>;
+    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<RequestId, ErrorCode>;
+    fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick;
+    fn heard(&mut self, request_id: RequestId, h: Heard, now: Millis);
+    fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool;
+    fn pulse(&mut self, request_id: RequestId, now: Millis);
+    fn end(&mut self, request_id: RequestId, now: Millis);
+    fn woken(&mut self, now: Millis) -> Vec<RequestId>;
+    fn deadline(&self, request_id: RequestId) -> Millis;
+    fn route(&self, request_id: RequestId) -> Option<Route>;
     fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis);
     fn take_registry(&mut self, r: &WorkerRegistry, now: Millis);
-    fn take_emptied(&mut self, zones: Vec<u16>, now: Millis);
+    fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis);
     fn take_nodes(&mut self, all: Vec<(String, u16)>);
     /// Requests under way, and those that wait.
     fn open(&self) -> (u64, u64);
@@ -33,32 +33,32 @@
 pub const HOST: &str = "emul.example";
 
 impl Policy for Table {
-    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<Rid, Problem> {
+    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<RequestId, ErrorCode> {
         Table::begin(self, HOST, path, asked, now, now)
     }
-    fn pick(&mut self, rid: Rid, now: Millis) -> Pick {
-        Table::pick(self, rid, now)
+    fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
+        Table::pick(self, request_id, now)
     }
-    fn heard(&mut self, rid: Rid, h: Heard, now: Millis) {
-        Table::heard(self, rid, h, now);
+    fn heard(&mut self, request_id: RequestId, h: Heard, now: Millis) {
+        Table::heard(self, request_id, h, now);
     }
-    fn may_move(&mut self, rid: Rid, silent: Millis, now: Millis) -> bool {
-        Table::may_move(self, rid, silent, now)
+    fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
+        Table::may_move(self, request_id, silent, now)
     }
-    fn pulse(&mut self, rid: Rid, now: Millis) {
-        Table::pulse(self, rid, now);
+    fn pulse(&mut self, request_id: RequestId, now: Millis) {
+        Table::pulse(self, request_id, now);
     }
-    fn end(&mut self, rid: Rid, now: Millis) {
-        Table::end(self, rid, now);
+    fn end(&mut self, request_id: RequestId, now: Millis) {
+        Table::end(self, request_id, now);
     }
-    fn woken(&mut self, now: Millis) -> Vec<Rid> {
+    fn woken(&mut self, now: Millis) -> Vec<RequestId> {
         Table::woken(self, now)
     }
-    fn deadline(&self, rid: Rid) -> Millis {
-        Table::deadline(self, rid)
+    fn deadline(&self, request_id: RequestId) -> Millis {
+        Table::deadline(self, request_id)
     }
-    fn route(&self, rid: Rid) -> Option<Route> {
-        Table::route(self, rid).cloned()
+    fn route(&self, request_id: RequestId) -> Option<Route> {
+        Table::route(self, request_id).cloned()
     }
     fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis) {
         Table::take_hosted(self, h, now);
@@ -66,8 +66,8 @@
     fn take_registry(&mut self, r: &WorkerRegistry, now: Millis) {
         Table::take_registry(self, r, now);
     }
-    fn take_emptied(&mut self, zones: Vec<u16>, now: Millis) {
-        Table::take_emptied(self, zones, now);
+    fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
+        Table::set_evacuated_zones(self, zones, now);
     }
     fn take_nodes(&mut self, all: Vec<(String, u16)>) {
         Table::take_nodes(self, all);
@@ -80,7 +80,7 @@
 
 /// What decides at all nodes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
+pub enum Invariant {
     Table,
     RoundRobin,
     LeastLoad,
@@ -115,30 +115,32 @@
     StayBegun,
 }
 
-impl Rule {
+impl Invariant {
     pub fn name(self) -> &'static str {
         match self {
-            Rule::Table => "table",
-            Rule::RoundRobin => "round robin",
-            Rule::LeastLoad => "least load",
-            Rule::Stay => "table, no moves",
-            Rule::StayBegun => "table, none midway",
-            Rule::Broken(_) => "broken table",
+            Invariant::Table => "table",
+            Invariant::RoundRobin => "round robin",
+            Invariant::LeastLoad => "least load",
+            Invariant::Stay => "table, no moves",
+            Invariant::StayBegun => "table, none midway",
+            Invariant::Broken(_) => "broken table",
         }
     }
 
     pub fn make(self, place: Place, mut bounds: Bounds, seed: u64) -> Box<dyn Policy> {
         match self {
-            Rule::Table => Box::new(Table::new(place, bounds, seed)),
-            Rule::RoundRobin | Rule::LeastLoad => Box::new(Simple::new(self, seed, &place.node)),
-            Rule::Stay | Rule::StayBegun => {
+            Invariant::Table => Box::new(Table::new(place, bounds, seed)),
+            Invariant::RoundRobin | Invariant::LeastLoad => {
+                Box::new(Simple::new(self, seed, &place.node))
+            }
+            Invariant::Stay | Invariant::StayBegun => {
                 let b = match self {
-                    Rule::Stay => Breach::Stay,
+                    Invariant::Stay => Breach::Stay,
                     _ => Breach::StayBegun,
                 };
                 Box::new(Breaker::new(Table::new(place, bounds, seed), b))
             }
-            Rule::Broken(b) => {
+            Invariant::Broken(b) => {
                 if b == Breach::Budget {
                     (bounds.retry_ratio, bounds.retry_slack) = (1e6, 1e6);
                 }
--- a/rig/src/emul/relay.rs
+++ b/testbed/src/emul/relay.rs
@@ -2,8 +2,8 @@
 
 use super::node::Phase;
 use super::*;
-use sorreldoor::problem::Problem;
-use sorreldoor::proxy::table::Heard;
+use sorreldoor::balancer::Heard;
+use sorreldoor::error::ErrorCode;
 
 /// Between looks at whether a silent worker is to be left, in milliseconds.
 const LOOK: u64 = 100;
@@ -48,31 +48,31 @@
             _ => self.drop_line(sid),
         }
         let left = h == Heard::Left;
-        self.heard(s.node, s.rid, h);
+        self.heard(s.node, s.request_id, h);
         let late = self.ms() >= c.deadline;
-        let Some(j) = self.nodes[s.node].jobs.get_mut(&s.rid) else {
+        let Some(j) = self.nodes[s.node].jobs.get_mut(&s.request_id) else {
             return;
         };
         j.cur = None;
         let head = j.head_sent;
         if left || (late && c.phase == Phase::Head && !head) {
-            self.over(s.node, s.rid);
+            self.over(s.node, s.request_id);
             return match left {
                 true => self.to(s.attempt, ToClient::Cut),
-                false => self.answer(s.attempt, Problem::DeadlinePassed, 0),
+                false => self.answer(s.attempt, ErrorCode::DeadlinePassed, 0),
             };
         }
-        self.decide(s.node, s.rid);
+        self.decide(s.node, s.request_id);
     }
 
     pub(super) fn timer(&mut self, sid: u64) {
         let (now, s) = (self.ms(), &self.sends[sid as usize]);
-        let (n, rid) = (s.node, s.rid);
+        let (n, request_id) = (s.node, s.request_id);
         let Some(c) = self.cur(sid).cloned() else {
             return;
         };
         if now < c.until.min(c.deadline) {
-            return self.alarm(sid);
+            return self.tick(sid);
         }
         match c.phase {
             Phase::Connect => return self.ended(sid, Heard::NoConn),
@@ -90,13 +90,13 @@
         let silent = if slow { 0 } else { own };
         if c.phase == Phase::Relay && !c.stream {
             // once its head is there a plain answer is waited for to the end
-        } else if self.nodes[n].policy.may_move(rid, silent, now) {
+        } else if self.nodes[n].policy.may_move(request_id, silent, now) {
             return self.ended(sid, Heard::Broke);
         }
         if let Some(c) = self.cur(sid) {
             c.until = now + LOOK;
         }
-        self.alarm(sid);
+        self.tick(sid);
     }
 
     pub(super) fn answered(&mut self, sid: u64, a: Ans) {
@@ -115,13 +115,13 @@
                     load: Some(l),
                     cold_ms: None,
                 };
-                self.heard(s.node, s.rid, h);
-                self.alarm(sid);
+                self.heard(s.node, s.request_id, h);
+                self.tick(sid);
             }
             Ans::Event(no) => {
                 (c.since, c.until) = (now, now.saturating_add(c.gap));
                 let first = !std::mem::replace(&mut c.began, true);
-                let Some(j) = self.nodes[s.node].jobs.get_mut(&s.rid) else {
+                let Some(j) = self.nodes[s.node].jobs.get_mut(&s.request_id) else {
                     return;
                 };
                 // what a worker repeats the caller has already
@@ -129,15 +129,15 @@
                     (j.last, j.head_sent) = (no, true);
                     self.to(s.attempt, ToClient::Event(no, s.worker));
                 }
-                self.nodes[s.node].policy.pulse(s.rid, now);
+                self.nodes[s.node].policy.pulse(s.request_id, now);
                 if first {
-                    self.heard(s.node, s.rid, Heard::First);
+                    self.heard(s.node, s.request_id, Heard::First);
                 }
             }
             Ans::End => {
                 self.give_back(sid);
-                self.heard(s.node, s.rid, Heard::Done(200));
-                self.over(s.node, s.rid);
+                self.heard(s.node, s.request_id, Heard::Done(200));
+                self.over(s.node, s.request_id);
                 self.to(s.attempt, ToClient::End);
             }
             Ans::Fail if c.phase == Phase::Relay => self.ended(sid, Heard::Broke),
@@ -149,26 +149,29 @@
     fn failed(&mut self, sid: u64) {
         let s = self.sends[sid as usize].clone();
         let now = self.ms();
-        let again = self.nodes[s.node].policy.may_move(s.rid, 0, now);
+        let again = self.nodes[s.node].policy.may_move(s.request_id, 0, now);
         self.give_back(sid);
-        self.heard(s.node, s.rid, Heard::Done(504));
-        let Some(j) = self.nodes[s.node].jobs.get_mut(&s.rid) else {
+        self.heard(s.node, s.request_id, Heard::Done(504));
+        let Some(j) = self.nodes[s.node].jobs.get_mut(&s.request_id) else {
             return;
         };
         (j.cur, j.failed) = (None, true);
         if again || j.head_sent {
-            return self.decide(s.node, s.rid);
+            return self.decide(s.node, s.request_id);
         }
-        self.over(s.node, s.rid);
+        self.over(s.node, s.request_id);
         self.to(s.attempt, ToClient::Answer(504, 0));
     }
 
     /// The caller has gone.
     pub(super) fn gone(&mut self, n: usize, t: usize) {
-        let Some(rid) = self.nodes[n].by_try.get(&t).copied() else {
+        let Some(request_id) = self.nodes[n].by_try.get(&t).copied() else {
             return;
         };
-        let cur = self.nodes[n].jobs.get(&rid).and_then(|j| j.cur.clone());
+        let cur = self.nodes[n]
+            .jobs
+            .get(&request_id)
+            .and_then(|j| j.cur.clone());
         if let Some(c) = cur {
             self.drop_line(c.sid);
             let h = match c.phase {
@@ -177,9 +180,9 @@
             };
             // before the request has gone out there is nothing to leave
             if h == Heard::Left {
-                self.heard(n, rid, h);
+                self.heard(n, request_id, h);
             }
         }
-        self.over(n, rid);
+        self.over(n, request_id);
     }
 }
--- a/rig/src/emul/simple.rs
+++ b/testbed/src/emul/simple.rs
@@ -1,13 +1,13 @@
 //! Placement by rules that everybody knows, to compare the table with.
 
-use super::policy::{Policy, Rule, HOST};
+use super::policy::{Invariant, Policy, HOST};
 use crate::rand::Rand;
+use sorreldoor::balancer::{Heard, Pick, RequestId, Target};
+use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::consensus::Millis;
-use sorreldoor::problem::Problem;
-use sorreldoor::proxy::table::{Heard, Pick, Rid, Target};
+use sorreldoor::discovery::{Worker, WorkerRegistry};
+use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::Asked;
-use sorreldoor::registry::{Worker, WorkerRegistry};
-use sorreldoor::setup::hosted::{Hosted, Route};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -25,32 +25,32 @@
     at: Option<usize>,
     tried: Vec<usize>,
     ran: bool,
-    last: Problem,
+    last: ErrorCode,
 }
 
 /// The rules that everybody knows, kept within homes, drains and routes.
 #[derive(Debug)]
 pub struct Simple {
-    rule: Rule,
+    rule: Invariant,
     rng: Rand,
     hosted: Arc<Hosted>,
     spots: Vec<Spot>,
     by_name: HashMap<String, usize>,
-    emptied: Vec<u16>,
-    held: HashMap<Rid, Held>,
-    next: Rid,
+    evacuated: Vec<u16>,
+    held: HashMap<RequestId, Held>,
+    next: RequestId,
     turn: usize,
 }
 
 impl Simple {
-    pub fn new(rule: Rule, seed: u64, node: &str) -> Simple {
+    pub fn new(rule: Invariant, seed: u64, node: &str) -> Simple {
         Simple {
             rule,
             rng: Rand::new(seed ^ node.bytes().map(u64::from).sum::<u64>()),
             hosted: Arc::default(),
             spots: Vec::new(),
             by_name: HashMap::new(),
-            emptied: Vec::new(),
+            evacuated: Vec::new(),
             held: HashMap::new(),
             next: 1,
             turn: 0,
@@ -78,7 +78,7 @@
                 w.group == *name
                     && !w.leaving
                     && w.leaves_ms.is_none()
-                    && !self.emptied.contains(&w.zone)
+                    && !self.evacuated.contains(&w.zone)
                     && (r.homes.is_empty() || r.homes.contains(&w.region))
                     && !h.tried.contains(i)
             })
@@ -87,7 +87,7 @@
         let all: Vec<usize> = (0..n).map(|i| (self.turn + i) % n).filter(fits).collect();
         self.turn = self.turn.wrapping_add(1) % n.max(1);
         match self.rule {
-            Rule::LeastLoad => {
+            Invariant::LeastLoad => {
                 let load = |i: &usize| self.spots[*i].mine + self.spots[*i].others;
                 all.into_iter().min_by_key(load)
             }
@@ -97,8 +97,8 @@
 }
 
 impl Policy for Simple {
-    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<Rid, Problem> {
-        let r = self.found(path).ok_or(Problem::UnknownRoute)?;
+    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<RequestId, ErrorCode> {
+        let r = self.found(path).ok_or(ErrorCode::UnknownRoute)?;
         let deadline = now + asked.deadline_ms.unwrap_or(u64::MAX / 4).min(r.timeout_ms);
         self.next += 1;
         self.held.insert(
@@ -109,26 +109,30 @@
                 at: None,
                 tried: Vec::new(),
                 ran: false,
-                last: Problem::NoWorker,
+                last: ErrorCode::NoWorker,
             },
         );
         Ok(self.next)
     }
 
-    fn pick(&mut self, rid: Rid, now: Millis) -> Pick {
-        let Some(mut h) = self.held.remove(&rid) else {
-            return Pick::Refuse(Problem::GivenUp, 0);
+    fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
+        let Some(mut h) = self.held.remove(&request_id) else {
+            return Pick::Refuse(ErrorCode::GivenUp, 0);
         };
         let r = self.found(&h.path).cloned();
         let p = match r {
-            None => Pick::Refuse(Problem::UnknownRoute, 0),
-            Some(r) if h.ran && !r.repeatable() => Pick::Refuse(Problem::OutcomeUnknown, 0),
+            None => Pick::Refuse(ErrorCode::UnknownRoute, 0),
+            Some(r) if h.ran && !r.repeatable() => Pick::Refuse(ErrorCode::OutcomeUnknown, 0),
             Some(r) if h.tried.len() as u32 >= r.attempts.max(1) || now + 5 > h.deadline => {
-                let p = if h.ran { Problem::WorkerBroke } else { h.last };
+                let p = if h.ran {
+                    ErrorCode::WorkerBroke
+                } else {
+                    h.last
+                };
                 Pick::Refuse(p, 200)
             }
             Some(r) => match self.choose(&h) {
-                None => Pick::Refuse(Problem::NoWorker, 200),
+                None => Pick::Refuse(ErrorCode::NoWorker, 200),
                 Some(i) => {
                     h.tried.push(i);
                     h.at = Some(i);
@@ -146,12 +150,12 @@
                 }
             },
         };
-        self.held.insert(rid, h);
+        self.held.insert(request_id, h);
         p
     }
 
-    fn heard(&mut self, rid: Rid, h: Heard, _: Millis) {
-        let Some(r) = self.held.get_mut(&rid) else {
+    fn heard(&mut self, request_id: RequestId, h: Heard, _: Millis) {
+        let Some(r) = self.held.get_mut(&request_id) else {
             return;
         };
         let Some(i) = r.at else { return };
@@ -171,27 +175,27 @@
         s.mine = s.mine.saturating_sub(1);
     }
 
-    fn may_move(&mut self, _: Rid, _: Millis, _: Millis) -> bool {
+    fn may_move(&mut self, _: RequestId, _: Millis, _: Millis) -> bool {
         false
     }
 
-    fn pulse(&mut self, _: Rid, _: Millis) {}
+    fn pulse(&mut self, _: RequestId, _: Millis) {}
 
-    fn end(&mut self, rid: Rid, now: Millis) {
-        self.heard(rid, Heard::Left, now);
-        self.held.remove(&rid);
+    fn end(&mut self, request_id: RequestId, now: Millis) {
+        self.heard(request_id, Heard::Left, now);
+        self.held.remove(&request_id);
     }
 
-    fn woken(&mut self, _: Millis) -> Vec<Rid> {
+    fn woken(&mut self, _: Millis) -> Vec<RequestId> {
         Vec::new()
     }
 
-    fn deadline(&self, rid: Rid) -> Millis {
-        self.held.get(&rid).map_or(0, |h| h.deadline)
+    fn deadline(&self, request_id: RequestId) -> Millis {
+        self.held.get(&request_id).map_or(0, |h| h.deadline)
     }
 
-    fn route(&self, rid: Rid) -> Option<Route> {
-        self.found(&self.held.get(&rid)?.path).cloned()
+    fn route(&self, request_id: RequestId) -> Option<Route> {
+        self.found(&self.held.get(&request_id)?.path).cloned()
     }
 
     fn take_hosted(&mut self, h: Arc<Hosted>, _: Millis) {
@@ -210,8 +214,8 @@
         }
     }
 
-    fn take_emptied(&mut self, zones: Vec<u16>, _: Millis) {
-        self.emptied = zones;
+    fn set_evacuated_zones(&mut self, zones: Vec<u16>, _: Millis) {
+        self.evacuated = zones;
     }
 
     fn take_nodes(&mut self, _: Vec<(String, u16)>) {}
--- a/rig/src/emul/tally.rs
+++ b/testbed/src/emul/tally.rs
@@ -2,7 +2,7 @@
 
 use super::client::End;
 use super::*;
-use sorreldoor::problem::Problem;
+use sorreldoor::error::ErrorCode;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default)]
@@ -155,7 +155,7 @@
 
 impl World {
     /// A node's own refusal of a try.
-    pub(super) fn refusal(&mut self, t: usize, p: Problem) {
+    pub(super) fn refusal(&mut self, t: usize, p: ErrorCode) {
         let class = self.asks[self.tries[t].ask].class;
         let c = &self.mix.classes[class];
         let key = format!("{} {}", c.name, p.code());
--- a/rig/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -1,6 +1,6 @@
 //! Policies of placement against each other, on the same mixes and seeds.
 
-use crate::emul::{check, desk, storm, wide, Mix, Rule, Tally, World};
+use crate::emul::{check, desk, storm, wide, Invariant, Mix, Tally, World};
 use gumdrop::Options;
 use plotters::prelude::*;
 use std::path::{Path, PathBuf};
@@ -70,7 +70,7 @@
     Ok(m)
 }
 
-fn play(a: &Args, m: &Mix, rule: Rule) -> Row {
+fn play(a: &Args, m: &Mix, rule: Invariant) -> Row {
     let mut r = Row {
         name: rule.name(),
         t: Tally::default(),
@@ -101,12 +101,16 @@
 /// Plays every policy and prints a table; false if the product's table broke a rule.
 pub fn run(a: &Args) -> Result<bool, String> {
     let m = mix(a)?;
-    let rules: &[Rule] = match (a.table, a.moves) {
-        (_, true) => &[Rule::Table, Rule::StayBegun, Rule::Stay],
-        (true, _) => &[Rule::Table],
-        _ => &[Rule::Table, Rule::RoundRobin, Rule::LeastLoad],
+    let invariants: &[Invariant] = match (a.table, a.moves) {
+        (_, true) => &[Invariant::Table, Invariant::StayBegun, Invariant::Stay],
+        (true, _) => &[Invariant::Table],
+        _ => &[
+            Invariant::Table,
+            Invariant::RoundRobin,
+            Invariant::LeastLoad,
+        ],
     };
-    let rows: Vec<Row> = rules.iter().map(|r| play(a, &m, *r)).collect();
+    let rows: Vec<Row> = invariants.iter().map(|r| play(a, &m, *r)).collect();
     let workers: u32 = m.services[0].workers.iter().sum();
     let nodes: u32 = m.nodes.iter().sum();
     println!(
--- a/rig/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::link::Link;
 use crate::platform::{Platform, Row};
-pub use crate::shapes::{archive, press, setup, Shape};
+pub use crate::shapes::{archive, configuration, press, Shape};
 use crate::stand::{Make, Stand};
 use async_std::task;
 use simd_json::prelude::*;
@@ -289,7 +289,8 @@
     pub fn serve(&mut self) {
         self.found();
         let file = self.root.join("setup.json");
-        std::fs::write(&file, setup(&self.shape)).expect("the fleet's folder can be written");
+        std::fs::write(&file, configuration(&self.shape))
+            .expect("the fleet's folder can be written");
         let (code, text) = self.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
         assert_eq!(code, 0, "{text}");
         self.serve_again();
--- a/rig/src/hollow/core.rs
+++ b/testbed/src/hollow/core.rs
@@ -3,12 +3,12 @@
 use super::{given, Act, Pending, Proc, Role, World};
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Timing};
-use sorreldoor::core::membership::Policy;
-use sorreldoor::core::{Controller, ControllerEffect, ControllerEvent, Start};
+use sorreldoor::control_plane::membership::Policy;
+use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent, Start};
+use sorreldoor::discovery;
 use sorreldoor::pacing::Pacing;
-use sorreldoor::record::{Cmd, Outcome};
-use sorreldoor::registry;
-use sorreldoor::seam::Reducer;
+use sorreldoor::replicated_state::{Command, Outcome};
+use sorreldoor::runtime::Reducer;
 use sorreldoor::wire::{Hello, OpOutcome};
 use std::net::SocketAddr;
 
@@ -115,7 +115,7 @@
                 let Role::Core(c) = &mut self.procs[p].role else {
                     return;
                 };
-                let n = sorreldoor::record::encode(&save).len();
+                let n = sorreldoor::replicated_state::encode(&save).len();
                 let at = c.disk.queue(seq, save, now);
                 self.procs[p].meter.flow("disk", "own", "save", n);
                 self.at(at, Act::Saved(p, boot, seq));
@@ -124,15 +124,15 @@
                 if let Role::Core(c) = &mut self.procs[p].role {
                     match what {
                         "sure" => c.sure = true,
-                        _ => c.promise = sorreldoor::record::decode(&b),
+                        _ => c.promise = sorreldoor::replicated_state::decode(&b),
                     }
                 }
             }
             ControllerEffect::Send(conn, m) => self.send(p, conn, m),
-            ControllerEffect::Dial(a) => self.dials(p, a),
-            ControllerEffect::Undial(a) => self.undial(p, a),
+            ControllerEffect::Connect(a) => self.peer_addresses(p, a),
+            ControllerEffect::Disconnect(a) => self.undial(p, a),
             ControllerEffect::Close(c) => self.close(c),
-            ControllerEffect::Done(rid, o) => self.done(rid, o),
+            ControllerEffect::Done(request_id, o) => self.done(request_id, o),
             // all of a round's answers come within the time one may take
             ControllerEffect::AskLoads(epoch, _) => self.after(200, Act::Rows(p, boot, epoch)),
             _ => {}
@@ -150,7 +150,7 @@
     pub(super) fn poll(&mut self, p: usize, boot: u64) {
         let (text, site) = (&self.registry, &self.site);
         let m = &mut self.procs[p].meter;
-        let r = m.time("parse", || registry::read_registry(text.as_bytes(), site));
+        let r = m.time("parse", || discovery::read_registry(text.as_bytes(), site));
         m.flow("in", "platform", "workers", text.len());
         self.controller(p, "registry", ControllerEvent::WorkerRegistry(r));
         self.after(500, Act::Poll(p, boot));
@@ -168,7 +168,7 @@
         }
         let rows = m.time("parse", || {
             let all = texts.iter().enumerate();
-            all.filter_map(|(i, t)| registry::read_load(t.as_bytes(), &given::worker(i)).ok())
+            all.filter_map(|(i, t)| discovery::read_load(t.as_bytes(), &given::worker(i)).ok())
                 .collect()
         });
         self.controller(p, "loads", ControllerEvent::Loads { epoch, rows });
@@ -182,21 +182,21 @@
         let gap = (1000.0 / self.size.changes) as u64;
         self.after(gap.max(1), Act::Change);
         self.count += 1;
-        let (rid, since) = (self.count, self.now);
+        let (request_id, since) = (self.count, self.now);
         self.propose(Pending {
-            rid,
+            request_id,
             since,
-            serial: None,
+            version: None,
         });
     }
 
     pub(super) fn propose(&mut self, c: Pending) {
         let p = self.rng.below(self.size.cores as u64) as usize;
         let a = self.controller_at(p).and_then(|h| h.consensus.as_ref());
-        let base = a.map_or(0, |a| a.machine().serial());
+        let base = a.map_or(0, |a| a.machine().version());
         let cmd = if base == 0 {
-            let doc = given::setup(&self.size);
-            Cmd::Put {
+            let doc = given::configuration(&self.size);
+            Command::Put {
                 base,
                 doc,
                 to: None,
@@ -204,19 +204,27 @@
         } else {
             given::edit(&self.size, base, &mut self.rng)
         };
-        let (rid, pid) = (c.rid, u128::from(self.rng.draw()));
+        let (request_id, proposal_id) = (c.request_id, u128::from(self.rng.draw()));
         self.pending.push(c);
-        self.controller(p, "change", ControllerEvent::Change { rid, pid, cmd });
+        self.controller(
+            p,
+            "change",
+            ControllerEvent::Change {
+                request_id,
+                proposal_id,
+                cmd,
+            },
+        );
     }
 
-    fn done(&mut self, rid: u64, o: OpOutcome) {
-        let Some(i) = self.pending.iter().position(|c| c.rid == rid) else {
+    fn done(&mut self, request_id: u64, o: OpOutcome) {
+        let Some(i) = self.pending.iter().position(|c| c.request_id == request_id) else {
             return;
         };
         match o {
-            OpOutcome::Got(Outcome::Taken { serial }) => {
+            OpOutcome::Got(Outcome::Taken { version }) => {
                 self.acked.push(self.now - self.pending[i].since);
-                self.pending[i].serial = Some(serial);
+                self.pending[i].version = Some(version);
                 self.everywhere();
             }
             // a faulty setup stays faulty; the report shows it as missing
@@ -232,13 +240,13 @@
 
     /// Changes that every node which is up now acts on.
     pub(super) fn everywhere(&mut self) {
-        let serial = |q: &Proc| match &q.role {
-            Role::Node(n) => Some(n.serial()),
+        let version = |q: &Proc| match &q.role {
+            Role::Node(n) => Some(n.version()),
             _ => None,
         };
-        let least = self.procs.iter().filter_map(serial).min().unwrap_or(0);
+        let least = self.procs.iter().filter_map(version).min().unwrap_or(0);
         let now = self.now;
-        let done = |c: &Pending| c.serial.is_some_and(|s| s <= least);
+        let done = |c: &Pending| c.version.is_some_and(|s| s <= least);
         let took = self.pending.iter().filter(|c| done(c));
         self.spread.extend(took.map(|c| now - c.since));
         self.pending.retain(|c| !done(c));
--- a/rig/src/hollow/given.rs
+++ b/testbed/src/hollow/given.rs
@@ -3,9 +3,9 @@
 
 use super::Size;
 use crate::rand::Rand;
-use sorreldoor::record::Cmd;
-use sorreldoor::setup::Site;
-use sorreldoor::wire::Took;
+use sorreldoor::configuration::Site;
+use sorreldoor::replicated_state::Command;
+use sorreldoor::wire::RouteLatency;
 use std::sync::Arc;
 
 /// Models in steady use; each is a group, a service and an adapter's base.
@@ -27,7 +27,7 @@
 }
 
 /// A setup with a route for each tenant, over two models each.
-pub fn setup(s: &Size) -> String {
+pub fn configuration(s: &Size) -> String {
     let groups: Vec<String> = (0..MODELS)
         .map(|m| format!(r#"{:?}:{{"kind":"model","slots":16,"queue":64}}"#, model(m)))
         .collect();
@@ -53,7 +53,7 @@
 }
 
 /// One route's weight moves: the commonest change there is.
-pub fn edit(s: &Size, base: u64, r: &mut Rand) -> Cmd {
+pub fn edit(s: &Size, base: u64, r: &mut Rand) -> Command {
     let i = r.below(s.routes as u64) as usize;
     let w = 40 + r.below(60);
     let patch = format!(
@@ -61,7 +61,7 @@
         route(i),
         model(i)
     );
-    Cmd::Edit { base, patch }
+    Command::Edit { base, patch }
 }
 
 pub fn worker(i: usize) -> String {
@@ -69,7 +69,7 @@
 }
 
 /// The platform's list, as its page gives it.
-pub fn registry(s: &Size, serial: u64) -> String {
+pub fn registry(s: &Size, version: u64) -> String {
     let rows: Vec<String> = (0..s.workers)
         .map(|i| {
             let (a, b) = (i / 250, i % 250 + 1);
@@ -81,7 +81,7 @@
             )
         })
         .collect();
-    format!(r#"{{"serial":{serial},"workers":[{}]}}"#, rows.join(","))
+    format!(r#"{{"serial":{version},"workers":[{}]}}"#, rows.join(","))
 }
 
 /// A worker's own report, as its page gives it; nearly all differ each time.
@@ -98,8 +98,8 @@
 }
 
 /// What a node that has served for hours has to tell: every route.
-pub fn took(s: &Size, r: &mut Rand) -> Vec<Took> {
-    let one = |i| Took {
+pub fn took(s: &Size, r: &mut Rand) -> Vec<RouteLatency> {
+    let one = |i| RouteLatency {
         route: route(i),
         service: model(i),
         n: 1000 + r.below(9000),
--- a/rig/src/hollow/lines.rs
+++ b/testbed/src/hollow/lines.rs
@@ -5,7 +5,7 @@
 use super::node::{Node, Out};
 use super::{Act, Proc, Role, World};
 use sorreldoor::consensus::Millis;
-use sorreldoor::core::ControllerEvent;
+use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::net::NetEvent;
 use sorreldoor::wire::{self, Payload};
 use std::net::SocketAddr;
@@ -53,28 +53,28 @@
         for o in outs {
             match o {
                 Out::Send(c, m) => self.send(p, c, m),
-                Out::Dial(a) => self.dials(p, a),
-                Out::Undial(a) => self.undial(p, a),
+                Out::Connect(a) => self.peer_addresses(p, a),
+                Out::Disconnect(a) => self.undial(p, a),
             }
         }
     }
 
-    pub(super) fn dials(&mut self, p: usize, a: SocketAddr) {
+    pub(super) fn peer_addresses(&mut self, p: usize, a: SocketAddr) {
         let boot = self.procs[p].boot;
-        if self.procs[p].dials.insert(a) {
+        if self.procs[p].peer_addresses.insert(a) {
             self.dial(p, boot, a);
         }
     }
 
     /// Keep trying to connect for as long as the process wants the address.
     pub(super) fn dial(&mut self, p: usize, boot: u64, addr: SocketAddr) {
-        if !self.procs[p].dials.contains(&addr) {
+        if !self.procs[p].peer_addresses.contains(&addr) {
             return;
         }
         let up = |q: &Proc| q.addr == Some(addr) && !matches!(q.role, Role::Down);
         let to = self.procs.iter().position(up);
         let Some(t) = to.filter(|t| !self.cut(p, *t)) else {
-            self.after(300, Act::Dial(p, boot, addr));
+            self.after(300, Act::Connect(p, boot, addr));
             return;
         };
         self.count += 1;
@@ -89,7 +89,7 @@
     }
 
     pub(super) fn undial(&mut self, p: usize, a: SocketAddr) {
-        self.procs[p].dials.remove(&a);
+        self.procs[p].peer_addresses.remove(&a);
         let mine = |l: &Line| l.ends[0].0 == p && self.procs[l.ends[1].0].addr == Some(a);
         let all: Vec<u64> = self
             .lines
@@ -109,7 +109,7 @@
         self.after(wait, Act::Down(a, ab, conn));
         self.after(wait, Act::Down(b, bb, conn));
         if let Some(addr) = self.procs[b].addr {
-            self.after(wait + 50, Act::Dial(a, ab, addr));
+            self.after(wait + 50, Act::Connect(a, ab, addr));
         }
     }
 
@@ -150,7 +150,7 @@
         }
         let (me, to, k) = (self.peer(p), self.peer(t), kind(&payload));
         let parts = match &payload {
-            Payload::Grant { news, .. } => self.parts.of(p, news),
+            Payload::Grant { delta, .. } => self.parts.of(p, delta),
             _ => Vec::new(),
         };
         let m = &mut self.procs[p].meter;
@@ -210,9 +210,9 @@
         let now = self.clock();
         let Proc { role, meter, .. } = &mut self.procs[p];
         let Role::Node(e) = role else { return };
-        let was = e.serial();
+        let was = e.version();
         let outs = meter.time(k, || e.net(n, now));
-        let grew = e.serial() > was;
+        let grew = e.version() > was;
         self.outs(p, outs);
         if grew {
             self.everywhere();
--- a/rig/src/hollow/meter.rs
+++ b/testbed/src/hollow/meter.rs
@@ -2,7 +2,7 @@
 //! into, kept for each process apart.
 
 use sorreldoor::consensus::Msg;
-use sorreldoor::wire::{News, Payload};
+use sorreldoor::wire::{Payload, StateDelta};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -88,13 +88,13 @@
 pub struct Parts(BTreeMap<(&'static str, usize, (u64, u64)), usize>);
 
 impl Parts {
-    pub fn of(&mut self, core: usize, n: &News) -> Vec<(&'static str, usize)> {
+    pub fn of(&mut self, core: usize, n: &StateDelta) -> Vec<(&'static str, usize)> {
         let mut out = Vec::new();
         if let Some(v) = &n.record {
             out.push(("record", v.bytes.len()));
         }
         if let Some(r) = &n.registry {
-            out.push(("registry", self.size("registry", 0, (r.serial, 0), r)));
+            out.push(("registry", self.size("registry", 0, (r.version, 0), r)));
         }
         if let Some(l) = &n.loads {
             out.push(("loads", self.size("loads", 0, l.mark(), l)));
@@ -119,6 +119,6 @@
         *self
             .0
             .entry((what, core, mark))
-            .or_insert_with(|| sorreldoor::record::encode(t).len())
+            .or_insert_with(|| sorreldoor::replicated_state::encode(t).len())
     }
 }
--- a/rig/src/hollow/mod.rs
+++ b/testbed/src/hollow/mod.rs
@@ -14,7 +14,7 @@
 
 pub use cli::{hollow, HollowArgs};
 pub use fit::{fit, read_rows, solve, Found, Row};
-pub use given::setup;
+pub use given::configuration;
 pub use report::{dims, run, Heap, Report};
 
 use self::core::Core;
@@ -22,9 +22,9 @@
 use lines::{Body, Line};
 use meter::{Meter, Parts};
 use node::Node;
+use sorreldoor::configuration::Site;
 use sorreldoor::consensus::Millis;
-use sorreldoor::seam::Now;
-use sorreldoor::setup::Site;
+use sorreldoor::runtime::Now;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -107,7 +107,7 @@
     addr: Option<SocketAddr>,
     role: Role,
     boot: u64,
-    dials: BTreeSet<SocketAddr>,
+    peer_addresses: BTreeSet<SocketAddr>,
     meter: Meter,
     /// When it last held a permit, and how long it had to do without.
     lit: Millis,
@@ -117,7 +117,7 @@
 /// What is due at a time.
 enum Act {
     Tick(usize, u64),
-    Dial(usize, u64, SocketAddr),
+    Connect(usize, u64, SocketAddr),
     Up(usize, u64, u64, Option<SocketAddr>),
     Down(usize, u64, u64),
     Frame(u64, usize, Body),
@@ -134,9 +134,9 @@
 /// An operator's change that is not in force everywhere yet.
 #[derive(Clone, Debug)]
 struct Pending {
-    rid: u64,
+    request_id: u64,
     since: Millis,
-    serial: Option<u64>,
+    version: Option<u64>,
 }
 
 pub struct World {
@@ -208,7 +208,7 @@
             addr,
             role: Role::Down,
             boot: 0,
-            dials: BTreeSet::new(),
+            peer_addresses: BTreeSet::new(),
             meter: Meter::default(),
             lit: 0,
             dark: 0,
@@ -225,7 +225,7 @@
 
     fn clock(&self) -> Now {
         Now {
-            mono: self.now,
+            monotonic_ms: self.now,
             wall: self.now as i64,
         }
     }
@@ -269,7 +269,7 @@
         match a {
             Act::Start(p) => self.start(p),
             Act::Tick(p, b) if self.same(p, b) => self.tick(p, b),
-            Act::Dial(p, b, a) if self.same(p, b) => self.dial(p, b, a),
+            Act::Connect(p, b, a) if self.same(p, b) => self.dial(p, b, a),
             Act::Up(p, b, conn, dialled) if self.same(p, b) => self.up(p, conn, dialled),
             Act::Down(p, b, conn) if self.same(p, b) => self.down(p, conn),
             Act::Frame(conn, half, body) => self.frame(conn, half, body),
@@ -287,7 +287,7 @@
     fn start(&mut self, p: usize) {
         let boot = self.rng.draw() >> 1;
         self.procs[p].boot = boot;
-        self.procs[p].dials.clear();
+        self.procs[p].peer_addresses.clear();
         if p < self.size.cores {
             self.start_core(p, boot);
         } else {
@@ -317,8 +317,8 @@
         let q = &mut self.procs[p];
         let outs = match &mut q.role {
             Role::Node(n) => {
-                let outs = q.meter.time("alarm", || n.alarm(now));
-                if n.permit(at) {
+                let outs = q.meter.time("alarm", || n.tick(now));
+                if n.lease(at) {
                     q.lit = at;
                 }
                 q.dark = q.dark.max(at.saturating_sub(q.lit));
@@ -329,7 +329,7 @@
         let every = if p < self.size.cores { 10 } else { 20 };
         self.after(every, Act::Tick(p, boot));
         if p < self.size.cores {
-            return self.controller(p, "alarm", sorreldoor::core::ControllerEvent::Alarm);
+            return self.controller(p, "alarm", sorreldoor::control_plane::ControllerEvent::Tick);
         }
         self.outs(p, outs);
     }
--- a/rig/src/hollow/node.rs
+++ b/testbed/src/hollow/node.rs
@@ -1,13 +1,13 @@
 //! An edge without its errands: the session's own half (`Pull`), hollow, or
 //! the whole reducer where its processor time and memory are to be measured.
 
+use sorreldoor::configuration::Site;
 use sorreldoor::consensus::{Millis, Noted};
-use sorreldoor::edge::{EdgeController, EdgeEffect, EdgeEvent};
-use sorreldoor::errand::Plan;
+use sorreldoor::gateway::request_table::Plan;
+use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::{Conn, NetEvent};
-use sorreldoor::pull::{Granted, Pull, PullFx};
-use sorreldoor::seam::{Now, Reducer};
-use sorreldoor::setup::Site;
+use sorreldoor::runtime::{Now, Reducer};
+use sorreldoor::subscription::{Granted, Pull, SubscriptionEffect};
 use sorreldoor::wire::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 /// What a node asks of its surroundings.
 pub enum Out {
     Send(Conn, Payload),
-    Dial(SocketAddr),
-    Undial(SocketAddr),
+    Connect(SocketAddr),
+    Disconnect(SocketAddr),
 }
 
 pub struct Hollow {
     me: Hello,
     pull: Pull,
-    serial: u64,
+    version: u64,
     running: u32,
-    took: Vec<Took>,
+    took: Vec<RouteLatency>,
     claims: u64,
     out: Vec<Out>,
 }
@@ -35,15 +35,15 @@
 }
 
 /// How long a node serves on one renewal, in milliseconds, as the daemon has it.
-const PERMIT: Millis = 2000;
+const LEASE: Millis = 2000;
 
 impl Node {
-    pub fn new(me: Hello, seeds: &[SocketAddr], took: Vec<Took>, now: Now) -> Node {
-        let pull = Pull::new(seeds, PERMIT, now.mono, now.wall).named(&me.node);
+    pub fn new(me: Hello, seeds: &[SocketAddr], took: Vec<RouteLatency>, now: Now) -> Node {
+        let pull = Pull::new(seeds, LEASE, now.monotonic_ms, now.wall).named(&me.node);
         Node::Hollow(Box::new(Hollow {
             me,
             pull,
-            serial: 0,
+            version: 0,
             running: 0,
             took,
             claims: 0,
@@ -54,11 +54,11 @@
     pub fn full(
         me: Hello,
         seeds: &[SocketAddr],
-        took: Vec<Took>,
+        took: Vec<RouteLatency>,
         now: Now,
         site: Arc<Site>,
     ) -> Node {
-        let pull = Pull::new(seeds, PERMIT, now.mono, now.wall).named(&me.node);
+        let pull = Pull::new(seeds, LEASE, now.monotonic_ms, now.wall).named(&me.node);
         let plan = Plan::new(site, me.node.clone(), me.zone, me.region);
         let mut h = EdgeController::new(me, plan, pull);
         let rows = took
@@ -75,41 +75,44 @@
         }
     }
 
-    pub fn permit(&self, now: Millis) -> bool {
-        self.pull().permit(now)
+    pub fn lease(&self, now: Millis) -> bool {
+        self.pull().lease(now)
     }
 
     /// The operators' serial this node acts on.
-    pub fn serial(&self) -> u64 {
+    pub fn version(&self) -> u64 {
         match self {
-            Node::Hollow(h) => h.serial,
-            Node::Full(h) => h.plan.shown.view.serial,
+            Node::Hollow(h) => h.version,
+            Node::Full(h) => h.plan.shown.view.version,
         }
     }
 
     pub fn ready(&self, now: Millis) -> bool {
         let have = &self.pull().have;
-        self.permit(now) && self.serial() > 0 && have.registry > 0
+        self.lease(now) && self.version() > 0 && have.registry > 0
     }
 
     /// Ask for an errand id, as an errand that may not be repeated does.
     pub fn claim(&mut self) -> Option<Out> {
         let Node::Hollow(h) = self else { return None };
         h.claims += 1;
-        let rid = h.claims;
-        let id = format!("{:016x}{rid:016x}", h.me.boot);
-        let (by, keep_ms) = ((u128::from(h.me.boot) << 64) | u128::from(rid), 360_000);
+        let request_id = h.claims;
+        let id = format!("{:016x}{request_id:016x}", h.me.boot);
+        let (by, keep_ms) = (
+            (u128::from(h.me.boot) << 64) | u128::from(request_id),
+            360_000,
+        );
         let claim = Noted { id, by, keep_ms };
         h.pull
             .conn
-            .map(|c| Out::Send(c, Payload::Claim { rid, claim }))
+            .map(|c| Out::Send(c, Payload::Claim { request_id, claim }))
     }
 
     /// Nothing but time has come.
-    pub fn alarm(&mut self, now: Now) -> Vec<Out> {
+    pub fn tick(&mut self, now: Now) -> Vec<Out> {
         match self {
-            Node::Hollow(h) => h.alarm(now),
-            Node::Full(h) => outs(h.step(EdgeEvent::Alarm, now)),
+            Node::Hollow(h) => h.tick(now),
+            Node::Full(h) => outs(h.step(EdgeEvent::Tick, now)),
         }
     }
 
@@ -125,23 +128,23 @@
     fx.into_iter()
         .filter_map(|f| match f {
             EdgeEffect::Send(c, p) => Some(Out::Send(c, p)),
-            EdgeEffect::Dial(a) => Some(Out::Dial(a)),
-            EdgeEffect::Undial(a) => Some(Out::Undial(a)),
+            EdgeEffect::Connect(a) => Some(Out::Connect(a)),
+            EdgeEffect::Disconnect(a) => Some(Out::Disconnect(a)),
             _ => None,
         })
         .collect()
 }
 
 impl Hollow {
-    fn alarm(&mut self, now: Now) -> Vec<Out> {
+    fn tick(&mut self, now: Now) -> Vec<Out> {
         self.woken(now);
-        let fx = self.pull.alarm(now.mono);
+        let fx = self.pull.tick(now.monotonic_ms);
         fx.into_iter().for_each(|f| self.pulled(f));
         std::mem::take(&mut self.out)
     }
 
     fn woken(&mut self, now: Now) {
-        let f = self.pull.awake(now.mono, now.wall);
+        let f = self.pull.awake(now.monotonic_ms, now.wall);
         f.into_iter().for_each(|f| self.pulled(f));
     }
 
@@ -151,7 +154,7 @@
             NetEvent::Up { conn, dialled } => {
                 let h = self.me.clone();
                 self.out.push(Out::Send(conn, Payload::Hello(h)));
-                let fx = dialled.map(|a| self.pull.up(conn, a, now.mono));
+                let fx = dialled.map(|a| self.pull.up(conn, a, now.monotonic_ms));
                 fx.into_iter().flatten().for_each(|f| self.pulled(f));
             }
             NetEvent::Down { conn } => self.pull.down(conn),
@@ -159,12 +162,12 @@
                 Payload::Ping { .. } => {
                     self.out.push(Out::Send(conn, Payload::Ping { no: 0 }));
                 }
-                Payload::Grant { no, ok, news } => {
-                    let some = news.record.as_ref().is_some_and(|r| r.has_document);
-                    if news.record_withheld {
-                        self.pull.withheld(no, now.mono);
-                    } else if self.pull.granted(no, ok, some, now.mono) != Granted::No {
-                        self.take(news);
+                Payload::Grant { no, ok, delta } => {
+                    let some = delta.record.as_ref().is_some_and(|r| r.has_document);
+                    if delta.record_withheld {
+                        self.pull.withheld(no, now.monotonic_ms);
+                    } else if self.pull.granted(no, ok, some, now.monotonic_ms) != Granted::No {
+                        self.take(delta);
                     }
                 }
                 _ => {}
@@ -173,11 +176,11 @@
         std::mem::take(&mut self.out)
     }
 
-    fn pulled(&mut self, f: PullFx) {
+    fn pulled(&mut self, f: SubscriptionEffect) {
         match f {
-            PullFx::Dial(a) => self.out.push(Out::Dial(a)),
-            PullFx::Undial(a) => self.out.push(Out::Undial(a)),
-            PullFx::Renew {
+            SubscriptionEffect::Connect(a) => self.out.push(Out::Connect(a)),
+            SubscriptionEffect::Disconnect(a) => self.out.push(Out::Disconnect(a)),
+            SubscriptionEffect::Renew {
                 conn,
                 no,
                 unverified,
@@ -186,18 +189,18 @@
                 self.running = (self.running + 7) % 97;
                 self.took.iter_mut().for_each(|t| t.n += 1);
                 let have = self.pull.have.clone();
-                let doing = Doing {
-                    serial: self.serial,
-                    permit: self.serial > 0,
+                let edge_status = EdgeStatus {
+                    version: self.version,
+                    lease: self.version > 0,
                     running: self.running,
                     first: self.claims,
                     took: self.took.clone(),
-                    ..Doing::default()
+                    ..EdgeStatus::default()
                 };
                 let p = Payload::Renew {
                     no,
                     have,
-                    doing,
+                    edge_status,
                     unverified,
                 };
                 self.out.push(Out::Send(conn, p));
@@ -206,14 +209,14 @@
         }
     }
 
-    fn take(&mut self, n: News) {
+    fn take(&mut self, n: StateDelta) {
         let have = &mut self.pull.have;
         if let Some(v) = n.record {
             have.record = v.revision;
-            self.serial = self.serial.max(v.serial);
+            self.version = self.version.max(v.version);
         }
         if let Some(r) = n.registry {
-            have.registry = r.serial;
+            have.registry = r.version;
         }
         if let Some(l) = n.loads {
             have.loads = l.mark();
--- a/rig/src/hollow/report.rs
+++ b/testbed/src/hollow/report.rs
@@ -5,7 +5,7 @@
 use super::meter::Meter;
 use super::{Act, Fault, Pending, Role, Row, Size, World};
 use sorreldoor::consensus::Millis;
-use sorreldoor::record::encode;
+use sorreldoor::replicated_state::encode;
 use std::ops::Range;
 use std::time::Instant;
 
@@ -23,11 +23,11 @@
     let mut w = World::new(size.clone());
     let mut row = dims(size);
     let founded = w.until(30_000, |w| w.leader().is_some());
-    let (rid, since) = (u64::MAX, w.now);
+    let (request_id, since) = (u64::MAX, w.now);
     let first = Pending {
-        rid,
+        request_id,
         since,
-        serial: None,
+        version: None,
     };
     w.after(0, Act::Again(first));
     let end = w.now + 30_000;
--- a/rig/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,12 +1,12 @@
 //! Runs a whole fleet of the product on one machine, with stand-ins.
 
 use gumdrop::Options;
-use rig::fleet::{archive, press, setup, Fleet, Shape};
-use rig::hollow::{hollow, HollowArgs};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 use std::path::PathBuf;
 use std::time::Duration;
+use testbed::fleet::{archive, configuration, press, Fleet, Shape};
+use testbed::hollow::{hollow, HollowArgs};
 
 /// Counts what is held, for runs that measure memory.
 #[global_allocator]
@@ -36,7 +36,7 @@
     #[options(help = "a site of hollow nodes in virtual time: what control costs, and slopes")]
     Hollow(HollowArgs),
     #[options(help = "policies of placement compared in virtual time")]
-    Experiment(rig::experiment::Args),
+    Experiment(testbed::experiment::Args),
 }
 
 #[derive(Debug, Options)]
@@ -89,7 +89,7 @@
             env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
                 .init();
             let (set, tricks) = (n.settings.unwrap_or_default(), n.tricks.unwrap_or_default());
-            if let Err(e) = rig::tricks::node(&n.role, &set, &tricks) {
+            if let Err(e) = testbed::tricks::node(&n.role, &set, &tricks) {
                 eprintln!("rig: {e}");
                 std::process::exit(1);
             }
@@ -100,7 +100,7 @@
                 std::process::exit(2);
             }
         }
-        Some(What::Experiment(a)) => match rig::experiment::run(&a) {
+        Some(What::Experiment(a)) => match testbed::experiment::run(&a) {
             Ok(whole) => std::process::exit(i32::from(!whole)),
             Err(e) => {
                 eprintln!("rig: {e}");
@@ -129,7 +129,7 @@
     let root = a.root.unwrap_or_default();
     let mut f = Fleet::start(&root, shape(&a.site));
     f.serve();
-    let t = rig::soak::soak(&mut f, a.seed, 24, Duration::from_secs(a.seconds));
+    let t = testbed::soak::soak(&mut f, a.seed, 24, Duration::from_secs(a.seconds));
     println!(
         "asked {}, served {}, refused {}, unsure {}",
         t.asked, t.served, t.refused, t.unsure
@@ -150,7 +150,7 @@
     let mut f = Fleet::start(&root, shape);
     f.found();
     let file = root.join("setup.json");
-    std::fs::write(&file, setup(&f.shape)).expect("the fleet's folder can be written");
+    std::fs::write(&file, configuration(&f.shape)).expect("the fleet's folder can be written");
     for n in &f.nodes {
         println!("{:<14} zone {:<4} http {}", n.name, n.zone, n.http);
     }
--- a/rig/src/platform.rs
+++ b/testbed/src/platform.rs
@@ -22,7 +22,7 @@
 
 #[derive(Default)]
 struct List {
-    serial: u64,
+    version: u64,
     rows: Vec<Row>,
 }
 
@@ -48,7 +48,7 @@
     pub fn change(&self, f: impl FnOnce(&mut Vec<Row>)) {
         let mut l = locked(&self.list);
         f(&mut l.rows);
-        l.serial += 1;
+        l.version += 1;
     }
 }
 
@@ -71,7 +71,7 @@
         })
         .collect();
     let mut v = Val::object();
-    let _ = v.insert("serial", l.serial);
+    let _ = v.insert("serial", l.version);
     let _ = v.insert("workers", rows);
     http::ok(v)
 }
--- a/rig/src/raw.rs
+++ b/testbed/src/raw.rs
@@ -29,7 +29,7 @@
         Ok(Raw { addr, says })
     }
 
-    pub fn say(&self, b: &[u8]) {
+    pub fn log_event(&self, b: &[u8]) {
         *locked(&self.says) = b.to_vec();
     }
 }
--- a/rig/src/shapes.rs
+++ b/testbed/src/shapes.rs
@@ -37,7 +37,7 @@
 }
 
 /// A setup that serves every kind of errand of a deployment.
-pub fn setup(shape: &Shape) -> String {
+pub fn configuration(shape: &Shape) -> String {
     let a = shape.regions[0].0;
     let b = shape.regions[1].0;
     format!(
--- a/rig/src/sim/askers.rs
+++ b/testbed/src/sim/askers.rs
@@ -2,7 +2,7 @@
 
 use super::Sim;
 use sorreldoor::consensus::*;
-use sorreldoor::record::{decode, encode, Cmd, Outcome};
+use sorreldoor::replicated_state::{decode, encode, Command, Outcome};
 use std::sync::Arc;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Op {
-    pub pid: ProposalId,
+    pub proposal_id: ProposalId,
     pub at: usize,
     pub act: Act,
     pub start: Millis,
@@ -40,7 +40,7 @@
     /// The serial that this op lets its asker know of.
     pub fn shows(&self) -> Option<u64> {
         match &self.done {
-            Done::Got(Outcome::Taken { serial } | Outcome::Stale { serial }) => Some(*serial),
+            Done::Got(Outcome::Taken { version } | Outcome::Stale { version }) => Some(*version),
             Done::Saw(s) => Some(*s),
             _ => None,
         }
@@ -49,9 +49,9 @@
 
 impl Sim {
     fn begin(&mut self, at: usize, act: Act) -> ProposalId {
-        let pid = self.ops.len() as ProposalId + 1;
+        let proposal_id = self.ops.len() as ProposalId + 1;
         self.ops.push(Op {
-            pid,
+            proposal_id,
             at,
             act,
             start: self.now,
@@ -59,59 +59,64 @@
             done: Done::Open,
             many: false,
         });
-        pid
+        proposal_id
     }
 
     /// Empty or fill a zone: the smallest change that races by serial.
     pub fn change(&mut self, at: usize, base: u64) -> ProposalId {
-        let pid = self.begin(at, Act::Change { base });
-        let zone = (pid % self.site.zones.len() as ProposalId) as u16;
-        let cmd = Cmd::Zone {
+        let proposal_id = self.begin(at, Act::Change { base });
+        let zone = (proposal_id % self.site.zones.len() as ProposalId) as u16;
+        let cmd = Command::Zone {
             base,
             zone,
-            emptied: pid.is_multiple_of(2),
+            evacuated: proposal_id.is_multiple_of(2),
         };
         let body = Body::Data(Arc::new(encode(&cmd)));
-        self.give(at, Event::Propose { pid, body });
-        pid
+        self.give(at, Event::Propose { proposal_id, body });
+        proposal_id
     }
 
     /// Any change that builds on `base`.
-    pub fn order(&mut self, at: usize, base: u64, cmd: &Cmd) -> ProposalId {
-        let pid = self.begin(at, Act::Change { base });
+    pub fn order(&mut self, at: usize, base: u64, cmd: &Command) -> ProposalId {
+        let proposal_id = self.begin(at, Act::Change { base });
         let body = Body::Data(Arc::new(encode(cmd)));
-        self.give(at, Event::Propose { pid, body });
-        pid
+        self.give(at, Event::Propose { proposal_id, body });
+        proposal_id
     }
 
     /// Ask again by the same id, at any node.
-    pub fn again(&mut self, at: usize, pid: ProposalId) {
-        let op = &mut self.ops[pid as usize - 1];
+    pub fn again(&mut self, at: usize, proposal_id: ProposalId) {
+        let op = &mut self.ops[proposal_id as usize - 1];
         op.many = true;
         let Act::Change { base } = op.act else { return };
-        let zone = (pid % self.site.zones.len() as ProposalId) as u16;
-        let cmd = Cmd::Zone {
+        let zone = (proposal_id % self.site.zones.len() as ProposalId) as u16;
+        let cmd = Command::Zone {
             base,
             zone,
-            emptied: pid.is_multiple_of(2),
+            evacuated: proposal_id.is_multiple_of(2),
         };
         let body = Body::Data(Arc::new(encode(&cmd)));
-        self.give(at, Event::Propose { pid, body });
+        self.give(at, Event::Propose { proposal_id, body });
     }
 
     pub fn read(&mut self, at: usize) -> ProposalId {
-        let pid = self.begin(at, Act::Read);
-        self.give(at, Event::Read { rid: pid as u64 });
-        pid
+        let proposal_id = self.begin(at, Act::Read);
+        self.give(
+            at,
+            Event::Read {
+                request_id: proposal_id as u64,
+            },
+        );
+        proposal_id
     }
 
-    pub fn op(&self, pid: ProposalId) -> &Op {
-        &self.ops[pid as usize - 1]
+    pub fn op(&self, proposal_id: ProposalId) -> &Op {
+        &self.ops[proposal_id as usize - 1]
     }
 
-    fn end(&mut self, pid: ProposalId, done: Done) {
+    fn end(&mut self, proposal_id: ProposalId, done: Done) {
         let now = self.now;
-        if let Some(o) = self.ops.get_mut(pid as usize - 1) {
+        if let Some(o) = self.ops.get_mut(proposal_id as usize - 1) {
             if o.done == Done::Open {
                 o.done = done;
                 o.end = now;
@@ -119,19 +124,24 @@
         }
     }
 
-    pub(crate) fn resulted(&mut self, _at: usize, pid: ProposalId, r: Result<Arc<Vec<u8>>, Lost>) {
+    pub(crate) fn resulted(
+        &mut self,
+        _at: usize,
+        proposal_id: ProposalId,
+        r: Result<Arc<Vec<u8>>, Lost>,
+    ) {
         let done = match r {
             Ok(b) => decode(&b).map_or(Done::Unknown, Done::Got),
             Err(Lost::Unknown) => Done::Unknown,
             Err(Lost::Full) => Done::NotTaken,
         };
-        self.end(pid, done);
+        self.end(proposal_id, done);
     }
 
-    pub(crate) fn read_ready(&mut self, at: usize, rid: u64, ok: bool) {
-        let seen = self.nodes[at].record().map(|r| r.serial());
+    pub(crate) fn read_ready(&mut self, at: usize, request_id: u64, ok: bool) {
+        let seen = self.nodes[at].record().map(|r| r.version());
         let done = seen.filter(|_| ok).map_or(Done::Unknown, Done::Saw);
-        self.end(ProposalId::from(rid), done);
+        self.end(ProposalId::from(request_id), done);
     }
 
     /// Whoever asked a node that dies hears nothing.
--- a/rig/src/sim/check.rs
+++ b/testbed/src/sim/check.rs
@@ -1,8 +1,8 @@
 //! What must hold of a run: looked at from outside, entry by entry.
 
 use super::{Act, Done, Sim};
-use sorreldoor::consensus::{Machine, NodeId, ProposalId};
-use sorreldoor::record::Outcome;
+use sorreldoor::consensus::{NodeId, ProposalId, StateMachine};
+use sorreldoor::replicated_state::Outcome;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All that was applied and led, by anybody, ever.
@@ -14,8 +14,8 @@
 }
 
 impl Trail {
-    pub fn applied(&mut self, node: usize, idx: u64, pid: ProposalId, data: &[u8]) {
-        let new = (pid, data.to_vec());
+    pub fn applied(&mut self, node: usize, idx: u64, proposal_id: ProposalId, data: &[u8]) {
+        let new = (proposal_id, data.to_vec());
         let old = self.at.entry(idx).or_insert_with(|| new.clone());
         if *old != new {
             self.wrong
@@ -43,14 +43,15 @@
 fn changes(s: &Sim, w: &mut Vec<String>) {
     let mut won: BTreeMap<u64, ProposalId> = BTreeMap::new();
     for o in &s.ops {
-        let (Act::Change { base }, Done::Got(Outcome::Taken { serial })) = (&o.act, &o.done) else {
+        let (Act::Change { base }, Done::Got(Outcome::Taken { version })) = (&o.act, &o.done)
+        else {
             continue;
         };
-        if *serial != base + 1 {
-            w.push(format!("change on {base} was taken as {serial}"));
+        if *version != base + 1 {
+            w.push(format!("change on {base} was taken as {version}"));
         }
-        if *won.entry(*serial).or_insert(o.pid) != o.pid {
-            w.push(format!("two changes were both taken as {serial}"));
+        if *won.entry(*version).or_insert(o.proposal_id) != o.proposal_id {
+            w.push(format!("two changes were both taken as {version}"));
         }
     }
 }
@@ -92,11 +93,11 @@
     let t = s.trail.borrow();
     let applied: BTreeSet<ProposalId> = t.at.values().map(|(p, _)| *p).collect();
     for o in &s.ops {
-        if o.took() && !applied.contains(&o.pid) {
-            w.push(format!("change {} was acked and is nowhere", o.pid));
+        if o.took() && !applied.contains(&o.proposal_id) {
+            w.push(format!("change {} was acked and is nowhere", o.proposal_id));
         }
-        if o.done == Done::NotTaken && !o.many && applied.contains(&o.pid) {
-            w.push(format!("change {} was refused and applied", o.pid));
+        if o.done == Done::NotTaken && !o.many && applied.contains(&o.proposal_id) {
+            w.push(format!("change {} was refused and applied", o.proposal_id));
         }
     }
 }
@@ -109,8 +110,11 @@
     let top = top.max().unwrap_or(0);
     for (i, n) in s.nodes.iter().enumerate() {
         let Some(r) = n.record() else { continue };
-        if r.serial() < top {
-            w.push(format!("node {i} is at {} but {top} was acked", r.serial()));
+        if r.version() < top {
+            w.push(format!(
+                "node {i} is at {} but {top} was acked",
+                r.version()
+            ));
         }
         all.push((i, r.image()));
     }
--- a/rig/src/sim/core.rs
+++ b/testbed/src/sim/core.rs
@@ -2,9 +2,9 @@
 
 use super::{member, Trail, Uplink};
 use crate::disk::Disk;
+use sorreldoor::configuration::Site;
 use sorreldoor::consensus::*;
-use sorreldoor::record::Record;
-use sorreldoor::setup::Site;
+use sorreldoor::replicated_state::ReplicatedState;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
         let snap = Snapshot {
             last: LogPosition::default(),
             members: members.to_vec(),
-            image: Arc::new(Record::new(site.clone()).image()),
+            image: Arc::new(ReplicatedState::new(site.clone()).image()),
         };
         n.disk.kept.take(1, &Save::Snap { snap, reset: true });
         n
@@ -93,20 +93,20 @@
             .map_or(Vec::new(), |a| a.step(ev, t))
     }
 
-    pub fn record(&self) -> Option<&Record> {
+    pub fn record(&self) -> Option<&ReplicatedState> {
         self.consensus.as_ref().map(|a| &a.machine().record)
     }
 }
 
 /// The record, with all that is applied written down for the checker.
 pub struct Watched {
-    pub record: Record,
+    pub record: ReplicatedState,
     trail: Rc<RefCell<Trail>>,
     node: usize,
 }
 
 impl Watched {
-    pub fn new(record: Record, trail: Rc<RefCell<Trail>>, node: usize) -> Watched {
+    pub fn new(record: ReplicatedState, trail: Rc<RefCell<Trail>>, node: usize) -> Watched {
         Watched {
             record,
             trail,
@@ -115,13 +115,15 @@
     }
 }
 
-impl Machine for Watched {
-    fn apply(&mut self, idx: u64, pid: ProposalId, data: &[u8]) -> Vec<u8> {
-        self.trail.borrow_mut().applied(self.node, idx, pid, data);
-        self.record.apply(idx, pid, data)
+impl StateMachine for Watched {
+    fn apply(&mut self, idx: u64, proposal_id: ProposalId, data: &[u8]) -> Vec<u8> {
+        self.trail
+            .borrow_mut()
+            .applied(self.node, idx, proposal_id, data);
+        self.record.apply(idx, proposal_id, data)
     }
-    fn answered(&self, pid: ProposalId) -> Option<Arc<Vec<u8>>> {
-        self.record.answered(pid)
+    fn answered(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
+        self.record.answered(proposal_id)
     }
     fn image(&self) -> Vec<u8> {
         self.record.image()
--- a/rig/src/sim/faults.rs
+++ b/testbed/src/sim/faults.rs
@@ -62,12 +62,12 @@
 /// A change that builds on what some node shows, a read, or a retry.
 pub fn ask(s: &mut Sim) {
     let at = s.rng.below(s.nodes.len() as u64) as usize;
-    let Some(serial) = s.nodes[at].record().map(|r| r.serial()) else {
+    let Some(version) = s.nodes[at].record().map(|r| r.version()) else {
         return;
     };
     match s.rng.below(5) {
         0 | 1 => {
-            s.change(at, serial);
+            s.change(at, version);
         }
         2 if !s.ops.is_empty() => {
             let k = s.rng.below(s.ops.len() as u64) as u128 + 1;
--- a/rig/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -15,9 +15,9 @@
 pub use uplink::{Bandwidth, Uplink};
 
 use crate::rand::Rand;
+use sorreldoor::configuration::Site;
 use sorreldoor::consensus::*;
-use sorreldoor::record::Record;
-use sorreldoor::setup::Site;
+use sorreldoor::replicated_state::ReplicatedState;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -142,7 +142,11 @@
 
     pub fn start(&mut self, i: usize) {
         let seed = self.rng.draw();
-        let machine = Watched::new(Record::new(self.site.clone()), self.trail.clone(), i);
+        let machine = Watched::new(
+            ReplicatedState::new(self.site.clone()),
+            self.trail.clone(),
+            i,
+        );
         let (timing, now) = (self.timing.clone(), self.now);
         let boot = self.nodes[i].start(timing, machine, seed, now);
         let at = now + 1 + self.rng.below(TICK);
@@ -221,7 +225,7 @@
                 }
                 let at = self.now + TICK;
                 self.plan(at, What::Tick(i, boot));
-                self.give(i, Event::Alarm);
+                self.give(i, Event::Tick);
             }
             What::Arrive {
                 to,
@@ -262,7 +266,7 @@
         }
         if self.nodes[i].frozen_until > now {
             // a frozen process finds its full buffers when it wakes
-            if ev != Event::Alarm && self.nodes[i].waiting.len() < 1000 {
+            if ev != Event::Tick && self.nodes[i].waiting.len() < 1000 {
                 self.nodes[i].waiting.push(ev);
             }
             return;
@@ -281,8 +285,11 @@
                 self.plan(at, What::Synced { node: i, boot, seq });
             }
             Effect::Send { to, msg } => self.carry(i, to, msg),
-            Effect::Result { pid, outcome } => self.resulted(i, pid, outcome),
-            Effect::ReadReady { rid, ok } => self.read_ready(i, rid, ok),
+            Effect::Result {
+                proposal_id,
+                outcome,
+            } => self.resulted(i, proposal_id, outcome),
+            Effect::ReadReady { request_id, ok } => self.read_ready(i, request_id, ok),
             Effect::Note(n) => {
                 let id = self.nodes[i].id;
                 if let Note::GlobalLeader { term, id } = &n {
--- a/rig/src/sim/queries.rs
+++ b/testbed/src/sim/queries.rs
@@ -15,16 +15,16 @@
 
     /// Ask for a change at `at` and wait; how long it took, if it was taken.
     pub fn timed(&mut self, at: usize, most: Millis) -> Option<Millis> {
-        let serial = self.top_serial();
-        let p = self.change(at, serial);
+        let version = self.highest_version();
+        let p = self.change(at, version);
         let (start, end) = (self.now, self.now + most);
         self.run_until(end, |s| s.op(p).done != Done::Open);
         self.op(p).took().then(|| self.op(p).end - start)
     }
 
-    pub fn top_serial(&self) -> u64 {
+    pub fn highest_version(&self) -> u64 {
         let all = self.nodes.iter().filter_map(|n| n.record());
-        all.map(|r| r.serial()).max().unwrap_or(0)
+        all.map(|r| r.version()).max().unwrap_or(0)
     }
 
     pub fn leader(&self) -> Option<usize> {
--- a/rig/src/site/callers.rs
+++ b/testbed/src/site/callers.rs
@@ -3,9 +3,9 @@
 
 use super::World;
 use sorreldoor::consensus::Millis;
-use sorreldoor::edge::EdgeEvent;
-use sorreldoor::errand::{Asked, Shape as Form};
-use sorreldoor::problem::Problem;
+use sorreldoor::error::ErrorCode;
+use sorreldoor::gateway::request_table::{Asked, Shape as Form};
+use sorreldoor::gateway::EdgeEvent;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Got {
@@ -16,7 +16,7 @@
     Stream,
     /// A stream that was shown to have broken.
     Broken,
-    Shed(Problem),
+    Shed(ErrorCode),
     /// The connection to the edge was lost.
     Lost,
     /// It hung up itself.
@@ -26,7 +26,7 @@
 impl Got {
     /// Told that nothing of its asking has run or will.
     pub fn refused(&self) -> bool {
-        use Problem::*;
+        use ErrorCode::*;
         matches!(self, Got::Shed(p) if !matches!(p, OutcomeUnknown | AlreadyTaken | StreamBroken))
     }
 }
@@ -126,7 +126,13 @@
             }
             w.reach_proc(p, boot, move |w| {
                 let asked = w.asked(n);
-                w.hall_step(p, EdgeEvent::Knock { rid: n, asked });
+                w.hall_step(
+                    p,
+                    EdgeEvent::Knock {
+                        request_id: n,
+                        asked,
+                    },
+                );
             });
         });
     }
@@ -147,15 +153,24 @@
                 });
                 let mut asked = w.asked(n);
                 asked.shape = shape;
-                w.hall_step(p, EdgeEvent::Errand { rid: n, asked });
+                w.hall_step(
+                    p,
+                    EdgeEvent::Errand {
+                        request_id: n,
+                        asked,
+                    },
+                );
             });
         });
     }
 
-    pub(crate) fn whither(&mut self, _rid: u64, _r: Result<Vec<String>, Problem>) {}
+    pub(crate) fn whither(&mut self, _request_id: u64, _r: Result<Vec<String>, ErrorCode>) {}
 
-    pub(crate) fn caller_of(&self, p: usize, rid: u64) -> Option<u64> {
-        self.callers.get(&rid).filter(|c| c.edge == p).map(|_| rid)
+    pub(crate) fn caller_of(&self, p: usize, request_id: u64) -> Option<u64> {
+        self.callers
+            .get(&request_id)
+            .filter(|c| c.edge == p)
+            .map(|_| request_id)
     }
 
     pub(crate) fn got(&mut self, n: u64, g: Got) {
@@ -166,25 +181,28 @@
         }
     }
 
-    pub(crate) fn shed(&mut self, rid: u64, problem: Problem, again_s: u64) {
-        let open = self.callers.get(&rid).is_some_and(|c| c.got == Got::Open);
-        self.got(rid, Got::Shed(problem));
-        if open && problem.again() && self.patience > 0 {
-            self.come_back(rid, again_s);
+    pub(crate) fn shed(&mut self, request_id: u64, error_code: ErrorCode, again_s: u64) {
+        let open = self
+            .callers
+            .get(&request_id)
+            .is_some_and(|c| c.got == Got::Open);
+        self.got(request_id, Got::Shed(error_code));
+        if open && error_code.again() && self.patience > 0 {
+            self.come_back(request_id, again_s);
         }
     }
 
     /// A caller does as it was told: it comes back after so many seconds, to
     /// an edge that `where` would name, until its patience is at its end.
-    fn come_back(&mut self, rid: u64, again_s: u64) {
-        let tries = self.callers[&rid].tries + 1;
+    fn come_back(&mut self, request_id: u64, again_s: u64) {
+        let tries = self.callers[&request_id].tries + 1;
         if tries > self.patience {
             return;
         }
         let s = self.back_after.unwrap_or(again_s.max(1));
         let wait = s * 1000 + self.rng.below(1000);
         self.after(wait, move |w| {
-            let region = w.procs[w.callers[&rid].edge].region;
+            let region = w.procs[w.callers[&request_id].edge].region;
             let good =
                 |w: &World, e: usize| w.edge_controller(e).is_some_and(|h| h.ready().is_ok());
             let all: Vec<usize> = w.edges();
@@ -195,34 +213,34 @@
                 .collect();
             let any = if near.is_empty() { all } else { near };
             let e = any[w.rng.below(any.len() as u64) as usize];
-            let n = w.ask_again(rid, e);
+            let n = w.ask_again(request_id, e);
             if let Some(c) = w.callers.get_mut(&n) {
                 c.tries = tries;
             }
         });
     }
 
-    pub(crate) fn elsewhere(&mut self, rid: u64, addr: String) {
+    pub(crate) fn elsewhere(&mut self, request_id: u64, addr: String) {
         let to = self.procs.iter().position(|p| p.name == addr);
-        let Some(c) = self.callers.get_mut(&rid) else {
+        let Some(c) = self.callers.get_mut(&request_id) else {
             return;
         };
         match to.filter(|_| !c.moved) {
             Some(p) => {
                 c.edge = p;
                 c.moved = true;
-                self.knock(rid);
+                self.knock(request_id);
             }
-            None => self.got(rid, Got::Lost),
+            None => self.got(request_id, Got::Lost),
         }
     }
 
-    pub(crate) fn give(&mut self, p: usize, rid: u64, token: u64) {
+    pub(crate) fn give(&mut self, p: usize, request_id: u64, token: u64) {
         let whose = self.procs[p].tries.get(&token).and_then(|t| t.brought);
         match whose {
-            Some(c) => self.got(rid, Got::Whole(c)),
+            Some(c) => self.got(request_id, Got::Whole(c)),
             None => {
-                if let Some(c) = self.callers.get_mut(&rid) {
+                if let Some(c) = self.callers.get_mut(&request_id) {
                     c.begun = true;
                 }
             }
@@ -236,19 +254,23 @@
             if !w.procs[p].tries.contains_key(&v.token) {
                 return;
             }
-            if let Some(c) = w.callers.get_mut(&v.rid).filter(|c| c.got == Got::Open) {
+            if let Some(c) = w
+                .callers
+                .get_mut(&v.request_id)
+                .filter(|c| c.got == Got::Open)
+            {
                 c.seen.push(seq);
                 c.done_seen |= done;
             }
             if done {
-                w.got(v.rid, Got::Stream);
+                w.got(v.request_id, Got::Stream);
             }
         });
     }
 
-    pub(crate) fn broken_off(&mut self, _p: usize, rid: u64) {
-        if self.callers.get(&rid).is_some_and(|c| c.begun) {
-            self.got(rid, Got::Broken);
+    pub(crate) fn broken_off(&mut self, _p: usize, request_id: u64) {
+        if self.callers.get(&request_id).is_some_and(|c| c.begun) {
+            self.got(request_id, Got::Broken);
         }
     }
 
@@ -269,7 +291,9 @@
         let p = self.callers[&n].edge;
         let boot = self.procs[p].boot;
         self.got(n, Got::HungUp);
-        self.reach_proc(p, boot, move |w| w.hall_step(p, EdgeEvent::Gone { rid: n }));
+        self.reach_proc(p, boot, move |w| {
+            w.hall_step(p, EdgeEvent::Gone { request_id: n })
+        });
     }
 
     /// Traffic of a deployment's mix, `per_s` errands a second in all, spread
--- a/rig/src/site/check.rs
+++ b/testbed/src/site/check.rs
@@ -2,22 +2,22 @@
 
 use super::{history, Got, World};
 use sorreldoor::consensus::Millis;
-use sorreldoor::record::Outcome;
+use sorreldoor::replicated_state::Outcome;
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
 
 const SETUP_MS: Millis = 3000;
 const LEAVING_MS: Millis = 4000;
-const EMPTIED_MS: Millis = 5000;
+const EVACUATED_MS: Millis = 5000;
 
 pub fn check(w: &World) -> Vec<String> {
     let mut out = w.wrong.clone();
     history::ran_once(w, &mut out);
     history::services(w, &mut out);
     results(w, &mut out);
-    setups(w, &mut out);
+    configurations(w, &mut out);
     leaving(w, &mut out);
-    emptied(w, &mut out);
+    evacuated(w, &mut out);
     races(w, &mut out);
     out
 }
@@ -46,30 +46,30 @@
     w.changes
         .iter()
         .filter_map(|c| match &c.outcome {
-            Some(OpOutcome::Got(Outcome::Taken { serial })) => Some((c.end, *serial, c.zone)),
+            Some(OpOutcome::Got(Outcome::Taken { version })) => Some((c.end, *version, c.zone)),
             _ => None,
         })
         .collect()
 }
 
 /// Within three seconds of a yes nobody hands over under an older serial.
-fn setups(w: &World, out: &mut Vec<String>) {
+fn configurations(w: &World, out: &mut Vec<String>) {
     let yes = yeses(w);
     let mut last: BTreeMap<usize, u64> = BTreeMap::new();
     for h in &w.handed {
         let due = yes.iter().filter(|(t, _, _)| t + SETUP_MS < h.at);
         let due = due.map(|(_, s, _)| *s).max().unwrap_or(0);
-        if h.serial < due {
+        if h.version < due {
             out.push(format!(
                 "{} acted on serial {} at {}, {due} was due",
-                w.procs[h.edge].name, h.serial, h.at
+                w.procs[h.edge].name, h.version, h.at
             ));
         }
         let before = last.entry(h.edge).or_default();
-        if h.serial < *before {
+        if h.version < *before {
             out.push(format!("{} stepped back", w.procs[h.edge].name));
         }
-        *before = (*before).max(h.serial);
+        *before = (*before).max(h.version);
     }
 }
 
@@ -86,7 +86,7 @@
 }
 
 /// Five seconds after a yes an emptied zone gets nothing, until taken back.
-fn emptied(w: &World, out: &mut Vec<String>) {
+fn evacuated(w: &World, out: &mut Vec<String>) {
     let yes = yeses(w);
     let mut spans: Vec<(u16, Millis, Millis)> = Vec::new();
     for (t, s, z) in &yes {
@@ -105,7 +105,7 @@
             .map(|c| c.start)
             .min();
         let until = until.into_iter().chain(unknown).min();
-        spans.push((*zone, t + EMPTIED_MS, until.unwrap_or(Millis::MAX)));
+        spans.push((*zone, t + EVACUATED_MS, until.unwrap_or(Millis::MAX)));
     }
     for h in &w.handed {
         for (zone, from, until) in &spans {
@@ -130,12 +130,12 @@
 fn races(w: &World, out: &mut Vec<String>) {
     let mut won: BTreeMap<u64, u64> = BTreeMap::new();
     for c in &w.changes {
-        if let Some(OpOutcome::Got(Outcome::Taken { serial })) = &c.outcome {
-            if *serial != c.base + 1 {
-                out.push(format!("a change on {} was taken as {serial}", c.base));
+        if let Some(OpOutcome::Got(Outcome::Taken { version })) = &c.outcome {
+            if *version != c.base + 1 {
+                out.push(format!("a change on {} was taken as {version}", c.base));
             }
-            if *won.entry(*serial).or_insert(c.rid) != c.rid {
-                out.push(format!("two changes were taken as {serial}"));
+            if *won.entry(*version).or_insert(c.request_id) != c.request_id {
+                out.push(format!("two changes were taken as {version}"));
             }
         }
     }
@@ -152,9 +152,9 @@
                     .and_then(|h| h.consensus.as_ref())
                     .map(|a| (p, a))
             })
-            .filter(|(_, a)| a.machine().serial() < top)
+            .filter(|(_, a)| a.machine().version() < top)
             .map(|(p, a)| {
-                let s = a.machine().serial();
+                let s = a.machine().version();
                 format!("{} is at {s}, {top} was acked", self.procs[p].name)
             })
             .collect()
--- a/rig/src/site/clocks.rs
+++ b/testbed/src/site/clocks.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use sorreldoor::consensus::Millis;
-use sorreldoor::seam::Now;
+use sorreldoor::runtime::Now;
 
 impl World {
     /// Stop a process for a while; with `still`, its clock stands as well.
@@ -11,14 +11,14 @@
         q.frozen_until = q.frozen_until.max(self.now + ms);
         let at = q.frozen_until;
         if still {
-            q.mono -= ms as i64;
+            q.monotonic_ms -= ms as i64;
         }
         self.at(at, move |w| w.wake(p));
     }
 
-    pub(super) fn mono(&self, p: usize) -> Millis {
+    pub(super) fn monotonic_ms(&self, p: usize) -> Millis {
         // far from zero, so that a clock set back never goes below it
-        (1_000_000 + self.now as i64 + self.procs[p].mono).max(0) as Millis
+        (1_000_000 + self.now as i64 + self.procs[p].monotonic_ms).max(0) as Millis
     }
 
     pub(super) fn wall(&self, p: usize) -> i64 {
@@ -27,7 +27,7 @@
 
     pub(super) fn clocks(&self, p: usize) -> Now {
         Now {
-            mono: self.mono(p),
+            monotonic_ms: self.monotonic_ms(p),
             wall: self.wall(p),
         }
     }
--- a/rig/src/site/docs.rs
+++ b/testbed/src/site/docs.rs
@@ -4,7 +4,7 @@
 use super::World;
 use crate::rand::Rand;
 use sorreldoor::consensus::Millis;
-use sorreldoor::record::Cmd;
+use sorreldoor::replicated_state::Command;
 
 /// Kinds, streaming and cutoffs stay, for the workers here know no others.
 const ROUTES: [(&str, &str, bool, u64); 4] = [
@@ -144,7 +144,9 @@
 
     fn any_doc_change(&mut self) {
         let p = self.rng.below(self.procs.len() as u64) as usize;
-        let Some(top) = self.serial_at(p) else { return };
+        let Some(top) = self.version_at(p) else {
+            return;
+        };
         // some build on what is long gone, or on what does not exist yet
         let base = match self.rng.below(10) {
             0 => top.saturating_sub(1),
@@ -157,20 +159,20 @@
         let cmd = match self.rng.below(10) {
             0 | 1 => {
                 let doc = spoilt(&mut self.rng, &doc);
-                Cmd::Put {
+                Command::Put {
                     base,
                     to: None,
                     doc,
                 }
             }
-            2..=5 => Cmd::Put {
+            2..=5 => Command::Put {
                 base,
                 to: None,
                 doc,
             },
             _ => {
                 let patch = any_patch(&mut self.rng, mark);
-                Cmd::Edit { base, patch }
+                Command::Edit { base, patch }
             }
         };
         let rival = self.rng.chance(25);
@@ -180,7 +182,7 @@
             let doc = any_doc(&mut self.rng, &regions, mark);
             self.change(
                 q,
-                Cmd::Put {
+                Command::Put {
                     base,
                     to: None,
                     doc,
--- a/rig/src/site/faults.rs
+++ b/testbed/src/site/faults.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use sorreldoor::consensus::Millis;
-use sorreldoor::record::Cmd;
+use sorreldoor::replicated_state::Command;
 
 /// Which faults a storm may strike with.
 #[derive(Clone, Copy, Debug)]
@@ -141,16 +141,16 @@
     /// An operator empties a zone or takes it back, on what it last saw.
     pub fn any_change(&mut self) {
         let p = self.rng.below(self.procs.len() as u64) as usize;
-        let serial = self.serial_at(p);
+        let version = self.version_at(p);
         let zone = self.rng.below(self.site.zones.len() as u64) as u16;
-        let emptied = self.rng.chance(40);
-        if let Some(base) = serial {
+        let evacuated = self.rng.chance(40);
+        if let Some(base) = version {
             self.change(
                 p,
-                Cmd::Zone {
+                Command::Zone {
                     base,
                     zone,
-                    emptied,
+                    evacuated,
                 },
             );
         }
--- a/rig/src/site/history.rs
+++ b/testbed/src/site/history.rs
@@ -5,7 +5,7 @@
 use super::{Handed, World};
 use simd_json::prelude::*;
 use sorreldoor::json::{self, Val};
-use sorreldoor::record::{Cmd, Outcome};
+use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -38,11 +38,11 @@
     out
 }
 
-fn after(cmd: &Cmd, of: &Option<Rc<Val>>) -> Option<Rc<Val>> {
+fn after(cmd: &Command, of: &Option<Rc<Val>>) -> Option<Rc<Val>> {
     let parse = |t: &str| json::parse(t.as_bytes(), usize::MAX).ok();
     match cmd {
-        Cmd::Put { doc, .. } => parse(doc).map(Rc::new),
-        Cmd::Edit { patch, .. } => of
+        Command::Put { doc, .. } => parse(doc).map(Rc::new),
+        Command::Edit { patch, .. } => of
             .as_ref()
             .zip(parse(patch))
             .map(|(o, p)| Rc::new(patched(o, &p))),
@@ -55,14 +55,14 @@
         let mut may: BTreeMap<u64, Vec<Rc<Val>>> = BTreeMap::new();
         let top = w.changes.iter().map(|c| c.base + 1).max().unwrap_or(0);
         for s in 1..=top {
-            let taken = OpOutcome::Got(Outcome::Taken { serial: s });
-            let sure: Vec<&Cmd> = w
+            let taken = OpOutcome::Got(Outcome::Taken { version: s });
+            let sure: Vec<&Command> = w
                 .changes
                 .iter()
                 .filter(|c| c.outcome.as_ref() == Some(&taken))
                 .map(|c| &c.cmd)
                 .collect();
-            let maybe: Vec<&Cmd> = w
+            let maybe: Vec<&Command> = w
                 .changes
                 .iter()
                 .filter(|c| c.base + 1 == s)
@@ -106,10 +106,10 @@
     }
 
     /// Whether that document is one that its serial may stand for.
-    pub fn known(&self, serial: u64, doc: &std::sync::Arc<String>) -> bool {
+    pub fn known(&self, version: u64, doc: &std::sync::Arc<String>) -> bool {
         let d = self.text(doc);
         self.may
-            .get(&serial)
+            .get(&version)
             .is_some_and(|all| all.iter().any(|o| **o == *d))
     }
 }
@@ -163,10 +163,10 @@
     let all = History::of(w);
     for h in &w.handed {
         let (e, k) = (&w.procs[h.edge].name, &w.workers[h.worker]);
-        if !all.known(h.serial, &h.doc) {
+        if !all.known(h.version, &h.doc) {
             out.push(format!(
                 "{e} acted at {} on a setup nobody got a yes for, as {}",
-                h.at, h.serial
+                h.at, h.version
             ));
         }
         let c = &w.callers[&h.caller];
--- a/rig/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -26,10 +26,10 @@
 
 use crate::fleet::Shape;
 use crate::rand::Rand;
+use sorreldoor::configuration::Site;
 use sorreldoor::consensus::Millis;
+use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::pacing::Pacing;
-use sorreldoor::registry::WorkerRegistry;
-use sorreldoor::setup::Site;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -38,13 +38,13 @@
 /// One operator's change, as its asker saw it.
 #[derive(Clone, Debug)]
 pub struct Change {
-    pub rid: u64,
+    pub request_id: u64,
     pub proc: usize,
     pub start: Millis,
     pub end: Millis,
     pub base: u64,
     pub zone: Option<(u16, bool)>,
-    pub cmd: sorreldoor::record::Cmd,
+    pub cmd: sorreldoor::replicated_state::Command,
     pub outcome: Option<sorreldoor::wire::OpOutcome>,
 }
 
@@ -54,7 +54,7 @@
     pub at: Millis,
     /// It was proved current after it was asked for.
     pub ok: bool,
-    pub serial: u64,
+    pub version: u64,
 }
 
 /// A hand-over to a worker as it left an edge.
@@ -63,7 +63,7 @@
     pub at: Millis,
     pub edge: usize,
     pub worker: usize,
-    pub serial: u64,
+    pub version: u64,
     pub id: String,
     pub caller: u64,
     /// What the platform tagged the worker with, and the setup acted on.
@@ -110,10 +110,10 @@
     pub bodies: Vec<Body>,
     /// What was seen at once to be wrong.
     pub wrong: Vec<String>,
-    pub says: Vec<(Millis, String, sorreldoor::events::Ev, String)>,
+    pub says: Vec<(Millis, String, sorreldoor::log_events::LogEvent, String)>,
     pub ack_ms: Millis,
     /// How long edges serve on one renewal; longer only to break a rule.
-    pub permit_ms: Millis,
+    pub lease_ms: Millis,
     pub most_claims: usize,
     /// Settings of every node of the site.
     pub pacing: Pacing,
@@ -178,7 +178,7 @@
             wrong: Vec::new(),
             says: Vec::new(),
             ack_ms: 2000,
-            permit_ms: 2000,
+            lease_ms: 2000,
             most_claims: 200_000,
             pacing: Pacing::default(),
             grow: false,
@@ -236,13 +236,13 @@
     }
 
     /// A core has answered a read.
-    pub(crate) fn note_read(&mut self, core: usize, rid: u64, ok: bool) {
+    pub(crate) fn note_read(&mut self, core: usize, request_id: u64, ok: bool) {
         let read = Read {
             at: self.now,
             ok,
-            serial: self.serial_at(core).unwrap_or(0),
+            version: self.version_at(core).unwrap_or(0),
         };
-        self.reads.insert(rid, read);
+        self.reads.insert(request_id, read);
     }
 
     pub fn number(&mut self) -> u64 {
@@ -281,7 +281,7 @@
 
     /// Found the site, adopt a setup, and wait until every edge serves.
     pub fn ready(seed: u64, shape: Shape) -> World {
-        let doc = crate::fleet::setup(&shape);
+        let doc = crate::fleet::configuration(&shape);
         World::ready_with(seed, shape, &doc)
     }
 
@@ -302,7 +302,7 @@
         let founded = w.run_until(end, all);
         assert!(founded, "seed {seed}: the site is founded");
         let base = 0;
-        let cmd = sorreldoor::record::Cmd::Put {
+        let cmd = sorreldoor::replicated_state::Command::Put {
             base,
             to: None,
             doc: doc.to_string(),
--- a/rig/src/site/net.rs
+++ b/testbed/src/site/net.rs
@@ -53,7 +53,7 @@
     /// Keep trying to connect for as long as the process wants the address.
     pub(crate) fn dial(&mut self, p: usize, boot: u64, addr: SocketAddr, wish: u64) {
         let me = &self.procs[p];
-        if !me.up || me.boot != boot || me.dials.get(&addr) != Some(&wish) {
+        if !me.up || me.boot != boot || me.peer_addresses.get(&addr) != Some(&wish) {
             return;
         }
         let to = self.procs.iter().position(|q| q.addr == Some(addr) && q.up);
@@ -69,7 +69,7 @@
     fn connect(&mut self, me: (usize, u64), t: usize, addr: SocketAddr, wish: u64) {
         let (p, boot) = me;
         let ok = self.procs[p].up && self.procs[p].boot == boot && self.procs[t].up;
-        if !ok || self.procs[p].dials.get(&addr) != Some(&wish) {
+        if !ok || self.procs[p].peer_addresses.get(&addr) != Some(&wish) {
             return;
         }
         let conn = self.number();
--- a/rig/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -5,9 +5,9 @@
 use super::linearizable::{Answer, Call, Operation};
 use super::World;
 use sorreldoor::consensus::{Millis, ProposalId};
-use sorreldoor::core::ControllerEvent;
-use sorreldoor::edge::EdgeEvent;
-use sorreldoor::record::{Cmd, Outcome};
+use sorreldoor::control_plane::ControllerEvent;
+use sorreldoor::gateway::EdgeEvent;
+use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
 
 /// How many orders operators have under way at once.
@@ -28,7 +28,7 @@
     version: u64,
     /// Text that only this order's document holds.
     mark: String,
-    cmd: Cmd,
+    cmd: Command,
     since: Millis,
     /// The operator has a clear answer, or has given up.
     done: bool,
@@ -36,7 +36,7 @@
 
 /// One sending of an order to one node.
 struct Sending {
-    rid: u64,
+    request_id: u64,
     order: usize,
     process: usize,
     start: Millis,
@@ -46,7 +46,7 @@
 
 /// One reading of the configuration at a core.
 struct Reading {
-    rid: u64,
+    request_id: u64,
     start: Millis,
     shown: Option<(Millis, u64, ProposalId)>,
 }
@@ -100,7 +100,7 @@
     fn operation(&self, s: &Sending) -> Operation {
         let order = &self.all[s.order];
         let clear = s.answer.as_ref().and_then(|(at, o)| match o {
-            OpOutcome::Got(Outcome::Taken { serial }) => Some((*at, Answer::Taken(*serial))),
+            OpOutcome::Got(Outcome::Taken { version }) => Some((*at, Answer::Taken(*version))),
             OpOutcome::Got(Outcome::Stale { .. } | Outcome::Bad { .. }) => {
                 Some((*at, Answer::Refused))
             }
@@ -162,14 +162,14 @@
     fn order(&mut self, base: u64, version: u64) {
         let number = self.number();
         let mark = format!("\"order-{number}\"");
-        let doc = crate::fleet::setup(&self.shape).replace("\"pages\"", &mark);
+        let doc = crate::fleet::configuration(&self.shape).replace("\"pages\"", &mark);
         let to = Some(version);
         self.orders.all.push(Order {
             id: ProposalId::from(number) + (1 << 81),
             base,
             version,
             mark,
-            cmd: Cmd::Put { base, to, doc },
+            cmd: Command::Put { base, to, doc },
             since: self.now,
             done: false,
         });
@@ -179,10 +179,10 @@
 
     /// Sends an order once more, to any node.
     fn send_order(&mut self, order: usize, tries: u64) {
-        let rid = self.number();
+        let request_id = self.number();
         let process = self.any_target();
         self.orders.sendings.push(Sending {
-            rid,
+            request_id,
             order,
             process,
             start: self.now,
@@ -206,15 +206,29 @@
 
     fn order_arrives(&mut self, sending: usize) {
         let s = &self.orders.sendings[sending];
-        let (rid, p) = (s.rid, s.process);
+        let (request_id, p) = (s.request_id, s.process);
         let order = &self.orders.all[s.order];
-        let (pid, cmd) = (order.id, order.cmd.clone());
+        let (proposal_id, cmd) = (order.id, order.cmd.clone());
         let (boot, core) = (self.procs[p].boot, self.procs[p].core);
         self.reach_proc(p, boot, move |w| {
             if core {
-                w.core_step(p, ControllerEvent::Change { rid, pid, cmd });
+                w.core_step(
+                    p,
+                    ControllerEvent::Change {
+                        request_id,
+                        proposal_id,
+                        cmd,
+                    },
+                );
             } else {
-                w.hall_step(p, EdgeEvent::Change { rid, pid, cmd });
+                w.hall_step(
+                    p,
+                    EdgeEvent::Change {
+                        request_id,
+                        proposal_id,
+                        cmd,
+                    },
+                );
             }
         });
     }
@@ -236,10 +250,10 @@
     }
 
     /// A node answers a sending.
-    pub(crate) fn order_answered(&mut self, rid: u64, outcome: &OpOutcome) {
+    pub(crate) fn order_answered(&mut self, request_id: u64, outcome: &OpOutcome) {
         let now = self.now;
         let mut open = self.orders.sendings.iter().rev();
-        let Some(back) = open.position(|s| s.rid == rid && s.answer.is_none()) else {
+        let Some(back) = open.position(|s| s.request_id == request_id && s.answer.is_none()) else {
             return;
         };
         let sending = self.orders.sendings.len() - 1 - back;
@@ -279,14 +293,14 @@
         let s = &mut self.orders.sendings[sending];
         let order = s.order;
         match outcome {
-            Outcome::Taken { serial } => {
-                self.orders.known = self.orders.known.max(serial);
+            Outcome::Taken { version } => {
+                self.orders.known = self.orders.known.max(version);
                 if self.rng.chance(self.trouble.repeated) {
                     let later = self.rng.below(8000);
                     self.after(later, move |w| w.send_order(order, 0));
                 }
             }
-            Outcome::Stale { serial } => self.orders.known = self.orders.known.max(serial),
+            Outcome::Stale { version } => self.orders.known = self.orders.known.max(version),
             Outcome::Bad { .. } => {}
             _ => return,
         }
@@ -295,20 +309,24 @@
     }
 
     fn read_somewhere(&mut self) {
-        let rid = self.number();
+        let request_id = self.number();
         let cores = self.cores();
         let p = cores[self.rng.below(cores.len() as u64) as usize];
         let start = self.now;
         let shown = None;
-        self.orders.readings.push(Reading { rid, start, shown });
+        self.orders.readings.push(Reading {
+            request_id,
+            start,
+            shown,
+        });
         let boot = self.procs[p].boot;
         self.reach_proc(p, boot, move |w| {
-            w.core_step(p, ControllerEvent::View { rid })
+            w.core_step(p, ControllerEvent::View { request_id })
         });
     }
 
     /// A core shows its record, proved current if `ok`.
-    pub(crate) fn viewed(&mut self, p: usize, rid: u64, ok: bool) {
+    pub(crate) fn viewed(&mut self, p: usize, request_id: u64, ok: bool) {
         let record = self.controller(p).and_then(|c| c.consensus.as_ref());
         let Some(record) = record.map(|a| a.machine()).filter(|_| ok) else {
             return;
@@ -317,8 +335,13 @@
         let doc = view.doc.unwrap_or_default();
         let mut orders = self.orders.all.iter();
         let content = orders.find(|o| doc.contains(&o.mark));
-        let shown = (self.now, view.serial, content.map_or(FIRST.1, |o| o.id));
-        if let Some(r) = self.orders.readings.iter_mut().find(|r| r.rid == rid) {
+        let shown = (self.now, view.version, content.map_or(FIRST.1, |o| o.id));
+        if let Some(r) = self
+            .orders
+            .readings
+            .iter_mut()
+            .find(|r| r.request_id == request_id)
+        {
             r.shown.get_or_insert(shown);
         }
     }
--- a/rig/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -3,13 +3,13 @@
 use super::World;
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Millis, Save};
-use sorreldoor::core::membership::Policy;
-use sorreldoor::core::{Controller, ControllerEffect, ControllerEvent, Start};
-use sorreldoor::edge::{EdgeController, EdgeEffect, EdgeEvent};
-use sorreldoor::errand::Plan;
+use sorreldoor::control_plane::membership::Policy;
+use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent, Start};
+use sorreldoor::gateway::request_table::Plan;
+use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::NetEvent;
-use sorreldoor::pull::Pull;
-use sorreldoor::seam::Reducer;
+use sorreldoor::runtime::Reducer;
+use sorreldoor::subscription::Pull;
 use sorreldoor::wire::Hello;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
@@ -35,10 +35,10 @@
     /// What came while it was frozen, in order.
     pub(crate) inbox: VecDeque<(u64, super::Act)>,
     /// How far this process' clocks are from true time.
-    pub mono: i64,
+    pub monotonic_ms: i64,
     pub wall: i64,
     /// Where it wants lines to, each under the number of its wish.
-    pub dials: BTreeMap<SocketAddr, u64>,
+    pub peer_addresses: BTreeMap<SocketAddr, u64>,
     pub disk: Disk,
     pub promise: Option<Vec<Member>>,
     pub sure: bool,
@@ -89,9 +89,9 @@
             role: Role::Down,
             frozen_until: 0,
             inbox: VecDeque::new(),
-            mono: 0,
+            monotonic_ms: 0,
             wall: 0,
-            dials: BTreeMap::new(),
+            peer_addresses: BTreeMap::new(),
             disk: Disk::default(),
             promise: None,
             sure: false,
@@ -129,10 +129,10 @@
     pub fn start(&mut self, p: usize) {
         let seeds = self.seeds();
         let seed = self.rng.draw();
-        let now = self.mono(p);
+        let now = self.monotonic_ms(p);
         let wall = self.wall(p);
         let boot = self.rng.draw();
-        let (ack, permit, site) = (self.ack_ms, self.permit_ms, self.site.clone());
+        let (ack, lease, site) = (self.ack_ms, self.lease_ms, self.site.clone());
         let most = self.most_claims;
         let (grow, replace_ms) = (self.grow, self.replace_ms);
         let mut timing = self.pacing.timing(ack);
@@ -142,7 +142,7 @@
         let q = &mut self.procs[p];
         q.up = true;
         q.boot += 1;
-        q.dials.clear();
+        q.peer_addresses.clear();
         q.acted = 0;
         let me = Hello {
             id: q.id,
@@ -178,7 +178,7 @@
             q.role = Role::Core(Box::new(Controller::new(s, kept, now)));
         } else {
             let plan = Plan::new(site, q.name.clone(), q.zone, q.region);
-            let pull = Pull::new(&seeds, permit, now, wall)
+            let pull = Pull::new(&seeds, lease, now, wall)
                 .named(&q.name)
                 .paced(&pacing);
             q.role = Role::Edge(Box::new(EdgeController::new(me, plan, pull)));
@@ -204,9 +204,9 @@
             return;
         }
         if self.procs[p].core {
-            self.core_step(p, ControllerEvent::Alarm);
+            self.core_step(p, ControllerEvent::Tick);
         } else {
-            self.hall_step(p, EdgeEvent::Alarm);
+            self.hall_step(p, EdgeEvent::Tick);
         }
     }
 
@@ -272,29 +272,31 @@
         match f {
             ControllerEffect::Save(seq, save) => {
                 if matches!(save, Save::Noted(_) | Save::Forgot(_)) {
-                    self.claims_cost.2 += sorreldoor::record::encode(&save).len() as u64;
+                    self.claims_cost.2 += sorreldoor::replicated_state::encode(&save).len() as u64;
                 }
                 let now = self.now;
                 let at = self.procs[p].disk.queue(seq, save, now);
                 self.at(at, move |w| w.synced(p, boot, seq));
             }
             ControllerEffect::Keep("sure", _) => self.procs[p].sure = true,
-            ControllerEffect::Keep(_, b) => self.procs[p].promise = sorreldoor::record::decode(&b),
+            ControllerEffect::Keep(_, b) => {
+                self.procs[p].promise = sorreldoor::replicated_state::decode(&b)
+            }
             ControllerEffect::Send(c, m) => self.send(p, c, m),
-            ControllerEffect::Dial(a) => self.want(p, a),
-            ControllerEffect::Undial(a) => self.undial(p, a),
+            ControllerEffect::Connect(a) => self.want(p, a),
+            ControllerEffect::Disconnect(a) => self.undial(p, a),
             ControllerEffect::Close(c) => self.close(c),
-            ControllerEffect::Done(rid, o) => self.changed(rid, o),
-            ControllerEffect::Viewed(rid, ok) => {
-                self.note_read(p, rid, ok);
-                self.viewed(p, rid, ok);
+            ControllerEffect::Done(request_id, o) => self.changed(request_id, o),
+            ControllerEffect::Viewed(request_id, ok) => {
+                self.note_read(p, request_id, ok);
+                self.viewed(p, request_id, ok);
             }
             ControllerEffect::Looked(..) => {}
             ControllerEffect::AskRegistry => {
                 self.polls += 1;
-                let serial = 0;
+                let version = 0;
                 let workers = self.registry.workers.clone();
-                let r = sorreldoor::registry::WorkerRegistry { serial, workers };
+                let r = sorreldoor::discovery::WorkerRegistry { version, workers };
                 self.after(20, move |w| {
                     w.reach_proc(p, boot, move |w| {
                         w.core_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
@@ -334,14 +336,14 @@
 
     fn want(&mut self, p: usize, a: SocketAddr) {
         let (wish, boot) = (self.number(), self.procs[p].boot);
-        if let Entry::Vacant(e) = self.procs[p].dials.entry(a) {
+        if let Entry::Vacant(e) = self.procs[p].peer_addresses.entry(a) {
             e.insert(wish);
             self.dial(p, boot, a, wish);
         }
     }
 
     fn undial(&mut self, p: usize, a: SocketAddr) {
-        self.procs[p].dials.remove(&a);
+        self.procs[p].peer_addresses.remove(&a);
         let mine: Vec<u64> = self
             .conns
             .iter()
@@ -362,12 +364,12 @@
         for f in fx {
             match f {
                 EdgeEffect::Send(c, m) => self.send(p, c, m),
-                EdgeEffect::Dial(a) => self.want(p, a),
-                EdgeEffect::Undial(a) => self.undial(p, a),
-                EdgeEffect::Done(rid, o) => self.changed(rid, o),
+                EdgeEffect::Connect(a) => self.want(p, a),
+                EdgeEffect::Disconnect(a) => self.undial(p, a),
+                EdgeEffect::Done(request_id, o) => self.changed(request_id, o),
                 EdgeEffect::Errand(f) => self.errand_fx(p, f),
-                EdgeEffect::Come(rid, shape) => self.come(p, rid, shape),
-                EdgeEffect::Where(rid, r) => self.whither(rid, r),
+                EdgeEffect::Come(request_id, shape) => self.come(p, request_id, shape),
+                EdgeEffect::Where(request_id, r) => self.whither(request_id, r),
                 EdgeEffect::Looked(..) | EdgeEffect::Status(..) => {}
                 EdgeEffect::Say(ev, s) => {
                     let name = self.procs[p].name.clone();
--- a/rig/src/site/runs.rs
+++ b/testbed/src/site/runs.rs
@@ -2,7 +2,7 @@
 
 use super::workers::Visit;
 use super::World;
-use sorreldoor::errand::Told;
+use sorreldoor::gateway::request_table::Told;
 
 impl World {
     pub(super) fn begin(&mut self, w: usize) {
--- a/rig/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -3,9 +3,9 @@
 
 use super::World;
 use sorreldoor::consensus::Millis;
-use sorreldoor::errand::{ErrandFx, Told};
-use sorreldoor::problem::Problem;
-use sorreldoor::registry::{Load, Worker};
+use sorreldoor::discovery::{Load, Worker};
+use sorreldoor::error::ErrorCode;
+use sorreldoor::gateway::request_table::{RequestEffect, Told};
 use std::collections::VecDeque;
 
 /// One errand's visit at a worker.
@@ -13,7 +13,7 @@
 pub struct Visit {
     pub edge: usize,
     pub boot: u64,
-    pub rid: u64,
+    pub request_id: u64,
     pub token: u64,
     pub caller: u64,
     pub id: String,
@@ -24,7 +24,7 @@
 pub struct Try {
     pub worker: usize,
     pub life: u64,
-    pub rid: u64,
+    pub request_id: u64,
     /// The worker's whole result is here, of this caller's errand.
     pub brought: Option<u64>,
 }
@@ -84,7 +84,7 @@
                 slots: 0,
                 cold_ms: 0,
                 leaves_ms: None,
-                version: String::new(),
+                software_version: String::new(),
             });
             self.workers.push(Wk {
                 name,
@@ -110,7 +110,7 @@
                 gap: 15,
             });
         }
-        self.registry.serial = 1;
+        self.registry.version = 1;
     }
 
     pub fn worker(&self, name: &str) -> usize {
@@ -134,7 +134,7 @@
             .iter_mut()
             .filter(|r| r.name == name)
             .for_each(|r| r.leaving = true);
-        self.registry.serial += 1;
+        self.registry.version += 1;
         let now = self.now;
         self.left_at.insert(w, now);
     }
@@ -145,7 +145,7 @@
         k.life += 1;
         let lost: Vec<Visit> = k.running.drain(..).chain(k.waiting.drain(..)).collect();
         for v in lost {
-            self.tell_edge(w, v, Told::Broke(Problem::WorkerBroke));
+            self.tell_edge(w, v, Told::Broke(ErrorCode::WorkerBroke));
         }
     }
 
@@ -193,39 +193,51 @@
                     t.brought = Some(v.caller);
                 }
             }
-            let (rid, token) = (v.rid, v.token);
+            let (request_id, token) = (v.request_id, v.token);
             // the edge's task itself shows a break to the reader
             if matches!(told, Told::Broke(_)) && w.procs[p].tries.contains_key(&token) {
-                w.broken_off(p, rid);
+                w.broken_off(p, request_id);
             }
-            w.hall_step(p, sorreldoor::edge::EdgeEvent::Told { rid, token, told });
+            w.hall_step(
+                p,
+                sorreldoor::gateway::EdgeEvent::Told {
+                    request_id,
+                    token,
+                    told,
+                },
+            );
         });
     }
 
-    pub(crate) fn errand_fx(&mut self, p: usize, f: ErrandFx) {
+    pub(crate) fn errand_fx(&mut self, p: usize, f: RequestEffect) {
         match f {
-            ErrandFx::Open {
-                rid, token, addr, ..
-            } => self.open(p, rid, token, addr.port()),
-            ErrandFx::Go { rid, token, .. } => self.go(p, rid, token),
-            ErrandFx::Drop { token, .. } => self.drop_try(p, token),
-            ErrandFx::Shed {
-                rid,
-                problem,
+            RequestEffect::Open {
+                request_id,
+                token,
+                addr,
+                ..
+            } => self.open(p, request_id, token, addr.port()),
+            RequestEffect::Go {
+                request_id, token, ..
+            } => self.go(p, request_id, token),
+            RequestEffect::Drop { token, .. } => self.drop_try(p, token),
+            RequestEffect::Shed {
+                request_id,
+                error_code,
                 again_s,
-            } => self.shed(rid, problem, again_s),
-            ErrandFx::Give { rid, token } => self.give(p, rid, token),
-            ErrandFx::Elsewhere { rid, addr } => self.elsewhere(rid, addr),
-            ErrandFx::Unknown { .. }
-            | ErrandFx::Bad { .. }
-            | ErrandFx::Claim { .. }
-            | ErrandFx::Release { .. } => {}
+            } => self.shed(request_id, error_code, again_s),
+            RequestEffect::Give { request_id, token } => self.give(p, request_id, token),
+            RequestEffect::Elsewhere { request_id, addr } => self.elsewhere(request_id, addr),
+            RequestEffect::Unknown { .. }
+            | RequestEffect::Bad { .. }
+            | RequestEffect::Claim { .. }
+            | RequestEffect::Release { .. } => {}
         }
     }
 
-    fn open(&mut self, p: usize, rid: u64, token: u64, port: u16) {
+    fn open(&mut self, p: usize, request_id: u64, token: u64, port: u16) {
         let w = (port - 9000) as usize;
-        let Some(caller) = self.caller_of(p, rid) else {
+        let Some(caller) = self.caller_of(p, request_id) else {
             return;
         };
         self.opened.push((self.now, caller));
@@ -235,14 +247,14 @@
         let t = Try {
             worker: w,
             life,
-            rid,
+            request_id,
             brought: None,
         };
         self.procs[p].tries.insert(token, t);
         let v = Visit {
             edge: p,
             boot,
-            rid,
+            request_id,
             token,
             caller,
             id,
@@ -258,22 +270,22 @@
         self.after(wait, move |w| w.told(v, told));
     }
 
-    fn go(&mut self, p: usize, rid: u64, token: u64) {
+    fn go(&mut self, p: usize, request_id: u64, token: u64) {
         let Some(t) = self.procs[p].tries.get(&token).cloned() else {
             return;
         };
-        let Some(caller) = self.caller_of(p, rid) else {
+        let Some(caller) = self.caller_of(p, request_id) else {
             return;
         };
         let id = self.callers[&caller].id.clone();
-        let serial = self
+        let version = self
             .edge_controller(p)
-            .map_or(0, |h| h.plan.shown.view.serial);
+            .map_or(0, |h| h.plan.shown.view.version);
         self.handed.push(super::Handed {
             at: self.now,
             edge: p,
             worker: t.worker,
-            serial,
+            version,
             id: id.clone(),
             caller,
             group: self.registered_group(t.worker),
@@ -283,7 +295,7 @@
         let v = Visit {
             edge: p,
             boot,
-            rid,
+            request_id,
             token,
             caller,
             id,
@@ -301,7 +313,7 @@
         }
         let gone = !self.procs[v.edge].tries.contains_key(&v.token);
         if !self.workers[w].up || self.workers[w].life != life {
-            return self.tell_edge(w, v, Told::Broke(Problem::WorkerBroke));
+            return self.tell_edge(w, v, Told::Broke(ErrorCode::WorkerBroke));
         }
         // a caller that hung up before leaves a closed connection here
         if gone && self.rng.chance(50) {
@@ -333,7 +345,7 @@
             k.running.retain(|r| !(r.token == token && r.edge == p));
             world.begin(w);
         });
-        self.broken_off(p, t.rid);
+        self.broken_off(p, t.request_id);
     }
 
     pub(crate) fn drop_all(&mut self, p: usize) {
--- a/rig/src/stand.rs
+++ b/testbed/src/stand.rs
@@ -289,7 +289,7 @@
     let _ = v.insert("worker", w.make.name.as_str());
     let _ = v.insert(
         "echo",
-        sorreldoor::place::mix("", &String::from_utf8_lossy(&body)),
+        sorreldoor::placement::mix("", &String::from_utf8_lossy(&body)),
     );
     let text = if fault == Fault::Garbage {
         "}{".to_string()
--- a/rig/src/tricks.rs
+++ b/testbed/src/tricks.rs
@@ -5,7 +5,7 @@
 use simd_json::prelude::*;
 use sorreldoor::consensus::Save;
 use sorreldoor::json::{self, Val};
-use sorreldoor::seam::{Clock, Machine, Now};
+use sorreldoor::runtime::{Clock, Now, SystemClock};
 use sorreldoor::settings::{Over, Role, Settings};
 use sorreldoor::store::Store;
 use std::io;
@@ -52,7 +52,7 @@
     }
 }
 
-struct TrickClock(Machine, Tricks);
+struct TrickClock(SystemClock, Tricks);
 
 impl Clock for TrickClock {
     fn now(&self) -> Now {
@@ -96,7 +96,7 @@
 /// Run one node; what it ends with.
 pub fn node(role: &str, settings: &Path, tricks: &Path) -> Result<(), String> {
     let t = Tricks::new(tricks);
-    let clock = TrickClock(Machine::default(), t.clone());
+    let clock = TrickClock(SystemClock::default(), t.clone());
     let role = if role == "core" {
         Role::Core
     } else {
@@ -104,7 +104,7 @@
     };
     let set = Settings::load(settings, &Over::default(), role).map_err(|f| f.join("; "))?;
     match role {
-        Role::Core => sorreldoor::core::run_by(set, clock, |s| TrickStore(s, t)),
-        Role::Edge => sorreldoor::edge::run_with(set, clock),
+        Role::Core => sorreldoor::control_plane::run_by(set, clock, |s| TrickStore(s, t)),
+        Role::Edge => sorreldoor::gateway::run_with(set, clock),
     }
 }
--- a/rig/tests/catch_up/bounds.rs
+++ b/testbed/tests/catch_up/bounds.rs
@@ -24,7 +24,7 @@
     let mut took = None;
     while took.is_none() && s.now < began + 10_000 {
         // whether they are taken or not, the log grows by them
-        let base = s.top_serial();
+        let base = s.highest_version();
         s.change(leader, base);
         s.run_for(CHANGE_EVERY);
         took = (applied(&s, away) + 3 >= applied(&s, leader)).then_some(s.now - began);
@@ -56,7 +56,7 @@
     let old = s.settle();
     s.isolate(old);
     for _ in 0..60 {
-        let base = s.top_serial();
+        let base = s.highest_version();
         s.change(old, base);
     }
     s.run_for(3000);
@@ -89,7 +89,7 @@
     let mut most = 0;
     for round in 1..=10 {
         for _ in 0..500 {
-            let base = s.top_serial();
+            let base = s.highest_version();
             let p = s.change(leader, base);
             let end = s.now + 1000;
             s.run_until(end, |s| s.op(p).done != Done::Open);
@@ -147,12 +147,12 @@
         s.twice = seed % 5;
         s.jitter = 1 + seed % 40;
         let at = s.rng.below(shape.len() as u64) as usize;
-        let base = s.top_serial();
+        let base = s.highest_version();
         let doc = configuration(400 + 100 * mark, mark);
         s.order(
             at,
             base,
-            &Cmd::Put {
+            &Command::Put {
                 base,
                 to: None,
                 doc,
--- a/rig/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -3,12 +3,12 @@
 
 mod bounds;
 
-use rig::sim::{check, same, storm, Bandwidth, Done, Sim};
 use sorreldoor::consensus::{
     Broken, Consensus, Event, Member, Millis, Note, RegionId, Timing, CHUNK_BYTES, WINDOW_BYTES,
 };
 use sorreldoor::pacing::Pacing;
-use sorreldoor::record::Cmd;
+use sorreldoor::replicated_state::Command;
+use testbed::sim::{check, same, storm, Bandwidth, Done, Sim};
 
 /// Between two changes of the configuration.
 const CHANGE_EVERY: Millis = 100;
@@ -51,12 +51,12 @@
 }
 
 fn put(s: &mut Sim, at: usize, routes: usize, mark: usize) {
-    let base = s.top_serial();
+    let base = s.highest_version();
     let doc = configuration(routes, mark);
     let p = s.order(
         at,
         base,
-        &Cmd::Put {
+        &Command::Put {
             base,
             to: None,
             doc,
@@ -70,7 +70,7 @@
 /// Changes one after the other; each must be acknowledged.
 fn changes(s: &mut Sim, at: usize, count: usize) {
     for _ in 0..count {
-        let base = s.top_serial();
+        let base = s.highest_version();
         let p = s.change(at, base);
         let next = s.now + CHANGE_EVERY;
         s.run_until(next + 4000, |s| s.op(p).done != Done::Open);
@@ -255,7 +255,7 @@
         let region = s.nodes[lost].region;
         let blank = s.add_blank(region);
         let mut members = consensus(&s, leader).members().to_vec();
-        members.push(rig::sim::member(blank, region, false));
+        members.push(testbed::sim::member(blank, region, false));
         propose_members(&mut s, leader, members.clone());
         let took = time_to_catch_up(&mut s, leader, blank, 20_000);
         println!("blank, {shape:?}: {took:?} ms");
@@ -275,7 +275,7 @@
     }
 }
 
-fn consensus(s: &Sim, i: usize) -> &Consensus<rig::sim::Watched> {
+fn consensus(s: &Sim, i: usize) -> &Consensus<testbed::sim::Watched> {
     s.nodes[i].consensus.as_ref().expect("the node is up")
 }
 
--- a/rig/tests/conformance/answers.rs
+++ b/testbed/tests/conformance/answers.rs
@@ -1,8 +1,8 @@
 //! When entries are held, committed, answered and read.
 
 use super::*;
-use rig::sim::{kind, same, Done};
 use sorreldoor::consensus::Msg;
+use testbed::sim::{kind, same, Done};
 
 pub fn entries_cross_once_to_each_other_domain_leader() {
     let (mut s, l) = led_from(&[0, 0, 0, 1, 1, 1], 0);
@@ -56,7 +56,7 @@
             s.cut_both(i, j);
         }
     }
-    let p = s.change(l, s.top_serial());
+    let p = s.change(l, s.highest_version());
     s.run_for(200);
     assert_eq!(s.op(p).done, Done::Open);
     let after = s.nodes[l].consensus.as_ref().map_or(0, |a| a.commit_idx());
@@ -70,7 +70,7 @@
         from == 2 && matches!(m, Msg::AppendReply { .. })
     }));
     s.timed(2, 500).expect("the Domain Leader answers");
-    let top = s.top_serial();
+    let top = s.highest_version();
     let r = s.read(l);
     s.run_for(1000);
     assert_eq!(s.op(r).done, Done::Saw(top));
@@ -108,7 +108,7 @@
     for (name, f) in table {
         let (mut s, _) = led_from(&[0, 0, 0, 1, 1, 1], 0);
         s.drop_if = Some(Box::new(f));
-        let p = s.change(4, s.top_serial());
+        let p = s.change(4, s.highest_version());
         s.run_for(300);
         s.drop_if = None;
         s.run_for(ACK);
@@ -169,16 +169,16 @@
 
 pub fn a_retry_gets_the_first_answer() {
     let (mut s, _) = led_from(&[0, 0, 1], 0);
-    let p = s.change(2, s.top_serial());
+    let p = s.change(2, s.highest_version());
     s.run_for(500);
     assert!(s.op(p).took());
-    let top = s.top_serial();
+    let top = s.highest_version();
     for at in 0..3 {
         s.again(at, p);
         s.run_for(300);
     }
     s.run_for(500);
-    assert_eq!(s.top_serial(), top);
+    assert_eq!(s.highest_version(), top);
 }
 
 /// A disk that takes writes again brings its core back without a restart: it
@@ -207,7 +207,7 @@
 /// A disk that fails, and one that is stuck, take their core out of the way.
 pub fn a_bad_disk_steps_aside() {
     let (mut s, l) = led_from(&[0, 0, 1], 0);
-    let p = s.change(l, s.top_serial());
+    let p = s.change(l, s.highest_version());
     s.give(l, sorreldoor::consensus::Event::SaveFailed);
     s.run_for(20);
     assert_eq!(s.op(p).done, Done::Unknown);
@@ -215,14 +215,14 @@
         .consensus
         .as_ref()
         .is_some_and(|a| a.disk_failed()));
-    let q = s.change(l, s.top_serial());
+    let q = s.change(l, s.highest_version());
     assert_eq!(s.op(q).done, Done::NotTaken);
     s.run_for(3000);
     assert!(s.leader().is_some_and(|n| n != l));
     assert!(s.timed((l + 1) % 3, ACK).is_some());
     let (mut s, l) = led_from(&[0, 0, 1], 0);
     s.nodes[l].disk.stuck = true;
-    s.change(l, s.top_serial());
+    s.change(l, s.highest_version());
     let end = s.now + ACK;
     let noticed = s.run_until(end, |s| s.leader().is_some_and(|n| n != l));
     assert!(noticed, "a stuck disk is noticed within ackMs");
--- a/rig/tests/conformance/elections.rs
+++ b/testbed/tests/conformance/elections.rs
@@ -1,8 +1,8 @@
 //! Who leads, and where.
 
 use super::*;
-use rig::sim::{same, Done};
 use sorreldoor::consensus::Note;
+use testbed::sim::{same, Done};
 
 pub fn a_domain_leader_needs_its_regions_majority() {
     let mut s = sim(1, &[0, 0, 0, 1, 1, 1]);
@@ -88,8 +88,8 @@
     let end = s.now + 30_000;
     let mut asked = 0;
     while s.now < end && s.leader() == Some(l) {
-        let serial = s.nodes[2].record().map_or(0, |r| r.serial());
-        s.change(2, serial);
+        let version = s.nodes[2].record().map_or(0, |r| r.version());
+        s.change(2, version);
         s.read(2);
         asked += 1;
         s.run_for(40);
@@ -116,8 +116,8 @@
     let end = s.now + 60_000;
     while s.now < end {
         let at = s.rng.below(3) as usize;
-        let serial = s.top_serial();
-        s.change(at, serial);
+        let version = s.highest_version();
+        s.change(at, version);
         s.run_for(100);
     }
     let moves = s
@@ -158,8 +158,8 @@
             };
             let end = s.now + 30_000;
             while s.now < end && !moving(&s) {
-                let serial = s.nodes[2].record().map_or(0, |r| r.serial());
-                s.change(2, serial);
+                let version = s.nodes[2].record().map_or(0, |r| r.version());
+                s.change(2, version);
                 s.read(2);
                 s.run_for(20);
             }
--- a/rig/tests/conformance/losses.rs
+++ b/testbed/tests/conformance/losses.rs
@@ -2,9 +2,9 @@
 //! dear bytes is set: after all cores have died, and after the leader alone.
 
 use super::sound;
-use rig::sim::Sim;
 use sorreldoor::consensus::{Event, Millis, RegionId};
 use sorreldoor::pacing::Pacing;
+use testbed::sim::Sim;
 
 /// Regions of the cores, and the way between two regions.
 const SITES: [(&[RegionId], Millis); 5] = [
@@ -23,8 +23,8 @@
     let mut s = Sim::new(seed, shape, pacing.timing(2000));
     s.far = far;
     let l = s.settle();
-    let serial = s.top_serial();
-    s.change(l, serial);
+    let version = s.highest_version();
+    s.change(l, version);
     s.run_for(2000);
     s
 }
--- a/rig/tests/conformance/main.rs
+++ b/testbed/tests/conformance/main.rs
@@ -4,8 +4,8 @@
 mod elections;
 mod losses;
 
-use rig::sim::{check, Sim};
 use sorreldoor::consensus::{RegionId, Timing};
+use testbed::sim::{check, Sim};
 
 pub const ACK: u64 = 2000;
 
--- a/rig/tests/consensus_sim.rs
+++ b/testbed/tests/consensus_sim.rs
@@ -1,7 +1,7 @@
 //! Seeded storms over the consensus reducers, in virtual time.
 
-use rig::sim::{check, same, storm, Sim};
 use sorreldoor::consensus::{Broken, RegionId, Timing};
+use testbed::sim::{check, same, storm, Sim};
 
 fn run(seed: u64, shape: &[RegionId], broken: Broken) -> Vec<String> {
     let mut timing = Timing::for_ack(2000);
@@ -19,8 +19,8 @@
     w.extend(same(&s));
     // after healing the core must serve again
     let at = (seed % shape.len() as u64) as usize;
-    let serial = s.nodes[at].record().map_or(0, |r| r.serial());
-    let p = s.change(at, serial);
+    let version = s.nodes[at].record().map_or(0, |r| r.version());
+    let p = s.change(at, version);
     s.run_for(4000);
     if !s.op(p).took() {
         w.push(format!(
@@ -74,7 +74,7 @@
     while s.now < end {
         let next = s.leader().filter(|l| *l != old);
         if let Some(next) = next {
-            let base = s.top_serial();
+            let base = s.highest_version();
             s.change(next, base);
         }
         s.run_for(20);
--- a/rig/tests/doctor.rs
+++ b/testbed/tests/doctor.rs
@@ -1,8 +1,8 @@
 //! The doctor on fleets made faulty on purpose.
 
-use rig::fleet::{press, setup, Fleet, Shape};
 use std::process::Command;
 use std::time::Duration;
+use testbed::fleet::{configuration, press, Fleet, Shape};
 
 const LONG: Duration = Duration::from_secs(40);
 
@@ -45,7 +45,7 @@
     let edge = f.edges()[0];
     finds(&f, edge, &["D15 broken no setup"], 2);
     let file = f.root.join("setup.json");
-    std::fs::write(&file, setup(&f.shape)).unwrap();
+    std::fs::write(&file, configuration(&f.shape)).unwrap();
     f.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
     f.serve_again();
     finds(&f, edge, &["nothing found"], 0);
--- a/rig/tests/doors/main.rs
+++ b/testbed/tests/doors/main.rs
@@ -6,14 +6,14 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use http_types::Method;
-use rig::fleet::{press, setup, Fleet, Shape};
-use rig::stand::Fault;
 use simd_json::prelude::*;
 use sorreldoor::http::{Call, Called};
 use sorreldoor::json;
 use sorreldoor::wire::{pack, Payload, PROTO};
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::fleet::{configuration, press, Fleet, Shape};
+use testbed::stand::Fault;
 
 const LONG: Duration = Duration::from_secs(40);
 
@@ -45,7 +45,7 @@
     f.call(f.edges()[0], c, LONG).expect("the edge answers")
 }
 
-fn problem(c: &Called) -> String {
+fn error_code(c: &Called) -> String {
     let v = json::parse(&c.body, usize::MAX).unwrap_or_default();
     v.get("problem")
         .and_then(|p| p.as_str())
@@ -132,7 +132,7 @@
         (ask(f, post, "/v1/setup", &[], b""), 405, "bad-method"),
     ];
     for (i, (c, status, code)) in table.iter().enumerate() {
-        assert_eq!((c.status, &problem(c)[..]), (*status, *code), "row {i}");
+        assert_eq!((c.status, &error_code(c)[..]), (*status, *code), "row {i}");
     }
     let at = f.nodes[f.edges()[0]].http;
     let not_http = raw(at, b"what is this\r\n\r\n");
@@ -173,7 +173,7 @@
     for (fault, status, code) in table {
         set(fault);
         let c = ask(f, Method::Post, "/v1/errand/question", &home, b"{}");
-        assert_eq!((c.status, &problem(&c)[..]), (status, code), "{fault:?}");
+        assert_eq!((c.status, &error_code(&c)[..]), (status, code), "{fault:?}");
         // the worker that broke off is left alone for a moment
         set(Fault::None);
         assert!(f.until(LONG, |f| {
@@ -188,7 +188,7 @@
         set(fault);
         let c = ask(f, Method::Get, "/v1/errand/page/x", &[], b"");
         let ok = c.status == 502 || c.status == 503;
-        assert!(ok, "{fault:?} {code}: {} {}", c.status, problem(&c));
+        assert!(ok, "{fault:?} {code}: {} {}", c.status, error_code(&c));
         set(Fault::None);
         assert!(
             f.until(LONG, |f| ask(f, Method::Get, "/v1/errand/page/x", &[], b"")
@@ -200,7 +200,7 @@
     set(Fault::Refuse);
     let ran = f.workers[near].book().ran.len();
     let c = ask(f, Method::Post, "/v1/errand/question", &home, b"{}");
-    assert_eq!((c.status, &problem(&c)[..]), (503, "no-worker"));
+    assert_eq!((c.status, &error_code(&c)[..]), (503, "no-worker"));
     assert_eq!(f.workers[near].book().ran.len(), ran);
     set(Fault::None);
 }
@@ -293,7 +293,7 @@
             .and_then(|r| r.get("percent"));
         assert_eq!((s, percent.and_then(|p| p.as_u64())), (200, Some(12)));
     }
-    std::fs::write(&patch, setup(&f.shape)).unwrap();
+    std::fs::write(&patch, configuration(&f.shape)).unwrap();
     let (code, text) = f.ctl(edge, &["diff", &file]);
     assert_eq!(
         (code, &text[..]),
--- a/rig/tests/doors/odd.rs
+++ b/testbed/tests/doors/odd.rs
@@ -7,12 +7,12 @@
 #[test]
 fn odd_results_come_exactly_or_not_at_all() {
     let f = start("odd");
-    let w = task::block_on(rig::raw::Raw::start("raw")).unwrap();
+    let w = task::block_on(testbed::raw::Raw::start("raw")).unwrap();
     let addr = w.addr;
     f.platform.change(|l| {
         l.retain(|r| r.group != "web");
         let (name, group, zone) = ("raw".into(), "web".into(), "n1".into());
-        l.push(rig::platform::Row {
+        l.push(testbed::platform::Row {
             name,
             addr,
             group,
@@ -20,7 +20,7 @@
             leaving: false,
         });
     });
-    w.say(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
+    w.log_event(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
     let edge = f.edges()[0];
     assert!(
         f.until(LONG, |f| ask(f, Method::Get, "/v1/errand/page/x", &[], b"")
@@ -48,7 +48,7 @@
     ];
     let at = f.nodes[edge].http;
     for (name, text, status, with) in table {
-        w.say(format!("HTTP/1.1 {text}").as_bytes());
+        w.log_event(format!("HTTP/1.1 {text}").as_bytes());
         let head = "GET /v1/errand/page/x HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         // a worker that broke off is left alone for a moment
         let mut got = String::new();
@@ -75,8 +75,8 @@
     let d = std::env::temp_dir().join(format!("sorreldoor-door-{}-bare", std::process::id()));
     let _ = std::fs::remove_dir_all(&d);
     let mut f = Fleet::start_by(&d, small(), 2, |f| {
-        let rules = "result-length,result-owner,sequence";
-        f.envs.push(("SORRELDOOR_BREAK".into(), rules.into()));
+        let invariants = "result-length,result-owner,sequence";
+        f.envs.push(("SORRELDOOR_BREAK".into(), invariants.into()));
     });
     let bytes = std::fs::read(&f.binary).unwrap();
     let switch = bytes.windows(16).any(|w| w == b"SORRELDOOR_BREAK");
--- a/rig/tests/emul.rs
+++ b/testbed/tests/emul.rs
@@ -1,7 +1,7 @@
 //! The emulator of sites: quiet days and troubles keep the rules, and each
 //! check can fail.
 
-use rig::emul::*;
+use testbed::emul::*;
 
 /// A site so small that a run takes a moment: two regions, three zones.
 fn small() -> Mix {
@@ -24,7 +24,7 @@
     m
 }
 
-fn play(seed: u64, m: &Mix, r: Rule) -> (Vec<String>, Tally) {
+fn play(seed: u64, m: &Mix, r: Invariant) -> (Vec<String>, Tally) {
     let w = World::new(seed, m.clone(), r).run();
     (check(&w), w.tally())
 }
@@ -32,7 +32,7 @@
 #[test]
 fn a_quiet_day_is_served_whole() {
     for seed in 0..3 {
-        let w = World::new(seed, small(), Rule::Table).run();
+        let w = World::new(seed, small(), Invariant::Table).run();
         let (wrong, t) = (check(&w), w.tally());
         assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
         assert!(t.asked > 1000, "seed {seed}: {} asked", t.asked);
@@ -44,7 +44,7 @@
 fn runs_repeat_for_a_seed() {
     let mut m = small();
     m.troubles = storm(3, &m, 5);
-    let (a, b) = (play(3, &m, Rule::Table), play(3, &m, Rule::Table));
+    let (a, b) = (play(3, &m, Invariant::Table), play(3, &m, Invariant::Table));
     assert_eq!(a.0, b.0);
     assert_eq!(format!("{:?}", a.1), format!("{:?}", b.1));
 }
@@ -61,7 +61,7 @@
     for seed in seeds(24) {
         let mut m = small();
         m.troubles = storm(seed, &m, 6);
-        let (wrong, t) = play(seed, &m, Rule::Table);
+        let (wrong, t) = play(seed, &m, Invariant::Table);
         println!("seed {seed}: {t}");
         bad.extend(wrong.iter().map(|w| format!("seed {seed}: {w}")));
     }
@@ -82,7 +82,7 @@
             ..Trouble::default()
         };
         m.troubles = vec![t(2.0, 2, 5.0), t(9.0, 3, 0.0), t(11.0, 2, 0.5)];
-        let (wrong, t) = play(seed, &m, Rule::Table);
+        let (wrong, t) = play(seed, &m, Invariant::Table);
         println!("seed {seed}: {t}");
         bad.extend(wrong.iter().map(|w| format!("seed {seed}: {w}")));
     }
@@ -95,7 +95,7 @@
     f(&mut m);
     let mut seen = Vec::new();
     for seed in 0..6 {
-        let (wrong, _) = play(seed, &m, Rule::Broken(b));
+        let (wrong, _) = play(seed, &m, Invariant::Broken(b));
         if wrong.iter().any(|w| w.starts_with(rule)) {
             return;
         }
@@ -247,9 +247,9 @@
         t.asked - (t.served - t.late)
     };
     let (a, b, c) = (
-        late(Rule::Table),
-        late(Rule::RoundRobin),
-        late(Rule::LeastLoad),
+        late(Invariant::Table),
+        late(Invariant::RoundRobin),
+        late(Invariant::LeastLoad),
     );
     assert!(a * 2 < b && a * 2 < c, "not in time: {a}, {b}, {c}");
 }
--- a/rig/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! The whole path as separate processes: twelve nodes, workers, platform.
 
 use http_types::Method;
-use rig::fleet::{archive, press, Fleet, Shape};
 use simd_json::prelude::*;
 use sorreldoor::http::{Call, Called};
 use std::path::PathBuf;
 use std::time::Duration;
+use testbed::fleet::{archive, press, Fleet, Shape};
 
 const LONG: Duration = Duration::from_secs(40);
 
@@ -93,8 +93,8 @@
         let (s, v) = f.get(i, "/v1/setup").unwrap();
         assert_eq!(s, 200);
         assert_eq!(v.get("serial").and_then(|s| s.as_u64()), Some(2));
-        let emptied = v.get("emptied").and_then(|e| e.as_array()).cloned();
-        assert_eq!(emptied.map(|e| e.len()), Some(1));
+        let evacuated = v.get("emptied").and_then(|e| e.as_array()).cloned();
+        assert_eq!(evacuated.map(|e| e.len()), Some(1));
     }
 }
 
@@ -177,7 +177,7 @@
 fn a_short_soak_of_each_site_breaks_no_rule() {
     for (name, shape) in [("soak-press", press()), ("soak-archive", archive())] {
         let mut f = start(name, shape);
-        let t = rig::soak::soak(&mut f, 7, 12, Duration::from_secs(12));
+        let t = testbed::soak::soak(&mut f, 7, 12, Duration::from_secs(12));
         println!(
             "{name}: asked {}, served {}, refused {}, unsure {}",
             t.asked, t.served, t.refused, t.unsure
@@ -211,12 +211,12 @@
         .get(other, "/ready")
         .is_some_and(|(s, _)| s == 200)));
     let (_, v) = f.get(other, "/v1/setup").unwrap();
-    let serial = v
+    let version = v
         .get("serial")
         .and_then(|s| s.as_u64())
         .unwrap()
         .to_string();
-    let (code, text) = f.ctl(other, &["evacuate", "s1", "--base", &serial]);
+    let (code, text) = f.ctl(other, &["evacuate", "s1", "--base", &version]);
     assert_eq!(code, 0, "{text}");
     f.kill(l);
 }
--- a/rig/tests/hollow.rs
+++ b/testbed/tests/hollow.rs
@@ -1,6 +1,6 @@
 //! Hollow sites: what control costs by size, and that slopes are read rightly.
 
-use rig::hollow::{fit, run, Fault, Row, Size};
+use testbed::hollow::{fit, run, Fault, Row, Size};
 
 /// Heap is counted by the program's own allocator only.
 fn none() -> usize {
@@ -179,7 +179,7 @@
 /// Noise of a few percent moves a slope by a few percent.
 #[test]
 fn the_fit_bears_noise() {
-    let mut r = rig::rand::Rand::new(7);
+    let mut r = testbed::rand::Rand::new(7);
     let mut rows = made(|n, w, _| 0.5 * n * w + 300.0);
     for row in &mut rows {
         let by = 0.97 + r.below(60) as f64 / 1000.0;
@@ -191,5 +191,5 @@
 
 #[test]
 fn what_cannot_be_told_apart_has_no_slope() {
-    assert!(rig::hollow::solve(&[vec![1.0, 2.0], vec![2.0, 4.0]], &[1.0, 2.0]).is_none());
+    assert!(testbed::hollow::solve(&[vec![1.0, 2.0], vec![2.0, 4.0]], &[1.0, 2.0]).is_none());
 }
--- a/rig/tests/large_config.rs
+++ b/testbed/tests/large_config.rs
@@ -1,29 +1,29 @@
 //! Rules of delivering large configurations, each broken on purpose: what the
 //! tests of `sorreldoor/tests/updates.rs` hold must then fail.
 
-use sorreldoor::consensus::Machine;
-use sorreldoor::core::updates::{Due, Updates, MAX_IN_FLIGHT};
-use sorreldoor::record::{encode, Cmd, Copy, Record};
-use sorreldoor::rules::{break_only, Rule};
-use sorreldoor::setup::Site;
+use sorreldoor::configuration::Site;
+use sorreldoor::consensus::StateMachine;
+use sorreldoor::control_plane::updates::{Due, Updates, MAX_IN_FLIGHT};
+use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::replicated_state::{encode, Command, Copy, ReplicatedState};
 use sorreldoor::wire::EncodedUpdate;
 use std::sync::Arc;
 
-fn record(routes: usize) -> Record {
+fn record(routes: usize) -> ReplicatedState {
     let routes: Vec<String> = (0..routes).map(route).collect();
     let routes = routes.join(",");
     let doc = format!(r#"{{"hosted":{{"routes":[{routes}],"services":[{{"name":"s"}}]}}}}"#);
-    let mut record = Record::new(Arc::new(Site::default()));
+    let mut record = ReplicatedState::new(Arc::new(Site::default()));
     apply(
         &mut record,
         1,
-        Cmd::Put {
+        Command::Put {
             base: 0,
             to: None,
             doc,
         },
     );
-    assert_eq!(record.serial(), 1, "the document is taken");
+    assert_eq!(record.version(), 1, "the document is taken");
     record
 }
 
@@ -31,17 +31,17 @@
     format!(r#"{{"name":"r{i}","host":"h","prefix":"/p{i}/","timeout_ms":50,"service":"s"}}"#)
 }
 
-fn apply(record: &mut Record, n: u64, cmd: Cmd) {
+fn apply(record: &mut ReplicatedState, n: u64, cmd: Command) {
     record.apply(n, u128::from(n), &encode(&cmd));
 }
 
-fn items(record: &mut Record, n: u64, set: &str, drop: &str) {
+fn items(record: &mut ReplicatedState, n: u64, set: &str, drop: &str) {
     let (set, drop) = (set.to_string(), drop.to_string());
-    let base = record.serial();
+    let base = record.version();
     apply(
         record,
         n,
-        Cmd::Items {
+        Command::Items {
             base,
             to: None,
             set,
@@ -66,11 +66,11 @@
 #[test]
 fn telling_the_whole_grows_with_the_routes() {
     assert!(bytes_of_a_change(5000) < bytes_of_a_change(100) + 64);
-    break_only(Some(Rule::Differences));
+    break_only(Some(Invariant::Differences));
     assert!(bytes_of_a_change(5000) > 20 * bytes_of_a_change(100));
 }
 
-fn copy_after_a_deletion() -> (Copy, Record) {
+fn copy_after_a_deletion() -> (Copy, ReplicatedState) {
     let mut record = record(10);
     let mut copy = Copy::default();
     assert!(copy.apply(&record.update_since(0)));
@@ -85,7 +85,7 @@
 fn deletions_untold_leave_another_copy() {
     let (copy, record) = copy_after_a_deletion();
     assert_eq!(copy.view(), record.view());
-    break_only(Some(Rule::Deletions));
+    break_only(Some(Invariant::Deletions));
     let (copy, record) = copy_after_a_deletion();
     assert_ne!(copy.view(), record.view());
 }
@@ -109,6 +109,6 @@
 #[test]
 fn copies_unbounded_pile_up() {
     assert!(sent_to_slow(93, 20) <= MAX_IN_FLIGHT);
-    break_only(Some(Rule::CopiesBounded));
+    break_only(Some(Invariant::CopiesBounded));
     assert!(sent_to_slow(93, 20) > 50 * MAX_IN_FLIGHT);
 }
--- a/rig/tests/membership/main.rs
+++ b/testbed/tests/membership/main.rs
@@ -9,10 +9,10 @@
 mod play;
 
 use play::{Play, Trouble, STEP_MS, SYNC_MS, TROUBLES};
-use rig::sim::check;
 use sorreldoor::consensus::{Broken, Millis, RegionId};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
+use testbed::sim::check;
 
 /// Two troubles, how far apart, and where the voters are.
 #[derive(Clone, Copy, Debug)]
@@ -55,13 +55,13 @@
     for at in 0..3 {
         let at = play.slots[at];
         if play.sim.nodes[at].up() {
-            let base = play.sim.top_serial();
+            let base = play.sim.highest_version();
             play.sim.change(at, base);
         }
         play.run_for(200);
     }
     play.run_for(2500 + SYNC_MS);
-    let say =
+    let log_event =
         |what: &str, play: &Play| Some(format!("{history:?}: {what}; {}", play.members_now()));
     let lost_in_turn = if history.borne { 0..3 } else { 0..0 };
     for slot in lost_in_turn {
@@ -69,7 +69,7 @@
         play.sim.crash(node);
         let other = play.slots[(slot + 1) % 3];
         if !play.commits(other) {
-            return say(
+            return log_event(
                 &format!("no entry committed with machine {slot} lost"),
                 &play,
             );
@@ -81,7 +81,7 @@
     if wrong.is_empty() {
         return None;
     }
-    say(&format!("{wrong:?}"), &play)
+    log_event(&format!("{wrong:?}"), &play)
 }
 
 /// All pairs whose second trouble may come at that distance: with one machine
--- a/rig/tests/membership/play.rs
+++ b/testbed/tests/membership/play.rs
@@ -1,11 +1,11 @@
 //! One history of a small scope, played with the real reducers: three voters,
 //! two newcomers, and what happens to them at which moment.
 
-use rig::sim::Sim;
 use sorreldoor::consensus::{Broken, Event, Millis, NodeId, RegionId, Timing};
-use sorreldoor::core::membership::{Health, Membership, Observed, Policy};
+use sorreldoor::control_plane::membership::{Health, Membership, Observed, Policy};
 use sorreldoor::wire::Hello;
 use std::collections::{BTreeMap, BTreeSet};
+use testbed::sim::Sim;
 
 pub const STEP_MS: Millis = 20;
 const LOOK_MS: Millis = 100;
@@ -300,7 +300,7 @@
 
     /// Whether a change is acknowledged in time, asked of this node.
     pub fn commits(&mut self, at: usize) -> bool {
-        let base = self.sim.top_serial();
+        let base = self.sim.highest_version();
         let op = self.sim.change(at, base);
         let end = self.sim.now + ACK_MS;
         while self.sim.now < end && !self.sim.op(op).took() {
--- a/rig/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -1,8 +1,8 @@
 //! Every state of a request under every sequence of events, for every kind of
 //! route, against a shadow that knows only what physically happened.
 
+use sorreldoor::invariants::{break_only, Invariant};
 use sorreldoor::proxy::attempt::{ClientAnswer, Event, Repeatability, RequestProgress, State};
-use sorreldoor::rules::{break_only, Rule};
 use std::collections::HashSet;
 
 const KINDS: [Repeatability; 3] = [
@@ -196,7 +196,7 @@
 
 #[test]
 fn without_the_rules_the_walk_finds_a_fault() {
-    for rule in [Rule::SendOnce, Rule::HonestRefusal] {
+    for rule in [Invariant::SendOnce, Invariant::HonestRefusal] {
         break_only(Some(rule));
         let found = explore(30);
         break_only(None);
--- a/rig/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -1,10 +1,10 @@
 //! Members that start again: none leads, votes or answers by less than what
 //! was committed.
 
-use rig::sim::{check, Done, Sim};
-use rig::site::World;
 use sorreldoor::consensus::{Broken, NodeId, RegionId, Save, Timing};
 use std::sync::Arc;
+use testbed::sim::{check, Done, Sim};
+use testbed::site::World;
 
 fn timing(broken: Broken) -> Timing {
     Timing {
@@ -113,7 +113,7 @@
         }
         s.isolate(restarted);
         s.start(restarted);
-        let replayed = s.nodes[restarted].record().map_or(0, |r| r.serial());
+        let replayed = s.nodes[restarted].record().map_or(0, |r| r.version());
         assert!((10..=20).contains(&replayed), "seed {seed}: {replayed}");
         let behind_the_cut = s.read(restarted);
         s.run_for(6000);
@@ -182,7 +182,7 @@
 #[test]
 #[should_panic(expected = "cannot read the snapshot")]
 fn an_unreadable_snapshot_stops_the_start() {
-    let mut w = World::ready(1, rig::shapes::press());
+    let mut w = World::ready(1, testbed::shapes::press());
     let core = w.cores()[0];
     w.crash(core);
     let disk = &mut w.procs[core].disk;
--- a/rig/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -1,7 +1,7 @@
 //! Operators' changes and the platform's, and who must follow them when.
 
 use super::*;
-use sorreldoor::record::Cmd;
+use sorreldoor::replicated_state::Command;
 
 #[test]
 fn a_leaving_worker_gets_nothing_new() {
@@ -38,18 +38,18 @@
         w.freeze(sleeper, 4000, seed % 3 == 0);
         let c = w.change(
             at,
-            Cmd::Zone {
+            Command::Zone {
                 base: 1,
                 zone,
-                emptied: true,
+                evacuated: true,
             },
         );
         w.run_for(9000);
         assert!(w.changes[c].outcome.is_some());
-        let back = Cmd::Zone {
+        let back = Command::Zone {
             base: 2,
             zone,
-            emptied: false,
+            evacuated: false,
         };
         w.change(at, back);
         let from = w.now;
@@ -79,10 +79,10 @@
         let at = w.edges()[0];
         let p = w.change(
             at,
-            Cmd::Zone {
+            Command::Zone {
                 base: 1,
                 zone: 0,
-                emptied: true,
+                evacuated: true,
             },
         );
         let end = w.now + 5000;
@@ -105,10 +105,10 @@
             let zone = w.rng.below(3) as u16;
             w.change(
                 p,
-                Cmd::Zone {
+                Command::Zone {
                     base: 1 + i,
                     zone,
-                    emptied: i % 2 == 0,
+                    evacuated: i % 2 == 0,
                 },
             );
             let wait = w.rng.below(400);
@@ -130,7 +130,7 @@
         for e in w.edges() {
             let h = w.edge_controller(e).expect("edges are up");
             assert!(
-                h.ready().is_ok() || h.plan.emptied(h.plan.zone),
+                h.ready().is_ok() || h.plan.evacuated(h.plan.zone),
                 "seed {seed}"
             );
         }
@@ -142,20 +142,20 @@
     for seed in seeds(800..830) {
         let mut w = world(seed);
         for round in 0..20u64 {
-            let serial = w
+            let version = w
                 .cores()
                 .into_iter()
                 .filter_map(|c| w.controller(c).and_then(|h| h.consensus.as_ref()))
-                .map(|a| a.machine().serial())
+                .map(|a| a.machine().version())
                 .max()
                 .unwrap_or(0);
             for _ in 0..3 {
                 let p = w.rng.below(w.procs.len() as u64) as usize;
                 let zone = w.rng.below(3) as u16;
-                let cmd = Cmd::Zone {
-                    base: serial,
+                let cmd = Command::Zone {
+                    base: version,
                     zone,
-                    emptied: false,
+                    evacuated: false,
                 };
                 w.change(p, cmd);
             }
@@ -171,7 +171,7 @@
         let won = w.cores().into_iter().filter_map(|c| w.controller(c));
         let top = won
             .filter_map(|h| h.consensus.as_ref())
-            .map(|a| a.machine().serial());
+            .map(|a| a.machine().version());
         let top = top.max().unwrap_or(0);
         assert!(top > 8, "seed {seed}: operators got on to {top} only");
     }
@@ -190,12 +190,12 @@
         for i in 0..200 {
             let p = w.cores()[(i % 3) as usize];
             w.after(i * 150, move |w| {
-                let serial = w.controller(p).and_then(|h| h.consensus.as_ref());
-                let base = serial.map_or(0, |a| a.machine().serial());
-                let cmd = Cmd::Zone {
+                let version = w.controller(p).and_then(|h| h.consensus.as_ref());
+                let base = version.map_or(0, |a| a.machine().version());
+                let cmd = Command::Zone {
                     base,
                     zone: 0,
-                    emptied: false,
+                    evacuated: false,
                 };
                 w.change(p, cmd);
             });
--- a/rig/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -1,7 +1,7 @@
 //! Claims on errand ids, where they could be lost, kept too long, or tie.
 
 use super::*;
-use sorreldoor::problem::Problem;
+use sorreldoor::error::ErrorCode;
 
 /// A core is lost for good while another was cut off; its blank follower can
 /// hear only of that one, which missed what was claimed meanwhile.
@@ -78,12 +78,12 @@
 #[test]
 fn without_room_for_claims_errands_are_shed_and_none_forgotten() {
     for seed in seeds(3300..3304) {
-        let doc = rig::fleet::setup(&press());
+        let doc = testbed::fleet::configuration(&press());
         let mut w = World::ready_by(seed, press(), &doc, |w| w.most_claims = 120);
         let end = w.now + 8000;
         w.traffic(80, end, |_, _| true);
         w.run_for(12_000);
-        let full = |c: &&rig::site::Caller| c.got == Got::Shed(Problem::ClaimsFull);
+        let full = |c: &&testbed::site::Caller| c.got == Got::Shed(ErrorCode::ClaimsFull);
         let shed = w.callers.values().filter(full).count();
         assert!(shed > 100, "seed {seed}: {shed}");
         let old: Vec<u64> = w.callers.keys().copied().collect();
@@ -159,7 +159,7 @@
         w.run_for(70_000);
         sound(&w, seed);
         for n in asked {
-            told += usize::from(w.callers[&n].got == Got::Shed(Problem::AlreadyTaken));
+            told += usize::from(w.callers[&n].got == Got::Shed(ErrorCode::AlreadyTaken));
         }
     }
     println!("{told} told that it was taken");
@@ -219,7 +219,7 @@
         let (mut per, mut n) = ((0, 0, 0), 0);
         for seed in seeds(0..4) {
             for given in [false, true] {
-                let doc = rig::fleet::setup(&shape);
+                let doc = testbed::fleet::configuration(&shape);
                 let mut w = World::ready_by(seed, shape.clone(), &doc, |w| w.given = given);
                 let was = w.claims_cost;
                 let end = w.now + 8000;
--- a/rig/tests/site/setups.rs
+++ b/testbed/tests/site/configurations.rs
@@ -2,10 +2,10 @@
 //! allowed, nothing of a refused or losing document, no old one.
 
 use super::*;
-use rig::site::Storm;
-use sorreldoor::record::Outcome;
+use sorreldoor::replicated_state::Outcome;
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
+use testbed::site::Storm;
 
 pub fn week(seed: u64, storm: Option<Storm>) -> World {
     let shape = if seed.is_multiple_of(2) {
@@ -13,7 +13,7 @@
     } else {
         archive()
     };
-    let doc = rig::fleet::setup(&shape);
+    let doc = testbed::fleet::configuration(&shape);
     let mut w = World::ready_by(seed, shape, &doc, World::regroup);
     let end = w.now + 20_000;
     w.homed_traffic(90, end);
--- a/rig/tests/site/errands.rs
+++ b/testbed/tests/site/errands.rs
@@ -1,8 +1,8 @@
 //! Errands, under everything that can fail around them.
 
 use super::*;
-use rig::site::Storm;
-use sorreldoor::problem::Problem;
+use sorreldoor::error::ErrorCode;
+use testbed::site::Storm;
 
 pub fn stormy(seed: u64, s: Storm) -> World {
     let mut w = world(seed);
@@ -103,7 +103,7 @@
         let c = &w.callers[&n];
         assert!(matches!(
             c.got,
-            Got::Shed(Problem::GivenUp | Problem::NoWorker)
+            Got::Shed(ErrorCode::GivenUp | ErrorCode::NoWorker)
         ));
         let took = c.end - c.start;
         println!("seed {seed}: given up after {took} ms of 5000");
--- a/rig/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -5,16 +5,16 @@
 mod watch;
 
 use super::*;
-use rig::site::Cut;
 use sorreldoor::consensus::{Millis, ProposalId};
-use sorreldoor::core::ControllerEvent;
-use sorreldoor::events::Ev;
+use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::freshness::FreshnessBudget;
+use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::log_events::LogEvent;
 use sorreldoor::pacing::Pacing;
-use sorreldoor::record::Cmd;
-use sorreldoor::rules::{break_only, Rule};
+use sorreldoor::replicated_state::Command;
 use sorreldoor::wire::OpOutcome;
 use std::time::Duration;
+use testbed::site::Cut;
 use watch::{top, Watch};
 
 /// Within so long of an acknowledgement every edge goes by it.
@@ -52,15 +52,15 @@
     }
 }
 
-fn one_region() -> rig::fleet::Shape {
-    rig::fleet::Shape {
+fn one_region() -> testbed::fleet::Shape {
+    testbed::fleet::Shape {
         regions: vec![("north", vec!["n1", "n2", "n3"], 10)],
         ..press()
     }
 }
 
-fn three_regions() -> rig::fleet::Shape {
-    rig::fleet::Shape {
+fn three_regions() -> testbed::fleet::Shape {
+    testbed::fleet::Shape {
         regions: vec![
             ("north", vec!["n1"], 10),
             ("south", vec!["s1"], 8),
@@ -72,11 +72,11 @@
 }
 
 /// A site with `more` cores beyond one a zone.
-fn site(seed: u64, shape: rig::fleet::Shape, more: usize) -> World {
+fn site(seed: u64, shape: testbed::fleet::Shape, more: usize) -> World {
     let spills = r#"{"north": {"south": 50}, "south": {"north": 50}}"#;
     let doc = match shape.regions.len() {
-        1 => rig::fleet::setup(&press()).replace(spills, "{}"),
-        _ => rig::fleet::setup(&shape),
+        1 => testbed::fleet::configuration(&press()).replace(spills, "{}"),
+        _ => testbed::fleet::configuration(&shape),
     };
     let mut w = World::ready_by(seed, shape, &doc, |w| {
         w.holder_polls = Some(500);
@@ -105,7 +105,7 @@
     w
 }
 
-fn layout(n: u64) -> (&'static str, rig::fleet::Shape, usize) {
+fn layout(n: u64) -> (&'static str, testbed::fleet::Shape, usize) {
     match n {
         0 => ("one region", one_region(), 0),
         1 => ("two regions", press(), 0),
@@ -179,9 +179,9 @@
 #[test]
 fn each_part_of_freshness_is_needed() {
     for (rule, word) in [
-        (Rule::Hedge, "stale"),
-        (Rule::Proof, "old"),
-        (Rule::StepDown, "stale"),
+        (Invariant::Hedge, "stale"),
+        (Invariant::Proof, "old"),
+        (Invariant::StepDown, "stale"),
     ] {
         break_only(Some(rule));
         let over = over_bounds(Cut::Deaf, 1, 9000..9003);
@@ -214,13 +214,13 @@
         let cut_off = w.leader().expect("led");
         w.cut_off(cut_off, Cut::Silent);
         w.run_for(4000);
-        let (base, zone, emptied) = (top(&w), 0, false);
+        let (base, zone, evacuated) = (top(&w), 0, false);
         let c = w.change(
             cut_off,
-            Cmd::Zone {
+            Command::Zone {
                 base,
                 zone,
-                emptied,
+                evacuated,
             },
         );
         w.run_for(20);
--- a/rig/tests/site/freshness/starts.rs
+++ b/testbed/tests/site/freshness/starts.rs
@@ -16,7 +16,7 @@
     let mut watch = Watch::default();
     watch.run(&mut w, 1500);
     let acked = watch.orders.iter().filter_map(|o| o.acked);
-    let newest = acked.map(|(_, serial)| serial).max().expect("an order");
+    let newest = acked.map(|(_, version)| version).max().expect("an order");
     w.run_for(1000);
     for e in w.edges() {
         w.crash(e);
@@ -27,11 +27,11 @@
         w.run_for(20);
         let serves_old = |e: &usize| {
             let ready = w.edge_controller(*e).is_some_and(|h| h.ready().is_ok());
-            ready && w.serial_at(*e) < Some(newest)
+            ready && w.version_at(*e) < Some(newest)
         };
         old += 20 * u64::from(w.edges().iter().any(serves_old));
     }
-    let fresh = |e: &usize| w.serial_at(*e) >= Some(newest);
+    let fresh = |e: &usize| w.version_at(*e) >= Some(newest);
     assert!(w.edges().iter().all(fresh), "seed {seed}: all are fresh");
     old
 }
@@ -49,7 +49,7 @@
     let restarted = most(Cut::Restarted);
     println!("Restarted: old for {restarted:?} ms");
     assert!(restarted <= Some(UNVERIFIED_MS));
-    break_only(Some(Rule::Unverified));
+    break_only(Some(Invariant::Unverified));
     let broken = most(Cut::Silent);
     break_only(None);
     println!("any record: old for {broken:?} ms");
