--- a/rig/tests/site/freshness/watch.rs
+++ b/testbed/tests/site/freshness/watch.rs
@@ -30,15 +30,22 @@
 }
 
 /// An operator gives an order to a core, at first or again.
-pub(super) fn send(w: &mut World, core: usize, base: u64, pid: ProposalId) {
-    let (zone, emptied) = (0, false);
-    let cmd = Cmd::Zone {
+pub(super) fn send(w: &mut World, core: usize, base: u64, proposal_id: ProposalId) {
+    let (zone, evacuated) = (0, false);
+    let cmd = Command::Zone {
         base,
         zone,
-        emptied,
+        evacuated,
     };
-    let rid = w.number();
-    w.core_step(core, ControllerEvent::Change { rid, pid, cmd });
+    let request_id = w.number();
+    w.core_step(
+        core,
+        ControllerEvent::Change {
+            request_id,
+            proposal_id,
+            cmd,
+        },
+    );
 }
 
 /// When a core acknowledged one of the proposals.
@@ -47,14 +54,17 @@
         .iter()
         .map(|p| sorreldoor::order_id::format_proposal_id(*p));
     let names: Vec<String> = names.collect();
-    let said = w.says.iter().filter(|(_, _, ev, _)| *ev == Ev::ChangeTaken);
+    let said = w
+        .says
+        .iter()
+        .filter(|(_, _, ev, _)| *ev == LogEvent::ChangeTaken);
     let of = |text: &str| names.iter().any(|n| text.starts_with(n.as_str()));
     said.filter(|(.., text)| of(text)).map(|(at, ..)| *at).min()
 }
 
 pub(super) fn top(w: &World) -> u64 {
-    let serials = w.cores().into_iter().filter_map(|c| w.serial_at(c));
-    serials.max().unwrap_or(0)
+    let versions = w.cores().into_iter().filter_map(|c| w.version_at(c));
+    versions.max().unwrap_or(0)
 }
 
 impl Watch {
@@ -69,7 +79,7 @@
                 next = w.now + EVERY_MS;
                 let acked = self.orders.iter().filter_map(|o| o.acked);
                 // a core that applied it may be down by now
-                let base = acked.map(|(_, serial)| serial).max().max(Some(top(w)));
+                let base = acked.map(|(_, version)| version).max().max(Some(top(w)));
                 let base = base.unwrap_or(0);
                 let rivals = [w.number(), w.number()].map(|n| u128::from(n) + (1 << 90));
                 self.orders.push(Order {
@@ -97,9 +107,9 @@
             return;
         }
         let cores: Vec<usize> = w.cores().into_iter().filter(|c| w.procs[*c].up).collect();
-        for (k, pid) in o.rivals.into_iter().enumerate() {
+        for (k, proposal_id) in o.rivals.into_iter().enumerate() {
             let turn = (o.base + o.tries) as usize + k;
-            send(w, cores[turn % cores.len()], o.base, pid);
+            send(w, cores[turn % cores.len()], o.base, proposal_id);
         }
         o.tries += 1;
     }
@@ -110,27 +120,30 @@
             return;
         }
         let acked = self.orders.iter().filter_map(|o| o.acked);
-        let newest = acked.map(|(_, serial)| serial).max().unwrap_or(0);
+        let newest = acked.map(|(_, version)| version).max().unwrap_or(0);
         for core in w.cores() {
-            let rid = w.number();
-            self.reads.push((rid, core, w.now, newest));
-            w.core_step(core, ControllerEvent::View { rid });
+            let request_id = w.number();
+            self.reads.push((request_id, core, w.now, newest));
+            w.core_step(core, ControllerEvent::View { request_id });
         }
     }
 
     fn look_at_reads(&mut self, w: &World) {
-        let answered = |rid: &u64| w.reads.get(rid).copied();
-        for (rid, core, asked, newest) in &self.reads {
-            let Some(read) = answered(rid) else { continue };
+        let answered = |request_id: &u64| w.reads.get(request_id).copied();
+        for (request_id, core, asked, newest) in &self.reads {
+            let Some(read) = answered(request_id) else {
+                continue;
+            };
             self.read = self.read.max(read.at - asked);
-            if read.ok && read.serial < *newest {
+            if read.ok && read.version < *newest {
                 let name = &w.procs[*core].name;
-                let (serial, at) = (read.serial, read.at);
+                let (version, at) = (read.version, read.at);
                 self.wrong
-                    .push(format!("{name} showed {serial} for {newest} at {at}"));
+                    .push(format!("{name} showed {version} for {newest} at {at}"));
             }
         }
-        self.reads.retain(|(rid, ..)| answered(rid).is_none());
+        self.reads
+            .retain(|(request_id, ..)| answered(request_id).is_none());
     }
 
     fn look(&mut self, w: &World) {
@@ -147,9 +160,9 @@
             }
         }
         for e in w.edges() {
-            let serial = w.serial_at(e).unwrap_or(0);
+            let version = w.version_at(e).unwrap_or(0);
             let acked = self.orders.iter().filter_map(|o| o.acked);
-            let Some((since, s)) = acked.filter(|(_, s)| *s > serial).min() else {
+            let Some((since, s)) = acked.filter(|(_, s)| *s > version).min() else {
                 continue;
             };
             let late = w.now - since;
--- a/rig/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -3,11 +3,11 @@
 //! back, and none of it loses what was acknowledged.
 
 use super::*;
-use rig::site::Storm;
 use sorreldoor::consensus::{Member, Millis};
-use sorreldoor::record::{Cmd, Outcome};
+use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
 use std::net::SocketAddr;
+use testbed::site::Storm;
 
 /// Three seeds, and as many cores again that are no seeds.
 pub fn six(seed: u64) -> World {
@@ -73,12 +73,12 @@
 }
 
 pub fn put(w: &mut World, base: u64) -> bool {
-    let doc = rig::fleet::setup(&w.shape);
+    let doc = testbed::fleet::configuration(&w.shape);
     let at = w.cores().into_iter().find(|c| w.procs[*c].up);
     let at = at.expect("a core is up");
     let c = w.change(
         at,
-        Cmd::Put {
+        Command::Put {
             base,
             to: None,
             doc,
@@ -86,7 +86,7 @@
     );
     let end = w.now + 10_000;
     w.run_until(end, |w| w.changes[c].outcome.is_some());
-    let taken = Outcome::Taken { serial: base + 1 };
+    let taken = Outcome::Taken { version: base + 1 };
     w.changes[c].outcome == Some(OpOutcome::Got(taken))
 }
 
--- a/rig/tests/site/loads.rs
+++ b/testbed/tests/site/loads.rs
@@ -56,11 +56,11 @@
             .and_then(|h| h.consensus.as_ref());
         let v = a.map(|a| a.machine().view()).unwrap_or_default();
         let s = a
-            .and_then(|a| a.machine().setup().cloned())
+            .and_then(|a| a.machine().configuration().cloned())
             .expect("a setup");
         let route = s.route("verdict").unwrap_or(0);
         let slow = s.services.iter().position(|s| s.name == "s").unwrap_or(0) as u16;
-        let now = sorreldoor::tune::weight(&v.weights, route, slow).unwrap_or(50);
+        let now = sorreldoor::weight_tuning::weight(&v.weights, route, slow).unwrap_or(50);
         seen.push(now);
     }
     w.run_for(12_000);
--- a/rig/tests/site/main.rs
+++ b/testbed/tests/site/main.rs
@@ -2,6 +2,7 @@
 
 mod changes;
 mod claims;
+mod configurations;
 mod errands;
 mod founding;
 mod freshness;
@@ -14,13 +15,12 @@
 mod regions;
 mod replacing;
 mod returns;
-mod setups;
 mod swings;
 mod waves;
 mod zones;
 
-use rig::fleet::{archive, press};
-use rig::site::{check, Got, World};
+use testbed::fleet::{archive, press};
+use testbed::site::{check, Got, World};
 
 pub fn sound(w: &World, seed: u64) {
     let mut wrong = check(w);
--- a/rig/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -1,21 +1,21 @@
 //! The product's own rules, broken one at a time, and the check of its point
 //! that must say so. With the rule kept, the same runs must be found sound.
 
-use super::setups::week;
+use super::configurations::week;
 use super::*;
-use rig::site::Storm;
-use sorreldoor::record::Cmd;
-use sorreldoor::rules::{break_only, Rule};
+use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::replicated_state::Command;
+use testbed::site::Storm;
 
 type Run = fn(u64) -> World;
 
 /// The first seed by which the word shows up, with the rule broken.
-fn caught(rule: Rule, word: &str, run: Run) {
+fn caught(rule: Invariant, word: &str, run: Run) {
     break_only(Some(rule));
     let all_wrong = |w: &World| {
         let mut all = all_wrong(w);
         // other setups warm workers up otherwise
-        all.extend(w.flooded().into_iter().filter(|_| rule == Rule::Warm));
+        all.extend(w.flooded().into_iter().filter(|_| rule == Invariant::Warm));
         all
     };
     let seed = (0..30).find(|seed| all_wrong(&run(*seed)).iter().any(|w| w.contains(word)));
@@ -42,13 +42,13 @@
     w.isolate(cut);
     w.freeze(asleep, 6000, true);
     let at = w.edges()[0];
-    let (base, zone, emptied) = (1, 0, true);
+    let (base, zone, evacuated) = (1, 0, true);
     w.change(
         at,
-        Cmd::Zone {
+        Command::Zone {
             base,
             zone,
-            emptied,
+            evacuated,
         },
     );
     w.run_for(15_000);
@@ -73,13 +73,13 @@
     }
     w.after(3000, move |w| {
         let at = w.cores().into_iter().find(|c| *c != alone).unwrap_or(0);
-        let (base, zone, emptied) = (1, 0, true);
+        let (base, zone, evacuated) = (1, 0, true);
         w.change(
             at,
-            Cmd::Zone {
+            Command::Zone {
                 base,
                 zone,
-                emptied,
+                evacuated,
             },
         );
     });
@@ -215,15 +215,15 @@
 fn races(seed: u64) -> World {
     let mut w = world(seed);
     for _ in 0..20 {
-        let top = w.cores().into_iter().filter_map(|c| w.serial_at(c)).max();
+        let top = w.cores().into_iter().filter_map(|c| w.version_at(c)).max();
         for _ in 0..3 {
             let p = w.rng.below(w.procs.len() as u64) as usize;
             let base = top.unwrap_or(0);
             let mark = w.number();
-            let doc = rig::fleet::setup(&w.shape).replace("pages", &format!("p{mark}"));
+            let doc = testbed::fleet::configuration(&w.shape).replace("pages", &format!("p{mark}"));
             w.change(
                 p,
-                Cmd::Put {
+                Command::Put {
                     base,
                     to: None,
                     doc,
@@ -259,63 +259,63 @@
 
 #[test]
 fn permits_and_proofs() {
-    caught(Rule::Permit, "acted on serial", emptied_behind_a_cut);
-    caught(Rule::Woken, "acted on serial", emptied_behind_a_cut);
-    caught(Rule::Proof, "acted on serial", core_cut_off);
-    caught(Rule::Emptied, "emptied zone", emptied_behind_a_cut);
-    caught(Rule::Leaving, "leaving", worker_leaves);
+    caught(Invariant::Lease, "acted on serial", emptied_behind_a_cut);
+    caught(Invariant::Woken, "acted on serial", emptied_behind_a_cut);
+    caught(Invariant::Proof, "acted on serial", core_cut_off);
+    caught(Invariant::Evacuated, "emptied zone", emptied_behind_a_cut);
+    caught(Invariant::Leaving, "leaving", worker_leaves);
 }
 
 #[test]
 fn what_a_setup_allows() {
-    caught(Rule::Allowed, "no share of", quiet_week);
-    caught(Rule::Spill, "no spill", quiet_week);
-    caught(Rule::Home, "bound to", quiet_week);
-    caught(Rule::Home, "body of", quiet_week);
+    caught(Invariant::Allowed, "no share of", quiet_week);
+    caught(Invariant::Spill, "no spill", quiet_week);
+    caught(Invariant::Home, "bound to", quiet_week);
+    caught(Invariant::Home, "body of", quiet_week);
 }
 
 #[test]
 fn what_runs_once() {
-    caught(Rule::Repeat, "times", workers_die);
-    caught(Rule::Unknown, "was refused", workers_die);
-    caught(Rule::Refusal, "was refused", late_claims);
-    caught(Rule::Claim, "times", asked_twice);
+    caught(Invariant::Repeat, "times", workers_die);
+    caught(Invariant::Unknown, "was refused", workers_die);
+    caught(Invariant::Refusal, "was refused", late_claims);
+    caught(Invariant::Claim, "times", asked_twice);
     caught(
-        Rule::Learned,
+        Invariant::Learned,
         "times",
         super::claims::blank_core_hears_of_one_only,
     );
-    caught(Rule::ClaimSynced, "times", cores_killed_at_once);
+    caught(Invariant::ClaimSynced, "times", cores_killed_at_once);
 }
 
 #[test]
 fn what_is_bounded() {
-    caught(Rule::Budget, "retries", workers_out_of_reach);
-    caught(Rule::Warm, "held", region_back);
+    caught(Invariant::Budget, "retries", workers_out_of_reach);
+    caught(Invariant::Warm, "held", region_back);
 }
 
 #[test]
 fn who_wins() {
-    caught(Rule::Base, "taken as", races);
-    caught(Rule::Loser, "nobody got a yes for", races);
+    caught(Invariant::Base, "taken as", races);
+    caught(Invariant::Loser, "nobody got a yes for", races);
 }
 
 /// A yes that is nowhere to be read back, written by hand.
 #[test]
 fn a_lost_yes_is_caught() {
-    use sorreldoor::record::Outcome;
+    use sorreldoor::replicated_state::Outcome;
     use sorreldoor::wire::OpOutcome;
     let mut w = world(1);
     let at = w.edges()[0];
-    let (base, zone, emptied) = (8, 0, false);
+    let (base, zone, evacuated) = (8, 0, false);
     let c = w.change(
         at,
-        Cmd::Zone {
+        Command::Zone {
             base,
             zone,
-            emptied,
+            evacuated,
         },
     );
-    w.changes[c].outcome = Some(OpOutcome::Got(Outcome::Taken { serial: 9 }));
+    w.changes[c].outcome = Some(OpOutcome::Got(Outcome::Taken { version: 9 }));
     assert!(w.kept().iter().any(|s| s.contains("9 was acked")));
 }
--- a/rig/tests/site/orders.rs
+++ b/testbed/tests/site/orders.rs
@@ -2,11 +2,11 @@
 //! that of one register with compare-and-set by version.
 
 use super::*;
-use rig::site::linearizable::{violation, Answer, Call, Operation};
-use rig::site::{Storm, Trouble, FIRST};
-use sorreldoor::record::{Cmd, Outcome};
-use sorreldoor::rules::{break_only, Rule};
+use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
+use testbed::site::linearizable::{violation, Answer, Call, Operation};
+use testbed::site::{Storm, Trouble, FIRST};
 
 const TROUBLE: Trouble = Trouble {
     lost: 25,
@@ -56,7 +56,7 @@
     } else {
         archive()
     };
-    let doc = rig::fleet::setup(&shape);
+    let doc = testbed::fleet::configuration(&shape);
     let mut w = World::ready_by(seed, shape, &doc, |w| w.keep_log = Some(4));
     w.trouble = TROUBLE;
     let end = w.now + 12_000;
@@ -143,7 +143,7 @@
 }
 
 /// The first seed by which a broken rule is seen; kept, the same run is sound.
-fn caught(rule: Rule, run: fn(u64) -> World) {
+fn caught(rule: Invariant, run: fn(u64) -> World) {
     let seen = |seed: &u64| {
         break_only(Some(rule));
         let wrong = wrong(&run(*seed));
@@ -157,27 +157,27 @@
 
 #[test]
 fn a_base_that_is_not_checked_is_seen() {
-    caught(Rule::Base, lossy);
+    caught(Invariant::Base, lossy);
 }
 
 #[test]
 fn a_taken_order_that_is_not_recognised_is_seen() {
-    caught(Rule::AppliedOnce, lossy);
+    caught(Invariant::AppliedOnce, lossy);
 }
 
 #[test]
 fn a_refusal_that_is_kept_is_seen() {
-    caught(Rule::RefusalKept, lossy);
+    caught(Invariant::RefusalKept, lossy);
 }
 
 #[test]
 fn a_refusal_before_its_time_is_seen() {
-    caught(Rule::NotYet, lossy);
+    caught(Invariant::NotYet, lossy);
 }
 
 #[test]
 fn taken_orders_lost_with_a_snapshot_are_seen() {
-    caught(Rule::TakenInImage, restarted);
+    caught(Invariant::TakenInImage, restarted);
 }
 
 /// One copy of an evacuation waits at a core that is cut off, another is
@@ -187,21 +187,21 @@
     let leader = w.leader().unwrap_or(0);
     let cut = w.cores().into_iter().find(|c| *c != leader).unwrap_or(1);
     let others: Vec<usize> = w.cores().into_iter().filter(|c| *c != cut).collect();
-    let order = |emptied| Cmd::Evacuate { zone: 0, emptied };
+    let order = |evacuated| Command::Evacuate { zone: 0, evacuated };
     for other in &others {
         w.cut_both(cut, *other);
     }
     w.change(cut, order(true));
     w.run_for(300);
-    for emptied in [true, false] {
-        let c = w.change(leader, order(emptied));
+    for evacuated in [true, false] {
+        let c = w.change(leader, order(evacuated));
         let end = w.now + 2500;
         let done = w.run_until(end, |w| w.changes[c].outcome.is_some());
         let taken = matches!(
             w.changes[c].outcome,
             Some(OpOutcome::Got(Outcome::Taken { .. }))
         );
-        assert!(done && taken, "seed {seed}: {emptied} is acknowledged");
+        assert!(done && taken, "seed {seed}: {evacuated} is acknowledged");
     }
     w.heal();
     w.run_for(8000);
@@ -211,7 +211,7 @@
 fn emptied_again(w: &World) -> bool {
     let cores = w.cores().into_iter().filter_map(|c| w.controller(c));
     let records = cores.filter_map(|c| c.consensus.as_ref());
-    records.into_iter().any(|a| a.machine().emptied(0))
+    records.into_iter().any(|a| a.machine().evacuated(0))
 }
 
 #[test]
@@ -220,7 +220,7 @@
         let w = late_evacuation(seed);
         assert!(!emptied_again(&w), "seed {seed}: emptied again");
     }
-    break_only(Some(Rule::EvacuateOnce));
+    break_only(Some(Invariant::EvacuateOnce));
     let seen = (5400..5420).find(|seed| emptied_again(&late_evacuation(*seed)));
     break_only(None);
     println!("evacuate-once: seen by seed {seen:?}");
--- a/rig/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -2,8 +2,8 @@
 //! duty's holder reads, and records that cannot be proved current.
 
 use super::*;
+use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::pacing::Pacing;
-use sorreldoor::registry::{Worker, WorkerRegistry};
 
 fn frugal() -> Pacing {
     Pacing {
@@ -22,7 +22,7 @@
 
 fn with(seed: u64, f: impl FnOnce(&mut World)) -> World {
     let shape = press();
-    let doc = rig::fleet::setup(&shape);
+    let doc = testbed::fleet::configuration(&shape);
     World::ready_by(seed, shape, &doc, f)
 }
 
@@ -76,9 +76,9 @@
     }
 }
 
-fn serial(w: &World, e: usize) -> u64 {
+fn version(w: &World, e: usize) -> u64 {
     w.edge_controller(e)
-        .map_or(0, |h| h.plan.shown.registry.serial)
+        .map_or(0, |h| h.plan.shown.registry.version)
 }
 
 fn holder(w: &World) -> Option<usize> {
@@ -100,20 +100,20 @@
         });
         w.run_for(3000);
         let e = w.edges()[0];
-        let first = serial(&w, e);
+        let first = version(&w, e);
         assert!(first >> 32 > 0, "seed {seed}: {first:x}");
         let polls = w.polls;
         w.run_for(10_000);
         let n = w.polls - polls;
         assert!((7..=11).contains(&n), "seed {seed}: {n} readings in 10 s");
-        assert_eq!(serial(&w, e), first, "an unchanged list is no news");
+        assert_eq!(version(&w, e), first, "an unchanged list is no news");
         let k = w.worker("north-gpu0");
         w.leave(k);
         let from = w.now;
-        let seen = |w: &World| w.edges().iter().all(|e| serial(w, *e) > first);
+        let seen = |w: &World| w.edges().iter().all(|e| version(w, *e) > first);
         assert!(w.run_until(from + 1400, seen), "seed {seed}");
         println!("seed {seed}: at every edge after {} ms", w.now - from);
-        let second = serial(&w, e);
+        let second = version(&w, e);
         // the holder is killed and comes back at once, or stays away
         let h = holder(&w).expect("someone is on duty");
         w.crash(h);
@@ -125,7 +125,7 @@
         w.run_for(5000);
         assert!(w.polls > polls + 2, "seed {seed}: someone reads on");
         let all = w.edges();
-        let newer = all.iter().all(|e| serial(&w, *e) > second);
+        let newer = all.iter().all(|e| version(&w, *e) > second);
         assert!(newer, "seed {seed}: a new holder's list is newer");
         sound(&w, seed);
     }
@@ -142,16 +142,16 @@
         slots: 4,
         cold_ms,
         leaves_ms: None,
-        version: "1".into(),
+        software_version: "1".into(),
     }
 }
 
 /// Time that goes by is no news; what ends later than it was to is.
 #[test]
 fn a_list_is_news_only_when_it_says_something_new() {
-    let serial = 1;
+    let version = 1;
     let workers = vec![cold(5000)];
-    let r = WorkerRegistry { serial, workers };
+    let r = WorkerRegistry { version, workers };
     assert!(r.same(&[cold(5000)], 0));
     assert!(r.same(&[cold(3000)], 2000));
     assert!(r.same(&[cold(0)], 5000));
--- a/rig/tests/site/regions.rs
+++ b/testbed/tests/site/regions.rs
@@ -1,7 +1,7 @@
 //! Regions lost and back.
 
 use super::*;
-use sorreldoor::problem::Problem;
+use sorreldoor::error::ErrorCode;
 
 /// A region's workers all die and come back cold while traffic goes on.
 #[test]
@@ -69,7 +69,7 @@
             let n = w.ask(e, "question", "", Some(0));
             w.run_for(400);
             let c = &w.callers[&n];
-            assert_eq!(c.got, Got::Shed(Problem::NoWorker), "seed {seed}");
+            assert_eq!(c.got, Got::Shed(ErrorCode::NoWorker), "seed {seed}");
         }
         sound(&w, seed);
     }
--- a/rig/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -4,8 +4,8 @@
 use super::growth::{grown, ids, members, voters, whole};
 use super::*;
 use sorreldoor::consensus::Millis;
-use sorreldoor::core::ControllerEvent;
-use sorreldoor::record::{Cmd, Outcome};
+use sorreldoor::control_plane::ControllerEvent;
+use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
 
 /// What a new machine has to get ready, on small sites.
@@ -64,7 +64,7 @@
 fn newest(w: &World) -> u64 {
     let held = |c: usize| {
         let a = w.controller(c).and_then(|h| h.consensus.as_ref());
-        a.map_or(0, |a| a.machine().serial())
+        a.map_or(0, |a| a.machine().version())
     };
     w.cores().into_iter().map(held).max().unwrap_or(0)
 }
@@ -76,9 +76,9 @@
         w.run_for(100);
         return false;
     };
-    let (base, doc) = (newest(w), rig::fleet::setup(&w.shape));
+    let (base, doc) = (newest(w), testbed::fleet::configuration(&w.shape));
     let to = None;
-    let c = w.change(at, Cmd::Put { base, to, doc });
+    let c = w.change(at, Command::Put { base, to, doc });
     let end = w.now + wait;
     w.run_until(end, |w| w.changes[c].outcome.is_some());
     let outcome = &w.changes[c].outcome;
--- a/rig/tests/site/returns.rs
+++ b/testbed/tests/site/returns.rs
@@ -4,7 +4,7 @@
 use super::*;
 use sorreldoor::consensus::Millis;
 use sorreldoor::pacing::Pacing;
-use sorreldoor::record::Cmd;
+use sorreldoor::replicated_state::Command;
 
 /// As on machines where bytes and calls are dear.
 fn dear(seed: u64) -> World {
@@ -13,7 +13,7 @@
     } else {
         archive()
     };
-    let doc = rig::fleet::setup(&shape);
+    let doc = testbed::fleet::configuration(&shape);
     World::ready_by(seed, shape, &doc, |w| {
         w.holder_polls = Some(500);
         w.pacing = Pacing {
@@ -33,15 +33,15 @@
 fn change(w: &mut World) {
     let base = w
         .edge_controller(w.edges()[0])
-        .map_or(0, |h| h.plan.shown.view.serial);
+        .map_or(0, |h| h.plan.shown.view.version);
     let (zone, at) = (0, w.cores()[0]);
-    let emptied = false;
+    let evacuated = false;
     let c = w.change(
         at,
-        Cmd::Zone {
+        Command::Zone {
             base,
             zone,
-            emptied,
+            evacuated,
         },
     );
     let end = w.now + 4000;
@@ -65,7 +65,7 @@
 
 fn ready(w: &World, e: usize) -> bool {
     w.edge_controller(e)
-        .is_some_and(|h| h.ready().is_ok() && h.plan.shown.registry.serial > 0)
+        .is_some_and(|h| h.ready().is_ok() && h.plan.shown.registry.version > 0)
 }
 
 /// What each edge acts by, which must only grow within its life.
@@ -74,7 +74,7 @@
         let h = w.edge_controller(*e)?;
         Some((
             h.pull.have.record,
-            h.plan.shown.view.serial,
+            h.plan.shown.view.version,
             h.pull.have.registry,
         ))
     };
@@ -124,7 +124,7 @@
         // what is acknowledged is there, and proved, by every edge
         let top = 2;
         // a leader may have been elected this very moment
-        let there = |w: &World| top_serial(w) >= top;
+        let there = |w: &World| highest_version(w) >= top;
         assert!(watched(&mut w, 500, there).is_some(), "seed {seed}");
         let proved = |w: &World| es.iter().all(|e| marks_of(w, *e) >= top && ready(w, *e));
         assert!(watched(&mut w, 3000, proved).is_some(), "seed {seed}");
@@ -143,13 +143,14 @@
 }
 
 /// The newest version that any core has applied.
-fn top_serial(w: &World) -> u64 {
-    let serials = w.cores().into_iter().filter_map(|c| w.serial_at(c));
-    serials.max().unwrap_or(0)
+fn highest_version(w: &World) -> u64 {
+    let versions = w.cores().into_iter().filter_map(|c| w.version_at(c));
+    versions.max().unwrap_or(0)
 }
 
 fn marks_of(w: &World, e: usize) -> u64 {
-    w.edge_controller(e).map_or(0, |h| h.plan.shown.view.serial)
+    w.edge_controller(e)
+        .map_or(0, |h| h.plan.shown.view.version)
 }
 
 /// A core that lost its disk has nothing to tell, and says nothing for news.
@@ -212,10 +213,10 @@
         let zone = 0;
         let c = w.change(
             at,
-            Cmd::Zone {
+            Command::Zone {
                 base,
                 zone,
-                emptied: false,
+                evacuated: false,
             },
         );
         let end = w.now + 4000;
--- a/rig/tests/site/swings.rs
+++ b/testbed/tests/site/swings.rs
@@ -24,7 +24,7 @@
         (5002, press()),
         (5003, archive()),
     ] {
-        let doc = rig::fleet::setup(&shape);
+        let doc = testbed::fleet::configuration(&shape);
         let mut w = World::ready_with(seed, shape, &doc);
         w.patience = 6;
         for k in w.workers.iter_mut().filter(|k| k.model) {
--- a/rig/tests/site/zones.rs
+++ b/testbed/tests/site/zones.rs
@@ -2,9 +2,9 @@
 //! fault straight after a yes.
 
 use super::*;
-use rig::site::Caller;
-use sorreldoor::record::{Cmd, Outcome};
+use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
+use testbed::site::Caller;
 
 fn taken(w: &World, c: usize) -> bool {
     matches!(
@@ -20,14 +20,18 @@
     while w.now - from < most {
         let up: Vec<usize> = (0..w.procs.len()).filter(|p| w.procs[*p].up).collect();
         let p = up[w.rng.below(up.len() as u64) as usize];
-        let base = w.cores().into_iter().filter_map(|c| w.serial_at(c)).max()?;
-        let (zone, emptied) = (0, false);
+        let base = w
+            .cores()
+            .into_iter()
+            .filter_map(|c| w.version_at(c))
+            .max()?;
+        let (zone, evacuated) = (0, false);
         let c = w.change(
             p,
-            Cmd::Zone {
+            Command::Zone {
                 base,
                 zone,
-                emptied,
+                evacuated,
             },
         );
         let end = w.now + 400;
@@ -118,16 +122,16 @@
         for i in 0..12u64 {
             let edges = w.edges();
             let p = edges[(i as usize * 5) % edges.len()];
-            if let Some(base) = w.serial_at(p) {
-                let (zone, emptied) = (2, false);
+            if let Some(base) = w.version_at(p) {
+                let (zone, evacuated) = (2, false);
                 asked.push((
                     side(&w, p),
                     w.change(
                         p,
-                        Cmd::Zone {
+                        Command::Zone {
                             base,
                             zone,
-                            emptied,
+                            evacuated,
                         },
                     ),
                 ));
@@ -171,8 +175,8 @@
             0 => {
                 let mark = w.number();
                 let regions = w.site.regions.clone();
-                let doc = rig::site::any_doc(&mut w.rng, &regions, mark);
-                Cmd::Put {
+                let doc = testbed::site::any_doc(&mut w.rng, &regions, mark);
+                Command::Put {
                     base: 1,
                     to: None,
                     doc,
@@ -180,14 +184,14 @@
             }
             1 => {
                 let patch = r#"{"retry":{"percent":7}}"#.to_string();
-                Cmd::Edit { base: 1, patch }
+                Command::Edit { base: 1, patch }
             }
             _ => {
-                let (zone, emptied) = (w.rng.below(3) as u16, true);
-                Cmd::Zone {
+                let (zone, evacuated) = (w.rng.below(3) as u16, true);
+                Command::Zone {
                     base: 1,
                     zone,
-                    emptied,
+                    evacuated,
                 }
             }
         };
@@ -217,7 +221,7 @@
         for e in w.edges().into_iter().filter(|e| w.procs[*e].up) {
             let h = w.edge_controller(e).expect("an edge that is up");
             assert!(
-                h.plan.shown.view.serial >= 2,
+                h.plan.shown.view.version >= 2,
                 "seed {seed}: read back at every edge"
             );
             n += 1;
@@ -232,7 +236,7 @@
 fn spill_keeps_to_its_limit_over_the_fleet() {
     for seed in seeds(4300..4306) {
         let shape = if seed % 2 == 0 { press() } else { archive() };
-        let doc = rig::fleet::setup(&shape).replace(": 50}", ": 30}");
+        let doc = testbed::fleet::configuration(&shape).replace(": 50}", ": 30}");
         let mut w = World::ready_with(seed, shape, &doc);
         w.patience = 6;
         let end = w.now + 30_000;
--- a/rig/tests/troubles.rs
+++ b/testbed/tests/troubles.rs
@@ -1,11 +1,11 @@
 //! Real processes in trouble: clocks, disks, links, and a rolling restart,
 //! under callers of a deployment's mix.
 
-use rig::fleet::{archive, press, Fleet};
-use rig::soak::{under, Tally};
 use simd_json::prelude::*;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
+use testbed::fleet::{archive, press, Fleet};
+use testbed::soak::{under, Tally};
 
 const LONG: Duration = Duration::from_secs(40);
 
@@ -52,7 +52,7 @@
     panic!("a change is taken within {LONG:?}");
 }
 
-fn serial(f: &Fleet, i: usize) -> u64 {
+fn version(f: &Fleet, i: usize) -> u64 {
     let v = f.get(i, "/v1/setup").map(|(_, v)| v).unwrap_or_default();
     v.get("serial").and_then(|s| s.as_u64()).unwrap_or(0)
 }
@@ -100,7 +100,7 @@
     );
     for i in 0..f.nodes.len() {
         assert!(
-            f.until(LONG, |f| serial(f, i) == top),
+            f.until(LONG, |f| version(f, i) == top),
             "{}",
             f.nodes[i].name
         );
@@ -174,7 +174,7 @@
         println!("regions cut: a change took {} ms", took.as_millis());
         f.cut_regions(false);
         for e in f.edges() {
-            assert!(f.until(LONG, |f| serial(f, e) >= top));
+            assert!(f.until(LONG, |f| version(f, e) >= top));
         }
         let last = f.cores()[2];
         f.trick(last, r#"{"full":true}"#);
