--- a/sorreldoor/src/balancer/spot.rs
+++ b/sorreldoor/src/balancer/endpoint.rs
@@ -19,7 +19,7 @@
 const MOST_SENT: usize = 256;
 
 #[derive(Clone, Debug)]
-pub struct Spot {
+pub struct Endpoint {
     pub name: String,
     pub hash: u64,
     pub addr: SocketAddr,
@@ -44,7 +44,7 @@
     pub mine: u32,
     /// Requests of others there, as of `heard`.
     others: f64,
-    heard: Millis,
+    outcome: Millis,
     pub full_until: Millis,
     pub cold_until: Millis,
     sent: VecDeque<Millis>,
@@ -56,9 +56,9 @@
     pub slow: f64,
 }
 
-impl Spot {
-    pub fn new(name: &str, addr: SocketAddr, service: u32) -> Spot {
-        Spot {
+impl Endpoint {
+    pub fn new(name: &str, addr: SocketAddr, service: u32) -> Endpoint {
+        Endpoint {
             name: name.to_string(),
             hash: super::hash::name(name),
             addr,
@@ -74,7 +74,7 @@
             unheard: None,
             mine: 0,
             others: 0.0,
-            heard: 0,
+            outcome: 0,
             full_until: 0,
             cold_until: 0,
             sent: VecDeque::new(),
@@ -102,7 +102,7 @@
 
     /// Running and waiting there, as far as is known.
     pub fn load(&self, now: Millis) -> f64 {
-        let age = now.saturating_sub(self.heard);
+        let age = now.saturating_sub(self.outcome);
         let fade = match age <= FRESH {
             true => 1.0,
             // what is not heard again is tried again
@@ -114,7 +114,7 @@
     /// Its own word; `mine` of them are this node's.
     pub fn report(&mut self, running: u32, waiting: u32, slots: u32, now: Millis) {
         self.others = (f64::from(running) + f64::from(waiting) - f64::from(self.mine)).max(0.0);
-        self.heard = now;
+        self.outcome = now;
         if slots > 0 {
             self.slots = slots;
         }
--- a/sorreldoor/src/balancer/health.rs
+++ b/sorreldoor/src/balancer/health.rs
@@ -34,7 +34,7 @@
 pub enum Sign {
     Good,
     /// No connection came up.
-    NoConn,
+    ConnectFailed,
     Bad,
 }
 
@@ -72,7 +72,7 @@
         let go = match (self.out(), s) {
             (true, _) => true,
             // what takes no connection serves nobody, however many others are out
-            (_, Sign::NoConn) => true,
+            (_, Sign::ConnectFailed) => true,
             _ => may && (self.row >= IN_A_ROW || often),
         };
         if go {
--- a/sorreldoor/src/balancer/heavy.rs
+++ b/sorreldoor/src/balancer/heavy.rs
@@ -15,16 +15,16 @@
     /// How much of each service's streams the homes of routes bind to a region.
     pub(super) fn bind(&mut self, h: &Hosted) {
         let regions = 1 + self.place.regions.iter().copied().max().unwrap_or(0) as usize;
-        for s in &mut self.svcs {
+        for s in &mut self.service_states {
             s.bound = vec![0.0; regions];
         }
         for r in h.routes.iter().filter(|r| r.kind == Kind::Stream) {
             let part = 1.0 / r.homes.len().max(1) as f64;
             for c in r.split.iter().filter(|(_, w)| *w > 0).map(|(c, _)| *c) {
-                let Some(i) = self.svc_of.get(c as usize) else {
+                let Some(i) = self.service_index.get(c as usize) else {
                     continue;
                 };
-                let b = &mut self.svcs[*i as usize].bound;
+                let b = &mut self.service_states[*i as usize].bound;
                 for x in r.homes.iter().filter(|x| (**x as usize) < regions) {
                     b[*x as usize] += part;
                 }
@@ -36,11 +36,11 @@
     /// Marks the workers for long prefixes anew; after any change of the list
     /// or the configuration.
     pub(super) fn weigh(&mut self) {
-        for i in 0..self.svcs.len() {
-            let s = &self.svcs[i];
-            let of = |x: &u32| self.spots[*x as usize].as_deref().map(|w| (*x, w));
+        for i in 0..self.service_states.len() {
+            let s = &self.service_states[i];
+            let of = |x: &u32| self.endpoints[*x as usize].as_deref().map(|w| (*x, w));
             let all: Vec<(u32, u8, u64)> = s
-                .spots
+                .endpoints
                 .iter()
                 .filter_map(of)
                 .filter(|(_, w)| w.open)
@@ -59,8 +59,8 @@
                 heavy.truncate(all.len().div_ceil(3));
             }
             let heavy: Vec<u32> = heavy.iter().map(|a| a.0).collect();
-            for x in self.svcs[i].spots.clone() {
-                if let Some(w) = &mut self.spots[x as usize] {
+            for x in self.service_states[i].endpoints.clone() {
+                if let Some(w) = &mut self.endpoints[x as usize] {
                     w.heavy = heavy.contains(&x);
                 }
             }
--- a/sorreldoor/src/balancer/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -2,6 +2,7 @@
 //! milliseconds of a monotonic clock that is handed in.
 
 mod budget;
+mod endpoint;
 mod hash;
 mod health;
 mod heavy;
@@ -9,9 +10,8 @@
 mod nodes;
 mod pick;
 mod rank;
-mod reqs;
+mod requests;
 mod signs;
-mod spot;
 mod state;
 mod waits;
 
@@ -52,7 +52,7 @@
 
 /// How one sending came to its end, or how it is going.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum AttemptOutcome {
     /// The worker's head: running, waiting, slots; cold for so long.
     Head {
         load: Option<(u32, u32, u32)>,
@@ -67,7 +67,7 @@
     /// Another worker has this address now.
     Misdirected,
     /// No connection came up: nothing was sent.
-    NoConn,
+    ConnectFailed,
     /// Broken off, silent, or no proper answer, after it was sent.
     Broke,
     /// The caller is gone, or its time is up; the worker is not to blame.
@@ -76,7 +76,7 @@
 
 /// What the table must know of its own node.
 #[derive(Clone, Debug, Default)]
-pub struct Place {
+pub struct Locality {
     pub node: String,
     pub zone: u16,
     pub region: u8,
--- a/sorreldoor/src/balancer/pick.rs
+++ b/sorreldoor/src/balancer/pick.rs
@@ -1,8 +1,8 @@
 //! Where a request goes now, whether it waits, or why it is not sent.
 
+use super::endpoint::Endpoint;
 use super::rank::{Choice, Offer};
-use super::reqs::{weighted, Req, Sending};
-use super::spot::Spot;
+use super::requests::{weighted, Req, Sending};
 use super::state::Table;
 use super::waits::{Line, Rank, TICK};
 use super::{Pick, RequestId, Target};
@@ -26,8 +26,8 @@
         let draw = r.key().filter(|_| route.sticky).unwrap_or(r.draw);
         let all = route.split.iter().filter(|(_, w)| *w > 0);
         all.filter_map(|(c, w)| {
-            let i = *self.svc_of.get(*c as usize)?;
-            Some((i, weighted(draw, self.svcs[i as usize].hash, *w)))
+            let i = *self.service_index.get(*c as usize)?;
+            Some((i, weighted(draw, self.service_states[i as usize].hash, *w)))
         })
         .filter(|(_, at)| *at > after)
         .min_by(|a, b| a.1.total_cmp(&b.1))
@@ -38,20 +38,20 @@
         self.tick(now);
         self.unwait(request_id);
         if self
-            .reqs
+            .requests
             .get(request_id)
             .is_some_and(|r| r.sending.is_some())
         {
             // it may be at one worker only; the last sending has no word left
-            self.heard(request_id, super::Heard::Left, now);
+            self.outcome(request_id, super::AttemptOutcome::Left, now);
         }
-        let (Some(h), Some(mut r)) = (self.hosted.clone(), self.reqs.lend(request_id)) else {
+        let (Some(h), Some(mut r)) = (self.hosted.clone(), self.requests.lend(request_id)) else {
             return Pick::Refuse(ErrorCode::GivenUp, 0);
         };
         self.refind(&mut r, &h);
         let route = r.route.and_then(|i| h.routes.get(i as usize)).map(|r| &**r);
         let p = self.decide(request_id, &mut r, route, now);
-        self.reqs.back(request_id, r);
+        self.requests.back(request_id, r);
         self.counts.refused += u64::from(matches!(p, Pick::Refuse(..)));
         p
     }
@@ -93,7 +93,7 @@
         let (svc, o) = self.offers(r, route, now);
         let slack = self.slack(svc);
         let b = &self.bounds;
-        if r.arrived_once && !self.svcs[svc as usize].budget.fits(b, slack, now) {
+        if r.arrived_once && !self.service_states[svc as usize].budget.fits(b, slack, now) {
             return self.refuse(r, last, now);
         }
         if let Some(c) = o.best() {
@@ -115,11 +115,11 @@
     /// its route, its sendings so far, the budget and another worker's room
     /// allow it, and nothing was heard of its worker for `silent` ms.
     pub fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
-        let (Some(r), Some(h)) = (self.reqs.lend(request_id), self.hosted.clone()) else {
+        let (Some(r), Some(h)) = (self.requests.lend(request_id), self.hosted.clone()) else {
             return false;
         };
         let yes = self.movable(&r, &h, silent, now);
-        self.reqs.back(request_id, r);
+        self.requests.back(request_id, r);
         yes
     }
 
@@ -130,15 +130,17 @@
         };
         let spent = r.sent >= route.attempts.max(1) || !r.progress.may_run_twice();
         let late = r.deadline < now + TOO_LATE;
-        let here = r.sending.and_then(|s| self.spots[s.spot as usize].as_ref());
+        let here = r
+            .sending
+            .and_then(|s| self.endpoints[s.endpoint as usize].as_ref());
         // a worker that speaks to others is slow, not gone
-        let dead = |w: &Spot| silent == 0 || w.pulse + silent <= now;
+        let dead = |w: &Endpoint| silent == 0 || w.pulse + silent <= now;
         let Some(w) = here.filter(|w| !spent && !late && dead(w.as_ref())) else {
             return false;
         };
         let svc = w.service;
         let slack = self.slack(svc);
-        let fits = self.svcs[svc as usize]
+        let fits = self.service_states[svc as usize]
             .budget
             .fits(&self.bounds, slack, now);
         fits && self.offers(r, route, now).1.best().is_some()
@@ -146,8 +148,8 @@
 
     /// Something was heard of the worker that a request is at.
     pub fn pulse(&mut self, request_id: RequestId, now: Millis) {
-        let s = self.reqs.get(request_id).and_then(|r| r.sending);
-        if let Some(w) = s.and_then(|s| self.spots[s.spot as usize].as_mut()) {
+        let s = self.requests.get(request_id).and_then(|r| r.sending);
+        if let Some(w) = s.and_then(|s| self.endpoints[s.endpoint as usize].as_mut()) {
             w.beat(now);
         }
     }
@@ -181,7 +183,7 @@
     /// This node's part of the further sendings that need no requests.
     fn slack(&self, svc: u32) -> u32 {
         let s = self.bounds.retry_slack * super::budget::SAFE_SLACK;
-        self.nodes.part(s, self.svcs[svc as usize].hash)
+        self.nodes.part(s, self.service_states[svc as usize].hash)
     }
 
     fn refuse(&mut self, r: &Req, p: ErrorCode, now: Millis) -> Pick {
@@ -203,7 +205,7 @@
         let engine = conf.and_then(|s| s.engine);
         let conns = conf.map_or(1, |s| s.max_conns);
         let b = &self.bounds;
-        let Some(w) = self.spots[c.spot as usize].as_mut() else {
+        let Some(w) = self.endpoints[c.endpoint as usize].as_mut() else {
             return Pick::Refuse(ErrorCode::GivenUp, 0);
         };
         // what may run once goes out only where the worker is known to be
@@ -220,7 +222,7 @@
         w.health.trial |= trial;
         let booked = r.arrived_once;
         if booked {
-            self.svcs[svc as usize].budget.spent(b, now);
+            self.service_states[svc as usize].budget.spent(b, now);
             self.counts.retried += 1;
         }
         let all: u32 = r.parts.iter().map(|p| p.tokens).sum();
@@ -228,10 +230,10 @@
         self.counts.hit += u64::from(all.max(r.tokens_in).saturating_sub(c.reading));
         r.progress
             .on(Event::WorkerChosen(Repeatability::from(route)));
-        r.tried.push(c.spot);
+        r.tried.push(c.endpoint);
         r.sent += 1;
         r.sending = Some(Sending {
-            spot: c.spot,
+            endpoint: c.endpoint,
             at: now,
             hit: c.hit,
             reading: c.reading,
@@ -240,7 +242,7 @@
             booked,
         });
         let t = Target {
-            worker: c.spot,
+            worker: c.endpoint,
             name: w.name.clone(),
             addr: w.addr,
             left_ms: r.deadline.saturating_sub(now),
--- a/sorreldoor/src/balancer/rank.rs
+++ b/sorreldoor/src/balancer/rank.rs
@@ -1,10 +1,10 @@
 //! Which worker of a service a request is best sent to: what it costs there,
 //! in milliseconds for engines and in shares of a worker for others.
 
+use super::endpoint::{Endpoint, COLD_SPAN};
 use super::hash;
 use super::heavy::{LATELY, LONG_SHARED};
-use super::reqs::Req;
-use super::spot::{Spot, COLD_SPAN};
+use super::requests::Req;
 use super::state::Table;
 use crate::configuration::hosted::{Route, Service};
 use crate::consensus::Millis;
@@ -21,7 +21,7 @@
 /// A worker chosen, and what was assumed of it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Choice {
-    pub spot: u32,
+    pub endpoint: u32,
     pub cost: f64,
     pub load: f64,
     pub hit: usize,
@@ -63,7 +63,7 @@
 }
 
 impl Table {
-    pub(super) fn may(&self, w: &Spot, i: u32, r: &Req, route: &Route) -> bool {
+    pub(super) fn may(&self, w: &Endpoint, i: u32, r: &Req, route: &Route) -> bool {
         w.open
             && w.stale.is_none()
             && !self.evacuated.contains(&w.zone)
@@ -85,7 +85,7 @@
         let Some(conf) = self.conf(svc).map(Lite::from) else {
             return o;
         };
-        let v = &self.svcs[svc as usize];
+        let v = &self.service_states[svc as usize];
         let sum: u32 = r.parts.iter().map(|p| p.tokens).sum();
         let shared: u32 = r.shared().iter().map(|p| p.tokens).sum();
         let l = Load {
@@ -97,15 +97,15 @@
         };
         let mut noise = self.draw.clone();
         let again = route.repeatable();
-        let fit = |w: &Spot| !w.health.out() || out || w.health.due(now, again);
-        let of = |i: u32| self.spots[i as usize].as_deref().map(|w| (i, w));
+        let fit = |w: &Endpoint| !w.health.out() || out || w.health.due(now, again);
+        let of = |i: u32| self.endpoints[i as usize].as_deref().map(|w| (i, w));
         let each = || {
-            let all = v.spots.iter().filter_map(|i| of(*i));
+            let all = v.endpoints.iter().filter_map(|i| of(*i));
             all.filter(|(i, w)| self.may(w, *i, r, route) && fit(w))
         };
         // every node finds the same worker for a prefix without a word
         let first = l.key.and_then(|k| {
-            let mine = |w: &Spot| {
+            let mine = |w: &Endpoint| {
                 if l.long {
                     w.heavy
                 } else {
@@ -161,7 +161,7 @@
     fn cost(
         &self,
         i: u32,
-        w: &Spot,
+        w: &Endpoint,
         r: &Req,
         l: Load,
         conf: &Lite,
@@ -192,7 +192,7 @@
         };
         let reading = l.tokens.saturating_sub(kept);
         let cost = if conf.engine {
-            let v = &self.svcs[w.service as usize];
+            let v = &self.service_states[w.service as usize];
             let read = f64::from(reading) * v.per_token;
             let anew = f64::from(l.shared.saturating_sub(kept)) * v.per_token;
             // whoever reads long stalls all that run beside it
@@ -237,7 +237,7 @@
         // what is due for a trial comes back by one, a light one if it can
         let trial = l.tokens <= LIGHT;
         Choice {
-            spot: i,
+            endpoint: i,
             cost: match (w.health.out(), trial && w.health.until() <= now) {
                 (true, true) => -1.0,
                 // of those that are all out, the one out longest is least bad
--- a/sorreldoor/src/balancer/reqs.rs
+++ b/sorreldoor/src/balancer/requests.rs
@@ -1,21 +1,21 @@
 //! Requests under way, from their head to their end.
 
+use super::endpoint::FULL;
 use super::hash;
 use super::health::Sign;
-use super::spot::FULL;
 use super::state::Table;
 use super::waits::Line;
-use super::{Heard, RequestId};
+use super::{AttemptOutcome, RequestId};
 use crate::configuration::hosted;
 use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::proxy::attempt::{Event, Repeatability, RequestProgress};
-use crate::proxy::{Asked, Part};
+use crate::proxy::{Part, RequestMetadata};
 
 /// A sending that has not come to its end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sending {
-    pub spot: u32,
+    pub endpoint: u32,
     pub at: Millis,
     /// Parts that were thought kept there.
     pub hit: usize,
@@ -70,12 +70,12 @@
 
 /// Requests by id; an id is never used again.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reqs {
+pub(super) struct Requests {
     rows: Vec<(u32, Option<Box<Req>>)>,
     free: Vec<u32>,
 }
 
-impl Reqs {
+impl Requests {
     pub fn len(&self) -> usize {
         self.rows.len() - self.free.len()
     }
@@ -128,7 +128,7 @@
         &mut self,
         host: &str,
         path: &str,
-        asked: Asked,
+        asked: RequestMetadata,
         arrived: Millis,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
@@ -157,7 +157,7 @@
         };
         let s = self.drawn(&r, &h.routes[i as usize], 0.0);
         if let Some((s, _)) = s {
-            let v = &mut self.svcs[s as usize];
+            let v = &mut self.service_states[s as usize];
             v.budget.asked(&self.bounds, now);
             let shared: u32 = r.shared().iter().map(|p| p.tokens).sum();
             v.long_at = Some(now)
@@ -165,12 +165,12 @@
                 .or(v.long_at);
         }
         self.counts.begun += 1;
-        Ok(self.reqs.put(r))
+        Ok(self.requests.put(r))
     }
 
     /// Its route in the configuration in force when it was last looked up.
     pub fn route(&self, request_id: RequestId) -> Option<&hosted::Route> {
-        let r = self.reqs.get(request_id)?;
+        let r = self.requests.get(request_id)?;
         // an index means nothing in another configuration
         let i = match r.edition == self.edition {
             true => r.route?,
@@ -181,7 +181,7 @@
 
     /// When it is no longer waited for, on the clock of `now`.
     pub fn deadline(&self, request_id: RequestId) -> Millis {
-        self.reqs.get(request_id).map_or(0, |r| r.deadline)
+        self.requests.get(request_id).map_or(0, |r| r.deadline)
     }
 
     /// Looks its route up anew if the configuration has changed.
@@ -196,68 +196,71 @@
     }
 
     /// What came of the last sending of this request.
-    pub fn heard(&mut self, request_id: RequestId, h: Heard, now: Millis) {
+    pub fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
         self.tick(now);
-        let Some(s) = self.reqs.get(request_id).and_then(|r| r.sending) else {
+        let Some(s) = self.requests.get(request_id).and_then(|r| r.sending) else {
             return;
         };
-        if !matches!(h, Heard::NoConn | Heard::Broke | Heard::Left) {
+        if !matches!(
+            h,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Broke | AttemptOutcome::Left
+        ) {
             self.pulse(request_id, now);
         }
         match h {
-            Heard::Head { load, cold_ms } => self.head(s.spot, load, cold_ms, now),
-            Heard::First => self.first(request_id, now),
-            Heard::Done(status) => {
+            AttemptOutcome::Head { load, cold_ms } => self.head(s.endpoint, load, cold_ms, now),
+            AttemptOutcome::First => self.first(request_id, now),
+            AttemptOutcome::Done(status) => {
                 self.done(request_id, s, status, now);
                 self.close(request_id, true);
                 self.note(request_id, Event::AnswerComplete, None);
             }
-            Heard::NotRun(load) => {
-                self.head(s.spot, load, None, now);
+            AttemptOutcome::NotRun(load) => {
+                self.head(s.endpoint, load, None, now);
                 self.unread(request_id, s);
                 self.close(request_id, true);
-                if let Some(w) = &mut self.spots[s.spot as usize] {
+                if let Some(w) = &mut self.endpoints[s.endpoint as usize] {
                     w.full_until = now + FULL;
                 }
                 // an answer shows that it lives, however full
                 self.sign(s, Sign::Good, now);
                 self.note(request_id, Event::NotRun, Some(ErrorCode::NoWorker));
             }
-            Heard::Misdirected => {
+            AttemptOutcome::Misdirected => {
                 self.unread(request_id, s);
                 self.close(request_id, true);
                 let version = self.version;
-                if let Some(w) = &mut self.spots[s.spot as usize] {
+                if let Some(w) = &mut self.endpoints[s.endpoint as usize] {
                     w.stale = Some(version);
                 }
                 self.note(request_id, Event::NotRun, Some(ErrorCode::GivenUp));
                 // the worker it was meant for is gone, so none has had it
-                if let Some(r) = self.reqs.get_mut(request_id) {
+                if let Some(r) = self.requests.get_mut(request_id) {
                     r.sent = r.sent.saturating_sub(1);
                 }
             }
-            Heard::NoConn => {
+            AttemptOutcome::ConnectFailed => {
                 self.unread(request_id, s);
                 self.close(request_id, false);
                 self.never_left(request_id, s);
-                self.sign(s, Sign::NoConn, now);
+                self.sign(s, Sign::ConnectFailed, now);
                 self.note(request_id, Event::ConnectFailed, Some(ErrorCode::GivenUp));
             }
-            Heard::Broke => {
+            AttemptOutcome::Broke => {
                 self.close(request_id, true);
                 self.sign(s, Sign::Bad, now);
                 self.note(request_id, Event::Closed, Some(ErrorCode::WorkerBroke));
             }
-            Heard::Left => {
+            AttemptOutcome::Left => {
                 self.close(request_id, true);
                 self.note(request_id, Event::Closed, None);
             }
         }
-        self.let_go(s.spot);
+        self.let_go(s.endpoint);
     }
 
     fn note(&mut self, request_id: RequestId, event: Event, last: Option<ErrorCode>) {
-        if let Some(r) = self.reqs.get_mut(request_id) {
+        if let Some(r) = self.requests.get_mut(request_id) {
             r.progress.on(event);
             r.last = last;
         }
@@ -265,24 +268,24 @@
 
     /// Something happened to a request that only its own progress depends on.
     pub fn progressed(&mut self, request_id: RequestId, event: Event) {
-        if let Some(r) = self.reqs.get_mut(request_id) {
+        if let Some(r) = self.requests.get_mut(request_id) {
             r.progress.on(event);
         }
     }
 
     /// How far a request has come.
     pub fn progress(&self, request_id: RequestId) -> Option<RequestProgress> {
-        self.reqs.get(request_id).map(|r| r.progress)
+        self.requests.get(request_id).map(|r| r.progress)
     }
 
     /// The sending ends; its place is free.
     fn close(&mut self, request_id: RequestId, arrived: bool) {
-        let Some(r) = self.reqs.get_mut(request_id) else {
+        let Some(r) = self.requests.get_mut(request_id) else {
             return;
         };
         let Some(s) = r.sending.take() else { return };
         r.arrived_once |= arrived;
-        let Some(w) = &mut self.spots[s.spot as usize] else {
+        let Some(w) = &mut self.endpoints[s.endpoint as usize] else {
             return;
         };
         w.mine = w.mine.saturating_sub(1);
@@ -300,25 +303,27 @@
     /// Nothing reached the worker: it costs no budget and no try.
     fn never_left(&mut self, request_id: RequestId, s: Sending) {
         let b = &self.bounds;
-        let Some(w) = &mut self.spots[s.spot as usize] else {
+        let Some(w) = &mut self.endpoints[s.endpoint as usize] else {
             return;
         };
         w.unsent(s.at);
         if s.booked {
-            self.svcs[w.service as usize].budget.unspent(b, s.at);
+            self.service_states[w.service as usize]
+                .budget
+                .unspent(b, s.at);
             self.counts.retried = self.counts.retried.saturating_sub(1);
         }
-        if let Some(r) = self.reqs.get_mut(request_id) {
+        if let Some(r) = self.requests.get_mut(request_id) {
             r.sent = r.sent.saturating_sub(1);
         }
     }
 
     /// The worker did not read the prompt after all.
     fn unread(&mut self, request_id: RequestId, s: Sending) {
-        let Some(r) = self.reqs.get(request_id) else {
+        let Some(r) = self.requests.get(request_id) else {
             return;
         };
-        if let Some(w) = &mut self.spots[s.spot as usize] {
+        if let Some(w) = &mut self.endpoints[s.endpoint as usize] {
             w.kept.forget(&r.parts[s.hit.min(r.parts.len())..]);
         }
     }
@@ -328,19 +333,22 @@
         self.tick(now);
         self.unwait(request_id);
         let at = self
-            .reqs
+            .requests
             .get(request_id)
             .and_then(|r| r.sending)
-            .map(|s| s.spot);
+            .map(|s| s.endpoint);
         self.close(request_id, true);
-        self.reqs.take(request_id);
+        self.requests.take(request_id);
         if let Some(i) = at {
             self.let_go(i);
         }
     }
 
     pub(super) fn unwait(&mut self, request_id: RequestId) {
-        let w = self.reqs.get_mut(request_id).and_then(|r| r.waits.take());
+        let w = self
+            .requests
+            .get_mut(request_id)
+            .and_then(|r| r.waits.take());
         if let Some((l, k)) = w {
             self.waits.drop(l, k);
         }
--- a/sorreldoor/src/balancer/signs.rs
+++ b/sorreldoor/src/balancer/signs.rs
@@ -1,7 +1,7 @@
 //! What answers, and their absence, say of workers.
 
 use super::health::Sign;
-use super::reqs::Sending;
+use super::requests::Sending;
 use super::state::Table;
 use super::RequestId;
 use crate::consensus::Millis;
@@ -27,7 +27,7 @@
         cold_ms: Option<u64>,
         now: Millis,
     ) {
-        let Some(w) = &mut self.spots[i as usize] else {
+        let Some(w) = &mut self.endpoints[i as usize] else {
             return;
         };
         if let Some((running, waiting, slots)) = load {
@@ -41,7 +41,7 @@
     /// The first event: the prompt is read, and the worker's speed is known.
     pub(super) fn first(&mut self, request_id: RequestId, now: Millis) {
         let Some(s) = self
-            .reqs
+            .requests
             .get_mut(request_id)
             .and_then(|r| r.sending.as_mut())
         else {
@@ -52,11 +52,11 @@
         }
         s.began = true;
         let s = *s;
-        let Some(w) = &mut self.spots[s.spot as usize] else {
+        let Some(w) = &mut self.endpoints[s.endpoint as usize] else {
             return;
         };
         w.reading = w.reading.saturating_sub(u64::from(s.reading));
-        let v = &mut self.svcs[w.service as usize];
+        let v = &mut self.service_states[w.service as usize];
         let took = now.saturating_sub(s.at) as f64;
         let usual = (v.first_ms + f64::from(s.reading) * v.per_token).max(1.0);
         blend(&mut w.slow, (took / usual).clamp(0.25, SLOWEST));
@@ -78,7 +78,7 @@
         match status {
             // a deadline may have been too short; it tells of speed alone
             504 => {
-                if let Some(w) = &mut self.spots[s.spot as usize] {
+                if let Some(w) = &mut self.endpoints[s.endpoint as usize] {
                     blend(&mut w.slow, SLOWEST);
                 }
             }
@@ -89,13 +89,13 @@
 
     /// A sign of a worker's health.
     pub(super) fn sign(&mut self, s: Sending, g: Sign, now: Millis) {
-        let may = g != Sign::Bad || self.may_eject(s.spot);
-        let Some(w) = &mut self.spots[s.spot as usize] else {
+        let may = g != Sign::Bad || self.may_eject(s.endpoint);
+        let Some(w) = &mut self.endpoints[s.endpoint as usize] else {
             return;
         };
         let was = w.health.out();
         let struck = w.health.sign(g, may, now);
-        if g == Sign::NoConn {
+        if g == Sign::ConnectFailed {
             // what it kept went with it
             w.kept.clear();
         }
@@ -110,18 +110,20 @@
             // it may have been started anew, and says so only later
             let svc = w.service;
             let warmup = self.conf(svc).map_or(0, |c| c.warmup_ms);
-            self.chill(s.spot, warmup, now);
+            self.chill(s.endpoint, warmup, now);
         }
     }
 
     /// At most a third of a service's workers in a region are out for failures.
     fn may_eject(&self, i: u32) -> bool {
-        let Some(w) = &self.spots[i as usize] else {
+        let Some(w) = &self.endpoints[i as usize] else {
             return false;
         };
         let peers = || {
-            let all = &self.svcs[w.service as usize].spots;
-            let of = all.iter().filter_map(|x| self.spots[*x as usize].as_ref());
+            let all = &self.service_states[w.service as usize].endpoints;
+            let of = all
+                .iter()
+                .filter_map(|x| self.endpoints[*x as usize].as_ref());
             of.filter(|x| x.listed && x.region == w.region)
         };
         let out = peers().filter(|x| x.health.out()).count();
--- a/sorreldoor/src/balancer/state.rs
+++ b/sorreldoor/src/balancer/state.rs
@@ -1,12 +1,12 @@
 //! The table itself, and what it takes in from outside.
 
 use super::budget::Budget;
+use super::endpoint::Endpoint;
 use super::hash::{self, Draw};
 use super::nodes::Nodes;
-use super::reqs::Reqs;
-use super::spot::Spot;
+use super::requests::Requests;
 use super::waits::Waits;
-use super::{Bounds, Place};
+use super::{Bounds, Locality};
 use crate::configuration::hosted::{Hosted, Service};
 use crate::consensus::Millis;
 use crate::discovery::WorkerRegistry;
@@ -18,11 +18,11 @@
 
 /// A service by name, as long as the table lives.
 #[derive(Clone, Debug)]
-pub(super) struct Svc {
+pub(super) struct ServiceState {
     pub hash: u64,
     /// Its place in the configuration in force.
     pub conf: Option<u16>,
-    pub spots: Vec<u32>,
+    pub endpoints: Vec<u32>,
     /// Routes of streams bound to each region by their homes, in parts.
     pub bound: Vec<f64>,
     /// When a long shared prefix was last asked for.
@@ -60,7 +60,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Table {
-    pub(super) place: Place,
+    pub(super) place: Locality,
     pub(super) bounds: Bounds,
     pub(super) draw: Draw,
     pub(super) now: Millis,
@@ -73,20 +73,20 @@
     pub(super) version: u64,
     listed_once: bool,
     pub(super) nodes: Nodes,
-    pub(super) svcs: Vec<Svc>,
+    pub(super) service_states: Vec<ServiceState>,
     svc_by_name: HashMap<String, u32>,
     /// From a service of the configuration to `svcs`.
-    pub(super) svc_of: Vec<u32>,
+    pub(super) service_index: Vec<u32>,
     /// Indices are never used again; what is gone for good leaves a hole.
-    pub(super) spots: Vec<Option<Box<Spot>>>,
+    pub(super) endpoints: Vec<Option<Box<Endpoint>>>,
     by_name: HashMap<String, u32>,
-    pub(super) reqs: Reqs,
+    pub(super) requests: Requests,
     pub(super) waits: Waits,
     pub(super) counts: Counts,
 }
 
 impl Table {
-    pub fn new(place: Place, bounds: Bounds, seed: u64) -> Table {
+    pub fn new(place: Locality, bounds: Bounds, seed: u64) -> Table {
         let nodes = Nodes::new(&place.node, place.region);
         Table {
             draw: Draw(seed ^ hash::name(&place.node)),
@@ -100,12 +100,12 @@
             version: 0,
             listed_once: false,
             nodes,
-            svcs: Vec::new(),
+            service_states: Vec::new(),
             svc_by_name: HashMap::new(),
-            svc_of: Vec::new(),
-            spots: Vec::new(),
+            service_index: Vec::new(),
+            endpoints: Vec::new(),
             by_name: HashMap::new(),
-            reqs: Reqs::default(),
+            requests: Requests::default(),
             waits: Waits::default(),
             counts: Counts::default(),
         }
@@ -120,11 +120,11 @@
         if let Some(i) = self.svc_by_name.get(name) {
             return *i;
         }
-        let i = self.svcs.len() as u32;
-        self.svcs.push(Svc {
+        let i = self.service_states.len() as u32;
+        self.service_states.push(ServiceState {
             hash: hash::name(name),
             conf: None,
-            spots: Vec::new(),
+            endpoints: Vec::new(),
             bound: Vec::new(),
             long_at: None,
             // only a node that starts anew may have forgotten what it spent
@@ -138,7 +138,7 @@
 
     /// The service as configured now.
     pub(super) fn conf(&self, svc: u32) -> Option<&Service> {
-        let c = self.svcs.get(svc as usize)?.conf?;
+        let c = self.service_states.get(svc as usize)?.conf?;
         self.hosted.as_ref()?.services.get(c as usize)
     }
 
@@ -146,10 +146,10 @@
     pub fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis) {
         self.tick(now);
         self.edition = self.edition.wrapping_add(1);
-        self.svcs.iter_mut().for_each(|s| s.conf = None);
-        self.svc_of = h.services.iter().map(|s| self.svc(&s.name, now)).collect();
-        for (c, i) in self.svc_of.iter().enumerate() {
-            self.svcs[*i as usize].conf = Some(c as u16);
+        self.service_states.iter_mut().for_each(|s| s.conf = None);
+        self.service_index = h.services.iter().map(|s| self.svc(&s.name, now)).collect();
+        for (c, i) in self.service_index.iter().enumerate() {
+            self.service_states[*i as usize].conf = Some(c as u16);
         }
         self.bind(&h);
         self.hosted = Some(h);
@@ -171,8 +171,10 @@
             .collect();
         self.evacuated = zones;
         // workers of a zone that was empty may have turned cold in it
-        for i in 0..self.spots.len() {
-            let Some(s) = &self.spots[i] else { continue };
+        for i in 0..self.endpoints.len() {
+            let Some(s) = &self.endpoints[i] else {
+                continue;
+            };
             if back.contains(&s.zone) {
                 let warmup = self.conf(s.service).map_or(0, |c| c.warmup_ms);
                 self.chill(i as u32, warmup, now);
@@ -183,7 +185,7 @@
 
     /// Assumes a worker cold for so long.
     pub(super) fn chill(&mut self, i: u32, ms: u64, now: Millis) {
-        if let Some(s) = &mut self.spots[i as usize] {
+        if let Some(s) = &mut self.endpoints[i as usize] {
             s.cold_until = s.cold_until.max(now + ms);
             if ms > 0 {
                 s.kept.clear();
@@ -208,13 +210,13 @@
             return;
         }
         self.version = r.version;
-        let mut seen = vec![false; self.spots.len() + r.workers.len()];
+        let mut seen = vec![false; self.endpoints.len() + r.workers.len()];
         for w in &r.workers {
             let svc = self.svc(&w.group, now);
-            let (i, new) = self.spot(&w.name, w.addr, svc);
+            let (i, new) = self.endpoint(&w.name, w.addr, svc);
             seen[i as usize] = true;
             let warmup = self.conf(svc).map_or(0, |c| c.warmup_ms);
-            let Some(s) = &mut self.spots[i as usize] else {
+            let Some(s) = &mut self.endpoints[i as usize] else {
                 continue;
             };
             (s.addr, s.zone, s.region, s.listed) = (w.addr, w.zone, w.region, true);
@@ -236,8 +238,8 @@
                 s.cold_until = s.cold_until.max(now + cold + MARGIN);
             }
         }
-        for (i, here) in seen.iter().enumerate().take(self.spots.len()) {
-            if let Some(s) = self.spots[i].as_mut().filter(|_| !here) {
+        for (i, here) in seen.iter().enumerate().take(self.endpoints.len()) {
+            if let Some(s) = self.endpoints[i].as_mut().filter(|_| !here) {
                 (s.open, s.listed) = (false, false);
                 self.let_go(i as u32);
             }
@@ -247,48 +249,51 @@
         self.waits.all();
     }
 
-    fn spot(&mut self, name: &str, addr: std::net::SocketAddr, svc: u32) -> (u32, bool) {
+    fn endpoint(&mut self, name: &str, addr: std::net::SocketAddr, svc: u32) -> (u32, bool) {
         let old = self.by_name.get(name).copied();
         // a name that turns up in another service is another worker
         if let Some(i) = old {
-            let s = self.spots[i as usize].as_ref();
+            let s = self.endpoints[i as usize].as_ref();
             if s.is_some_and(|s| s.service == svc) {
                 return (i, false);
             }
-            if let Some(s) = &mut self.spots[i as usize] {
+            if let Some(s) = &mut self.endpoints[i as usize] {
                 (s.open, s.listed) = (false, false);
             }
             self.let_go(i);
         }
-        let i = self.spots.len() as u32;
-        self.spots.push(Some(Box::new(Spot::new(name, addr, svc))));
+        let i = self.endpoints.len() as u32;
+        self.endpoints
+            .push(Some(Box::new(Endpoint::new(name, addr, svc))));
         self.by_name.insert(name.to_string(), i);
-        self.svcs[svc as usize].spots.push(i);
+        self.service_states[svc as usize].endpoints.push(i);
         (i, true)
     }
 
     /// Forgets a worker that is off the list once nothing of it is under way.
     pub(super) fn let_go(&mut self, i: u32) {
-        let Some(s) = &self.spots[i as usize] else {
+        let Some(s) = &self.endpoints[i as usize] else {
             return;
         };
         if s.listed || s.mine > 0 {
             return;
         }
-        self.svcs[s.service as usize].spots.retain(|x| *x != i);
+        self.service_states[s.service as usize]
+            .endpoints
+            .retain(|x| *x != i);
         if self.by_name.get(&s.name) == Some(&i) {
             self.by_name.remove(&s.name);
         }
-        self.spots[i as usize] = None;
+        self.endpoints[i as usize] = None;
     }
 
     pub fn counts(&self) -> Counts {
-        let spots = || self.spots.iter().flatten();
+        let endpoints = || self.endpoints.iter().flatten();
         Counts {
-            open: self.reqs.len() as u64,
+            open: self.requests.len() as u64,
             waiting: self.waits.len() as u64,
-            out: spots().filter(|s| s.health.out()).count() as u64,
-            workers: spots().filter(|s| s.listed).count() as u64,
+            out: endpoints().filter(|s| s.health.out()).count() as u64,
+            workers: endpoints().filter(|s| s.listed).count() as u64,
             ..self.counts
         }
     }
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -368,5 +368,5 @@
     pub hard: HardState,
     pub log: Log,
     pub snap: Option<Snapshot>,
-    pub claims: Vec<Noted>,
+    pub claims: Vec<ClaimRecord>,
 }
--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -124,13 +124,14 @@
     /// Not the log's own: errand ids claimed here, kept beside it. Written by
     /// the release before, and read from it only.
     Claims(Vec<(String, u128)>),
-    Noted(Vec<Noted>),
+    #[serde(rename = "Noted")]
+    ClaimRecord(Vec<ClaimRecord>),
     Forgot(Vec<String>),
 }
 
 /// A claim on an errand id as a core keeps it, and for how long from then on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Noted {
+pub struct ClaimRecord {
     pub id: String,
     pub by: u128,
     pub keep_ms: Millis,
--- a/sorreldoor/src/control_plane/book.rs
+++ b/sorreldoor/src/control_plane/book.rs
@@ -1,8 +1,8 @@
 //! The claims that one core has noted: who may send an errand id, and until
 //! when the id is remembered. Ids are let go by time only, never by number.
 
+pub use crate::consensus::ClaimRecord;
 use crate::consensus::Millis;
-pub use crate::consensus::Noted;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Who claims: one try of one life of an edge.
@@ -71,7 +71,7 @@
     }
 
     /// Note a claim unless another was first.
-    pub fn note(&mut self, n: &Noted, now: Millis) -> Note {
+    pub fn note(&mut self, n: &ClaimRecord, now: Millis) -> Note {
         if self.freed.contains_key(&n.by) {
             return Note::Freed;
         }
@@ -88,7 +88,7 @@
         }
     }
 
-    fn put(&mut self, n: &Noted, now: Millis) {
+    fn put(&mut self, n: &ClaimRecord, now: Millis) {
         let (seq, until) = (self.next, now + n.keep_ms.min(LONGEST_MS));
         self.next += 1;
         let by = n.by;
@@ -106,7 +106,7 @@
 
     /// Take in a claim that another core tells of. Of two on one id it cannot
     /// be known here which one won, so neither is granted any more.
-    pub fn told(&mut self, n: &Noted, now: Millis) -> bool {
+    pub fn told(&mut self, n: &ClaimRecord, now: Millis) -> bool {
         match self.note(n, now) {
             Note::Fresh => true,
             Note::Other(_) => {
@@ -115,7 +115,7 @@
                 let longer = self.rows.get(&n.id).map_or(0, |r| r.until).max(until);
                 self.drop_row(&n.id);
                 let (id, keep_ms) = (n.id.clone(), longer - now);
-                self.put(&Noted { id, by, keep_ms }, now);
+                self.put(&ClaimRecord { id, by, keep_ms }, now);
                 true
             }
             _ => false,
@@ -137,8 +137,8 @@
     }
 
     /// How an id is held now.
-    pub fn held(&self, id: &str, now: Millis) -> Option<Noted> {
-        self.rows.get(id).map(|r| Noted {
+    pub fn held(&self, id: &str, now: Millis) -> Option<ClaimRecord> {
+        self.rows.get(id).map(|r| ClaimRecord {
             id: id.to_string(),
             by: r.by,
             keep_ms: r.until.saturating_sub(now),
@@ -161,13 +161,13 @@
 
     /// From a place in the journal on: some claims with the time each has
     /// left, where to go on from, and whether that was the end.
-    pub fn page(&self, from: u64, most: usize, now: Millis) -> (Vec<Noted>, u64, bool) {
+    pub fn page(&self, from: u64, most: usize, now: Millis) -> (Vec<ClaimRecord>, u64, bool) {
         let mut next = from;
         let mut out = Vec::new();
         for (seq, id) in self.journal.range(from..).take(most) {
             next = seq + 1;
             if let Some(r) = self.rows.get(id) {
-                out.push(Noted {
+                out.push(ClaimRecord {
                     id: id.clone(),
                     by: r.by,
                     keep_ms: r.until.saturating_sub(now),
--- a/sorreldoor/src/control_plane/claims.rs
+++ b/sorreldoor/src/control_plane/claims.rs
@@ -2,7 +2,7 @@
 //! the edge whose claim on its id a majority of cores has noted, and synced,
 //! first. So no kill of any number of nodes lets another edge send it.
 
-use super::book::{Book, By, Note, Noted, KEEP_MS};
+use super::book::{Book, By, ClaimRecord, Note, KEEP_MS};
 use super::controller::Controller;
 use super::events::ControllerEffect;
 use crate::consensus::{Millis, NodeId, Save};
@@ -20,7 +20,7 @@
 struct Open {
     conn: Conn,
     request_id: u64,
-    claim: Noted,
+    claim: ClaimRecord,
     since: Millis,
     yes: BTreeSet<NodeId>,
     /// Who has said no, and whose claim it holds instead.
@@ -55,7 +55,7 @@
 
 impl Claims {
     /// What a store gave back, remembered anew from now on.
-    pub fn new(kept: &[Noted], most: usize, now: Millis) -> Claims {
+    pub fn new(kept: &[ClaimRecord], most: usize, now: Millis) -> Claims {
         let mut book = Book::new(most.max(kept.len()));
         for n in kept {
             book.note(n, now);
@@ -80,7 +80,7 @@
 
     /// Say it once what it relies on is synced: what is new, and what was
     /// noted earlier and may still be on its way to the disk.
-    pub(super) fn say_saved(&mut self, fresh: Vec<Noted>, s: Say) {
+    pub(super) fn say_saved(&mut self, fresh: Vec<ClaimRecord>, s: Say) {
         if broken(Invariant::ClaimSynced) {
             return self.say_claim(s);
         }
@@ -90,7 +90,7 @@
         let (seq, fx) = if fresh.is_empty() {
             (a.unsaved(), Vec::new())
         } else {
-            let (seq, fx) = a.keep(Save::Noted(fresh));
+            let (seq, fx) = a.keep(Save::ClaimRecord(fresh));
             (Some(seq), fx)
         };
         match seq {
@@ -133,7 +133,7 @@
             .collect()
     }
 
-    pub(super) fn on_claim(&mut self, conn: Conn, request_id: u64, claim: Noted) {
+    pub(super) fn on_claim(&mut self, conn: Conn, request_id: u64, claim: ClaimRecord) {
         let by = claim.by;
         let same = self.claims.open.iter_mut().find(|(_, o)| o.claim.by == by);
         let no = match same {
@@ -168,7 +168,7 @@
         let own = silent(&self.me.id) && self.sure();
         for c in ask {
             let claim = claim.clone();
-            self.send(c, Payload::ClaimAsk { no, claim });
+            self.send(c, Payload::ClaimVoteRequest { no, claim });
         }
         if own {
             self.note_own(no, claim);
@@ -176,7 +176,7 @@
         self.settle_claim(no);
     }
 
-    fn note_own(&mut self, no: u64, claim: Noted) {
+    fn note_own(&mut self, no: u64, claim: ClaimRecord) {
         let me = self.me.id;
         let note = self.noted(&claim);
         match note {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn noted(&mut self, claim: &Noted) -> Note {
+    fn noted(&mut self, claim: &ClaimRecord) -> Note {
         let note = self.claims.book.note(claim, self.now);
         if note == Note::Full && !self.claims.full {
             self.claims.full = true;
@@ -196,7 +196,7 @@
         note
     }
 
-    pub(super) fn on_claim_ask(&mut self, conn: Conn, no: u64, claim: Noted) {
+    pub(super) fn on_claim_ask(&mut self, conn: Conn, no: u64, claim: ClaimRecord) {
         // a core that may have forgotten a claim must not deny it was made
         if !self.sure() {
             return;
@@ -208,7 +208,7 @@
         } else {
             Vec::new()
         };
-        self.say_saved(fresh, Say::To(conn, Payload::ClaimAns { no, said }));
+        self.say_saved(fresh, Say::To(conn, Payload::ClaimVoteReply { no, said }));
     }
 
     pub(super) fn on_claim_ans(&mut self, from: NodeId, no: u64, said: Verdict) {
@@ -269,7 +269,7 @@
         let (request_id, id) = (o.request_id, o.claim.id);
         self.send(
             o.conn,
-            Payload::ClaimDone {
+            Payload::ClaimResult {
                 request_id,
                 id,
                 said,
@@ -314,7 +314,7 @@
 
     pub(super) fn on_free(&mut self, conn: Conn, id: String, by: By) {
         self.free_here(&id, by);
-        self.send(conn, Payload::FreeDone { by });
+        self.send(conn, Payload::ReleaseAck { by });
     }
 
     pub(super) fn on_free_done(&mut self, from: NodeId, by: By) {
@@ -341,13 +341,13 @@
         let mut fresh = Vec::new();
         for (id, by) in all {
             let keep_ms = KEEP_MS;
-            let n = Noted { id, by, keep_ms };
+            let n = ClaimRecord { id, by, keep_ms };
             if self.claims.book.note(&n, self.now) == Note::Fresh {
                 fresh.push(n);
             }
         }
         if let Some(a) = self.consensus.as_mut().filter(|_| !fresh.is_empty()) {
-            let (_, fx) = a.keep(Save::Noted(fresh));
+            let (_, fx) = a.keep(Save::ClaimRecord(fresh));
             fx.into_iter().for_each(|e| self.effect(e));
         }
     }
--- a/sorreldoor/src/control_plane/controller.rs
+++ b/sorreldoor/src/control_plane/controller.rs
@@ -46,7 +46,7 @@
     pub(super) session_reports: BTreeMap<NodeId, SessionReport>,
     /// All edges' sessions, and what edges are shown of them.
     pub(super) merged: Vec<EdgeSession>,
-    pub(super) places: (u64, Arc<Vec<Place>>),
+    pub(super) places: (u64, Arc<Vec<EdgeEndpoint>>),
     /// The sessions as last told to other cores, and when.
     pub(super) told: (Vec<EdgeSession>, Millis),
     pub worker_list: WorkerList,
@@ -221,13 +221,17 @@
                 cmd,
             } => self.change(OpFrom::Edge(conn, request_id), proposal_id, cmd),
             Payload::Claim { request_id, claim } => self.on_claim(conn, request_id, claim),
-            Payload::ClaimAsk { no, claim } if from.core => self.on_claim_ask(conn, no, claim),
-            Payload::ClaimAns { no, said } if from.core => self.on_claim_ans(from.id, no, said),
+            Payload::ClaimVoteRequest { no, claim } if from.core => {
+                self.on_claim_ask(conn, no, claim)
+            }
+            Payload::ClaimVoteReply { no, said } if from.core => {
+                self.on_claim_ans(from.id, no, said)
+            }
             Payload::Release { request_id, id, by } => self.free_all(&id, by, (conn, request_id)),
             Payload::Free { id, by } if from.core => self.on_free(conn, id, by),
-            Payload::FreeDone { by } if from.core => self.on_free_done(from.id, by),
+            Payload::ReleaseAck { by } if from.core => self.on_free_done(from.id, by),
             Payload::Sent { all } => self.on_sent(all),
-            Payload::ClaimsPull { from: at } if from.core => self.on_claims_pull(conn, at),
+            Payload::ClaimsPageRequest { from: at } if from.core => self.on_claims_pull(conn, at),
             Payload::ClaimsPage {
                 from: at,
                 all,
--- a/sorreldoor/src/control_plane/delivery.rs
+++ b/sorreldoor/src/control_plane/delivery.rs
@@ -93,7 +93,7 @@
     fn send_sessions(&mut self, c: Conn) {
         let s = SessionReport {
             core: self.me.id,
-            boot: self.me.boot,
+            incarnation: self.me.incarnation,
             version: self.report_version,
             edge_sessions: self.told.0.clone(),
         };
@@ -111,7 +111,7 @@
     pub(super) fn on_sessions(&mut self, from: Hello, s: SessionReport) {
         let old = self.session_reports.get(&from.id);
         // frames may pass each other on two lines; only news counts
-        let newer = old.is_none_or(|o| o.boot != s.boot || s.version >= o.version);
+        let newer = old.is_none_or(|o| o.incarnation != s.incarnation || s.version >= o.version);
         if s.core == from.id && newer && old.is_none_or(|o| *o != s) {
             self.session_reports.insert(from.id, s);
             self.merge();
@@ -137,7 +137,7 @@
             all.insert(s.hello.node.clone(), s);
         }
         let all: Vec<EdgeSession> = all.into_values().collect();
-        let places: Vec<Place> = all.iter().map(|s| self.place(s)).collect();
+        let places: Vec<EdgeEndpoint> = all.iter().map(|s| self.place(s)).collect();
         if places != *self.places.1 {
             // the same list has the same mark on every core
             self.places = (mark(&encode(&places)), Arc::new(places));
@@ -146,12 +146,12 @@
     }
 
     /// What edges are shown of one of them.
-    fn place(&self, s: &EdgeSession) -> Place {
+    fn place(&self, s: &EdgeSession) -> EdgeEndpoint {
         let r = self.consensus.as_ref().map(|a| a.machine());
         // how much still runs matters where it is waited for, and would
         // elsewhere be news for everyone with each errand
         let counts = r.is_some_and(|r| r.evacuated(s.hello.zone));
-        Place {
+        EdgeEndpoint {
             node: s.hello.node.clone(),
             zone: s.hello.zone,
             region: s.hello.region,
@@ -194,7 +194,7 @@
     }
 
     /// The edges as edges are shown them, under a mark of what is shown.
-    pub fn places(&self) -> &(u64, Arc<Vec<Place>>) {
+    pub fn places(&self) -> &(u64, Arc<Vec<EdgeEndpoint>>) {
         &self.places
     }
 
--- a/sorreldoor/src/control_plane/founding.rs
+++ b/sorreldoor/src/control_plane/founding.rs
@@ -181,7 +181,7 @@
     pub(super) fn own_proposal_id(&mut self) -> ProposalId {
         self.next_request_id += 1;
         (ProposalId::from(self.me.id) << 64)
-            | (ProposalId::from(self.me.boot as u32) << 32)
+            | (ProposalId::from(self.me.incarnation as u32) << 32)
             | ProposalId::from(self.next_request_id as u32)
     }
 }
--- a/sorreldoor/src/control_plane/front.rs
+++ b/sorreldoor/src/control_plane/front.rs
@@ -5,7 +5,7 @@
 use crate::consensus::ProposalId;
 use crate::net::Ring;
 use crate::replicated_state::{Command, View};
-use crate::wire::{OpOutcome, Place};
+use crate::wire::{EdgeEndpoint, OpOutcome};
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
 use std::collections::HashMap;
@@ -67,7 +67,7 @@
     pub answers: Answers,
     /// Milliseconds within which a change should have its answer.
     pub ack_ms: u64,
-    pub(super) places: Arc<Mutex<Arc<Vec<Place>>>>,
+    pub(super) places: Arc<Mutex<Arc<Vec<EdgeEndpoint>>>>,
 }
 
 impl Front {
@@ -153,11 +153,11 @@
     }
 
     /// The edges with a session, and whether they serve, as last heard.
-    pub fn places(&self) -> Arc<Vec<Place>> {
+    pub fn places(&self) -> Arc<Vec<EdgeEndpoint>> {
         locked(&self.places).clone()
     }
 
-    pub(super) fn show(&self, p: &Arc<Vec<Place>>) {
+    pub(super) fn show(&self, p: &Arc<Vec<EdgeEndpoint>>) {
         let mut shown = locked(&self.places);
         if !Arc::ptr_eq(&shown, p) {
             *shown = p.clone();
--- a/sorreldoor/src/control_plane/learn.rs
+++ b/sorreldoor/src/control_plane/learn.rs
@@ -2,7 +2,7 @@
 //! core's journal page by page, and has no say on claims until it has read
 //! enough of them to know every claim that the lost core may have held.
 
-use super::book::{Note, Noted, LONGEST_MS};
+use super::book::{ClaimRecord, Note, LONGEST_MS};
 use super::claims::Say;
 use super::controller::Controller;
 use crate::consensus::{Millis, NodeId};
@@ -20,7 +20,7 @@
 /// How far the journal of one life of another core was read.
 #[derive(Clone, Copy, Debug, Default)]
 struct Read {
-    boot: u64,
+    incarnation: u64,
     next: u64,
     end: bool,
 }
@@ -75,14 +75,14 @@
 
     fn pull_claims(&mut self, c: Conn, h: &Hello) {
         let r = self.claims.learn.read.entry(h.id).or_default();
-        if r.boot != h.boot {
+        if r.incarnation != h.incarnation {
             *r = Read {
-                boot: h.boot,
+                incarnation: h.incarnation,
                 ..Read::default()
             };
         }
         let from = r.next;
-        self.send(c, Payload::ClaimsPull { from });
+        self.send(c, Payload::ClaimsPageRequest { from });
     }
 
     pub(super) fn on_claims_pull(&mut self, conn: Conn, from: u64) {
@@ -100,7 +100,7 @@
     pub(super) fn on_claims_page(&mut self, conn: Conn, from: &Hello, page: Page) {
         let sure = self.claims.learn.sure;
         let r = self.claims.learn.read.entry(from.id).or_default();
-        if r.boot != from.boot || r.next != page.from {
+        if r.incarnation != from.incarnation || r.next != page.from {
             return;
         }
         (r.next, r.end) = (page.next, page.end);
@@ -113,12 +113,12 @@
         }
         if more {
             let from = page.next;
-            self.send(conn, Payload::ClaimsPull { from });
+            self.send(conn, Payload::ClaimsPageRequest { from });
         }
     }
 
     /// Note what is new, as it is held afterwards.
-    fn take_page(&mut self, all: Vec<Noted>, sure: bool) -> Vec<Noted> {
+    fn take_page(&mut self, all: Vec<ClaimRecord>, sure: bool) -> Vec<ClaimRecord> {
         let now = self.now;
         let book = &mut self.claims.book;
         let mut fresh = Vec::new();
@@ -148,7 +148,7 @@
 /// Some of another core's claims, from one place in its journal to the next.
 pub struct Page {
     pub from: u64,
-    pub all: Vec<Noted>,
+    pub all: Vec<ClaimRecord>,
     pub next: u64,
     pub end: bool,
 }
--- a/sorreldoor/src/control_plane/run.rs
+++ b/sorreldoor/src/control_plane/run.rs
@@ -89,7 +89,7 @@
             addr: listen.to_string(),
             http: set.http.to_string(),
             founded: false,
-            boot: crate::order_id::random_id(),
+            incarnation: crate::order_id::random_id(),
             learner_only: !set.voting,
             ..Hello::default()
         },
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -66,7 +66,7 @@
             let differ = self.membership.shortfall(a.members());
             let _ = v.insert("voters_differ", differ.map(|why| why.to_string()));
             let _ = v.insert("serial", r.version());
-            let _ = v.insert("rev", r.rev());
+            let _ = v.insert("rev", r.revision());
             let _ = v.insert("epoch", r.epoch());
             let _ = v.insert("duty", hex(r.holder()));
             let _ = v.insert("emptied", self.evacuated());
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -51,7 +51,7 @@
         if self.transfers.get(&conn).is_some_and(taken) {
             self.transfers.remove(&conn);
         }
-        if record.rev() <= have {
+        if record.revision() <= have {
             return Due::Nothing;
         }
         self.transfers
@@ -91,9 +91,9 @@
     }
 
     fn encoded(&mut self, record: &ReplicatedState, from: u64) -> EncodedUpdate {
-        if self.revision != record.rev() || self.encoded.len() > MAX_ENCODED {
+        if self.revision != record.revision() || self.encoded.len() > MAX_ENCODED {
             self.encoded.clear();
-            self.revision = record.rev();
+            self.revision = record.revision();
         }
         let encode = || EncodedUpdate::new(&record.update_since(from));
         self.encoded.entry(from).or_insert_with(encode).clone()
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -5,7 +5,7 @@
 use super::run::{Desk, Reply};
 use crate::consensus::ProposalId;
 use crate::error::ErrorCode;
-use crate::gateway::request_table::{Asked, Shape};
+use crate::gateway::request_table::{RequestProfile, RequestSpec};
 use crate::http;
 use crate::json::{self, Val};
 use crate::net::Ring;
@@ -44,7 +44,7 @@
             (Method::Get, "/v1/status") => self.status().await,
             (Method::Get, "/v1/placement") => self.placement(&req).await,
             _ if path.starts_with("/v1/errand/") => {
-                return self.errand(&mut req, &path, peer).await;
+                return self.request(&mut req, &path, peer).await;
             }
             _ => match operator_api::read(&mut req, &self.set.names).await {
                 None => http::shed(ErrorCode::UnknownPath, &path, 1),
@@ -97,15 +97,15 @@
     }
 
     /// An errand as a query describes it.
-    fn described(&self, req: &Request) -> Result<Asked, ErrorCode> {
+    fn described(&self, req: &Request) -> Result<RequestSpec, ErrorCode> {
         let home = self.home(http::query(req, "region"))?;
-        Ok(Asked {
+        Ok(RequestSpec {
             route: http::query(req, "route").ok_or(ErrorCode::BadErrand)?,
             key: http::query(req, "key").unwrap_or_default(),
             id: order_id::format_proposal_id(order_id::random_proposal_id()),
             home,
             adapter: http::query(req, "adapter"),
-            ..Asked::default()
+            ..RequestSpec::default()
         })
     }
 
@@ -193,7 +193,7 @@
         }
     }
 
-    fn asked(&self, req: &Request, route: &str) -> Result<Asked, ErrorCode> {
+    fn asked(&self, req: &Request, route: &str) -> Result<RequestSpec, ErrorCode> {
         let head = |k: &str| req.header(k).map(|h| h.last().as_str().to_string());
         let given = head("x-errand-id");
         if given.as_deref().is_some_and(|i| !json::good_name(i)) {
@@ -203,18 +203,18 @@
             .clone()
             .unwrap_or_else(|| order_id::format_proposal_id(order_id::random_proposal_id()));
         let key = head("x-prefix-key").unwrap_or_default();
-        Ok(Asked {
+        Ok(RequestSpec {
             route: route.to_string(),
             given: given.is_some(),
             id,
             key,
-            shape: Shape::default(),
+            profile: RequestProfile::default(),
             home: self.home(head("x-home"))?,
             adapter: head("x-adapter"),
         })
     }
 
-    async fn errand(&self, req: &mut Request, path: &str, peer: http::Peer) -> Response {
+    async fn request(&self, req: &mut Request, path: &str, peer: http::Peer) -> Response {
         let rest = &path["/v1/errand/".len()..];
         let (route, tail) = rest.split_once('/').unwrap_or((rest, ""));
         let mut asked = match self.asked(req, route) {
@@ -234,7 +234,7 @@
             Some(r) => return final_of(r, path, &asked.id),
             None => return http::shed(ErrorCode::Leaving, "", 1),
         };
-        asked.shape = shown;
+        asked.profile = shown;
         let model = shown.model;
         let method = req.method();
         let fits = if model {
@@ -276,7 +276,7 @@
         });
         let sent = self
             .ring
-            .send(EdgeEvent::Errand { request_id, asked })
+            .send(EdgeEvent::Request { request_id, asked })
             .await;
         let got = match sent {
             Ok(()) => timeout(LAST, rx.recv()).await.ok().and_then(|r| r.ok()),
@@ -313,7 +313,7 @@
         Reply::Brought(Brought::Whole {
             status,
             kind,
-            place,
+            location,
             body,
         }) => {
             let code = StatusCode::try_from(status).unwrap_or(StatusCode::BadGateway);
@@ -324,7 +324,7 @@
             } else {
                 r.remove_header("content-type");
             }
-            place.into_iter().for_each(|p| {
+            location.into_iter().for_each(|p| {
                 r.insert_header("location", p);
             });
             r
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -2,7 +2,9 @@
 
 use crate::consensus::{Millis, ProposalId};
 use crate::error::ErrorCode;
-use crate::gateway::request_table::{Asked, Plan, RequestEffect, Shape, Table, Told};
+use crate::gateway::request_table::{
+    AttemptEvent, Plan, RequestEffect, RequestProfile, RequestSpec, Table,
+};
 use crate::json::Val;
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
@@ -21,23 +23,23 @@
     /// A head has come; may its body be read?
     Knock {
         request_id: u64,
-        asked: Asked,
+        asked: RequestSpec,
     },
-    Errand {
+    Request {
         request_id: u64,
-        asked: Asked,
+        asked: RequestSpec,
     },
     Gone {
         request_id: u64,
     },
-    Told {
+    AttemptEvent {
         request_id: u64,
         token: u64,
-        told: Told,
+        told: AttemptEvent,
     },
     Where {
         request_id: u64,
-        asked: Asked,
+        asked: RequestSpec,
     },
     Change {
         request_id: u64,
@@ -51,7 +53,7 @@
     /// What would become of such an errand now, of a caller in that region.
     Explain {
         request_id: u64,
-        asked: Asked,
+        asked: RequestSpec,
     },
     /// Read the setup, proved current from now on.
     Look {
@@ -68,9 +70,9 @@
     Send(Conn, Payload),
     Connect(SocketAddr),
     Disconnect(SocketAddr),
-    Errand(RequestEffect),
+    Request(RequestEffect),
     /// The body may come: for a model, streamed, within so long.
-    Come(u64, Shape),
+    Come(u64, RequestProfile),
     Where(u64, Result<Vec<String>, ErrorCode>),
     Done(u64, OpOutcome),
     Looked(u64, bool),
@@ -110,12 +112,12 @@
             EdgeEvent::Tick => self.tick(),
             EdgeEvent::Net(n) => self.net(n),
             EdgeEvent::Knock { request_id, asked } => self.knock(request_id, asked),
-            EdgeEvent::Errand { request_id, asked } => match self.closed() {
+            EdgeEvent::Request { request_id, asked } => match self.closed() {
                 Some(p) => self.shed(request_id, p),
                 None => self.table.take(&mut self.plan, request_id, asked, now),
             },
             EdgeEvent::Gone { request_id } => self.table.gone(&mut self.plan, request_id),
-            EdgeEvent::Told {
+            EdgeEvent::AttemptEvent {
                 request_id,
                 token,
                 told,
@@ -185,7 +187,7 @@
                 }
                 _ => {}
             }
-            self.out.push(EdgeEffect::Errand(f));
+            self.out.push(EdgeEffect::Request(f));
         }
         std::mem::take(&mut self.out)
     }
@@ -305,29 +307,29 @@
             .collect()
     }
 
-    fn knock(&mut self, request_id: u64, asked: Asked) {
+    fn knock(&mut self, request_id: u64, asked: RequestSpec) {
         self.table.came(&self.plan, self.now);
         if let Some(p) = self.closed() {
             return self.shed(request_id, p);
         }
         match self.table.knock(&self.plan, request_id, &asked) {
             Ok(true) => {
-                let shape = self.shape(&asked.route);
-                self.out.push(EdgeEffect::Come(request_id, shape));
+                let profile = self.profile(&asked.route);
+                self.out.push(EdgeEffect::Come(request_id, profile));
             }
             Ok(false) => {}
             Err(p) => self.shed(request_id, p),
         }
     }
 
-    fn shape(&self, route: &str) -> Shape {
+    fn profile(&self, route: &str) -> RequestProfile {
         let s = self.plan.configuration.as_ref();
         let r = s.and_then(|s| s.route(route).map(|i| &s.routes[i as usize]));
-        r.map_or(Shape::default(), Shape::of)
+        r.map_or(RequestProfile::default(), RequestProfile::of)
     }
 
     /// Where a caller should go with such an errand.
-    fn whither(&mut self, request_id: u64, a: Asked) {
+    fn whither(&mut self, request_id: u64, a: RequestSpec) {
         let r = self.closed().map_or(Ok(()), Err).and_then(|()| {
             let s = self
                 .plan
@@ -348,7 +350,7 @@
         self.out.push(EdgeEffect::Where(request_id, r));
     }
 
-    fn explain(&mut self, request_id: u64, a: Asked) {
+    fn explain(&mut self, request_id: u64, a: RequestSpec) {
         let region = a.home.unwrap_or(self.plan.region);
         let told = self.closed().map_or(Ok(()), Err).and_then(|()| {
             if region == self.plan.region {
--- a/sorreldoor/src/gateway/relay.rs
+++ b/sorreldoor/src/gateway/relay.rs
@@ -3,7 +3,7 @@
 
 use super::controller::EdgeEvent;
 use crate::error::ErrorCode;
-use crate::gateway::request_table::Told;
+use crate::gateway::request_table::AttemptEvent;
 use crate::http::{self, Broke, Call};
 use crate::invariants::{broken, Invariant};
 use crate::json;
@@ -56,7 +56,7 @@
     Whole {
         status: u16,
         kind: String,
-        place: Option<String>,
+        location: Option<String>,
         body: Vec<u8>,
     },
     Stream(Receiver<Piece>),
@@ -72,11 +72,11 @@
 }
 
 impl Task {
-    async fn tell(&self, told: Told) {
+    async fn tell(&self, told: AttemptEvent) {
         let (request_id, token) = (self.request_id, self.token);
         let _ = self
             .ring
-            .send(EdgeEvent::Told {
+            .send(EdgeEvent::AttemptEvent {
                 request_id,
                 token,
                 told,
@@ -86,9 +86,9 @@
 
     pub async fn run(self, to: SocketAddr) {
         let Ok(s) = http::open(to, OPEN).await else {
-            return self.tell(Told::Unsent).await;
+            return self.tell(AttemptEvent::Unsent).await;
         };
-        self.tell(Told::Ready).await;
+        self.tell(AttemptEvent::Ready).await;
         let Ok(Word::Go(adapter)) = self.words.recv().await else {
             return;
         };
@@ -96,7 +96,7 @@
         match got.unwrap_or(Err(Broke::Late)) {
             Ok(r) if self.load.streamed && u16::from(r.status()) == 200 => self.stream(r).await,
             Ok(r) => self.whole(r).await,
-            Err(b) => self.tell(Told::Broke(kind(b))).await,
+            Err(b) => self.tell(AttemptEvent::Broke(kind(b))).await,
         }
     }
 
@@ -122,27 +122,27 @@
         let got = timeout(self.load.within, http::whole(r, MOST_RESULT)).await;
         let c = match got.unwrap_or(Err(Broke::Late)) {
             Ok(c) => c,
-            Err(b) => return self.tell(Told::Broke(kind(b))).await,
+            Err(b) => return self.tell(AttemptEvent::Broke(kind(b))).await,
         };
         if !ran && (c.status == 503 || c.status == 429) {
-            return self.tell(Told::NotRun).await;
+            return self.tell(AttemptEvent::NotRun).await;
         }
         if let Some(p) = self.wrong(&c) {
-            return self.tell(Told::Broke(p)).await;
+            return self.tell(AttemptEvent::Broke(p)).await;
         }
         let brought = Brought::Whole {
             status: c.status,
             kind: c.kind,
-            place: c.place,
+            location: c.location,
             body: c.body,
         };
         let _ = self.hand.try_send(brought);
-        self.tell(Told::Whole).await;
+        self.tell(AttemptEvent::Whole).await;
     }
 
     /// Why a result is not this errand's, though it came whole.
     fn wrong(&self, c: &http::Called) -> Option<ErrorCode> {
-        let named = c.errand.as_deref();
+        let named = c.request.as_deref();
         if named.is_some_and(|n| n != self.load.id) && !broken(Invariant::ResultOwner) {
             return Some(ErrorCode::WrongErrand);
         }
@@ -166,11 +166,11 @@
             } else {
                 ErrorCode::WrongErrand
             };
-            return self.tell(Told::Broke(p)).await;
+            return self.tell(AttemptEvent::Broke(p)).await;
         }
         let (tx, rx) = bounded(EVENTS);
         let _ = self.hand.try_send(Brought::Stream(rx));
-        self.tell(Told::Begun).await;
+        self.tell(AttemptEvent::Begun).await;
         let lines = BufReader::new(r.take_body());
         let end = timeout(self.load.within, self.relay(lines, &tx))
             .await
@@ -178,12 +178,12 @@
         let told = match end {
             Ok(()) => {
                 let _ = tx.send(Piece::End).await;
-                Told::Ended
+                AttemptEvent::Ended
             }
             Err(p) => {
                 // the reader must see that this is no end
                 let _ = tx.send(Piece::Broke(p)).await;
-                Told::Broke(p)
+                AttemptEvent::Broke(p)
             }
         };
         self.tell(told).await;
--- a/sorreldoor/src/gateway/request_table/allowed.rs
+++ b/sorreldoor/src/gateway/request_table/allowed.rs
@@ -1,12 +1,12 @@
 //! What the setup in force allows an errand, at the moment it is handed over.
 
-use super::{Errand, Plan, Shape};
+use super::{Plan, Request, RequestProfile};
 use crate::configuration::Route;
 use crate::invariants::{broken, Invariant};
-use crate::placement::Spot;
+use crate::placement::Candidate;
 
 /// The errand's route in the setup of now, under its own name.
-fn route_of<'p>(p: &'p Plan, e: &Errand) -> Option<&'p Route> {
+fn route_of<'p>(p: &'p Plan, e: &Request) -> Option<&'p Route> {
     let s = p.configuration.as_ref()?;
     s.routes
         .get(e.route as usize)
@@ -18,26 +18,26 @@
     r.home && !broken(Invariant::Home)
 }
 
-pub(super) fn repeatable(p: &Plan, e: &Errand) -> bool {
+pub(super) fn repeatable(p: &Plan, e: &Request) -> bool {
     route_of(p, e).is_some_and(|r| r.repeatable)
 }
 
 /// Whether the setup in force lets this errand go to this worker.
-pub(super) fn allowed(p: &Plan, e: &Errand, i: usize) -> bool {
-    let worker = p.spots.get(i).and_then(|w| w.as_ref());
+pub(super) fn allowed(p: &Plan, e: &Request, i: usize) -> bool {
+    let worker = p.candidates.get(i).and_then(|w| w.as_ref());
     worker.is_some_and(|w| broken(Invariant::Allowed) || may(p, e, w, Some(&e.service)))
 }
 
 /// Whether any worker that the setup allows this errand is there at all.
-pub(super) fn hope(p: &Plan, e: &Errand) -> bool {
-    let all = p.spots.iter().enumerate();
+pub(super) fn hope(p: &Plan, e: &Request) -> bool {
+    let all = p.candidates.iter().enumerate();
     all.filter(|(i, _)| !e.tried.contains(i))
         .filter_map(|(_, w)| w.as_ref())
         .any(|w| w.open && may(p, e, w, None))
 }
 
 /// Whether a worker may have it, through the service given or through any.
-fn may(p: &Plan, e: &Errand, w: &Spot, through: Option<&str>) -> bool {
+fn may(p: &Plan, e: &Request, w: &Candidate, through: Option<&str>) -> bool {
     let Some((s, r)) = p.configuration.as_ref().zip(route_of(p, e)) else {
         return false;
     };
@@ -54,5 +54,5 @@
         let named = through.is_none_or(|t| t == v.name);
         n > 0 && named && v.groups.contains(&w.group)
     });
-    home && spill && share && Shape::of(r).like(&e.asked.shape)
+    home && spill && share && RequestProfile::of(r).like(&e.asked.profile)
 }
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -1,7 +1,7 @@
 //! Claims as an edge makes them: before an errand that may not be repeated is
 //! sent under an id that its caller chose, the cores must have noted it.
 
-use super::{Asked, Plan, RequestEffect, Stage, Table};
+use super::{Plan, RequestEffect, RequestSpec, Stage, Table};
 use crate::consensus::Millis;
 use crate::control_plane::KEEP_MS;
 use crate::error::ErrorCode;
@@ -12,7 +12,7 @@
     /// Its id is this edge's own, or it may be repeated.
     Needless,
     /// Asked, and when.
-    Asked(Millis),
+    RequestSpec(Millis),
     Held,
 }
 
@@ -20,14 +20,14 @@
 
 /// What is to be claimed: an id, and how long it is to be remembered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct ClaimRequest {
     pub id: String,
     pub keep_ms: Millis,
 }
 
-impl Wish {
-    pub fn of(a: &Asked, cutoff_ms: Millis) -> Wish {
-        Wish {
+impl ClaimRequest {
+    pub fn of(a: &RequestSpec, cutoff_ms: Millis) -> ClaimRequest {
+        ClaimRequest {
             id: a.id.clone(),
             keep_ms: cutoff_ms + KEEP_MS,
         }
@@ -48,7 +48,7 @@
         let Some(e) = self.rows.get_mut(&request_id).filter(|e| e.asked.id == id) else {
             return;
         };
-        if !matches!(e.claim, Claim::Asked(_)) {
+        if !matches!(e.claim, Claim::RequestSpec(_)) {
             return;
         }
         if said == Verdict::Yes {
@@ -75,9 +75,9 @@
     /// Ask again for claims that have had no answer.
     pub fn pass_claims(&mut self, now: Millis) {
         for (request_id, e) in &mut self.rows {
-            if matches!(e.claim, Claim::Asked(t) if now.saturating_sub(t) >= AGAIN_MS) {
-                e.claim = Claim::Asked(now);
-                let claim = Wish::of(&e.asked, e.cutoff - e.since);
+            if matches!(e.claim, Claim::RequestSpec(t) if now.saturating_sub(t) >= AGAIN_MS) {
+                e.claim = Claim::RequestSpec(now);
+                let claim = ClaimRequest::of(&e.asked, e.cutoff - e.since);
                 self.out.push(RequestEffect::Claim {
                     request_id: *request_id,
                     claim,
--- a/sorreldoor/src/gateway/request_table/ends.rs
+++ b/sorreldoor/src/gateway/request_table/ends.rs
@@ -1,7 +1,7 @@
 //! Passes that end errands: cutoffs, callers gone, permits and setups changed.
 
 use super::allowed::hope;
-use super::{Claim, Plan, RequestEffect, Stage, Table, Wish};
+use super::{Claim, ClaimRequest, Plan, RequestEffect, Stage, Table};
 use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
@@ -116,7 +116,7 @@
                 continue;
             }
             let r = s.as_ref().zip(i).map(|(s, i)| &s.routes[i as usize]);
-            let fits = r.is_some_and(|r| super::Shape::of(r).like(&e.asked.shape));
+            let fits = r.is_some_and(|r| super::RequestProfile::of(r).like(&e.asked.profile));
             let bound = r.is_some_and(|r| r.home && e.asked.home != Some(p.region));
             let bound = bound && !broken(Invariant::Home);
             if !fits || bound {
@@ -126,8 +126,8 @@
             // it came as one that may be repeated, and is none any more
             let claims = r.is_some_and(|r| !r.repeatable) && e.asked.given;
             if claims && e.claim == Claim::Needless {
-                e.claim = Claim::Asked(now);
-                let claim = Wish::of(&e.asked, e.cutoff - e.since);
+                e.claim = Claim::RequestSpec(now);
+                let claim = ClaimRequest::of(&e.asked, e.cutoff - e.since);
                 self.out.push(RequestEffect::Claim { request_id, claim });
             }
         }
--- a/sorreldoor/src/gateway/request_table/explain.rs
+++ b/sorreldoor/src/gateway/request_table/explain.rs
@@ -1,16 +1,16 @@
 //! What would become of an errand now, told to operators by the very
 //! functions that serve it.
 
-use super::{Asked, Claim, Errand, Plan, Stage, Table};
+use super::{Claim, Plan, Request, RequestSpec, Stage, Table};
 use crate::configuration::{Kind, Route};
 use crate::error::ErrorCode;
 use crate::json::Val;
-use crate::placement::{self, Ask};
+use crate::placement::{self, PlacementRequest};
 use simd_json::prelude::*;
 
 impl Table {
     /// The way of an errand that came to this edge now.
-    pub fn explain(&self, p: &Plan, a: Asked) -> Result<Val, ErrorCode> {
+    pub fn explain(&self, p: &Plan, a: RequestSpec) -> Result<Val, ErrorCode> {
         let s = p.configuration.clone().ok_or(ErrorCode::NoConfiguration)?;
         let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
         let r = &s.routes[route as usize];
@@ -26,7 +26,7 @@
         let _ = v.insert("spill", limits(p));
         let _ = v.insert(
             "worker",
-            got.map_or(Val::default(), |((_, i), _)| spot(p, i)),
+            got.map_or(Val::default(), |((_, i), _)| candidate(p, i)),
         );
         let chosen = got.map(|((v, _), _)| s.services[v as usize].name.clone());
         let _ = v.insert("service", chosen);
@@ -36,8 +36,8 @@
     }
 }
 
-fn trial(a: &Asked, route: u16) -> Errand {
-    Errand {
+fn trial(a: &RequestSpec, route: u16) -> Request {
+    Request {
         asked: a.clone(),
         route,
         service: String::new(),
@@ -57,16 +57,16 @@
 }
 
 /// The route's shares in the order in which they are tried for this errand.
-fn shares(p: &Plan, a: &Asked, route: u16, r: &Route) -> Vec<Val> {
+fn shares(p: &Plan, a: &RequestSpec, route: u16, r: &Route) -> Vec<Val> {
     let Some(s) = &p.configuration else {
         return Vec::new();
     };
     let (key, id) = (a.key.as_str(), a.id.as_str());
-    let ask = Ask {
+    let ask = PlacementRequest {
         route,
         key,
         id,
-        ..Ask::default()
+        ..PlacementRequest::default()
     };
     let ws = &p.shown.view.weights;
     placement::services(s, ws, &ask)
@@ -95,9 +95,9 @@
     v
 }
 
-fn spot(p: &Plan, i: usize) -> Val {
+fn candidate(p: &Plan, i: usize) -> Val {
     let mut o = Val::object();
-    if let Some(w) = p.spots.get(i).and_then(|w| w.as_ref()) {
+    if let Some(w) = p.candidates.get(i).and_then(|w| w.as_ref()) {
         let _ = o.insert("name", w.name.as_str());
         let _ = o.insert("zone", p.site.zone_name(w.zone));
         let _ = o.insert("region", p.site.region_name(w.region));
@@ -108,7 +108,7 @@
     o
 }
 
-fn why(p: &Plan, a: &Asked, r: &Route, got: Option<((u16, usize), bool)>) -> String {
+fn why(p: &Plan, a: &RequestSpec, r: &Route, got: Option<((u16, usize), bool)>) -> String {
     let Some(((_, i), away)) = got else {
         return if p.evacuated(p.zone) {
             "this edge's zone is emptied".into()
@@ -116,8 +116,8 @@
             "no worker that the setup allows has room now; it would wait".into()
         };
     };
-    let full = |w: &placement::Spot| w.busy >= w.slots.min(w.cap);
-    let busy = p.spots[i].as_ref().is_some_and(full);
+    let full = |w: &placement::Candidate| w.busy >= w.slots.min(w.cap);
+    let busy = p.candidates[i].as_ref().is_some_and(full);
     let first = match r.kind {
         Kind::Prefix if !a.key.is_empty() && !busy => {
             "the highest-ranked worker for this prefix that is not full"
--- a/sorreldoor/src/gateway/request_table/mod.rs
+++ b/sorreldoor/src/gateway/request_table/mod.rs
@@ -12,7 +12,7 @@
 
 pub use again::Again;
 pub use budget::{Retries, Spill};
-pub use claims::{Claim, Wish};
+pub use claims::{Claim, ClaimRequest};
 pub use plan::{Plan, Shown};
 
 use crate::consensus::Millis;
@@ -22,15 +22,15 @@
 
 /// How a route's errands look; what the door read a body for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Shape {
+pub struct RequestProfile {
     pub model: bool,
     pub streamed: bool,
     pub cutoff_ms: u64,
 }
 
-impl Shape {
-    pub fn of(r: &crate::configuration::Route) -> Shape {
-        Shape {
+impl RequestProfile {
+    pub fn of(r: &crate::configuration::Route) -> RequestProfile {
+        RequestProfile {
             model: r.kind != crate::configuration::Kind::Fetch,
             streamed: r.streamed,
             cutoff_ms: r.cutoff_ms,
@@ -38,15 +38,15 @@
     }
 
     /// Whether what was read for one may be sent as the other.
-    pub fn like(&self, o: &Shape) -> bool {
+    pub fn like(&self, o: &RequestProfile) -> bool {
         (self.model, self.streamed) == (o.model, o.streamed)
     }
 }
 
 /// What a caller asks, as read at the door.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
-    pub shape: Shape,
+pub struct RequestSpec {
+    pub profile: RequestProfile,
     pub route: String,
     pub id: String,
     /// The caller chose the id itself, so it may ask again under it.
@@ -68,8 +68,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Errand {
-    pub asked: Asked,
+pub struct Request {
+    pub asked: RequestSpec,
     /// Dense in the setup of now; of no meaning once its route is gone.
     pub route: u16,
     /// The service it was matched through, by name: indices may move.
@@ -95,7 +95,7 @@
 
 /// What a worker's task tells of a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AttemptEvent {
     /// Connected; may it send?
     Ready,
     /// No connection: nothing has left.
@@ -136,7 +136,7 @@
     Shed {
         request_id: u64,
         error_code: ErrorCode,
-        again_s: u64,
+        retry_after_s: u64,
     },
     /// Final: hand on the worker's result that the task holds.
     Give {
@@ -155,7 +155,7 @@
     /// Claim the id with the cores, or give the claim up.
     Claim {
         request_id: u64,
-        claim: Wish,
+        claim: ClaimRequest,
     },
     Release {
         request_id: u64,
@@ -186,7 +186,7 @@
 
 #[derive(Default)]
 pub struct Table {
-    pub rows: BTreeMap<u64, Errand>,
+    pub rows: BTreeMap<u64, Request>,
     pub counts: Counts,
     pub retries: Retries,
     pub spill: Spill,
--- a/sorreldoor/src/gateway/request_table/passes.rs
+++ b/sorreldoor/src/gateway/request_table/passes.rs
@@ -1,20 +1,23 @@
 //! The passes over the table: match, send, give up, settle.
 
 use super::allowed::{allowed, bound, repeatable};
-use super::{Asked, Claim, Errand, Plan, RequestEffect, Shape, Stage, Table, Told, Wish};
+use super::{
+    AttemptEvent, Claim, ClaimRequest, Plan, Request, RequestEffect, RequestProfile, RequestSpec,
+    Stage, Table,
+};
 use crate::configuration::{Kind, Route};
 use crate::consensus::Millis;
 use crate::control_plane::KEEP_MS;
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
-use crate::placement::{self, Ask};
+use crate::placement::{self, PlacementRequest};
 use crate::replicated_state::Recovery;
 
 const SHUN_MS: Millis = 1000;
 
 impl Table {
     /// Take an errand in, or shed it at once.
-    pub fn take(&mut self, p: &mut Plan, request_id: u64, a: Asked, now: Millis) {
+    pub fn take(&mut self, p: &mut Plan, request_id: u64, a: RequestSpec, now: Millis) {
         if let Err(error_code) = self.admit(p, request_id, a, now) {
             self.shed(request_id, error_code, now);
         }
@@ -30,7 +33,7 @@
     }
 
     /// What can be said at the door, before a body is read.
-    pub fn knock(&mut self, p: &Plan, request_id: u64, a: &Asked) -> Result<bool, ErrorCode> {
+    pub fn knock(&mut self, p: &Plan, request_id: u64, a: &RequestSpec) -> Result<bool, ErrorCode> {
         let s = p.configuration.as_ref().ok_or(ErrorCode::NoConfiguration)?;
         let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
         let r = &s.routes[route as usize];
@@ -56,7 +59,13 @@
         Ok(true)
     }
 
-    fn admit(&mut self, p: &Plan, request_id: u64, a: Asked, now: Millis) -> Result<(), ErrorCode> {
+    fn admit(
+        &mut self,
+        p: &Plan,
+        request_id: u64,
+        a: RequestSpec,
+        now: Millis,
+    ) -> Result<(), ErrorCode> {
         let s = p.configuration.as_ref().ok_or(ErrorCode::NoConfiguration)?;
         let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
         let r = &s.routes[route as usize];
@@ -64,7 +73,7 @@
             return Ok(());
         }
         // its body was read for another kind of errand, under another setup
-        if !Shape::of(r).like(&a.shape) {
+        if !RequestProfile::of(r).like(&a.profile) {
             return Err(ErrorCode::GivenUp);
         }
         // what was sent once from here must not be sent again
@@ -84,15 +93,15 @@
         self.counts.first += 1;
         self.retries.first(s.retry_percent);
         let claim = if !r.repeatable && a.given {
-            let claim = Wish::of(&a, r.cutoff_ms);
+            let claim = ClaimRequest::of(&a, r.cutoff_ms);
             self.out.push(RequestEffect::Claim { request_id, claim });
-            Claim::Asked(now)
+            Claim::RequestSpec(now)
         } else {
             Claim::Needless
         };
         self.rows.insert(
             request_id,
-            Errand {
+            Request {
                 asked: a,
                 route,
                 service: String::new(),
@@ -125,7 +134,7 @@
 
     pub fn shed(&mut self, request_id: u64, error_code: ErrorCode, now: Millis) {
         self.counts.shed += 1;
-        let again_s = if error_code.again() {
+        let retry_after_s = if error_code.again() {
             let rows = self.rows.values();
             let waiting = rows.filter(|e| e.stage == Stage::Waiting).count();
             self.again.book(error_code, waiting, now)
@@ -135,7 +144,7 @@
         self.out.push(RequestEffect::Shed {
             request_id,
             error_code,
-            again_s,
+            retry_after_s,
         });
     }
 
@@ -158,10 +167,10 @@
         }
     }
 
-    pub(super) fn place(&self, p: &Plan, e: &Errand) -> Option<((u16, usize), bool)> {
+    pub(super) fn place(&self, p: &Plan, e: &Request) -> Option<((u16, usize), bool)> {
         let s = p.configuration.as_ref()?;
         let r = s.routes.get(e.route as usize)?;
-        let a = Ask {
+        let a = PlacementRequest {
             route: e.route,
             key: &e.asked.key,
             id: &e.asked.id,
@@ -170,13 +179,17 @@
         };
         let skip = |i: usize| e.tried.contains(&i) || self.shunned.contains_key(&i);
         let ws = &p.shown.view.weights;
-        let here =
-            || placement::match_spot(s, ws, &p.spots, &skip, &a, p.region).map(|i| (i, false));
+        let here = || {
+            placement::match_candidate(s, ws, &p.candidates, &skip, &a, p.region)
+                .map(|i| (i, false))
+        };
         let away = || {
             s.spill
                 .iter()
                 .filter(|((from, to), n)| *from == p.region && self.spill.fits(*to, **n))
-                .find_map(|((_, to), _)| placement::match_spot(s, ws, &p.spots, &skip, &a, *to))
+                .find_map(|((_, to), _)| {
+                    placement::match_candidate(s, ws, &p.candidates, &skip, &a, *to)
+                })
                 .map(|i| (i, true))
         };
         // a region that comes back cold is let in by how warm it is, so
@@ -199,7 +212,7 @@
         };
         self.next_token += 1;
         let token = self.next_token;
-        let region = p.spots[i].as_ref().map(|s| s.region);
+        let region = p.candidates[i].as_ref().map(|s| s.region);
         self.spill.count(region.filter(|_| spilt));
         self.counts.spilt += u64::from(spilt);
         let service = p
@@ -228,7 +241,7 @@
         p: &mut Plan,
         request_id: u64,
         token: u64,
-        t: Told,
+        t: AttemptEvent,
         lease: bool,
         now: Millis,
     ) {
@@ -237,36 +250,38 @@
             return;
         };
         match (e.stage, t) {
-            (Stage::Opening(i), Told::Ready) => self.hand_over(p, request_id, i, lease, now),
-            (Stage::Opening(i), Told::Unsent) => {
+            (Stage::Opening(i), AttemptEvent::Ready) => {
+                self.hand_over(p, request_id, i, lease, now)
+            }
+            (Stage::Opening(i), AttemptEvent::Unsent) => {
                 self.shunned.insert(i, now + SHUN_MS);
                 self.back(p, request_id, i, false, now);
             }
-            (Stage::Sent(i), Told::NotRun) => self.back(p, request_id, i, false, now),
-            (Stage::Sent(i), Told::Whole) => {
+            (Stage::Sent(i), AttemptEvent::NotRun) => self.back(p, request_id, i, false, now),
+            (Stage::Sent(i), AttemptEvent::Whole) => {
                 self.learn(request_id, now);
                 self.end(p, request_id, i);
                 self.counts.served += 1;
                 self.out.push(RequestEffect::Give { request_id, token });
             }
-            (Stage::Sent(i), Told::Begun) => {
+            (Stage::Sent(i), AttemptEvent::Begun) => {
                 if let Some(e) = self.rows.get_mut(&request_id) {
                     e.stage = Stage::Relaying(i);
                 }
                 self.out.push(RequestEffect::Give { request_id, token });
             }
-            (Stage::Relaying(i), Told::Ended) => {
+            (Stage::Relaying(i), AttemptEvent::Ended) => {
                 self.learn(request_id, now);
                 self.counts.served += 1;
                 self.end(p, request_id, i);
             }
-            (Stage::Relaying(i), Told::Broke(_)) => {
+            (Stage::Relaying(i), AttemptEvent::Broke(_)) => {
                 self.bad(p, request_id, i, ErrorCode::StreamBroken);
                 // what a caller has seen of a stream cannot be gone on elsewhere
                 self.counts.broken += 1;
                 self.end(p, request_id, i);
             }
-            (Stage::Sent(i), Told::Broke(why)) => self.broke(p, request_id, i, why, now),
+            (Stage::Sent(i), AttemptEvent::Broke(why)) => self.broke(p, request_id, i, why, now),
             (Stage::Opening(i) | Stage::Sent(i) | Stage::Relaying(i), _) => {
                 self.broke(p, request_id, i, ErrorCode::WorkerGarbage, now)
             }
@@ -288,7 +303,7 @@
             return;
         };
         // until its id is noted as this edge's, another may be sending it
-        if matches!(e.claim, Claim::Asked(_)) && !broken(Invariant::Claim) {
+        if matches!(e.claim, Claim::RequestSpec(_)) && !broken(Invariant::Claim) {
             e.ready = true;
             return;
         }
--- a/sorreldoor/src/gateway/request_table/plan.rs
+++ b/sorreldoor/src/gateway/request_table/plan.rs
@@ -3,9 +3,9 @@
 use crate::configuration::{self, Configuration, Site};
 use crate::discovery::{Loads, Worker, WorkerRegistry};
 use crate::invariants::{broken, Invariant};
-use crate::placement::{self, Spot};
+use crate::placement::{self, Candidate};
 use crate::replicated_state::{Recovery, View};
-use crate::wire::Place;
+use crate::wire::EdgeEndpoint;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
     pub view: View,
     pub registry: Arc<WorkerRegistry>,
     pub loads: Arc<Loads>,
-    pub edge_sessions: (u64, Vec<Place>),
+    pub edge_sessions: (u64, Vec<EdgeEndpoint>),
 }
 
 #[derive(Default)]
@@ -32,7 +32,7 @@
     pub configuration: Option<Arc<Configuration>>,
     /// Names of workers ever seen, in order of their dense index.
     index: HashMap<String, usize>,
-    pub spots: Vec<Option<Spot>>,
+    pub candidates: Vec<Option<Candidate>>,
     pub addrs: Vec<Option<SocketAddr>>,
     /// Errands of this edge at each worker now.
     pub mine: Vec<u32>,
@@ -56,7 +56,7 @@
     /// Take a newer view of the record; false if its setup cannot be read.
     pub fn take_view(&mut self, v: View) -> bool {
         // no step back, whatever order news comes in
-        if v.rev < self.shown.view.rev {
+        if v.revision < self.shown.view.revision {
             return true;
         }
         let same = v.doc == self.shown.view.doc && self.configuration.is_some();
@@ -89,7 +89,7 @@
         }
     }
 
-    pub fn take_seats(&mut self, s: (u64, Vec<Place>)) {
+    pub fn take_seats(&mut self, s: (u64, Vec<EdgeEndpoint>)) {
         self.shown.edge_sessions = s;
         self.rebuild();
     }
@@ -98,7 +98,7 @@
         let next = self.index.len();
         let i = *self.index.entry(name.to_string()).or_insert(next);
         if i == next {
-            self.spots.push(None);
+            self.candidates.push(None);
             self.addrs.push(None);
             self.mine.push(0);
             self.since.push(0);
@@ -132,7 +132,7 @@
         if !self.edges.iter().any(|(e, _)| *e == self.me) {
             self.edges.push((self.me.clone(), self.region));
         }
-        self.spots.iter_mut().for_each(|s| *s = None);
+        self.candidates.iter_mut().for_each(|s| *s = None);
         let Some(configuration) = self.configuration.clone() else {
             return;
         };
@@ -154,7 +154,7 @@
             let (most, cap) = self.most(w, slots, grp.warm, done, *dealt);
             *dealt += u64::from(grp.warm.first);
             self.addrs[i] = Some(w.addr);
-            self.spots[i] = Some(Spot {
+            self.candidates[i] = Some(Candidate {
                 name: w.name.clone(),
                 group: g,
                 zone: w.zone,
@@ -213,7 +213,7 @@
     pub fn sent(&mut self, i: usize) {
         self.mine[i] += 1;
         self.since[i] += 1;
-        if let Some(s) = self.spots[i].as_mut() {
+        if let Some(s) = self.candidates[i].as_mut() {
             s.mine += 1;
             s.busy += 1;
         }
@@ -221,7 +221,7 @@
 
     pub fn done(&mut self, i: usize) {
         self.mine[i] = self.mine[i].saturating_sub(1);
-        if let Some(s) = self.spots[i].as_mut() {
+        if let Some(s) = self.candidates[i].as_mut() {
             s.mine = s.mine.saturating_sub(1);
             s.busy = s.busy.saturating_sub(1);
         }
@@ -230,14 +230,14 @@
 
     /// Whether a worker may still be sent something new.
     pub fn open(&self, i: usize) -> bool {
-        self.spots
+        self.candidates
             .get(i)
             .and_then(|s| s.as_ref())
             .is_some_and(|s| s.open)
     }
 
     pub fn name(&self, i: usize) -> String {
-        self.spots
+        self.candidates
             .get(i)
             .and_then(|s| s.as_ref())
             .map_or_else(String::new, |s| s.name.clone())
@@ -245,7 +245,7 @@
 
     /// Edges that serve, best first for a caller with this key and region.
     pub fn edges_for(&self, region: Option<u8>, only: bool, key: &str) -> Vec<String> {
-        let mut all: Vec<&Place> = self
+        let mut all: Vec<&EdgeEndpoint> = self
             .shown
             .edge_sessions
             .1
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -4,7 +4,7 @@
 use super::controller::{EdgeController, EdgeEffect, EdgeEvent};
 use super::relay::{Brought, Load, Task, Word};
 use crate::error::ErrorCode;
-use crate::gateway::request_table::{Plan, RequestEffect, Shape};
+use crate::gateway::request_table::{Plan, RequestEffect, RequestProfile};
 use crate::http;
 use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent, Ring};
@@ -28,7 +28,7 @@
 /// What a waiting HTTP task is told.
 pub enum Reply {
     /// The body may come; what the route asks of it.
-    Come(Shape),
+    Come(RequestProfile),
     Shed(ErrorCode, u64),
     Elsewhere(String),
     Brought(Brought),
@@ -101,7 +101,7 @@
         addr: String::new(),
         http: set.http.to_string(),
         founded: false,
-        boot: crate::order_id::random_id(),
+        incarnation: crate::order_id::random_id(),
         ..Hello::default()
     };
     let plan = Plan::new(set.names.clone(), set.node.clone(), set.zone, set.region);
@@ -204,13 +204,13 @@
                 self.desk.give(request_id, Reply::Status { text, ready });
             }
             EdgeEffect::Say(ev, about) => log_event(ev, about),
-            EdgeEffect::Errand(f) => self.errand(f),
+            EdgeEffect::Request(f) => self.request(f),
         }
     }
 }
 
 impl Daemon {
-    fn errand(&mut self, f: RequestEffect) {
+    fn request(&mut self, f: RequestEffect) {
         match f {
             RequestEffect::Open {
                 request_id,
@@ -226,8 +226,10 @@
             RequestEffect::Shed {
                 request_id,
                 error_code,
-                again_s,
-            } => self.desk.give(request_id, Reply::Shed(error_code, again_s)),
+                retry_after_s,
+            } => self
+                .desk
+                .give(request_id, Reply::Shed(error_code, retry_after_s)),
             RequestEffect::Elsewhere { request_id, addr } => {
                 self.desk.give(request_id, Reply::Elsewhere(addr))
             }
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -1,10 +1,10 @@
 //! The edge's session with a core: frames in, news taken, no step back.
 
 use super::controller::{EdgeController, EdgeEffect};
-use crate::consensus::{Millis, Noted};
+use crate::consensus::{ClaimRecord, Millis};
 use crate::control_plane::KEEP_MS;
 use crate::discovery::WorkerRegistry;
-use crate::gateway::request_table::Wish;
+use crate::gateway::request_table::ClaimRequest;
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::subscription::Granted;
@@ -50,7 +50,7 @@
     fn frame(&mut self, conn: Conn, p: Payload) {
         match p {
             Payload::Grant { no, ok, delta } => self.on_grant(no, ok, delta),
-            Payload::ClaimDone {
+            Payload::ClaimResult {
                 request_id,
                 id,
                 said,
@@ -158,12 +158,12 @@
 
     /// One try of one life of this edge, unlike any other.
     fn by(&self, request_id: u64) -> u128 {
-        (u128::from(self.me.boot) << 64) | u128::from(request_id)
+        (u128::from(self.me.incarnation) << 64) | u128::from(request_id)
     }
 
-    pub(super) fn claim(&mut self, request_id: u64, w: Wish) {
+    pub(super) fn claim(&mut self, request_id: u64, w: ClaimRequest) {
         let (id, by, keep_ms) = (w.id, self.by(request_id), w.keep_ms);
-        let claim = Noted { id, by, keep_ms };
+        let claim = ClaimRecord { id, by, keep_ms };
         // without a session it is asked again by the pass over claims
         if let Some(c) = self.pull.conn {
             self.out
--- a/sorreldoor/src/gateway/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -11,7 +11,7 @@
         let _ = v.insert("node", self.me.node.as_str());
         let _ = v.insert("role", "edge");
         let _ = v.insert("serial", self.plan.shown.view.version);
-        let _ = v.insert("rev", self.plan.shown.view.rev);
+        let _ = v.insert("rev", self.plan.shown.view.revision);
         let _ = v.insert("permit_left_ms", self.pull.left(self.now));
         let _ = v.insert("session", self.pull.conn.is_some());
         let _ = v.insert("core", self.pull.dialled.map(|a| a.to_string()));
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -27,11 +27,11 @@
 pub struct Called {
     pub status: u16,
     pub kind: String,
-    pub errand: Option<String>,
+    pub request: Option<String>,
     /// Where a redirect leads.
-    pub place: Option<String>,
+    pub location: Option<String>,
     /// Seconds after which to come back, if it says so.
-    pub again_s: Option<u64>,
+    pub retry_after_s: Option<u64>,
     pub body: Vec<u8>,
 }
 
@@ -121,9 +121,9 @@
     if want.is_some_and(|n| n > most) {
         return Err(Broke::Garbage);
     }
-    let (kind, errand) = (text(&r, "content-type"), text(&r, "x-errand-id"));
-    let place = text(&r, "location");
-    let again_s = text(&r, "retry-after").and_then(|s| s.parse().ok());
+    let (kind, request) = (text(&r, "content-type"), text(&r, "x-errand-id"));
+    let location = text(&r, "location");
+    let retry_after_s = text(&r, "retry-after").and_then(|s| s.parse().ok());
     let mut b = Vec::new();
     // whatever follows a result that has no body is not part of it
     if status != 204 && status != 304 {
@@ -140,9 +140,9 @@
     Ok(Called {
         status,
         kind: kind.unwrap_or_default(),
-        errand,
-        place,
-        again_s,
+        request,
+        location,
+        retry_after_s,
         body: b,
     })
 }
--- a/sorreldoor/src/placement.rs
+++ b/sorreldoor/src/placement.rs
@@ -4,7 +4,7 @@
 
 /// A worker as placement sees it, under its dense index.
 #[derive(Clone, Debug, Default)]
-pub struct Spot {
+pub struct Candidate {
     pub name: String,
     pub group: u16,
     pub zone: u16,
@@ -23,7 +23,7 @@
     pub adapters: Vec<String>,
 }
 
-impl Spot {
+impl Candidate {
     fn room(&self) -> bool {
         self.open && self.mine < self.most && self.busy < self.cap
     }
@@ -35,7 +35,7 @@
 
 /// What matters of an errand for its place.
 #[derive(Clone, Debug, Default)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     pub route: u16,
     /// What spreads errands: the prefix where there is one, else the errand.
     pub key: &'a str,
@@ -56,7 +56,7 @@
 }
 
 /// Where the errand's services stand in order, the weighted draw first.
-pub fn services(s: &Configuration, tuned: &[(u16, u16, u32)], a: &Ask) -> Vec<u16> {
+pub fn services(s: &Configuration, tuned: &[(u16, u16, u32)], a: &PlacementRequest) -> Vec<u16> {
     let r = &s.routes[a.route as usize];
     let ws: Vec<(u16, u64)> = r
         .shares
@@ -87,12 +87,12 @@
 }
 
 /// The service and worker to go to in a region, or none that has room.
-pub fn match_spot(
+pub fn match_candidate(
     s: &Configuration,
     tuned: &[(u16, u16, u32)],
-    spots: &[Option<Spot>],
+    candidates: &[Option<Candidate>],
     skip: &dyn Fn(usize) -> bool,
-    a: &Ask,
+    a: &PlacementRequest,
     region: u8,
 ) -> Option<(u16, usize)> {
     // a home-bound errand must not reach a worker anywhere else
@@ -103,13 +103,13 @@
     services(s, tuned, a).into_iter().find_map(|v| {
         let sv = &s.services[v as usize];
         let want = a.adapter.or(sv.adapter.as_deref());
-        let fits = |w: &Spot| {
+        let fits = |w: &Candidate| {
             w.region == region
                 && sv.groups.contains(&w.group)
                 && w.room()
                 && want.is_none_or(|x| w.adapters.is_empty() || w.adapters.iter().any(|y| y == x))
         };
-        let all: Vec<(usize, &Spot)> = spots
+        let all: Vec<(usize, &Candidate)> = candidates
             .iter()
             .enumerate()
             .filter(|(i, _)| !skip(*i))
@@ -119,8 +119,8 @@
     })
 }
 
-fn pick(kind: Kind, all: &[(usize, &Spot)], a: &Ask) -> Option<usize> {
-    let full = |w: &Spot| u64::from(w.busy) * 1000 / u64::from(w.slots.max(1));
+fn pick(kind: Kind, all: &[(usize, &Candidate)], a: &PlacementRequest) -> Option<usize> {
+    let full = |w: &Candidate| u64::from(w.busy) * 1000 / u64::from(w.slots.max(1));
     let least = all
         .iter()
         .min_by_key(|(_, w)| (full(w), mix(a.id, &w.name)))
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -8,7 +8,7 @@
 use super::body::Decoder;
 use super::client::Client;
 use super::delivery::Delivery;
-use super::dialect::{Dialect, Told};
+use super::dialect::{Dialect, ResponseMetadata};
 use super::exchange::{ClientRequest, Exchange, Outcome};
 use super::http1::{Framing, Head};
 use super::pool::Connection;
@@ -17,7 +17,7 @@
 use super::shared::Shared;
 use super::stream::relay;
 use super::verdict::{judge, Expected, Verdict};
-use crate::balancer::{Heard, Pick, RequestId};
+use crate::balancer::{AttemptOutcome, Pick, RequestId};
 use crate::configuration::hosted::{Kind, Route};
 use crate::consensus::Millis;
 use crate::error::ErrorCode;
@@ -132,7 +132,7 @@
         Sent::Whole(connection) => (connection, None),
         Sent::AnsweredEarly(connection, head) => (connection, Some(head)),
         Sent::NothingLeft => {
-            exchange.heard(Heard::NoConn);
+            exchange.outcome(AttemptOutcome::ConnectFailed);
             return Outcome::AttemptEnded;
         }
         Sent::Failed(event) => return ended(exchange, client, delivery, event).await,
@@ -176,9 +176,9 @@
     connection: Connection,
     head: Head,
 ) -> Outcome {
-    let mut told = Told {
+    let mut told = ResponseMetadata {
         misdirected: head.status == 421,
-        ..Told::default()
+        ..ResponseMetadata::default()
     };
     for (name, value) in head.iter() {
         exchange
@@ -197,20 +197,20 @@
         }
         Verdict::Misdirected => {
             exchange.close(connection);
-            exchange.heard(Heard::Misdirected);
+            exchange.outcome(AttemptOutcome::Misdirected);
             Outcome::AttemptEnded
         }
         Verdict::NotRun(framing) => {
             let mut decoder = Decoder::new(framing);
             let most = REFUSAL_BODY_MS.min(exchange.time_left());
             let _ = read_whole(exchange, client, connection, &head, &mut decoder, most).await;
-            exchange.heard(Heard::NotRun(told.load));
+            exchange.outcome(AttemptOutcome::NotRun(told.load));
             Outcome::AttemptEnded
         }
         Verdict::Own(framing) => {
             exchange.progressed(Event::HeadReceived);
             let (load, cold_ms) = (told.load, told.cold_ms);
-            exchange.heard(Heard::Head { load, cold_ms });
+            exchange.outcome(AttemptOutcome::Head { load, cold_ms });
             deliver(exchange, client, delivery, connection, head, framing).await
         }
     }
@@ -244,7 +244,7 @@
     let bytes = whole_answer(client, &head, &body);
     // a worker's failure is its answer, unless another may do better
     let try_another = head.status >= 500 && exchange.may_move(0);
-    exchange.heard(Heard::Done(head.status));
+    exchange.outcome(AttemptOutcome::Done(head.status));
     if try_another {
         delivery.failure = Some(bytes);
         return Outcome::AttemptEnded;
--- a/sorreldoor/src/proxy/dialect.rs
+++ b/sorreldoor/src/proxy/dialect.rs
@@ -9,7 +9,7 @@
 
 /// What a request's head says that decisions rest on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
+pub struct RequestMetadata {
     /// The caller's id of this try.
     pub id: String,
     /// How long the caller will wait, in milliseconds, from when it asked.
@@ -39,7 +39,7 @@
 
 /// What a worker's head says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct ResponseMetadata {
     /// The id of the request that it answers.
     pub id: Option<String>,
     /// The request did not run at this worker and will not.
@@ -60,9 +60,9 @@
 pub trait Dialect: Send + Sync + 'static {
     /// Reads one header of a request; true if it must not be passed on as it
     /// stands, because `forward` writes it anew.
-    fn ask(&self, name: &str, value: &[u8], asked: &mut Asked) -> bool;
+    fn ask(&self, name: &str, value: &[u8], asked: &mut RequestMetadata) -> bool;
     /// Writes the header lines that go to a worker, each ended by CRLF.
     fn forward(&self, f: &Forward, out: &mut Vec<u8>);
     /// Reads one header of a worker's answer.
-    fn tell(&self, status: u16, name: &str, value: &[u8], told: &mut Told);
+    fn tell(&self, status: u16, name: &str, value: &[u8], told: &mut ResponseMetadata);
 }
--- a/sorreldoor/src/proxy/exchange.rs
+++ b/sorreldoor/src/proxy/exchange.rs
@@ -7,7 +7,7 @@
 use super::http1::Head;
 use super::pool::Connection;
 use super::shared::Shared;
-use crate::balancer::{Heard, RequestId, Target};
+use crate::balancer::{AttemptOutcome, RequestId, Target};
 use crate::configuration::hosted::Route;
 use crate::consensus::Millis;
 use crate::invariants::{broken, Invariant};
@@ -62,26 +62,26 @@
     }
 
     /// Reports what the table places later requests by.
-    pub fn heard(&self, heard: Heard) {
+    pub fn outcome(&self, outcome: AttemptOutcome) {
         let now = self.now();
         self.shared
             .lock()
             .table
-            .heard(self.request.request_id, heard, now);
+            .outcome(self.request.request_id, outcome, now);
         self.shared.wake();
     }
 
     /// Ends the attempt: the worker failed, in the way that `event` names.
     pub fn worker_failed(&self, event: Event) -> Outcome {
         self.progressed(event);
-        self.heard(Heard::Broke);
+        self.outcome(AttemptOutcome::Broke);
         Outcome::AttemptEnded
     }
 
     /// Ends the attempt and the request: the client is gone.
     pub fn client_gone(&self) -> Outcome {
         self.progressed(Event::ClientDone);
-        self.heard(Heard::Left);
+        self.outcome(AttemptOutcome::Left);
         Outcome::Finished { keep_alive: false }
     }
 
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -239,7 +239,7 @@
     }
 
     fn take_update(&mut self, encoded: &EncodedUpdate) {
-        let leads_on = |u: &Update| u.from <= self.view.rev;
+        let leads_on = |u: &Update| u.from <= self.view.revision;
         let Some(update) = encoded.update().filter(leads_on) else {
             return self.ask_whole("an update that does not lead on");
         };
@@ -254,12 +254,12 @@
                 format!("serial {}", update.version),
             );
         }
-        self.pull.have.record = update.rev;
+        self.pull.have.record = update.revision;
         self.table
             .set_evacuated_zones(update.evacuated.clone(), self.now);
         // the text is read; keeping it would cost its size for nothing
         self.view = View {
-            rev: update.rev,
+            revision: update.revision,
             version: update.version,
             doc: update.document.map(|_| Arc::default()),
             evacuated: update.evacuated,
@@ -288,8 +288,8 @@
         Ok(())
     }
 
-    fn take_places(&mut self, all: Vec<Place>) {
-        let of = |p: &Place| Seen {
+    fn take_places(&mut self, all: Vec<EdgeEndpoint>) {
+        let of = |p: &EdgeEndpoint| Seen {
             node: p.node.clone(),
             addr: p.http.clone(),
             zone: p.zone,
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -25,7 +25,7 @@
 pub mod verdict;
 mod wait;
 
-pub use dialect::{Asked, Dialect, Forward, Part, Told};
+pub use dialect::{Dialect, Forward, Part, RequestMetadata, ResponseMetadata};
 pub use door::{serve as serve_door, Answer};
 pub use front::{Front, FrontEffect, FrontEvent, Seen};
 pub use plain_dialect::Plain;
--- a/sorreldoor/src/proxy/plain_dialect.rs
+++ b/sorreldoor/src/proxy/plain_dialect.rs
@@ -1,6 +1,6 @@
 //! The product's own names for what passes between callers, nodes and workers.
 
-use super::dialect::{Asked, Dialect, Forward, Part, Told};
+use super::dialect::{Dialect, Forward, Part, RequestMetadata, ResponseMetadata};
 
 /// Headers beginning with `x-`, as docs/api.md lists them.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,7 +21,7 @@
 }
 
 impl Dialect for Plain {
-    fn ask(&self, name: &str, value: &[u8], a: &mut Asked) -> bool {
+    fn ask(&self, name: &str, value: &[u8], a: &mut RequestMetadata) -> bool {
         let v = text(value);
         match name.to_ascii_lowercase().as_str() {
             "x-request-id" => a.id = v.to_string(),
@@ -63,7 +63,7 @@
         }
     }
 
-    fn tell(&self, status: u16, name: &str, value: &[u8], t: &mut Told) {
+    fn tell(&self, status: u16, name: &str, value: &[u8], t: &mut ResponseMetadata) {
         let v = text(value);
         t.misdirected |= status == 421;
         match name.to_ascii_lowercase().as_str() {
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -5,7 +5,7 @@
 use super::front::{Front, FrontEffect, FrontEvent, Seen};
 use super::serve;
 use super::shared::Shared;
-use crate::balancer::{Bounds, Place, Table};
+use crate::balancer::{Bounds, Locality, Table};
 use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent};
 use crate::runtime::{Clock, Reducer};
@@ -73,10 +73,10 @@
         addr: String::new(),
         http: set.http.to_string(),
         founded: false,
-        boot: crate::order_id::random_id(),
+        incarnation: crate::order_id::random_id(),
         ..Hello::default()
     };
-    let place = Place {
+    let place = Locality {
         node: set.node.clone(),
         zone: set.zone,
         region: set.region,
--- a/sorreldoor/src/proxy/serve.rs
+++ b/sorreldoor/src/proxy/serve.rs
@@ -4,7 +4,7 @@
 use super::body::body;
 use super::carry::carry;
 use super::client::Client;
-use super::dialect::{Asked, Dialect};
+use super::dialect::{Dialect, RequestMetadata};
 use super::exchange::ClientRequest;
 use super::http1::{take_request, Buf, Fault, Framing, Head};
 use super::shared::Shared;
@@ -125,7 +125,7 @@
 ) -> bool {
     let now = shared.now();
     client.close |= shared.is_leaving();
-    let mut asked = Asked::default();
+    let mut asked = RequestMetadata::default();
     let mut wire = Vec::with_capacity(head.raw.len() + 64);
     wire.extend_from_slice(&head.raw[head.method.clone()]);
     wire.push(b' ');
--- a/sorreldoor/src/proxy/stream.rs
+++ b/sorreldoor/src/proxy/stream.rs
@@ -12,7 +12,7 @@
 use super::http1::{Framing, Head};
 use super::pool::Connection;
 use super::wait::{wait_for_worker, Wakeup};
-use crate::balancer::Heard;
+use crate::balancer::AttemptOutcome;
 use crate::consensus::Millis;
 use crate::runtime::Clock;
 
@@ -115,7 +115,7 @@
             false => self.pass_chunk(&passed, whole).await,
         };
         if std::mem::take(&mut self.first) {
-            self.exchange.heard(Heard::First);
+            self.exchange.outcome(AttemptOutcome::First);
         }
         self.passed_at = self.exchange.now();
         written
@@ -150,7 +150,8 @@
     }
 
     fn finished(self) -> Outcome {
-        self.exchange.heard(Heard::Done(self.head.status));
+        self.exchange
+            .outcome(AttemptOutcome::Done(self.head.status));
         self.exchange.progressed(Event::ClientDone);
         let keep_alive = !self.client.close;
         Outcome::Finished { keep_alive }
@@ -168,7 +169,7 @@
     async fn late(self, connection: Connection) -> Outcome {
         self.exchange.close(connection);
         self.exchange.progressed(Event::DeadlinePassed);
-        self.exchange.heard(Heard::Left);
+        self.exchange.outcome(AttemptOutcome::Left);
         let head_sent = self.delivery.head_sent;
         let keep_alive = !head_sent
             && self
--- a/sorreldoor/src/proxy/verdict.rs
+++ b/sorreldoor/src/proxy/verdict.rs
@@ -1,7 +1,7 @@
 //! Whose answer a worker's head is, and whether it can be used. Pure.
 
 use super::attempt::Event;
-use super::dialect::Told;
+use super::dialect::ResponseMetadata;
 use super::http1::{Framing, Head};
 use crate::invariants::{broken, Invariant};
 
@@ -26,7 +26,7 @@
 }
 
 /// Decides whose answer `head` is before any byte of it may go to the client.
-pub fn judge(head: &Head, told: &Told, expected: &Expected) -> Verdict {
+pub fn judge(head: &Head, told: &ResponseMetadata, expected: &Expected) -> Verdict {
     if !is_own(head, told, expected) && !broken(Invariant::AnswerId) {
         return Verdict::Unusable(Event::HeadOfOtherRequest);
     }
@@ -51,7 +51,7 @@
 
 /// Every answer names the request that it answers, a refusal too: a late answer
 /// may stand where this one is due, and its promise would be another request's.
-fn is_own(head: &Head, told: &Told, expected: &Expected) -> bool {
+fn is_own(head: &Head, told: &ResponseMetadata, expected: &Expected) -> bool {
     let success = (200..300).contains(&head.status);
     match &told.id {
         Some(id) => id == expected.id && (told.stamped || !success),
--- a/sorreldoor/src/replicated_state/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -67,7 +67,7 @@
     }
 
     fn changed(&mut self) -> Outcome {
-        self.kept.rev += 1;
+        self.kept.revision += 1;
         Outcome::Taken {
             version: self.kept.version,
         }
@@ -82,7 +82,7 @@
         // of two changes that build on one serial, only the first may win
         if base != self.kept.version && !broken(Invariant::Base) {
             if broken(Invariant::Loser) && f(self).is_ok() {
-                self.kept.rev += 1;
+                self.kept.revision += 1;
             }
             return self.not_current(base);
         }
@@ -127,7 +127,7 @@
 
     fn put(&mut self, doc: Vec<u8>) -> Result<(), Vec<String>> {
         let (s, v) = configuration::read(&doc, &self.site)?;
-        let revision = self.kept.rev + 1;
+        let revision = self.kept.revision + 1;
         let document = self.kept.document.get_or_insert_with(Document::default);
         document.replace(&v, revision);
         self.configuration = Some(Arc::new(s));
@@ -139,7 +139,7 @@
     fn forget_weights(&mut self) {
         if !self.kept.weights.is_empty() {
             self.kept.weights = Default::default();
-            self.kept.weights_revision = self.kept.rev + 1;
+            self.kept.weights_revision = self.kept.revision + 1;
         }
     }
 
@@ -164,7 +164,7 @@
         let (set, drop) = (part(set)?, part(drop)?);
         let mut document = self.kept.document.clone().unwrap_or_default();
         document
-            .change_items(&set, &drop, self.kept.rev + 1)
+            .change_items(&set, &drop, self.kept.revision + 1)
             .map_err(one)?;
         if document.bytes() > configuration::MOST_BYTES {
             let most = configuration::MOST_BYTES;
@@ -231,7 +231,7 @@
                 self.kept.weights.insert((r, v), w.clamp(h.least, h.most));
             }
         }
-        self.kept.weights_revision = self.kept.rev + 1;
+        self.kept.weights_revision = self.kept.revision + 1;
         self.changed()
     }
 
@@ -321,9 +321,9 @@
         let (configuration, value) = read.and_then(|s| s.ok()).unzip();
         if let Some(v) = value.filter(|_| k.document.is_none()) {
             let mut document = Document::default();
-            document.replace(&v, k.rev);
+            document.replace(&v, k.revision);
             k.document = Some(document);
-            k.weights_revision = k.rev;
+            k.weights_revision = k.revision;
         }
         self.configuration = configuration.map(Arc::new);
         self.kept = k;
--- a/sorreldoor/src/replicated_state/mod.rs
+++ b/sorreldoor/src/replicated_state/mod.rs
@@ -134,7 +134,8 @@
 /// What edges need of the record; `rev` orders it against itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     #[serde(rename = "serial")]
     pub version: u64,
     pub doc: Option<Arc<String>>,
@@ -150,7 +151,8 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Kept {
     /// Raised by every change of any kind.
-    rev: u64,
+    #[serde(rename = "rev")]
+    revision: u64,
     /// Raised by operators' changes only; what these build on.
     #[serde(rename = "serial")]
     version: u64,
@@ -216,8 +218,8 @@
         }
     }
 
-    pub fn rev(&self) -> u64 {
-        self.kept.rev
+    pub fn revision(&self) -> u64 {
+        self.kept.revision
     }
     pub fn version(&self) -> u64 {
         self.kept.version
@@ -264,7 +266,7 @@
     pub fn view_without_document(&self) -> View {
         let k = &self.kept;
         View {
-            rev: k.rev,
+            revision: k.revision,
             version: k.version,
             doc: None,
             evacuated: k.evacuated.iter().copied().collect(),
--- a/sorreldoor/src/replicated_state/update.rs
+++ b/sorreldoor/src/replicated_state/update.rs
@@ -11,7 +11,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     pub from: u64,
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     #[serde(rename = "serial")]
     pub version: u64,
     /// None where there is no document yet.
@@ -30,14 +31,14 @@
         let document = kept.document.as_ref();
         let changes = document.map(|d| d.changes_since(from));
         // who has nothing, or is too far behind, is told the whole
-        let whole = from == 0 || from > kept.rev || changes == Some(None);
+        let whole = from == 0 || from > kept.revision || changes == Some(None);
         let whole = whole || broken(Invariant::Differences);
         let from = if whole { 0 } else { from };
         let new_weights = whole || kept.weights_revision > from;
         let view = self.view_without_document();
         Update {
             from,
-            rev: kept.rev,
+            revision: kept.revision,
             version: kept.version,
             document: match whole {
                 true => document.map(Document::whole),
@@ -61,7 +62,7 @@
     /// Brings the copy to where the update leads; false where the update
     /// starts later than this copy is.
     pub fn apply(&mut self, update: &Update) -> bool {
-        if update.from > self.view.rev {
+        if update.from > self.view.revision {
             return false;
         }
         if update.from == 0 {
@@ -69,9 +70,9 @@
         }
         if let Some(changes) = &update.document {
             let document = self.document.get_or_insert_with(Document::default);
-            document.apply(changes, update.rev);
+            document.apply(changes, update.revision);
         }
-        self.view.rev = update.rev;
+        self.view.revision = update.revision;
         self.view.version = update.version;
         self.view.evacuated = update.evacuated.clone();
         self.view.regions = update.regions.clone();
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -1,6 +1,6 @@
 //! What the saves so far add up to; the same for the disk and the simulator.
 
-use crate::consensus::{Entry, HardState, Kept, Log, LogPosition, Noted, Save, Snapshot};
+use crate::consensus::{ClaimRecord, Entry, HardState, Kept, Log, LogPosition, Save, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, VecDeque};
@@ -28,7 +28,7 @@
     pub claims: VecDeque<(String, u128)>,
     /// Errand ids claimed here and not forgotten yet.
     #[serde(default)]
-    pub noted: BTreeMap<String, Noted>,
+    pub noted: BTreeMap<String, ClaimRecord>,
     /// Number of the last save taken in.
     pub seq: u64,
     /// Small values by name: identity, promise, and the like.
@@ -83,7 +83,7 @@
                 self.entries.extend(entries.iter().cloned());
             }
             Save::Claims(all) => self.claims.extend(all.iter().cloned()),
-            Save::Noted(all) => {
+            Save::ClaimRecord(all) => {
                 let rows = all.iter().map(|n| (n.id.clone(), n.clone()));
                 self.noted.extend(rows);
             }
@@ -103,8 +103,8 @@
         }
     }
 
-    fn claims(&self) -> Vec<Noted> {
-        let old = self.claims.iter().map(|(id, by)| Noted {
+    fn claims(&self) -> Vec<ClaimRecord> {
+        let old = self.claims.iter().map(|(id, by)| ClaimRecord {
             id: id.clone(),
             by: *by,
             keep_ms: OLD_MS,
--- a/sorreldoor/src/weight_tuning.rs
+++ b/sorreldoor/src/weight_tuning.rs
@@ -75,7 +75,7 @@
         for s in edge_sessions {
             for t in &s.took {
                 let (route, service) = (t.route.clone(), t.service.clone());
-                let k = (s.hello.node.clone(), s.hello.boot, route, service);
+                let k = (s.hello.node.clone(), s.hello.incarnation, route, service);
                 let was = self.seen.get(&k).copied().unwrap_or((t.n, t.ms));
                 let n = new.entry((k.2.clone(), k.3.clone())).or_default();
                 n.0 += t.n.saturating_sub(was.0);
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -1,7 +1,7 @@
 //! Frames between the site's own processes: a length, a protocol number, and
 //! a hash of the site's mark with one payload in ciborium.
 
-use crate::consensus::{Member, Msg, NodeId, Noted, ProposalId};
+use crate::consensus::{ClaimRecord, Member, Msg, NodeId, ProposalId};
 use crate::discovery::{Loads, WorkerRegistry};
 use crate::replicated_state::{decode, encode, Command, Outcome, Update};
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,8 @@
     /// For cores: whether it belongs to a founded site.
     pub founded: bool,
     /// Differs at every start of the process.
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     /// For cores: its process has been told to stop.
     #[serde(default, skip_serializing_if = "zero")]
     pub stopping: bool,
@@ -50,7 +51,7 @@
 
 /// What an edge needs to know of another: where it is, and whether it serves.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct EdgeEndpoint {
     pub node: String,
     pub zone: u16,
     pub region: u8,
@@ -79,7 +80,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SessionReport {
     pub core: NodeId,
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     #[serde(rename = "serial")]
     pub version: u64,
     pub edge_sessions: Vec<EdgeSession>,
@@ -124,7 +126,7 @@
 impl EncodedUpdate {
     pub fn new(u: &Update) -> EncodedUpdate {
         EncodedUpdate {
-            revision: u.rev,
+            revision: u.revision,
             version: u.version,
             has_document: u.document.is_some(),
             bytes: Arc::new(encode(u)),
@@ -149,7 +151,7 @@
     #[serde(default, skip_serializing_if = "zero")]
     pub loads: Option<Arc<Loads>>,
     #[serde(default, skip_serializing_if = "zero")]
-    pub edge_sessions: Option<(u64, Vec<Place>)>,
+    pub edge_sessions: Option<(u64, Vec<EdgeEndpoint>)>,
     /// Where the cores are now, with their regions, under a mark of it.
     #[serde(default, skip_serializing_if = "zero")]
     pub cores: Option<(u64, Vec<(String, u8)>)>,
@@ -249,19 +251,22 @@
     Claim {
         #[serde(rename = "rid")]
         request_id: u64,
-        claim: Noted,
+        claim: ClaimRecord,
     },
-    ClaimDone {
+    #[serde(rename = "ClaimDone")]
+    ClaimResult {
         #[serde(rename = "rid")]
         request_id: u64,
         id: String,
         said: Verdict,
     },
-    ClaimAsk {
+    #[serde(rename = "ClaimAsk")]
+    ClaimVoteRequest {
         no: u64,
-        claim: Noted,
+        claim: ClaimRecord,
     },
-    ClaimAns {
+    #[serde(rename = "ClaimAns")]
+    ClaimVoteReply {
         no: u64,
         said: Verdict,
     },
@@ -280,19 +285,21 @@
         id: String,
         by: u128,
     },
-    FreeDone {
+    #[serde(rename = "FreeDone")]
+    ReleaseAck {
         by: u128,
     },
     /// What an edge sent of late.
     Sent {
         all: Vec<(String, u128)>,
     },
-    ClaimsPull {
+    #[serde(rename = "ClaimsPull")]
+    ClaimsPageRequest {
         from: u64,
     },
     ClaimsPage {
         from: u64,
-        all: Vec<Noted>,
+        all: Vec<ClaimRecord>,
         next: u64,
         end: bool,
     },
--- a/sorreldoor/tests/table.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -1,26 +1,26 @@
 //! The table of requests under way: each rule by itself, and nodes together.
 
-use sorreldoor::balancer::{Bounds, Heard, Pick, Place, RequestId, Table, Target};
+use sorreldoor::balancer::{AttemptOutcome, Bounds, Locality, Pick, RequestId, Table, Target};
 use sorreldoor::configuration::hosted::{Engine, Hosted, Kind, Route, Service};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::error::ErrorCode;
-use sorreldoor::proxy::{Asked, Part};
+use sorreldoor::proxy::{Part, RequestMetadata};
 use std::sync::Arc;
 
-#[path = "table/drive.rs"]
+#[path = "balancer/drive.rs"]
 mod drive;
-#[path = "table/fuzz.rs"]
+#[path = "balancer/endpoints.rs"]
+mod endpoints;
+#[path = "balancer/fuzz.rs"]
 mod fuzz;
-#[path = "table/invariants.rs"]
+#[path = "balancer/invariants.rs"]
 mod invariants;
-#[path = "table/marks.rs"]
+#[path = "balancer/marks.rs"]
 mod marks;
-#[path = "table/nodes.rs"]
+#[path = "balancer/nodes.rs"]
 mod nodes;
-#[path = "table/silence.rs"]
+#[path = "balancer/silence.rs"]
 mod silence;
-#[path = "table/spots.rs"]
-mod spots;
 
 /// Two regions: zones 0 and 1 in the first, 2 in the second.
 const REGIONS: [u8; 3] = [0, 0, 1];
@@ -35,8 +35,8 @@
     }
 }
 
-fn place(node: &str, zone: u16) -> Place {
-    Place {
+fn place(node: &str, zone: u16) -> Locality {
+    Locality {
         node: node.into(),
         zone,
         region: REGIONS[zone as usize],
@@ -132,8 +132,8 @@
     t
 }
 
-fn ask(parts: &[(u64, u32)]) -> Asked {
-    Asked {
+fn ask(parts: &[(u64, u32)]) -> RequestMetadata {
+    RequestMetadata {
         deadline_ms: Some(5000),
         tokens_in: parts.iter().map(|p| p.1).sum(),
         parts: parts
@@ -143,7 +143,7 @@
                 tokens: *tokens,
             })
             .collect(),
-        ..Asked::default()
+        ..RequestMetadata::default()
     }
 }
 
--- a/sorreldoor/tests/table/drive.rs
+++ b/sorreldoor/tests/balancer/drive.rs
@@ -153,17 +153,17 @@
                     let b = &self.backs[w as usize];
                     let load = Some((b.running, b.queue.len() as u32, b.slots));
                     let cold_ms = None;
-                    self.heard(n, r, Heard::Head { load, cold_ms });
-                    self.heard(n, r, Heard::First);
+                    self.outcome(n, r, AttemptOutcome::Head { load, cold_ms });
+                    self.outcome(n, r, AttemptOutcome::First);
                 }
                 Ev::End(n, r, w) => {
-                    self.heard(n, r, Heard::Done(200));
+                    self.outcome(n, r, AttemptOutcome::Done(200));
                     self.over(n, r);
                     self.served += 1;
                     self.leave(w);
                 }
                 Ev::Break(n, r, w) => {
-                    self.heard(n, r, Heard::Broke);
+                    self.outcome(n, r, AttemptOutcome::Broke);
                     self.leave(w);
                     self.pick(n, r);
                 }
@@ -214,9 +214,9 @@
         self.now + self.skew[n]
     }
 
-    fn heard(&mut self, n: usize, r: RequestId, h: Heard) {
+    fn outcome(&mut self, n: usize, r: RequestId, h: AttemptOutcome) {
         let t = self.clock(n);
-        self.nodes[n].heard(r, h, t);
+        self.nodes[n].outcome(r, h, t);
     }
 
     fn over(&mut self, n: usize, r: RequestId) {
@@ -269,7 +269,7 @@
                     };
                 }
                 if self.rand.chance(self.backs[w as usize].dead) {
-                    self.heard(n, r, Heard::NoConn);
+                    self.outcome(n, r, AttemptOutcome::ConnectFailed);
                     return self.pick(n, r);
                 }
                 let far = self.list[w as usize].region != self.region[n];
@@ -301,7 +301,7 @@
         b.came.push(now);
         if self.rand.chance(b.away) || b.queue.len() as u32 > 2 * b.slots {
             let load = Some((b.running, b.queue.len() as u32, b.slots));
-            self.heard(n, r, Heard::NotRun(load));
+            self.outcome(n, r, AttemptOutcome::NotRun(load));
             return self.pick(n, r);
         }
         if self.rand.chance(b.broke) {
--- a/sorreldoor/tests/table/spots.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -20,10 +20,10 @@
                 last = now;
             }
             if x.name == bad && dead {
-                t.heard(r, Heard::NoConn, now);
+                t.outcome(r, AttemptOutcome::ConnectFailed, now);
                 g = t.pick(r, now);
             } else {
-                t.heard(r, Heard::Done(200), now + 15);
+                t.outcome(r, AttemptOutcome::Done(200), now + 15);
                 break;
             }
         }
@@ -46,7 +46,7 @@
     let mut t = table(usual(), many("web", 6, &[0; 9]));
     for now in 0..400u64 {
         let (r, _) = sent(&mut t, "/webonce/x", now);
-        t.heard(r, Heard::Broke, now);
+        t.outcome(r, AttemptOutcome::Broke, now);
         t.end(r, now);
         assert!(t.counts().out <= 3);
     }
@@ -54,7 +54,7 @@
     let mut t = table(usual(), many("web", 6, &[0; 3]));
     for now in 0..60u64 {
         let (r, _) = sent(&mut t, "/webonce/x", now);
-        t.heard(r, Heard::NoConn, now);
+        t.outcome(r, AttemptOutcome::ConnectFailed, now);
         t.end(r, now);
     }
     assert_eq!(t.counts().out, 3);
@@ -65,7 +65,7 @@
 fn a_full_worker_is_left_alone_for_a_while() {
     let mut t = table(usual(), many("web", 6, &[0, 0]));
     let (r, a) = sent(&mut t, "/webonce/x", 1000);
-    t.heard(r, Heard::NotRun(Some((6, 24, 6))), 1001);
+    t.outcome(r, AttemptOutcome::NotRun(Some((6, 24, 6))), 1001);
     let b = go(t.pick(r, 1001));
     assert_ne!(a.name, b.name);
     for now in 1002..1008 {
@@ -128,8 +128,8 @@
             .begin("h", "/once/", chain(1000 + i * 500), 10, 10)
             .unwrap();
         at.push(go(t.pick(r, 10)).name);
-        t.heard(r, Heard::First, 50);
-        t.heard(r, Heard::Done(200), 60);
+        t.outcome(r, AttemptOutcome::First, 50);
+        t.outcome(r, AttemptOutcome::Done(200), 60);
         t.end(r, 60);
     }
     at.dedup();
@@ -143,7 +143,7 @@
     let mut ends: Vec<(u64, RequestId)> = Vec::new();
     for now in 0..20_000u64 {
         for (_, r) in ends.iter().filter(|e| e.0 == now) {
-            t.heard(*r, Heard::Done(200), now);
+            t.outcome(*r, AttemptOutcome::Done(200), now);
             t.end(*r, now);
         }
         ends.retain(|e| e.0 != now);
@@ -166,7 +166,7 @@
             .unwrap();
         let p = t.pick(r, i);
         assert!(matches!(p, Pick::Go(_)));
-        t.heard(r, Heard::Done(200), i + 1);
+        t.outcome(r, AttemptOutcome::Done(200), i + 1);
         t.end(r, i + 1);
     }
     let c = t.counts();
--- a/sorreldoor/tests/table/fuzz.rs
+++ b/sorreldoor/tests/balancer/fuzz.rs
@@ -143,20 +143,20 @@
                 let s = open.get_mut(&r).unwrap();
                 let kind = x.below(9);
                 let hs = match kind {
-                    0 => Heard::Head {
+                    0 => AttemptOutcome::Head {
                         load: Some((x.below(9) as u32, x.below(3) as u32, 4)),
                         cold_ms: Some(x.below(2) * 800),
                     },
-                    1 => Heard::First,
-                    2 => Heard::Done(500),
-                    3 => Heard::NotRun(Some((4, 2, 4))),
-                    4 => Heard::Misdirected,
-                    5 => Heard::NoConn,
-                    6 => Heard::Broke,
-                    7 => Heard::Left,
-                    _ => Heard::Done(200),
+                    1 => AttemptOutcome::First,
+                    2 => AttemptOutcome::Done(500),
+                    3 => AttemptOutcome::NotRun(Some((4, 2, 4))),
+                    4 => AttemptOutcome::Misdirected,
+                    5 => AttemptOutcome::ConnectFailed,
+                    6 => AttemptOutcome::Broke,
+                    7 => AttemptOutcome::Left,
+                    _ => AttemptOutcome::Done(200),
                 };
-                t.heard(r, hs, now);
+                t.outcome(r, hs, now);
                 if kind > 1 {
                     let at = s.at.take();
                     s.ran |= at.is_some() && ![3, 4, 5].contains(&kind);
@@ -171,7 +171,7 @@
                 };
                 t.end(r, now);
                 t.end(r, now);
-                t.heard(r, Heard::Broke, now);
+                t.outcome(r, AttemptOutcome::Broke, now);
                 open.remove(&r);
             }
             _ => assert!(t.woken(now).iter().all(|r| open.contains_key(r))),
--- a/sorreldoor/tests/table/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -27,23 +27,23 @@
 fn what_may_have_run_is_not_sent_again() {
     let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
     let (r, _) = sent(&mut t, "/webonce/x", 100);
-    t.heard(r, Heard::Broke, 120);
+    t.outcome(r, AttemptOutcome::Broke, 120);
     assert_eq!(t.pick(r, 120), Pick::Refuse(ErrorCode::OutcomeUnknown, 0));
 }
 
 #[test]
 fn what_did_not_run_goes_on_within_attempts() {
     for (h, again) in [
-        (Heard::NotRun(None), true),
-        (Heard::Misdirected, true),
-        (Heard::NoConn, true),
-        (Heard::Broke, false),
-        (Heard::Left, false),
-        (Heard::Done(500), false),
+        (AttemptOutcome::NotRun(None), true),
+        (AttemptOutcome::Misdirected, true),
+        (AttemptOutcome::ConnectFailed, true),
+        (AttemptOutcome::Broke, false),
+        (AttemptOutcome::Left, false),
+        (AttemptOutcome::Done(500), false),
     ] {
         let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
         let (r, a) = sent(&mut t, "/webonce/x", 20_000);
-        t.heard(r, h.clone(), 20_010);
+        t.outcome(r, h.clone(), 20_010);
         match t.pick(r, 20_010) {
             Pick::Go(b) => assert!(again && a.name != b.name, "{h:?}"),
             p => assert!(!again, "{h:?}: {p:?}"),
@@ -51,11 +51,11 @@
         if !again {
             continue;
         }
-        t.heard(r, h.clone(), 20_020);
+        t.outcome(r, h.clone(), 20_020);
         // no connection means not sent, and a worker that is gone was not
         // sent to either, so a third worker is no third sending
         let third = matches!(t.pick(r, 20_020), Pick::Go(_));
-        let unsent = [Heard::NoConn, Heard::Misdirected].contains(&h);
+        let unsent = [AttemptOutcome::ConnectFailed, AttemptOutcome::Misdirected].contains(&h);
         assert_eq!(third, unsent, "{h:?}");
     }
 }
@@ -64,10 +64,10 @@
 fn a_repeatable_one_goes_on_after_a_break_and_ends_unpromised() {
     let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
     let (r, a) = sent(&mut t, "/web/x", 20_000);
-    t.heard(r, Heard::Broke, 20_010);
+    t.outcome(r, AttemptOutcome::Broke, 20_010);
     let b = go(t.pick(r, 20_010));
     assert_ne!(a.name, b.name);
-    t.heard(r, Heard::NotRun(None), 20_020);
+    t.outcome(r, AttemptOutcome::NotRun(None), 20_020);
     let p = t.pick(r, 20_020);
     assert!(
         matches!(p, Pick::Refuse(ErrorCode::WorkerBroke, _)),
@@ -83,7 +83,7 @@
         hosted(vec![route("x", "/webonce/", Kind::Idempotent, 1)]),
         20_005,
     );
-    t.heard(r, Heard::Broke, 20_010);
+    t.outcome(r, AttemptOutcome::Broke, 20_010);
     assert_eq!(
         t.pick(r, 20_010),
         Pick::Refuse(ErrorCode::OutcomeUnknown, 0)
@@ -103,7 +103,7 @@
     let second = go(t.pick(b, 20_011));
     assert!(second.name.starts_with("model") && second.priority == Some(1));
     // a refused sending is looked up anew as well
-    t.heard(a, Heard::NotRun(None), 20_012);
+    t.outcome(a, AttemptOutcome::NotRun(None), 20_012);
     assert!(go(t.pick(a, 20_012)).name.starts_with("model"));
     let c = begin(&mut t, "/w/x", 20_012);
     t.take_hosted(hosted(vec![route("v", "/v/", Kind::Once, 1)]), 20_013);
@@ -180,7 +180,7 @@
 fn what_is_off_the_list_or_misdirected_gets_nothing() {
     let mut t = table(usual(), many("web", 6, &[0, 1]));
     let (r, a) = sent(&mut t, "/web/x", 10);
-    t.heard(r, Heard::Misdirected, 11);
+    t.outcome(r, AttemptOutcome::Misdirected, 11);
     t.end(r, 11);
     let names = |t: &mut Table, now: u64| -> Vec<String> {
         let one = |_| {
@@ -247,7 +247,7 @@
     let h2 = late(&mut t, "/high/x", 3);
     let h1 = late(&mut t, "/high/x", 2);
     assert!(t.woken(4).is_empty());
-    t.heard(held[0], Heard::Done(200), 5);
+    t.outcome(held[0], AttemptOutcome::Done(200), 5);
     assert_eq!(t.woken(5), [h1]);
     // one that comes now stands behind those that wait already
     let h3 = late(&mut t, "/high/x", 5);
@@ -255,7 +255,7 @@
     assert!(matches!(t.pick(h2, 6), Pick::Wait(_)));
     assert_eq!(t.woken(60), [h2, h3, l]);
     t.end(h2, 61);
-    t.heard(held[1], Heard::Done(200), 61);
+    t.outcome(held[1], AttemptOutcome::Done(200), 61);
     assert_eq!(t.woken(61), [h3]);
     assert_eq!(t.counts().waiting, 2);
 }
@@ -272,7 +272,7 @@
         let x = draw >> 33;
         if x.is_multiple_of(3) && !open.is_empty() {
             let r = open.swap_remove((x / 3) as usize % open.len());
-            t.heard(r, Heard::Done(200), now);
+            t.outcome(r, AttemptOutcome::Done(200), now);
             t.end(r, now);
         }
         if x % 5 < if now % 8000 < 4000 { 3 } else { 1 } {
--- a/sorreldoor/tests/table/silence.rs
+++ b/sorreldoor/tests/balancer/silence.rs
@@ -14,7 +14,7 @@
 fn what_runs_once_goes_out_only_where_the_worker_is_known_to_be() {
     let (mut t, r, a) = waiting("/webonce/a");
     assert!(a.fresh, "nothing was ever heard of it");
-    t.heard(r, Heard::Done(200), 20_050);
+    t.outcome(r, AttemptOutcome::Done(200), 20_050);
     t.end(r, 20_050);
     let at = |t: &mut Table, now: u64| {
         let (r, g) = (0..9)
--- a/sorreldoor/tests/claim_book.rs
+++ b/sorreldoor/tests/claim_book.rs
@@ -1,10 +1,10 @@
 //! The claims that one core has noted, and until when.
 
-use sorreldoor::control_plane::book::{Book, By, Note, Noted};
+use sorreldoor::control_plane::book::{Book, By, ClaimRecord, Note};
 
-fn n(id: &str, by: By) -> Noted {
+fn n(id: &str, by: By) -> ClaimRecord {
     let (id, keep_ms) = (id.to_string(), 1000);
-    Noted { id, by, keep_ms }
+    ClaimRecord { id, by, keep_ms }
 }
 
 #[test]
--- a/sorreldoor/tests/formats/messages.rs
+++ b/sorreldoor/tests/formats/messages.rs
@@ -1,7 +1,7 @@
 //! Samples of what consensus sends and of what it is made of.
 
 use sorreldoor::consensus::{
-    Body, Chunk, ContentHeader, Entry, Held, LogPosition, Member, Msg, Noted,
+    Body, Chunk, ClaimRecord, ContentHeader, Entry, Held, LogPosition, Member, Msg,
 };
 use std::sync::Arc;
 
@@ -35,8 +35,8 @@
     bodies.map(entry).to_vec()
 }
 
-pub(super) fn claim() -> Noted {
-    Noted {
+pub(super) fn claim() -> ClaimRecord {
+    ClaimRecord {
         id: "abc".into(),
         by: 1 << 80,
         keep_ms: 300_000,
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -2,13 +2,13 @@
 
 use super::messages::{claim, entries, member, messages};
 use sorreldoor::configuration::Site;
-use sorreldoor::consensus::{HardState, LogPosition, Noted, Save, Snapshot, StateMachine};
+use sorreldoor::consensus::{ClaimRecord, HardState, LogPosition, Save, Snapshot, StateMachine};
 use sorreldoor::discovery::{Load, Loads, Worker, WorkerRegistry};
 use sorreldoor::replicated_state::{encode, Command, Outcome, Recovery, ReplicatedState};
 use sorreldoor::store::DurableState;
 use sorreldoor::wire::{
-    EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello, KnownVersions, OpOutcome, Payload,
-    Place, RouteLatency, SessionReport, StateDelta, Unverified, Verdict,
+    EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello, KnownVersions,
+    OpOutcome, Payload, RouteLatency, SessionReport, StateDelta, Unverified, Verdict,
 };
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
         addr: "10.0.0.1:70".into(),
         http: "10.0.0.1:80".into(),
         founded: core,
-        boot: 33,
+        incarnation: 33,
         stopping: core,
         learner_only: core,
     }
@@ -170,7 +170,7 @@
     let mut revision = 0;
     for (index, command) in commands().iter().enumerate() {
         if index == 8 {
-            revision = record.rev();
+            revision = record.revision();
         }
         record.apply(index as u64 + 1, index as u128 + 1, &encode(command));
     }
@@ -196,7 +196,7 @@
         edge_sessions: 6,
         cores: 8,
     };
-    let place = Place {
+    let place = EdgeEndpoint {
         node: "n1".into(),
         zone: 2,
         region: 1,
@@ -214,7 +214,7 @@
     };
     let report = SessionReport {
         core: 11,
-        boot: 33,
+        incarnation: 33,
         version: 5,
         edge_sessions: vec![session()],
     };
@@ -262,7 +262,7 @@
             request_id: 5,
             claim: claim(),
         },
-        Payload::ClaimAsk {
+        Payload::ClaimVoteRequest {
             no: 1,
             claim: claim(),
         },
@@ -276,11 +276,11 @@
             id: "abc".into(),
             by: 9,
         },
-        Payload::FreeDone { by: 9 },
+        Payload::ReleaseAck { by: 9 },
         Payload::Sent {
             all: vec![("abc".into(), 9)],
         },
-        Payload::ClaimsPull { from: 4 },
+        Payload::ClaimsPageRequest { from: 4 },
         Payload::ClaimsPage {
             from: 4,
             all: claims,
@@ -296,12 +296,12 @@
         Verdict::Full,
     ];
     for said in verdicts {
-        all.push(Payload::ClaimDone {
+        all.push(Payload::ClaimResult {
             request_id: 5,
             id: "abc".into(),
             said,
         });
-        all.push(Payload::ClaimAns { no: 1, said });
+        all.push(Payload::ClaimVoteReply { no: 1, said });
     }
     let op = |cmd| Payload::Op {
         request_id: 5,
@@ -345,9 +345,9 @@
             reset: false,
         },
         Save::Claims(vec![("old".into(), 7)]),
-        Save::Noted(vec![
+        Save::ClaimRecord(vec![
             claim(),
-            Noted {
+            ClaimRecord {
                 id: "gone".into(),
                 by: 1,
                 keep_ms: 5,
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -234,10 +234,13 @@
 fn a_zone_is_evacuated_without_a_new_serial() {
     let mut r = Run::new();
     r.put(0, 7);
-    let rev = r.0.rev();
+    let revision = r.0.revision();
     let go = |zone, evacuated| Command::Evacuate { zone, evacuated };
     assert_eq!(r.act(go(1, true)), Outcome::Taken { version: 7 });
-    assert_eq!((r.0.view().evacuated, r.0.rev()), (vec![1], rev + 1));
+    assert_eq!(
+        (r.0.view().evacuated, r.0.revision()),
+        (vec![1], revision + 1)
+    );
     assert!(matches!(r.act(go(9, true)), Outcome::Bad { .. }));
     assert_eq!(r.put(7, 8), Outcome::Taken { version: 8 });
     assert_eq!(r.0.view().evacuated, [1]);
--- a/sorreldoor/tests/place.rs
+++ b/sorreldoor/tests/placement.rs
@@ -1,21 +1,21 @@
 //! Placement: few move when a worker comes or goes, and caps hold for all.
 
 use sorreldoor::configuration::{read, Site};
-use sorreldoor::placement::{dealt_rank, match_spot, part_of, Ask, Spot};
+use sorreldoor::placement::{dealt_rank, match_candidate, part_of, Candidate, PlacementRequest};
 
 const DOC: &str = r#"{"groups":{"g":{"kind":"model"}},"services":{"s":{"groups":["g"]}},
  "routes":{"r":{"kind":"prefix","shares":{"s":{"weight":1}}}}}"#;
 
-fn spots(n: usize) -> Vec<Option<Spot>> {
+fn spots(n: usize) -> Vec<Option<Candidate>> {
     (0..n)
         .map(|i| {
-            Some(Spot {
+            Some(Candidate {
                 name: format!("w{i}"),
                 open: true,
                 slots: 4,
                 most: 4,
                 cap: 8,
-                ..Spot::default()
+                ..Candidate::default()
             })
         })
         .collect()
@@ -33,13 +33,13 @@
     if let Some(w) = less[3].as_mut() {
         w.open = false;
     }
-    let at = |spots: &[Option<Spot>], key: &str| {
-        let a = Ask {
+    let at = |spots: &[Option<Candidate>], key: &str| {
+        let a = PlacementRequest {
             key,
             id: "e",
-            ..Ask::default()
+            ..PlacementRequest::default()
         };
-        match_spot(&s, &[], spots, &|_| false, &a, 0).map(|(_, i)| i)
+        match_candidate(&s, &[], spots, &|_| false, &a, 0).map(|(_, i)| i)
     };
     let (mut moved, mut its) = (0, 0);
     for k in 0..1000 {
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -4,7 +4,7 @@
 use async_std::io::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use sorreldoor::balancer::{Bounds, Place, Table};
+use sorreldoor::balancer::{Bounds, Locality, Table};
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::proxy::body::*;
@@ -219,10 +219,10 @@
         regions: vec!["r".into()],
         zones: vec![("z".into(), 0)],
     });
-    let place = Place {
+    let place = Locality {
         node: "n1".into(),
         regions: vec![0],
-        ..Place::default()
+        ..Locality::default()
     };
     let bounds = Bounds {
         retry_ratio: 0.2,
--- a/sorreldoor/tests/record.rs
+++ b/sorreldoor/tests/replicated_state.rs
@@ -248,7 +248,7 @@
 /// The replicated state as the release before wrote it, as far as it matters.
 #[derive(serde::Serialize)]
 struct OldImage {
-    rev: u64,
+    revision: u64,
     version: u64,
     doc: Option<String>,
     evacuated: Vec<u16>,
@@ -265,7 +265,7 @@
     let taken = encode(&Outcome::Taken { version: 7 });
     let refused = encode(&Outcome::Stale { version: 7 });
     let old = OldImage {
-        rev: 3,
+        revision: 3,
         version: 7,
         doc: None,
         evacuated: vec![],
--- a/sorreldoor/tests/store/state.rs
+++ b/sorreldoor/tests/store/state.rs
@@ -1,7 +1,7 @@
 //! What saves add up to.
 
 use serde::Serialize;
-use sorreldoor::consensus::{Entry, HardState, Noted, Save, Snapshot};
+use sorreldoor::consensus::{ClaimRecord, Entry, HardState, Save, Snapshot};
 use sorreldoor::replicated_state::{decode, encode};
 use sorreldoor::store::DurableState;
 use std::collections::VecDeque;
@@ -29,7 +29,7 @@
     // its saves still stand in the log behind the image
     state.take(4, &Save::Claims(vec![("later".into(), 8)]));
     let (id, by, keep_ms) = ("old".to_string(), 9, 5);
-    state.take(5, &Save::Noted(vec![Noted { id, by, keep_ms }]));
+    state.take(5, &Save::ClaimRecord(vec![ClaimRecord { id, by, keep_ms }]));
     let kept = state.kept().claims;
     let by = |id: &str| kept.iter().find(|n| n.id == id).map(|n| n.by);
     assert_eq!((kept.len(), by("old"), by("later")), (2, Some(9), Some(8)));
--- a/sorreldoor/tests/store/work.rs
+++ b/sorreldoor/tests/store/work.rs
@@ -1,7 +1,7 @@
 //! Random work on a store, and what may be found of it after a crash.
 
 use super::sim_disk::{Random, SimDisk};
-use sorreldoor::consensus::{Body, Entry, HardState, LogPosition, Noted, Save, Snapshot};
+use sorreldoor::consensus::{Body, ClaimRecord, Entry, HardState, LogPosition, Save, Snapshot};
 use sorreldoor::replicated_state::encode;
 use sorreldoor::store::{Before, Change, DurableState, DurableStore, Opened, Store};
 use std::borrow::Cow;
@@ -179,7 +179,7 @@
                 term: state.hard.term + 1,
                 ..state.hard.clone()
             }),
-            1 => Save::Noted(vec![Noted {
+            1 => Save::ClaimRecord(vec![ClaimRecord {
                 id: format!("id{}", self.random.below(5)),
                 by: 1,
                 keep_ms: 9,
--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -192,7 +192,7 @@
             self.copy.apply(update),
             "from {} to {}",
             update.from,
-            update.rev
+            update.revision
         );
         if let Some(changes) = &update.document {
             let old = match update.from {
@@ -204,7 +204,7 @@
                 .expect("what was taken is valid");
             self.hosted = new.map_or(old, Arc::new);
         }
-        self.revision = update.rev;
+        self.revision = update.revision;
     }
 }
 
@@ -247,7 +247,7 @@
     let told = |routes: usize| {
         let mut core = Core::new();
         core.put(with_routes(routes));
-        let have = core.record.rev();
+        let have = core.record.revision();
         assert_eq!(core.one_route(3, 77), Outcome::Taken { version: 2 });
         EncodedUpdate::new(&core.record.update_since(have))
             .bytes
@@ -266,7 +266,7 @@
 fn a_whole_document_is_told_by_what_is_new_in_it() {
     let mut core = Core::new();
     core.put(with_routes(1000));
-    let have = core.record.rev();
+    let have = core.record.revision();
     let mut routes: Vec<String> = (0..1000).map(|i| route(i, 0, 0)).collect();
     routes[500] = route(500, 0, 9);
     routes.remove(7);
@@ -284,7 +284,7 @@
 fn whoever_is_too_far_behind_is_told_the_whole() {
     let mut core = Core::new();
     core.put(with_routes(50));
-    let have = core.record.rev();
+    let have = core.record.revision();
     for n in 0..5 {
         let set: Vec<String> = (0..1000).map(|i| route(100 + n * 1000 + i, 0, 0)).collect();
         let names: Vec<String> = (0..1000)
@@ -299,7 +299,7 @@
     let mut edge = Edge::default();
     edge.take(&core.record.update_since(0));
     assert_eq!(core.record.update_since(have).from, 0);
-    let near = core.record.rev() - 1;
+    let near = core.record.revision() - 1;
     assert_eq!(core.record.update_since(near).from, near);
     assert!(core.record.image().len() < 200_000);
     assert_eq!(edge.copy.view(), core.record.view());
@@ -322,7 +322,7 @@
 fn an_older_image_is_read() {
     #[derive(serde::Serialize)]
     struct Older {
-        rev: u64,
+        revision: u64,
         version: u64,
         doc: Option<Arc<String>>,
         evacuated: Vec<u16>,
@@ -334,7 +334,7 @@
         order: Vec<u128>,
     }
     let older = Older {
-        rev: 9,
+        revision: 9,
         version: 7,
         doc: Some(Arc::new(with_routes(20))),
         evacuated: vec![1],
@@ -347,7 +347,7 @@
     };
     let mut core = Core::new();
     assert!(core.record.load(&encode(&older)));
-    assert_eq!((core.record.rev(), core.record.version()), (9, 7));
+    assert_eq!((core.record.revision(), core.record.version()), (9, 7));
     assert_eq!(hosted_of(&core.record).routes.len(), 20);
     // what is told of it is told whole to whoever is behind it
     let mut edge = Edge::default();
--- a/sorreldoor/tests/updates/costs.rs
+++ b/sorreldoor/tests/updates/costs.rs
@@ -25,7 +25,7 @@
         let (take_whole, ()) = timed(|| edge.take(&update));
         let (read_document, read) = timed(|| configuration::read(doc.as_bytes(), &super::site()));
         assert!(read.is_ok());
-        let have = core.record.rev();
+        let have = core.record.revision();
         let (edit, _) = timed(|| core.one_route(3, 77));
         let (encode, difference) = timed(|| EncodedUpdate::new(&core.record.update_since(have)));
         let update = difference.update().expect("it can be read");
--- a/sorreldoor/tests/updates/delivery.rs
+++ b/sorreldoor/tests/updates/delivery.rs
@@ -28,7 +28,7 @@
     };
     assert!(next.bytes.len() < LARGE_UPDATE);
     assert_eq!(updates.in_flight(), 0);
-    let newest = core.record.rev();
+    let newest = core.record.revision();
     assert_eq!(updates.due(&core.record, 1, newest, 1100), Due::Nothing);
     // one that is lost is sent again, and a closed connection holds nothing
     assert!(matches!(updates.due(&core.record, 2, 0, 0), Due::Update(_)));
--- a/testbed/src/emul/breach.rs
+++ b/testbed/src/emul/breach.rs
@@ -1,12 +1,12 @@
 //! The product's table with one of its rules broken, to show that a check can fail.
 
 use super::policy::{Breach, Policy};
-use sorreldoor::balancer::{Heard, Pick, RequestId, Table};
+use sorreldoor::balancer::{AttemptOutcome, Pick, RequestId, Table};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::error::ErrorCode;
-use sorreldoor::proxy::Asked;
+use sorreldoor::proxy::RequestMetadata;
 use std::collections::HashSet;
 use std::sync::Arc;
 
@@ -29,7 +29,12 @@
 }
 
 impl Policy for Breaker {
-    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<RequestId, ErrorCode> {
+    fn begin(
+        &mut self,
+        path: &str,
+        asked: RequestMetadata,
+        now: Millis,
+    ) -> Result<RequestId, ErrorCode> {
         Policy::begin(&mut self.t, path, asked, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
@@ -38,15 +43,15 @@
         }
         self.t.pick(request_id, now)
     }
-    fn heard(&mut self, request_id: RequestId, h: Heard, now: Millis) {
+    fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
         let h = match h {
-            Heard::Broke if self.b == Breach::Twice => Heard::NotRun(None),
+            AttemptOutcome::Broke if self.b == Breach::Twice => AttemptOutcome::NotRun(None),
             h => h,
         };
-        if h == Heard::First {
+        if h == AttemptOutcome::First {
             self.begun.insert(request_id);
         }
-        self.t.heard(request_id, h, now);
+        self.t.outcome(request_id, h, now);
     }
     fn pulse(&mut self, request_id: RequestId, now: Millis) {
         self.t.pulse(request_id, now);
--- a/testbed/src/emul/control.rs
+++ b/testbed/src/emul/control.rs
@@ -4,7 +4,7 @@
 use super::node::Node;
 use super::policy::HOST;
 use super::*;
-use sorreldoor::balancer::{Bounds, Place};
+use sorreldoor::balancer::{Bounds, Locality};
 use sorreldoor::configuration::hosted::{Engine as Conf, Kind, Route, Service};
 use sorreldoor::discovery::Worker;
 
@@ -119,7 +119,7 @@
 
     fn fresh(&self, name: &str, zone: u16, life: u32) -> Box<dyn Policy> {
         let m = &self.mix;
-        let place = Place {
+        let place = Locality {
             node: name.into(),
             zone,
             region: m.zones[zone as usize],
--- a/testbed/src/emul/node.rs
+++ b/testbed/src/emul/node.rs
@@ -4,9 +4,9 @@
 use super::policy::Policy;
 use super::worker::Spoil;
 use super::*;
-use sorreldoor::balancer::{Heard, Pick, RequestId, Target};
+use sorreldoor::balancer::{AttemptOutcome, Pick, RequestId, Target};
 use sorreldoor::error::ErrorCode;
-use sorreldoor::proxy::Asked;
+use sorreldoor::proxy::RequestMetadata;
 use std::collections::BTreeMap;
 
 /// As in the proxy, in milliseconds.
@@ -109,7 +109,7 @@
         }
         let a = &self.asks[tr.ask];
         let c = &self.mix.classes[a.class];
-        let asked = Asked {
+        let asked = RequestMetadata {
             id: format!("{t:x}"),
             deadline_ms: Some((tr.deadline.saturating_sub(tr.sent)) / 1000),
             model: "m".into(),
@@ -210,9 +210,9 @@
         }
     }
 
-    pub(super) fn heard(&mut self, n: usize, request_id: RequestId, h: Heard) {
+    pub(super) fn outcome(&mut self, n: usize, request_id: RequestId, h: AttemptOutcome) {
         let now = self.ms();
-        self.nodes[n].policy.heard(request_id, h, now);
+        self.nodes[n].policy.outcome(request_id, h, now);
         self.wake(n);
     }
 
--- a/testbed/src/emul/policy.rs
+++ b/testbed/src/emul/policy.rs
@@ -3,19 +3,24 @@
 
 use super::breach::Breaker;
 use super::simple::Simple;
-use sorreldoor::balancer::{Bounds, Heard, Pick, Place, RequestId, Table};
+use sorreldoor::balancer::{AttemptOutcome, Bounds, Locality, Pick, RequestId, Table};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::error::ErrorCode;
-use sorreldoor::proxy::Asked;
+use sorreldoor::proxy::RequestMetadata;
 use std::sync::Arc;
 
 /// What a node asks of whoever decides; the table's own calls.
 pub trait Policy {
-    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<RequestId, ErrorCode>;
+    fn begin(
+        &mut self,
+        path: &str,
+        asked: RequestMetadata,
+        now: Millis,
+    ) -> Result<RequestId, ErrorCode>;
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick;
-    fn heard(&mut self, request_id: RequestId, h: Heard, now: Millis);
+    fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis);
     fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool;
     fn pulse(&mut self, request_id: RequestId, now: Millis);
     fn end(&mut self, request_id: RequestId, now: Millis);
@@ -33,14 +38,19 @@
 pub const HOST: &str = "emul.example";
 
 impl Policy for Table {
-    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<RequestId, ErrorCode> {
+    fn begin(
+        &mut self,
+        path: &str,
+        asked: RequestMetadata,
+        now: Millis,
+    ) -> Result<RequestId, ErrorCode> {
         Table::begin(self, HOST, path, asked, now, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
         Table::pick(self, request_id, now)
     }
-    fn heard(&mut self, request_id: RequestId, h: Heard, now: Millis) {
-        Table::heard(self, request_id, h, now);
+    fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
+        Table::outcome(self, request_id, h, now);
     }
     fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
         Table::may_move(self, request_id, silent, now)
@@ -127,7 +137,7 @@
         }
     }
 
-    pub fn make(self, place: Place, mut bounds: Bounds, seed: u64) -> Box<dyn Policy> {
+    pub fn make(self, place: Locality, mut bounds: Bounds, seed: u64) -> Box<dyn Policy> {
         match self {
             Invariant::Table => Box::new(Table::new(place, bounds, seed)),
             Invariant::RoundRobin | Invariant::LeastLoad => {
--- a/testbed/src/emul/relay.rs
+++ b/testbed/src/emul/relay.rs
@@ -2,7 +2,7 @@
 
 use super::node::Phase;
 use super::*;
-use sorreldoor::balancer::Heard;
+use sorreldoor::balancer::AttemptOutcome;
 use sorreldoor::error::ErrorCode;
 
 /// Between looks at whether a silent worker is to be left, in milliseconds.
@@ -15,7 +15,7 @@
         }
         match ok {
             true => self.pass(sid),
-            false => self.ended(sid, Heard::NoConn),
+            false => self.ended(sid, AttemptOutcome::ConnectFailed),
         }
     }
 
@@ -38,17 +38,17 @@
     }
 
     /// The sending ended without an answer that can be used.
-    fn ended(&mut self, sid: u64, h: Heard) {
+    fn ended(&mut self, sid: u64, h: AttemptOutcome) {
         let s = self.sends[sid as usize].clone();
         let Some(c) = self.cur(sid).cloned() else {
             return;
         };
         match h {
-            Heard::NotRun(_) => self.give_back(sid),
+            AttemptOutcome::NotRun(_) => self.give_back(sid),
             _ => self.drop_line(sid),
         }
-        let left = h == Heard::Left;
-        self.heard(s.node, s.request_id, h);
+        let left = h == AttemptOutcome::Left;
+        self.outcome(s.node, s.request_id, h);
         let late = self.ms() >= c.deadline;
         let Some(j) = self.nodes[s.node].jobs.get_mut(&s.request_id) else {
             return;
@@ -75,9 +75,9 @@
             return self.tick(sid);
         }
         match c.phase {
-            Phase::Connect => return self.ended(sid, Heard::NoConn),
-            Phase::Head if now >= c.deadline => return self.ended(sid, Heard::Broke),
-            Phase::Relay if now >= c.deadline => return self.ended(sid, Heard::Left),
+            Phase::Connect => return self.ended(sid, AttemptOutcome::ConnectFailed),
+            Phase::Head if now >= c.deadline => return self.ended(sid, AttemptOutcome::Broke),
+            Phase::Relay if now >= c.deadline => return self.ended(sid, AttemptOutcome::Left),
             _ => {}
         }
         let own = match c.phase {
@@ -91,7 +91,7 @@
         if c.phase == Phase::Relay && !c.stream {
             // once its head is there a plain answer is waited for to the end
         } else if self.nodes[n].policy.may_move(request_id, silent, now) {
-            return self.ended(sid, Heard::Broke);
+            return self.ended(sid, AttemptOutcome::Broke);
         }
         if let Some(c) = self.cur(sid) {
             c.until = now + LOOK;
@@ -104,18 +104,20 @@
         let now = self.ms();
         let Some(c) = self.cur(sid) else { return };
         match a {
-            Ans::Reset if c.phase == Phase::Connect => self.ended(sid, Heard::NoConn),
-            Ans::Reset | Ans::Garbled => self.ended(sid, Heard::Broke),
-            Ans::Misdirected => self.ended(sid, Heard::Misdirected),
-            Ans::NotRun(l) => self.ended(sid, Heard::NotRun(Some(l))),
+            Ans::Reset if c.phase == Phase::Connect => {
+                self.ended(sid, AttemptOutcome::ConnectFailed)
+            }
+            Ans::Reset | Ans::Garbled => self.ended(sid, AttemptOutcome::Broke),
+            Ans::Misdirected => self.ended(sid, AttemptOutcome::Misdirected),
+            Ans::NotRun(l) => self.ended(sid, AttemptOutcome::NotRun(Some(l))),
             Ans::Head(l) => {
                 c.phase = Phase::Relay;
                 (c.since, c.until) = (now, now.saturating_add(c.gap));
-                let h = Heard::Head {
+                let h = AttemptOutcome::Head {
                     load: Some(l),
                     cold_ms: None,
                 };
-                self.heard(s.node, s.request_id, h);
+                self.outcome(s.node, s.request_id, h);
                 self.tick(sid);
             }
             Ans::Event(no) => {
@@ -131,16 +133,16 @@
                 }
                 self.nodes[s.node].policy.pulse(s.request_id, now);
                 if first {
-                    self.heard(s.node, s.request_id, Heard::First);
+                    self.outcome(s.node, s.request_id, AttemptOutcome::First);
                 }
             }
             Ans::End => {
                 self.give_back(sid);
-                self.heard(s.node, s.request_id, Heard::Done(200));
+                self.outcome(s.node, s.request_id, AttemptOutcome::Done(200));
                 self.over(s.node, s.request_id);
                 self.to(s.attempt, ToClient::End);
             }
-            Ans::Fail if c.phase == Phase::Relay => self.ended(sid, Heard::Broke),
+            Ans::Fail if c.phase == Phase::Relay => self.ended(sid, AttemptOutcome::Broke),
             Ans::Fail => self.failed(sid),
         }
     }
@@ -151,7 +153,7 @@
         let now = self.ms();
         let again = self.nodes[s.node].policy.may_move(s.request_id, 0, now);
         self.give_back(sid);
-        self.heard(s.node, s.request_id, Heard::Done(504));
+        self.outcome(s.node, s.request_id, AttemptOutcome::Done(504));
         let Some(j) = self.nodes[s.node].jobs.get_mut(&s.request_id) else {
             return;
         };
@@ -175,12 +177,12 @@
         if let Some(c) = cur {
             self.drop_line(c.sid);
             let h = match c.phase {
-                Phase::Connect => Heard::NoConn,
-                _ => Heard::Left,
+                Phase::Connect => AttemptOutcome::ConnectFailed,
+                _ => AttemptOutcome::Left,
             };
             // before the request has gone out there is nothing to leave
-            if h == Heard::Left {
-                self.heard(n, request_id, h);
+            if h == AttemptOutcome::Left {
+                self.outcome(n, request_id, h);
             }
         }
         self.over(n, request_id);
--- a/testbed/src/emul/simple.rs
+++ b/testbed/src/emul/simple.rs
@@ -2,17 +2,17 @@
 
 use super::policy::{Invariant, Policy, HOST};
 use crate::rand::Rand;
-use sorreldoor::balancer::{Heard, Pick, RequestId, Target};
+use sorreldoor::balancer::{AttemptOutcome, Pick, RequestId, Target};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::error::ErrorCode;
-use sorreldoor::proxy::Asked;
+use sorreldoor::proxy::RequestMetadata;
 use std::collections::HashMap;
 use std::sync::Arc;
 
 #[derive(Debug, Default)]
-struct Spot {
+struct Endpoint {
     w: Option<Worker>,
     mine: u32,
     others: u32,
@@ -34,7 +34,7 @@
     rule: Invariant,
     rng: Rand,
     hosted: Arc<Hosted>,
-    spots: Vec<Spot>,
+    endpoints: Vec<Endpoint>,
     by_name: HashMap<String, usize>,
     evacuated: Vec<u16>,
     held: HashMap<RequestId, Held>,
@@ -48,7 +48,7 @@
             rule,
             rng: Rand::new(seed ^ node.bytes().map(u64::from).sum::<u64>()),
             hosted: Arc::default(),
-            spots: Vec::new(),
+            endpoints: Vec::new(),
             by_name: HashMap::new(),
             evacuated: Vec::new(),
             held: HashMap::new(),
@@ -73,7 +73,7 @@
         })?;
         let name = &self.hosted.services[svc.0 as usize].name;
         let fits = |i: &usize| {
-            let s = &self.spots[*i];
+            let s = &self.endpoints[*i];
             s.w.as_ref().is_some_and(|w| {
                 w.group == *name
                     && !w.leaving
@@ -83,12 +83,12 @@
                     && !h.tried.contains(i)
             })
         };
-        let n = self.spots.len();
+        let n = self.endpoints.len();
         let all: Vec<usize> = (0..n).map(|i| (self.turn + i) % n).filter(fits).collect();
         self.turn = self.turn.wrapping_add(1) % n.max(1);
         match self.rule {
             Invariant::LeastLoad => {
-                let load = |i: &usize| self.spots[*i].mine + self.spots[*i].others;
+                let load = |i: &usize| self.endpoints[*i].mine + self.endpoints[*i].others;
                 all.into_iter().min_by_key(load)
             }
             _ => all.first().copied().inspect(|i| self.turn = i + 1),
@@ -97,7 +97,12 @@
 }
 
 impl Policy for Simple {
-    fn begin(&mut self, path: &str, asked: Asked, now: Millis) -> Result<RequestId, ErrorCode> {
+    fn begin(
+        &mut self,
+        path: &str,
+        asked: RequestMetadata,
+        now: Millis,
+    ) -> Result<RequestId, ErrorCode> {
         let r = self.found(path).ok_or(ErrorCode::UnknownRoute)?;
         let deadline = now + asked.deadline_ms.unwrap_or(u64::MAX / 4).min(r.timeout_ms);
         self.next += 1;
@@ -136,8 +141,8 @@
                 Some(i) => {
                     h.tried.push(i);
                     h.at = Some(i);
-                    self.spots[i].mine += 1;
-                    let w = self.spots[i].w.clone().unwrap_or_else(Worker::blank);
+                    self.endpoints[i].mine += 1;
+                    let w = self.endpoints[i].w.clone().unwrap_or_else(Worker::blank);
                     Pick::Go(Target {
                         worker: i as u32,
                         name: w.name,
@@ -154,23 +159,26 @@
         p
     }
 
-    fn heard(&mut self, request_id: RequestId, h: Heard, _: Millis) {
+    fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, _: Millis) {
         let Some(r) = self.held.get_mut(&request_id) else {
             return;
         };
         let Some(i) = r.at else { return };
-        let s = &mut self.spots[i];
+        let s = &mut self.endpoints[i];
         let load = match &h {
-            Heard::Head { load, .. } | Heard::NotRun(load) => *load,
+            AttemptOutcome::Head { load, .. } | AttemptOutcome::NotRun(load) => *load,
             _ => None,
         };
         if let Some((a, b, _)) = load {
             s.others = (a + b).saturating_sub(s.mine);
         }
-        if matches!(h, Heard::Head { .. } | Heard::First) {
+        if matches!(h, AttemptOutcome::Head { .. } | AttemptOutcome::First) {
             return;
         }
-        r.ran |= matches!(h, Heard::Broke | Heard::Done(_) | Heard::Left);
+        r.ran |= matches!(
+            h,
+            AttemptOutcome::Broke | AttemptOutcome::Done(_) | AttemptOutcome::Left
+        );
         r.at = None;
         s.mine = s.mine.saturating_sub(1);
     }
@@ -182,7 +190,7 @@
     fn pulse(&mut self, _: RequestId, _: Millis) {}
 
     fn end(&mut self, request_id: RequestId, now: Millis) {
-        self.heard(request_id, Heard::Left, now);
+        self.outcome(request_id, AttemptOutcome::Left, now);
         self.held.remove(&request_id);
     }
 
@@ -203,14 +211,14 @@
     }
 
     fn take_registry(&mut self, r: &WorkerRegistry, _: Millis) {
-        self.spots.iter_mut().for_each(|s| s.w = None);
+        self.endpoints.iter_mut().for_each(|s| s.w = None);
         for w in &r.workers {
-            let n = self.spots.len();
+            let n = self.endpoints.len();
             let i = *self.by_name.entry(w.name.clone()).or_insert(n);
             if i == n {
-                self.spots.push(Spot::default());
+                self.endpoints.push(Endpoint::default());
             }
-            self.spots[i].w = Some(w.clone());
+            self.endpoints[i].w = Some(w.clone());
         }
     }
 
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::link::Link;
 use crate::platform::{Platform, Row};
-pub use crate::shapes::{archive, configuration, press, Shape};
+pub use crate::presets::{archive, configuration, press, SitePreset};
 use crate::stand::{Make, Stand};
 use async_std::task;
 use simd_json::prelude::*;
@@ -33,7 +33,7 @@
 
 pub struct Fleet {
     pub root: PathBuf,
-    pub shape: Shape,
+    pub preset: SitePreset,
     pub nodes: Vec<Node>,
     pub platform: Platform,
     pub workers: Vec<Stand>,
@@ -70,25 +70,25 @@
 }
 
 impl Fleet {
-    pub fn start(root: &Path, shape: Shape) -> Fleet {
-        Fleet::start_with(root, shape, 3)
+    pub fn start(root: &Path, preset: SitePreset) -> Fleet {
+        Fleet::start_with(root, preset, 3)
     }
 
     /// With as many cores as there are zones, if that is not three.
-    pub fn start_with(root: &Path, shape: Shape, cores: usize) -> Fleet {
-        Fleet::start_by(root, shape, cores, |_| {})
+    pub fn start_with(root: &Path, preset: SitePreset, cores: usize) -> Fleet {
+        Fleet::start_by(root, preset, cores, |_| {})
     }
 
     /// With something about it changed before its nodes start.
     pub fn start_by(
         root: &Path,
-        shape: Shape,
+        preset: SitePreset,
         cores: usize,
         with: impl FnOnce(&mut Fleet),
     ) -> Fleet {
         // many fleets at once on one machine would measure the machine
         let turn = TURN.lock().unwrap_or_else(|p| p.into_inner());
-        let mut f = task::block_on(Fleet::lay(root, shape, cores));
+        let mut f = task::block_on(Fleet::lay(root, preset, cores));
         f.turn = Some(turn);
         with(&mut f);
         for i in 0..f.nodes.len() {
@@ -97,17 +97,17 @@
         f
     }
 
-    async fn lay(root: &Path, shape: Shape, cores: usize) -> Fleet {
+    async fn lay(root: &Path, preset: SitePreset, cores: usize) -> Fleet {
         std::fs::create_dir_all(root).expect("the fleet's folder can be made");
         let platform = Platform::start(None).await.expect("loopback can be bound");
         let mut workers = Vec::new();
         let mut rows = Vec::new();
-        let zones: Vec<(&str, &str)> = shape
+        let zones: Vec<(&str, &str)> = preset
             .regions
             .iter()
             .flat_map(|(r, zs, _)| zs.iter().map(move |z| (*r, *z)))
             .collect();
-        for (r, zs, n) in &shape.regions {
+        for (r, zs, n) in &preset.regions {
             for i in 0..*n {
                 let m = Make::model(&format!("{r}-gpu{i}"));
                 let w = Stand::start(m, None).await.expect("loopback can be bound");
@@ -115,7 +115,7 @@
                 workers.push(w);
             }
         }
-        for i in 0..shape.webs {
+        for i in 0..preset.webs {
             let m = Make::web(&format!("web{i}"));
             let w = Stand::start(m, None).await.expect("loopback can be bound");
             rows.push(row(&w, "web", zones[i % zones.len()].1));
@@ -127,13 +127,13 @@
         for (r, z) in &zones {
             let name = format!("core-{z}");
             nodes.push(node(root, &mut held, name, true, z, r));
-            for i in 0..shape.edges_per_zone {
+            for i in 0..preset.edges_per_zone {
                 nodes.push(node(root, &mut held, format!("edge-{z}-{i}"), false, z, r));
             }
         }
         let mut f = Fleet {
             root: root.to_path_buf(),
-            shape,
+            preset,
             nodes,
             platform,
             workers,
@@ -160,7 +160,11 @@
             let mut reach = Vec::new();
             for (name, region, addr) in &cores {
                 let away = *region != self.nodes[i].region;
-                let d = if away { self.shape.far } else { Duration::ZERO };
+                let d = if away {
+                    self.preset.far
+                } else {
+                    Duration::ZERO
+                };
                 let l = Link::start(*addr, d).await.expect("loopback can be bound");
                 reach.push((*addr, l.addr));
                 self.nodes[i].links.insert(name.clone(), l);
@@ -173,11 +177,11 @@
         let n = &self.nodes[i];
         let mut v = Val::object();
         let mut regions = Val::object();
-        for (r, zs, _) in &self.shape.regions {
+        for (r, zs, _) in &self.preset.regions {
             let zs: Vec<Val> = zs.iter().map(|z| Val::from(*z)).collect();
             let _ = regions.insert(*r, zs);
         }
-        let _ = v.insert("site", self.shape.site);
+        let _ = v.insert("site", self.preset.site);
         let _ = v.insert("cores", self.cores);
         let _ = v.insert("regions", regions);
         let _ = v.insert("node", n.name.as_str());
@@ -289,7 +293,7 @@
     pub fn serve(&mut self) {
         self.found();
         let file = self.root.join("setup.json");
-        std::fs::write(&file, configuration(&self.shape))
+        std::fs::write(&file, configuration(&self.preset))
             .expect("the fleet's folder can be written");
         let (code, text) = self.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
         assert_eq!(code, 0, "{text}");
--- a/testbed/src/hollow/core.rs
+++ b/testbed/src/hollow/core.rs
@@ -21,9 +21,9 @@
 
 impl World {
     /// The one place where a core's reducer is made.
-    fn new_controller(&mut self, p: usize, boot: u64) -> Controller {
+    fn new_controller(&mut self, p: usize, incarnation: u64) -> Controller {
         let start = Start {
-            me: self.hello(p, boot),
+            me: self.hello(p, incarnation),
             site: self.site.clone(),
             seeds: self.seeds(),
             cores: self.size.cores,
@@ -45,7 +45,7 @@
         Controller::new(start, None, self.now)
     }
 
-    pub(super) fn hello(&self, p: usize, boot: u64) -> Hello {
+    pub(super) fn hello(&self, p: usize, incarnation: u64) -> Hello {
         let q = &self.procs[p];
         Hello {
             id: q.id,
@@ -56,7 +56,7 @@
             addr: q.addr.map_or(String::new(), |a| a.to_string()),
             http: format!("10.2.{}.{}:8443", p / 250, p % 250 + 1),
             founded: false,
-            boot,
+            incarnation,
             ..Hello::default()
         }
     }
@@ -65,15 +65,15 @@
         self.procs.iter().filter_map(|q| q.addr).collect()
     }
 
-    pub(super) fn start_core(&mut self, p: usize, boot: u64) {
-        let controller = self.new_controller(p, boot);
+    pub(super) fn start_core(&mut self, p: usize, incarnation: u64) {
+        let controller = self.new_controller(p, incarnation);
         self.procs[p].role = Role::Core(Box::new(Core {
             controller,
             disk: Disk::default(),
             promise: None,
             sure: false,
         }));
-        self.after(0, Act::Poll(p, boot));
+        self.after(0, Act::Poll(p, incarnation));
     }
 
     pub(super) fn controller_at(&self, p: usize) -> Option<&Controller> {
@@ -108,7 +108,7 @@
     }
 
     fn core_effect(&mut self, p: usize, f: ControllerEffect) {
-        let boot = self.procs[p].boot;
+        let incarnation = self.procs[p].incarnation;
         let now = self.now;
         match f {
             ControllerEffect::Save(seq, save) => {
@@ -118,7 +118,7 @@
                 let n = sorreldoor::replicated_state::encode(&save).len();
                 let at = c.disk.queue(seq, save, now);
                 self.procs[p].meter.flow("disk", "own", "save", n);
-                self.at(at, Act::Saved(p, boot, seq));
+                self.at(at, Act::Saved(p, incarnation, seq));
             }
             ControllerEffect::Keep(what, b) => {
                 if let Role::Core(c) = &mut self.procs[p].role {
@@ -134,7 +134,9 @@
             ControllerEffect::Close(c) => self.close(c),
             ControllerEffect::Done(request_id, o) => self.done(request_id, o),
             // all of a round's answers come within the time one may take
-            ControllerEffect::AskLoads(epoch, _) => self.after(200, Act::Rows(p, boot, epoch)),
+            ControllerEffect::AskLoads(epoch, _) => {
+                self.after(200, Act::Rows(p, incarnation, epoch))
+            }
             _ => {}
         }
     }
@@ -147,13 +149,13 @@
     }
 
     /// The platform's list as the daemon polls and reads it.
-    pub(super) fn poll(&mut self, p: usize, boot: u64) {
+    pub(super) fn poll(&mut self, p: usize, incarnation: u64) {
         let (text, site) = (&self.registry, &self.site);
         let m = &mut self.procs[p].meter;
         let r = m.time("parse", || discovery::read_registry(text.as_bytes(), site));
         m.flow("in", "platform", "workers", text.len());
         self.controller(p, "registry", ControllerEvent::WorkerRegistry(r));
-        self.after(500, Act::Poll(p, boot));
+        self.after(500, Act::Poll(p, incarnation));
     }
 
     /// A round of load reports, each read from a worker's own text.
--- a/testbed/src/hollow/lines.rs
+++ b/testbed/src/hollow/lines.rs
@@ -60,32 +60,32 @@
     }
 
     pub(super) fn peer_addresses(&mut self, p: usize, a: SocketAddr) {
-        let boot = self.procs[p].boot;
+        let incarnation = self.procs[p].incarnation;
         if self.procs[p].peer_addresses.insert(a) {
-            self.dial(p, boot, a);
+            self.dial(p, incarnation, a);
         }
     }
 
     /// Keep trying to connect for as long as the process wants the address.
-    pub(super) fn dial(&mut self, p: usize, boot: u64, addr: SocketAddr) {
+    pub(super) fn dial(&mut self, p: usize, incarnation: u64, addr: SocketAddr) {
         if !self.procs[p].peer_addresses.contains(&addr) {
             return;
         }
         let up = |q: &Proc| q.addr == Some(addr) && !matches!(q.role, Role::Down);
         let to = self.procs.iter().position(up);
         let Some(t) = to.filter(|t| !self.cut(p, *t)) else {
-            self.after(300, Act::Connect(p, boot, addr));
+            self.after(300, Act::Connect(p, incarnation, addr));
             return;
         };
         self.count += 1;
         let conn = self.count;
         let d = self.delay(p, t);
-        let (tb, now) = (self.procs[t].boot, self.now);
-        let ends = [(p, boot), (t, tb)];
+        let (tb, now) = (self.procs[t].incarnation, self.now);
+        let ends = [(p, incarnation), (t, tb)];
         let heard = [now + 2 * d; 2];
         self.lines.insert(conn, Line { ends, heard });
         self.after(d, Act::Up(t, tb, conn, None));
-        self.after(2 * d, Act::Up(p, boot, conn, Some(addr)));
+        self.after(2 * d, Act::Up(p, incarnation, conn, Some(addr)));
     }
 
     pub(super) fn undial(&mut self, p: usize, a: SocketAddr) {
@@ -180,9 +180,9 @@
         let Some(l) = self.lines.get_mut(&conn) else {
             return;
         };
-        let (p, boot) = l.ends[half];
+        let (p, incarnation) = l.ends[half];
         l.heard[half] = now;
-        if !self.same(p, boot) {
+        if !self.same(p, incarnation) {
             return;
         }
         let (k, payload) = match body {
--- a/testbed/src/hollow/mod.rs
+++ b/testbed/src/hollow/mod.rs
@@ -106,7 +106,7 @@
     region: u8,
     addr: Option<SocketAddr>,
     role: Role,
-    boot: u64,
+    incarnation: u64,
     peer_addresses: BTreeSet<SocketAddr>,
     meter: Meter,
     /// When it last held a permit, and how long it had to do without.
@@ -207,7 +207,7 @@
             region,
             addr,
             role: Role::Down,
-            boot: 0,
+            incarnation: 0,
             peer_addresses: BTreeSet::new(),
             meter: Meter::default(),
             lit: 0,
@@ -261,8 +261,8 @@
         f(self)
     }
 
-    fn same(&self, p: usize, boot: u64) -> bool {
-        self.procs[p].boot == boot && !matches!(self.procs[p].role, Role::Down)
+    fn same(&self, p: usize, incarnation: u64) -> bool {
+        self.procs[p].incarnation == incarnation && !matches!(self.procs[p].role, Role::Down)
     }
 
     fn act(&mut self, a: Act) {
@@ -285,22 +285,22 @@
     }
 
     fn start(&mut self, p: usize) {
-        let boot = self.rng.draw() >> 1;
-        self.procs[p].boot = boot;
+        let incarnation = self.rng.draw() >> 1;
+        self.procs[p].incarnation = incarnation;
         self.procs[p].peer_addresses.clear();
         if p < self.size.cores {
-            self.start_core(p, boot);
+            self.start_core(p, incarnation);
         } else {
-            self.start_node(p, boot);
+            self.start_node(p, incarnation);
         }
         let wait = self.rng.below(20);
-        self.after(wait, Act::Tick(p, boot));
+        self.after(wait, Act::Tick(p, incarnation));
     }
 
-    fn start_node(&mut self, p: usize, boot: u64) {
+    fn start_node(&mut self, p: usize, incarnation: u64) {
         let seeds = self.seeds();
         let took = given::took(&self.size, &mut self.rng);
-        let (me, now) = (self.hello(p, boot), self.clock());
+        let (me, now) = (self.hello(p, incarnation), self.clock());
         let whole = p - self.size.cores < self.size.full;
         let node = if whole {
             Node::full(me, &seeds, took, now, self.site.clone())
@@ -311,7 +311,7 @@
         self.procs[p].role = Role::Node(Box::new(node));
     }
 
-    fn tick(&mut self, p: usize, boot: u64) {
+    fn tick(&mut self, p: usize, incarnation: u64) {
         let now = self.clock();
         let at = self.now;
         let q = &mut self.procs[p];
@@ -327,7 +327,7 @@
             _ => Vec::new(),
         };
         let every = if p < self.size.cores { 10 } else { 20 };
-        self.after(every, Act::Tick(p, boot));
+        self.after(every, Act::Tick(p, incarnation));
         if p < self.size.cores {
             return self.controller(p, "alarm", sorreldoor::control_plane::ControllerEvent::Tick);
         }
--- a/testbed/src/hollow/node.rs
+++ b/testbed/src/hollow/node.rs
@@ -2,7 +2,7 @@
 //! the whole reducer where its processor time and memory are to be measured.
 
 use sorreldoor::configuration::Site;
-use sorreldoor::consensus::{Millis, Noted};
+use sorreldoor::consensus::{ClaimRecord, Millis};
 use sorreldoor::gateway::request_table::Plan;
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::{Conn, NetEvent};
@@ -97,12 +97,12 @@
         let Node::Hollow(h) = self else { return None };
         h.claims += 1;
         let request_id = h.claims;
-        let id = format!("{:016x}{request_id:016x}", h.me.boot);
+        let id = format!("{:016x}{request_id:016x}", h.me.incarnation);
         let (by, keep_ms) = (
-            (u128::from(h.me.boot) << 64) | u128::from(request_id),
+            (u128::from(h.me.incarnation) << 64) | u128::from(request_id),
             360_000,
         );
-        let claim = Noted { id, by, keep_ms };
+        let claim = ClaimRecord { id, by, keep_ms };
         h.pull
             .conn
             .map(|c| Out::Send(c, Payload::Claim { request_id, claim }))
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -5,7 +5,7 @@
 use std::alloc::System;
 use std::path::PathBuf;
 use std::time::Duration;
-use testbed::fleet::{archive, configuration, press, Fleet, Shape};
+use testbed::fleet::{archive, configuration, press, Fleet, SitePreset};
 use testbed::hollow::{hollow, HollowArgs};
 
 /// Counts what is held, for runs that measure memory.
@@ -114,7 +114,7 @@
     }
 }
 
-fn shape(name: &str) -> Shape {
+fn preset(name: &str) -> SitePreset {
     match name {
         "press" => press(),
         "archive" => archive(),
@@ -127,7 +127,7 @@
 
 fn soak(a: SoakArgs) {
     let root = a.root.unwrap_or_default();
-    let mut f = Fleet::start(&root, shape(&a.site));
+    let mut f = Fleet::start(&root, preset(&a.site));
     f.serve();
     let t = testbed::soak::soak(&mut f, a.seed, 24, Duration::from_secs(a.seconds));
     println!(
@@ -140,17 +140,17 @@
 }
 
 fn fleet(a: FleetArgs) {
-    let shape = shape(&a.site);
+    let preset = preset(&a.site);
     let root = a.root.unwrap_or_default();
     let mut stop = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
     ])
     .expect("signals can be watched");
-    let mut f = Fleet::start(&root, shape);
+    let mut f = Fleet::start(&root, preset);
     f.found();
     let file = root.join("setup.json");
-    std::fs::write(&file, configuration(&f.shape)).expect("the fleet's folder can be written");
+    std::fs::write(&file, configuration(&f.preset)).expect("the fleet's folder can be written");
     for n in &f.nodes {
         println!("{:<14} zone {:<4} http {}", n.name, n.zone, n.http);
     }
--- a/testbed/src/shapes.rs
+++ b/testbed/src/presets.rs
@@ -4,7 +4,7 @@
 
 /// Sizes and delays of a deployment.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct SitePreset {
     pub site: &'static str,
     /// Region, its zones, its model workers.
     pub regions: Vec<(&'static str, Vec<&'static str>, usize)>,
@@ -13,8 +13,8 @@
     pub edges_per_zone: usize,
 }
 
-pub fn press() -> Shape {
-    Shape {
+pub fn press() -> SitePreset {
+    SitePreset {
         site: "press",
         regions: vec![("north", vec!["n1", "n2"], 10), ("south", vec!["s1"], 8)],
         webs: 3,
@@ -23,8 +23,8 @@
     }
 }
 
-pub fn archive() -> Shape {
-    Shape {
+pub fn archive() -> SitePreset {
+    SitePreset {
         site: "archive",
         regions: vec![
             ("kharkhorin", vec!["k1"], 5),
@@ -37,9 +37,9 @@
 }
 
 /// A setup that serves every kind of errand of a deployment.
-pub fn configuration(shape: &Shape) -> String {
-    let a = shape.regions[0].0;
-    let b = shape.regions[1].0;
+pub fn configuration(preset: &SitePreset) -> String {
+    let a = preset.regions[0].0;
+    let b = preset.regions[1].0;
     format!(
         r#"{{
   "groups": {{
--- a/testbed/src/sim/core.rs
+++ b/testbed/src/sim/core.rs
@@ -13,7 +13,7 @@
     pub id: NodeId,
     pub region: RegionId,
     pub consensus: Option<Consensus<Watched>>,
-    pub boot: u64,
+    pub incarnation: u64,
     pub frozen_until: Millis,
     pub waiting: Vec<Event>,
     pub disk: Disk,
@@ -39,7 +39,7 @@
             id: member(i, region, false).id,
             region,
             consensus: None,
-            boot: 0,
+            incarnation: 0,
             frozen_until: 0,
             waiting: Vec::new(),
             disk: Disk::default(),
@@ -57,7 +57,7 @@
         if let Some(s) = &kept.snap {
             machine.load(&s.image);
         }
-        self.boot += 1;
+        self.incarnation += 1;
         self.disk.open();
         self.consensus = Some(Consensus::new(
             self.id,
@@ -67,14 +67,14 @@
             seed,
             now + self.clock,
         ));
-        self.boot
+        self.incarnation
     }
 
     pub fn crash(&mut self, survive: usize) {
         self.disk.crash(survive);
         self.uplink = Uplink::default();
         self.consensus = None;
-        self.boot += 1;
+        self.incarnation += 1;
         self.waiting.clear();
         self.frozen_until = 0;
     }
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -34,11 +34,11 @@
         msg: Msg,
         /// The life of the receiver that the connection was to; without a
         /// bandwidth there are no connections.
-        boot: Option<u64>,
+        incarnation: Option<u64>,
     },
     Synced {
         node: usize,
-        boot: u64,
+        incarnation: u64,
         seq: u64,
     },
     Thaw(usize, u64),
@@ -148,9 +148,9 @@
             i,
         );
         let (timing, now) = (self.timing.clone(), self.now);
-        let boot = self.nodes[i].start(timing, machine, seed, now);
+        let incarnation = self.nodes[i].start(timing, machine, seed, now);
         let at = now + 1 + self.rng.below(TICK);
-        self.plan(at, What::Tick(i, boot));
+        self.plan(at, What::Tick(i, incarnation));
     }
 
     /// Kill a node; of the saves not yet synced, some first few may survive.
@@ -164,8 +164,8 @@
     pub fn freeze(&mut self, i: usize, for_ms: Millis) {
         let until = self.now + for_ms;
         self.nodes[i].frozen_until = until;
-        let boot = self.nodes[i].boot;
-        self.plan(until, What::Thaw(i, boot));
+        let incarnation = self.nodes[i].incarnation;
+        self.plan(until, What::Thaw(i, incarnation));
     }
 
     pub fn cut_both(&mut self, a: usize, b: usize) {
@@ -219,38 +219,49 @@
 
     fn happen(&mut self, w: What) {
         match w {
-            What::Tick(i, boot) => {
-                if self.nodes[i].boot != boot || !self.nodes[i].up() {
+            What::Tick(i, incarnation) => {
+                if self.nodes[i].incarnation != incarnation || !self.nodes[i].up() {
                     return;
                 }
                 let at = self.now + TICK;
-                self.plan(at, What::Tick(i, boot));
+                self.plan(at, What::Tick(i, incarnation));
                 self.give(i, Event::Tick);
             }
             What::Arrive {
                 to,
                 from,
                 msg,
-                boot,
+                incarnation,
             } => {
                 // a connection ends with the process that it was to
-                if boot.is_none_or(|b| b == self.nodes[to].boot) {
+                if incarnation.is_none_or(|b| b == self.nodes[to].incarnation) {
                     self.give(to, Event::Heard { from, msg });
                 }
             }
-            What::Synced { node, boot, seq } => {
-                if self.nodes[node].boot == boot && self.nodes[node].up() {
+            What::Synced {
+                node,
+                incarnation,
+                seq,
+            } => {
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].up() {
                     if self.nodes[node].disk.stuck {
                         let at = self.now + 50;
-                        self.plan(at, What::Synced { node, boot, seq });
+                        self.plan(
+                            at,
+                            What::Synced {
+                                node,
+                                incarnation,
+                                seq,
+                            },
+                        );
                         return;
                     }
                     self.nodes[node].disk.synced(seq);
                     self.give(node, Event::Saved { seq });
                 }
             }
-            What::Thaw(i, boot) => {
-                if self.nodes[i].boot == boot {
+            What::Thaw(i, incarnation) => {
+                if self.nodes[i].incarnation == incarnation {
                     for ev in std::mem::take(&mut self.nodes[i].waiting) {
                         self.give(i, ev);
                     }
@@ -280,9 +291,16 @@
     fn effect(&mut self, i: usize, e: Effect) {
         match e {
             Effect::Save { seq, save } => {
-                let boot = self.nodes[i].boot;
+                let incarnation = self.nodes[i].incarnation;
                 let at = self.nodes[i].disk.queue(seq, save, self.now);
-                self.plan(at, What::Synced { node: i, boot, seq });
+                self.plan(
+                    at,
+                    What::Synced {
+                        node: i,
+                        incarnation,
+                        seq,
+                    },
+                );
             }
             Effect::Send { to, msg } => self.carry(i, to, msg),
             Effect::Result {
@@ -325,14 +343,14 @@
             let base = if away { self.far } else { self.near };
             let at = self.now + base + self.rng.below(self.jitter + 1);
             let (from, msg) = (self.nodes[i].id, msg.clone());
-            let boot = None;
+            let incarnation = None;
             self.plan(
                 at,
                 What::Arrive {
                     to: t,
                     from,
                     msg,
-                    boot,
+                    incarnation,
                 },
             );
         }
@@ -349,14 +367,14 @@
         let bytes = uplink::frame_bytes(&msg);
         let left = self.nodes[i].uplink.send(bandwidth, self.now, bytes);
         let from = self.nodes[i].id;
-        let boot = Some(self.nodes[t].boot);
+        let incarnation = Some(self.nodes[t].incarnation);
         self.plan(
             left + delay,
             What::Arrive {
                 to: t,
                 from,
                 msg,
-                boot,
+                incarnation,
             },
         );
     }
