--- a/testbed/src/site/callers.rs
+++ b/testbed/src/site/callers.rs
@@ -4,7 +4,7 @@
 use super::World;
 use sorreldoor::consensus::Millis;
 use sorreldoor::error::ErrorCode;
-use sorreldoor::gateway::request_table::{Asked, Shape as Form};
+use sorreldoor::gateway::request_table::{RequestProfile as Form, RequestSpec};
 use sorreldoor::gateway::EdgeEvent;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -101,13 +101,13 @@
         n
     }
 
-    fn asked(&self, n: u64) -> Asked {
+    fn asked(&self, n: u64) -> RequestSpec {
         let c = &self.callers[&n];
-        Asked {
+        RequestSpec {
             route: c.route.clone(),
             id: c.id.clone(),
             given: self.given,
-            shape: Form::default(),
+            profile: Form::default(),
             key: c.key.clone(),
             home: c.home,
             adapter: None,
@@ -119,12 +119,12 @@
         if !self.procs[p].up {
             return self.got(n, Got::Lost);
         }
-        let boot = self.procs[p].boot;
+        let incarnation = self.procs[p].incarnation;
         self.after(1, move |w| {
-            if !w.procs[p].up || w.procs[p].boot != boot {
+            if !w.procs[p].up || w.procs[p].incarnation != incarnation {
                 return w.got(n, Got::Lost);
             }
-            w.reach_proc(p, boot, move |w| {
+            w.reach_proc(p, incarnation, move |w| {
                 let asked = w.asked(n);
                 w.hall_step(
                     p,
@@ -138,12 +138,12 @@
     }
 
     /// The door is open: the body goes to this edge.
-    pub(crate) fn come(&mut self, p: usize, n: u64, shape: Form) {
-        let boot = self.procs[p].boot;
+    pub(crate) fn come(&mut self, p: usize, n: u64, profile: Form) {
+        let incarnation = self.procs[p].incarnation;
         // what the edge acts on as it lets the body come
         let doc = self.doc_at(p);
         self.after(1, move |w| {
-            w.reach_proc(p, boot, move |w| {
+            w.reach_proc(p, incarnation, move |w| {
                 let now = w.now;
                 w.bodies.push(super::Body {
                     at: now,
@@ -152,10 +152,10 @@
                     doc,
                 });
                 let mut asked = w.asked(n);
-                asked.shape = shape;
+                asked.profile = profile;
                 w.hall_step(
                     p,
-                    EdgeEvent::Errand {
+                    EdgeEvent::Request {
                         request_id: n,
                         asked,
                     },
@@ -181,25 +181,25 @@
         }
     }
 
-    pub(crate) fn shed(&mut self, request_id: u64, error_code: ErrorCode, again_s: u64) {
+    pub(crate) fn shed(&mut self, request_id: u64, error_code: ErrorCode, retry_after_s: u64) {
         let open = self
             .callers
             .get(&request_id)
             .is_some_and(|c| c.got == Got::Open);
         self.got(request_id, Got::Shed(error_code));
         if open && error_code.again() && self.patience > 0 {
-            self.come_back(request_id, again_s);
+            self.come_back(request_id, retry_after_s);
         }
     }
 
     /// A caller does as it was told: it comes back after so many seconds, to
     /// an edge that `where` would name, until its patience is at its end.
-    fn come_back(&mut self, request_id: u64, again_s: u64) {
+    fn come_back(&mut self, request_id: u64, retry_after_s: u64) {
         let tries = self.callers[&request_id].tries + 1;
         if tries > self.patience {
             return;
         }
-        let s = self.back_after.unwrap_or(again_s.max(1));
+        let s = self.back_after.unwrap_or(retry_after_s.max(1));
         let wait = s * 1000 + self.rng.below(1000);
         self.after(wait, move |w| {
             let region = w.procs[w.callers[&request_id].edge].region;
@@ -249,8 +249,8 @@
 
     /// An event of a stream comes to the edge, which passes it on.
     pub(crate) fn event(&mut self, v: super::workers::Visit, seq: u64, done: bool) {
-        let (p, boot) = (v.edge, v.boot);
-        self.reach_proc(p, boot, move |w| {
+        let (p, incarnation) = (v.edge, v.incarnation);
+        self.reach_proc(p, incarnation, move |w| {
             if !w.procs[p].tries.contains_key(&v.token) {
                 return;
             }
@@ -289,9 +289,9 @@
 
     pub fn hang_up(&mut self, n: u64) {
         let p = self.callers[&n].edge;
-        let boot = self.procs[p].boot;
+        let incarnation = self.procs[p].incarnation;
         self.got(n, Got::HungUp);
-        self.reach_proc(p, boot, move |w| {
+        self.reach_proc(p, incarnation, move |w| {
             w.hall_step(p, EdgeEvent::Gone { request_id: n })
         });
     }
--- a/testbed/src/site/clocks.rs
+++ b/testbed/src/site/clocks.rs
@@ -34,13 +34,18 @@
 
     /// Hand something to a process: never to another life of it, and to a
     /// frozen one when it wakes.
-    pub(crate) fn reach_proc(&mut self, p: usize, boot: u64, f: impl FnOnce(&mut World) + 'static) {
+    pub(crate) fn reach_proc(
+        &mut self,
+        p: usize,
+        incarnation: u64,
+        f: impl FnOnce(&mut World) + 'static,
+    ) {
         let q = &self.procs[p];
-        if !q.up || q.boot != boot {
+        if !q.up || q.incarnation != incarnation {
             return;
         }
         if q.frozen_until > self.now || !q.inbox.is_empty() {
-            self.procs[p].inbox.push_back((boot, Box::new(f)));
+            self.procs[p].inbox.push_back((incarnation, Box::new(f)));
             return;
         }
         f(self);
@@ -49,10 +54,10 @@
     /// All that came meanwhile, in the order in which it came.
     fn wake(&mut self, p: usize) {
         while self.procs[p].frozen_until <= self.now {
-            let Some((boot, f)) = self.procs[p].inbox.pop_front() else {
+            let Some((incarnation, f)) = self.procs[p].inbox.pop_front() else {
                 return;
             };
-            if self.procs[p].up && self.procs[p].boot == boot {
+            if self.procs[p].up && self.procs[p].incarnation == incarnation {
                 f(self);
             }
         }
--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -24,7 +24,7 @@
 pub use procs::{Proc, Role};
 pub use workers::Wk;
 
-use crate::fleet::Shape;
+use crate::fleet::SitePreset;
 use crate::rand::Rand;
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::Millis;
@@ -83,7 +83,7 @@
 pub struct World {
     pub now: Millis,
     pub rng: Rand,
-    pub shape: Shape,
+    pub preset: SitePreset,
     pub site: Arc<Site>,
     pub procs: Vec<Proc>,
     pub(crate) conns: BTreeMap<u64, net::Line>,
@@ -141,10 +141,10 @@
 }
 
 impl World {
-    pub fn new(seed: u64, shape: Shape) -> World {
-        let mut regions: Vec<String> = shape.regions.iter().map(|r| r.0.to_string()).collect();
+    pub fn new(seed: u64, preset: SitePreset) -> World {
+        let mut regions: Vec<String> = preset.regions.iter().map(|r| r.0.to_string()).collect();
         regions.sort();
-        let mut zones: Vec<(String, u8)> = shape
+        let mut zones: Vec<(String, u8)> = preset
             .regions
             .iter()
             .flat_map(|(r, zs, _)| {
@@ -157,7 +157,7 @@
         let mut w = World {
             now: 0,
             rng: Rand::new(seed),
-            shape,
+            preset,
             site,
             procs: Vec::new(),
             conns: BTreeMap::new(),
@@ -255,7 +255,7 @@
         let base = if a == b {
             1
         } else {
-            self.shape.far.as_millis() as Millis
+            self.preset.far.as_millis() as Millis
         };
         base + self.rng.below(2)
     }
@@ -280,18 +280,18 @@
     }
 
     /// Found the site, adopt a setup, and wait until every edge serves.
-    pub fn ready(seed: u64, shape: Shape) -> World {
-        let doc = crate::fleet::configuration(&shape);
-        World::ready_with(seed, shape, &doc)
+    pub fn ready(seed: u64, preset: SitePreset) -> World {
+        let doc = crate::fleet::configuration(&preset);
+        World::ready_with(seed, preset, &doc)
     }
 
-    pub fn ready_with(seed: u64, shape: Shape, doc: &str) -> World {
-        World::ready_by(seed, shape, doc, |_| {})
+    pub fn ready_with(seed: u64, preset: SitePreset, doc: &str) -> World {
+        World::ready_by(seed, preset, doc, |_| {})
     }
 
     /// With something about the world changed before it begins.
-    pub fn ready_by(seed: u64, shape: Shape, doc: &str, f: impl FnOnce(&mut World)) -> World {
-        let mut w = World::new(seed, shape);
+    pub fn ready_by(seed: u64, preset: SitePreset, doc: &str, f: impl FnOnce(&mut World)) -> World {
+        let mut w = World::new(seed, preset);
         f(&mut w);
         let end = w.now + 20_000;
         // two cores may found and lead before the third has heard of it
--- a/testbed/src/site/net.rs
+++ b/testbed/src/site/net.rs
@@ -36,7 +36,7 @@
 /// One end's half of a connection.
 pub(crate) struct Half {
     pub proc: usize,
-    pub boot: u64,
+    pub incarnation: u64,
     /// Sent by the other end and held back by a cut.
     held: Vec<Payload>,
     last_at: Millis,
@@ -51,41 +51,41 @@
 
 impl World {
     /// Keep trying to connect for as long as the process wants the address.
-    pub(crate) fn dial(&mut self, p: usize, boot: u64, addr: SocketAddr, wish: u64) {
+    pub(crate) fn dial(&mut self, p: usize, incarnation: u64, addr: SocketAddr, wish: u64) {
         let me = &self.procs[p];
-        if !me.up || me.boot != boot || me.peer_addresses.get(&addr) != Some(&wish) {
+        if !me.up || me.incarnation != incarnation || me.peer_addresses.get(&addr) != Some(&wish) {
             return;
         }
         let to = self.procs.iter().position(|q| q.addr == Some(addr) && q.up);
         let open = to.filter(|t| !self.cuts.contains(&(p, *t)) && !self.cuts.contains(&(*t, p)));
         let Some(t) = open else {
-            self.after(300, move |w| w.dial(p, boot, addr, wish));
+            self.after(300, move |w| w.dial(p, incarnation, addr, wish));
             return;
         };
         let d = self.delay(self.procs[p].region, self.procs[t].region);
-        self.after(2 * d, move |w| w.connect((p, boot), t, addr, wish));
+        self.after(2 * d, move |w| w.connect((p, incarnation), t, addr, wish));
     }
 
     fn connect(&mut self, me: (usize, u64), t: usize, addr: SocketAddr, wish: u64) {
-        let (p, boot) = me;
-        let ok = self.procs[p].up && self.procs[p].boot == boot && self.procs[t].up;
+        let (p, incarnation) = me;
+        let ok = self.procs[p].up && self.procs[p].incarnation == incarnation && self.procs[t].up;
         if !ok || self.procs[p].peer_addresses.get(&addr) != Some(&wish) {
             return;
         }
         let conn = self.number();
         let now = self.now;
-        let half = |proc: usize, boot: u64| Half {
+        let half = |proc: usize, incarnation: u64| Half {
             proc,
-            boot,
+            incarnation,
             held: Vec::new(),
             last_at: now,
             heard: now,
         };
-        let tb = self.procs[t].boot;
-        let halves = [half(p, boot), half(t, tb)];
+        let tb = self.procs[t].incarnation;
+        let halves = [half(p, incarnation), half(t, tb)];
         self.conns.insert(conn, Line { halves, wish });
         let dialled = Some(addr);
-        self.reach_proc(p, boot, move |w| {
+        self.reach_proc(p, incarnation, move |w| {
             w.net_event(p, NetEvent::Up { conn, dialled })
         });
         let dialled = None;
@@ -119,9 +119,9 @@
         let Some(l) = self.conns.get(&conn) else {
             return;
         };
-        let (t, boot, last) = {
+        let (t, incarnation, last) = {
             let h = &l.halves[other];
-            (h.proc, h.boot, h.last_at)
+            (h.proc, h.incarnation, h.last_at)
         };
         let d = self.delay(self.procs[p].region, self.procs[t].region);
         let at = (self.now + d).max(last);
@@ -134,7 +134,7 @@
             };
             l.halves[other].heard = w.now;
             let payload = Box::new(payload);
-            w.reach_proc(t, boot, move |w| {
+            w.reach_proc(t, incarnation, move |w| {
                 w.net_event(t, NetEvent::Frame { conn, payload })
             });
         });
@@ -180,16 +180,18 @@
         };
         let [a, b] = &l.halves;
         for h in [a, b] {
-            let (p, boot) = (h.proc, h.boot);
+            let (p, incarnation) = (h.proc, h.incarnation);
             self.after(wait, move |w| {
-                w.reach_proc(p, boot, move |w| w.net_event(p, NetEvent::Down { conn }))
+                w.reach_proc(p, incarnation, move |w| {
+                    w.net_event(p, NetEvent::Down { conn })
+                })
             });
         }
         // the one that dialled tries again, as long as it wants to
-        let (p, boot) = (a.proc, a.boot);
+        let (p, incarnation) = (a.proc, a.incarnation);
         let (addr, wish) = (self.procs[b.proc].addr, l.wish);
         if let Some(addr) = addr {
-            self.after(wait + 50, move |w| w.dial(p, boot, addr, wish));
+            self.after(wait + 50, move |w| w.dial(p, incarnation, addr, wish));
         }
     }
 
@@ -255,11 +257,11 @@
     use Payload::*;
     let mine = matches!(
         p,
-        Claim { .. } | ClaimDone { .. } | ClaimAsk { .. } | ClaimAns { .. }
+        Claim { .. } | ClaimResult { .. } | ClaimVoteRequest { .. } | ClaimVoteReply { .. }
     );
     let ends = matches!(
         p,
-        Release { .. } | Released { .. } | Free { .. } | FreeDone { .. }
+        Release { .. } | Released { .. } | Free { .. } | ReleaseAck { .. }
     );
-    mine || ends || matches!(p, ClaimsPull { .. } | ClaimsPage { .. })
+    mine || ends || matches!(p, ClaimsPageRequest { .. } | ClaimsPage { .. })
 }
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -50,9 +50,9 @@
             outcome: None,
         });
         let at = self.changes.len() - 1;
-        let boot = self.procs[p].boot;
+        let incarnation = self.procs[p].incarnation;
         let core = self.procs[p].core;
-        self.reach_proc(p, boot, move |w| {
+        self.reach_proc(p, incarnation, move |w| {
             if core {
                 w.core_step(
                     p,
--- a/testbed/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -162,7 +162,7 @@
     fn order(&mut self, base: u64, version: u64) {
         let number = self.number();
         let mark = format!("\"order-{number}\"");
-        let doc = crate::fleet::configuration(&self.shape).replace("\"pages\"", &mark);
+        let doc = crate::fleet::configuration(&self.preset).replace("\"pages\"", &mark);
         let to = Some(version);
         self.orders.all.push(Order {
             id: ProposalId::from(number) + (1 << 81),
@@ -209,8 +209,8 @@
         let (request_id, p) = (s.request_id, s.process);
         let order = &self.orders.all[s.order];
         let (proposal_id, cmd) = (order.id, order.cmd.clone());
-        let (boot, core) = (self.procs[p].boot, self.procs[p].core);
-        self.reach_proc(p, boot, move |w| {
+        let (incarnation, core) = (self.procs[p].incarnation, self.procs[p].core);
+        self.reach_proc(p, incarnation, move |w| {
             if core {
                 w.core_step(
                     p,
@@ -319,8 +319,8 @@
             start,
             shown,
         });
-        let boot = self.procs[p].boot;
-        self.reach_proc(p, boot, move |w| {
+        let incarnation = self.procs[p].incarnation;
+        self.reach_proc(p, incarnation, move |w| {
             w.core_step(p, ControllerEvent::View { request_id })
         });
     }
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -29,7 +29,7 @@
     pub addr: Option<SocketAddr>,
     pub id: u64,
     pub up: bool,
-    pub boot: u64,
+    pub incarnation: u64,
     pub role: Role,
     pub frozen_until: Millis,
     /// What came while it was frozen, in order.
@@ -58,7 +58,7 @@
             self.add(&format!("core-{zone}"), true, z as u16, *region, Some(addr));
         }
         for (z, (zone, region)) in zones.iter().enumerate() {
-            for i in 0..self.shape.edges_per_zone {
+            for i in 0..self.preset.edges_per_zone {
                 self.add(&format!("edge-{zone}-{i}"), false, z as u16, *region, None);
             }
         }
@@ -85,7 +85,7 @@
             addr,
             id,
             up: false,
-            boot: 0,
+            incarnation: 0,
             role: Role::Down,
             frozen_until: 0,
             inbox: VecDeque::new(),
@@ -131,7 +131,7 @@
         let seed = self.rng.draw();
         let now = self.monotonic_ms(p);
         let wall = self.wall(p);
-        let boot = self.rng.draw();
+        let incarnation = self.rng.draw();
         let (ack, lease, site) = (self.ack_ms, self.lease_ms, self.site.clone());
         let most = self.most_claims;
         let (grow, replace_ms) = (self.grow, self.replace_ms);
@@ -141,7 +141,7 @@
         let (pacing, holder_polls) = (self.pacing.clone(), self.holder_polls);
         let q = &mut self.procs[p];
         q.up = true;
-        q.boot += 1;
+        q.incarnation += 1;
         q.peer_addresses.clear();
         q.acted = 0;
         let me = Hello {
@@ -153,7 +153,7 @@
             addr: q.addr.map_or(String::new(), |a| a.to_string()),
             http: q.name.clone(),
             founded: false,
-            boot,
+            incarnation,
             ..Hello::default()
         };
         if q.core {
@@ -183,15 +183,15 @@
                 .paced(&pacing);
             q.role = Role::Edge(Box::new(EdgeController::new(me, plan, pull)));
         }
-        let boot = q.boot;
-        self.tick(p, boot);
+        let incarnation = q.incarnation;
+        self.tick(p, incarnation);
         if self.procs[p].core && self.holder_polls.is_none() {
-            self.poll_registry(p, boot);
+            self.poll_registry(p, incarnation);
         }
     }
 
-    fn tick(&mut self, p: usize, boot: u64) {
-        if !self.procs[p].up || self.procs[p].boot != boot {
+    fn tick(&mut self, p: usize, incarnation: u64) {
+        if !self.procs[p].up || self.procs[p].incarnation != incarnation {
             return;
         }
         let every = if self.procs[p].core {
@@ -199,7 +199,7 @@
         } else {
             20
         };
-        self.after(every, move |w| w.tick(p, boot));
+        self.after(every, move |w| w.tick(p, incarnation));
         if self.procs[p].frozen_until > self.now {
             return;
         }
@@ -210,15 +210,15 @@
         }
     }
 
-    fn poll_registry(&mut self, p: usize, boot: u64) {
-        if !self.procs[p].up || self.procs[p].boot != boot {
+    fn poll_registry(&mut self, p: usize, incarnation: u64) {
+        if !self.procs[p].up || self.procs[p].incarnation != incarnation {
             return;
         }
         let r = self.registry.clone();
-        self.reach_proc(p, boot, move |w| {
+        self.reach_proc(p, incarnation, move |w| {
             w.core_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
         });
-        self.after(500, move |w| w.poll_registry(p, boot));
+        self.after(500, move |w| w.poll_registry(p, incarnation));
     }
 
     pub fn crash(&mut self, p: usize) {
@@ -226,7 +226,7 @@
         let survive = self.rng.below(n + 1) as usize;
         let q = &mut self.procs[p];
         q.up = false;
-        q.boot += 1;
+        q.incarnation += 1;
         q.role = Role::Down;
         q.frozen_until = 0;
         q.inbox.clear();
@@ -268,15 +268,15 @@
     }
 
     fn core_effect(&mut self, p: usize, f: ControllerEffect) {
-        let boot = self.procs[p].boot;
+        let incarnation = self.procs[p].incarnation;
         match f {
             ControllerEffect::Save(seq, save) => {
-                if matches!(save, Save::Noted(_) | Save::Forgot(_)) {
+                if matches!(save, Save::ClaimRecord(_) | Save::Forgot(_)) {
                     self.claims_cost.2 += sorreldoor::replicated_state::encode(&save).len() as u64;
                 }
                 let now = self.now;
                 let at = self.procs[p].disk.queue(seq, save, now);
-                self.at(at, move |w| w.synced(p, boot, seq));
+                self.at(at, move |w| w.synced(p, incarnation, seq));
             }
             ControllerEffect::Keep("sure", _) => self.procs[p].sure = true,
             ControllerEffect::Keep(_, b) => {
@@ -298,7 +298,7 @@
                 let workers = self.registry.workers.clone();
                 let r = sorreldoor::discovery::WorkerRegistry { version, workers };
                 self.after(20, move |w| {
-                    w.reach_proc(p, boot, move |w| {
+                    w.reach_proc(p, incarnation, move |w| {
                         w.core_step(p, ControllerEvent::WorkerRegistry(Ok(r)))
                     })
                 });
@@ -308,7 +308,7 @@
                 let region = self.procs[p].region;
                 self.after(40, move |w| {
                     let rows = names.iter().map(|n| w.load_of(n, region)).collect();
-                    w.reach_proc(p, boot, move |w| {
+                    w.reach_proc(p, incarnation, move |w| {
                         w.core_step(p, ControllerEvent::Loads { epoch, rows })
                     });
                 });
@@ -320,25 +320,25 @@
         }
     }
 
-    fn synced(&mut self, p: usize, boot: u64, seq: u64) {
-        if !self.procs[p].up || self.procs[p].boot != boot {
+    fn synced(&mut self, p: usize, incarnation: u64, seq: u64) {
+        if !self.procs[p].up || self.procs[p].incarnation != incarnation {
             return;
         }
         if self.procs[p].disk.stuck {
-            self.after(50, move |w| w.synced(p, boot, seq));
+            self.after(50, move |w| w.synced(p, incarnation, seq));
             return;
         }
         self.procs[p].disk.synced(seq);
-        self.reach_proc(p, boot, move |w| {
+        self.reach_proc(p, incarnation, move |w| {
             w.core_step(p, ControllerEvent::Saved(seq))
         });
     }
 
     fn want(&mut self, p: usize, a: SocketAddr) {
-        let (wish, boot) = (self.number(), self.procs[p].boot);
+        let (wish, incarnation) = (self.number(), self.procs[p].incarnation);
         if let Entry::Vacant(e) = self.procs[p].peer_addresses.entry(a) {
             e.insert(wish);
-            self.dial(p, boot, a, wish);
+            self.dial(p, incarnation, a, wish);
         }
     }
 
@@ -367,8 +367,8 @@
                 EdgeEffect::Connect(a) => self.want(p, a),
                 EdgeEffect::Disconnect(a) => self.undial(p, a),
                 EdgeEffect::Done(request_id, o) => self.changed(request_id, o),
-                EdgeEffect::Errand(f) => self.errand_fx(p, f),
-                EdgeEffect::Come(request_id, shape) => self.come(p, request_id, shape),
+                EdgeEffect::Request(f) => self.errand_fx(p, f),
+                EdgeEffect::Come(request_id, preset) => self.come(p, request_id, preset),
                 EdgeEffect::Where(request_id, r) => self.whither(request_id, r),
                 EdgeEffect::Looked(..) | EdgeEffect::Status(..) => {}
                 EdgeEffect::Say(ev, s) => {
--- a/testbed/src/site/runs.rs
+++ b/testbed/src/site/runs.rs
@@ -2,7 +2,7 @@
 
 use super::workers::Visit;
 use super::World;
-use sorreldoor::gateway::request_table::Told;
+use sorreldoor::gateway::request_table::AttemptEvent;
 
 impl World {
     pub(super) fn begin(&mut self, w: usize) {
@@ -32,7 +32,9 @@
             let (life, gap) = (k.life, k.gap);
             if events == 0 {
                 let end = busy + gap;
-                self.after(end, move |world| world.work_done(w, life, v, Told::Whole));
+                self.after(end, move |world| {
+                    world.work_done(w, life, v, AttemptEvent::Whole)
+                });
             } else {
                 self.after(busy, move |world| world.stream(w, life, v, 0, events));
             }
@@ -53,18 +55,20 @@
         let d = self.delay(self.workers[w].region, self.procs[v.edge].region);
         let u = v.clone();
         if i == 0 {
-            self.tell_edge(w, v.clone(), Told::Begun);
+            self.tell_edge(w, v.clone(), AttemptEvent::Begun);
         }
         self.after(d + 1, move |world| world.event(u, i, i + 1 == n));
         let gap = self.workers[w].gap;
         if i + 1 == n {
-            self.after(2, move |world| world.work_done(w, life, v, Told::Ended));
+            self.after(2, move |world| {
+                world.work_done(w, life, v, AttemptEvent::Ended)
+            });
         } else {
             self.after(gap, move |world| world.stream(w, life, v, i + 1, n));
         }
     }
 
-    fn work_done(&mut self, w: usize, life: u64, v: Visit, told: Told) {
+    fn work_done(&mut self, w: usize, life: u64, v: Visit, told: AttemptEvent) {
         let k = &mut self.workers[w];
         if k.life != life {
             return;
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -5,14 +5,14 @@
 use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::{Load, Worker};
 use sorreldoor::error::ErrorCode;
-use sorreldoor::gateway::request_table::{RequestEffect, Told};
+use sorreldoor::gateway::request_table::{AttemptEvent, RequestEffect};
 use std::collections::VecDeque;
 
 /// One errand's visit at a worker.
 #[derive(Clone, Debug)]
 pub struct Visit {
     pub edge: usize,
-    pub boot: u64,
+    pub incarnation: u64,
     pub request_id: u64,
     pub token: u64,
     pub caller: u64,
@@ -60,7 +60,7 @@
 
 impl World {
     pub(crate) fn lay_workers(&mut self) {
-        let regions = self.shape.regions.clone();
+        let regions = self.preset.regions.clone();
         let mut all: Vec<(String, bool, u16)> = Vec::new();
         for (r, zs, n) in &regions {
             for i in 0..*n {
@@ -69,7 +69,7 @@
             }
         }
         let zones = self.site.zones.len();
-        for i in 0..self.shape.webs {
+        for i in 0..self.preset.webs {
             all.push((format!("web{i}"), false, (i % zones) as u16));
         }
         for (i, (name, model, zone)) in all.into_iter().enumerate() {
@@ -145,7 +145,7 @@
         k.life += 1;
         let lost: Vec<Visit> = k.running.drain(..).chain(k.waiting.drain(..)).collect();
         for v in lost {
-            self.tell_edge(w, v, Told::Broke(ErrorCode::WorkerBroke));
+            self.tell_edge(w, v, AttemptEvent::Broke(ErrorCode::WorkerBroke));
         }
     }
 
@@ -180,27 +180,27 @@
         }
     }
 
-    pub(super) fn tell_edge(&mut self, w: usize, v: Visit, told: Told) {
+    pub(super) fn tell_edge(&mut self, w: usize, v: Visit, told: AttemptEvent) {
         let d = self.delay(self.workers[w].region, self.procs[v.edge].region);
         self.after(d, move |world| world.told(v, told));
     }
 
-    pub(crate) fn told(&mut self, v: Visit, told: Told) {
-        let (p, boot) = (v.edge, v.boot);
-        self.reach_proc(p, boot, move |w| {
-            if told == Told::Whole {
+    pub(crate) fn told(&mut self, v: Visit, told: AttemptEvent) {
+        let (p, incarnation) = (v.edge, v.incarnation);
+        self.reach_proc(p, incarnation, move |w| {
+            if told == AttemptEvent::Whole {
                 if let Some(t) = w.procs[p].tries.get_mut(&v.token) {
                     t.brought = Some(v.caller);
                 }
             }
             let (request_id, token) = (v.request_id, v.token);
             // the edge's task itself shows a break to the reader
-            if matches!(told, Told::Broke(_)) && w.procs[p].tries.contains_key(&token) {
+            if matches!(told, AttemptEvent::Broke(_)) && w.procs[p].tries.contains_key(&token) {
                 w.broken_off(p, request_id);
             }
             w.hall_step(
                 p,
-                sorreldoor::gateway::EdgeEvent::Told {
+                sorreldoor::gateway::EdgeEvent::AttemptEvent {
                     request_id,
                     token,
                     told,
@@ -224,8 +224,8 @@
             RequestEffect::Shed {
                 request_id,
                 error_code,
-                again_s,
-            } => self.shed(request_id, error_code, again_s),
+                retry_after_s,
+            } => self.shed(request_id, error_code, retry_after_s),
             RequestEffect::Give { request_id, token } => self.give(p, request_id, token),
             RequestEffect::Elsewhere { request_id, addr } => self.elsewhere(request_id, addr),
             RequestEffect::Unknown { .. }
@@ -242,7 +242,7 @@
         };
         self.opened.push((self.now, caller));
         let id = self.callers[&caller].id.clone();
-        let boot = self.procs[p].boot;
+        let incarnation = self.procs[p].incarnation;
         let life = self.workers[w].life;
         let t = Try {
             worker: w,
@@ -253,7 +253,7 @@
         self.procs[p].tries.insert(token, t);
         let v = Visit {
             edge: p,
-            boot,
+            incarnation,
             request_id,
             token,
             caller,
@@ -263,9 +263,9 @@
         let dark = self.worker_cuts.contains(&(p, w));
         let up = self.workers[w].up;
         let (wait, told) = match (dark, up) {
-            (true, _) => (800, Told::Unsent),
-            (false, false) => (d, Told::Unsent),
-            (false, true) => (d, Told::Ready),
+            (true, _) => (800, AttemptEvent::Unsent),
+            (false, false) => (d, AttemptEvent::Unsent),
+            (false, true) => (d, AttemptEvent::Ready),
         };
         self.after(wait, move |w| w.told(v, told));
     }
@@ -291,10 +291,10 @@
             group: self.registered_group(t.worker),
             doc: self.doc_at(p),
         });
-        let boot = self.procs[p].boot;
+        let incarnation = self.procs[p].incarnation;
         let v = Visit {
             edge: p,
-            boot,
+            incarnation,
             request_id,
             token,
             caller,
@@ -313,7 +313,7 @@
         }
         let gone = !self.procs[v.edge].tries.contains_key(&v.token);
         if !self.workers[w].up || self.workers[w].life != life {
-            return self.tell_edge(w, v, Told::Broke(ErrorCode::WorkerBroke));
+            return self.tell_edge(w, v, AttemptEvent::Broke(ErrorCode::WorkerBroke));
         }
         // a caller that hung up before leaves a closed connection here
         if gone && self.rng.chance(50) {
--- a/testbed/src/soak.rs
+++ b/testbed/src/soak.rs
@@ -115,7 +115,7 @@
         for i in 0..6 {
             let (at, region) = &sh.edges[r.below(n) as usize];
             sh.tries.fetch_add(1, Ordering::SeqCst);
-            let (saw, again_s) = ask(sh, *at, region, &id, kind, &mut r);
+            let (saw, retry_after_s) = ask(sh, *at, region, &id, kind, &mut r);
             let again = saw != Saw::Served;
             let lost = u64::from(saw == Saw::Unsure);
             sh.lost.fetch_add(lost, Ordering::SeqCst);
@@ -124,7 +124,7 @@
                 break;
             }
             // it comes back when it was told to, or soon where it heard nothing
-            let wait = again_s.map_or(300, |s| s.min(20) * 1000);
+            let wait = retry_after_s.map_or(300, |s| s.min(20) * 1000);
             thread::sleep(Duration::from_millis(wait + r.below(500)));
         }
         thread::sleep(Duration::from_millis(r.below(60)));
@@ -172,13 +172,13 @@
         body: body.as_bytes().to_vec(),
     };
     let got = async_std::task::block_on(call(at, c, 1 << 20, WITHIN));
-    let again_s = got.as_ref().ok().and_then(|c| c.again_s);
+    let retry_after_s = got.as_ref().ok().and_then(|c| c.retry_after_s);
     let saw = match got {
         Err(Broke::Unsent) => Saw::Refused,
         Err(_) => Saw::Unsure,
         Ok(c) if c.status == 200 => {
             let text = String::from_utf8_lossy(&c.body).into_owned();
-            let own = c.errand.as_deref() == Some(id) && text.contains(id);
+            let own = c.request.as_deref() == Some(id) && text.contains(id);
             let whole = events == 0 || text.lines().count() == events;
             let ended = events == 0 || text.ends_with("\"done\":true}\n");
             if !(own && whole && ended) {
@@ -189,7 +189,7 @@
         Ok(c) if c.status == 503 => Saw::Refused,
         Ok(_) => Saw::Unsure,
     };
-    (saw, again_s)
+    (saw, retry_after_s)
 }
 
 /// Hold what callers saw against what the workers ran.
--- a/testbed/tests/catch_up/bounds.rs
+++ b/testbed/tests/catch_up/bounds.rs
@@ -130,10 +130,10 @@
 
 /// Losses, cuts, kills and stuck disks while large configurations come in;
 /// chunks are lost, doubled and out of order, or in order on a slow link.
-fn storm_with_large_configurations(seed: u64, shape: &[RegionId], bandwidth: Option<Bandwidth>) {
+fn storm_with_large_configurations(seed: u64, preset: &[RegionId], bandwidth: Option<Bandwidth>) {
     let mut s = Sim::new(
         seed,
-        shape,
+        preset,
         Timing {
             keep_log: 5,
             ..timing(Broken::None)
@@ -146,7 +146,7 @@
         s.loss = seed % 7;
         s.twice = seed % 5;
         s.jitter = 1 + seed % 40;
-        let at = s.rng.below(shape.len() as u64) as usize;
+        let at = s.rng.below(preset.len() as u64) as usize;
         let base = s.highest_version();
         let doc = configuration(400 + 100 * mark, mark);
         s.order(
@@ -161,7 +161,7 @@
         storm(&mut s, 3000);
         let mut wrong = check(&s);
         wrong.extend(same(&s));
-        assert!(wrong.is_empty(), "seed {seed}, {shape:?}: {wrong:#?}");
+        assert!(wrong.is_empty(), "seed {seed}, {preset:?}: {wrong:#?}");
     }
     let leader = s.settle();
     changes(&mut s, leader, 3);
@@ -169,12 +169,12 @@
 
 #[test]
 fn storms_with_large_configurations_break_nothing() {
-    for (i, shape) in SHAPES.iter().enumerate() {
+    for (i, preset) in SHAPES.iter().enumerate() {
         for seed in 0..8 {
             let seed = seed + 100 * i as u64;
-            storm_with_large_configurations(seed, shape, None);
+            storm_with_large_configurations(seed, preset, None);
             let slow = Bandwidth::megabits_per_second(10);
-            storm_with_large_configurations(seed, shape, Some(slow));
+            storm_with_large_configurations(seed, preset, Some(slow));
         }
     }
 }
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -40,8 +40,8 @@
 }
 
 /// A settled group on links of 10 Mbit/s, with a configuration of `routes`.
-fn group(seed: u64, shape: &[RegionId], routes: usize, broken: Broken) -> (Sim, usize) {
-    let mut s = Sim::new(seed, shape, timing(broken));
+fn group(seed: u64, preset: &[RegionId], routes: usize, broken: Broken) -> (Sim, usize) {
+    let mut s = Sim::new(seed, preset, timing(broken));
     s.far = 35;
     s.most_events = 20_000_000;
     s.bandwidth = Some(Bandwidth::megabits_per_second(10));
@@ -135,8 +135,8 @@
 }
 
 /// One member is away for `count` changes of a site with `routes`.
-fn away_for(count: usize, shape: &[RegionId], routes: usize, broken: Broken) -> (Sim, Return) {
-    let (mut s, mut leader) = group(7, shape, routes, Broken::None);
+fn away_for(count: usize, preset: &[RegionId], routes: usize, broken: Broken) -> (Sim, Return) {
+    let (mut s, mut leader) = group(7, preset, routes, Broken::None);
     let away = follower(&s, leader);
     s.crash(away);
     changes(&mut s, leader, count);
@@ -175,19 +175,19 @@
 
 #[test]
 fn a_member_that_was_down_for_600_changes_catches_up() {
-    for shape in SHAPES {
+    for preset in SHAPES {
         for routes in [1600, 5000] {
-            let (mut s, r) = away_for(620, shape, routes, Broken::None);
+            let (mut s, r) = away_for(620, preset, routes, Broken::None);
             println!(
-                "{shape:?}, {routes} routes: caught up in {:?} ms, longest wait {} ms, largest frame {} bytes, {} elections",
+                "{preset:?}, {routes} routes: caught up in {:?} ms, longest wait {} ms, largest frame {} bytes, {} elections",
                 r.took, r.longest_wait, r.largest_frame, r.elections
             );
-            assert!(r.took.is_some_and(|ms| ms < 5000), "{shape:?} {routes}");
-            assert_eq!(r.elections, 0, "{shape:?} {routes}");
+            assert!(r.took.is_some_and(|ms| ms < 5000), "{preset:?} {routes}");
+            assert_eq!(r.elections, 0, "{preset:?} {routes}");
             // a heartbeat waits behind a window and the other small frames only
             assert!(
                 r.longest_wait < 200,
-                "{shape:?} {routes}: {}",
+                "{preset:?} {routes}: {}",
                 r.longest_wait
             );
             sound(&mut s);
@@ -247,8 +247,8 @@
 /// A blank member comes in for a wiped one, as a non-voter first.
 #[test]
 fn a_blank_member_catches_up_and_becomes_a_voter() {
-    for shape in [&[0, 0, 0][..], &[0, 0, 1], &[0, 0, 0, 1, 1]] {
-        let (mut s, leader) = group(3, shape, 1600, Broken::None);
+    for preset in [&[0, 0, 0][..], &[0, 0, 1], &[0, 0, 0, 1, 1]] {
+        let (mut s, leader) = group(3, preset, 1600, Broken::None);
         let lost = follower(&s, leader);
         s.crash(lost);
         changes(&mut s, leader, 300);
@@ -258,8 +258,8 @@
         members.push(testbed::sim::member(blank, region, false));
         propose_members(&mut s, leader, members.clone());
         let took = time_to_catch_up(&mut s, leader, blank, 20_000);
-        println!("blank, {shape:?}: {took:?} ms");
-        assert!(took.is_some_and(|ms| ms < 5000), "{shape:?}: {took:?}");
+        println!("blank, {preset:?}: {took:?} ms");
+        assert!(took.is_some_and(|ms| ms < 5000), "{preset:?}: {took:?}");
         assert!(consensus(&s, leader).caught_up(s.nodes[blank].id));
         let gone = s.nodes[lost].id;
         members.retain(|m| m.id != gone);
--- a/testbed/tests/conformance/answers.rs
+++ b/testbed/tests/conformance/answers.rs
@@ -130,21 +130,21 @@
 }
 
 pub fn any_one_core_lost_is_acked_within_ack_ms() {
-    for shape in [[0, 0, 1], [0, 1, 1], [0, 0, 0]] {
+    for preset in [[0, 0, 1], [0, 1, 1], [0, 0, 0]] {
         for lost in 0..3 {
             let mut worst = 0;
             for seed in 0..10 {
-                let mut s = sim(seed, &shape);
+                let mut s = sim(seed, &preset);
                 s.settle();
                 s.crash(lost);
                 let at = (lost + 1) % 3;
                 let took = s.timed(at, ACK * 2);
                 let ok = took.is_some_and(|t| t <= ACK);
-                assert!(ok, "{shape:?} lost {lost} seed {seed}: {took:?}");
+                assert!(ok, "{preset:?} lost {lost} seed {seed}: {took:?}");
                 worst = worst.max(took.unwrap_or(0));
                 sound(&s);
             }
-            println!("cores {shape:?}, core {lost} lost: acked within {worst} ms of {ACK}");
+            println!("cores {preset:?}, core {lost} lost: acked within {worst} ms of {ACK}");
         }
     }
 }
--- a/testbed/tests/conformance/losses.rs
+++ b/testbed/tests/conformance/losses.rs
@@ -15,12 +15,12 @@
     (&[0, 0, 0, 1, 1], 55),
 ];
 
-fn site(seed: u64, shape: &[RegionId], far: Millis) -> Sim {
+fn site(seed: u64, preset: &[RegionId], far: Millis) -> Sim {
     let pacing = Pacing {
         beat_ms: Some(150),
         ..Pacing::default()
     };
-    let mut s = Sim::new(seed, shape, pacing.timing(2000));
+    let mut s = Sim::new(seed, preset, pacing.timing(2000));
     s.far = far;
     let l = s.settle();
     let version = s.highest_version();
@@ -30,10 +30,10 @@
 }
 
 /// The median and the longest of what `f` gives for many seeds.
-fn spread(shape: &[RegionId], far: Millis, f: impl Fn(&mut Sim) -> Millis) -> (Millis, Millis) {
+fn spread(preset: &[RegionId], far: Millis, f: impl Fn(&mut Sim) -> Millis) -> (Millis, Millis) {
     let mut all: Vec<Millis> = (0..40)
         .map(|seed| {
-            let mut s = site(seed, shape, far);
+            let mut s = site(seed, preset, far);
             let ms = f(&mut s);
             s.run_for(3000);
             sound(&s);
@@ -70,30 +70,30 @@
 
 #[test]
 fn cores_that_all_died_soon_have_a_leader() {
-    for (shape, far) in SITES {
-        let (mid, most) = spread(shape, far, die);
-        println!("all died, {shape:?} at {far} ms: median {mid} ms, most {most} ms");
-        assert!(mid < 400 && most < 900, "{shape:?} {far}: {mid} {most}");
+    for (preset, far) in SITES {
+        let (mid, most) = spread(preset, far, die);
+        println!("all died, {preset:?} at {far} ms: median {mid} ms, most {most} ms");
+        assert!(mid < 400 && most < 900, "{preset:?} {far}: {mid} {most}");
     }
 }
 
 #[test]
 fn a_leader_whose_process_ends_is_soon_replaced() {
-    for (shape, far) in SITES {
-        let (mid, most) = spread(shape, far, |s| {
+    for (preset, far) in SITES {
+        let (mid, most) = spread(preset, far, |s| {
             let l = s.settle();
             end(s, l);
             till_led(s)
         });
-        println!("leader killed, {shape:?} at {far} ms: median {mid} ms, most {most} ms");
-        assert!(mid < 500 && most < 1600, "{shape:?} {far}: {mid} {most}");
+        println!("leader killed, {preset:?} at {far} ms: median {mid} ms, most {most} ms");
+        assert!(mid < 500 && most < 1600, "{preset:?} {far}: {mid} {most}");
     }
 }
 
 #[test]
 fn a_leader_that_is_silent_is_replaced() {
-    for (shape, far) in SITES {
-        let (mid, most) = spread(shape, far, |s| {
+    for (preset, far) in SITES {
+        let (mid, most) = spread(preset, far, |s| {
             let l = s.settle();
             s.isolate(l);
             let from = s.now;
@@ -106,30 +106,30 @@
             s.heal();
             took
         });
-        println!("leader silent, {shape:?} at {far} ms: median {mid} ms, most {most} ms");
-        assert!(mid < 1300 && most < 2500, "{shape:?} {far}: {mid} {most}");
+        println!("leader silent, {preset:?} at {far} ms: median {mid} ms, most {most} ms");
+        assert!(mid < 1300 && most < 2500, "{preset:?} {far}: {mid} {most}");
     }
 }
 
 /// One that only lost its line to the leader, which goes on, unseats nobody.
 #[test]
 fn a_closed_line_alone_unseats_no_leader() {
-    for (seed, (shape, far)) in (0..).zip(SITES) {
-        let mut s = site(seed, shape, far);
+    for (seed, (preset, far)) in (0..).zip(SITES) {
+        let mut s = site(seed, preset, far);
         let l = s.settle();
         let id = s.nodes[l].id;
-        let other = (l + 1) % shape.len();
+        let other = (l + 1) % preset.len();
         for _ in 0..20 {
             s.give(other, Event::Gone { id });
             s.run_for(100);
-            assert_eq!(s.leader(), Some(l), "{shape:?} {far}");
+            assert_eq!(s.leader(), Some(l), "{preset:?} {far}");
         }
         // and one that starts anew asks in vain
         s.crash(other);
         s.run_for(200);
         s.start(other);
         s.run_for(3000);
-        assert_eq!(s.leader(), Some(l), "{shape:?} {far}");
+        assert_eq!(s.leader(), Some(l), "{preset:?} {far}");
         sound(&s);
     }
 }
--- a/testbed/tests/conformance/main.rs
+++ b/testbed/tests/conformance/main.rs
@@ -9,13 +9,13 @@
 
 pub const ACK: u64 = 2000;
 
-pub fn sim(seed: u64, shape: &[RegionId]) -> Sim {
-    Sim::new(seed, shape, Timing::for_ack(ACK))
+pub fn sim(seed: u64, preset: &[RegionId]) -> Sim {
+    Sim::new(seed, preset, Timing::for_ack(ACK))
 }
 
-pub fn led_from(shape: &[RegionId], region: RegionId) -> (Sim, usize) {
+pub fn led_from(preset: &[RegionId], region: RegionId) -> (Sim, usize) {
     for seed in 0..200 {
-        let mut s = sim(seed, shape);
+        let mut s = sim(seed, preset);
         let l = s.settle();
         if s.nodes[l].region == region {
             return (s, l);
--- a/testbed/tests/consensus_sim.rs
+++ b/testbed/tests/consensus_sim.rs
@@ -3,13 +3,13 @@
 use sorreldoor::consensus::{Broken, RegionId, Timing};
 use testbed::sim::{check, same, storm, Sim};
 
-fn run(seed: u64, shape: &[RegionId], broken: Broken) -> Vec<String> {
+fn run(seed: u64, preset: &[RegionId], broken: Broken) -> Vec<String> {
     let mut timing = Timing::for_ack(2000);
     timing.broken = broken;
     // a snapshot every five entries and twenty kept behind it, so that whoever
     // lacks more is sent a snapshot
     timing.keep_log = 5;
-    let mut s = Sim::new(seed, shape, timing);
+    let mut s = Sim::new(seed, preset, timing);
     s.most_events = 400_000;
     s.loss = seed % 7;
     s.twice = seed % 5;
@@ -18,7 +18,7 @@
     let mut w = check(&s);
     w.extend(same(&s));
     // after healing the core must serve again
-    let at = (seed % shape.len() as u64) as usize;
+    let at = (seed % preset.len() as u64) as usize;
     let version = s.nodes[at].record().map_or(0, |r| r.version());
     let p = s.change(at, version);
     s.run_for(4000);
@@ -31,10 +31,10 @@
     w
 }
 
-fn all(shape: &[RegionId], seeds: std::ops::Range<u64>) {
+fn all(preset: &[RegionId], seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let w = run(seed, shape, Broken::None);
-        assert!(w.is_empty(), "seed {seed}, shape {shape:?}: {w:#?}");
+        let w = run(seed, preset, Broken::None);
+        assert!(w.is_empty(), "seed {seed}, shape {preset:?}: {w:#?}");
     }
 }
 
--- a/testbed/tests/doctor.rs
+++ b/testbed/tests/doctor.rs
@@ -2,12 +2,12 @@
 
 use std::process::Command;
 use std::time::Duration;
-use testbed::fleet::{configuration, press, Fleet, Shape};
+use testbed::fleet::{configuration, press, Fleet, SitePreset};
 
 const LONG: Duration = Duration::from_secs(40);
 
-fn small() -> Shape {
-    Shape {
+fn small() -> SitePreset {
+    SitePreset {
         regions: vec![("north", vec!["n1", "n2"], 2), ("south", vec!["s1"], 1)],
         webs: 1,
         edges_per_zone: 1,
@@ -45,7 +45,7 @@
     let edge = f.edges()[0];
     finds(&f, edge, &["D15 broken no setup"], 2);
     let file = f.root.join("setup.json");
-    std::fs::write(&file, configuration(&f.shape)).unwrap();
+    std::fs::write(&file, configuration(&f.preset)).unwrap();
     f.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
     f.serve_again();
     finds(&f, edge, &["nothing found"], 0);
--- a/testbed/tests/doors/main.rs
+++ b/testbed/tests/doors/main.rs
@@ -12,14 +12,14 @@
 use sorreldoor::wire::{pack, Payload, PROTO};
 use std::net::SocketAddr;
 use std::time::Duration;
-use testbed::fleet::{configuration, press, Fleet, Shape};
+use testbed::fleet::{configuration, press, Fleet, SitePreset};
 use testbed::stand::Fault;
 
 const LONG: Duration = Duration::from_secs(40);
 
 /// A small site: one zone a region, one edge, few workers.
-fn small() -> Shape {
-    Shape {
+fn small() -> SitePreset {
+    SitePreset {
         regions: vec![("north", vec!["n1"], 1), ("south", vec!["s1"], 1)],
         webs: 1,
         edges_per_zone: 1,
@@ -293,7 +293,7 @@
             .and_then(|r| r.get("percent"));
         assert_eq!((s, percent.and_then(|p| p.as_u64())), (200, Some(12)));
     }
-    std::fs::write(&patch, configuration(&f.shape)).unwrap();
+    std::fs::write(&patch, configuration(&f.preset)).unwrap();
     let (code, text) = f.ctl(edge, &["diff", &file]);
     assert_eq!(
         (code, &text[..]),
--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -5,7 +5,7 @@
 use sorreldoor::http::{Call, Called};
 use std::path::PathBuf;
 use std::time::Duration;
-use testbed::fleet::{archive, press, Fleet, Shape};
+use testbed::fleet::{archive, press, Fleet, SitePreset};
 
 const LONG: Duration = Duration::from_secs(40);
 
@@ -15,8 +15,8 @@
     d
 }
 
-fn start(name: &str, shape: Shape) -> Fleet {
-    let mut f = Fleet::start(&root(name), shape);
+fn start(name: &str, preset: SitePreset) -> Fleet {
+    let mut f = Fleet::start(&root(name), preset);
     f.serve();
     f
 }
@@ -36,7 +36,7 @@
 }
 
 fn serves_all_kinds(f: &Fleet) {
-    let home = f.shape.regions[0].0;
+    let home = f.preset.regions[0].0;
     for i in f.edges() {
         let body = r#"{"prefix_chars":2000,"tail_chars":50,"events":3}"#;
         let c = post(f, i, "verdict", &[("x-prefix-key", "k1")], body);
@@ -175,8 +175,8 @@
 /// Both deployments, real processes, nodes killed, frozen and restarted.
 #[test]
 fn a_short_soak_of_each_site_breaks_no_rule() {
-    for (name, shape) in [("soak-press", press()), ("soak-archive", archive())] {
-        let mut f = start(name, shape);
+    for (name, preset) in [("soak-press", press()), ("soak-archive", archive())] {
+        let mut f = start(name, preset);
         let t = testbed::soak::soak(&mut f, 7, 12, Duration::from_secs(12));
         println!(
             "{name}: asked {}, served {}, refused {}, unsure {}",
--- a/testbed/tests/large_config.rs
+++ b/testbed/tests/large_config.rs
@@ -52,7 +52,7 @@
 
 fn bytes_of_a_change(routes: usize) -> usize {
     let mut record = record(routes);
-    let have = record.rev();
+    let have = record.revision();
     items(
         &mut record,
         2,
@@ -74,7 +74,7 @@
     let mut record = record(10);
     let mut copy = Copy::default();
     assert!(copy.apply(&record.update_since(0)));
-    let have = record.rev();
+    let have = record.revision();
     items(&mut record, 2, "{}", r#"{"routes":["r3"]}"#);
     assert!(copy.apply(&record.update_since(have)));
     (copy, record)
--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -6,7 +6,7 @@
 use sorreldoor::proxy::body::Decoder;
 use sorreldoor::proxy::http1::{take_answer, Buf, Fault};
 use sorreldoor::proxy::verdict::{judge, Expected, Verdict};
-use sorreldoor::proxy::{Dialect, Plain, Told};
+use sorreldoor::proxy::{Dialect, Plain, ResponseMetadata};
 
 const OWN_ID: &str = "own";
 const OTHER_ID: &str = "other";
@@ -119,7 +119,7 @@
             Err(_) => return Read::Unusable(Event::Malformed),
         }
     };
-    let mut told = Told::default();
+    let mut told = ResponseMetadata::default();
     for (name, value) in head.iter() {
         Plain.tell(head.status, name, value, &mut told);
     }
--- a/testbed/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -31,8 +31,8 @@
 
 /// One member is down while the others change the configuration; it comes
 /// back as the leader dies, so it is needed for the majority.
-fn returns_as_the_leader_dies(seed: u64, shape: &[RegionId], broken: Broken) -> bool {
-    let mut s = Sim::new(seed, shape, timing(broken));
+fn returns_as_the_leader_dies(seed: u64, preset: &[RegionId], broken: Broken) -> bool {
+    let mut s = Sim::new(seed, preset, timing(broken));
     let leader = s.settle();
     let away = (leader + 1 + seed as usize % 2) % 3;
     s.crash(away);
@@ -57,10 +57,10 @@
 
 #[test]
 fn a_member_that_was_away_never_leads_with_old_state() {
-    for shape in [[0, 0, 0], [0, 0, 1], [0, 1, 2]] {
+    for preset in [[0, 0, 0], [0, 0, 1], [0, 1, 2]] {
         for seed in 0..20 {
-            let old = returns_as_the_leader_dies(seed, &shape, Broken::None);
-            assert!(!old, "{shape:?}, seed {seed}");
+            let old = returns_as_the_leader_dies(seed, &preset, Broken::None);
+            assert!(!old, "{preset:?}, seed {seed}");
         }
     }
     let caught = (0..20).find(|s| returns_as_the_leader_dies(*s, &[0, 0, 0], Broken::VoteStale));
@@ -130,21 +130,21 @@
 
 /// All lose power right after an acknowledgement, and one its disk; how long
 /// until a leader is there, and until it answers a read.
-fn one_wiped_and_all_dark(seed: u64, shape: &[RegionId], wiped: usize) -> (u64, u64) {
+fn one_wiped_and_all_dark(seed: u64, preset: &[RegionId], wiped: usize) -> (u64, u64) {
     let pacing = sorreldoor::pacing::Pacing {
         beat_ms: Some(150),
         ..Default::default()
     };
-    let mut s = Sim::new(seed, shape, pacing.timing(2000));
+    let mut s = Sim::new(seed, preset, pacing.timing(2000));
     s.far = 55;
     let leader = s.settle();
     for _ in 0..5 {
         assert!(change(&mut s, leader));
     }
-    (0..shape.len()).for_each(|i| s.crash(i));
+    (0..preset.len()).for_each(|i| s.crash(i));
     s.nodes[wiped].wipe(99);
     s.run_for(3000);
-    for i in 0..shape.len() {
+    for i in 0..preset.len() {
         let wait = s.rng.below(60);
         s.run_for(wait);
         s.start(i);
@@ -160,20 +160,22 @@
 
 #[test]
 fn a_site_with_one_disk_lost_is_soon_read_again() {
-    for shape in [
+    for preset in [
         &[0, 0, 0][..],
         &[0, 0, 1],
         &[0, 0, 0, 1, 1],
         &[0, 0, 1, 1, 2, 2],
     ] {
-        for wiped in 0..shape.len() {
+        for wiped in 0..preset.len() {
             let mut all: Vec<(u64, u64)> = (0..30)
-                .map(|seed| one_wiped_and_all_dark(seed, shape, wiped))
+                .map(|seed| one_wiped_and_all_dark(seed, preset, wiped))
                 .collect();
             all.sort_unstable_by_key(|(_, read)| *read);
             let (led, read) = all[all.len() - 1];
-            println!("{shape:?}, {wiped} wiped: led after {led} ms, read after {read} ms at worst");
-            assert!(read < 1600, "{shape:?}, {wiped} wiped: {read}");
+            println!(
+                "{preset:?}, {wiped} wiped: led after {led} ms, read after {read} ms at worst"
+            );
+            assert!(read < 1600, "{preset:?}, {wiped} wiped: {read}");
         }
     }
 }
@@ -182,7 +184,7 @@
 #[test]
 #[should_panic(expected = "cannot read the snapshot")]
 fn an_unreadable_snapshot_stops_the_start() {
-    let mut w = World::ready(1, testbed::shapes::press());
+    let mut w = World::ready(1, testbed::presets::press());
     let core = w.cores()[0];
     w.crash(core);
     let disk = &mut w.procs[core].disk;
--- a/testbed/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -214,13 +214,13 @@
 /// What claims cost, on pairs of runs with and without callers' own ids.
 #[test]
 fn claims_cost_little() {
-    for (name, shape) in [("press", press()), ("archive", archive())] {
+    for (name, preset) in [("press", press()), ("archive", archive())] {
         let mut took = [0u64; 2];
         let (mut per, mut n) = ((0, 0, 0), 0);
         for seed in seeds(0..4) {
             for given in [false, true] {
-                let doc = testbed::fleet::configuration(&shape);
-                let mut w = World::ready_by(seed, shape.clone(), &doc, |w| w.given = given);
+                let doc = testbed::fleet::configuration(&preset);
+                let mut w = World::ready_by(seed, preset.clone(), &doc, |w| w.given = given);
                 let was = w.claims_cost;
                 let end = w.now + 8000;
                 w.traffic(60, end, |_, _| true);
--- a/testbed/tests/site/configurations.rs
+++ b/testbed/tests/site/configurations.rs
@@ -8,13 +8,13 @@
 use testbed::site::Storm;
 
 pub fn week(seed: u64, storm: Option<Storm>) -> World {
-    let shape = if seed.is_multiple_of(2) {
+    let preset = if seed.is_multiple_of(2) {
         press()
     } else {
         archive()
     };
-    let doc = testbed::fleet::configuration(&shape);
-    let mut w = World::ready_by(seed, shape, &doc, World::regroup);
+    let doc = testbed::fleet::configuration(&preset);
+    let mut w = World::ready_by(seed, preset, &doc, World::regroup);
     let end = w.now + 20_000;
     w.homed_traffic(90, end);
     w.operators(500, end);
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -52,15 +52,15 @@
     }
 }
 
-fn one_region() -> testbed::fleet::Shape {
-    testbed::fleet::Shape {
+fn one_region() -> testbed::fleet::SitePreset {
+    testbed::fleet::SitePreset {
         regions: vec![("north", vec!["n1", "n2", "n3"], 10)],
         ..press()
     }
 }
 
-fn three_regions() -> testbed::fleet::Shape {
-    testbed::fleet::Shape {
+fn three_regions() -> testbed::fleet::SitePreset {
+    testbed::fleet::SitePreset {
         regions: vec![
             ("north", vec!["n1"], 10),
             ("south", vec!["s1"], 8),
@@ -72,13 +72,13 @@
 }
 
 /// A site with `more` cores beyond one a zone.
-fn site(seed: u64, shape: testbed::fleet::Shape, more: usize) -> World {
+fn site(seed: u64, preset: testbed::fleet::SitePreset, more: usize) -> World {
     let spills = r#"{"north": {"south": 50}, "south": {"north": 50}}"#;
-    let doc = match shape.regions.len() {
+    let doc = match preset.regions.len() {
         1 => testbed::fleet::configuration(&press()).replace(spills, "{}"),
-        _ => testbed::fleet::configuration(&shape),
+        _ => testbed::fleet::configuration(&preset),
     };
-    let mut w = World::ready_by(seed, shape, &doc, |w| {
+    let mut w = World::ready_by(seed, preset, &doc, |w| {
         w.holder_polls = Some(500);
         w.pacing = hosted_pacing();
         w.grow = true;
@@ -105,7 +105,7 @@
     w
 }
 
-fn layout(n: u64) -> (&'static str, testbed::fleet::Shape, usize) {
+fn layout(n: u64) -> (&'static str, testbed::fleet::SitePreset, usize) {
     match n {
         0 => ("one region", one_region(), 0),
         1 => ("two regions", press(), 0),
@@ -117,8 +117,8 @@
 }
 
 fn day(seed: u64, layout_no: u64, cut: Cut) -> Watch {
-    let (_, shape, more) = layout(layout_no);
-    let mut w = site(seed, shape, more);
+    let (_, preset, more) = layout(layout_no);
+    let mut w = site(seed, preset, more);
     let mut watch = Watch::default();
     let wait = w.rng.below(1500);
     watch.run(&mut w, 1500 + wait);
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -73,7 +73,7 @@
 }
 
 pub fn put(w: &mut World, base: u64) -> bool {
-    let doc = testbed::fleet::configuration(&w.shape);
+    let doc = testbed::fleet::configuration(&w.preset);
     let at = w.cores().into_iter().find(|c| w.procs[*c].up);
     let at = at.expect("a core is up");
     let c = w.change(
--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -220,7 +220,8 @@
             let p = w.rng.below(w.procs.len() as u64) as usize;
             let base = top.unwrap_or(0);
             let mark = w.number();
-            let doc = testbed::fleet::configuration(&w.shape).replace("pages", &format!("p{mark}"));
+            let doc =
+                testbed::fleet::configuration(&w.preset).replace("pages", &format!("p{mark}"));
             w.change(
                 p,
                 Command::Put {
--- a/testbed/tests/site/orders.rs
+++ b/testbed/tests/site/orders.rs
@@ -51,13 +51,13 @@
 
 /// All cores are killed together, again and again, with snapshots made often.
 fn restarted(seed: u64) -> World {
-    let shape = if seed.is_multiple_of(2) {
+    let preset = if seed.is_multiple_of(2) {
         press()
     } else {
         archive()
     };
-    let doc = testbed::fleet::configuration(&shape);
-    let mut w = World::ready_by(seed, shape, &doc, |w| w.keep_log = Some(4));
+    let doc = testbed::fleet::configuration(&preset);
+    let mut w = World::ready_by(seed, preset, &doc, |w| w.keep_log = Some(4));
     w.trouble = TROUBLE;
     let end = w.now + 12_000;
     w.operate(end);
@@ -84,12 +84,12 @@
     while w.now < end {
         w.run_for(1500);
         let leader = w.leader().unwrap_or(0);
-        let shape = w.rng.below(3);
+        let preset = w.rng.below(3);
         for other in w.cores().into_iter().filter(|c| *c != leader) {
-            if shape != 1 {
+            if preset != 1 {
                 w.cuts.insert((leader, other));
             }
-            if shape != 2 {
+            if preset != 2 {
                 w.cuts.insert((other, leader));
             }
         }
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -21,9 +21,9 @@
 }
 
 fn with(seed: u64, f: impl FnOnce(&mut World)) -> World {
-    let shape = press();
-    let doc = testbed::fleet::configuration(&shape);
-    World::ready_by(seed, shape, &doc, f)
+    let preset = press();
+    let doc = testbed::fleet::configuration(&preset);
+    World::ready_by(seed, preset, &doc, f)
 }
 
 /// Bytes a second of an edge, both ways, and of a core to other cores.
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -39,9 +39,9 @@
 /// SIGTERM: the process ends by itself a little later.
 fn stop(w: &mut World, core: usize) {
     w.core_step(core, ControllerEvent::Stop);
-    let boot = w.procs[core].boot;
+    let incarnation = w.procs[core].incarnation;
     w.after(300, move |w| {
-        if w.procs[core].up && w.procs[core].boot == boot {
+        if w.procs[core].up && w.procs[core].incarnation == incarnation {
             w.crash(core);
         }
     });
@@ -76,7 +76,7 @@
         w.run_for(100);
         return false;
     };
-    let (base, doc) = (newest(w), testbed::fleet::configuration(&w.shape));
+    let (base, doc) = (newest(w), testbed::fleet::configuration(&w.preset));
     let to = None;
     let c = w.change(at, Command::Put { base, to, doc });
     let end = w.now + wait;
--- a/testbed/tests/site/returns.rs
+++ b/testbed/tests/site/returns.rs
@@ -8,13 +8,13 @@
 
 /// As on machines where bytes and calls are dear.
 fn dear(seed: u64) -> World {
-    let shape = if seed.is_multiple_of(2) {
+    let preset = if seed.is_multiple_of(2) {
         press()
     } else {
         archive()
     };
-    let doc = testbed::fleet::configuration(&shape);
-    World::ready_by(seed, shape, &doc, |w| {
+    let doc = testbed::fleet::configuration(&preset);
+    World::ready_by(seed, preset, &doc, |w| {
         w.holder_polls = Some(500);
         w.pacing = Pacing {
             tick_ms: 20,
--- a/testbed/tests/site/swings.rs
+++ b/testbed/tests/site/swings.rs
@@ -18,14 +18,14 @@
 
 #[test]
 fn swinging_mixes_over_workers_replaced_one_by_one() {
-    for (seed, shape) in [
+    for (seed, preset) in [
         (5000, press()),
         (5001, archive()),
         (5002, press()),
         (5003, archive()),
     ] {
-        let doc = testbed::fleet::configuration(&shape);
-        let mut w = World::ready_with(seed, shape, &doc);
+        let doc = testbed::fleet::configuration(&preset);
+        let mut w = World::ready_with(seed, preset, &doc);
         w.patience = 6;
         for k in w.workers.iter_mut().filter(|k| k.model) {
             (k.prefill, k.tail, k.gap) = (300, 60, 25);
--- a/testbed/tests/site/zones.rs
+++ b/testbed/tests/site/zones.rs
@@ -235,9 +235,9 @@
 #[test]
 fn spill_keeps_to_its_limit_over_the_fleet() {
     for seed in seeds(4300..4306) {
-        let shape = if seed % 2 == 0 { press() } else { archive() };
-        let doc = testbed::fleet::configuration(&shape).replace(": 50}", ": 30}");
-        let mut w = World::ready_with(seed, shape, &doc);
+        let preset = if seed % 2 == 0 { press() } else { archive() };
+        let doc = testbed::fleet::configuration(&preset).replace(": 50}", ": 30}");
+        let mut w = World::ready_with(seed, preset, &doc);
         w.patience = 6;
         let end = w.now + 30_000;
         w.traffic(120, end, |_, _| true);
