--- a/sorreldoor/src/configuration/check.rs
+++ b/sorreldoor/src/configuration/check.rs
@@ -1,20 +1,20 @@
 //! Reading and checking a setup as a whole: all of it, or every fault.
 
 use super::{hosted_read, Configuration, Group, Kind, Route, Service, Share, Site, Warm};
-use crate::json::{self, join, Faults, Obj, Val};
+use crate::json::{self, join, Faults, ObjectReader, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-pub const MOST_BYTES: usize = 4 << 20;
+pub const MAX_BYTES: usize = 4 << 20;
 
-pub fn read(text: &[u8], site: &Site) -> Result<(Configuration, Val), Vec<String>> {
-    let v = json::parse(text, MOST_BYTES).map_err(|e| vec![format!("setup: {e}")])?;
+pub fn read(text: &[u8], site: &Site) -> Result<(Configuration, Value), Vec<String>> {
+    let v = json::parse(text, MAX_BYTES).map_err(|e| vec![format!("setup: {e}")])?;
     let mut f = Faults::default();
     let s = whole(&v, site, &mut f);
     s.filter(|_| f.none()).map(|s| (s, v)).ok_or(f.0)
 }
 
-fn whole(v: &Val, site: &Site, f: &mut Faults) -> Option<Configuration> {
+fn whole(v: &Value, site: &Site, f: &mut Faults) -> Option<Configuration> {
     let keys = ["groups", "services", "routes", "spill", "retry", "hosted"];
     let o = f.object(v, "", &keys)?;
     let hosted = o.get("hosted").and_then(|h| hosted_read::read(h, site, f));
@@ -58,10 +58,10 @@
     })
 }
 
-fn group(n: &str, v: &Val, f: &mut Faults) -> Option<Group> {
+fn group(n: &str, v: &Value, f: &mut Faults) -> Option<Group> {
     let p = join("groups", n);
     let o = f.object(v, &p, &["kind", "slots", "queue", "warmup"])?;
-    let kind = o.must_text("kind", f);
+    let kind = o.required_text("kind", f);
     let model = kind == Some("model");
     if kind.is_some_and(|k| k != "model" && k != "web") {
         f.add(&o.at("kind"), "must be \"model\" or \"web\"");
@@ -87,13 +87,13 @@
     })
 }
 
-fn num_of(o: &Option<Obj>, k: &str, b: (u64, u64), or: u32, f: &mut Faults) -> u32 {
+fn num_of(o: &Option<ObjectReader>, k: &str, b: (u64, u64), or: u32, f: &mut Faults) -> u32 {
     o.as_ref()
         .and_then(|o| o.num(k, b.0, b.1, f))
         .map_or(or, |n| n as u32)
 }
 
-fn service(n: &str, v: &Val, groups: &[Group], f: &mut Faults) -> Option<Service> {
+fn service(n: &str, v: &Value, groups: &[Group], f: &mut Faults) -> Option<Service> {
     let p = join("services", n);
     let o = f.object(v, &p, &["groups", "adapter"])?;
     let names = o.texts("groups", f);
@@ -121,7 +121,7 @@
 
 fn route(
     n: &str,
-    v: &Val,
+    v: &Value,
     services: &[Service],
     groups: &[Group],
     f: &mut Faults,
@@ -136,7 +136,7 @@
         "shares",
     ];
     let o = f.object(v, &p, &keys)?;
-    let kind = match o.must_text("kind", f) {
+    let kind = match o.required_text("kind", f) {
         Some("prefix") => Kind::Prefix,
         Some("decode") => Kind::Decode,
         Some("fetch") => Kind::Fetch,
@@ -183,7 +183,7 @@
     })
 }
 
-fn share(service: u16, v: &Val, at: &str, f: &mut Faults) -> Option<Share> {
+fn share(service: u16, v: &Value, at: &str, f: &mut Faults) -> Option<Share> {
     let o = f.object(v, at, &["weight", "least", "most"])?;
     if o.get("weight").is_none() {
         f.add(&o.at("weight"), "is missing");
@@ -203,7 +203,7 @@
     })
 }
 
-fn spill(v: Option<&Val>, site: &Site, f: &mut Faults) -> BTreeMap<(u8, u8), u32> {
+fn spill(v: Option<&Value>, site: &Site, f: &mut Faults) -> BTreeMap<(u8, u8), u32> {
     let mut out = BTreeMap::new();
     for (a, row) in f.named(v, "spill") {
         let p = join("spill", a);
--- a/sorreldoor/src/configuration/hosted_change.rs
+++ b/sorreldoor/src/configuration/hosted_change.rs
@@ -4,7 +4,7 @@
 use super::hosted::{Hosted, Route, Service};
 use super::hosted_read::{self as read, Item};
 use super::Site;
-use crate::json::{join, Faults, Val};
+use crate::json::{join, Faults, Value};
 use simd_json::prelude::*;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 /// those that are deleted; what is in both is set.
 #[derive(Default)]
 pub struct ListChange<'v> {
-    pub set: Vec<&'v Val>,
+    pub set: Vec<&'v Value>,
     pub deleted: HashSet<&'v str>,
 }
 
 impl<'v> ListChange<'v> {
     /// The change of list `key` from objects that hold one list for each key.
-    pub fn of(set: &'v Val, deleted: &'v Val, key: &str) -> ListChange<'v> {
-        let list = |v: &'v Val| v.get(key).and_then(|l| l.as_array()).into_iter().flatten();
+    pub fn of(set: &'v Value, deleted: &'v Value, key: &str) -> ListChange<'v> {
+        let list = |v: &'v Value| v.get(key).and_then(|l| l.as_array()).into_iter().flatten();
         ListChange {
             set: list(set).collect(),
             deleted: list(deleted).filter_map(|n| n.as_str()).collect(),
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub struct HostedChange<'v> {
     /// The part without its lists; none where it stays as it is.
-    pub rest: Option<&'v Val>,
+    pub rest: Option<&'v Value>,
     pub services: ListChange<'v>,
     pub routes: ListChange<'v>,
 }
--- a/sorreldoor/src/configuration/hosted_read.rs
+++ b/sorreldoor/src/configuration/hosted_read.rs
@@ -3,19 +3,19 @@
 
 use super::hosted::{Engine, Hosted, Kind, Limits, Route, Service};
 use super::Site;
-use crate::json::{join, Faults, Val};
+use crate::json::{join, Faults, Value};
 use simd_json::prelude::*;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
 /// One item of a list, under its path.
 pub(super) struct Item<'v> {
-    v: &'v Val,
+    v: &'v Value,
     at: String,
 }
 
 impl<'v> Item<'v> {
-    pub(super) fn of(v: &'v Val, at: String, f: &mut Faults) -> Option<Item<'v>> {
+    pub(super) fn of(v: &'v Value, at: String, f: &mut Faults) -> Option<Item<'v>> {
         if !v.is_object() {
             f.add(&at, "must be an object");
             return None;
@@ -23,7 +23,7 @@
         Some(Item { v, at })
     }
 
-    pub(super) fn get(&self, k: &str) -> Option<&'v Val> {
+    pub(super) fn get(&self, k: &str) -> Option<&'v Value> {
         self.v.get(k).filter(|v| !v.is_null())
     }
 
@@ -40,7 +40,7 @@
         s
     }
 
-    pub(super) fn must_text(&self, k: &str, f: &mut Faults) -> &'v str {
+    pub(super) fn required_text(&self, k: &str, f: &mut Faults) -> &'v str {
         if self.get(k).is_none() {
             self.fault(k, "is missing", f);
         }
@@ -78,7 +78,7 @@
         self.whole(k, u64::from(or), f).min(u64::from(u32::MAX)) as u32
     }
 
-    fn list(&self, k: &str, f: &mut Faults) -> &'v [Val] {
+    fn list(&self, k: &str, f: &mut Faults) -> &'v [Value] {
         let Some(v) = self.get(k) else { return &[] };
         let a = v.as_array();
         if a.is_none() {
@@ -96,7 +96,7 @@
             let Some(it) = Item::of(v, at, f) else {
                 continue;
             };
-            let name = it.must_text("name", f);
+            let name = it.required_text("name", f);
             if !name.is_empty() && !seen.insert(name) {
                 it.fault("name", format!("{name:?} is given twice"), f);
             }
@@ -107,7 +107,7 @@
 }
 
 /// Reads the `hosted` part of a document; faults are added under their path.
-pub fn read(v: &Val, site: &Site, f: &mut Faults) -> Option<Hosted> {
+pub fn read(v: &Value, site: &Site, f: &mut Faults) -> Option<Hosted> {
     let top = Item::of(v, "hosted".into(), f)?;
     let services: Vec<Service> = top
         .items("services", f)
@@ -170,7 +170,7 @@
             stride: e.small("stride", 1, f).max(1),
         });
     Service {
-        name: i.must_text("name", f).to_string(),
+        name: i.required_text("name", f).to_string(),
         health: i.text("health", f).unwrap_or("/healthz").to_string(),
         max_conns: i.small("max_conns", 64, f).max(1),
         warmup_ms: i
@@ -191,7 +191,7 @@
             Kind::Once
         }
     };
-    let prefix = i.must_text("prefix", f).to_string();
+    let prefix = i.required_text("prefix", f).to_string();
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
         i.fault("prefix", "must begin and end with a slash", f);
     }
@@ -200,8 +200,8 @@
         i.fault("timeout_ms", "must be given, and above 0", f);
     }
     Route {
-        name: i.must_text("name", f).to_string(),
-        host: i.must_text("host", f).to_ascii_lowercase(),
+        name: i.required_text("name", f).to_string(),
+        host: i.required_text("host", f).to_ascii_lowercase(),
         prefix,
         kind,
         timeout_ms: (timeout.round() as u64).max(1),
@@ -225,7 +225,7 @@
         s
     };
     if i.get("split").is_none() {
-        let name = i.must_text("service", f);
+        let name = i.required_text("service", f);
         return named(name, i, f).map(|s| (s, 1)).into_iter().collect();
     }
     let mut all: Vec<(u16, f64)> = Vec::new();
@@ -235,7 +235,7 @@
             continue;
         };
         let w = it.num("weight", f).unwrap_or(0.0);
-        let name = it.must_text("service", f);
+        let name = it.required_text("service", f);
         all.extend(named(name, &it, f).map(|s| (s, w)));
     }
     if all.iter().map(|(_, w)| w).sum::<f64>() <= 0.0 {
--- a/sorreldoor/src/configuration/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -5,7 +5,7 @@
 pub mod hosted_change;
 mod hosted_read;
 
-pub use check::{read, MOST_BYTES};
+pub use check::{read, MAX_BYTES};
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -113,6 +113,12 @@
             .position(|r| r.name == name)
             .map(|i| i as u16)
     }
+    /// The share of a service on a route, both by index.
+    pub fn share(&self, route: u16, service: u16) -> Option<&Share> {
+        let route = self.routes.get(usize::from(route))?;
+        route.shares.iter().find(|share| share.service == service)
+    }
+
     pub fn group(&self, name: &str) -> Option<u16> {
         self.groups
             .iter()
--- a/sorreldoor/src/control_plane/controller.rs
+++ b/sorreldoor/src/control_plane/controller.rs
@@ -366,11 +366,13 @@
     fn bound_to_zone_state(&self, cmd: Command) -> Command {
         let record = self.consensus.as_ref().map(|a| a.machine());
         match (cmd, record) {
-            (Command::Evacuate { zone, evacuated }, Some(record)) => Command::EvacuateOnce {
-                zone,
-                evacuated,
-                changes: record.zone_changes(zone),
-            },
+            (Command::EvacuateUnversioned { zone, evacuated }, Some(record)) => {
+                Command::EvacuateIfUnchanged {
+                    zone,
+                    evacuated,
+                    changes: record.zone_changes(zone),
+                }
+            }
             (cmd, _) => cmd,
         }
     }
@@ -378,18 +380,18 @@
     fn on_result(&mut self, proposal_id: ProposalId, r: Result<Arc<Vec<u8>>, Lost>) {
         let outcome = match r {
             // a membership change has no outcome of its own but having happened
-            Ok(b) if b.is_empty() => OpOutcome::Got(Outcome::Taken { version: 0 }),
+            Ok(b) if b.is_empty() => OpOutcome::Got(Outcome::Applied { version: 0 }),
             Ok(b) => crate::replicated_state::decode(&b).map_or(OpOutcome::Unknown, OpOutcome::Got),
             Err(Lost::Unknown) => OpOutcome::Unknown,
             Err(Lost::Full) => OpOutcome::NotTaken,
         };
-        let taken = matches!(outcome, OpOutcome::Got(Outcome::Taken { .. }));
+        let taken = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
         self.proposed(proposal_id, taken);
         let asked = self.ops.remove(&proposal_id).unwrap_or_default();
         if !asked.is_empty() {
             let id = crate::order_id::format_proposal_id(proposal_id);
             let (ev, about) = match &outcome {
-                OpOutcome::Got(Outcome::Taken { version }) => {
+                OpOutcome::Got(Outcome::Applied { version }) => {
                     (LogEvent::ChangeTaken, format!("{id} as serial {version}"))
                 }
                 o => (LogEvent::ChangeRefused, format!("{id}: {o:?}")),
--- a/sorreldoor/src/control_plane/duty.rs
+++ b/sorreldoor/src/control_plane/duty.rs
@@ -170,7 +170,10 @@
         let above = self.consensus.as_ref().map_or(0, |a| a.machine().epoch());
         let holder = self.me.id;
         self.log_event(LogEvent::DutyTaken, format!("epoch {}", above + 1));
-        self.propose(Command::Duty { holder, above });
+        self.propose(Command::AcquireRole {
+            holder,
+            previous_epoch: above,
+        });
         self.duty.asked_epoch = self
             .duty_proposal_id
             .map(|proposal_id| (proposal_id, above + 1));
@@ -208,7 +211,7 @@
             let name = self.site.region_name(region).to_string();
             let text = super::status::recovery_text(state);
             self.log_event(LogEvent::RegionState, format!("{name}: {text}"));
-            return self.propose(Command::Region {
+            return self.propose(Command::SetRegion {
                 epoch,
                 region,
                 state,
@@ -278,7 +281,7 @@
         let weights = weight_tuning::step(s, &r.view().weights, &by);
         let (epoch, version) = (r.epoch(), r.version());
         if !weights.is_empty() && self.duty_proposal_id.is_none() {
-            self.propose(Command::Tune {
+            self.propose(Command::SetWeights {
                 epoch,
                 version,
                 weights,
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -1,12 +1,12 @@
 //! What a core shows of the site: leaders, members, sessions, workers.
 
 use super::controller::Controller;
-use crate::json::Val;
+use crate::json::Value;
 use crate::replicated_state::Recovery;
 use simd_json::prelude::*;
 
-fn hex(n: u64) -> Val {
-    Val::from(format!("{n:x}"))
+fn hex(n: u64) -> Value {
+    Value::from(format!("{n:x}"))
 }
 
 pub fn recovery_text(r: Recovery) -> String {
@@ -18,8 +18,8 @@
 }
 
 impl Controller {
-    pub fn status(&self) -> Val {
-        let mut v = Val::object();
+    pub fn status(&self) -> Value {
+        let mut v = Value::object();
         let _ = v.insert("node", self.me.node.as_str());
         let _ = v.insert("id", hex(self.me.id));
         let _ = v.insert("founded", self.consensus.is_some());
@@ -33,24 +33,24 @@
             let _ = v.insert("term", a.term());
             let _ = v.insert("commit", a.commit_idx());
             let _ = v.insert("disk_failed", a.disk_failed());
-            let gl = a.global_leader().map_or(Val::default(), hex);
+            let gl = a.global_leader().map_or(Value::default(), hex);
             let _ = v.insert("global_leader", gl);
-            let mut d = Val::object();
+            let mut d = Value::object();
             for (r, id) in a.domain_leaders() {
                 let _ = d.insert(self.site.region_name(r).to_string(), hex(id));
             }
             let _ = v.insert("domain_leaders", d);
-            let down: Vec<Val> = a
+            let down: Vec<Value> = a
                 .regions_down()
                 .iter()
-                .map(|r| Val::from(self.site.region_name(*r)))
+                .map(|r| Value::from(self.site.region_name(*r)))
                 .collect();
             let _ = v.insert("regions_down", down);
-            let ms: Vec<Val> = a
+            let ms: Vec<Value> = a
                 .members()
                 .iter()
                 .map(|m| {
-                    let mut o = Val::object();
+                    let mut o = Value::object();
                     let _ = o.insert("id", hex(m.id));
                     let _ = o.insert("zone", self.site.zone_name(m.zone));
                     let _ = o.insert("addr", m.addr.as_str());
@@ -70,14 +70,14 @@
             let _ = v.insert("epoch", r.epoch());
             let _ = v.insert("duty", hex(r.holder()));
             let _ = v.insert("emptied", self.evacuated());
-            let mut rs = Val::object();
+            let mut rs = Value::object();
             for (i, n) in self.site.regions.iter().enumerate() {
                 let _ = rs.insert(n.clone(), recovery_text(r.region(i as u8)));
             }
             let _ = v.insert("regions", rs);
         }
         let _ = v.insert("weights", self.weights());
-        let mut c = Val::object();
+        let mut c = Value::object();
         let _ = c.insert("remembered", self.claims.book.count());
         let _ = c.insert("most", self.claims.book.most());
         let _ = c.insert("sure", self.sure());
@@ -108,7 +108,7 @@
 
     /// Every share with bounds of its own: its weight now, and by what it is
     /// tuned, as this core measured while it held the duty.
-    fn weights(&self) -> Vec<Val> {
+    fn weights(&self) -> Vec<Value> {
         let Some(a) = &self.consensus else {
             return Vec::new();
         };
@@ -121,7 +121,7 @@
                 let name = s.map_or("", |s| &s.services[h.service as usize].name);
                 let tuned = crate::weight_tuning::weight(&view.weights, i as u16, h.service);
                 let took = self.duty.times().of(&r.name, name);
-                let mut o = Val::object();
+                let mut o = Value::object();
                 let _ = o.insert("route", r.name.as_str());
                 let _ = o.insert("service", name);
                 let _ = o.insert("weight", tuned.unwrap_or(h.weight));
@@ -145,11 +145,11 @@
         })
     }
 
-    fn edges(&self) -> Vec<Val> {
+    fn edges(&self) -> Vec<Value> {
         self.all_sessions()
             .iter()
             .map(|s| {
-                let mut o = Val::object();
+                let mut o = Value::object();
                 let _ = o.insert("node", s.hello.node.as_str());
                 let _ = o.insert("zone", self.site.zone_name(s.hello.zone));
                 let _ = o.insert("http", s.hello.http.as_str());
@@ -161,11 +161,11 @@
             .collect()
     }
 
-    fn workers(&self) -> Vec<Val> {
+    fn workers(&self) -> Vec<Value> {
         let ws = self.worker_list.workers();
         ws.iter()
             .map(|w| {
-                let mut o = Val::object();
+                let mut o = Value::object();
                 let l = self.loads.of(&w.name);
                 let _ = o.insert("name", w.name.as_str());
                 let _ = o.insert("addr", w.addr.to_string());
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -95,7 +95,7 @@
             self.encoded.clear();
             self.revision = record.revision();
         }
-        let encode = || EncodedUpdate::new(&record.update_since(from));
+        let encode = || EncodedUpdate::new(&record.delta_since(from));
         self.encoded.entry(from).or_insert_with(encode).clone()
     }
 }
--- a/sorreldoor/src/ctl/mod.rs
+++ b/sorreldoor/src/ctl/mod.rs
@@ -4,7 +4,7 @@
 mod watch;
 
 use crate::http::{self, Broke, Call, Called};
-use crate::json::{self, Val};
+use crate::json::{self, Value};
 use crate::order_id;
 use async_std::task;
 use gumdrop::Options;
@@ -222,7 +222,7 @@
         UNKNOWN
     }
 
-    fn read(&self, path: &str, f: fn(&Val) -> String) -> i32 {
+    fn read(&self, path: &str, f: fn(&Value) -> String) -> i32 {
         match self.call(Method::Get, path, &[]) {
             Err(b) => self.unreached(b, ""),
             Ok(c) => {
@@ -240,7 +240,7 @@
         }
     }
 
-    fn refused(&self, c: &Called, v: &Val) -> i32 {
+    fn refused(&self, c: &Called, v: &Value) -> i32 {
         if self.json {
             println!("{}", String::from_utf8_lossy(&c.body));
         } else {
@@ -339,7 +339,7 @@
             Ok(b) => b,
             Err(c) => return c,
         };
-        let new = match json::parse(&body, crate::configuration::MOST_BYTES) {
+        let new = match json::parse(&body, crate::configuration::MAX_BYTES) {
             Ok(v) => v,
             Err(e) => {
                 eprintln!("ctl: {file} {e}");
@@ -357,8 +357,8 @@
                 let mut rows = Vec::new();
                 show::differ("", &old, &new, &mut rows);
                 if self.json {
-                    let rows: Vec<Val> = rows.iter().map(|r| Val::from(r.as_str())).collect();
-                    println!("{}", Val::from(rows).encode());
+                    let rows: Vec<Value> = rows.iter().map(|r| Value::from(r.as_str())).collect();
+                    println!("{}", Value::from(rows).encode());
                 } else {
                     rows.iter().for_each(|r| println!("{r}"));
                 }
--- a/sorreldoor/src/ctl/show.rs
+++ b/sorreldoor/src/ctl/show.rs
@@ -1,22 +1,22 @@
 //! What the client prints for people.
 
-use crate::json::{canon, join, Val};
+use crate::json::{canonical, join, Value};
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
 
-fn text(v: &Val, k: &str) -> String {
+fn text(v: &Value, k: &str) -> String {
     v.get(k).map_or("-".to_string(), plain)
 }
 
-fn plain(v: &Val) -> String {
-    v.as_str().map_or_else(|| canon(v), str::to_string)
+fn plain(v: &Value) -> String {
+    v.as_str().map_or_else(|| canonical(v), str::to_string)
 }
 
-fn rows<'v>(v: &'v Val, k: &str) -> &'v [Val] {
+fn rows<'v>(v: &'v Value, k: &str) -> &'v [Value] {
     v.get(k).and_then(|a| a.as_array()).map_or(&[], |a| &a[..])
 }
 
-pub fn configuration(v: &Val) -> String {
+pub fn configuration(v: &Value) -> String {
     let mut s = format!("serial {}\n", text(v, "serial"));
     let evacuated: Vec<String> = rows(v, "emptied").iter().map(plain).collect();
     if !evacuated.is_empty() {
@@ -28,12 +28,12 @@
 }
 
 /// The same value with its keys in order, so that it prints alike every time.
-fn sorted(v: &Val) -> simd_json::BorrowedValue<'static> {
-    let mut b = canon(v).into_bytes();
+fn sorted(v: &Value) -> simd_json::BorrowedValue<'static> {
+    let mut b = canonical(v).into_bytes();
     simd_json::to_owned_value(&mut b).unwrap_or_default().into()
 }
 
-pub fn refusal(v: &Val) -> String {
+pub fn refusal(v: &Value) -> String {
     let mut s = format!("refused: {} ({})\n", text(v, "text"), text(v, "problem"));
     if v.get("serial").is_some() {
         s += &format!("the serial in force is {}\n", text(v, "serial"));
@@ -47,7 +47,7 @@
     s
 }
 
-pub fn checked(v: &Val) -> String {
+pub fn checked(v: &Value) -> String {
     let faults = rows(v, "faults");
     if faults.is_empty() {
         return "the setup is good\n".to_string();
@@ -58,27 +58,27 @@
 }
 
 /// Every leaf that differs, as `- path: old` and `+ path: new`.
-pub fn differ(path: &str, old: &Val, new: &Val, out: &mut Vec<String>) {
+pub fn differ(path: &str, old: &Value, new: &Value, out: &mut Vec<String>) {
     if let (Some(a), Some(b)) = (old.as_object(), new.as_object()) {
         let ks: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
         for k in ks {
             let (x, y) = (a.get(k.as_str()), b.get(k.as_str()));
-            let none = Val::default();
+            let none = Value::default();
             differ(&join(path, k), x.unwrap_or(&none), y.unwrap_or(&none), out);
         }
         return;
     }
-    if canon(old) != canon(new) {
+    if canonical(old) != canonical(new) {
         if !old.is_null() {
-            out.push(format!("- {path}: {}", canon(old)));
+            out.push(format!("- {path}: {}", canonical(old)));
         }
         if !new.is_null() {
-            out.push(format!("+ {path}: {}", canon(new)));
+            out.push(format!("+ {path}: {}", canonical(new)));
         }
     }
 }
 
-fn table(title: &str, cols: &[&str], rows: &[Val]) -> String {
+fn table(title: &str, cols: &[&str], rows: &[Value]) -> String {
     let mut cells: Vec<Vec<String>> = vec![cols.iter().map(|c| c.to_string()).collect()];
     cells.extend(
         rows.iter()
@@ -99,12 +99,12 @@
     s
 }
 
-pub fn placement(v: &Val) -> String {
+pub fn placement(v: &Value) -> String {
     let mut s = String::new();
     for k in ["route", "key", "region", "serial", "service", "why"] {
         s += &format!("{k}: {}\n", text(v, k));
     }
-    let none = Val::default();
+    let none = Value::default();
     let w = v.get("worker").unwrap_or(&none);
     if w.is_object() {
         let part = |k: &str| text(w, k);
@@ -123,7 +123,7 @@
     s + &table("services, in order", &cols, rows(v, "services"))
 }
 
-pub fn status(v: &Val) -> String {
+pub fn status(v: &Value) -> String {
     let mut s = String::new();
     for k in [
         "node",
--- a/sorreldoor/src/ctl/watch.rs
+++ b/sorreldoor/src/ctl/watch.rs
@@ -62,7 +62,7 @@
         let c = self.call(Method::Get, "/v1/status", &[]).ok()?;
         let v = json::parse(&c.body, usize::MAX).ok()?;
         let all = v.get("zones").and_then(|z| z.as_array())?;
-        let named = |z: &&Val| z.get("zone").and_then(|n| n.as_str()) == Some(zone);
+        let named = |z: &&Value| z.get("zone").and_then(|n| n.as_str()) == Some(zone);
         let z = all.iter().find(named)?;
         let num = |k: &str| z.get(k).and_then(|n| n.as_u64()).unwrap_or(0);
         let evacuated = z.get("emptied").and_then(|e| e.as_bool()) == Some(true);
--- a/sorreldoor/src/discovery.rs
+++ b/sorreldoor/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The platform's list of workers, and what workers report of their load.
 
 use crate::configuration::Site;
-use crate::json::{self, Faults, Val};
+use crate::json::{self, Faults, Value};
 use serde::{Deserialize, Serialize};
 use simd_json::prelude::*;
 use std::net::SocketAddr;
@@ -159,15 +159,15 @@
     Some(r).filter(|_| f.none()).ok_or(f.0.join("; "))
 }
 
-fn worker(v: &Val, at: &str, site: &Site, f: &mut Faults) -> Option<Worker> {
+fn worker(v: &Value, at: &str, site: &Site, f: &mut Faults) -> Option<Worker> {
     let o = f.object(v, at, &["name", "addr", "group", "zone", "state"])?;
-    let name = o.must_text("name", f)?;
-    let addr = o.must_text("addr", f)?.parse::<SocketAddr>().ok();
+    let name = o.required_text("name", f)?;
+    let addr = o.required_text("addr", f)?.parse::<SocketAddr>().ok();
     if addr.is_none() {
         f.add(&o.at("addr"), "is not IP:PORT");
     }
-    let group = o.must_text("group", f)?;
-    let zone = site.zone(o.must_text("zone", f)?);
+    let group = o.required_text("group", f)?;
+    let zone = site.zone(o.required_text("zone", f)?);
     if zone.is_none() {
         f.add(&o.at("zone"), "there is no such zone");
     }
@@ -200,7 +200,7 @@
     let o = f
         .object(&v, "", &keys)
         .ok_or("load: must be an object".to_string())?;
-    let who = o.must_text("worker", &mut f).unwrap_or("");
+    let who = o.required_text("worker", &mut f).unwrap_or("");
     if who != name {
         f.add("worker", format!("is {who:?}, not {name:?}"));
     }
--- a/sorreldoor/src/doctor/checks.rs
+++ b/sorreldoor/src/doctor/checks.rs
@@ -2,7 +2,7 @@
 
 use super::look::{Seed, Seen};
 use super::members::members;
-use crate::json::Val;
+use crate::json::Value;
 use simd_json::prelude::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -239,7 +239,7 @@
         out.push(Finding::new(23, name.clone()));
     }
     // only the leader knows which regions answer, so it is asked first
-    let leads = |v: &Val| flag(v, "leads") == Some(true);
+    let leads = |v: &Value| flag(v, "leads") == Some(true);
     let best = s.cores.iter().find(|(_, v)| leads(v)).or(s.cores.first());
     if let Some((_, v)) = best {
         site(v, &mut out);
@@ -277,24 +277,24 @@
     }
 }
 
-pub(super) fn flag(v: &Val, k: &str) -> Option<bool> {
+pub(super) fn flag(v: &Value, k: &str) -> Option<bool> {
     v.get(k).and_then(|x| x.as_bool())
 }
 
-pub(super) fn num(v: &Val, k: &str) -> u64 {
+pub(super) fn num(v: &Value, k: &str) -> u64 {
     v.get(k).and_then(|x| x.as_u64()).unwrap_or(0)
 }
 
-pub(super) fn word(v: &Val, k: &str) -> String {
+pub(super) fn word(v: &Value, k: &str) -> String {
     v.get(k).and_then(|x| x.as_str()).unwrap_or("?").to_string()
 }
 
-pub(super) fn rows<'v>(v: &'v Val, k: &str) -> &'v [Val] {
+pub(super) fn rows<'v>(v: &'v Value, k: &str) -> &'v [Value] {
     v.get(k).and_then(|x| x.as_array()).map_or(&[], |a| &a[..])
 }
 
 /// What one core says of itself.
-fn core(name: &str, v: &Val, wall: i64, out: &mut Vec<Finding>) {
+fn core(name: &str, v: &Value, wall: i64, out: &mut Vec<Finding>) {
     if flag(v, "disk_failed") == Some(true) {
         out.push(Finding::new(11, name));
     }
@@ -306,7 +306,7 @@
 }
 
 /// What a core says of the site.
-fn site(v: &Val, out: &mut Vec<Finding>) {
+fn site(v: &Value, out: &mut Vec<Finding>) {
     if flag(v, "quorum") != Some(true) {
         out.push(Finding::new(10, format!("as {} sees it", word(v, "node"))));
     }
@@ -352,8 +352,8 @@
     }
 }
 
-fn claims(v: &Val, out: &mut Vec<Finding>) {
-    let none = Val::default();
+fn claims(v: &Value, out: &mut Vec<Finding>) {
+    let none = Value::default();
     let c = v.get("claims").unwrap_or(&none);
     let (n, most) = (num(c, "remembered"), num(c, "most"));
     if most > 0 && n * 10 >= most * 9 {
@@ -364,7 +364,7 @@
     }
 }
 
-fn edges(v: &Val, version: u64, out: &mut Vec<Finding>) {
+fn edges(v: &Value, version: u64, out: &mut Vec<Finding>) {
     let edges = rows(v, "edges");
     if edges.is_empty() {
         out.push(Finding::new(18, "no session at any core"));
--- a/sorreldoor/src/doctor/look.rs
+++ b/sorreldoor/src/doctor/look.rs
@@ -2,7 +2,7 @@
 //! status over HTTP.
 
 use crate::http::{self, Call};
-use crate::json::{self, Val};
+use crate::json::{self, Value};
 use crate::settings::Settings;
 use crate::store::probe_folder;
 use crate::wire::{self, Hello, Payload, Refused};
@@ -36,7 +36,7 @@
     pub seeds: Vec<(String, Seed)>,
     pub disk: Option<Disk>,
     /// Status of each core, by name.
-    pub cores: Vec<(String, Val)>,
+    pub cores: Vec<(String, Value)>,
     pub unread: Vec<String>,
     pub wall_ms: i64,
 }
@@ -93,7 +93,7 @@
     }
 }
 
-fn status(s: &Settings, h: &Hello) -> Option<Val> {
+fn status(s: &Settings, h: &Hello) -> Option<Value> {
     let at: SocketAddr = h.http.parse().ok()?;
     let within = WITHIN + Duration::from_millis(s.ack_ms * 3);
     let c = http::call(s.reached(at), Call::get("/v1/status"), 16 << 20, within);
--- a/sorreldoor/src/doctor/members.rs
+++ b/sorreldoor/src/doctor/members.rs
@@ -1,10 +1,10 @@
 //! What a core's status says of the members of the consensus group.
 
 use super::checks::{flag, num, rows, word, Finding};
-use crate::json::Val;
+use crate::json::Value;
 use simd_json::prelude::*;
 
-pub(super) fn members(v: &Val, out: &mut Vec<Finding>) {
+pub(super) fn members(v: &Value, out: &mut Vec<Finding>) {
     let cores = rows(v, "cores");
     for c in cores.iter().filter(|c| flag(c, "live") == Some(false)) {
         let (id, zone, addr) = (word(c, "id"), word(c, "zone"), word(c, "addr"));
--- a/sorreldoor/src/doctor/mod.rs
+++ b/sorreldoor/src/doctor/mod.rs
@@ -8,7 +8,7 @@
 pub use checks::{check, Finding, Severity, ALL};
 pub use look::{look, Disk, Seed, Seen};
 
-use crate::json::Val;
+use crate::json::Value;
 use crate::settings::{Over, Role, Settings};
 use gumdrop::Options;
 use simd_json::prelude::*;
@@ -37,8 +37,8 @@
     let file = a.settings.unwrap_or_default();
     let found = examine(&file);
     if a.json {
-        let rows: Vec<Val> = found.iter().map(json).collect();
-        println!("{}", Val::from(rows).encode());
+        let rows: Vec<Value> = found.iter().map(json).collect();
+        println!("{}", Value::from(rows).encode());
     } else if found.is_empty() {
         println!("nothing found");
     } else {
@@ -70,8 +70,8 @@
     }
 }
 
-fn json(f: &Finding) -> Val {
-    let mut v = Val::object();
+fn json(f: &Finding) -> Value {
+    let mut v = Value::object();
     let _ = v.insert("number", f.no);
     let _ = v.insert("severity", f.severity.text());
     let _ = v.insert("text", f.text);
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -7,7 +7,7 @@
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{RequestProfile, RequestSpec};
 use crate::http;
-use crate::json::{self, Val};
+use crate::json::{self, Value};
 use crate::net::Ring;
 use crate::operator_api::{self, OperatorRequest};
 use crate::order_id;
@@ -134,7 +134,7 @@
             .await
         {
             Some(Reply::Where(Ok(all))) => {
-                let mut v = Val::object();
+                let mut v = Value::object();
                 let _ = v.insert("addresses", all);
                 let _ = v.insert("ttl_ms", 2000);
                 http::ok(v)
@@ -196,7 +196,7 @@
     fn asked(&self, req: &Request, route: &str) -> Result<RequestSpec, ErrorCode> {
         let head = |k: &str| req.header(k).map(|h| h.last().as_str().to_string());
         let given = head("x-errand-id");
-        if given.as_deref().is_some_and(|i| !json::good_name(i)) {
+        if given.as_deref().is_some_and(|i| !json::is_valid_name(i)) {
             return Err(ErrorCode::BadErrand);
         }
         let id = given
@@ -389,7 +389,7 @@
                     me.buf.clear();
                 }
                 Piece::Broke(p) => {
-                    let mut v = Val::object();
+                    let mut v = Value::object();
                     let _ = v.insert("problem", p.code());
                     let _ = v.insert("text", ErrorCode::StreamBroken.text());
                     me.buf = (v.encode() + "\n").into_bytes();
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -5,7 +5,7 @@
 use crate::gateway::request_table::{
     AttemptEvent, Plan, RequestEffect, RequestProfile, RequestSpec, Table,
 };
-use crate::json::Val;
+use crate::json::Value;
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::replicated_state::Command;
@@ -86,7 +86,7 @@
     pub table: Table,
     pub pull: Pull,
     /// The record as last told.
-    pub(super) copy: crate::replicated_state::Copy,
+    pub(super) copy: crate::replicated_state::StateReplica,
     pub(super) looks: Vec<(u64, u64)>,
     pub(super) changes: BTreeMap<u64, Conn>,
     /// Claims given up that the cores have not confirmed: id, and since when.
@@ -358,7 +358,7 @@
             }
             // only an edge of that region knows what it would do
             let all = self.plan.edges_for(Some(region), true, &a.key);
-            let mut v = Val::object();
+            let mut v = Value::object();
             let _ = v.insert("ask", all.first().cloned().ok_or(ErrorCode::NoWorker)?);
             Ok(v)
         });
--- a/sorreldoor/src/gateway/request_table/explain.rs
+++ b/sorreldoor/src/gateway/request_table/explain.rs
@@ -4,19 +4,19 @@
 use super::{Claim, Plan, Request, RequestSpec, Stage, Table};
 use crate::configuration::{Kind, Route};
 use crate::error::ErrorCode;
-use crate::json::Val;
+use crate::json::Value;
 use crate::placement::{self, PlacementRequest};
 use simd_json::prelude::*;
 
 impl Table {
     /// The way of an errand that came to this edge now.
-    pub fn explain(&self, p: &Plan, a: RequestSpec) -> Result<Val, ErrorCode> {
+    pub fn explain(&self, p: &Plan, a: RequestSpec) -> Result<Value, ErrorCode> {
         let s = p.configuration.clone().ok_or(ErrorCode::NoConfiguration)?;
         let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
         let r = &s.routes[route as usize];
         let e = trial(&a, route);
         let got = self.place(p, &e);
-        let mut v = Val::object();
+        let mut v = Value::object();
         let _ = v.insert("route", r.name.as_str());
         let _ = v.insert("key", a.key.as_str());
         let _ = v.insert("region", p.site.region_name(p.region));
@@ -26,7 +26,7 @@
         let _ = v.insert("spill", limits(p));
         let _ = v.insert(
             "worker",
-            got.map_or(Val::default(), |((_, i), _)| candidate(p, i)),
+            got.map_or(Value::default(), |((_, i), _)| candidate(p, i)),
         );
         let chosen = got.map(|((v, _), _)| s.services[v as usize].name.clone());
         let _ = v.insert("service", chosen);
@@ -57,7 +57,7 @@
 }
 
 /// The route's shares in the order in which they are tried for this errand.
-fn shares(p: &Plan, a: &RequestSpec, route: u16, r: &Route) -> Vec<Val> {
+fn shares(p: &Plan, a: &RequestSpec, route: u16, r: &Route) -> Vec<Value> {
     let Some(s) = &p.configuration else {
         return Vec::new();
     };
@@ -74,7 +74,7 @@
         .filter_map(|v| r.shares.iter().find(|h| h.service == v))
         .map(|h| {
             let tuned = crate::weight_tuning::weight(ws, route, h.service);
-            let mut o = Val::object();
+            let mut o = Value::object();
             let _ = o.insert("service", s.services[h.service as usize].name.as_str());
             let _ = o.insert("weight", tuned.unwrap_or(h.weight));
             let _ = o.insert("set", h.weight);
@@ -85,8 +85,8 @@
         .collect()
 }
 
-fn limits(p: &Plan) -> Val {
-    let mut v = Val::object();
+fn limits(p: &Plan) -> Value {
+    let mut v = Value::object();
     let all = p.configuration.iter().flat_map(|s| s.spill.iter());
     for ((from, to), n) in all.filter(|((from, _), _)| *from == p.region) {
         debug_assert!(from != to);
@@ -95,8 +95,8 @@
     v
 }
 
-fn candidate(p: &Plan, i: usize) -> Val {
-    let mut o = Val::object();
+fn candidate(p: &Plan, i: usize) -> Value {
+    let mut o = Value::object();
     if let Some(w) = p.candidates.get(i).and_then(|w| w.as_ref()) {
         let _ = o.insert("name", w.name.as_str());
         let _ = o.insert("zone", p.site.zone_name(w.zone));
--- a/sorreldoor/src/gateway/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -1,13 +1,13 @@
 //! What an edge shows of itself.
 
 use super::controller::EdgeController;
-use crate::json::Val;
+use crate::json::Value;
 use simd_json::prelude::*;
 
 impl EdgeController {
-    pub fn status(&self) -> Val {
+    pub fn status(&self) -> Value {
         let c = &self.table.counts;
-        let mut v = Val::object();
+        let mut v = Value::object();
         let _ = v.insert("node", self.me.node.as_str());
         let _ = v.insert("role", "edge");
         let _ = v.insert("serial", self.plan.shown.view.version);
@@ -26,7 +26,7 @@
             s.edge_sessions.1.iter().map(|p| (p.zone, p.running)),
         );
         let _ = v.insert("zones", zones);
-        let mut n = Val::object();
+        let mut n = Value::object();
         for (k, x) in [
             ("first", c.first),
             ("again", c.again),
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -6,7 +6,7 @@
 pub use call::{call, framed, open, send, whole, Broke, Call, Called};
 
 use crate::error::ErrorCode;
-use crate::json::Val;
+use crate::json::Value;
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
 use async_std::net::{TcpListener, TcpStream};
@@ -33,13 +33,13 @@
     r
 }
 
-pub fn ok(v: Val) -> Response {
+pub fn ok(v: Value) -> Response {
     json(200, v.encode())
 }
 
 /// The result for a problem, straight from the table.
 pub fn shed(p: ErrorCode, more: &str, again: u64) -> Response {
-    let mut v = Val::object();
+    let mut v = Value::object();
     let _ = v.insert("problem", p.code());
     let _ = v.insert("text", p.text());
     if !more.is_empty() {
--- a/sorreldoor/src/json.rs
+++ b/sorreldoor/src/json.rs
@@ -4,12 +4,12 @@
 use simd_json::{Node, OwnedValue};
 use std::collections::HashSet;
 
-pub type Val = OwnedValue;
+pub type Value = OwnedValue;
 
-pub const DEEPEST: usize = 16;
+pub const MAX_DEPTH: usize = 16;
 
 /// Parse strictly: no repeated key, no value nested too deep, no oversize.
-pub fn parse(text: &[u8], most: usize) -> Result<Val, String> {
+pub fn parse(text: &[u8], most: usize) -> Result<Value, String> {
     if text.len() > most {
         return Err(format!("is larger than {most} bytes"));
     }
@@ -23,15 +23,15 @@
 
 /// Text that was written by `canon`, and so was checked before; null for any
 /// other that is no JSON.
-pub fn reparse(text: &str) -> Val {
+pub fn parse_canonical(text: &str) -> Value {
     let mut b = text.as_bytes().to_vec();
     simd_json::to_owned_value(&mut b).unwrap_or_default()
 }
 
 /// Checks the node at `i`; gives the index after it.
 fn walk(t: &[Node], i: usize, depth: usize) -> Result<usize, String> {
-    if depth > DEEPEST {
-        return Err(format!("is nested deeper than {DEEPEST}"));
+    if depth > MAX_DEPTH {
+        return Err(format!("is nested deeper than {MAX_DEPTH}"));
     }
     match t.get(i) {
         Some(Node::Object { len, .. }) => {
@@ -75,7 +75,12 @@
     }
 
     /// The object at `v`, with unknown keys reported.
-    pub fn object<'v>(&mut self, v: &'v Val, path: &str, keys: &[&str]) -> Option<Obj<'v>> {
+    pub fn object<'v>(
+        &mut self,
+        v: &'v Value,
+        path: &str,
+        keys: &[&str],
+    ) -> Option<ObjectReader<'v>> {
         let o = v.as_object();
         if o.is_none() {
             self.add(path, "must be an object");
@@ -86,7 +91,7 @@
             for k in ks.into_iter().filter(|k| !keys.contains(k)) {
                 self.add(&join(path, k), "unknown field");
             }
-            Obj {
+            ObjectReader {
                 v,
                 path: path.to_string(),
             }
@@ -94,16 +99,16 @@
     }
 
     /// Names and values of a map keyed by name, in order of name.
-    pub fn named<'v>(&mut self, v: Option<&'v Val>, path: &str) -> Vec<(&'v str, &'v Val)> {
+    pub fn named<'v>(&mut self, v: Option<&'v Value>, path: &str) -> Vec<(&'v str, &'v Value)> {
         let Some(v) = v else { return Vec::new() };
         let Some(o) = v.as_object() else {
             self.add(path, "must be an object keyed by name");
             return Vec::new();
         };
-        let mut all: Vec<(&str, &Val)> = o.iter().map(|(k, v)| (k.as_str(), v)).collect();
+        let mut all: Vec<(&str, &Value)> = o.iter().map(|(k, v)| (k.as_str(), v)).collect();
         all.sort_by(|a, b| a.0.cmp(b.0));
         for (k, _) in &all {
-            if !good_name(k) {
+            if !is_valid_name(k) {
                 self.add(
                     &join(path, k),
                     "a name has 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'",
@@ -114,7 +119,7 @@
     }
 }
 
-pub fn good_name(s: &str) -> bool {
+pub fn is_valid_name(s: &str) -> bool {
     (1..=64).contains(&s.len())
         && s.bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
@@ -129,17 +134,17 @@
 }
 
 /// An object under its path, for reading typed fields.
-pub struct Obj<'v> {
-    v: &'v Val,
+pub struct ObjectReader<'v> {
+    v: &'v Value,
     path: String,
 }
 
-impl<'v> Obj<'v> {
+impl<'v> ObjectReader<'v> {
     pub fn at(&self, k: &str) -> String {
         join(&self.path, k)
     }
 
-    pub fn get(&self, k: &str) -> Option<&'v Val> {
+    pub fn get(&self, k: &str) -> Option<&'v Value> {
         self.v.get(k)
     }
 
@@ -152,7 +157,7 @@
         s
     }
 
-    pub fn must_text(&self, k: &str, f: &mut Faults) -> Option<&'v str> {
+    pub fn required_text(&self, k: &str, f: &mut Faults) -> Option<&'v str> {
         if self.get(k).is_none() {
             f.add(&self.at(k), "is missing");
         }
@@ -196,13 +201,13 @@
 }
 
 /// RFC 7396: objects merge, null removes, all else replaces.
-pub fn merge(into: &mut Val, patch: &Val) {
+pub fn merge(into: &mut Value, patch: &Value) {
     let Some(p) = patch.as_object() else {
         *into = patch.clone();
         return;
     };
     if !into.is_object() {
-        *into = Val::object();
+        *into = Value::object();
     }
     for (k, v) in p.iter() {
         if v.is_null() {
@@ -216,13 +221,13 @@
 }
 
 /// One spelling for one value: keys sorted, no white space.
-pub fn canon(v: &Val) -> String {
+pub fn canonical(v: &Value) -> String {
     let mut s = String::new();
     write(v, &mut s);
     s
 }
 
-fn write(v: &Val, s: &mut String) {
+fn write(v: &Value, s: &mut String) {
     if let Some(o) = v.as_object() {
         let mut ks: Vec<_> = o.iter().collect();
         ks.sort_by(|a, b| a.0.cmp(b.0));
@@ -231,7 +236,7 @@
             if i > 0 {
                 s.push(',');
             }
-            s.push_str(&Val::from(k.as_str()).encode());
+            s.push_str(&Value::from(k.as_str()).encode());
             s.push(':');
             write(v, s);
         }
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -6,7 +6,7 @@
 use crate::discovery::{Loads, Worker};
 use crate::error::ErrorCode;
 use crate::http;
-use crate::json::Val;
+use crate::json::Value;
 use crate::order_id::{format_proposal_id, parse_proposal_id, random_proposal_id};
 use crate::replicated_state::{Command, Outcome};
 use crate::wire::OpOutcome;
@@ -62,12 +62,14 @@
         (Method::Put, ["setup"]) => {
             doc(req, |base, doc| Command::Put {
                 base,
-                to: None,
-                doc,
+                new_version: None,
+                document: doc,
             })
             .await
         }
-        (Method::Patch, ["setup"]) => doc(req, |base, patch| Command::Edit { base, patch }).await,
+        (Method::Patch, ["setup"]) => {
+            doc(req, |base, patch| Command::MergePatch { base, patch }).await
+        }
         (Method::Post, ["check"]) => check(req, site).await,
         (Method::Post, ["zones", z, "empty"]) => zone(req, site, z, true),
         (Method::Post, ["zones", z, "return"]) => zone(req, site, z, false),
@@ -84,7 +86,7 @@
 }
 
 async fn text(req: &mut Request) -> Result<String, ErrorCode> {
-    let b = http::body(req, configuration::MOST_BYTES, Duration::from_secs(10)).await?;
+    let b = http::body(req, configuration::MAX_BYTES, Duration::from_secs(10)).await?;
     String::from_utf8(b).map_err(|_| ErrorCode::BadJson)
 }
 
@@ -120,7 +122,7 @@
     let proposal_id = given_proposal_id(req)?;
     Ok(OperatorRequest::Change {
         proposal_id,
-        cmd: Command::Zone {
+        cmd: Command::EvacuateZone {
             base,
             zone,
             evacuated,
@@ -128,16 +130,20 @@
     })
 }
 
-fn list(v: &[String]) -> Val {
-    Val::from(v.iter().map(|s| Val::from(s.as_str())).collect::<Vec<_>>())
+fn list(v: &[String]) -> Value {
+    Value::from(
+        v.iter()
+            .map(|s| Value::from(s.as_str()))
+            .collect::<Vec<_>>(),
+    )
 }
 
 /// The yes, the no, or the honest don't-know to a change.
 pub fn result(proposal_id: ProposalId, o: &OpOutcome) -> Response {
-    let mut v = Val::object();
+    let mut v = Value::object();
     let _ = v.insert("proposal", format_proposal_id(proposal_id));
     let p = match o {
-        OpOutcome::Got(Outcome::Taken { version }) => {
+        OpOutcome::Got(Outcome::Applied { version }) => {
             let _ = v.insert("taken", true);
             let _ = v.insert("serial", *version);
             return http::ok(v);
@@ -146,19 +152,19 @@
             let _ = v.insert("serial", *version);
             ErrorCode::StaleVersion
         }
-        OpOutcome::Got(Outcome::Bad { faults }) => {
+        OpOutcome::Got(Outcome::Invalid { faults }) => {
             let _ = v.insert("faults", list(faults));
             ErrorCode::InvalidConfiguration
         }
-        OpOutcome::Got(Outcome::OldEpoch { epoch }) => {
+        OpOutcome::Got(Outcome::StaleEpoch { epoch }) => {
             let _ = v.insert("epoch", *epoch);
             ErrorCode::StaleVersion
         }
-        OpOutcome::Got(Outcome::NotYet { version }) => {
+        OpOutcome::Got(Outcome::BaseAhead { version }) => {
             let _ = v.insert("serial", *version);
             ErrorCode::BaseAhead
         }
-        OpOutcome::Got(Outcome::Unsure { .. }) | OpOutcome::Unknown => ErrorCode::PendingUnknown,
+        OpOutcome::Got(Outcome::Unknown { .. }) | OpOutcome::Unknown => ErrorCode::PendingUnknown,
         OpOutcome::NotTaken => ErrorCode::NotTaken,
         OpOutcome::Nothing => ErrorCode::UnknownProposal,
     };
@@ -176,7 +182,7 @@
 }
 
 pub fn checked(faults: &[String]) -> Response {
-    let mut v = Val::object();
+    let mut v = Value::object();
     let _ = v.insert("good", faults.is_empty());
     let _ = v.insert("faults", list(faults));
     http::ok(v)
@@ -185,8 +191,8 @@
 /// A status' numbers and flags, flat, for whoever gathers metrics.
 pub fn metrics(status: &str) -> Response {
     let v = crate::json::parse(status.as_bytes(), usize::MAX).unwrap_or_default();
-    let mut out = Val::object();
-    let mut put = |prefix: &str, v: &Val| {
+    let mut out = Value::object();
+    let mut put = |prefix: &str, v: &Value| {
         for (k, x) in v.as_object().into_iter().flatten() {
             let name = format!("{prefix}{k}");
             if x.is_number() {
@@ -199,13 +205,13 @@
         }
     };
     put("", &v);
-    put("count_", v.get("counts").unwrap_or(&Val::default()));
+    put("count_", v.get("counts").unwrap_or(&Value::default()));
     http::ok(out)
 }
 
 /// The setup in force, as any node shows it.
 pub fn configuration_view(version: u64, doc: Option<&str>, evacuated: &[String]) -> Response {
-    let mut v = Val::object();
+    let mut v = Value::object();
     let _ = v.insert("serial", version);
     let doc = doc.and_then(|d| crate::json::parse(d.as_bytes(), usize::MAX).ok());
     let _ = v.insert("setup", doc.unwrap_or_default());
@@ -220,7 +226,7 @@
     workers: &[Worker],
     loads: &Loads,
     at_edges: impl Iterator<Item = (u16, u32)>,
-) -> Vec<Val> {
+) -> Vec<Value> {
     let mut busy_edges = vec![0u32; site.zones.len()];
     for (z, n) in at_edges {
         if let Some(all) = busy_edges.get_mut(usize::from(z)) {
@@ -230,7 +236,7 @@
     let row = |z: u16, name: &str| {
         let mine = workers.iter().filter(|w| w.zone == z);
         let busy = |w: &Worker| loads.of(&w.name).map_or(0, |l| l.running + l.queued);
-        let mut o = Val::object();
+        let mut o = Value::object();
         let _ = o.insert("zone", name);
         let _ = o.insert("emptied", evacuated.contains(&z));
         let _ = o.insert("at_workers", mine.map(busy).sum::<u32>());
--- a/sorreldoor/src/pacing.rs
+++ b/sorreldoor/src/pacing.rs
@@ -2,7 +2,7 @@
 //! where bytes, wake-ups and calls are dear.
 
 use crate::consensus::{Millis, Timing};
-use crate::json::{Faults, Obj};
+use crate::json::{Faults, ObjectReader};
 
 /// Names of the settings read here.
 pub const KEYS: [&str; 10] = [
@@ -62,7 +62,7 @@
 }
 
 impl Pacing {
-    pub fn read(o: &Obj, f: &mut Faults) -> Pacing {
+    pub fn read(o: &ObjectReader, f: &mut Faults) -> Pacing {
         let d = Pacing::default();
         Pacing {
             tick_ms: o.num("tick_ms", 1, 250, f).unwrap_or(d.tick_ms),
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -8,7 +8,7 @@
 use crate::discovery::WorkerRegistry;
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
-use crate::replicated_state::{DocumentChanges, Update, View};
+use crate::replicated_state::{DocumentDelta, StateUpdate, View};
 use crate::runtime::{Now, Reducer};
 use crate::subscription::{Granted, Pull, SubscriptionEffect};
 use crate::wire::*;
@@ -239,12 +239,12 @@
     }
 
     fn take_update(&mut self, encoded: &EncodedUpdate) {
-        let leads_on = |u: &Update| u.from <= self.view.revision;
+        let leads_on = |u: &StateUpdate| u.from_revision <= self.view.revision;
         let Some(update) = encoded.update().filter(leads_on) else {
             return self.ask_whole("an update that does not lead on");
         };
         if let Some(changes) = &update.document {
-            if let Err(faults) = self.take_document(update.from == 0, changes) {
+            if let Err(faults) = self.take_document(update.from_revision == 0, changes) {
                 return self.ask_whole(&faults.join("; "));
             }
         }
@@ -279,7 +279,7 @@
         self.log_event(LogEvent::ConfigurationUnreadable, why);
     }
 
-    fn take_document(&mut self, whole: bool, c: &DocumentChanges) -> Result<(), Vec<String>> {
+    fn take_document(&mut self, whole: bool, c: &DocumentDelta) -> Result<(), Vec<String>> {
         let old = self.table.hosted().filter(|_| !whole).cloned();
         let old: Arc<Hosted> = old.unwrap_or_default();
         if let Some(hosted) = c.hosted(&old, &self.site)? {
--- a/sorreldoor/src/replicated_state/document.rs
+++ b/sorreldoor/src/replicated_state/document.rs
@@ -1,58 +1,60 @@
-//! The operator's document as the record keeps it: the items of the hosted
+//! The configuration document as it is replicated: the items of the `hosted`
 //! lists one by one, each with the revision that last changed it, and the
 //! rest as text. Clones share what they have in common.
 
-use super::item_list::{ItemChanges, ItemList};
+use super::item_list::{ItemList, ListDelta};
 use crate::configuration::hosted::Hosted;
 use crate::configuration::hosted_change::{HostedChange, ListChange};
 use crate::configuration::Site;
-use crate::json::{self, Val};
+use crate::json::{self, Value};
 use serde::{Deserialize, Serialize};
 use simd_json::prelude::*;
 use std::sync::Arc;
 
-/// The part of a document whose lists are kept item by item.
+/// The section of a document whose lists are stored item by item.
 const HOSTED: &str = "hosted";
 const ROUTES: &str = "routes";
 const SERVICES: &str = "services";
 
-/// What is not kept item by item, as canonical JSON.
+/// The document without the lists that are stored item by item, as canonical
+/// JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rest {
-    /// The document without its `hosted` part.
+pub struct DocumentRest {
+    /// The document without its `hosted` section.
     pub outer: Arc<str>,
-    /// The `hosted` part without its lists; none where there is no such part.
+    /// The `hosted` section without its lists; `None` if there is no section.
     pub hosted: Option<Arc<str>>,
 }
 
-impl Default for Rest {
-    fn default() -> Rest {
-        Rest {
+impl Default for DocumentRest {
+    fn default() -> DocumentRest {
+        DocumentRest {
             outer: "{}".into(),
             hosted: None,
         }
     }
 }
 
-/// A document, ready to be told in part.
+/// A configuration document from which deltas can be made.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Document {
-    rest: Rest,
+    rest: DocumentRest,
     rest_revision: u64,
     routes: ItemList,
     services: ItemList,
 }
 
-/// What lies between two revisions of a document.
+/// The difference between two revisions of a document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct DocumentChanges {
-    pub rest: Option<Rest>,
-    pub services: ItemChanges,
-    pub routes: ItemChanges,
+pub struct DocumentDelta {
+    /// `None` where it has not changed.
+    pub rest: Option<DocumentRest>,
+    pub services: ListDelta,
+    pub routes: ListDelta,
 }
 
-impl DocumentChanges {
-    /// The `hosted` part as changed; none where nothing of it changes.
+impl DocumentDelta {
+    /// The changed `hosted` section; `None` if nothing of it changes.
     ///
     /// # Errors
     /// Every fault of the result, under its path.
@@ -61,7 +63,7 @@
         if rest.is_some_and(|hosted| hosted.is_none()) {
             return Ok(None);
         }
-        let rest = rest.and_then(|h| h.as_deref()).map(parsed);
+        let rest = rest.and_then(|h| h.as_deref()).map(json::parse_canonical);
         let (services, routes) = (self.services.values(), self.routes.values());
         let change = HostedChange {
             rest: rest.as_ref(),
@@ -75,7 +77,7 @@
     }
 }
 
-fn list_change<'v>(set: &'v [Val], changes: &'v ItemChanges) -> ListChange<'v> {
+fn list_change<'v>(set: &'v [Value], changes: &'v ListDelta) -> ListChange<'v> {
     ListChange {
         set: set.iter().collect(),
         deleted: changes.deleted.iter().map(|n| &**n).collect(),
@@ -83,29 +85,29 @@
 }
 
 impl Document {
-    /// The document `v` in place of this one; what is equal keeps its
-    /// revision, all else is marked with `revision`.
-    pub fn replace(&mut self, v: &Val, revision: u64) {
-        let hosted = v.get(HOSTED);
-        self.set_rest(split_rest(v, hosted), revision);
+    /// Replaces the document by `value`. Equal parts keep their revision, all
+    /// others get `revision`.
+    pub fn replace(&mut self, value: &Value, revision: u64) {
+        let hosted = value.get(HOSTED);
+        self.set_rest(split_rest(value, hosted), revision);
         let list = |key| hosted.and_then(|h| h.get(key)).and_then(|l| l.as_array());
         self.services.replace(list(SERVICES), revision);
         self.routes.replace(list(ROUTES), revision);
     }
 
-    fn set_rest(&mut self, rest: Rest, revision: u64) {
+    fn set_rest(&mut self, rest: DocumentRest, revision: u64) {
         if rest != self.rest || self.rest_revision == 0 {
             self.rest = rest;
             self.rest_revision = revision;
         }
     }
 
-    /// Puts items in and takes items out of the hosted lists; other keys of
-    /// `set` replace those of the `hosted` part.
+    /// Sets and deletes items of the `hosted` lists; other keys of `set`
+    /// replace those of the `hosted` section.
     ///
     /// # Errors
-    /// Why the change cannot be read; the document may then be half changed.
-    pub fn change_items(&mut self, set: &Val, drop: &Val, revision: u64) -> Result<(), String> {
+    /// The change is malformed; the document may then be partly changed.
+    pub fn change_items(&mut self, set: &Value, drop: &Value, revision: u64) -> Result<(), String> {
         let (Some(all), true) = (set.as_object(), drop.is_object()) else {
             return Err("set and drop must be objects".into());
         };
@@ -115,30 +117,30 @@
                 let _ = hosted.insert(key.as_str(), value.clone());
             }
         }
-        let rest = Rest {
+        let rest = DocumentRest {
             outer: self.rest.outer.clone(),
-            hosted: Some(json::canon(&hosted).into()),
+            hosted: Some(json::canonical(&hosted).into()),
         };
         self.set_rest(rest, revision);
         for (key, list) in [(SERVICES, &mut self.services), (ROUTES, &mut self.routes)] {
-            let (set, drop) = (array(set, key)?, array(drop, key)?);
+            let (set, drop) = (list_at(set, key)?, list_at(drop, key)?);
             list.change(key, set, drop, revision)?;
         }
         Ok(())
     }
 
-    /// The `hosted` part without its lists.
-    pub fn hosted_rest(&self) -> Val {
-        parsed(self.rest.hosted.as_deref().unwrap_or("{}"))
+    /// The `hosted` section without its lists.
+    pub fn hosted_rest(&self) -> Value {
+        json::parse_canonical(self.rest.hosted.as_deref().unwrap_or("{}"))
     }
 
-    /// The length of the whole text, nearly.
+    /// The approximate length of the text in bytes.
     pub fn bytes(&self) -> usize {
         let hosted = self.rest.hosted.as_ref().map_or(0, |h| h.len());
         self.rest.outer.len() + hosted + self.routes.bytes() + self.services.bytes()
     }
 
-    /// The whole document as JSON.
+    /// The complete document as canonical JSON.
     pub fn text(&self) -> String {
         let Some(hosted) = &self.rest.hosted else {
             return self.rest.outer.to_string();
@@ -146,7 +148,7 @@
         let mut text = String::with_capacity(self.bytes() + 64);
         text.push_str("{\"hosted\":{");
         let lists = [(ROUTES, &self.routes), (SERVICES, &self.services)];
-        for (key, list) in lists.iter().filter(|(_, l)| l.given()) {
+        for (key, list) in lists.iter().filter(|(_, l)| l.present()) {
             text.push_str(&format!("{key:?}:"));
             list.write(&mut text);
             text.push(',');
@@ -158,45 +160,45 @@
         text
     }
 
-    /// What a copy of revision `from` lacks; none where that is not known any
-    /// more, and the whole must be told.
-    pub fn changes_since(&self, from: u64) -> Option<DocumentChanges> {
+    /// What a replica of revision `from` lacks; `None` if that is no longer
+    /// known, and the replica needs the complete document.
+    pub fn delta_since(&self, from: u64) -> Option<DocumentDelta> {
         let new_rest = self.rest_revision > from;
-        Some(DocumentChanges {
+        Some(DocumentDelta {
             rest: Some(self.rest.clone()).filter(|_| new_rest),
-            services: self.services.changes_since(from)?,
-            routes: self.routes.changes_since(from)?,
+            services: self.services.delta_since(from)?,
+            routes: self.routes.delta_since(from)?,
         })
     }
 
-    /// All of it, as changes of an empty document.
-    pub fn whole(&self) -> DocumentChanges {
-        DocumentChanges {
+    /// The complete document, as a delta of an empty one.
+    pub fn as_delta(&self) -> DocumentDelta {
+        DocumentDelta {
             rest: Some(self.rest.clone()),
-            services: self.services.whole(),
-            routes: self.routes.whole(),
+            services: self.services.as_delta(),
+            routes: self.routes.as_delta(),
         }
     }
 
-    /// Brings this copy to where the changes lead.
-    pub fn apply(&mut self, changes: &DocumentChanges, revision: u64) {
-        if let Some(rest) = &changes.rest {
+    /// Applies a delta that leads to `revision`.
+    pub fn apply(&mut self, delta: &DocumentDelta, revision: u64) {
+        if let Some(rest) = &delta.rest {
             self.set_rest(rest.clone(), revision);
         }
-        self.services.apply(&changes.services, revision);
-        self.routes.apply(&changes.routes, revision);
+        self.services.apply(&delta.services, revision);
+        self.routes.apply(&delta.routes, revision);
     }
 
-    /// What serialisation leaves out, worked out anew.
+    /// Rebuilds the indices, which are not serialized.
     pub(super) fn index(&mut self) {
         self.services.index();
         self.routes.index();
     }
 }
 
-fn split_rest(v: &Val, hosted: Option<&Val>) -> Rest {
-    let mut outer = v.clone();
-    // what is no object stays where it is, and its fault is found elsewhere
+fn split_rest(value: &Value, hosted: Option<&Value>) -> DocumentRest {
+    let mut outer = value.clone();
+    // a `hosted` that is no object stays in place for validation to report
     let hosted = hosted.filter(|h| h.is_object()).map(|h| {
         let _ = outer.remove(HOSTED);
         let mut rest = h.clone();
@@ -205,16 +207,16 @@
                 let _ = rest.remove(key);
             }
         }
-        json::canon(&rest).into()
+        json::canonical(&rest).into()
     });
-    Rest {
-        outer: json::canon(&outer).into(),
+    DocumentRest {
+        outer: json::canonical(&outer).into(),
         hosted,
     }
 }
 
-fn array<'v>(v: &'v Val, key: &str) -> Result<&'v [Val], String> {
-    match v.get(key) {
+fn list_at<'v>(value: &'v Value, key: &str) -> Result<&'v [Value], String> {
+    match value.get(key) {
         None => Ok(&[]),
         Some(list) => list
             .as_array()
@@ -223,11 +225,8 @@
     }
 }
 
-fn parsed(text: &str) -> Val {
-    json::reparse(text)
-}
-
-/// The members of an object, without its braces and without an empty tail.
+/// Appends the members of an object without its braces; if it has none, a
+/// trailing comma is removed.
 fn push_members(text: &mut String, object: &str) {
     let members = &object[1..object.len() - 1];
     if members.is_empty() {
--- a/sorreldoor/src/replicated_state/item_list.rs
+++ b/sorreldoor/src/replicated_state/item_list.rs
@@ -1,15 +1,17 @@
-//! A list of named JSON items that knows, for each, when it last changed.
+//! An ordered list of named JSON items with the revision that last changed
+//! each, from which deltas are made.
 
+use super::Revision;
 use crate::invariants::{broken, Invariant};
-use crate::json::{self, Val};
+use crate::json::{self, Value};
 use im::OrdMap;
 use serde::{Deserialize, Serialize};
 use simd_json::prelude::*;
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// Names of deleted items that are kept, at most; whoever lacks more is told
-/// the whole list.
+/// How many deletions are remembered; a replica that missed more gets the
+/// complete list.
 const MAX_DELETED: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -17,65 +19,76 @@
     name: Arc<str>,
     /// Canonical JSON.
     text: Arc<str>,
-    /// When it came into the list, and when it last changed there.
-    created: u64,
-    changed: u64,
+    /// The revision that added it.
+    created: Revision,
+    /// The revision that last changed it.
+    changed: Revision,
 }
 
 /// Items in the operator's order, each name once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ItemList {
     /// Whether the document has the list at all.
-    given: bool,
+    #[serde(rename = "given")]
+    present: bool,
     items: OrdMap<u64, Item>,
     #[serde(skip)]
-    places: OrdMap<Arc<str>, u64>,
-    next_place: u64,
-    /// What is no more, and since when.
+    positions: OrdMap<Arc<str>, u64>,
+    #[serde(rename = "next_place")]
+    next_position: u64,
+    /// Deleted names, with the revision of the deletion.
     deleted: OrdMap<Arc<str>, u64>,
     /// Deletions up to this revision are forgotten.
-    deleted_floor: u64,
+    #[serde(rename = "deleted_floor")]
+    forgotten_up_to: u64,
     bytes: usize,
 }
 
-/// An item as it is told.
+/// An item that was added or changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ItemChange {
+pub struct ItemDelta {
     pub name: Arc<str>,
     pub text: Arc<str>,
-    /// It belongs at the end, also where an older one of its name stands
-    /// elsewhere.
-    pub last: bool,
+    /// It moves to the end, also if an older one of its name stands elsewhere.
+    #[serde(rename = "last")]
+    pub append: bool,
 }
 
-/// What lies between two revisions of a list.
+/// The difference between two revisions of a list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ItemChanges {
-    pub given: bool,
-    pub set: Vec<ItemChange>,
+pub struct ListDelta {
+    #[serde(rename = "given")]
+    pub present: bool,
+    pub set: Vec<ItemDelta>,
     pub deleted: Vec<Arc<str>>,
 }
 
-impl ItemChanges {
-    /// The items that are set, read.
-    pub(super) fn values(&self) -> Vec<Val> {
-        self.set.iter().map(|i| json::reparse(&i.text)).collect()
+impl ListDelta {
+    /// The items of `set` as parsed JSON.
+    pub(super) fn values(&self) -> Vec<Value> {
+        self.set
+            .iter()
+            .map(|i| json::parse_canonical(&i.text))
+            .collect()
     }
 }
 
-fn name_of(v: &Val) -> Option<&str> {
+fn name_of(v: &Value) -> Option<&str> {
     v.get("name").and_then(|n| n.as_str())
 }
 
 impl ItemList {
-    pub fn given(&self) -> bool {
-        self.given
+    /// Whether the document has the list at all.
+    pub fn present(&self) -> bool {
+        self.present
     }
 
+    /// The length of the list as text, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
+    /// Appends the list as canonical JSON.
     pub fn write(&self, text: &mut String) {
         text.push('[');
         for (i, item) in self.items.values().enumerate() {
@@ -87,20 +100,20 @@
         text.push(']');
     }
 
-    /// The items of `new` in place of all there are.
-    pub fn replace(&mut self, new: Option<&Vec<Val>>, revision: u64) {
-        self.given = new.is_some();
-        let new: &[Val] = new.map_or(&[], |n| n.as_slice());
+    /// Replaces all items by those of `new`.
+    pub fn replace(&mut self, new: Option<&Vec<Value>>, revision: Revision) {
+        self.present = new.is_some();
+        let new: &[Value] = new.map_or(&[], |n| n.as_slice());
         let names: Vec<&str> = new.iter().filter_map(name_of).collect();
         let wanted: HashSet<&str> = names.iter().copied().collect();
-        let order_stays = self.order_stays(&names, &wanted);
-        let gone: Vec<Arc<str>> = self
-            .places
+        let keeps_order = self.keeps_order(&names, &wanted);
+        let deleted: Vec<Arc<str>> = self
+            .positions
             .keys()
-            .filter(|n| !order_stays || !wanted.contains(&***n))
+            .filter(|n| !keeps_order || !wanted.contains(&***n))
             .cloned()
             .collect();
-        for name in &gone {
+        for name in &deleted {
             self.delete(name, revision);
         }
         for item in new {
@@ -108,24 +121,27 @@
         }
     }
 
-    /// Whether the new names are those of this list that stay, in their
-    /// order, with all others after them.
-    fn order_stays(&self, names: &[&str], wanted: &HashSet<&str>) -> bool {
+    /// Whether `names` begins with the retained names of this list in their
+    /// present order, so that every other one can be appended.
+    fn keeps_order(&self, names: &[&str], wanted: &HashSet<&str>) -> bool {
         let staying = self.items.values().map(|i| &*i.name);
         let staying: Vec<&str> = staying.filter(|n| wanted.contains(n)).collect();
         names.starts_with(&staying)
     }
 
-    /// Sets the items of `set`, in their place or last, and deletes those
-    /// named in `drop`. What is in both is set.
+    /// Sets the items of `set`, in their position or at the end, and deletes
+    /// those named in `drop`. A name in both is set.
+    ///
+    /// # Errors
+    /// An item without a name, a repeated name, or `drop` is no list of names.
     pub fn change(
         &mut self,
         key: &str,
-        set: &[Val],
-        drop: &[Val],
-        revision: u64,
+        set: &[Value],
+        drop: &[Value],
+        revision: Revision,
     ) -> Result<(), String> {
-        self.given = true;
+        self.present = true;
         let mut names = HashSet::new();
         for item in set {
             let name = name_of(item).ok_or(format!("set.{key}: every item needs a name"))?;
@@ -146,15 +162,15 @@
         Ok(())
     }
 
-    fn set(&mut self, item: &Val, revision: u64) {
+    fn set(&mut self, item: &Value, revision: Revision) {
         let name: Arc<str> = name_of(item).unwrap_or_default().into();
-        self.set_text(name, json::canon(item).into(), revision);
+        self.set_text(name, json::canonical(item).into(), revision);
     }
 
-    fn set_text(&mut self, name: Arc<str>, text: Arc<str>, revision: u64) {
-        let place = self.places.get(&name).copied();
-        let place = place.unwrap_or(self.next_place);
-        let old = self.items.get(&place);
+    fn set_text(&mut self, name: Arc<str>, text: Arc<str>, revision: Revision) {
+        let position = self.positions.get(&name).copied();
+        let position = position.unwrap_or(self.next_position);
+        let old = self.items.get(&position);
         if old.is_some_and(|o| o.text == text) {
             return;
         }
@@ -166,84 +182,86 @@
             created: old.map_or(revision, |o| o.created),
             changed: revision,
         };
-        self.items.insert(place, item);
-        self.places.insert(name, place);
-        self.next_place = self.next_place.max(place + 1);
+        self.items.insert(position, item);
+        self.positions.insert(name, position);
+        self.next_position = self.next_position.max(position + 1);
     }
 
-    fn delete(&mut self, name: &str, revision: u64) {
-        let Some(place) = self.places.remove(name) else {
+    fn delete(&mut self, name: &str, revision: Revision) {
+        let Some(position) = self.positions.remove(name) else {
             return;
         };
-        if let Some(item) = self.items.remove(&place) {
+        if let Some(item) = self.items.remove(&position) {
             self.bytes -= item.text.len() + 1;
             self.deleted.insert(item.name, revision);
         }
         if self.deleted.len() > MAX_DELETED {
-            self.forget_deleted();
+            self.forget_oldest_deletions();
         }
     }
 
-    /// Forgets the older half of the deletions.
-    fn forget_deleted(&mut self) {
+    /// Discards the older half of the deletions.
+    fn forget_oldest_deletions(&mut self) {
         let mut revisions: Vec<u64> = self.deleted.values().copied().collect();
         revisions.sort_unstable();
         let floor = revisions[revisions.len() / 2];
         let newer = self.deleted.iter().filter(|(_, at)| **at > floor);
         self.deleted = newer.map(|(name, at)| (name.clone(), *at)).collect();
-        self.deleted_floor = floor;
+        self.forgotten_up_to = floor;
     }
 
-    /// What a copy of revision `from` lacks, if that is still known.
-    pub fn changes_since(&self, from: u64) -> Option<ItemChanges> {
-        if from < self.deleted_floor {
+    /// What a replica of revision `from` lacks, if that is still known.
+    pub fn delta_since(&self, from: Revision) -> Option<ListDelta> {
+        if from < self.forgotten_up_to {
             return None;
         }
         let new = self.items.values().filter(|i| i.changed > from);
-        let set = new.map(|i| ItemChange {
+        let set = new.map(|i| ItemDelta {
             name: i.name.clone(),
             text: i.text.clone(),
-            last: i.created > from,
+            append: i.created > from,
         });
-        let gone = self.deleted.iter().filter(|(_, at)| **at > from);
-        let gone = gone.filter(|(name, _)| !self.places.contains_key(*name));
-        let gone = gone.filter(|_| !broken(Invariant::Deletions));
-        Some(ItemChanges {
-            given: self.given,
+        let deleted = self.deleted.iter().filter(|(_, at)| **at > from);
+        let deleted = deleted.filter(|(name, _)| !self.positions.contains_key(*name));
+        let deleted = deleted.filter(|_| !broken(Invariant::Deletions));
+        Some(ListDelta {
+            present: self.present,
             set: set.collect(),
-            deleted: gone.map(|(name, _)| name.clone()).collect(),
+            deleted: deleted.map(|(name, _)| name.clone()).collect(),
         })
     }
 
-    pub fn whole(&self) -> ItemChanges {
-        let all = self.items.values().map(|i| ItemChange {
+    /// The complete list, as a delta of an empty one.
+    pub fn as_delta(&self) -> ListDelta {
+        let all = self.items.values().map(|i| ItemDelta {
             name: i.name.clone(),
             text: i.text.clone(),
-            last: true,
+            append: true,
         });
-        ItemChanges {
-            given: self.given,
+        ListDelta {
+            present: self.present,
             set: all.collect(),
             deleted: Vec::new(),
         }
     }
 
-    pub fn apply(&mut self, changes: &ItemChanges, revision: u64) {
-        self.given = changes.given;
-        for name in &changes.deleted {
+    /// Applies a delta that leads to `revision`.
+    pub fn apply(&mut self, delta: &ListDelta, revision: Revision) {
+        self.present = delta.present;
+        for name in &delta.deleted {
             self.delete(name, revision);
         }
-        for item in &changes.set {
-            if item.last {
+        for item in &delta.set {
+            if item.append {
                 self.delete(&item.name, revision);
             }
             self.set_text(item.name.clone(), item.text.clone(), revision);
         }
     }
 
-    /// The places by name, which serialisation leaves out.
+    /// Rebuilds the positions by name, which are not serialized.
     pub fn index(&mut self) {
-        let places = self.items.iter();
-        self.places = places.map(|(p, i)| (i.name.clone(), *p)).collect();
+        let positions = self.items.iter();
+        self.positions = positions.map(|(p, i)| (i.name.clone(), *p)).collect();
     }
 }
--- a/sorreldoor/src/settings.rs
+++ b/sorreldoor/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::Site;
 use crate::control_plane::membership::Policy;
-use crate::json::{self, Faults, Obj, Val};
+use crate::json::{self, Faults, ObjectReader, Value};
 use crate::pacing::{self, Pacing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -138,10 +138,10 @@
     }
 }
 
-fn whole(v: &Val, over: &Over, role: Role, f: &mut Faults) -> Option<Settings> {
+fn whole(v: &Value, over: &Over, role: Role, f: &mut Faults) -> Option<Settings> {
     let o = f.object(v, "", &[KEYS, &pacing::KEYS].concat())?;
-    let site = o.must_text("site", f).unwrap_or("").to_string();
-    if !site.is_empty() && !json::good_name(&site) {
+    let site = o.required_text("site", f).unwrap_or("").to_string();
+    if !site.is_empty() && !json::is_valid_name(&site) {
         f.add("site", "must be a plain name");
     }
     let names = Arc::new(names(&o, f));
@@ -199,24 +199,24 @@
     })
 }
 
-fn cores(o: &Obj, grow: bool, seeds: usize, f: &mut Faults) -> usize {
+fn cores(o: &ObjectReader, grow: bool, seeds: usize, f: &mut Faults) -> usize {
     let n = o.num("cores", 1, 9, f).map(|n| n as usize);
     // a site that grows is founded by its seeds, however many there are
     n.unwrap_or(if grow { seeds.clamp(1, 9) } else { 3 })
 }
 
-fn text(over: &Option<String>, o: &Obj, k: &str, f: &mut Faults) -> String {
+fn text(over: &Option<String>, o: &ObjectReader, k: &str, f: &mut Faults) -> String {
     let got = over
         .clone()
-        .or_else(|| o.must_text(k, f).map(str::to_string));
+        .or_else(|| o.required_text(k, f).map(str::to_string));
     let s = got.unwrap_or_default();
-    if !s.is_empty() && !json::good_name(&s) {
+    if !s.is_empty() && !json::is_valid_name(&s) {
         f.add(k, "must be a plain name");
     }
     s
 }
 
-fn names(o: &Obj, f: &mut Faults) -> Site {
+fn names(o: &ObjectReader, f: &mut Faults) -> Site {
     let mut s = Site::default();
     if o.get("regions").is_none() {
         f.add("regions", "is missing");
@@ -237,13 +237,13 @@
     s
 }
 
-fn zones(v: &Val, at: &str, f: &mut Faults) -> Vec<String> {
+fn zones(v: &Value, at: &str, f: &mut Faults) -> Vec<String> {
     use simd_json::prelude::*;
     let all: Option<Vec<String>> = v
         .as_array()
         .and_then(|a| a.iter().map(|x| x.as_str().map(str::to_string)).collect());
     let all = all.unwrap_or_default();
-    if all.is_empty() || !all.iter().all(|z| json::good_name(z)) {
+    if all.is_empty() || !all.iter().all(|z| json::is_valid_name(z)) {
         f.add(at, "must be a list of zone names");
     }
     all
@@ -257,10 +257,16 @@
     a
 }
 
-fn addr(over: &Option<String>, o: &Obj, k: &str, must: bool, f: &mut Faults) -> Option<SocketAddr> {
+fn addr(
+    over: &Option<String>,
+    o: &ObjectReader,
+    k: &str,
+    must: bool,
+    f: &mut Faults,
+) -> Option<SocketAddr> {
     let s = over.clone().or_else(|| {
         let t = if must {
-            o.must_text(k, f)
+            o.required_text(k, f)
         } else {
             o.text(k, f)
         };
@@ -269,7 +275,7 @@
     s.and_then(|s| parse_addr(&s, k, f))
 }
 
-fn seeds(over: &Over, o: &Obj, f: &mut Faults) -> Vec<SocketAddr> {
+fn seeds(over: &Over, o: &ObjectReader, f: &mut Faults) -> Vec<SocketAddr> {
     let texts: Vec<String> = if over.seeds.is_empty() {
         o.texts("seeds", f)
             .into_iter()
@@ -305,7 +311,7 @@
     }
 }
 
-fn reach(o: &Obj, f: &mut Faults) -> BTreeMap<SocketAddr, SocketAddr> {
+fn reach(o: &ObjectReader, f: &mut Faults) -> BTreeMap<SocketAddr, SocketAddr> {
     use simd_json::prelude::*;
     let mut out = BTreeMap::new();
     let Some(v) = o.get("reach") else { return out };
--- a/sorreldoor/src/store/frame.rs
+++ b/sorreldoor/src/store/frame.rs
@@ -66,12 +66,12 @@
 }
 
 /// A record that was read back whole.
-pub struct ReplicatedState {
+pub struct Record {
     pub header: Header,
     pub payload: Vec<u8>,
 }
 
-impl ReplicatedState {
+impl Record {
     /// Bytes that it takes in the file.
     pub fn span(&self) -> u64 {
         HEADER_LENGTH as u64 + self.header.length
@@ -82,11 +82,7 @@
 ///
 /// # Errors
 /// The disk cannot be read; a record that is not whole is no error.
-pub fn read_record(
-    disk: &mut impl Disk,
-    file: &str,
-    offset: u64,
-) -> io::Result<Option<ReplicatedState>> {
+pub fn read_record(disk: &mut impl Disk, file: &str, offset: u64) -> io::Result<Option<Record>> {
     let rest = disk.length(file)?.saturating_sub(offset);
     if rest < HEADER_LENGTH as u64 {
         return Ok(None);
@@ -101,7 +97,7 @@
     let payload_at = offset + HEADER_LENGTH as u64;
     let payload = disk.read(file, payload_at, header.length as usize)?;
     let whole = crc32fast::hash(&payload) == header.payload_checksum;
-    Ok(whole.then_some(ReplicatedState { header, payload }))
+    Ok(whole.then_some(Record { header, payload }))
 }
 
 /// The headers that stand anywhere from `offset` on, whole records or not.
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -3,7 +3,7 @@
 
 use crate::consensus::{ClaimRecord, Member, Msg, NodeId, ProposalId};
 use crate::discovery::{Loads, WorkerRegistry};
-use crate::replicated_state::{decode, encode, Command, Outcome, Update};
+use crate::replicated_state::{decode, encode, Command, Outcome, StateUpdate};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -124,7 +124,7 @@
 }
 
 impl EncodedUpdate {
-    pub fn new(u: &Update) -> EncodedUpdate {
+    pub fn new(u: &StateUpdate) -> EncodedUpdate {
         EncodedUpdate {
             revision: u.revision,
             version: u.version,
@@ -133,7 +133,7 @@
         }
     }
 
-    pub fn update(&self) -> Option<Update> {
+    pub fn update(&self) -> Option<StateUpdate> {
         decode(&self.bytes)
     }
 }
--- a/sorreldoor/tests/doctor.rs
+++ b/sorreldoor/tests/doctor.rs
@@ -2,7 +2,7 @@
 
 use simd_json::prelude::*;
 use sorreldoor::doctor::{check, Disk, Seed, Seen, ALL};
-use sorreldoor::json::{self, Val};
+use sorreldoor::json::{self, Value};
 
 const SOUND: &str = r#"{"node":"c1","quorum":true,"wall_ms":1000000,"disk_failed":false,
  "voters_wanted":3,"voters":3,"voters_differ":null,"serial":4,"regions_down":[],"emptied":[],"roster_problem":null,
@@ -13,7 +13,7 @@
  "workers":[{"name":"w","live":true,"leaving":false}]}"#;
 
 fn seen(status: &str) -> Seen {
-    let v: Val = json::parse(status.as_bytes(), 1 << 20).unwrap();
+    let v: Value = json::parse(status.as_bytes(), 1 << 20).unwrap();
     assert!(v.is_object());
     Seen {
         cores: vec![("c1".into(), v)],
--- a/sorreldoor/tests/formats/main.rs
+++ b/sorreldoor/tests/formats/main.rs
@@ -49,8 +49,8 @@
     all.insert("state".into(), encode(&durable_state()));
     let (record, revision) = records();
     all.insert("record".into(), record.image());
-    all.insert("update-whole".into(), encode(&record.update_since(0)));
-    all.insert("update".into(), encode(&record.update_since(revision)));
+    all.insert("update-whole".into(), encode(&record.delta_since(0)));
+    all.insert("update".into(), encode(&record.delta_since(revision)));
     all
 }
 
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -97,53 +97,53 @@
     vec![
         Command::Put {
             base: 0,
-            to: Some(7),
-            doc: DOCUMENT.into(),
+            new_version: Some(7),
+            document: DOCUMENT.into(),
         },
-        Command::Edit {
+        Command::MergePatch {
             base: 7,
             patch: r#"{"routes":{"r":{"cutoff_ms":900}}}"#.into(),
         },
-        Command::Zone {
+        Command::EvacuateZone {
             base: 8,
             zone: 1,
             evacuated: true,
         },
-        Command::Duty {
+        Command::AcquireRole {
             holder: 11,
-            above: 0,
+            previous_epoch: 0,
         },
-        Command::Tune {
+        Command::SetWeights {
             epoch: 1,
             version: 9,
             weights: vec![(0, 0, 55)],
         },
-        Command::Region {
+        Command::SetRegion {
             epoch: 1,
             region: 1,
             state: Recovery::Returning(40),
         },
-        Command::Region {
+        Command::SetRegion {
             epoch: 1,
             region: 0,
             state: Recovery::Lost,
         },
-        Command::Region {
+        Command::SetRegion {
             epoch: 1,
             region: 0,
             state: Recovery::Served,
         },
-        Command::Items {
+        Command::ChangeItems {
             base: 9,
-            to: Some(10),
+            new_version: Some(10),
             set: r#"{"services":[{"name":"z"}]}"#.into(),
             drop: "{}".into(),
         },
-        Command::Evacuate {
+        Command::EvacuateUnversioned {
             zone: 0,
             evacuated: true,
         },
-        Command::EvacuateOnce {
+        Command::EvacuateIfUnchanged {
             zone: 0,
             evacuated: false,
             changes: 1,
@@ -153,14 +153,14 @@
 
 pub(super) fn outcomes() -> Vec<Outcome> {
     vec![
-        Outcome::Taken { version: 3 },
+        Outcome::Applied { version: 3 },
         Outcome::Stale { version: 3 },
-        Outcome::Bad {
+        Outcome::Invalid {
             faults: vec!["no such route".into()],
         },
-        Outcome::OldEpoch { epoch: 2 },
-        Outcome::NotYet { version: 3 },
-        Outcome::Unsure { version: 3 },
+        Outcome::StaleEpoch { epoch: 2 },
+        Outcome::BaseAhead { version: 3 },
+        Outcome::Unknown { version: 3 },
     ]
 }
 
@@ -179,7 +179,7 @@
 
 pub(super) fn payloads() -> Vec<Payload> {
     let (record, revision) = records();
-    let update = EncodedUpdate::new(&record.update_since(revision));
+    let update = EncodedUpdate::new(&record.delta_since(revision));
     let edge_status = EdgeStatus {
         version: 5,
         lease: true,
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -82,8 +82,8 @@
     };
     let cmd = Command::Put {
         base: 1,
-        to: None,
-        doc: "{}".into(),
+        new_version: None,
+        document: "{}".into(),
     };
     let (no, have, edge_status) = (4, KnownVersions::default(), EdgeStatus::default());
     let all = vec![("id".to_string(), 7u128); 3];
@@ -167,8 +167,8 @@
     let text = String::from_utf8(doc).unwrap();
     let put = Command::Put {
         base: 0,
-        to: None,
-        doc: text,
+        new_version: None,
+        document: text,
     };
     r.apply(1, 1, &encode(&put));
     let patch =
@@ -182,11 +182,11 @@
         let out = r.apply(
             2,
             u128::from(seed) + 10,
-            &encode(&Command::Edit { base, patch }),
+            &encode(&Command::MergePatch { base, patch }),
         );
         let out: Outcome = sorreldoor::replicated_state::decode(&out).expect("an outcome");
         match out {
-            Outcome::Taken { version } => {
+            Outcome::Applied { version } => {
                 assert_eq!((version, r.view().version), (base + 1, base + 1))
             }
             _ => assert_eq!(r.view(), before),
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -4,7 +4,7 @@
 use sorreldoor::configuration::hosted::Kind;
 use sorreldoor::configuration::{self, Configuration, Site};
 use sorreldoor::consensus::{Body, StateMachine};
-use sorreldoor::json::{self, Val};
+use sorreldoor::json::{self, Value};
 use sorreldoor::replicated_state::{decode, encode, Command, Outcome, ReplicatedState};
 use std::sync::Arc;
 
@@ -127,18 +127,22 @@
     }
     fn put(&mut self, base: u64, to: u64) -> Outcome {
         let (to, doc) = (Some(to), DOC.to_string());
-        self.act(Command::Put { base, to, doc })
+        self.act(Command::Put {
+            base,
+            new_version: to,
+            document: doc,
+        })
     }
     fn items(&mut self, base: u64, to: u64, set: &str, drop: &str) -> Outcome {
         let (to, set, drop) = (Some(to), set.to_string(), drop.to_string());
-        self.act(Command::Items {
+        self.act(Command::ChangeItems {
             base,
-            to,
+            new_version: to,
             set,
             drop,
         })
     }
-    fn hosted(&self) -> Val {
+    fn hosted(&self) -> Value {
         use simd_json::prelude::*;
         let d = self.0.view().doc.expect("there is a document");
         let v = json::parse(d.as_bytes(), usize::MAX).expect("it is JSON");
@@ -157,14 +161,18 @@
 #[test]
 fn a_given_serial_rises_by_what_was_given() {
     let mut r = Run::new();
-    assert_eq!(r.put(0, 7), Outcome::Taken { version: 7 });
+    assert_eq!(r.put(0, 7), Outcome::Applied { version: 7 });
     assert_eq!(r.put(0, 9), Outcome::Stale { version: 7 });
-    assert!(matches!(r.put(7, 7), Outcome::Bad { .. }));
-    assert!(matches!(r.put(7, 6), Outcome::Bad { .. }));
+    assert!(matches!(r.put(7, 7), Outcome::Invalid { .. }));
+    assert!(matches!(r.put(7, 6), Outcome::Invalid { .. }));
     assert_eq!(r.0.version(), 7);
     let (base, to, doc) = (7, None, DOC.to_string());
-    let o = r.act(Command::Put { base, to, doc });
-    assert_eq!(o, Outcome::Taken { version: 8 });
+    let o = r.act(Command::Put {
+        base,
+        new_version: to,
+        document: doc,
+    });
+    assert_eq!(o, Outcome::Applied { version: 8 });
     // a proposal without the field, as an older core wrote it, is read
     #[derive(serde::Serialize)]
     enum Old {
@@ -172,7 +180,13 @@
     }
     let doc = DOC.to_string();
     let b = encode(&Old::Put { base: 8, doc });
-    assert!(matches!(decode(&b), Some(Command::Put { to: None, .. })));
+    assert!(matches!(
+        decode(&b),
+        Some(Command::Put {
+            new_version: None,
+            ..
+        })
+    ));
 }
 
 /// All that was put comes back: fields not known here, the order of lists,
@@ -201,7 +215,7 @@
       "limits":{"idle_ms":99}}"#;
     let drop = r#"{"routes":["r1","none"]}"#;
     assert_eq!(r.items(6, 9, set, drop), Outcome::Stale { version: 7 });
-    assert_eq!(r.items(7, 9, set, drop), Outcome::Taken { version: 9 });
+    assert_eq!(r.items(7, 9, set, drop), Outcome::Applied { version: 9 });
     assert_eq!(r.names("routes"), ["r2", "r3", "new"]);
     assert_eq!(r.names("services"), ["s", "t"]);
     let s =
@@ -225,7 +239,7 @@
         ("[]", "{}"),
     ] {
         let o = r.items(9, 10, set, drop);
-        assert!(matches!(o, Outcome::Bad { .. }), "{set} {drop}: {o:?}");
+        assert!(matches!(o, Outcome::Invalid { .. }), "{set} {drop}: {o:?}");
     }
     assert_eq!(r.0.view(), was);
 }
@@ -235,16 +249,16 @@
     let mut r = Run::new();
     r.put(0, 7);
     let revision = r.0.revision();
-    let go = |zone, evacuated| Command::Evacuate { zone, evacuated };
-    assert_eq!(r.act(go(1, true)), Outcome::Taken { version: 7 });
+    let go = |zone, evacuated| Command::EvacuateUnversioned { zone, evacuated };
+    assert_eq!(r.act(go(1, true)), Outcome::Applied { version: 7 });
     assert_eq!(
         (r.0.view().evacuated, r.0.revision()),
         (vec![1], revision + 1)
     );
-    assert!(matches!(r.act(go(9, true)), Outcome::Bad { .. }));
-    assert_eq!(r.put(7, 8), Outcome::Taken { version: 8 });
+    assert!(matches!(r.act(go(9, true)), Outcome::Invalid { .. }));
+    assert_eq!(r.put(7, 8), Outcome::Applied { version: 8 });
     assert_eq!(r.0.view().evacuated, [1]);
-    assert_eq!(r.act(go(1, false)), Outcome::Taken { version: 8 });
+    assert_eq!(r.act(go(1, false)), Outcome::Applied { version: 8 });
     assert_eq!(r.0.view().evacuated, Vec::<u16>::new());
 }
 
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -131,7 +131,7 @@
         with(r#""split":[1]"#),
         beside(r#"{"name":"r","host":"i","prefix":"/","timeout_ms":5,"service":"s0"}"#),
         beside(r#"{"name":"t","host":"h","prefix":"/p/","timeout_ms":5,"service":"s0"}"#),
-        format!("\"{}\"", "x".repeat(configuration::MOST_BYTES)),
+        format!("\"{}\"", "x".repeat(configuration::MAX_BYTES)),
         r#"{"x":1,"x":2}"#.into(),
     ];
     for d in bad {
--- a/sorreldoor/tests/replicated_state.rs
+++ b/sorreldoor/tests/replicated_state.rs
@@ -3,7 +3,7 @@
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::StateMachine;
 use sorreldoor::replicated_state::{
-    decode, encode, Command, Outcome, Recovery, ReplicatedState, REMEMBERED_ORDERS,
+    decode, encode, Command, Outcome, Recovery, ReplicatedState, MAX_REMEMBERED_REQUESTS,
 };
 use std::sync::Arc;
 
@@ -32,8 +32,8 @@
         let doc = DOC.to_string();
         self.act(Command::Put {
             base,
-            to: None,
-            doc,
+            new_version: None,
+            document: doc,
         })
     }
 }
@@ -41,30 +41,33 @@
 #[test]
 fn a_stale_duty_holder_is_refused() {
     let mut r = Run::new();
-    assert_eq!(r.put(0), Outcome::Taken { version: 1 });
-    let duty = |holder, above| Command::Duty { holder, above };
-    assert_eq!(r.act(duty(7, 0)), Outcome::Taken { version: 1 });
+    assert_eq!(r.put(0), Outcome::Applied { version: 1 });
+    let duty = |holder, above| Command::AcquireRole {
+        holder,
+        previous_epoch: above,
+    };
+    assert_eq!(r.act(duty(7, 0)), Outcome::Applied { version: 1 });
     // of two that race for the same epoch the second loses
-    assert_eq!(r.act(duty(8, 0)), Outcome::OldEpoch { epoch: 1 });
-    assert_eq!(r.act(duty(8, 1)), Outcome::Taken { version: 1 });
-    let tune = |epoch, version| Command::Tune {
+    assert_eq!(r.act(duty(8, 0)), Outcome::StaleEpoch { epoch: 1 });
+    assert_eq!(r.act(duty(8, 1)), Outcome::Applied { version: 1 });
+    let tune = |epoch, version| Command::SetWeights {
         epoch,
         version,
         weights: vec![(0, 0, 99), (0, 1, 99)],
     };
-    assert_eq!(r.act(tune(1, 1)), Outcome::OldEpoch { epoch: 2 });
-    let lost = Command::Region {
+    assert_eq!(r.act(tune(1, 1)), Outcome::StaleEpoch { epoch: 2 });
+    let lost = Command::SetRegion {
         epoch: 1,
         region: 0,
         state: Recovery::Lost,
     };
-    assert_eq!(r.act(lost), Outcome::OldEpoch { epoch: 2 });
+    assert_eq!(r.act(lost), Outcome::StaleEpoch { epoch: 2 });
     assert_eq!(r.0.view().weights, vec![]);
     assert_eq!(r.act(tune(2, 0)), Outcome::Stale { version: 1 });
-    assert_eq!(r.act(tune(2, 1)), Outcome::Taken { version: 1 });
+    assert_eq!(r.act(tune(2, 1)), Outcome::Applied { version: 1 });
     // within the operator's bounds, and not at all where none are given
     assert_eq!(r.0.view().weights, vec![(0, 0, 60), (0, 1, 50)]);
-    assert_eq!(r.put(1), Outcome::Taken { version: 2 });
+    assert_eq!(r.put(1), Outcome::Applied { version: 2 });
     assert_eq!(r.0.view().weights, vec![]);
 }
 
@@ -73,7 +76,7 @@
     let mut r = Run::new();
     r.put(0);
     let (base, zone, evacuated) = (1, 1, true);
-    r.act(Command::Zone {
+    r.act(Command::EvacuateZone {
         base,
         zone,
         evacuated,
@@ -89,11 +92,11 @@
         1,
         &encode(&Command::Put {
             base: 0,
-            to: None,
-            doc: DOC.into(),
+            new_version: None,
+            document: DOC.into(),
         }),
     );
-    assert_eq!(decode(&again), Some(Outcome::Taken { version: 1 }));
+    assert_eq!(decode(&again), Some(Outcome::Applied { version: 1 }));
     assert_eq!(other.view(), r.0.view());
     assert!(!other.load(b"not an image"));
 }
@@ -105,7 +108,11 @@
 fn put(base: u64, to: u64) -> Command {
     let doc = DOC.to_string();
     let to = Some(to);
-    Command::Put { base, to, doc }
+    Command::Put {
+        base,
+        new_version: to,
+        document: doc,
+    }
 }
 
 #[test]
@@ -113,13 +120,22 @@
     let mut r = ReplicatedState::new(site());
     assert_eq!(
         apply(&mut r, 2, &put(7, 9)),
-        Outcome::NotYet { version: 0 },
+        Outcome::BaseAhead { version: 0 },
         "version 7 may still be on its way"
     );
     assert_eq!(r.answered(2), None, "nothing is kept of what was not taken");
-    assert_eq!(apply(&mut r, 1, &put(0, 7)), Outcome::Taken { version: 7 });
-    assert_eq!(apply(&mut r, 2, &put(7, 9)), Outcome::Taken { version: 9 });
-    assert_eq!(apply(&mut r, 2, &put(7, 9)), Outcome::Taken { version: 9 });
+    assert_eq!(
+        apply(&mut r, 1, &put(0, 7)),
+        Outcome::Applied { version: 7 }
+    );
+    assert_eq!(
+        apply(&mut r, 2, &put(7, 9)),
+        Outcome::Applied { version: 9 }
+    );
+    assert_eq!(
+        apply(&mut r, 2, &put(7, 9)),
+        Outcome::Applied { version: 9 }
+    );
     assert_eq!(r.version(), 9);
 }
 
@@ -131,22 +147,22 @@
     // lost its race; not above its base; faulty on its base
     let stale = put(5, 7);
     let low = put(6, 6);
-    let faulty = Command::Edit {
+    let faulty = Command::MergePatch {
         base: 6,
         patch: r#"{"services":null}"#.into(),
     };
     assert_eq!(apply(&mut r, 3, &stale), Outcome::Stale { version: 6 });
-    assert!(matches!(apply(&mut r, 4, &low), Outcome::Bad { .. }));
-    assert!(matches!(apply(&mut r, 5, &faulty), Outcome::Bad { .. }));
+    assert!(matches!(apply(&mut r, 4, &low), Outcome::Invalid { .. }));
+    assert!(matches!(apply(&mut r, 5, &faulty), Outcome::Invalid { .. }));
     for base in 6..40 {
         for (id, cmd) in [(3, &stale), (4, &low), (5, &faulty)] {
             let again = apply(&mut r, id, cmd);
-            let refused = matches!(again, Outcome::Stale { .. } | Outcome::Bad { .. });
+            let refused = matches!(again, Outcome::Stale { .. } | Outcome::Invalid { .. });
             assert!(refused, "{id} on {base}: {again:?}");
         }
         assert_eq!(r.version(), base, "a refused order changed the version");
         let next = apply(&mut r, 100 + u128::from(base), &put(base, base + 1));
-        assert_eq!(next, Outcome::Taken { version: base + 1 });
+        assert_eq!(next, Outcome::Applied { version: base + 1 });
     }
 }
 
@@ -154,15 +170,21 @@
 fn one_number_with_other_content_is_refused() {
     let mut r = ReplicatedState::new(site());
     apply(&mut r, 1, &put(0, 5));
-    assert_eq!(apply(&mut r, 2, &put(5, 7)), Outcome::Taken { version: 7 });
+    assert_eq!(
+        apply(&mut r, 2, &put(5, 7)),
+        Outcome::Applied { version: 7 }
+    );
     // another body has another id: same base and number, and it must lose
     assert_eq!(apply(&mut r, 3, &put(5, 7)), Outcome::Stale { version: 7 });
-    assert_eq!(apply(&mut r, 2, &put(5, 7)), Outcome::Taken { version: 7 });
+    assert_eq!(
+        apply(&mut r, 2, &put(5, 7)),
+        Outcome::Applied { version: 7 }
+    );
 }
 
 fn zone(base: u64) -> Command {
     let (zone, evacuated) = (0, base.is_multiple_of(2));
-    Command::Zone {
+    Command::EvacuateZone {
         base,
         zone,
         evacuated,
@@ -172,13 +194,13 @@
 #[test]
 fn a_taken_order_is_acknowledged_again_or_left_open_never_refused() {
     let mut r = ReplicatedState::new(site());
-    let limit = REMEMBERED_ORDERS as u64;
+    let limit = MAX_REMEMBERED_REQUESTS as u64;
     let all = limit + 300;
     for base in 0..all {
-        let taken = Outcome::Taken { version: base + 1 };
+        let taken = Outcome::Applied { version: base + 1 };
         assert_eq!(apply(&mut r, u128::from(base) + 1, &zone(base)), taken);
         // the duty's own proposals must not push operators' orders out
-        let tune = Command::Tune {
+        let tune = Command::SetWeights {
             epoch: 0,
             version: base + 1,
             weights: vec![],
@@ -192,9 +214,9 @@
         for base in 0..all {
             let again = apply(r, u128::from(base) + 1, &zone(base));
             let want = if base < 300 {
-                Outcome::Unsure { version: all }
+                Outcome::Unknown { version: all }
             } else {
-                Outcome::Taken { version: base + 1 }
+                Outcome::Applied { version: base + 1 }
             };
             assert_eq!(again, want, "order on {base}");
         }
@@ -211,7 +233,7 @@
 #[test]
 fn an_evacuation_held_up_until_after_its_end_has_no_effect() {
     let mut r = ReplicatedState::new(site());
-    let order = |evacuated, changes| Command::EvacuateOnce {
+    let order = |evacuated, changes| Command::EvacuateIfUnchanged {
         zone: 1,
         evacuated,
         changes,
@@ -219,25 +241,25 @@
     // two copies of one call, one held up at another core
     assert_eq!(
         apply(&mut r, 1, &order(true, 0)),
-        Outcome::Taken { version: 0 }
+        Outcome::Applied { version: 0 }
     );
     assert_eq!(
         apply(&mut r, 2, &order(true, 0)),
-        Outcome::Taken { version: 0 }
+        Outcome::Applied { version: 0 }
     );
     assert_eq!(
         apply(&mut r, 3, &order(false, 1)),
-        Outcome::Taken { version: 0 }
+        Outcome::Applied { version: 0 }
     );
     assert_eq!(
         apply(&mut r, 4, &order(true, 0)),
-        Outcome::Unsure { version: 0 }
+        Outcome::Unknown { version: 0 }
     );
     assert!(!r.evacuated(1), "a late copy emptied the zone again");
     // the same zone emptied anew is another call
     assert_eq!(
         apply(&mut r, 5, &order(true, 2)),
-        Outcome::Taken { version: 0 }
+        Outcome::Applied { version: 0 }
     );
     assert!(r.evacuated(1));
     let mut restored = ReplicatedState::new(site());
@@ -248,9 +270,12 @@
 /// The replicated state as the release before wrote it, as far as it matters.
 #[derive(serde::Serialize)]
 struct OldImage {
+    #[serde(rename = "rev")]
     revision: u64,
+    #[serde(rename = "serial")]
     version: u64,
     doc: Option<String>,
+    #[serde(rename = "emptied")]
     evacuated: Vec<u16>,
     weights: std::collections::BTreeMap<(u16, u16), u32>,
     regions: std::collections::BTreeMap<u8, Recovery>,
@@ -262,7 +287,7 @@
 
 #[test]
 fn taken_orders_of_the_release_before_are_taken_over() {
-    let taken = encode(&Outcome::Taken { version: 7 });
+    let taken = encode(&Outcome::Applied { version: 7 });
     let refused = encode(&Outcome::Stale { version: 7 });
     let old = OldImage {
         revision: 3,
@@ -278,7 +303,7 @@
     };
     let mut r = ReplicatedState::new(site());
     assert!(r.load(&encode(&old)));
-    assert_eq!(apply(&mut r, 1, &zone(0)), Outcome::Taken { version: 7 });
+    assert_eq!(apply(&mut r, 1, &zone(0)), Outcome::Applied { version: 7 });
     // refused there when 7 was not current yet
-    assert_eq!(apply(&mut r, 2, &zone(7)), Outcome::Taken { version: 8 });
+    assert_eq!(apply(&mut r, 2, &zone(7)), Outcome::Applied { version: 8 });
 }
--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -4,7 +4,7 @@
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::consensus::StateMachine;
 use sorreldoor::replicated_state::{
-    decode, encode, Command, Copy, Outcome, ReplicatedState, Update,
+    decode, encode, Command, Outcome, ReplicatedState, StateReplica, StateUpdate,
 };
 use sorreldoor::wire::EncodedUpdate;
 use std::collections::BTreeMap;
@@ -82,16 +82,16 @@
         let base = self.record.version();
         self.act(Command::Put {
             base,
-            to: None,
-            doc,
+            new_version: None,
+            document: doc,
         })
     }
 
     fn items(&mut self, set: String, drop: String) -> Outcome {
         let base = self.record.version();
-        self.act(Command::Items {
+        self.act(Command::ChangeItems {
             base,
-            to: None,
+            new_version: None,
             set,
             drop,
         })
@@ -122,7 +122,7 @@
             1 => {
                 let zone = random.below(3) as u16;
                 let evacuated = random.below(2) == 0;
-                self.act(Command::Evacuate { zone, evacuated });
+                self.act(Command::EvacuateUnversioned { zone, evacuated });
             }
             2 => {
                 let set = format!(r#"{{"services":[{}]}}"#, service(name(random) % 4, salt));
@@ -181,21 +181,21 @@
 /// A node that may be told now and then only.
 #[derive(Default)]
 struct Edge {
-    copy: Copy,
+    copy: StateReplica,
     hosted: Arc<Hosted>,
     revision: u64,
 }
 
 impl Edge {
-    fn take(&mut self, update: &Update) {
+    fn take(&mut self, update: &StateUpdate) {
         assert!(
             self.copy.apply(update),
             "from {} to {}",
-            update.from,
+            update.from_revision,
             update.revision
         );
         if let Some(changes) = &update.document {
-            let old = match update.from {
+            let old = match update.from_revision {
                 0 => Arc::default(),
                 _ => self.hosted.clone(),
             };
@@ -227,7 +227,7 @@
                 core.record = other;
             }
             let edge = &mut edges[random.below(4) as usize];
-            let update = core.record.update_since(edge.revision);
+            let update = core.record.delta_since(edge.revision);
             edge.take(&update);
             assert_eq!(
                 edge.copy.view(),
@@ -248,8 +248,8 @@
         let mut core = Core::new();
         core.put(with_routes(routes));
         let have = core.record.revision();
-        assert_eq!(core.one_route(3, 77), Outcome::Taken { version: 2 });
-        EncodedUpdate::new(&core.record.update_since(have))
+        assert_eq!(core.one_route(3, 77), Outcome::Applied { version: 2 });
+        EncodedUpdate::new(&core.record.delta_since(have))
             .bytes
             .len()
     };
@@ -272,9 +272,9 @@
     routes.remove(7);
     routes.push(route(2000, 0, 1));
     core.put(document(&routes, &[service(0, 1)], 50));
-    let update = core.record.update_since(have);
+    let update = core.record.delta_since(have);
     let changes = update.document.expect("a document");
-    assert_eq!((update.from, changes.routes.set.len()), (have, 2));
+    assert_eq!((update.from_revision, changes.routes.set.len()), (have, 2));
     assert_eq!(changes.routes.deleted, vec!["r7".into()]);
     assert!(changes.rest.is_none() && changes.services.set.is_empty());
 }
@@ -297,10 +297,10 @@
         );
     }
     let mut edge = Edge::default();
-    edge.take(&core.record.update_since(0));
-    assert_eq!(core.record.update_since(have).from, 0);
+    edge.take(&core.record.delta_since(0));
+    assert_eq!(core.record.delta_since(have).from_revision, 0);
     let near = core.record.revision() - 1;
-    assert_eq!(core.record.update_since(near).from, near);
+    assert_eq!(core.record.delta_since(near).from_revision, near);
     assert!(core.record.image().len() < 200_000);
     assert_eq!(edge.copy.view(), core.record.view());
 }
@@ -311,10 +311,10 @@
     let mut core = Core::new();
     core.put(with_routes(5));
     core.one_route(1, 5);
-    let mut copy = Copy::default();
-    assert!(!copy.apply(&core.record.update_since(1)));
-    assert_eq!(copy.view(), Copy::default().view());
-    assert!(copy.apply(&core.record.update_since(0)));
+    let mut copy = StateReplica::default();
+    assert!(!copy.apply(&core.record.delta_since(1)));
+    assert_eq!(copy.view(), StateReplica::default().view());
+    assert!(copy.apply(&core.record.delta_since(0)));
 }
 
 /// An image of the release before holds the document as one text.
@@ -322,9 +322,12 @@
 fn an_older_image_is_read() {
     #[derive(serde::Serialize)]
     struct Older {
+        #[serde(rename = "rev")]
         revision: u64,
+        #[serde(rename = "serial")]
         version: u64,
         doc: Option<Arc<String>>,
+        #[serde(rename = "emptied")]
         evacuated: Vec<u16>,
         weights: BTreeMap<(u16, u16), u32>,
         regions: BTreeMap<u8, u8>,
@@ -351,8 +354,8 @@
     assert_eq!(hosted_of(&core.record).routes.len(), 20);
     // what is told of it is told whole to whoever is behind it
     let mut edge = Edge::default();
-    edge.take(&core.record.update_since(0));
+    edge.take(&core.record.delta_since(0));
     core.one_route(3, 5);
-    edge.take(&core.record.update_since(9));
+    edge.take(&core.record.delta_since(9));
     assert_eq!(edge.copy.view(), core.record.view());
 }
--- a/sorreldoor/tests/updates/costs.rs
+++ b/sorreldoor/tests/updates/costs.rs
@@ -20,14 +20,14 @@
         let doc = with_routes(routes);
         core.put(doc.clone());
         let mut edge = Edge::default();
-        let whole = EncodedUpdate::new(&core.record.update_since(0));
+        let whole = EncodedUpdate::new(&core.record.delta_since(0));
         let update = whole.update().expect("it can be read");
         let (take_whole, ()) = timed(|| edge.take(&update));
         let (read_document, read) = timed(|| configuration::read(doc.as_bytes(), &super::site()));
         assert!(read.is_ok());
         let have = core.record.revision();
         let (edit, _) = timed(|| core.one_route(3, 77));
-        let (encode, difference) = timed(|| EncodedUpdate::new(&core.record.update_since(have)));
+        let (encode, difference) = timed(|| EncodedUpdate::new(&core.record.delta_since(have)));
         let update = difference.update().expect("it can be read");
         let (take, ()) = timed(|| edge.take(&update));
         assert_eq!(edge.copy.view(), core.record.view());
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -8,7 +8,7 @@
 use async_std::task;
 use simd_json::prelude::*;
 use sorreldoor::http::{self, Broke, Call, Called};
-use sorreldoor::json::{self, Val};
+use sorreldoor::json::{self, Value};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -175,10 +175,10 @@
 
     pub(crate) fn write(&self, i: usize, seeds: &[SocketAddr], reach: &[(SocketAddr, SocketAddr)]) {
         let n = &self.nodes[i];
-        let mut v = Val::object();
-        let mut regions = Val::object();
+        let mut v = Value::object();
+        let mut regions = Value::object();
         for (r, zs, _) in &self.preset.regions {
-            let zs: Vec<Val> = zs.iter().map(|z| Val::from(*z)).collect();
+            let zs: Vec<Value> = zs.iter().map(|z| Value::from(*z)).collect();
             let _ = regions.insert(*r, zs);
         }
         let _ = v.insert("site", self.preset.site);
@@ -187,10 +187,10 @@
         let _ = v.insert("node", n.name.as_str());
         let _ = v.insert("zone", n.zone.as_str());
         let _ = v.insert("http", n.http.to_string());
-        let seeds: Vec<Val> = seeds.iter().map(|s| Val::from(s.to_string())).collect();
+        let seeds: Vec<Value> = seeds.iter().map(|s| Value::from(s.to_string())).collect();
         let _ = v.insert("seeds", seeds);
         let _ = v.insert("platform", self.platform.addr.to_string());
-        let mut m = Val::object();
+        let mut m = Value::object();
         for (a, b) in reach {
             let _ = m.insert(a.to_string(), b.to_string());
         }
@@ -226,7 +226,7 @@
         task::block_on(http::call(self.nodes[i].http, c, 64 << 20, within))
     }
 
-    pub fn get(&self, i: usize, path: &str) -> Option<(u16, Val)> {
+    pub fn get(&self, i: usize, path: &str) -> Option<(u16, Value)> {
         let c = self.call(i, Call::get(path), Duration::from_secs(5)).ok()?;
         Some((
             c.status,
--- a/testbed/src/hollow/core.rs
+++ b/testbed/src/hollow/core.rs
@@ -200,8 +200,8 @@
             let doc = given::configuration(&self.size);
             Command::Put {
                 base,
-                doc,
-                to: None,
+                document: doc,
+                new_version: None,
             }
         } else {
             given::edit(&self.size, base, &mut self.rng)
@@ -224,13 +224,13 @@
             return;
         };
         match o {
-            OpOutcome::Got(Outcome::Taken { version }) => {
+            OpOutcome::Got(Outcome::Applied { version }) => {
                 self.acked.push(self.now - self.pending[i].since);
                 self.pending[i].version = Some(version);
                 self.everywhere();
             }
             // a faulty setup stays faulty; the report shows it as missing
-            OpOutcome::Got(Outcome::Bad { .. }) => {
+            OpOutcome::Got(Outcome::Invalid { .. }) => {
                 self.pending.remove(i);
             }
             _ => {
--- a/testbed/src/hollow/given.rs
+++ b/testbed/src/hollow/given.rs
@@ -61,7 +61,7 @@
         route(i),
         model(i)
     );
-    Command::Edit { base, patch }
+    Command::MergePatch { base, patch }
 }
 
 pub fn worker(i: usize) -> String {
--- a/testbed/src/platform.rs
+++ b/testbed/src/platform.rs
@@ -7,7 +7,7 @@
 use http_types::{Method, Request, Response, StatusCode};
 use simd_json::prelude::*;
 use sorreldoor::http;
-use sorreldoor::json::Val;
+use sorreldoor::json::Value;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
@@ -57,11 +57,11 @@
         return Response::new(StatusCode::NotFound);
     }
     let l = locked(&list);
-    let rows: Vec<Val> = l
+    let rows: Vec<Value> = l
         .rows
         .iter()
         .map(|r| {
-            let mut v = Val::object();
+            let mut v = Value::object();
             let _ = v.insert("name", r.name.as_str());
             let _ = v.insert("addr", r.addr.to_string());
             let _ = v.insert("group", r.group.as_str());
@@ -70,7 +70,7 @@
             v
         })
         .collect();
-    let mut v = Val::object();
+    let mut v = Value::object();
     let _ = v.insert("serial", l.version);
     let _ = v.insert("workers", rows);
     http::ok(v)
--- a/testbed/src/sim/askers.rs
+++ b/testbed/src/sim/askers.rs
@@ -34,13 +34,13 @@
 
 impl Op {
     pub fn took(&self) -> bool {
-        matches!(self.done, Done::Got(Outcome::Taken { .. }))
+        matches!(self.done, Done::Got(Outcome::Applied { .. }))
     }
 
     /// The serial that this op lets its asker know of.
     pub fn shows(&self) -> Option<u64> {
         match &self.done {
-            Done::Got(Outcome::Taken { version } | Outcome::Stale { version }) => Some(*version),
+            Done::Got(Outcome::Applied { version } | Outcome::Stale { version }) => Some(*version),
             Done::Saw(s) => Some(*s),
             _ => None,
         }
@@ -66,7 +66,7 @@
     pub fn change(&mut self, at: usize, base: u64) -> ProposalId {
         let proposal_id = self.begin(at, Act::Change { base });
         let zone = (proposal_id % self.site.zones.len() as ProposalId) as u16;
-        let cmd = Command::Zone {
+        let cmd = Command::EvacuateZone {
             base,
             zone,
             evacuated: proposal_id.is_multiple_of(2),
@@ -90,7 +90,7 @@
         op.many = true;
         let Act::Change { base } = op.act else { return };
         let zone = (proposal_id % self.site.zones.len() as ProposalId) as u16;
-        let cmd = Command::Zone {
+        let cmd = Command::EvacuateZone {
             base,
             zone,
             evacuated: proposal_id.is_multiple_of(2),
--- a/testbed/src/sim/check.rs
+++ b/testbed/src/sim/check.rs
@@ -43,7 +43,7 @@
 fn changes(s: &Sim, w: &mut Vec<String>) {
     let mut won: BTreeMap<u64, ProposalId> = BTreeMap::new();
     for o in &s.ops {
-        let (Act::Change { base }, Done::Got(Outcome::Taken { version })) = (&o.act, &o.done)
+        let (Act::Change { base }, Done::Got(Outcome::Applied { version })) = (&o.act, &o.done)
         else {
             continue;
         };
--- a/testbed/src/site/check.rs
+++ b/testbed/src/site/check.rs
@@ -46,7 +46,7 @@
     w.changes
         .iter()
         .filter_map(|c| match &c.outcome {
-            Some(OpOutcome::Got(Outcome::Taken { version })) => Some((c.end, *version, c.zone)),
+            Some(OpOutcome::Got(Outcome::Applied { version })) => Some((c.end, *version, c.zone)),
             _ => None,
         })
         .collect()
@@ -130,7 +130,7 @@
 fn races(w: &World, out: &mut Vec<String>) {
     let mut won: BTreeMap<u64, u64> = BTreeMap::new();
     for c in &w.changes {
-        if let Some(OpOutcome::Got(Outcome::Taken { version })) = &c.outcome {
+        if let Some(OpOutcome::Got(Outcome::Applied { version })) = &c.outcome {
             if *version != c.base + 1 {
                 out.push(format!("a change on {} was taken as {version}", c.base));
             }
--- a/testbed/src/site/docs.rs
+++ b/testbed/src/site/docs.rs
@@ -161,18 +161,18 @@
                 let doc = spoilt(&mut self.rng, &doc);
                 Command::Put {
                     base,
-                    to: None,
-                    doc,
+                    new_version: None,
+                    document: doc,
                 }
             }
             2..=5 => Command::Put {
                 base,
-                to: None,
-                doc,
+                new_version: None,
+                document: doc,
             },
             _ => {
                 let patch = any_patch(&mut self.rng, mark);
-                Command::Edit { base, patch }
+                Command::MergePatch { base, patch }
             }
         };
         let rival = self.rng.chance(25);
@@ -184,8 +184,8 @@
                 q,
                 Command::Put {
                     base,
-                    to: None,
-                    doc,
+                    new_version: None,
+                    document: doc,
                 },
             );
         }
--- a/testbed/src/site/faults.rs
+++ b/testbed/src/site/faults.rs
@@ -147,7 +147,7 @@
         if let Some(base) = version {
             self.change(
                 p,
-                Command::Zone {
+                Command::EvacuateZone {
                     base,
                     zone,
                     evacuated,
--- a/testbed/src/site/history.rs
+++ b/testbed/src/site/history.rs
@@ -4,7 +4,7 @@
 
 use super::{Handed, World};
 use simd_json::prelude::*;
-use sorreldoor::json::{self, Val};
+use sorreldoor::json::{self, Value};
 use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
@@ -13,19 +13,19 @@
 pub struct History {
     /// The documents that a serial may stand for: one, or a few where the
     /// outcome of a change is not known.
-    may: BTreeMap<u64, Vec<Rc<Val>>>,
-    read: std::cell::RefCell<BTreeMap<usize, Rc<Val>>>,
+    may: BTreeMap<u64, Vec<Rc<Value>>>,
+    read: std::cell::RefCell<BTreeMap<usize, Rc<Value>>>,
 }
 
 /// RFC 7396, written again for the check.
-fn patched(of: &Val, patch: &Val) -> Val {
+fn patched(of: &Value, patch: &Value) -> Value {
     let Some(p) = patch.as_object() else {
         return patch.clone();
     };
     let mut out = if of.is_object() {
         of.clone()
     } else {
-        Val::object()
+        Value::object()
     };
     for (k, v) in p.iter() {
         if v.is_null() {
@@ -38,11 +38,11 @@
     out
 }
 
-fn after(cmd: &Command, of: &Option<Rc<Val>>) -> Option<Rc<Val>> {
+fn after(cmd: &Command, of: &Option<Rc<Value>>) -> Option<Rc<Value>> {
     let parse = |t: &str| json::parse(t.as_bytes(), usize::MAX).ok();
     match cmd {
-        Command::Put { doc, .. } => parse(doc).map(Rc::new),
-        Command::Edit { patch, .. } => of
+        Command::Put { document: doc, .. } => parse(doc).map(Rc::new),
+        Command::MergePatch { patch, .. } => of
             .as_ref()
             .zip(parse(patch))
             .map(|(o, p)| Rc::new(patched(o, &p))),
@@ -52,10 +52,10 @@
 
 impl History {
     pub fn of(w: &World) -> History {
-        let mut may: BTreeMap<u64, Vec<Rc<Val>>> = BTreeMap::new();
+        let mut may: BTreeMap<u64, Vec<Rc<Value>>> = BTreeMap::new();
         let top = w.changes.iter().map(|c| c.base + 1).max().unwrap_or(0);
         for s in 1..=top {
-            let taken = OpOutcome::Got(Outcome::Taken { version: s });
+            let taken = OpOutcome::Got(Outcome::Applied { version: s });
             let sure: Vec<&Command> = w
                 .changes
                 .iter()
@@ -70,12 +70,12 @@
                 .map(|c| &c.cmd)
                 .collect();
             let from = may.get(&(s - 1)).cloned().unwrap_or_default();
-            let olds: Vec<Option<Rc<Val>>> = if from.is_empty() {
+            let olds: Vec<Option<Rc<Value>>> = if from.is_empty() {
                 vec![None]
             } else {
                 from.into_iter().map(Some).collect()
             };
-            let mut out: Vec<Rc<Val>> = Vec::new();
+            let mut out: Vec<Rc<Value>> = Vec::new();
             for c in if sure.is_empty() { maybe } else { sure } {
                 for d in olds.iter().filter_map(|o| after(c, o)) {
                     if !out.contains(&d) {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn text(&self, doc: &std::sync::Arc<String>) -> Rc<Val> {
+    fn text(&self, doc: &std::sync::Arc<String>) -> Rc<Value> {
         let at = std::sync::Arc::as_ptr(doc) as usize;
         self.read
             .borrow_mut()
@@ -101,7 +101,7 @@
     }
 
     /// The document that an edge acted on.
-    pub fn doc(&self, h: &Handed) -> Rc<Val> {
+    pub fn doc(&self, h: &Handed) -> Rc<Value> {
         self.text(&h.doc)
     }
 
@@ -114,7 +114,7 @@
     }
 }
 
-pub fn flag(doc: &Val, route: &str, key: &str) -> bool {
+pub fn flag(doc: &Value, route: &str, key: &str) -> bool {
     let r = doc.get("routes").and_then(|r| r.get(route));
     r.and_then(|r| r.get(key)).and_then(|b| b.as_bool()) == Some(true)
 }
@@ -123,7 +123,7 @@
 /// home `home`, go to a worker of `group` in region `to`.
 pub fn allows(
     w: &World,
-    doc: &Val,
+    doc: &Value,
     route: &str,
     group: &str,
     (from, to): (u8, u8),
--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -304,8 +304,8 @@
         let base = 0;
         let cmd = sorreldoor::replicated_state::Command::Put {
             base,
-            to: None,
-            doc: doc.to_string(),
+            new_version: None,
+            document: doc.to_string(),
         };
         let at = w.cores()[0];
         let c = w.change(at, cmd);
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -28,10 +28,10 @@
         let request_id = self.number();
         let proposal_id = u128::from(request_id) + (1 << 80);
         let (base, zone) = match &cmd {
-            Command::Put { base, .. } | Command::Edit { base, .. } => (*base, None),
-            Command::Items { base, .. } => (*base, None),
-            Command::Evacuate { zone, evacuated } => (0, Some((*zone, *evacuated))),
-            Command::Zone {
+            Command::Put { base, .. } | Command::MergePatch { base, .. } => (*base, None),
+            Command::ChangeItems { base, .. } => (*base, None),
+            Command::EvacuateUnversioned { zone, evacuated } => (0, Some((*zone, *evacuated))),
+            Command::EvacuateZone {
                 base,
                 zone,
                 evacuated,
--- a/testbed/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -80,7 +80,7 @@
         let all = self.sendings.iter().filter_map(|s| s.answer.as_ref());
         let (mut taken, mut refused) = (0, 0);
         for (_, outcome) in all.clone() {
-            taken += usize::from(matches!(outcome, OpOutcome::Got(Outcome::Taken { .. })));
+            taken += usize::from(matches!(outcome, OpOutcome::Got(Outcome::Applied { .. })));
             refused += usize::from(matches!(outcome, OpOutcome::Got(Outcome::Stale { .. })));
         }
         (taken, refused, self.sendings.len() - taken - refused)
@@ -100,8 +100,8 @@
     fn operation(&self, s: &Sending) -> Operation {
         let order = &self.all[s.order];
         let clear = s.answer.as_ref().and_then(|(at, o)| match o {
-            OpOutcome::Got(Outcome::Taken { version }) => Some((*at, Answer::Taken(*version))),
-            OpOutcome::Got(Outcome::Stale { .. } | Outcome::Bad { .. }) => {
+            OpOutcome::Got(Outcome::Applied { version }) => Some((*at, Answer::Taken(*version))),
+            OpOutcome::Got(Outcome::Stale { .. } | Outcome::Invalid { .. }) => {
                 Some((*at, Answer::Refused))
             }
             _ => None,
@@ -169,7 +169,11 @@
             base,
             version,
             mark,
-            cmd: Command::Put { base, to, doc },
+            cmd: Command::Put {
+                base,
+                new_version: to,
+                document: doc,
+            },
             since: self.now,
             done: false,
         });
@@ -260,7 +264,7 @@
         let s = &mut self.orders.sendings[sending];
         s.answer = Some((now, outcome.clone()));
         let p = s.process;
-        let taken = matches!(outcome, OpOutcome::Got(Outcome::Taken { .. }));
+        let taken = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
         if taken && self.procs[p].core && self.rng.chance(self.trouble.killed) {
             // dead as it acknowledges; whether the answer got out is open
             self.after(0, move |w| w.crash_for_a_while(p));
@@ -293,7 +297,7 @@
         let s = &mut self.orders.sendings[sending];
         let order = s.order;
         match outcome {
-            Outcome::Taken { version } => {
+            Outcome::Applied { version } => {
                 self.orders.known = self.orders.known.max(version);
                 if self.rng.chance(self.trouble.repeated) {
                     let later = self.rng.below(8000);
@@ -301,7 +305,7 @@
                 }
             }
             Outcome::Stale { version } => self.orders.known = self.orders.known.max(version),
-            Outcome::Bad { .. } => {}
+            Outcome::Invalid { .. } => {}
             _ => return,
         }
         self.orders.sendings[sending].heard = true;
--- a/testbed/src/stand.rs
+++ b/testbed/src/stand.rs
@@ -9,7 +9,7 @@
 use http_types::{Body, Method, Request, Response, StatusCode};
 use simd_json::prelude::*;
 use sorreldoor::http::{self, Peer};
-use sorreldoor::json::{self, Val};
+use sorreldoor::json::{self, Value};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -176,21 +176,21 @@
 
 fn load(w: &Inner) -> Response {
     let b = locked(&w.book);
-    let mut v = Val::object();
+    let mut v = Value::object();
     let _ = v.insert("worker", w.make.name.as_str());
     let _ = v.insert("running", b.running);
     let _ = v.insert("queued", b.queued);
     let _ = v.insert("slots", w.make.slots);
     let _ = v.insert("finished", b.finished);
-    let _ = v.insert("adapters", Vec::<Val>::new());
+    let _ = v.insert("adapters", Vec::<Value>::new());
     let _ = v.insert("weights", "stand-in-1");
     http::ok(v)
 }
 
 fn log(w: &Inner) -> Response {
     let b = locked(&w.book);
-    let mut v = Val::object();
-    let ran: Vec<Val> = b.ran.iter().map(|s| Val::from(s.as_str())).collect();
+    let mut v = Value::object();
+    let ran: Vec<Value> = b.ran.iter().map(|s| Value::from(s.as_str())).collect();
     let _ = v.insert("ran", ran);
     let _ = v.insert("hits", b.hits);
     let _ = v.insert("misses", b.misses);
@@ -284,7 +284,7 @@
         return stream(w, slot, id, named, events, fault);
     }
     task::sleep(Duration::from_millis(w.make.decode_ms)).await;
-    let mut v = Val::object();
+    let mut v = Value::object();
     let _ = v.insert("errand", id);
     let _ = v.insert("worker", w.make.name.as_str());
     let _ = v.insert(
@@ -347,7 +347,7 @@
             if f == Fault::SkipEvent && i == 1 {
                 continue;
             }
-            let mut v = Val::object();
+            let mut v = Value::object();
             let _ = v.insert("seq", i);
             let _ = v.insert("errand", id.as_str());
             let _ = v.insert("text", format!("{} event {i}", w.make.name));
--- a/testbed/src/tricks.rs
+++ b/testbed/src/tricks.rs
@@ -4,7 +4,7 @@
 use crate::stand::locked;
 use simd_json::prelude::*;
 use sorreldoor::consensus::Save;
-use sorreldoor::json::{self, Val};
+use sorreldoor::json::{self, Value};
 use sorreldoor::runtime::{Clock, Now, SystemClock};
 use sorreldoor::settings::{Over, Role, Settings};
 use sorreldoor::store::Store;
@@ -19,18 +19,18 @@
 #[derive(Clone)]
 pub struct Tricks {
     file: PathBuf,
-    last: Arc<Mutex<(Option<Instant>, Val)>>,
+    last: Arc<Mutex<(Option<Instant>, Value)>>,
 }
 
 impl Tricks {
     pub fn new(file: &Path) -> Tricks {
         Tricks {
             file: file.to_path_buf(),
-            last: Arc::new(Mutex::new((None, Val::default()))),
+            last: Arc::new(Mutex::new((None, Value::default()))),
         }
     }
 
-    fn get(&self, key: &str) -> Option<Val> {
+    fn get(&self, key: &str) -> Option<Value> {
         let mut l = locked(&self.last);
         if l.0.is_none_or(|t| t.elapsed() > Duration::from_millis(30)) {
             let text = std::fs::read(&self.file).unwrap_or_default();
--- a/testbed/tests/catch_up/bounds.rs
+++ b/testbed/tests/catch_up/bounds.rs
@@ -154,8 +154,8 @@
             base,
             &Command::Put {
                 base,
-                to: None,
-                doc,
+                new_version: None,
+                document: doc,
             },
         );
         storm(&mut s, 3000);
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -58,8 +58,8 @@
         base,
         &Command::Put {
             base,
-            to: None,
-            doc,
+            new_version: None,
+            document: doc,
         },
     );
     let end = s.now + 20_000;
--- a/testbed/tests/large_config.rs
+++ b/testbed/tests/large_config.rs
@@ -5,7 +5,7 @@
 use sorreldoor::consensus::StateMachine;
 use sorreldoor::control_plane::updates::{Due, Updates, MAX_IN_FLIGHT};
 use sorreldoor::invariants::{break_only, Invariant};
-use sorreldoor::replicated_state::{encode, Command, Copy, ReplicatedState};
+use sorreldoor::replicated_state::{encode, Command, ReplicatedState, StateReplica};
 use sorreldoor::wire::EncodedUpdate;
 use std::sync::Arc;
 
@@ -19,8 +19,8 @@
         1,
         Command::Put {
             base: 0,
-            to: None,
-            doc,
+            new_version: None,
+            document: doc,
         },
     );
     assert_eq!(record.version(), 1, "the document is taken");
@@ -41,9 +41,9 @@
     apply(
         record,
         n,
-        Command::Items {
+        Command::ChangeItems {
             base,
-            to: None,
+            new_version: None,
             set,
             drop,
         },
@@ -59,7 +59,7 @@
         &format!(r#"{{"routes":[{}]}}"#, route(9000)),
         "{}",
     );
-    EncodedUpdate::new(&record.update_since(have)).bytes.len()
+    EncodedUpdate::new(&record.delta_since(have)).bytes.len()
 }
 
 /// Without differences a change costs what the configuration does.
@@ -70,13 +70,13 @@
     assert!(bytes_of_a_change(5000) > 20 * bytes_of_a_change(100));
 }
 
-fn copy_after_a_deletion() -> (Copy, ReplicatedState) {
+fn copy_after_a_deletion() -> (StateReplica, ReplicatedState) {
     let mut record = record(10);
-    let mut copy = Copy::default();
-    assert!(copy.apply(&record.update_since(0)));
+    let mut copy = StateReplica::default();
+    assert!(copy.apply(&record.delta_since(0)));
     let have = record.revision();
     items(&mut record, 2, "{}", r#"{"routes":["r3"]}"#);
-    assert!(copy.apply(&record.update_since(have)));
+    assert!(copy.apply(&record.delta_since(have)));
     (copy, record)
 }
 
--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -38,7 +38,7 @@
         w.freeze(sleeper, 4000, seed % 3 == 0);
         let c = w.change(
             at,
-            Command::Zone {
+            Command::EvacuateZone {
                 base: 1,
                 zone,
                 evacuated: true,
@@ -46,7 +46,7 @@
         );
         w.run_for(9000);
         assert!(w.changes[c].outcome.is_some());
-        let back = Command::Zone {
+        let back = Command::EvacuateZone {
             base: 2,
             zone,
             evacuated: false,
@@ -79,7 +79,7 @@
         let at = w.edges()[0];
         let p = w.change(
             at,
-            Command::Zone {
+            Command::EvacuateZone {
                 base: 1,
                 zone: 0,
                 evacuated: true,
@@ -105,7 +105,7 @@
             let zone = w.rng.below(3) as u16;
             w.change(
                 p,
-                Command::Zone {
+                Command::EvacuateZone {
                     base: 1 + i,
                     zone,
                     evacuated: i % 2 == 0,
@@ -152,7 +152,7 @@
             for _ in 0..3 {
                 let p = w.rng.below(w.procs.len() as u64) as usize;
                 let zone = w.rng.below(3) as u16;
-                let cmd = Command::Zone {
+                let cmd = Command::EvacuateZone {
                     base: version,
                     zone,
                     evacuated: false,
@@ -192,7 +192,7 @@
             w.after(i * 150, move |w| {
                 let version = w.controller(p).and_then(|h| h.consensus.as_ref());
                 let base = version.map_or(0, |a| a.machine().version());
-                let cmd = Command::Zone {
+                let cmd = Command::EvacuateZone {
                     base,
                     zone: 0,
                     evacuated: false,
--- a/testbed/tests/site/configurations.rs
+++ b/testbed/tests/site/configurations.rs
@@ -31,8 +31,8 @@
     let mut n = BTreeMap::new();
     for c in &w.changes {
         let k = match &c.outcome {
-            Some(OpOutcome::Got(Outcome::Taken { .. })) => "taken",
-            Some(OpOutcome::Got(Outcome::Bad { .. })) => "faulty",
+            Some(OpOutcome::Got(Outcome::Applied { .. })) => "taken",
+            Some(OpOutcome::Got(Outcome::Invalid { .. })) => "faulty",
             Some(OpOutcome::Got(Outcome::Stale { .. })) => "stale",
             Some(OpOutcome::NotTaken) => "not taken",
             _ => "unknown",
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -217,7 +217,7 @@
         let (base, zone, evacuated) = (top(&w), 0, false);
         let c = w.change(
             cut_off,
-            Command::Zone {
+            Command::EvacuateZone {
                 base,
                 zone,
                 evacuated,
--- a/testbed/tests/site/freshness/watch.rs
+++ b/testbed/tests/site/freshness/watch.rs
@@ -32,7 +32,7 @@
 /// An operator gives an order to a core, at first or again.
 pub(super) fn send(w: &mut World, core: usize, base: u64, proposal_id: ProposalId) {
     let (zone, evacuated) = (0, false);
-    let cmd = Command::Zone {
+    let cmd = Command::EvacuateZone {
         base,
         zone,
         evacuated,
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -80,13 +80,13 @@
         at,
         Command::Put {
             base,
-            to: None,
-            doc,
+            new_version: None,
+            document: doc,
         },
     );
     let end = w.now + 10_000;
     w.run_until(end, |w| w.changes[c].outcome.is_some());
-    let taken = Outcome::Taken { version: base + 1 };
+    let taken = Outcome::Applied { version: base + 1 };
     w.changes[c].outcome == Some(OpOutcome::Got(taken))
 }
 
--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -45,7 +45,7 @@
     let (base, zone, evacuated) = (1, 0, true);
     w.change(
         at,
-        Command::Zone {
+        Command::EvacuateZone {
             base,
             zone,
             evacuated,
@@ -76,7 +76,7 @@
         let (base, zone, evacuated) = (1, 0, true);
         w.change(
             at,
-            Command::Zone {
+            Command::EvacuateZone {
                 base,
                 zone,
                 evacuated,
@@ -226,8 +226,8 @@
                 p,
                 Command::Put {
                     base,
-                    to: None,
-                    doc,
+                    new_version: None,
+                    document: doc,
                 },
             );
         }
@@ -311,12 +311,12 @@
     let (base, zone, evacuated) = (8, 0, false);
     let c = w.change(
         at,
-        Command::Zone {
+        Command::EvacuateZone {
             base,
             zone,
             evacuated,
         },
     );
-    w.changes[c].outcome = Some(OpOutcome::Got(Outcome::Taken { version: 9 }));
+    w.changes[c].outcome = Some(OpOutcome::Got(Outcome::Applied { version: 9 }));
     assert!(w.kept().iter().any(|s| s.contains("9 was acked")));
 }
--- a/testbed/tests/site/orders.rs
+++ b/testbed/tests/site/orders.rs
@@ -187,7 +187,7 @@
     let leader = w.leader().unwrap_or(0);
     let cut = w.cores().into_iter().find(|c| *c != leader).unwrap_or(1);
     let others: Vec<usize> = w.cores().into_iter().filter(|c| *c != cut).collect();
-    let order = |evacuated| Command::Evacuate { zone: 0, evacuated };
+    let order = |evacuated| Command::EvacuateUnversioned { zone: 0, evacuated };
     for other in &others {
         w.cut_both(cut, *other);
     }
@@ -199,7 +199,7 @@
         let done = w.run_until(end, |w| w.changes[c].outcome.is_some());
         let taken = matches!(
             w.changes[c].outcome,
-            Some(OpOutcome::Got(Outcome::Taken { .. }))
+            Some(OpOutcome::Got(Outcome::Applied { .. }))
         );
         assert!(done && taken, "seed {seed}: {evacuated} is acknowledged");
     }
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -78,11 +78,18 @@
     };
     let (base, doc) = (newest(w), testbed::fleet::configuration(&w.preset));
     let to = None;
-    let c = w.change(at, Command::Put { base, to, doc });
+    let c = w.change(
+        at,
+        Command::Put {
+            base,
+            new_version: to,
+            document: doc,
+        },
+    );
     let end = w.now + wait;
     w.run_until(end, |w| w.changes[c].outcome.is_some());
     let outcome = &w.changes[c].outcome;
-    matches!(outcome, Some(OpOutcome::Got(Outcome::Taken { .. })))
+    matches!(outcome, Some(OpOutcome::Got(Outcome::Applied { .. })))
 }
 
 fn put(w: &mut World) -> bool {
--- a/testbed/tests/site/returns.rs
+++ b/testbed/tests/site/returns.rs
@@ -38,7 +38,7 @@
     let evacuated = false;
     let c = w.change(
         at,
-        Command::Zone {
+        Command::EvacuateZone {
             base,
             zone,
             evacuated,
@@ -213,7 +213,7 @@
         let zone = 0;
         let c = w.change(
             at,
-            Command::Zone {
+            Command::EvacuateZone {
                 base,
                 zone,
                 evacuated: false,
--- a/testbed/tests/site/zones.rs
+++ b/testbed/tests/site/zones.rs
@@ -9,7 +9,7 @@
 fn taken(w: &World, c: usize) -> bool {
     matches!(
         w.changes[c].outcome,
-        Some(OpOutcome::Got(Outcome::Taken { .. }))
+        Some(OpOutcome::Got(Outcome::Applied { .. }))
     )
 }
 
@@ -28,7 +28,7 @@
         let (zone, evacuated) = (0, false);
         let c = w.change(
             p,
-            Command::Zone {
+            Command::EvacuateZone {
                 base,
                 zone,
                 evacuated,
@@ -128,7 +128,7 @@
                     side(&w, p),
                     w.change(
                         p,
-                        Command::Zone {
+                        Command::EvacuateZone {
                             base,
                             zone,
                             evacuated,
@@ -178,17 +178,17 @@
                 let doc = testbed::site::any_doc(&mut w.rng, &regions, mark);
                 Command::Put {
                     base: 1,
-                    to: None,
-                    doc,
+                    new_version: None,
+                    document: doc,
                 }
             }
             1 => {
                 let patch = r#"{"retry":{"percent":7}}"#.to_string();
-                Command::Edit { base: 1, patch }
+                Command::MergePatch { base: 1, patch }
             }
             _ => {
                 let (zone, evacuated) = (w.rng.below(3) as u16, true);
-                Command::Zone {
+                Command::EvacuateZone {
                     base: 1,
                     zone,
                     evacuated,
