--- a/sorreldoor/src/balancer/kept.rs
+++ b/sorreldoor/src/balancer/kept.rs
@@ -2,7 +2,7 @@
 //! give way.
 
 use super::hash::Mixed;
-use crate::proxy::Part;
+use crate::proxy::PromptSegment;
 use std::collections::HashMap;
 
 /// Parts remembered of one worker, at most.
@@ -17,7 +17,7 @@
 
 impl Kept {
     /// How many parts from the first on are kept without a gap, and their tokens.
-    pub fn hit(&self, parts: &[Part]) -> (usize, u32) {
+    pub fn hit(&self, parts: &[PromptSegment]) -> (usize, u32) {
         let n = parts
             .iter()
             .take_while(|p| self.parts.contains_key(&p.id))
@@ -26,7 +26,7 @@
     }
 
     /// They were sent there; `room` tokens are kept at most.
-    pub fn take(&mut self, parts: &[Part], room: u64) {
+    pub fn take(&mut self, parts: &[PromptSegment], room: u64) {
         self.clock += 1;
         for p in parts {
             if let Some((t, _)) = self.parts.insert(p.id, (p.tokens, self.clock)) {
@@ -49,7 +49,7 @@
     }
 
     /// They were not read after all.
-    pub fn forget(&mut self, parts: &[Part]) {
+    pub fn forget(&mut self, parts: &[PromptSegment]) {
         parts.iter().for_each(|p| self.drop_one(p.id));
     }
 
--- a/sorreldoor/src/balancer/requests.rs
+++ b/sorreldoor/src/balancer/requests.rs
@@ -10,7 +10,7 @@
 use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::proxy::attempt::{Event, Repeatability, RequestProgress};
-use crate::proxy::{Part, RequestMetadata};
+use crate::proxy::{PromptSegment, RequestMetadata};
 
 /// A sending that has not come to its end.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
     pub path: Box<str>,
     pub arrived: Millis,
     pub caller_ms: Option<u64>,
-    pub parts: Box<[Part]>,
+    pub parts: Box<[PromptSegment]>,
     pub tokens_in: u32,
     /// Route in the configuration of `edition`.
     pub route: Option<u32>,
@@ -55,7 +55,7 @@
 impl Req {
     /// Parts that other requests may share: all but the last, which is the
     /// request's own or its session's; a single part may be a session's.
-    pub fn shared(&self) -> &[Part] {
+    pub fn shared(&self) -> &[PromptSegment] {
         match self.parts.len() {
             n if n > 1 => &self.parts[..n - 1],
             _ => &self.parts,
@@ -142,7 +142,7 @@
             caller_ms: asked.deadline_ms,
             deadline: until(&h.routes[i as usize], asked.deadline_ms, arrived),
             tokens_in: asked.tokens_in,
-            parts: asked.parts.into(),
+            parts: asked.prompt_segments.into(),
             route: Some(i),
             edition: self.edition,
             draw: self.draw.next(),
--- a/sorreldoor/src/proxy/await_head.rs
+++ b/sorreldoor/src/proxy/await_head.rs
@@ -4,7 +4,7 @@
 use super::client::Client;
 use super::dialect::Dialect;
 use super::exchange::{Exchange, SILENCE_CHECK_MS};
-use super::http1::{take_answer, Buf, Head};
+use super::http1::{parse_response_head, Head, ReadBuffer};
 use super::pool::Connection;
 use super::wait::{wait_for_worker, Wakeup};
 use crate::configuration::hosted::{Kind, Route};
@@ -19,9 +19,9 @@
 const SMALL_PATIENCE_TENTHS: Millis = 6;
 
 /// The next head in the buffer that is no interim (1xx) one.
-pub fn final_head(buf: &mut Buf) -> Result<Option<Head>, Event> {
+pub fn final_head(buf: &mut ReadBuffer) -> Result<Option<Head>, Event> {
     loop {
-        match take_answer(buf) {
+        match parse_response_head(buf) {
             Ok(Some(head)) if (100..200).contains(&head.status) => {}
             Ok(head) => return Ok(head),
             Err(_) => return Err(Event::Malformed),
--- a/sorreldoor/src/proxy/body.rs
+++ b/sorreldoor/src/proxy/body.rs
@@ -1,7 +1,7 @@
 //! Bodies on the wire: counted, chunked or ended by the connection, taken
 //! apart as their bytes come and read whole within bounds.
 
-use super::http1::{Buf, Fault, Framing};
+use super::http1::{Framing, ReadBuffer, ReadError};
 use async_std::net::TcpStream;
 
 /// Takes a body apart as its bytes come.
@@ -42,7 +42,7 @@
     }
 
     /// Moves what has come from `buf` to `out`; true once the body is whole.
-    pub fn run(&mut self, buf: &mut Buf, out: &mut Vec<u8>) -> Result<bool, Fault> {
+    pub fn run(&mut self, buf: &mut ReadBuffer, out: &mut Vec<u8>) -> Result<bool, ReadError> {
         match self.framing {
             Framing::None => {}
             Framing::Close => {
@@ -65,7 +65,7 @@
         self.done() || self.framing == Framing::Close
     }
 
-    fn data(&mut self, buf: &mut Buf, out: &mut Vec<u8>) -> bool {
+    fn data(&mut self, buf: &mut ReadBuffer, out: &mut Vec<u8>) -> bool {
         let n = (buf.len() as u64).min(self.left) as usize;
         out.extend_from_slice(&buf.rest()[..n]);
         buf.eat(n);
@@ -74,7 +74,7 @@
     }
 
     /// One step; false when more bytes are needed or the body is whole.
-    fn chunk(&mut self, buf: &mut Buf, out: &mut Vec<u8>) -> Result<bool, Fault> {
+    fn chunk(&mut self, buf: &mut ReadBuffer, out: &mut Vec<u8>) -> Result<bool, ReadError> {
         match self.state {
             Chunk::Done => return Ok(false),
             Chunk::Data => {
@@ -91,7 +91,7 @@
                 let ok = (1..=12).contains(&hex.len()) && hex.iter().all(u8::is_ascii_hexdigit);
                 let n = std::str::from_utf8(hex).ok().filter(|_| ok);
                 let n = n.and_then(|h| u64::from_str_radix(h, 16).ok());
-                self.left = n.ok_or(Fault::Malformed)?;
+                self.left = n.ok_or(ReadError::Malformed)?;
                 self.state = if self.left == 0 {
                     Chunk::Trailer
                 } else {
@@ -104,7 +104,7 @@
                 };
                 match (self.state, l.is_empty()) {
                     (Chunk::After, true) => self.state = Chunk::Size,
-                    (Chunk::After, false) => return Err(Fault::Malformed),
+                    (Chunk::After, false) => return Err(ReadError::Malformed),
                     (_, true) => self.state = Chunk::Done,
                     _ => {}
                 }
@@ -114,16 +114,16 @@
     }
 }
 
-fn line(buf: &mut Buf) -> Result<Option<Vec<u8>>, Fault> {
+fn line(buf: &mut ReadBuffer) -> Result<Option<Vec<u8>>, ReadError> {
     let Some(i) = buf.rest().iter().position(|b| *b == b'\n') else {
         return Some(None)
             .filter(|_| buf.len() <= 8192)
-            .ok_or(Fault::Malformed);
+            .ok_or(ReadError::Malformed);
     };
     let mut l = buf.take(i + 1);
     l.pop();
     if l.pop_if(|b| *b == b'\r').is_none() {
-        return Err(Fault::Malformed);
+        return Err(ReadError::Malformed);
     }
     Ok(Some(l))
 }
@@ -131,26 +131,26 @@
 /// Reads a whole body of at most `most` bytes.
 pub async fn body(
     s: &mut TcpStream,
-    buf: &mut Buf,
+    buf: &mut ReadBuffer,
     framing: Framing,
     most: usize,
-) -> Result<Vec<u8>, Fault> {
+) -> Result<Vec<u8>, ReadError> {
     let mut d = Decoder::new(framing);
     if matches!(framing, Framing::Length(n) if n > most as u64) {
-        return Err(Fault::BodyTooLarge);
+        return Err(ReadError::BodyTooLarge);
     }
     let mut out = Vec::new();
     while !d.run(buf, &mut out)? {
         if out.len() > most {
-            return Err(Fault::BodyTooLarge);
+            return Err(ReadError::BodyTooLarge);
         }
         match buf.fill(s).await {
             Ok(n) if n > 0 => {}
             _ if d.ended() => break,
-            _ => return Err(Fault::Cut),
+            _ => return Err(ReadError::Cut),
         }
     }
     Some(out)
         .filter(|o| o.len() <= most)
-        .ok_or(Fault::BodyTooLarge)
+        .ok_or(ReadError::BodyTooLarge)
 }
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -14,9 +14,9 @@
 use super::pool::Connection;
 use super::read_whole::read_whole;
 use super::send::{send, Sent};
-use super::shared::Shared;
+use super::shared::SharedState;
 use super::stream::relay;
-use super::verdict::{judge, Expected, Verdict};
+use super::verdict::{classify_response, Expected, ResponseClass};
 use crate::balancer::{AttemptOutcome, Pick, RequestId};
 use crate::configuration::hosted::{Kind, Route};
 use crate::consensus::Millis;
@@ -31,7 +31,7 @@
 
 /// Carries one request; whether the client's connection may go on.
 pub async fn carry<D: Dialect, C: Clock>(
-    shared: &Shared<D, C>,
+    shared: &SharedState<D, C>,
     client: &mut Client,
     request: &ClientRequest,
 ) -> bool {
@@ -68,7 +68,7 @@
 }
 
 fn pick<D: Dialect, C: Clock>(
-    shared: &Shared<D, C>,
+    shared: &SharedState<D, C>,
     request_id: RequestId,
 ) -> (Pick, Option<Route>, Millis) {
     let now = shared.now();
@@ -100,7 +100,7 @@
 
 /// Until woken or the time is over; false once the client is gone.
 async fn wait_in_queue<D: Dialect, C: Clock>(
-    shared: &Shared<D, C>,
+    shared: &SharedState<D, C>,
     client: &Client,
     request_id: RequestId,
     most_ms: Millis,
@@ -176,7 +176,7 @@
     connection: Connection,
     head: Head,
 ) -> Outcome {
-    let mut told = ResponseMetadata {
+    let mut metadata = ResponseMetadata {
         misdirected: head.status == 421,
         ..ResponseMetadata::default()
     };
@@ -184,32 +184,32 @@
         exchange
             .shared
             .dialect
-            .tell(head.status, name, value, &mut told);
+            .read_response_header(head.status, name, value, &mut metadata);
     }
     let expected = Expected {
         id: &exchange.request.id,
         method: &exchange.request.method,
     };
-    match judge(&head, &told, &expected) {
-        Verdict::Unusable(event) => {
+    match classify_response(&head, &metadata, &expected) {
+        ResponseClass::Unusable(event) => {
             exchange.close(connection);
             exchange.worker_failed(event)
         }
-        Verdict::Misdirected => {
+        ResponseClass::Misdirected => {
             exchange.close(connection);
             exchange.outcome(AttemptOutcome::Misdirected);
             Outcome::AttemptEnded
         }
-        Verdict::NotRun(framing) => {
+        ResponseClass::NotRun(framing) => {
             let mut decoder = Decoder::new(framing);
             let most = REFUSAL_BODY_MS.min(exchange.time_left());
             let _ = read_whole(exchange, client, connection, &head, &mut decoder, most).await;
-            exchange.outcome(AttemptOutcome::NotRun(told.load));
+            exchange.outcome(AttemptOutcome::NotRun(metadata.load));
             Outcome::AttemptEnded
         }
-        Verdict::Own(framing) => {
+        ResponseClass::Own(framing) => {
             exchange.progressed(Event::HeadReceived);
-            let (load, cold_ms) = (told.load, told.cold_ms);
+            let (load, cold_ms) = (metadata.load, metadata.warmup_remaining_ms);
             exchange.outcome(AttemptOutcome::Head { load, cold_ms });
             deliver(exchange, client, delivery, connection, head, framing).await
         }
--- a/sorreldoor/src/proxy/client.rs
+++ b/sorreldoor/src/proxy/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection: what is read from it and written to it.
 
-use super::http1::Buf;
+use super::http1::ReadBuffer;
 use crate::error::ErrorCode;
 use async_std::future::timeout;
 use async_std::net::TcpStream;
@@ -14,7 +14,7 @@
 /// One connection of a client.
 pub struct Client {
     pub stream: TcpStream,
-    pub buf: Buf,
+    pub buf: ReadBuffer,
     /// What is said of the connection in the next answer.
     pub close: bool,
     /// The client speaks HTTP/1.0: no chunks.
--- a/sorreldoor/src/proxy/dialect.rs
+++ b/sorreldoor/src/proxy/dialect.rs
@@ -2,7 +2,7 @@
 
 /// One part of a prompt, shared with other requests that name the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptSegment {
     pub id: u64,
     pub tokens: u32,
 }
@@ -19,18 +19,18 @@
     pub tokens_in: u32,
     pub tokens_out: u32,
     /// Parts of the prompt in order; the last is the request's own.
-    pub parts: Vec<Part>,
+    pub prompt_segments: Vec<PromptSegment>,
     /// The caller takes a stream up behind this event.
     pub last_event: Option<u64>,
 }
 
 /// What is told to a worker beside the caller's own head.
 #[derive(Clone, Copy, Debug)]
-pub struct Forward<'a> {
+pub struct ForwardHeaders<'a> {
     /// The worker meant; any other must not run it.
     pub worker: &'a str,
     /// What is left of the caller's time, in milliseconds.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// 0 first, 9 last; none where the service has no engine.
     pub priority: Option<u8>,
     /// Go on behind this event.
@@ -47,11 +47,11 @@
     /// The worker that should have been there is not.
     pub misdirected: bool,
     /// It bears the worker's stamp.
-    pub stamped: bool,
+    pub signed_by_worker: bool,
     /// Running, waiting, slots.
     pub load: Option<(u32, u32, u32)>,
     /// How much longer the worker stays cold, in milliseconds.
-    pub cold_ms: Option<u64>,
+    pub warmup_remaining_ms: Option<u64>,
     /// The worker's name, where it gives it.
     pub worker: Option<String>,
 }
@@ -60,9 +60,16 @@
 pub trait Dialect: Send + Sync + 'static {
     /// Reads one header of a request; true if it must not be passed on as it
     /// stands, because `forward` writes it anew.
-    fn ask(&self, name: &str, value: &[u8], asked: &mut RequestMetadata) -> bool;
+    fn read_request_header(&self, name: &str, value: &[u8], metadata: &mut RequestMetadata)
+        -> bool;
     /// Writes the header lines that go to a worker, each ended by CRLF.
-    fn forward(&self, f: &Forward, out: &mut Vec<u8>);
+    fn write_forward_headers(&self, f: &ForwardHeaders, out: &mut Vec<u8>);
     /// Reads one header of a worker's answer.
-    fn tell(&self, status: u16, name: &str, value: &[u8], told: &mut ResponseMetadata);
+    fn read_response_header(
+        &self,
+        status: u16,
+        name: &str,
+        value: &[u8],
+        metadata: &mut ResponseMetadata,
+    );
 }
--- a/sorreldoor/src/proxy/door.rs
+++ b/sorreldoor/src/proxy/door.rs
@@ -2,7 +2,7 @@
 //! a few bytes, and nothing kept in between.
 
 use super::body::body;
-use super::http1::{take_request, Buf, Framing};
+use super::http1::{parse_request_head, Framing, ReadBuffer};
 use async_std::future::timeout;
 use async_std::io::prelude::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
@@ -30,16 +30,16 @@
 
 async fn one(mut s: TcpStream, f: Answer) {
     let _ = s.set_nodelay(true);
-    let mut buf = Buf::default();
+    let mut buf = ReadBuffer::default();
     while let Ok(true) = timeout(IDLE, answer(&mut s, &mut buf, &f)).await {
         buf.shrink();
     }
 }
 
 /// One question; whether the connection goes on.
-async fn answer(s: &mut TcpStream, buf: &mut Buf, f: &Answer) -> bool {
+async fn answer(s: &mut TcpStream, buf: &mut ReadBuffer, f: &Answer) -> bool {
     let head = loop {
-        match take_request(buf, MOST_HEAD) {
+        match parse_request_head(buf, MOST_HEAD) {
             Ok(Some(h)) => break h,
             Ok(None) => {}
             Err(_) => return false,
--- a/sorreldoor/src/proxy/exchange.rs
+++ b/sorreldoor/src/proxy/exchange.rs
@@ -6,7 +6,7 @@
 use super::dialect::Dialect;
 use super::http1::Head;
 use super::pool::Connection;
-use super::shared::Shared;
+use super::shared::SharedState;
 use crate::balancer::{AttemptOutcome, RequestId, Target};
 use crate::configuration::hosted::Route;
 use crate::consensus::Millis;
@@ -39,7 +39,7 @@
 
 /// One attempt under way.
 pub struct Exchange<'a, D, C> {
-    pub shared: &'a Shared<D, C>,
+    pub shared: &'a SharedState<D, C>,
     pub request: &'a ClientRequest,
     pub target: &'a Target,
     pub route: &'a Route,
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -19,14 +19,14 @@
 const WHOLE_MS: Millis = 1000;
 
 #[derive(Debug)]
-pub enum FrontEvent {
+pub enum ControllerEvent {
     Tick,
     Net(NetEvent),
     Stop,
 }
 
 #[derive(Debug)]
-pub enum FrontEffect {
+pub enum ControllerEffect {
     Send(Conn, Payload),
     Connect(SocketAddr),
     Disconnect(SocketAddr),
@@ -35,20 +35,20 @@
 
 /// A ready node as callers are sent to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReadyEdge {
     pub node: String,
     pub addr: String,
     pub zone: u16,
     pub region: u8,
 }
 
-pub struct Front {
+pub struct ProxyController {
     pub me: Hello,
     pub site: Arc<Site>,
     pub pull: Pull,
     pub table: Table,
     /// Nodes that are ready, by the sessions that cores tell of.
-    pub nodes: Vec<Seen>,
+    pub nodes: Vec<ReadyEdge>,
     pub view: View,
     pub leaving: bool,
     pub running: u32,
@@ -58,26 +58,26 @@
     /// The nodes, ready or not, and until when they are not thought whole.
     all: Vec<(String, u16)>,
     whole_at: Option<Millis>,
-    out: Vec<FrontEffect>,
+    out: Vec<ControllerEffect>,
 }
 
-impl Reducer for Front {
-    type Event = FrontEvent;
-    type Effect = FrontEffect;
+impl Reducer for ProxyController {
+    type Event = ControllerEvent;
+    type Effect = ControllerEffect;
 
-    fn step(&mut self, ev: FrontEvent, at: Now) -> Vec<FrontEffect> {
+    fn step(&mut self, ev: ControllerEvent, at: Now) -> Vec<ControllerEffect> {
         self.now = self.now.max(at.monotonic_ms);
         if let Some(f) = self.pull.awake(self.now, at.wall) {
             self.pulled(f);
         }
         match ev {
-            FrontEvent::Tick => {
+            ControllerEvent::Tick => {
                 for f in self.pull.tick(self.now) {
                     self.pulled(f);
                 }
             }
-            FrontEvent::Net(n) => self.net(n),
-            FrontEvent::Stop => {
+            ControllerEvent::Net(n) => self.net(n),
+            ControllerEvent::Stop => {
                 self.leaving = true;
                 self.log_event(LogEvent::Leaving, "edge");
             }
@@ -88,9 +88,9 @@
     }
 }
 
-impl Front {
-    pub fn new(me: Hello, site: Arc<Site>, pull: Pull, table: Table) -> Front {
-        Front {
+impl ProxyController {
+    pub fn new(me: Hello, site: Arc<Site>, pull: Pull, table: Table) -> ProxyController {
+        ProxyController {
             me,
             site,
             pull,
@@ -108,7 +108,7 @@
     }
 
     fn log_event(&mut self, ev: LogEvent, about: impl Into<String>) {
-        self.out.push(FrontEffect::Say(ev, about.into()));
+        self.out.push(ControllerEffect::Say(ev, about.into()));
     }
 
     /// It has a configuration and workers, and is not going down.
@@ -117,8 +117,8 @@
     }
 
     /// The ready nodes as this one knows them, with itself.
-    pub fn seen(&self) -> Vec<Seen> {
-        let me = Seen {
+    pub fn seen(&self) -> Vec<ReadyEdge> {
+        let me = ReadyEdge {
             node: self.me.node.clone(),
             addr: self.me.http.clone(),
             zone: self.me.zone,
@@ -151,8 +151,8 @@
 
     fn pulled(&mut self, f: SubscriptionEffect) {
         match f {
-            SubscriptionEffect::Connect(a) => self.out.push(FrontEffect::Connect(a)),
-            SubscriptionEffect::Disconnect(a) => self.out.push(FrontEffect::Disconnect(a)),
+            SubscriptionEffect::Connect(a) => self.out.push(ControllerEffect::Connect(a)),
+            SubscriptionEffect::Disconnect(a) => self.out.push(ControllerEffect::Disconnect(a)),
             SubscriptionEffect::Renew {
                 conn,
                 no,
@@ -172,7 +172,7 @@
                     edge_status,
                     unverified,
                 };
-                self.out.push(FrontEffect::Send(conn, p));
+                self.out.push(ControllerEffect::Send(conn, p));
             }
             SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
             SubscriptionEffect::Woken(s) => self.log_event(LogEvent::Woken, s),
@@ -184,7 +184,8 @@
         match n {
             NetEvent::Up { conn, dialled } => {
                 let h = self.me.clone();
-                self.out.push(FrontEffect::Send(conn, Payload::Hello(h)));
+                self.out
+                    .push(ControllerEffect::Send(conn, Payload::Hello(h)));
                 if let Some(a) = dialled {
                     let fx = self.pull.up(conn, a, self.now);
                     fx.into_iter().for_each(|f| self.pulled(f));
@@ -289,7 +290,7 @@
     }
 
     fn take_places(&mut self, all: Vec<EdgeEndpoint>) {
-        let of = |p: &EdgeEndpoint| Seen {
+        let of = |p: &EdgeEndpoint| ReadyEdge {
             node: p.node.clone(),
             addr: p.http.clone(),
             zone: p.zone,
--- a/sorreldoor/src/proxy/http1.rs
+++ b/sorreldoor/src/proxy/http1.rs
@@ -11,12 +11,12 @@
 
 /// Bytes that have come on a connection and are not used up.
 #[derive(Debug, Default)]
-pub struct Buf {
+pub struct ReadBuffer {
     b: Vec<u8>,
     at: usize,
 }
 
-impl Buf {
+impl ReadBuffer {
     pub fn rest(&self) -> &[u8] {
         &self.b[self.at..]
     }
@@ -83,7 +83,7 @@
 
 /// What is wrong with what came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ReadError {
     /// The connection ended before anything, or between requests.
     Ended,
     /// It ended in the middle.
@@ -164,27 +164,27 @@
             .and_then(|n| n.trim().parse().ok())
     }
 
-    fn length(&self) -> Result<Option<u64>, Fault> {
+    fn length(&self) -> Result<Option<u64>, ReadError> {
         let mut got = None;
         for (n, v) in self.iter() {
             if !n.eq_ignore_ascii_case("content-length") {
                 continue;
             }
-            let v = std::str::from_utf8(v).map_err(|_| Fault::Malformed)?;
+            let v = std::str::from_utf8(v).map_err(|_| ReadError::Malformed)?;
             // a sign, a list or two lengths may be read two ways
             let l = Some(v.trim())
                 .filter(|v| !v.is_empty() && v.bytes().all(|b| b.is_ascii_digit()))
                 .and_then(|v| v.parse().ok())
-                .ok_or(Fault::Malformed)?;
+                .ok_or(ReadError::Malformed)?;
             if got.is_some_and(|g| g != l) {
-                return Err(Fault::Malformed);
+                return Err(ReadError::Malformed);
             }
             got = Some(l);
         }
         Ok(got)
     }
 
-    fn chunked(&self) -> Result<bool, Fault> {
+    fn chunked(&self) -> Result<bool, ReadError> {
         let mut all = self
             .iter()
             .filter(|(n, _)| n.eq_ignore_ascii_case("transfer-encoding"));
@@ -192,27 +192,27 @@
             return Ok(false);
         };
         let one = all.next().is_none() && v.trim_ascii().eq_ignore_ascii_case(b"chunked");
-        Some(true).filter(|_| one).ok_or(Fault::Malformed)
+        Some(true).filter(|_| one).ok_or(ReadError::Malformed)
     }
 
-    pub fn request_framing(&self) -> Result<Framing, Fault> {
+    pub fn request_framing(&self) -> Result<Framing, ReadError> {
         let (n, c) = (self.length()?, self.chunked()?);
         match (n, c) {
             // two framings at once are how a request is smuggled in another
-            (Some(_), true) => Err(Fault::Malformed),
+            (Some(_), true) => Err(ReadError::Malformed),
             (_, true) => Ok(Framing::Chunked),
             (Some(n), _) if n > 0 => Ok(Framing::Length(n)),
             _ => Ok(Framing::None),
         }
     }
 
-    pub fn answer_framing(&self, method: &str) -> Result<Framing, Fault> {
+    pub fn response_framing(&self, method: &str) -> Result<Framing, ReadError> {
         if method == "HEAD" || matches!(self.status, 100..=199 | 204 | 304) {
             return Ok(Framing::None);
         }
         let (n, c) = (self.length()?, self.chunked()?);
         match (n, c) {
-            (Some(_), true) => Err(Fault::Malformed),
+            (Some(_), true) => Err(ReadError::Malformed),
             (_, true) => Ok(Framing::Chunked),
             (Some(n), _) => Ok(Framing::Length(n)),
             _ => Ok(Framing::Close),
@@ -236,20 +236,20 @@
 }
 
 /// A whole request head at the front of `buf`, taken out of it; none yet: more is to come.
-pub fn take_request(buf: &mut Buf, most: usize) -> Result<Option<Head>, Fault> {
+pub fn parse_request_head(buf: &mut ReadBuffer, most: usize) -> Result<Option<Head>, ReadError> {
     let mut hs = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut r = httparse::Request::new(&mut hs);
     let got = r.parse(buf.rest()).map_err(|e| match e {
-        httparse::Error::TooManyHeaders => Fault::HeadTooLarge,
-        _ => Fault::Malformed,
+        httparse::Error::TooManyHeaders => ReadError::HeadTooLarge,
+        _ => ReadError::Malformed,
     })?;
     let httparse::Status::Complete(n) = got else {
         return Some(None)
             .filter(|_| buf.len() <= most)
-            .ok_or(Fault::HeadTooLarge);
+            .ok_or(ReadError::HeadTooLarge);
     };
     if n > most {
-        return Err(Fault::HeadTooLarge);
+        return Err(ReadError::HeadTooLarge);
     }
     let raw = buf.rest();
     let of = |s: Option<&str>| {
@@ -272,14 +272,14 @@
 }
 
 /// A whole answer head at the front of `buf`, taken out of it.
-pub fn take_answer(buf: &mut Buf) -> Result<Option<Head>, Fault> {
+pub fn parse_response_head(buf: &mut ReadBuffer) -> Result<Option<Head>, ReadError> {
     let mut hs = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut r = httparse::Response::new(&mut hs);
-    let got = r.parse(buf.rest()).map_err(|_| Fault::Malformed)?;
+    let got = r.parse(buf.rest()).map_err(|_| ReadError::Malformed)?;
     let httparse::Status::Complete(n) = got else {
         return Some(None)
             .filter(|_| buf.len() <= 64 << 10)
-            .ok_or(Fault::HeadTooLarge);
+            .ok_or(ReadError::HeadTooLarge);
     };
     let raw = buf.rest();
     let (status, minor) = (r.code.unwrap_or(0), r.version.unwrap_or(1));
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -25,9 +25,9 @@
 pub mod verdict;
 mod wait;
 
-pub use dialect::{Dialect, Forward, Part, RequestMetadata, ResponseMetadata};
-pub use door::{serve as serve_door, Answer};
-pub use front::{Front, FrontEffect, FrontEvent, Seen};
-pub use plain_dialect::Plain;
-pub use run::{accept, run, Answering, Door, Shown, Start};
-pub use shared::Shared;
+pub use dialect::{Dialect, ForwardHeaders, PromptSegment, RequestMetadata, ResponseMetadata};
+pub use door::{serve as serve_status_endpoint, Answer};
+pub use front::{ControllerEffect, ControllerEvent, ProxyController, ReadyEdge};
+pub use plain_dialect::PlainDialect;
+pub use run::{accept, run, Door, NodeStatus, ProxyOptions, StatusHandler};
+pub use shared::SharedState;
--- a/sorreldoor/src/proxy/pool.rs
+++ b/sorreldoor/src/proxy/pool.rs
@@ -2,7 +2,7 @@
 //! worker. A connection that holds or receives any byte while it is idle is
 //! closed: such a byte belongs to no request.
 
-use super::http1::Buf;
+use super::http1::ReadBuffer;
 use crate::invariants::{broken, Invariant};
 use async_std::net::TcpStream;
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Connection {
     pub stream: TcpStream,
-    pub buf: Buf,
+    pub buf: ReadBuffer,
     /// It has carried a request before.
     pub reused: bool,
     /// The present request was written whole.
@@ -38,7 +38,7 @@
         let _ = stream.set_nodelay(true);
         Ok(Connection {
             stream,
-            buf: Buf::default(),
+            buf: ReadBuffer::default(),
             reused: false,
             request_sent: false,
         })
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -2,9 +2,9 @@
 
 use super::dialect::Dialect;
 use super::door::{self, Answer};
-use super::front::{Front, FrontEffect, FrontEvent, Seen};
+use super::front::{ControllerEffect, ControllerEvent, ProxyController, ReadyEdge};
 use super::serve;
-use super::shared::Shared;
+use super::shared::SharedState;
 use crate::balancer::{Bounds, Locality, Table};
 use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent};
@@ -33,7 +33,7 @@
 const QUEUE_MARGIN: Duration = Duration::from_millis(1000);
 
 /// What a proxy node needs beside the settings that all nodes have.
-pub struct Start {
+pub struct ProxyOptions {
     pub set: Settings,
     pub bounds: Bounds,
     /// From the signal to stop until the process must have ended.
@@ -42,22 +42,22 @@
 
 /// What the small doors may show.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct NodeStatus {
     pub ready: bool,
-    pub nodes: Vec<Seen>,
+    pub nodes: Vec<ReadyEdge>,
 }
 
 /// Status and JSON, from what is shown, for a method and target.
-pub type Answering = Box<dyn Fn(&Shown, &str, &str) -> (u16, String) + Send + Sync>;
+pub type StatusHandler = Box<dyn Fn(&NodeStatus, &str, &str) -> (u16, String) + Send + Sync>;
 
 /// A small door: its address, and what it answers.
 pub struct Door {
     pub at: SocketAddr,
-    pub answer: Answering,
+    pub answer: StatusHandler,
 }
 
 pub fn run<D: Dialect, C: Clock + Send + Sync + 'static>(
-    start: Start,
+    start: ProxyOptions,
     dialect: D,
     clock: C,
     doors: Vec<Door>,
@@ -86,16 +86,16 @@
     let pull = Pull::new(&set.seeds, set.lease_ms, now.monotonic_ms, now.wall)
         .named(&set.node)
         .paced(&set.pacing);
-    let front = Front::new(me, set.names.clone(), pull, table);
-    let sh = Arc::new(Shared::new(front, dialect, clock, set.reach.clone()));
+    let front = ProxyController::new(me, set.names.clone(), pull, table);
+    let sh = Arc::new(SharedState::new(front, dialect, clock, set.reach.clone()));
     let (ring, rx) = bounded(RING);
     let net = Net::new(
         set.site_mark(),
         ring.clone(),
-        FrontEvent::Net as fn(NetEvent) -> FrontEvent,
+        ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
         set.most_connections,
     );
-    crate::run::on_term(ring, || FrontEvent::Stop)?;
+    crate::run::on_term(ring, || ControllerEvent::Stop)?;
     task::block_on(async move {
         let l = TcpListener::bind(set.http)
             .await
@@ -108,7 +108,7 @@
             let f: Answer = Arc::new(move |m: &str, t: &str| {
                 let shown = {
                     let f = sh.lock();
-                    Shown {
+                    NodeStatus {
                         ready: f.ready(),
                         nodes: f.seen(),
                     }
@@ -128,7 +128,7 @@
 /// Serves callers' connections, `most` at once, for as long as it is polled.
 pub async fn accept<D: Dialect, C: Clock + Send + Sync + 'static>(
     l: TcpListener,
-    sh: Arc<Shared<D, C>>,
+    sh: Arc<SharedState<D, C>>,
     most: usize,
 ) {
     loop {
@@ -145,7 +145,7 @@
 }
 
 async fn counted<D: Dialect, C: Clock + Send + Sync + 'static>(
-    sh: Arc<Shared<D, C>>,
+    sh: Arc<SharedState<D, C>>,
     s: TcpStream,
 ) {
     sh.open.fetch_add(1, Ordering::Relaxed);
@@ -155,9 +155,9 @@
 
 /// The session with the cores, until the node has left in order.
 async fn control<D: Dialect, C: Clock>(
-    sh: Arc<Shared<D, C>>,
-    net: Net<FrontEvent>,
-    rx: Receiver<FrontEvent>,
+    sh: Arc<SharedState<D, C>>,
+    net: Net<ControllerEvent>,
+    rx: Receiver<ControllerEvent>,
     grace: Duration,
     set: &Settings,
 ) {
@@ -171,10 +171,10 @@
             Ok(Err(_)) => return,
             Err(_) => {
                 tick_at = Instant::now() + TICK;
-                FrontEvent::Tick
+                ControllerEvent::Tick
             }
         };
-        if matches!(ev, FrontEvent::Stop) && stop.is_none() {
+        if matches!(ev, ControllerEvent::Stop) && stop.is_none() {
             stop = Some(Instant::now());
             sh.leaving.store(true, Ordering::Relaxed);
         }
@@ -186,12 +186,12 @@
         };
         for f in fx {
             match f {
-                FrontEffect::Send(c, p) => {
+                ControllerEffect::Send(c, p) => {
                     net.send(c, &p);
                 }
-                FrontEffect::Connect(a) => net.dial(a, set.reached(a)),
-                FrontEffect::Disconnect(a) => net.undial(a),
-                FrontEffect::Say(ev, about) => log_event(ev, about),
+                ControllerEffect::Connect(a) => net.dial(a, set.reached(a)),
+                ControllerEffect::Disconnect(a) => net.undial(a),
+                ControllerEffect::Say(ev, about) => log_event(ev, about),
             }
         }
         sh.wake();
@@ -208,7 +208,7 @@
 }
 
 /// Whether the node may end: nothing runs, and callers had time to learn.
-fn left<D: Dialect, C: Clock>(sh: &Shared<D, C>, since: Instant, grace: Duration) -> bool {
+fn left<D: Dialect, C: Clock>(sh: &SharedState<D, C>, since: Instant, grace: Duration) -> bool {
     let gone = since.elapsed();
     if gone + QUEUE_MARGIN >= grace {
         sh.close_queue();
--- a/sorreldoor/src/proxy/send.rs
+++ b/sorreldoor/src/proxy/send.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::Event;
 use super::await_head::final_head;
-use super::dialect::{Dialect, Forward};
+use super::dialect::{Dialect, ForwardHeaders};
 use super::exchange::Exchange;
 use super::http1::Head;
 use super::pool::{Connection, RECENT};
@@ -94,13 +94,16 @@
     let room = request.wire.len() + request.body.len() + ADDED_HEADERS;
     let mut bytes = Vec::with_capacity(room);
     bytes.extend_from_slice(&request.wire);
-    let forward = Forward {
+    let headers = ForwardHeaders {
         worker: &exchange.target.name,
-        left_ms: exchange.time_left(),
+        remaining_ms: exchange.time_left(),
         priority: exchange.target.priority,
         last_event,
     };
-    exchange.shared.dialect.forward(&forward, &mut bytes);
+    exchange
+        .shared
+        .dialect
+        .write_forward_headers(&headers, &mut bytes);
     bytes.extend_from_slice(b"\r\n");
     bytes.extend_from_slice(&request.body);
     bytes
--- a/sorreldoor/src/proxy/serve.rs
+++ b/sorreldoor/src/proxy/serve.rs
@@ -6,8 +6,8 @@
 use super::client::Client;
 use super::dialect::{Dialect, RequestMetadata};
 use super::exchange::ClientRequest;
-use super::http1::{take_request, Buf, Fault, Framing, Head};
-use super::shared::Shared;
+use super::http1::{parse_request_head, Framing, Head, ReadBuffer, ReadError};
+use super::shared::SharedState;
 use crate::error::ErrorCode;
 use crate::runtime::Clock;
 use async_std::future::timeout;
@@ -20,18 +20,18 @@
 
 /// Without any configuration a node asks clients back after so many milliseconds.
 const RETRY_AFTER_START_MS: u64 = 700;
-fn fault_of(f: Fault) -> Option<ErrorCode> {
+fn fault_of(f: ReadError) -> Option<ErrorCode> {
     match f {
-        Fault::Ended | Fault::Cut => None,
-        Fault::Malformed => Some(ErrorCode::BadRequest),
-        Fault::HeadTooLarge => Some(ErrorCode::HeadTooLarge),
-        Fault::BodyTooLarge => Some(ErrorCode::BodyTooLarge),
+        ReadError::Ended | ReadError::Cut => None,
+        ReadError::Malformed => Some(ErrorCode::BadRequest),
+        ReadError::HeadTooLarge => Some(ErrorCode::HeadTooLarge),
+        ReadError::BodyTooLarge => Some(ErrorCode::BodyTooLarge),
     }
 }
 
 /// The next request whole, or none where the connection ends.
 async fn read_request<D: Dialect, C: Clock>(
-    shared: &Shared<D, C>,
+    shared: &SharedState<D, C>,
     client: &mut Client,
 ) -> Result<(Head, Vec<u8>), Option<ErrorCode>> {
     let lim = shared.lock().table.hosted().map(|h| h.limits);
@@ -69,27 +69,27 @@
     Ok((head, b.map_err(fault_of)?))
 }
 
-async fn read_head(client: &mut Client, most: usize) -> Result<Head, Fault> {
+async fn read_head(client: &mut Client, most: usize) -> Result<Head, ReadError> {
     loop {
-        if let Some(h) = take_request(&mut client.buf, most)? {
+        if let Some(h) = parse_request_head(&mut client.buf, most)? {
             return Ok(h);
         }
         match client.buf.fill(&mut client.stream).await {
             Ok(n) if n > 0 => {}
-            _ => return Err(Fault::Ended),
+            _ => return Err(ReadError::Ended),
         }
     }
 }
 
 /// Serves one connection until either side ends it.
 pub async fn serve<D: Dialect, C: Clock + Send + Sync + 'static>(
-    shared: Arc<Shared<D, C>>,
+    shared: Arc<SharedState<D, C>>,
     s: TcpStream,
 ) {
     let _ = s.set_nodelay(true);
     let mut client = Client {
         stream: s,
-        buf: Buf::default(),
+        buf: ReadBuffer::default(),
         close: false,
         http10: false,
     };
@@ -118,21 +118,21 @@
 
 /// One request to its answer; whether the connection may go on.
 async fn handle<D: Dialect, C: Clock>(
-    shared: &Shared<D, C>,
+    shared: &SharedState<D, C>,
     client: &mut Client,
     head: Head,
     body: Vec<u8>,
 ) -> bool {
     let now = shared.now();
     client.close |= shared.is_leaving();
-    let mut asked = RequestMetadata::default();
+    let mut metadata = RequestMetadata::default();
     let mut wire = Vec::with_capacity(head.raw.len() + 64);
     wire.extend_from_slice(&head.raw[head.method.clone()]);
     wire.push(b' ');
     wire.extend_from_slice(&head.raw[head.target.clone()]);
     wire.extend_from_slice(b" HTTP/1.1\r\n");
     for (n, v) in head.iter() {
-        let anew = shared.dialect.ask(n, v, &mut asked);
+        let anew = shared.dialect.read_request_header(n, v, &mut metadata);
         if !anew && !head.hop(n) {
             wire.extend_from_slice(n.as_bytes());
             wire.extend_from_slice(b": ");
@@ -149,13 +149,13 @@
     let began = shared
         .lock()
         .table
-        .begin(host, head.path(), asked.clone(), now, now);
+        .begin(host, head.path(), metadata.clone(), now, now);
     let request_id = match began {
         Ok(r) => r,
         Err(p) => {
             // a node that has just started needs a while to know its way,
             // and callers heed a third of their time at most
-            let third = asked.deadline_ms.unwrap_or(3000) / 3;
+            let third = metadata.deadline_ms.unwrap_or(3000) / 3;
             let again = if p.again() {
                 third.min(RETRY_AFTER_START_MS)
             } else {
@@ -167,10 +167,10 @@
     let request = ClientRequest {
         request_id,
         method: head.method().to_string(),
-        id: asked.id,
+        id: metadata.id,
         wire,
         body,
-        last_event: asked.last_event,
+        last_event: metadata.last_event,
     };
     let keep = carry(shared, client, &request).await;
     let now = shared.now();
--- a/sorreldoor/src/proxy/shared.rs
+++ b/sorreldoor/src/proxy/shared.rs
@@ -1,7 +1,7 @@
 //! What all connections of one proxy node share.
 
 use super::dialect::Dialect;
-use super::front::Front;
+use super::front::ProxyController;
 use super::pool::Pool;
 use crate::balancer::RequestId;
 use crate::consensus::Millis;
@@ -12,8 +12,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-pub struct Shared<D, C> {
-    pub front: Mutex<Front>,
+pub struct SharedState<D, C> {
+    pub front: Mutex<ProxyController>,
     pub pool: Pool,
     pub dialect: D,
     pub clock: C,
@@ -32,15 +32,15 @@
     pub hear: Receiver<()>,
 }
 
-impl<D: Dialect, C: Clock> Shared<D, C> {
+impl<D: Dialect, C: Clock> SharedState<D, C> {
     pub fn new(
-        front: Front,
+        front: ProxyController,
         dialect: D,
         clock: C,
         reach: BTreeMap<SocketAddr, SocketAddr>,
     ) -> Self {
         let (bell, hear) = bounded(1);
-        Shared {
+        SharedState {
             front: Mutex::new(front),
             pool: Pool::default(),
             dialect,
@@ -60,7 +60,7 @@
         self.clock.now().monotonic_ms
     }
 
-    pub fn lock(&self) -> MutexGuard<'_, Front> {
+    pub fn lock(&self) -> MutexGuard<'_, ProxyController> {
         self.front.lock().unwrap_or_else(|p| p.into_inner())
     }
 
--- a/sorreldoor/src/proxy/verdict.rs
+++ b/sorreldoor/src/proxy/verdict.rs
@@ -14,7 +14,7 @@
 
 /// What a head means for the request that waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseClass {
     /// The request's own answer, with a body in this framing.
     Own(Framing),
     /// The worker promises that the request did not and will not run.
@@ -26,35 +26,39 @@
 }
 
 /// Decides whose answer `head` is before any byte of it may go to the client.
-pub fn judge(head: &Head, told: &ResponseMetadata, expected: &Expected) -> Verdict {
-    if !is_own(head, told, expected) && !broken(Invariant::AnswerId) {
-        return Verdict::Unusable(Event::HeadOfOtherRequest);
+pub fn classify_response(
+    head: &Head,
+    metadata: &ResponseMetadata,
+    expected: &Expected,
+) -> ResponseClass {
+    if !is_own(head, metadata, expected) && !broken(Invariant::AnswerId) {
+        return ResponseClass::Unusable(Event::HeadOfOtherRequest);
     }
-    if told.misdirected {
-        return Verdict::Misdirected;
+    if metadata.misdirected {
+        return ResponseClass::Misdirected;
     }
     let success = (200..300).contains(&head.status);
-    let Ok(framing) = head.answer_framing(expected.method) else {
-        return Verdict::Unusable(Event::Malformed);
+    let Ok(framing) = head.response_framing(expected.method) else {
+        return ResponseClass::Unusable(Event::Malformed);
     };
     // an end of the connection would look like the end of such an answer
     if framing == Framing::Close && success && !broken(Invariant::WholeAnswer) {
-        return Verdict::Unusable(Event::Malformed);
+        return ResponseClass::Unusable(Event::Malformed);
     }
-    match (told.not_run, success) {
+    match (metadata.not_run, success) {
         // it cannot both have succeeded and not have run
-        (true, true) => Verdict::Unusable(Event::Malformed),
-        (true, false) => Verdict::NotRun(framing),
-        (false, _) => Verdict::Own(framing),
+        (true, true) => ResponseClass::Unusable(Event::Malformed),
+        (true, false) => ResponseClass::NotRun(framing),
+        (false, _) => ResponseClass::Own(framing),
     }
 }
 
 /// Every answer names the request that it answers, a refusal too: a late answer
 /// may stand where this one is due, and its promise would be another request's.
-fn is_own(head: &Head, told: &ResponseMetadata, expected: &Expected) -> bool {
+fn is_own(head: &Head, metadata: &ResponseMetadata, expected: &Expected) -> bool {
     let success = (200..300).contains(&head.status);
-    match &told.id {
-        Some(id) => id == expected.id && (told.stamped || !success),
+    match &metadata.id {
+        Some(id) => id == expected.id && (metadata.signed_by_worker || !success),
         None => expected.id.is_empty() && !success,
     }
 }
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -4,7 +4,7 @@
 use sorreldoor::configuration::hosted::{Engine, Hosted, Kind, Route, Service};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::error::ErrorCode;
-use sorreldoor::proxy::{Part, RequestMetadata};
+use sorreldoor::proxy::{PromptSegment, RequestMetadata};
 use std::sync::Arc;
 
 #[path = "balancer/drive.rs"]
@@ -136,9 +136,9 @@
     RequestMetadata {
         deadline_ms: Some(5000),
         tokens_in: parts.iter().map(|p| p.1).sum(),
-        parts: parts
+        prompt_segments: parts
             .iter()
-            .map(|(id, tokens)| Part {
+            .map(|(id, tokens)| PromptSegment {
                 id: *id,
                 tokens: *tokens,
             })
--- a/sorreldoor/tests/balancer/drive.rs
+++ b/sorreldoor/tests/balancer/drive.rs
@@ -60,7 +60,7 @@
     evs: BinaryHeap<Reverse<(u64, u64, Ev)>>,
     seq: u64,
     /// By node and request: arrivals so far, parts, out_ms.
-    open: BTreeMap<(usize, RequestId), (u32, Vec<Part>, u64)>,
+    open: BTreeMap<(usize, RequestId), (u32, Vec<PromptSegment>, u64)>,
     pub asked: Vec<u64>,
     pub further: Vec<u64>,
     pub served: u64,
@@ -241,7 +241,7 @@
         let t = self.clock(n);
         self.asked.push(self.now);
         let a = ask(&parts);
-        let ps = a.parts.clone();
+        let ps = a.prompt_segments.clone();
         let r = self.nodes[n].begin("h", fl.path, a, t, t).unwrap();
         self.open.insert((n, r), (0, ps, fl.out_ms));
         self.pick(n, r);
--- a/sorreldoor/tests/http1.rs
+++ b/sorreldoor/tests/http1.rs
@@ -17,19 +17,19 @@
 }
 
 /// A buffer that holds these bytes, read from a socket as they are in life.
-fn buf(b: &[u8]) -> Buf {
+fn buf(b: &[u8]) -> ReadBuffer {
     task::block_on(async {
         let (mut a, mut z) = pair().await;
         a.write_all(b).await.unwrap();
         drop(a);
-        let mut got = Buf::default();
+        let mut got = ReadBuffer::default();
         while got.fill(&mut z).await.unwrap() > 0 {}
         got
     })
 }
 
-fn request(text: &str) -> Result<Head, Fault> {
-    take_request(&mut buf(text.as_bytes()), 1 << 14).map(|h| h.expect("a whole head"))
+fn request(text: &str) -> Result<Head, ReadError> {
+    parse_request_head(&mut buf(text.as_bytes()), 1 << 14).map(|h| h.expect("a whole head"))
 }
 
 #[test]
@@ -60,15 +60,15 @@
     ];
     for b in bad {
         let h = request(&format!("POST / HTTP/1.1\r\nHost: h\r\n{b}\r\n\r\n")).unwrap();
-        assert_eq!(h.request_framing(), Err(Fault::Malformed), "{b}");
+        assert_eq!(h.request_framing(), Err(ReadError::Malformed), "{b}");
     }
     assert_matches!(
         request("GET / HTTP/1.1\r\nHost : h\r\n\r\n"),
-        Err(Fault::Malformed)
+        Err(ReadError::Malformed)
     );
     assert_matches!(
         request("GET /\u{1} HTTP/1.1\r\n\r\n"),
-        Err(Fault::Malformed)
+        Err(ReadError::Malformed)
     );
     let twice =
         request("POST / HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\n").unwrap();
@@ -79,16 +79,19 @@
 fn a_head_over_the_limit_is_told_apart() {
     let long = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(300));
     assert_matches!(
-        take_request(&mut buf(long.as_bytes()), 200),
-        Err(Fault::HeadTooLarge)
+        parse_request_head(&mut buf(long.as_bytes()), 200),
+        Err(ReadError::HeadTooLarge)
     );
     let open = &long.as_bytes()[..260];
-    assert_matches!(take_request(&mut buf(open), 200), Err(Fault::HeadTooLarge));
-    assert_matches!(take_request(&mut buf(open), 400), Ok(None));
+    assert_matches!(
+        parse_request_head(&mut buf(open), 200),
+        Err(ReadError::HeadTooLarge)
+    );
+    assert_matches!(parse_request_head(&mut buf(open), 400), Ok(None));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(200));
     assert_matches!(
-        take_request(&mut buf(many.as_bytes()), 1 << 14),
-        Err(Fault::HeadTooLarge)
+        parse_request_head(&mut buf(many.as_bytes()), 1 << 14),
+        Err(ReadError::HeadTooLarge)
     );
 }
 
@@ -98,7 +101,7 @@
     for cut in 0..wire.len() {
         task::block_on(async {
             let (mut a, mut z) = pair().await;
-            let mut b = Buf::default();
+            let mut b = ReadBuffer::default();
             let mut d = Decoder::new(Framing::Chunked);
             let mut out = Vec::new();
             for part in [&wire[..cut], &wire[cut..]] {
@@ -131,7 +134,7 @@
     ] {
         let mut d = Decoder::new(Framing::Chunked);
         let got = d.run(&mut buf(bad.as_bytes()), &mut Vec::new());
-        assert_eq!(got, Err(Fault::Malformed), "{bad:?}");
+        assert_eq!(got, Err(ReadError::Malformed), "{bad:?}");
     }
     let mut d = Decoder::new(Framing::Chunked);
     assert_eq!(d.run(&mut buf(b"5\r\nhel"), &mut Vec::new()), Ok(false));
@@ -147,13 +150,13 @@
 fn a_body_over_the_limit_is_refused_before_it_is_read() {
     task::block_on(async {
         let (mut a, mut z) = pair().await;
-        let mut b = Buf::default();
+        let mut b = ReadBuffer::default();
         let got = body(&mut z, &mut b, Framing::Length(11), 10).await;
-        assert_eq!(got, Err(Fault::BodyTooLarge));
+        assert_eq!(got, Err(ReadError::BodyTooLarge));
         a.write_all(b"6\r\nabcdef\r\n6\r\nabcdef\r\n0\r\n\r\n")
             .await
             .unwrap();
         let got = body(&mut z, &mut b, Framing::Chunked, 10).await;
-        assert_eq!(got, Err(Fault::BodyTooLarge));
+        assert_eq!(got, Err(ReadError::BodyTooLarge));
     });
 }
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -147,16 +147,16 @@
 
 #[test]
 fn every_header_of_the_products_dialect_is_on_the_page() {
-    use sorreldoor::proxy::{Dialect, Forward, Plain};
+    use sorreldoor::proxy::{Dialect, ForwardHeaders, PlainDialect};
     let text = page("docs/hosted.md");
-    let f = Forward {
+    let f = ForwardHeaders {
         worker: "w",
-        left_ms: 1,
+        remaining_ms: 1,
         priority: Some(1),
         last_event: Some(1),
     };
     let mut out = Vec::new();
-    Plain.forward(&f, &mut out);
+    PlainDialect.write_forward_headers(&f, &mut out);
     let lines = String::from_utf8(out).unwrap();
     assert_eq!(lines.lines().count(), 4);
     for l in lines.lines() {
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -9,7 +9,7 @@
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::proxy::body::*;
 use sorreldoor::proxy::http1::*;
-use sorreldoor::proxy::{accept, Front, Plain, Shared};
+use sorreldoor::proxy::{accept, PlainDialect, ProxyController, SharedState};
 use sorreldoor::runtime::{Clock, Now, SystemClock};
 use sorreldoor::subscription::Pull;
 use sorreldoor::wire::Hello;
@@ -102,10 +102,10 @@
 }
 
 pub async fn worker(me: Stand, acts: Arc<Vec<Act>>, mut c: TcpStream) {
-    let mut b = Buf::default();
+    let mut b = ReadBuffer::default();
     loop {
         let head = loop {
-            match take_request(&mut b, 1 << 16) {
+            match parse_request_head(&mut b, 1 << 16) {
                 Ok(Some(h)) => break h,
                 Ok(None) => {}
                 Err(_) => return,
@@ -206,7 +206,7 @@
 
 pub struct Proxy {
     pub at: SocketAddr,
-    pub sh: Arc<Shared<Plain, Later>>,
+    pub sh: Arc<SharedState<PlainDialect, Later>>,
 }
 
 pub async fn proxy(stands: &[&Stand]) -> Proxy {
@@ -251,11 +251,11 @@
         1,
     );
     let pull = Pull::new(&[], 1000, 0, 0);
-    let mut front = Front::new(Hello::default(), site, pull, table);
+    let mut front = ProxyController::new(Hello::default(), site, pull, table);
     front.now = 1;
-    let sh = Arc::new(Shared::new(
+    let sh = Arc::new(SharedState::new(
         front,
-        Plain,
+        PlainDialect,
         Later::default(),
         Default::default(),
     ));
@@ -276,13 +276,13 @@
 
 pub struct Caller {
     pub s: TcpStream,
-    pub b: Buf,
+    pub b: ReadBuffer,
 }
 
 impl Caller {
     pub async fn new(p: &Proxy) -> Caller {
         let s = TcpStream::connect(p.at).await.unwrap();
-        let b = Buf::default();
+        let b = ReadBuffer::default();
         Caller { s, b }
     }
 
@@ -296,14 +296,14 @@
     pub async fn got(&mut self) -> Option<Got> {
         timeout(LONG, async {
             let head = loop {
-                if let Some(h) = take_answer(&mut self.b).unwrap() {
+                if let Some(h) = parse_response_head(&mut self.b).unwrap() {
                     break h;
                 }
                 if !matches!(self.b.fill(&mut self.s).await, Ok(n) if n > 0) {
                     return None;
                 }
             };
-            let f = head.answer_framing("POST").unwrap();
+            let f = head.response_framing("POST").unwrap();
             let mut d = Decoder::new(f);
             let mut out = Vec::new();
             let whole = loop {
--- a/testbed/src/emul/client.rs
+++ b/testbed/src/emul/client.rs
@@ -2,7 +2,7 @@
 
 use super::mix::{unit, ClassMix};
 use super::*;
-use sorreldoor::proxy::Part;
+use sorreldoor::proxy::PromptSegment;
 
 /// What one caller wants, over all its tries.
 #[derive(Clone, Debug)]
@@ -10,7 +10,7 @@
     pub class: usize,
     pub zone: usize,
     pub at: Us,
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptSegment>,
     pub events: u32,
     /// Events it has, when the first came, the last, and the longest pause.
     pub got: u32,
@@ -119,7 +119,7 @@
         self.attempt(i);
     }
 
-    fn parts(&mut self, class: usize, c: &ClassMix) -> Vec<Part> {
+    fn parts(&mut self, class: usize, c: &ClassMix) -> Vec<PromptSegment> {
         let mut out = Vec::new();
         let mut thing = 0u64;
         // the deepest part decides, and those before it hang on it
@@ -134,11 +134,11 @@
             let id = (class as u64 + 1) << 56 | (level as u64 + 1) << 48 | at;
             let mut own = Rand::new(id);
             let tokens = p.tokens.draw(&mut own).max(1.0) as u32;
-            out.push(Part { id, tokens });
+            out.push(PromptSegment { id, tokens });
         }
         let tokens = c.own.draw(&mut self.asking).max(1.0) as u32;
         let id = 1 << 60 | self.asks.len() as u64;
-        out.push(Part { id, tokens });
+        out.push(PromptSegment { id, tokens });
         out
     }
 
--- a/testbed/src/emul/engine.rs
+++ b/testbed/src/emul/engine.rs
@@ -2,7 +2,7 @@
 //! running requests share with kept parts of prompts.
 
 use super::mix::EngineMix;
-use sorreldoor::proxy::Part;
+use sorreldoor::proxy::PromptSegment;
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,7 +12,7 @@
     pub sid: u64,
     pub priority: u8,
     pub order: u64,
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptSegment>,
     /// Tokens that the caller has already, and all that there are.
     pub from: u32,
     pub total: u32,
@@ -31,7 +31,7 @@
     unread: u32,
     piece: u32,
     /// Parts to be kept once they are read.
-    fresh: Vec<Part>,
+    fresh: Vec<PromptSegment>,
 }
 
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
     /// Its time was over; whether it had begun.
     Over(u64, bool),
     /// This part was read.
-    Read(u64, Part),
+    Read(u64, PromptSegment),
 }
 
 #[derive(Clone, Debug)]
@@ -102,7 +102,7 @@
     }
 
     /// More than this worker can ever hold.
-    pub fn too_large(&self, parts: &[Part], tokens: u32) -> bool {
+    pub fn too_large(&self, parts: &[PromptSegment], tokens: u32) -> bool {
         let sum: u64 = parts.iter().map(|p| u64::from(p.tokens)).sum();
         sum + u64::from(tokens) > self.mix.tokens
     }
--- a/testbed/src/emul/node.rs
+++ b/testbed/src/emul/node.rs
@@ -115,7 +115,7 @@
             model: "m".into(),
             tokens_in: a.parts.iter().map(|p| p.tokens).sum(),
             tokens_out: 0,
-            parts: a.parts.clone(),
+            prompt_segments: a.parts.clone(),
             last_event: Some(u64::from(tr.from)).filter(|l| *l > 0),
         };
         let path = format!("/{}/x", c.name);
--- a/testbed/src/emul/worker.rs
+++ b/testbed/src/emul/worker.rs
@@ -281,7 +281,7 @@
         self.reply(sid, Ans::Head(load));
     }
 
-    fn note_read(&mut self, sid: u64, i: usize, p: sorreldoor::proxy::Part) {
+    fn note_read(&mut self, sid: u64, i: usize, p: sorreldoor::proxy::PromptSegment) {
         let a = &self.asks[self.tries[self.sends[sid as usize].attempt].ask];
         let shared = a.parts.last().is_some_and(|l| l.id != p.id);
         if shared && !self.read.insert((self.workers[i].svc, p.id)) {
--- a/testbed/tests/emul.rs
+++ b/testbed/tests/emul.rs
@@ -162,7 +162,7 @@
 
 /// A request with a shared part of 1000 tokens and its own of 100.
 fn task(sid: u64, priority: u8, total: u32) -> Task {
-    let part = |id, tokens| sorreldoor::proxy::Part { id, tokens };
+    let part = |id, tokens| sorreldoor::proxy::PromptSegment { id, tokens };
     Task {
         sid,
         priority,
--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -4,9 +4,9 @@
 use proptest::prelude::*;
 use sorreldoor::proxy::attempt::Event;
 use sorreldoor::proxy::body::Decoder;
-use sorreldoor::proxy::http1::{take_answer, Buf, Fault};
-use sorreldoor::proxy::verdict::{judge, Expected, Verdict};
-use sorreldoor::proxy::{Dialect, Plain, ResponseMetadata};
+use sorreldoor::proxy::http1::{parse_response_head, ReadBuffer, ReadError};
+use sorreldoor::proxy::verdict::{classify_response, Expected, ResponseClass};
+use sorreldoor::proxy::{Dialect, PlainDialect, ResponseMetadata};
 
 const OWN_ID: &str = "own";
 const OTHER_ID: &str = "other";
@@ -98,8 +98,8 @@
     cuts.extend([0, all.len()]);
     cuts.sort_unstable();
     let mut parts = cuts.windows(2).map(|w| &all[w[0]..w[1]]);
-    let mut buf = Buf::default();
-    let mut feed = |buf: &mut Buf| {
+    let mut buf = ReadBuffer::default();
+    let mut feed = |buf: &mut ReadBuffer| {
         let part = parts.find(|p| !p.is_empty());
         let fed = part.is_some();
         run(async {
@@ -111,7 +111,7 @@
         fed
     };
     let head = loop {
-        match take_answer(&mut buf) {
+        match parse_response_head(&mut buf) {
             Ok(Some(head)) if (100..200).contains(&head.status) => {}
             Ok(Some(head)) => break head,
             Ok(None) if feed(&mut buf) => {}
@@ -119,15 +119,15 @@
             Err(_) => return Read::Unusable(Event::Malformed),
         }
     };
-    let mut told = ResponseMetadata::default();
+    let mut metadata = ResponseMetadata::default();
     for (name, value) in head.iter() {
-        Plain.tell(head.status, name, value, &mut told);
+        PlainDialect.read_response_header(head.status, name, value, &mut metadata);
     }
-    let framing = match judge(&head, &told, &EXPECTED) {
-        Verdict::Own(framing) => framing,
-        Verdict::NotRun(_) => return Read::NotRun,
-        Verdict::Misdirected => return Read::Misdirected,
-        Verdict::Unusable(event) => return Read::Unusable(event),
+    let framing = match classify_response(&head, &metadata, &EXPECTED) {
+        ResponseClass::Own(framing) => framing,
+        ResponseClass::NotRun(_) => return Read::NotRun,
+        ResponseClass::Misdirected => return Read::Misdirected,
+        ResponseClass::Unusable(event) => return Read::Unusable(event),
     };
     let mut decoder = Decoder::new(framing);
     let mut body = Vec::new();
@@ -136,7 +136,7 @@
             Ok(true) => break,
             Ok(false) if feed(&mut buf) => {}
             Ok(false) => return Read::Cut,
-            Err(Fault::Malformed) => return Read::Unusable(Event::Malformed),
+            Err(ReadError::Malformed) => return Read::Unusable(Event::Malformed),
             Err(_) => return Read::Unusable(Event::Closed),
         }
     }
--- a/testbed/tests/requests/worker.rs
+++ b/testbed/tests/requests/worker.rs
@@ -4,7 +4,7 @@
 use async_std::io::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use sorreldoor::proxy::http1::{take_request, Buf, Framing};
+use sorreldoor::proxy::http1::{parse_request_head, Framing, ReadBuffer};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -106,12 +106,12 @@
 const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
 
 async fn serve(me: Worker, mut stream: TcpStream, killed: async_std::channel::Sender<()>) {
-    let mut buf = Buf::default();
+    let mut buf = ReadBuffer::default();
     // what is said before the next answer on this connection
     let mut before_next = String::new();
     loop {
         let head = loop {
-            match take_request(&mut buf, 1 << 16) {
+            match parse_request_head(&mut buf, 1 << 16) {
                 Ok(Some(head)) => break head,
                 Ok(None) => {}
                 Err(_) => return,
