--- a/sorreldoor/src/balancer/budget.rs
+++ b/sorreldoor/src/balancer/budget.rs
@@ -1,7 +1,7 @@
 //! Further sendings of one service against its requests, in a sliding window.
 
 use super::Bounds;
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 const QUARTER: u64 = 16;
 /// Buckets of one window; another quarter is looked back on for lateness.
--- a/sorreldoor/src/balancer/endpoint.rs
+++ b/sorreldoor/src/balancer/endpoint.rs
@@ -2,7 +2,7 @@
 
 use super::health::Health;
 use super::kept::Kept;
-use crate::consensus::Millis;
+use crate::types::Millis;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
--- a/sorreldoor/src/balancer/health.rs
+++ b/sorreldoor/src/balancer/health.rs
@@ -1,6 +1,6 @@
 //! Passive signs of a worker's health: out for a doubling time, back by trial.
 
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 const FIRST_OUT: Millis = 1000;
 const LONGEST_OUT: Millis = 10_000;
--- a/sorreldoor/src/balancer/heavy.rs
+++ b/sorreldoor/src/balancer/heavy.rs
@@ -3,7 +3,7 @@
 
 use super::state::Table;
 use crate::configuration::hosted::{Hosted, Kind};
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// From so many shared tokens on, a prefix is worth a way to another region:
 /// reading it anew takes longer than the way there and back.
--- a/sorreldoor/src/balancer/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -17,8 +17,8 @@
 
 pub use state::{Counts, Table};
 
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 use std::net::SocketAddr;
 
 /// A request under way at this node.
--- a/sorreldoor/src/balancer/nodes.rs
+++ b/sorreldoor/src/balancer/nodes.rs
@@ -1,7 +1,7 @@
 //! The equal nodes, and this node's part of what holds for all of them together.
 
 use super::hash;
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// A node that was ready within this time still has its part, in milliseconds.
 const LATELY: Millis = 30_000;
--- a/sorreldoor/src/balancer/pick.rs
+++ b/sorreldoor/src/balancer/pick.rs
@@ -7,9 +7,9 @@
 use super::waits::{Line, Rank, TICK};
 use super::{Pick, RequestId, Target};
 use crate::configuration::hosted::{Hosted, Route};
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::proxy::attempt::{ClientAnswer, Event, Repeatability};
+use crate::types::Millis;
 
 /// With less time left nothing is sent any more, in milliseconds.
 const TOO_LATE: Millis = 5;
--- a/sorreldoor/src/balancer/rank.rs
+++ b/sorreldoor/src/balancer/rank.rs
@@ -7,7 +7,7 @@
 use super::requests::Req;
 use super::state::Table;
 use crate::configuration::hosted::{Route, Service};
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// Fewer shared tokens than these are read anywhere at little cost.
 const SMALL: u32 = 256;
--- a/sorreldoor/src/balancer/requests.rs
+++ b/sorreldoor/src/balancer/requests.rs
@@ -7,10 +7,10 @@
 use super::waits::Line;
 use super::{AttemptOutcome, RequestId};
 use crate::configuration::hosted;
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::proxy::attempt::{Event, Repeatability, RequestProgress};
 use crate::proxy::{Part, RequestMetadata};
+use crate::types::Millis;
 
 /// A sending that has not come to its end.
 #[derive(Clone, Copy, Debug)]
--- a/sorreldoor/src/balancer/signs.rs
+++ b/sorreldoor/src/balancer/signs.rs
@@ -4,7 +4,7 @@
 use super::requests::Sending;
 use super::state::Table;
 use super::RequestId;
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// Weight of a new measure among the earlier ones.
 const NEW: f64 = 0.1;
--- a/sorreldoor/src/balancer/state.rs
+++ b/sorreldoor/src/balancer/state.rs
@@ -8,8 +8,8 @@
 use super::waits::Waits;
 use super::{Bounds, Locality};
 use crate::configuration::hosted::{Hosted, Service};
-use crate::consensus::Millis;
 use crate::discovery::WorkerRegistry;
+use crate::types::Millis;
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/sorreldoor/src/balancer/waits.rs
+++ b/sorreldoor/src/balancer/waits.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for a place, in order of priority, then of arrival.
 
 use super::RequestId;
-use crate::consensus::Millis;
+use crate::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What the waiting ones can be served by: service, and homes as bits.
--- a/sorreldoor/src/consensus/accept.rs
+++ b/sorreldoor/src/consensus/accept.rs
@@ -2,6 +2,7 @@
 
 use super::node::{Consensus, Role};
 use super::types::*;
+use crate::types::*;
 
 impl<M: StateMachine> Consensus<M> {
     pub(super) fn follow(&mut self, term: u64, gl: NodeId, round: u64) {
--- a/sorreldoor/src/consensus/chunk.rs
+++ b/sorreldoor/src/consensus/chunk.rs
@@ -1,6 +1,7 @@
 //! The messages that carry a large content in parts.
 
-use super::types::{LogPosition, Member, NodeId, ProposalId};
+use super::types::{LogPosition, Member};
+use crate::types::{NodeId, ProposalId};
 use serde::{Deserialize, Serialize};
 
 fn as_bytes<S: serde::Serializer>(b: &[u8], s: S) -> Result<S::Ok, S::Error> {
--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -4,6 +4,7 @@
 use super::position::{best, Load, View};
 use super::quorum;
 use super::types::*;
+use crate::types::*;
 use std::sync::Arc;
 
 /// A log may grow by this much more than its snapshot before the next one.
--- a/sorreldoor/src/consensus/elect.rs
+++ b/sorreldoor/src/consensus/elect.rs
@@ -3,6 +3,7 @@
 use super::node::{Consensus, DomainLeader, Election, Role};
 use super::quorum;
 use super::types::*;
+use crate::types::*;
 
 /// Election times without a Global Leader after which any voter may stand.
 const UNLED: u32 = 1;
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -5,6 +5,7 @@
 use super::position::Load;
 use super::transfer::{Incoming, Transfer};
 use super::types::*;
+use crate::types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
--- a/sorreldoor/src/consensus/position.rs
+++ b/sorreldoor/src/consensus/position.rs
@@ -1,6 +1,6 @@
 //! Where the Global Leader should stand: the z with the least Ls.
 
-use super::types::{Millis, RegionId};
+use crate::types::{Millis, RegionId};
 use std::collections::BTreeMap;
 
 /// Reads and writes of one region's askers over the last period.
--- a/sorreldoor/src/consensus/quorum.rs
+++ b/sorreldoor/src/consensus/quorum.rs
@@ -1,6 +1,7 @@
 //! Who makes a majority: of a region, and of all voters.
 
-use super::types::{Member, NodeId, RegionId};
+use super::types::Member;
+use crate::types::{NodeId, RegionId};
 use std::collections::BTreeSet;
 
 /// Members that vote: in the newest set, or in the one that it replaces.
--- a/sorreldoor/src/consensus/reads.rs
+++ b/sorreldoor/src/consensus/reads.rs
@@ -3,6 +3,7 @@
 use super::node::{Consensus, PendingProposal, PendingRead, ReadProof, Role};
 use super::quorum;
 use super::types::*;
+use crate::types::*;
 
 /// What a slow link carries at least, with other traffic on it.
 const SLOW_BYTES_PER_MS: Millis = 500;
--- a/sorreldoor/src/consensus/reconfigure.rs
+++ b/sorreldoor/src/consensus/reconfigure.rs
@@ -10,6 +10,7 @@
 use super::node::{Consensus, Role};
 use super::quorum;
 use super::types::*;
+use crate::types::*;
 
 impl<M: StateMachine> Consensus<M> {
     /// The entry that begins the change to the members `next`; none where the
--- a/sorreldoor/src/consensus/replicate.rs
+++ b/sorreldoor/src/consensus/replicate.rs
@@ -4,6 +4,7 @@
 use super::quorum;
 use super::types::*;
 use crate::invariants::{broken, Invariant};
+use crate::types::*;
 
 /// Bytes of entries sent to one member and not acknowledged by it yet.
 const APPEND_WINDOW_BYTES: usize = 64 * 1024;
--- a/sorreldoor/src/consensus/state.rs
+++ b/sorreldoor/src/consensus/state.rs
@@ -4,6 +4,7 @@
 use super::node::{Consensus, Role};
 use super::quorum;
 use super::types::*;
+use crate::types::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/sorreldoor/src/consensus/term.rs
+++ b/sorreldoor/src/consensus/term.rs
@@ -2,6 +2,7 @@
 
 use super::node::{Consensus, Role};
 use super::types::*;
+use crate::types::*;
 
 impl<M: StateMachine> Consensus<M> {
     /// Forget what only held in the term before.
--- a/sorreldoor/src/consensus/transfer.rs
+++ b/sorreldoor/src/consensus/transfer.rs
@@ -6,6 +6,7 @@
 use super::chunk::{Chunk, ContentHeader};
 use super::node::{Consensus, Role};
 use super::types::*;
+use crate::types::*;
 use std::sync::Arc;
 
 /// Bytes of content in one message at most.
--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -1,6 +1,7 @@
 //! Words that the reducer, its store and its neighbours share.
 
 use super::chunk::Chunk;
+use crate::types::{Millis, NodeId, ProposalId, RegionId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -10,15 +11,6 @@
     s.serialize_bytes(b)
 }
 
-/// A core's identity: random, made on its first start, never given twice.
-pub type NodeId = u64;
-/// A region as a dense index into the site's list.
-pub type RegionId = u8;
-/// Milliseconds of a monotonic clock that only its own node reads.
-pub type Millis = u64;
-/// A proposal's id, made by whoever first asked for it.
-pub type ProposalId = u128;
-
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     pub id: NodeId,
--- a/sorreldoor/src/control_plane/book.rs
+++ b/sorreldoor/src/control_plane/book.rs
@@ -2,7 +2,7 @@
 //! when the id is remembered. Ids are let go by time only, never by number.
 
 pub use crate::consensus::ClaimRecord;
-use crate::consensus::Millis;
+use crate::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Who claims: one try of one life of an edge.
--- a/sorreldoor/src/control_plane/claims.rs
+++ b/sorreldoor/src/control_plane/claims.rs
@@ -5,10 +5,11 @@
 use super::book::{Book, By, ClaimRecord, Note, KEEP_MS};
 use super::controller::Controller;
 use super::events::ControllerEffect;
-use crate::consensus::{Millis, NodeId, Save};
+use crate::consensus::Save;
 use crate::invariants::{broken, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use crate::wire::{Hello, Payload, Verdict};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/sorreldoor/src/control_plane/connections.rs
+++ b/sorreldoor/src/control_plane/connections.rs
@@ -1,8 +1,8 @@
 //! The lines that stand between this core and other nodes.
 
 use super::controller::Controller;
-use crate::consensus::{Millis, NodeId};
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use crate::wire::{Hello, Payload};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/sorreldoor/src/control_plane/controller.rs
+++ b/sorreldoor/src/control_plane/controller.rs
@@ -14,6 +14,7 @@
 use crate::pacing::Pacing;
 use crate::replicated_state::{encode, Command, Outcome, ReplicatedState};
 use crate::runtime::{Now, Reducer};
+use crate::types::*;
 use crate::wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/sorreldoor/src/control_plane/delivery.rs
+++ b/sorreldoor/src/control_plane/delivery.rs
@@ -3,12 +3,12 @@
 use super::controller::Controller;
 use super::events::{ControllerEffect, Want};
 use super::updates::Due;
-use crate::consensus::*;
 use crate::discovery::Loads;
 use crate::invariants::{broken, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
 use crate::replicated_state::encode;
+use crate::types::*;
 use crate::wire::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/sorreldoor/src/control_plane/duty.rs
+++ b/sorreldoor/src/control_plane/duty.rs
@@ -8,6 +8,7 @@
 use crate::discovery::{Load, Loads, WorkerRegistry};
 use crate::log_events::LogEvent;
 use crate::replicated_state::{encode, Command, Recovery};
+use crate::types::*;
 use crate::weight_tuning;
 use crate::wire::Payload;
 use std::sync::Arc;
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -8,6 +8,7 @@
 use crate::net::{Conn, NetEvent};
 use crate::pacing::Pacing;
 use crate::replicated_state::Command;
+use crate::types::*;
 use crate::wire::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/sorreldoor/src/control_plane/founding.rs
+++ b/sorreldoor/src/control_plane/founding.rs
@@ -7,6 +7,7 @@
 use crate::log_events::LogEvent;
 use crate::net::Conn;
 use crate::replicated_state::{encode, ReplicatedState};
+use crate::types::*;
 use crate::wire::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/sorreldoor/src/control_plane/front.rs
+++ b/sorreldoor/src/control_plane/front.rs
@@ -2,9 +2,9 @@
 //! ask here, and wait for what the reducer says.
 
 use super::events::ControllerEvent;
-use crate::consensus::ProposalId;
 use crate::net::Ring;
 use crate::replicated_state::{Command, View};
+use crate::types::ProposalId;
 use crate::wire::{EdgeEndpoint, OpOutcome};
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
--- a/sorreldoor/src/control_plane/learn.rs
+++ b/sorreldoor/src/control_plane/learn.rs
@@ -5,10 +5,10 @@
 use super::book::{ClaimRecord, Note, LONGEST_MS};
 use super::claims::Say;
 use super::controller::Controller;
-use crate::consensus::{Millis, NodeId};
 use crate::invariants::{broken, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use crate::wire::{Hello, Payload};
 use std::collections::BTreeMap;
 
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -11,9 +11,10 @@
 
 use super::controller::Controller;
 use super::events::{ControllerEffect, OpFrom};
-use crate::consensus::{Body, Event, Member, Millis, NodeId, ProposalId};
+use crate::consensus::{Body, Event, Member};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
+use crate::types::{Millis, NodeId, ProposalId};
 use crate::wire::{Hello, OpOutcome, Payload};
 use std::collections::BTreeMap;
 
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -2,7 +2,8 @@
 //! observes. Pure: nothing here sends, saves or reads a clock.
 
 use super::spread::Spread;
-use crate::consensus::{Member, Millis, NodeId, RegionId};
+use crate::consensus::Member;
+use crate::types::{Millis, NodeId, RegionId};
 use crate::wire::Hello;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- a/sorreldoor/src/control_plane/membership/spread.rs
+++ b/sorreldoor/src/control_plane/membership/spread.rs
@@ -1,6 +1,7 @@
 //! How well a set of voters is spread over zones and regions.
 
-use crate::consensus::{Member, RegionId};
+use crate::consensus::Member;
+use crate::types::RegionId;
 use std::collections::BTreeMap;
 
 /// The less the better: first the voters that the loss of one zone takes, then
--- a/sorreldoor/src/control_plane/reads.rs
+++ b/sorreldoor/src/control_plane/reads.rs
@@ -3,8 +3,9 @@
 
 use super::controller::Controller;
 use super::events::{ControllerEffect, Want};
-use crate::consensus::{Event, Millis, ProposalId, StateMachine};
+use crate::consensus::{Event, StateMachine};
 use crate::invariants::{broken, Invariant};
+use crate::types::{Millis, ProposalId};
 use crate::wire::{OpOutcome, Payload, StateDelta};
 use std::collections::BTreeMap;
 
--- a/sorreldoor/src/control_plane/regions.rs
+++ b/sorreldoor/src/control_plane/regions.rs
@@ -2,9 +2,9 @@
 //! and the state that the record should have for each.
 
 use crate::configuration::Configuration;
-use crate::consensus::Millis;
 use crate::discovery::{Loads, Worker};
 use crate::replicated_state::Recovery;
+use crate::types::Millis;
 use std::collections::BTreeMap;
 
 /// So long without any live model worker makes a region lost.
--- a/sorreldoor/src/control_plane/start.rs
+++ b/sorreldoor/src/control_plane/start.rs
@@ -6,8 +6,9 @@
 use super::membership::Membership;
 use super::reads::Reads;
 use super::worker_list::WorkerList;
-use crate::consensus::{Consensus, Kept, Millis, StateMachine};
+use crate::consensus::{Consensus, Kept, StateMachine};
 use crate::replicated_state::ReplicatedState;
+use crate::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -1,10 +1,10 @@
 //! Updates of the record as edges are sent them: encoded once for all who lack
 //! the same, and never more large ones on their way than links take.
 
-use crate::consensus::Millis;
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
 use crate::replicated_state::ReplicatedState;
+use crate::types::Millis;
 use crate::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::collections::BTreeMap;
 
--- a/sorreldoor/src/control_plane/worker_list.rs
+++ b/sorreldoor/src/control_plane/worker_list.rs
@@ -1,8 +1,8 @@
 //! The list of workers as one core holds it: when to read it, how a list
 //! without numbers of its own is numbered, and how old its times are.
 
-use crate::consensus::Millis;
 use crate::discovery::{Worker, WorkerRegistry};
+use crate::types::Millis;
 use std::sync::Arc;
 
 /// A read without any word for so long is taken for lost.
--- a/sorreldoor/src/freshness.rs
+++ b/sorreldoor/src/freshness.rs
@@ -1,7 +1,7 @@
 //! The time budget of delivery: how an edge that reaches a majority's cores
 //! goes by an acknowledged change within one bound, in the worst allowed case.
 
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// What one bound, `apply_ms`, is divided into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -3,7 +3,6 @@
 use super::controller::EdgeEvent;
 use super::relay::{Brought, Load, Piece};
 use super::run::{Desk, Reply};
-use crate::consensus::ProposalId;
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{RequestProfile, RequestSpec};
 use crate::http;
@@ -12,6 +11,7 @@
 use crate::operator_api::{self, OperatorRequest};
 use crate::order_id;
 use crate::settings::Settings;
+use crate::types::ProposalId;
 use async_std::channel::Receiver;
 use async_std::future::timeout;
 use async_std::io::{self, BufRead, Read};
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -1,6 +1,5 @@
 //! The edge's one reducer over all events, with effects as data.
 
-use crate::consensus::{Millis, ProposalId};
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{
     AttemptEvent, Plan, RequestEffect, RequestProfile, RequestSpec, Table,
@@ -11,6 +10,7 @@
 use crate::replicated_state::Command;
 use crate::runtime::{Now, Reducer};
 use crate::subscription::{Pull, SubscriptionEffect};
+use crate::types::{Millis, ProposalId};
 use crate::wire::*;
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
--- a/sorreldoor/src/gateway/request_table/again.rs
+++ b/sorreldoor/src/gateway/request_table/again.rs
@@ -2,8 +2,8 @@
 //! the returns it has asked for, so that a crowd does not come back as one,
 //! and returns stay a small part of what else comes.
 
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 
 /// Seconds that the calendar reaches.
 const DAYS: usize = 120;
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -2,9 +2,9 @@
 //! sent under an id that its caller chose, the cores must have noted it.
 
 use super::{Plan, RequestEffect, RequestSpec, Stage, Table};
-use crate::consensus::Millis;
 use crate::control_plane::KEEP_MS;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 use crate::wire::Verdict;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/sorreldoor/src/gateway/request_table/ends.rs
+++ b/sorreldoor/src/gateway/request_table/ends.rs
@@ -2,9 +2,9 @@
 
 use super::allowed::hope;
 use super::{Claim, ClaimRequest, Plan, RequestEffect, Stage, Table};
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
+use crate::types::Millis;
 
 impl Table {
     /// Give up, at once, whatever cannot be done in time any more.
--- a/sorreldoor/src/gateway/request_table/learn.rs
+++ b/sorreldoor/src/gateway/request_table/learn.rs
@@ -2,7 +2,7 @@
 //! and by service for the duty that tunes weights.
 
 use super::Table;
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// Pairs of route and service whose times are told, at most.
 const TOOK: usize = 256;
--- a/sorreldoor/src/gateway/request_table/mod.rs
+++ b/sorreldoor/src/gateway/request_table/mod.rs
@@ -15,8 +15,8 @@
 pub use claims::{Claim, ClaimRequest};
 pub use plan::{Plan, Shown};
 
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
--- a/sorreldoor/src/gateway/request_table/passes.rs
+++ b/sorreldoor/src/gateway/request_table/passes.rs
@@ -6,12 +6,12 @@
     Stage, Table,
 };
 use crate::configuration::{Kind, Route};
-use crate::consensus::Millis;
 use crate::control_plane::KEEP_MS;
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
 use crate::placement::{self, PlacementRequest};
 use crate::replicated_state::Recovery;
+use crate::types::Millis;
 
 const SHUN_MS: Millis = 1000;
 
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -1,13 +1,14 @@
 //! The edge's session with a core: frames in, news taken, no step back.
 
 use super::controller::{EdgeController, EdgeEffect};
-use crate::consensus::{ClaimRecord, Millis};
+use crate::consensus::ClaimRecord;
 use crate::control_plane::KEEP_MS;
 use crate::discovery::WorkerRegistry;
 use crate::gateway::request_table::ClaimRequest;
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::subscription::Granted;
+use crate::types::Millis;
 use crate::wire::*;
 use std::sync::Arc;
 
--- a/sorreldoor/src/lib.rs
+++ b/sorreldoor/src/lib.rs
@@ -26,5 +26,6 @@
 pub mod settings;
 pub mod store;
 pub mod subscription;
+pub mod types;
 pub mod weight_tuning;
 pub mod wire;
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -2,13 +2,13 @@
 //! is, and how its outcome is answered.
 
 use crate::configuration::{self, Site};
-use crate::consensus::ProposalId;
 use crate::discovery::{Loads, Worker};
 use crate::error::ErrorCode;
 use crate::http;
 use crate::json::Val;
 use crate::order_id::{format_proposal_id, parse_proposal_id, random_proposal_id};
 use crate::replicated_state::{Command, Outcome};
+use crate::types::ProposalId;
 use crate::wire::OpOutcome;
 use http_types::{Method, Request, Response};
 use simd_json::prelude::*;
--- a/sorreldoor/src/order_id.rs
+++ b/sorreldoor/src/order_id.rs
@@ -1,6 +1,6 @@
 //! Ids of nodes, starts and orders: how they are made, written and read.
 
-use crate::consensus::ProposalId;
+use crate::types::ProposalId;
 use std::hash::{BuildHasher, Hasher};
 
 /// The most hexadecimal digits of a proposal's id.
--- a/sorreldoor/src/pacing.rs
+++ b/sorreldoor/src/pacing.rs
@@ -1,8 +1,9 @@
 //! How often a node speaks, and what it leaves unsaid: settings for sites
 //! where bytes, wake-ups and calls are dear.
 
-use crate::consensus::{Millis, Timing};
+use crate::consensus::Timing;
 use crate::json::{Faults, Obj};
+use crate::types::Millis;
 
 /// Names of the settings read here.
 pub const KEYS: [&str; 10] = [
--- a/sorreldoor/src/proxy/await_head.rs
+++ b/sorreldoor/src/proxy/await_head.rs
@@ -8,8 +8,8 @@
 use super::pool::Connection;
 use super::wait::{wait_for_worker, Wakeup};
 use crate::configuration::hosted::{Kind, Route};
-use crate::consensus::Millis;
 use crate::runtime::Clock;
+use crate::types::Millis;
 
 /// Silence at a worker is not taken for its end before this.
 const LEAST_PATIENCE_MS: Millis = 400;
--- a/sorreldoor/src/proxy/exchange.rs
+++ b/sorreldoor/src/proxy/exchange.rs
@@ -9,9 +9,9 @@
 use super::shared::Shared;
 use crate::balancer::{AttemptOutcome, RequestId, Target};
 use crate::configuration::hosted::Route;
-use crate::consensus::Millis;
 use crate::invariants::{broken, Invariant};
 use crate::runtime::Clock;
+use crate::types::Millis;
 
 /// Between two looks at whether a silent worker is to be left.
 pub const SILENCE_CHECK_MS: Millis = 100;
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -4,13 +4,13 @@
 use crate::balancer::Table;
 use crate::configuration::hosted::Hosted;
 use crate::configuration::Site;
-use crate::consensus::Millis;
 use crate::discovery::WorkerRegistry;
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::replicated_state::{DocumentChanges, Update, View};
 use crate::runtime::{Now, Reducer};
 use crate::subscription::{Granted, Pull, SubscriptionEffect};
+use crate::types::Millis;
 use crate::wire::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/sorreldoor/src/proxy/read_whole.rs
+++ b/sorreldoor/src/proxy/read_whole.rs
@@ -8,8 +8,8 @@
 use super::http1::Head;
 use super::pool::Connection;
 use super::wait::{wait_for_worker, Wakeup};
-use crate::consensus::Millis;
 use crate::runtime::Clock;
+use crate::types::Millis;
 
 /// A worker's whole answer in memory, at most.
 const MOST_ANSWER: usize = 32 << 20;
--- a/sorreldoor/src/proxy/stream.rs
+++ b/sorreldoor/src/proxy/stream.rs
@@ -13,8 +13,8 @@
 use super::pool::Connection;
 use super::wait::{wait_for_worker, Wakeup};
 use crate::balancer::AttemptOutcome;
-use crate::consensus::Millis;
 use crate::runtime::Clock;
+use crate::types::Millis;
 
 /// Silence in the middle of a stream is not taken for its end before this.
 const LEAST_GAP_MS: Millis = 400;
--- a/sorreldoor/src/proxy/wait.rs
+++ b/sorreldoor/src/proxy/wait.rs
@@ -2,7 +2,7 @@
 
 use super::client::Client;
 use super::pool::Connection;
-use crate::consensus::Millis;
+use crate::types::Millis;
 use async_std::task::sleep;
 use futures_lite::future::or;
 use std::time::Duration;
--- a/sorreldoor/src/replicated_state/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -3,9 +3,10 @@
 use super::{decode, encode, Command, Document, Kept, Outcome, ReplicatedState};
 use crate::configuration::hosted_change::{HostedChange, ListChange};
 use crate::configuration::{self, Configuration};
-use crate::consensus::{ProposalId, StateMachine};
+use crate::consensus::StateMachine;
 use crate::invariants::{broken, Invariant};
 use crate::json;
+use crate::types::ProposalId;
 use std::sync::Arc;
 
 impl ReplicatedState {
--- a/sorreldoor/src/replicated_state/mod.rs
+++ b/sorreldoor/src/replicated_state/mod.rs
@@ -12,7 +12,7 @@
 pub use update::{Copy, Update};
 
 use crate::configuration::{Configuration, Site};
-use crate::consensus::ProposalId;
+use crate::types::ProposalId;
 use im::{OrdMap, OrdSet, Vector};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
--- a/sorreldoor/src/replicated_state/taken.rs
+++ b/sorreldoor/src/replicated_state/taken.rs
@@ -5,7 +5,7 @@
 //! by itself: versions only rise, so an order whose base has been passed can
 //! never become valid again.
 
-use crate::consensus::ProposalId;
+use crate::types::ProposalId;
 use im::{OrdMap, Vector};
 use serde::{Deserialize, Serialize};
 
--- a/sorreldoor/src/subscription/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -2,9 +2,9 @@
 //! where a renewal has had no proof for too long.
 
 use super::{Pull, SubscriptionEffect};
-use crate::consensus::Millis;
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
+use crate::types::Millis;
 use std::net::SocketAddr;
 
 /// Between tries to come to a core of one's own region.
--- a/sorreldoor/src/subscription/lease.rs
+++ b/sorreldoor/src/subscription/lease.rs
@@ -1,8 +1,8 @@
 //! An edge's freshness lease, and the renewals on their way that extend it.
 
-use crate::consensus::Millis;
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
+use crate::types::Millis;
 
 /// Renewals that are remembered until they are answered, at most.
 const MOST_SENT: usize = 64;
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -6,10 +6,10 @@
 mod candidates;
 mod lease;
 
-use crate::consensus::Millis;
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
 use crate::pacing::Pacing;
+use crate::types::Millis;
 use crate::wire::{KnownVersions, Unverified};
 use candidates::Candidate;
 use lease::{Lease, Renewal};
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -1,9 +1,10 @@
 //! Frames between the site's own processes: a length, a protocol number, and
 //! a hash of the site's mark with one payload in ciborium.
 
-use crate::consensus::{ClaimRecord, Member, Msg, NodeId, ProposalId};
+use crate::consensus::{ClaimRecord, Member, Msg};
 use crate::discovery::{Loads, WorkerRegistry};
 use crate::replicated_state::{decode, encode, Command, Outcome, Update};
+use crate::types::{NodeId, ProposalId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/sorreldoor/tests/membership.rs
+++ b/sorreldoor/tests/membership.rs
@@ -1,9 +1,10 @@
 //! Which change of the members is due, observation by observation.
 
-use sorreldoor::consensus::{Member, Millis, NodeId};
+use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::{
     learner, Health, Membership, MembershipChange, Observed, Policy, Why,
 };
+use sorreldoor::types::{Millis, NodeId};
 use sorreldoor::wire::Hello;
 use std::collections::BTreeMap;
 
--- a/testbed/src/disk.rs
+++ b/testbed/src/disk.rs
@@ -1,8 +1,9 @@
 //! A disk in virtual time: saves become durable after a while, in order, and
 //! a crash loses those that were not.
 
-use sorreldoor::consensus::{Millis, Save};
+use sorreldoor::consensus::Save;
 use sorreldoor::store::DurableState;
+use sorreldoor::types::Millis;
 use std::collections::VecDeque;
 
 pub struct Disk {
--- a/testbed/src/emul/breach.rs
+++ b/testbed/src/emul/breach.rs
@@ -3,10 +3,10 @@
 use super::policy::{Breach, Policy};
 use sorreldoor::balancer::{AttemptOutcome, Pick, RequestId, Table};
 use sorreldoor::configuration::hosted::{Hosted, Route};
-use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::RequestMetadata;
+use sorreldoor::types::Millis;
 use std::collections::HashSet;
 use std::sync::Arc;
 
--- a/testbed/src/emul/policy.rs
+++ b/testbed/src/emul/policy.rs
@@ -5,10 +5,10 @@
 use super::simple::Simple;
 use sorreldoor::balancer::{AttemptOutcome, Bounds, Locality, Pick, RequestId, Table};
 use sorreldoor::configuration::hosted::{Hosted, Route};
-use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::RequestMetadata;
+use sorreldoor::types::Millis;
 use std::sync::Arc;
 
 /// What a node asks of whoever decides; the table's own calls.
--- a/testbed/src/emul/simple.rs
+++ b/testbed/src/emul/simple.rs
@@ -4,10 +4,10 @@
 use crate::rand::Rand;
 use sorreldoor::balancer::{AttemptOutcome, Pick, RequestId, Target};
 use sorreldoor::configuration::hosted::{Hosted, Route};
-use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::RequestMetadata;
+use sorreldoor::types::Millis;
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/testbed/src/hollow/fault.rs
+++ b/testbed/src/hollow/fault.rs
@@ -1,7 +1,7 @@
 //! What befalls a hollow site, and how long it takes to come back.
 
 use super::{Act, Fault, Proc, Role, World};
-use sorreldoor::consensus::Millis;
+use sorreldoor::types::Millis;
 
 /// How long regions stay parted, in milliseconds.
 const PARTED: Millis = 20_000;
--- a/testbed/src/hollow/lines.rs
+++ b/testbed/src/hollow/lines.rs
@@ -4,9 +4,9 @@
 use super::meter::kind;
 use super::node::{Node, Out};
 use super::{Act, Proc, Role, World};
-use sorreldoor::consensus::Millis;
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::net::NetEvent;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::{self, Payload};
 use std::net::SocketAddr;
 
--- a/testbed/src/hollow/node.rs
+++ b/testbed/src/hollow/node.rs
@@ -2,12 +2,13 @@
 //! the whole reducer where its processor time and memory are to be measured.
 
 use sorreldoor::configuration::Site;
-use sorreldoor::consensus::{ClaimRecord, Millis};
+use sorreldoor::consensus::ClaimRecord;
 use sorreldoor::gateway::request_table::Plan;
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::{Conn, NetEvent};
 use sorreldoor::runtime::{Now, Reducer};
 use sorreldoor::subscription::{Granted, Pull, SubscriptionEffect};
+use sorreldoor::types::Millis;
 use sorreldoor::wire::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/testbed/src/hollow/report.rs
+++ b/testbed/src/hollow/report.rs
@@ -4,8 +4,8 @@
 use super::fault::Back;
 use super::meter::Meter;
 use super::{Act, Fault, Pending, Role, Row, Size, World};
-use sorreldoor::consensus::Millis;
 use sorreldoor::replicated_state::encode;
+use sorreldoor::types::Millis;
 use std::ops::Range;
 use std::time::Instant;
 
--- a/testbed/src/sim/askers.rs
+++ b/testbed/src/sim/askers.rs
@@ -3,6 +3,7 @@
 use super::Sim;
 use sorreldoor::consensus::*;
 use sorreldoor::replicated_state::{decode, encode, Command, Outcome};
+use sorreldoor::types::*;
 use std::sync::Arc;
 
 #[derive(Clone, Debug, PartialEq)]
--- a/testbed/src/sim/check.rs
+++ b/testbed/src/sim/check.rs
@@ -1,8 +1,9 @@
 //! What must hold of a run: looked at from outside, entry by entry.
 
 use super::{Act, Done, Sim};
-use sorreldoor::consensus::{NodeId, ProposalId, StateMachine};
+use sorreldoor::consensus::StateMachine;
 use sorreldoor::replicated_state::Outcome;
+use sorreldoor::types::{NodeId, ProposalId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All that was applied and led, by anybody, ever.
--- a/testbed/src/sim/core.rs
+++ b/testbed/src/sim/core.rs
@@ -5,6 +5,7 @@
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::*;
 use sorreldoor::replicated_state::ReplicatedState;
+use sorreldoor::types::*;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/testbed/src/sim/faults.rs
+++ b/testbed/src/sim/faults.rs
@@ -1,7 +1,7 @@
 //! A seeded storm of faults over a run with racing operators.
 
 use super::Sim;
-use sorreldoor::consensus::Millis;
+use sorreldoor::types::Millis;
 
 /// One random fault, or an end to one.
 fn fault(s: &mut Sim) {
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -18,6 +18,7 @@
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::*;
 use sorreldoor::replicated_state::ReplicatedState;
+use sorreldoor::types::*;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/testbed/src/sim/queries.rs
+++ b/testbed/src/sim/queries.rs
@@ -2,7 +2,7 @@
 //! long a change takes.
 
 use super::{Done, Node, Sim};
-use sorreldoor::consensus::Millis;
+use sorreldoor::types::Millis;
 
 impl Sim {
     /// Run until some core leads and has committed in its term.
--- a/testbed/src/sim/uplink.rs
+++ b/testbed/src/sim/uplink.rs
@@ -1,7 +1,8 @@
 //! The sending side of a node's network interface: one queue, so many bytes a
 //! millisecond.
 
-use sorreldoor::consensus::{Millis, Msg};
+use sorreldoor::consensus::Msg;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::{self, Payload};
 
 /// Bytes that one node can send in a millisecond, to all others together.
--- a/testbed/src/site/callers.rs
+++ b/testbed/src/site/callers.rs
@@ -2,10 +2,10 @@
 //! what they were told.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::error::ErrorCode;
 use sorreldoor::gateway::request_table::{RequestProfile as Form, RequestSpec};
 use sorreldoor::gateway::EdgeEvent;
+use sorreldoor::types::Millis;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Got {
--- a/testbed/src/site/check.rs
+++ b/testbed/src/site/check.rs
@@ -1,8 +1,8 @@
 //! What must never happen, looked for in everything that was seen.
 
 use super::{history, Got, World};
-use sorreldoor::consensus::Millis;
 use sorreldoor::replicated_state::Outcome;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
 
--- a/testbed/src/site/clocks.rs
+++ b/testbed/src/site/clocks.rs
@@ -1,8 +1,8 @@
 //! Processes that stand still, and what their clocks say.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::runtime::Now;
+use sorreldoor::types::Millis;
 
 impl World {
     /// Stop a process for a while; with `still`, its clock stands as well.
--- a/testbed/src/site/docs.rs
+++ b/testbed/src/site/docs.rs
@@ -3,8 +3,8 @@
 
 use super::World;
 use crate::rand::Rand;
-use sorreldoor::consensus::Millis;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::Millis;
 
 /// Kinds, streaming and cutoffs stay, for the workers here know no others.
 const ROUTES: [(&str, &str, bool, u64); 4] = [
--- a/testbed/src/site/faults.rs
+++ b/testbed/src/site/faults.rs
@@ -1,8 +1,8 @@
 //! A seeded storm of a site's faults, for a while; then all heals.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::Millis;
 
 /// Which faults a storm may strike with.
 #[derive(Clone, Copy, Debug)]
--- a/testbed/src/site/linearizable.rs
+++ b/testbed/src/site/linearizable.rs
@@ -6,7 +6,7 @@
 //! next that started before every remaining one had ended; states that were
 //! seen before are not searched again.
 
-use sorreldoor::consensus::{Millis, ProposalId};
+use sorreldoor::types::{Millis, ProposalId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What was asked.
--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -27,9 +27,9 @@
 use crate::fleet::SitePreset;
 use crate::rand::Rand;
 use sorreldoor::configuration::Site;
-use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::pacing::Pacing;
+use sorreldoor::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/testbed/src/site/net.rs
+++ b/testbed/src/site/net.rs
@@ -1,8 +1,8 @@
 //! Connections between processes: ordered, delayed, and silent when cut.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::net::NetEvent;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::Payload;
 use std::net::SocketAddr;
 
--- a/testbed/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -4,10 +4,10 @@
 
 use super::linearizable::{Answer, Call, Operation};
 use super::World;
-use sorreldoor::consensus::{Millis, ProposalId};
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::gateway::EdgeEvent;
 use sorreldoor::replicated_state::{Command, Outcome};
+use sorreldoor::types::{Millis, ProposalId};
 use sorreldoor::wire::OpOutcome;
 
 /// How many orders operators have under way at once.
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use crate::disk::Disk;
-use sorreldoor::consensus::{Member, Millis, Save};
+use sorreldoor::consensus::{Member, Save};
 use sorreldoor::control_plane::membership::Policy;
 use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent, Start};
 use sorreldoor::gateway::request_table::Plan;
@@ -10,6 +10,7 @@
 use sorreldoor::net::NetEvent;
 use sorreldoor::runtime::Reducer;
 use sorreldoor::subscription::Pull;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::Hello;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -2,10 +2,10 @@
 //! that ever began to run.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::{Load, Worker};
 use sorreldoor::error::ErrorCode;
 use sorreldoor::gateway::request_table::{AttemptEvent, RequestEffect};
+use sorreldoor::types::Millis;
 use std::collections::VecDeque;
 
 /// One errand's visit at a worker.
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -4,10 +4,11 @@
 mod bounds;
 
 use sorreldoor::consensus::{
-    Broken, Consensus, Event, Member, Millis, Note, RegionId, Timing, CHUNK_BYTES, WINDOW_BYTES,
+    Broken, Consensus, Event, Member, Note, Timing, CHUNK_BYTES, WINDOW_BYTES,
 };
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::{Millis, RegionId};
 use testbed::sim::{check, same, storm, Bandwidth, Done, Sim};
 
 /// Between two changes of the configuration.
--- a/testbed/tests/conformance/losses.rs
+++ b/testbed/tests/conformance/losses.rs
@@ -2,8 +2,9 @@
 //! dear bytes is set: after all cores have died, and after the leader alone.
 
 use super::sound;
-use sorreldoor::consensus::{Event, Millis, RegionId};
+use sorreldoor::consensus::Event;
 use sorreldoor::pacing::Pacing;
+use sorreldoor::types::{Millis, RegionId};
 use testbed::sim::Sim;
 
 /// Regions of the cores, and the way between two regions.
--- a/testbed/tests/conformance/main.rs
+++ b/testbed/tests/conformance/main.rs
@@ -4,7 +4,8 @@
 mod elections;
 mod losses;
 
-use sorreldoor::consensus::{RegionId, Timing};
+use sorreldoor::consensus::Timing;
+use sorreldoor::types::RegionId;
 use testbed::sim::{check, Sim};
 
 pub const ACK: u64 = 2000;
--- a/testbed/tests/consensus_sim.rs
+++ b/testbed/tests/consensus_sim.rs
@@ -1,6 +1,7 @@
 //! Seeded storms over the consensus reducers, in virtual time.
 
-use sorreldoor::consensus::{Broken, RegionId, Timing};
+use sorreldoor::consensus::{Broken, Timing};
+use sorreldoor::types::RegionId;
 use testbed::sim::{check, same, storm, Sim};
 
 fn run(seed: u64, preset: &[RegionId], broken: Broken) -> Vec<String> {
--- a/testbed/tests/membership/main.rs
+++ b/testbed/tests/membership/main.rs
@@ -9,7 +9,8 @@
 mod play;
 
 use play::{Play, Trouble, STEP_MS, SYNC_MS, TROUBLES};
-use sorreldoor::consensus::{Broken, Millis, RegionId};
+use sorreldoor::consensus::Broken;
+use sorreldoor::types::{Millis, RegionId};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 use testbed::sim::check;
--- a/testbed/tests/membership/play.rs
+++ b/testbed/tests/membership/play.rs
@@ -1,8 +1,9 @@
 //! One history of a small scope, played with the real reducers: three voters,
 //! two newcomers, and what happens to them at which moment.
 
-use sorreldoor::consensus::{Broken, Event, Millis, NodeId, RegionId, Timing};
+use sorreldoor::consensus::{Broken, Event, Timing};
 use sorreldoor::control_plane::membership::{Health, Membership, Observed, Policy};
+use sorreldoor::types::{Millis, NodeId, RegionId};
 use sorreldoor::wire::Hello;
 use std::collections::{BTreeMap, BTreeSet};
 use testbed::sim::Sim;
--- a/testbed/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -1,7 +1,8 @@
 //! Members that start again: none leads, votes or answers by less than what
 //! was committed.
 
-use sorreldoor::consensus::{Broken, NodeId, RegionId, Save, Timing};
+use sorreldoor::consensus::{Broken, Save, Timing};
+use sorreldoor::types::{NodeId, RegionId};
 use std::sync::Arc;
 use testbed::sim::{check, Done, Sim};
 use testbed::site::World;
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -5,13 +5,13 @@
 mod watch;
 
 use super::*;
-use sorreldoor::consensus::{Millis, ProposalId};
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::freshness::FreshnessBudget;
 use sorreldoor::invariants::{break_only, Invariant};
 use sorreldoor::log_events::LogEvent;
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::{Millis, ProposalId};
 use sorreldoor::wire::OpOutcome;
 use std::time::Duration;
 use testbed::site::Cut;
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -3,8 +3,9 @@
 //! back, and none of it loses what was acknowledged.
 
 use super::*;
-use sorreldoor::consensus::{Member, Millis};
+use sorreldoor::consensus::Member;
 use sorreldoor::replicated_state::{Command, Outcome};
+use sorreldoor::types::Millis;
 use sorreldoor::wire::OpOutcome;
 use std::net::SocketAddr;
 use testbed::site::Storm;
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -3,9 +3,9 @@
 
 use super::growth::{grown, ids, members, voters, whole};
 use super::*;
-use sorreldoor::consensus::Millis;
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::replicated_state::{Command, Outcome};
+use sorreldoor::types::Millis;
 use sorreldoor::wire::OpOutcome;
 
 /// What a new machine has to get ready, on small sites.
--- a/testbed/tests/site/returns.rs
+++ b/testbed/tests/site/returns.rs
@@ -2,9 +2,9 @@
 //! older records too, and nothing an edge has had is ever undone.
 
 use super::*;
-use sorreldoor::consensus::Millis;
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::Millis;
 
 /// As on machines where bytes and calls are dear.
 fn dear(seed: u64) -> World {
