--- a/sorreldoor/src/control_plane/connections.rs
+++ b/sorreldoor/src/control_plane/connections.rs
@@ -1,71 +1,182 @@
-//! The lines that stand between this core and other nodes.
+//! Open connections to other nodes: who is at the other end of each, and when
+//! it last carried a frame in either direction.
 
-use super::controller::Controller;
 use crate::consensus::{Millis, NodeId};
 use crate::net::Conn;
-use crate::wire::{Hello, Payload};
+use crate::wire::Hello;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Between signs of life on a line that nothing depends on.
-const SPARE_MS: Millis = 1000;
-/// What is due before the next alarm is said with this one.
-const EARLY_MS: Millis = 50;
+/// A core from which nothing came for longer is not counted as live.
+pub(super) const LIVE_MS: Millis = 1500;
+/// Broadcasts still go to a core that was silent for up to this long.
+pub(super) const REACHABLE_MS: Millis = 3000;
+/// Heartbeat interval of a connection that nothing depends on.
+const SPARE_HEARTBEAT_MS: Millis = 1000;
+/// A heartbeat due within this time is sent with the current tick.
+const HEARTBEAT_SLACK_MS: Millis = 50;
 
+/// One open connection.
 #[derive(Clone, Debug)]
-pub struct Connection {
-    pub dialled: Option<SocketAddr>,
-    pub hello: Option<Hello>,
-    pub heard: Millis,
-    /// When something was last sent on it.
-    pub sent: Millis,
+struct Connection {
+    /// The address this node dialled; none for an accepted connection.
+    dialled: Option<SocketAddr>,
+    /// The remote node, once it has introduced itself.
+    hello: Option<Hello>,
+    received_at: Millis,
+    sent_at: Millis,
 }
 
-impl Controller {
-    /// Cores heard within `ms`, by identity, each with a line to send on.
-    pub(super) fn live_cores(&self, ms: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
-        let since = self.now.saturating_sub(ms);
-        let mut m: BTreeMap<NodeId, (Conn, Hello)> = BTreeMap::new();
-        let mut put = |dialled: bool| {
-            for (c, l) in &self.connections {
-                let h = l.hello.as_ref().filter(|h| h.core && l.heard >= since);
-                if let Some(h) = h.filter(|_| l.dialled.is_some() == dialled) {
-                    m.insert(h.id, (*c, h.clone()));
-                }
-            }
-        };
-        // the line one dialled oneself is preferred, so it comes last
-        put(false);
-        put(true);
-        m
-    }
-
-    /// A sign of life on lines that were silent for long enough.
-    pub(super) fn ping(&mut self) {
-        let ms = self.pacing.ping_ms;
-        // of two lines between cores one carries what is said; the other
-        // only has to stay open, and so has an edge's, which gets its grants
-        let spare = |c: &Conn, l: &Connection| match &l.hello {
-            Some(h) if h.core => self.connection_to(h.id) != Some(*c),
-            Some(_) => true,
-            None => false,
-        };
-        let due = |c: &Conn, l: &Connection| {
-            let every = if spare(c, l) { ms.max(SPARE_MS) } else { ms };
-            self.now.saturating_sub(l.sent) + EARLY_MS >= every
+impl Connection {
+    fn core(&self) -> Option<&Hello> {
+        self.hello.as_ref().filter(|hello| hello.core)
+    }
+
+    fn is_to(&self, id: NodeId) -> bool {
+        self.hello.as_ref().is_some_and(|hello| hello.id == id)
+    }
+}
+
+/// All open connections of this node.
+#[derive(Debug, Default)]
+pub(super) struct Connections {
+    connections: BTreeMap<Conn, Connection>,
+}
+
+impl Connections {
+    /// Add a connection that was just established.
+    pub fn opened(&mut self, conn: Conn, dialled: Option<SocketAddr>, now: Millis) {
+        let connection = Connection {
+            dialled,
+            hello: None,
+            received_at: now,
+            sent_at: now,
         };
-        let all = self.connections.iter().filter(|(c, l)| due(c, l));
-        for c in all.map(|(c, _)| *c).collect::<Vec<_>>() {
-            self.send(c, Payload::Ping { no: 0 });
+        self.connections.insert(conn, connection);
+    }
+
+    /// Remove a connection; returns the node it led to, if that was known.
+    pub fn closed(&mut self, conn: Conn) -> Option<Hello> {
+        self.connections.remove(&conn)?.hello
+    }
+
+    /// A frame arrived.
+    pub fn received(&mut self, conn: Conn, now: Millis) {
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.received_at = now;
+        }
+    }
+
+    /// A frame is being sent.
+    pub fn sent(&mut self, conn: Conn, now: Millis) {
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.sent_at = now;
+        }
+    }
+
+    /// The remote node has introduced itself.
+    pub fn identify(&mut self, conn: Conn, hello: Hello) {
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.hello = Some(hello);
         }
     }
 
-    pub(super) fn connection_to(&self, id: NodeId) -> Option<Conn> {
-        let named = |l: &Connection| l.hello.as_ref().is_some_and(|h| h.id == id);
+    /// The remote node, once it has introduced itself.
+    pub fn hello(&self, conn: Conn) -> Option<&Hello> {
+        self.connections.get(&conn)?.hello.as_ref()
+    }
+
+    /// The address that was dialled to open this connection.
+    pub fn dialled(&self, conn: Conn) -> Option<SocketAddr> {
+        self.connections.get(&conn)?.dialled
+    }
+
+    /// Whether a connection is gone or received nothing since `limit`.
+    pub fn silent_since(&self, conn: Conn, limit: Millis) -> bool {
+        let connection = self.connections.get(&conn);
+        connection.is_none_or(|connection| connection.received_at < limit)
+    }
+
+    /// Every open connection.
+    pub fn all(&self) -> Vec<Conn> {
+        self.connections.keys().copied().collect()
+    }
+
+    /// Every connection to a core.
+    pub fn to_cores(&self) -> Vec<Conn> {
+        let cores = self.connections.iter().filter(|(_, c)| c.core().is_some());
+        cores.map(|(conn, _)| *conn).collect()
+    }
+
+    /// The connection to use towards a node: one that this node dialled is
+    /// preferred, then the one that received a frame last.
+    pub fn to(&self, id: NodeId) -> Option<Conn> {
         self.connections
             .iter()
-            .filter(|(_, l)| named(l))
-            .max_by_key(|(_, l)| (l.dialled.is_some(), l.heard))
-            .map(|(c, _)| *c)
+            .filter(|(_, connection)| connection.is_to(id))
+            .max_by_key(|(_, connection)| (connection.dialled.is_some(), connection.received_at))
+            .map(|(conn, _)| *conn)
+    }
+
+    /// Cores from which a frame came since `limit`, by identity, each with a
+    /// connection to send on.
+    pub fn cores_since(&self, limit: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
+        let mut cores = BTreeMap::new();
+        // a dialled connection is preferred, so it is inserted last
+        for dialled in [false, true] {
+            for (conn, connection) in &self.connections {
+                let live = connection.received_at >= limit;
+                let matches = live && connection.dialled.is_some() == dialled;
+                if let Some(hello) = connection.core().filter(|_| matches) {
+                    cores.insert(hello.id, (*conn, hello.clone()));
+                }
+            }
+        }
+        cores
+    }
+
+    /// Cores from which a frame came since `limit`, one for each address: the
+    /// most recent. The connection of a process that was replaced at the same
+    /// address stays open for a while.
+    pub fn newest_core_by_address(&self, limit: Millis) -> Vec<Hello> {
+        let mut newest: BTreeMap<&str, (Millis, &Hello)> = BTreeMap::new();
+        for connection in self.connections.values() {
+            let received_at = connection.received_at;
+            let Some(hello) = connection.core().filter(|_| received_at >= limit) else {
+                continue;
+            };
+            let entry = newest.entry(&hello.addr).or_insert((received_at, hello));
+            if received_at > entry.0 {
+                *entry = (received_at, hello);
+            }
+        }
+        newest.into_values().map(|(_, h)| h.clone()).collect()
+    }
+
+    /// Connections on which nothing was sent for about `interval`.
+    pub fn heartbeats_due(&self, interval: Millis, now: Millis) -> Vec<Conn> {
+        let due = |conn: Conn, connection: &Connection| {
+            let interval = if self.is_spare(conn, connection) {
+                interval.max(SPARE_HEARTBEAT_MS)
+            } else {
+                interval
+            };
+            now.saturating_sub(connection.sent_at) + HEARTBEAT_SLACK_MS >= interval
+        };
+        let connections = self.connections.iter();
+        connections
+            .filter(|(conn, connection)| due(**conn, connection))
+            .map(|(conn, _)| *conn)
+            .collect()
+    }
+
+    /// Of two connections between the same cores one carries all frames; the
+    /// other only has to stay open. So has an edge's, which gets its grants.
+    fn is_spare(&self, conn: Conn, connection: &Connection) -> bool {
+        match &connection.hello {
+            Some(hello) if hello.core => self.to(hello.id) != Some(conn),
+            Some(_) => true,
+            None => false,
+        }
     }
 }
--- /dev/null
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -0,0 +1,84 @@
+//! Consensus: its events in, its effects carried out.
+
+use super::super::events::ControllerEffect;
+use super::Controller;
+use crate::consensus::{Effect, Event, Member, Note, RegionId};
+use crate::log_events::LogEvent;
+use crate::wire::Payload;
+
+impl Controller {
+    /// The members of the consensus group; none before this core is part of a
+    /// site.
+    pub(super) fn members(&self) -> &[Member] {
+        let consensus = self.consensus.as_ref();
+        consensus.map_or(&[], |consensus| consensus.members())
+    }
+
+    /// Run one event through the consensus reducer and carry out its effects.
+    pub(in super::super) fn agreed(&mut self, event: Event) {
+        let now = self.now;
+        let Some(consensus) = self.consensus.as_mut() else {
+            return;
+        };
+        for effect in consensus.step(event, now) {
+            self.effect(effect);
+        }
+    }
+
+    pub(in super::super) fn effect(&mut self, effect: Effect) {
+        match effect {
+            Effect::Save { seq, save } => self.out.push(ControllerEffect::Save(seq, save)),
+            Effect::Send { to, msg } => {
+                if let Some(conn) = self.connections.to(to) {
+                    self.send(conn, Payload::Consensus(msg));
+                }
+            }
+            Effect::Result {
+                proposal_id,
+                outcome,
+            } => self.on_proposal_result(proposal_id, outcome),
+            Effect::ReadReady { request_id, ok } => self.on_proof(request_id, ok),
+            Effect::Applied { .. } => self.on_applied(),
+            Effect::Members(members) => self.on_members(&members),
+            Effect::Note(note) => self.log_note(note),
+        }
+    }
+
+    fn on_members(&mut self, members: &[Member]) {
+        let name = |member: &Member| {
+            let learner = if member.voter { "" } else { "?" };
+            format!("{:x}{learner}", member.id)
+        };
+        let names: Vec<String> = members.iter().map(name).collect();
+        self.log_event(LogEvent::Members, names.join(" "));
+        if !self.me.founded && members.iter().any(|member| member.voter) {
+            self.greet();
+        }
+        self.redial();
+    }
+
+    fn log_note(&mut self, note: Note) {
+        let name = |region: RegionId| self.site.region_name(region).to_string();
+        let (event, about) = match note {
+            Note::GlobalLeader { term, .. } => (LogEvent::GlobalLeader, format!("term {term}")),
+            Note::DomainLeader { dterm, .. } => (LogEvent::DomainLeader, format!("term {dterm}")),
+            Note::SteppedDown { term, why } => {
+                (LogEvent::SteppedDown, format!("term {term}: {why}"))
+            }
+            Note::RegionDown { region } => (LogEvent::RegionDown, name(region)),
+            Note::RegionUp { region } => (LogEvent::RegionUp, name(region)),
+            Note::Moving { to } => (LogEvent::Moving, format!("to {to:x}")),
+            Note::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
+        };
+        self.log_event(event, about);
+    }
+
+    fn on_applied(&mut self) {
+        let consensus = self.consensus.as_ref();
+        let version = consensus.map_or(0, |consensus| consensus.machine().version());
+        if version != self.logged_version {
+            self.logged_version = version;
+            self.log_event(LogEvent::ConfigurationAdopted, format!("serial {version}"));
+        }
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -0,0 +1,162 @@
+//! Edges: their sessions, and the leases and state they are granted.
+
+use super::super::connections::REACHABLE_MS;
+use super::super::distribution::Sources;
+use super::super::events::ControllerEffect;
+use super::super::reads::Read;
+use super::super::sessions::{SessionChange, SESSION_TIMEOUT_MS};
+use super::Controller;
+use crate::consensus::{Millis, NodeId};
+use crate::invariants::{broken, Invariant};
+use crate::log_events::LogEvent;
+use crate::net::Conn;
+use crate::wire::{EdgeStatus, Hello, KnownVersions, Payload, SessionReport};
+use crate::wire::{StateDelta, Unverified};
+
+/// Added to two renewal intervals, the time after which a silent edge has no
+/// session.
+const RENEWAL_SLACK_MS: Millis = 500;
+
+/// An edge's request to renew its lease.
+pub(super) struct Renewal {
+    pub id: u64,
+    pub known: KnownVersions,
+    pub status: EdgeStatus,
+    /// Whether it takes state that is not proved current.
+    pub unverified: Unverified,
+}
+
+impl Controller {
+    pub(super) fn begin_session(&mut self, conn: Conn, hello: Hello) {
+        let node = hello.node.clone();
+        for stale in self.sessions.begin(conn, hello) {
+            self.distribution.closed(stale);
+            self.out.push(ControllerEffect::Close(stale));
+        }
+        self.log_event(LogEvent::NodeJoined, node);
+        self.sessions_changed();
+    }
+
+    pub(super) fn end_session(&mut self, conn: Conn) {
+        self.distribution.closed(conn);
+        if let Some(session) = self.sessions.end(conn) {
+            self.log_event(LogEvent::NodeLost, session.hello.node);
+            self.sessions_changed();
+        }
+    }
+
+    fn sessions_changed(&mut self) {
+        self.merge_sessions();
+        self.report_sessions(true);
+    }
+
+    fn merge_sessions(&mut self) {
+        // an edge next to a dead core must not be listed longer than others
+        let live = self.live_cores(SESSION_TIMEOUT_MS);
+        let record = self.consensus.as_ref().map(|c| c.machine());
+        let is_evacuated = |zone| record.is_some_and(|record| record.evacuated(zone));
+        self.sessions
+            .merge(|id| live.contains_key(&id), is_evacuated);
+    }
+
+    fn report_sessions(&mut self, forced: bool) {
+        if !self.sessions.report_due(forced, self.now) {
+            return;
+        }
+        for conn in self.reachable_cores() {
+            self.send_session_report(conn);
+        }
+    }
+
+    fn send_session_report(&mut self, conn: Conn) {
+        let report = self.sessions.report();
+        self.send(conn, Payload::SessionReport(report));
+    }
+
+    /// What a core that has just connected needs to know at once.
+    pub(super) fn send_initial_state(&mut self, conn: Conn) {
+        self.send_session_report(conn);
+        if let Some(registry) = self.worker_list.at(self.now) {
+            self.send(conn, Payload::WorkerRegistry(registry));
+        }
+    }
+
+    pub(super) fn on_session_report(&mut self, from: NodeId, report: SessionReport) {
+        if self.sessions.on_report(from, report) {
+            self.merge_sessions();
+        }
+    }
+
+    /// End the sessions of silent edges, and report the others.
+    pub(super) fn tick_sessions(&mut self) {
+        let timeout = SESSION_TIMEOUT_MS.max(self.pacing.renew_ms * 2 + RENEWAL_SLACK_MS);
+        let limit = self.now.saturating_sub(timeout);
+        let mut silent = self.sessions.local_connections();
+        silent.retain(|conn| self.connections.silent_since(*conn, limit));
+        for conn in silent {
+            self.end_session(conn);
+            self.out.push(ControllerEffect::Close(conn));
+        }
+        self.merge_sessions();
+        self.report_sessions(false);
+    }
+
+    pub(super) fn on_renewal(&mut self, conn: Conn, renewal: Renewal) {
+        match self.sessions.update(conn, renewal.status) {
+            SessionChange::NoSession => return,
+            SessionChange::Lease => self.sessions_changed(),
+            SessionChange::Status => {}
+        }
+        let consensus = self.consensus.as_ref();
+        let led = consensus.is_some_and(|c| c.led()) || broken(Invariant::Proof);
+        let offered = match renewal.unverified {
+            Unverified::None => false,
+            Unverified::FromStarting => !self.reads.ever_proved() || broken(Invariant::Unverified),
+            Unverified::FromAny => !led,
+        };
+        if offered {
+            let delta = self.delta(conn, &renewal.known);
+            self.grant(conn, renewal.id, false, delta);
+        } else if !led {
+            // no proof will come from here; the edge should ask elsewhere
+            self.grant(conn, renewal.id, false, StateDelta::default());
+        }
+        if led {
+            self.read(Read::Renewal {
+                conn,
+                renewal: renewal.id,
+                known: renewal.known,
+            });
+        }
+    }
+
+    /// Answer a renewal; `proved` if the state was proved current since.
+    pub(super) fn grant(&mut self, conn: Conn, renewal: u64, proved: bool, delta: StateDelta) {
+        let grant = Payload::Grant {
+            no: renewal,
+            ok: proved,
+            delta,
+        };
+        self.send(conn, grant);
+    }
+
+    pub(super) fn delta(&mut self, conn: Conn, known: &KnownVersions) -> StateDelta {
+        let consensus = self.consensus.as_ref();
+        let sources = Sources {
+            record: consensus.map(|c| c.machine()),
+            members: consensus.map_or(&[], |c| c.members()),
+            registry: self.worker_list.at(self.now),
+            loads: self.loads.loads(),
+            endpoints: self.sessions.endpoints(),
+        };
+        self.distribution.delta(conn, known, sources, self.now)
+    }
+
+    /// Connections to which a newer list of workers goes: the reachable cores
+    /// and then this core's edges.
+    pub(super) fn subscribers(&self) -> Vec<Conn> {
+        let cores = self.live_cores(REACHABLE_MS).into_values();
+        let edges = self.sessions.local_connections();
+        cores.map(|(conn, _)| conn).chain(edges).collect()
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -0,0 +1,141 @@
+//! Connections and frames: each frame goes to the part that it concerns.
+
+use super::super::events::{ControllerEffect, Requester};
+use super::super::learn::Page;
+use super::super::reads::Read;
+use super::edges::Renewal;
+use super::Controller;
+use crate::consensus::Event;
+use crate::net::{Conn, NetEvent};
+use crate::wire::{Hello, Payload};
+
+impl Controller {
+    pub(super) fn on_net(&mut self, event: NetEvent) {
+        match event {
+            NetEvent::Up { conn, dialled } => {
+                self.connections.opened(conn, dialled, self.now);
+                let hello = self.me.clone();
+                self.send(conn, Payload::Hello(hello));
+            }
+            NetEvent::Down { conn } => self.on_closed(conn),
+            NetEvent::Frame { conn, payload } => {
+                self.connections.received(conn, self.now);
+                self.on_frame(conn, *payload);
+            }
+        }
+    }
+
+    fn on_closed(&mut self, conn: Conn) {
+        let hello = self.connections.closed(conn);
+        self.end_session(conn);
+        let core = hello.filter(|hello| hello.core).map(|hello| hello.id);
+        if let Some(id) = core.filter(|id| self.connections.to(*id).is_none()) {
+            self.agreed(Event::Gone { id });
+        }
+    }
+
+    fn on_frame(&mut self, conn: Conn, payload: Payload) {
+        if let Payload::Hello(hello) = payload {
+            return self.on_hello(conn, hello);
+        }
+        match self.connections.hello(conn).cloned() {
+            Some(from) if from.core => self.on_core_frame(conn, from, payload),
+            Some(_) => self.on_edge_frame(conn, payload),
+            // a node must introduce itself first
+            None => self.out.push(ControllerEffect::Close(conn)),
+        }
+    }
+
+    fn on_hello(&mut self, conn: Conn, hello: Hello) {
+        if hello.id == self.me.id {
+            return self.on_own_hello(conn);
+        }
+        if !hello.core {
+            self.begin_session(conn, hello.clone());
+            return self.connections.identify(conn, hello);
+        }
+        self.membership.on_hello(&hello);
+        self.connections.identify(conn, hello);
+        self.send_initial_state(conn);
+    }
+
+    /// A connection to oneself, through a seed address, is of no use.
+    fn on_own_hello(&mut self, conn: Conn) {
+        if let Some(own) = self.connections.dialled(conn) {
+            self.seeds.retain(|seed| *seed != own);
+            self.peer_addresses.remove(&own);
+            self.out.push(ControllerEffect::Disconnect(own));
+        }
+        self.out.push(ControllerEffect::Close(conn));
+    }
+
+    /// Frames that only cores may send.
+    fn on_core_frame(&mut self, conn: Conn, from: Hello, payload: Payload) {
+        match payload {
+            Payload::Consensus(msg) => self.agreed(Event::Heard { from: from.id, msg }),
+            Payload::Founding(founding) => self.on_founding(conn, from, founding),
+            Payload::SessionReport(report) => self.on_session_report(from.id, report),
+            Payload::WorkerRegistry(registry) => self.adopt_worker_list(registry),
+            Payload::Loads(loads) => self.adopt_loads(loads),
+            Payload::ClaimVoteRequest { no, claim } => self.on_claim_ask(conn, no, claim),
+            Payload::ClaimVoteReply { no, said } => self.on_claim_ans(from.id, no, said),
+            Payload::Free { id, by } => self.on_free(conn, id, by),
+            Payload::ReleaseAck { by } => self.on_free_done(from.id, by),
+            Payload::ClaimsPageRequest { from: start } => self.on_claims_pull(conn, start),
+            Payload::ClaimsPage {
+                from: start,
+                all,
+                next,
+                end,
+            } => {
+                let page = Page {
+                    from: start,
+                    all,
+                    next,
+                    end,
+                };
+                self.on_claims_page(conn, &from, page)
+            }
+            payload => self.on_edge_frame(conn, payload),
+        }
+    }
+
+    /// Frames that any node may send.
+    fn on_edge_frame(&mut self, conn: Conn, payload: Payload) {
+        match payload {
+            Payload::Renew {
+                no,
+                have,
+                edge_status,
+                unverified,
+            } => {
+                let renewal = Renewal {
+                    id: no,
+                    known: have,
+                    status: edge_status,
+                    unverified,
+                };
+                self.on_renewal(conn, renewal);
+            }
+            Payload::Op {
+                request_id,
+                proposal_id,
+                cmd,
+            } => self.change(Requester::Edge { conn, request_id }, proposal_id, cmd),
+            Payload::OpFind {
+                request_id,
+                proposal_id,
+            } => {
+                let requester = Requester::Edge { conn, request_id };
+                self.read(Read::Outcome {
+                    requester,
+                    proposal_id,
+                });
+            }
+            Payload::Claim { request_id, claim } => self.on_claim(conn, request_id, claim),
+            Payload::Release { request_id, id, by } => self.free_all(&id, by, (conn, request_id)),
+            Payload::Sent { all } => self.on_sent(all),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -0,0 +1,222 @@
+//! The core's reducer. It routes each event to the part that owns the state it
+//! concerns and turns what the part returns into effects; see the sibling
+//! modules of this folder's parent for the parts.
+
+mod changes;
+mod consensus;
+mod edges;
+mod frames;
+mod membership;
+mod reads;
+mod singleton;
+mod start;
+mod status;
+mod workers;
+
+use super::connections::{Connections, LIVE_MS, REACHABLE_MS};
+use super::distribution::Distribution;
+use super::events::{ControllerEffect, ControllerEvent, Requester};
+use super::load_table::LoadTable;
+use super::membership::Membership;
+use super::proposals::{IdSequence, Proposals};
+use super::reads::{Read, Reads};
+use super::sessions::{EndpointList, Sessions};
+use super::singleton::SingletonRole;
+use super::worker_list::WorkerList;
+use crate::configuration::Site;
+use crate::consensus::{Consensus, Event, Member, Millis, NodeId, Timing};
+use crate::discovery::Loads;
+use crate::log_events::LogEvent;
+use crate::net::Conn;
+use crate::pacing::Pacing;
+use crate::replicated_state::ReplicatedState;
+use crate::runtime::{Now, Reducer};
+use crate::wire::{EdgeSession, Hello, Payload};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Interval of the work that need not be done at each tick.
+const SLOW_TICK_MS: Millis = 250;
+
+/// A core node: consensus, and the parts around it.
+pub struct Controller {
+    pub(super) me: Hello,
+    pub(super) site: Arc<Site>,
+    pub(super) cores: usize,
+    pub(super) bootstrap: bool,
+    pub(super) grow: bool,
+    /// The addresses that found the site, where it grows.
+    pub(super) founders: BTreeSet<SocketAddr>,
+    /// Where a founded core said that the members are.
+    pub(super) known: BTreeSet<SocketAddr>,
+    pub(super) pacing: Pacing,
+    pub(super) timing: Timing,
+    pub(super) seed: u64,
+    /// None while this core is part of no site.
+    pub consensus: Option<Consensus<ReplicatedState>>,
+    pub(super) promise: Option<Vec<Member>>,
+    pub(super) promises: BTreeMap<NodeId, Vec<Member>>,
+    pub(super) seeds: Vec<SocketAddr>,
+    pub(super) peer_addresses: BTreeSet<SocketAddr>,
+    pub(super) connections: Connections,
+    pub(super) claims: super::claims::Claims,
+    membership: Membership,
+    sessions: Sessions,
+    distribution: Distribution,
+    worker_list: WorkerList,
+    loads: LoadTable,
+    reads: Reads,
+    proposals: Proposals,
+    ids: IdSequence,
+    singleton: SingletonRole,
+    slow_tick_at: Millis,
+    /// The configuration version that was logged last.
+    logged_version: u64,
+    leaving: bool,
+    wall: i64,
+    pub(super) now: Millis,
+    pub(super) out: Vec<ControllerEffect>,
+}
+
+impl Reducer for Controller {
+    type Event = ControllerEvent;
+    type Effect = ControllerEffect;
+
+    fn step(&mut self, event: ControllerEvent, now: Now) -> Vec<ControllerEffect> {
+        self.now = self.now.max(now.monotonic_ms);
+        self.wall = now.wall;
+        self.route(event);
+        self.start_proof();
+        std::mem::take(&mut self.out)
+    }
+}
+
+impl Controller {
+    /// Whether this process was told to stop.
+    #[must_use]
+    pub fn is_leaving(&self) -> bool {
+        self.leaving
+    }
+
+    /// The newest list of workers.
+    #[must_use]
+    pub fn worker_list(&self) -> &WorkerList {
+        &self.worker_list
+    }
+
+    /// The newest loads of the workers.
+    #[must_use]
+    pub fn loads(&self) -> &Arc<Loads> {
+        self.loads.loads()
+    }
+
+    /// The sessions of all edges, one for each edge.
+    #[must_use]
+    pub fn edge_sessions(&self) -> &[EdgeSession] {
+        self.sessions.merged()
+    }
+
+    /// The edges as other edges are shown them.
+    #[must_use]
+    pub fn endpoints(&self) -> &EndpointList {
+        self.sessions.endpoints()
+    }
+
+    fn route(&mut self, event: ControllerEvent) {
+        match event {
+            ControllerEvent::Tick => self.tick(),
+            ControllerEvent::Net(event) => self.on_net(event),
+            ControllerEvent::Saved(seq) => {
+                self.agreed(Event::Saved { seq });
+                self.claims_saved(seq);
+            }
+            ControllerEvent::SaveFailed(error) => {
+                self.log_event(LogEvent::DiskFailed, error);
+                self.agreed(Event::SaveFailed);
+            }
+            ControllerEvent::SaveRecovered => {
+                self.log_event(LogEvent::DiskRecovered, "taking part again");
+                self.agreed(Event::SaveRecovered);
+            }
+            ControllerEvent::Change {
+                request_id,
+                proposal_id,
+                cmd,
+            } => self.change(Requester::Http { request_id }, proposal_id, cmd),
+            ControllerEvent::Reform {
+                request_id,
+                proposal_id,
+                drop,
+            } => self.remove_core(request_id, proposal_id, drop),
+            ControllerEvent::Look { request_id } => self.read(Read::Status { request_id }),
+            ControllerEvent::View { request_id } => self.read(Read::View { request_id }),
+            ControllerEvent::Find {
+                request_id,
+                proposal_id,
+            } => {
+                let requester = Requester::Http { request_id };
+                self.read(Read::Outcome {
+                    requester,
+                    proposal_id,
+                });
+            }
+            ControllerEvent::WorkerRegistry(result) => self.on_worker_list(result),
+            ControllerEvent::Loads { epoch, rows } => self.on_loads_polled(epoch, rows),
+            ControllerEvent::Stop => self.stop(),
+        }
+    }
+
+    pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
+        self.out.push(ControllerEffect::Say(event, about.into()));
+    }
+
+    pub(super) fn send(&mut self, conn: Conn, payload: Payload) {
+        self.connections.sent(conn, self.now);
+        self.out.push(ControllerEffect::Send(conn, payload));
+    }
+
+    /// Connections to the cores that broadcasts go to.
+    fn reachable_cores(&self) -> Vec<Conn> {
+        let cores = self.live_cores(REACHABLE_MS).into_values();
+        cores.map(|(conn, _)| conn).collect()
+    }
+
+    /// Cores from which a frame came within `ms`, by identity, each with a
+    /// connection to send on.
+    pub(super) fn live_cores(&self, ms: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
+        self.connections.cores_since(self.now.saturating_sub(ms))
+    }
+
+    fn tick(&mut self) {
+        self.agreed(Event::Tick);
+        self.check_membership();
+        self.expire_reads();
+        if self.now >= self.slow_tick_at {
+            self.slow_tick_at = self.now + SLOW_TICK_MS;
+            self.slow_tick();
+        }
+    }
+
+    fn slow_tick(&mut self) {
+        match &self.consensus {
+            None => self.founding_alarm(),
+            Some(consensus) if consensus.members().is_empty() => {
+                let live = self.live_cores(LIVE_MS);
+                self.ask_founded(&live);
+            }
+            Some(_) => self.tick_singleton(),
+        }
+        self.read_first_worker_list();
+        self.tick_sessions();
+        self.tick_claims();
+        self.send_heartbeats();
+    }
+
+    fn send_heartbeats(&mut self) {
+        let interval = self.pacing.ping_ms;
+        for conn in self.connections.heartbeats_due(interval, self.now) {
+            self.send(conn, Payload::Ping { no: 0 });
+        }
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -0,0 +1,154 @@
+//! The singleton role: claimed by the preferred core, and the holder's work.
+
+use super::super::connections::LIVE_MS;
+use super::super::events::ControllerEffect;
+use super::super::singleton::{preferred_holder, RegionTransition};
+use super::super::status::recovery_text;
+use super::Controller;
+use crate::consensus::{Body, Event};
+use crate::discovery::{Load, Loads};
+use crate::log_events::LogEvent;
+use crate::replicated_state::{encode, Command};
+use crate::wire::{EdgeSession, Payload};
+use std::sync::Arc;
+
+impl Controller {
+    /// Whether this incarnation of this core holds the singleton role.
+    #[must_use]
+    pub fn holds_singleton_role(&self) -> bool {
+        let record = self.consensus.as_ref().map(|c| c.machine());
+        record.is_some_and(|record| self.singleton.is_held(record, self.me.id))
+    }
+
+    pub(super) fn epoch(&self) -> u64 {
+        let consensus = self.consensus.as_ref();
+        consensus.map_or(0, |consensus| consensus.machine().epoch())
+    }
+
+    pub(super) fn tick_singleton(&mut self) {
+        if !self.is_preferred_holder() || self.leaving {
+            return self.singleton.stand_down();
+        }
+        self.singleton.stand(self.now);
+        if !self.holds_singleton_role() {
+            if self.singleton.claim_due(self.now) {
+                self.claim_singleton_role();
+            }
+            return;
+        }
+        if self.pacing.gather && self.singleton.begin_poll(self.now) {
+            self.poll_loads();
+        }
+        self.read_worker_list();
+        self.update_regions();
+        self.tune_weights();
+    }
+
+    fn is_preferred_holder(&self) -> bool {
+        let me = self.me.id;
+        let live = self.live_cores(LIVE_MS);
+        let is_live = |id| id == me || live.contains_key(&id);
+        preferred_holder(self.members(), is_live) == Some(me)
+    }
+
+    fn claim_singleton_role(&mut self) {
+        let above = self.epoch();
+        let epoch = above + 1;
+        let holder = self.me.id;
+        self.log_event(LogEvent::DutyTaken, format!("epoch {epoch}"));
+        self.propose(Command::Duty { holder, above });
+        self.singleton.claiming(epoch);
+    }
+
+    fn propose(&mut self, command: Command) {
+        let proposal_id = self.ids.next_proposal_id();
+        self.singleton.proposing(proposal_id);
+        let body = Body::Data(Arc::new(encode(&command)));
+        self.agreed(Event::Propose { proposal_id, body });
+    }
+
+    fn poll_loads(&mut self) {
+        let epoch = self.epoch();
+        let workers = self.worker_list.workers().iter();
+        let workers = workers.map(|w| (w.name.clone(), w.addr)).collect();
+        self.out
+            .push(ControllerEffect::PollLoads { epoch, workers });
+    }
+
+    pub(super) fn on_loads_polled(&mut self, epoch: u64, rows: Vec<Load>) {
+        if epoch != self.epoch() || !self.holds_singleton_role() {
+            return;
+        }
+        for change in self.loads.polled(epoch, rows) {
+            let event = if change.live {
+                LogEvent::WorkerBack
+            } else {
+                LogEvent::WorkerDark
+            };
+            self.log_event(event, change.worker);
+        }
+        let loads = self.loads.loads().clone();
+        self.singleton.on_loads(&loads);
+        for conn in self.reachable_cores() {
+            self.send(conn, Payload::Loads(loads.clone()));
+        }
+    }
+
+    /// Take loads that the holder of the role has polled.
+    pub(super) fn adopt_loads(&mut self, loads: Arc<Loads>) {
+        self.loads.adopt(loads, self.epoch());
+    }
+
+    /// Propose the next state of the first region that is due for one.
+    fn update_regions(&mut self) {
+        let epoch = self.epoch();
+        if self.loads.loads().epoch != epoch || self.singleton.is_proposing() {
+            return;
+        }
+        let Some(RegionTransition { region, state }) = self.region_transition() else {
+            return;
+        };
+        let name = self.site.region_name(region);
+        let about = format!("{name}: {}", recovery_text(state));
+        self.log_event(LogEvent::RegionState, about);
+        self.propose(Command::Region {
+            epoch,
+            region,
+            state,
+        });
+    }
+
+    fn region_transition(&mut self) -> Option<RegionTransition> {
+        self.singleton.region_transition(
+            self.consensus.as_ref()?.machine(),
+            self.worker_list.current(),
+            self.loads.loads(),
+            self.site.regions.len(),
+            self.now,
+        )
+    }
+
+    fn tune_weights(&mut self) {
+        let live = self.live_cores(super::REACHABLE_MS);
+        let Some(consensus) = &self.consensus else {
+            return;
+        };
+        let record = consensus.machine();
+        if !self.singleton.begin_tuning(record, self.now) {
+            return;
+        }
+        let sessions = self.sessions.sessions_of(|id| live.contains_key(&id));
+        let sessions: Vec<&EdgeSession> = sessions.collect();
+        let registry = self.worker_list.current();
+        let loads = self.loads.loads();
+        let weights = self.singleton.tune(&sessions, record, registry, loads);
+        let (epoch, version) = (record.epoch(), record.version());
+        if !weights.is_empty() && !self.singleton.is_proposing() {
+            self.propose(Command::Tune {
+                epoch,
+                version,
+                weights,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -0,0 +1,33 @@
+//! The status document, from the state of all parts.
+
+use super::super::connections::LIVE_MS;
+use super::super::status::{ClaimsStatus, StatusSources};
+use super::Controller;
+use crate::json::Val;
+
+impl Controller {
+    /// This core's status as JSON.
+    #[must_use]
+    pub fn status(&self) -> Val {
+        let sources = StatusSources {
+            me: &self.me,
+            site: &self.site,
+            leaving: self.leaving,
+            quorum: self.reads.quorum(),
+            wall_ms: self.wall,
+            membership: &self.membership,
+            consensus: self.consensus.as_ref(),
+            live_cores: self.live_cores(LIVE_MS).into_keys().collect(),
+            claims: ClaimsStatus {
+                remembered: self.claims.book.count(),
+                capacity: self.claims.book.most(),
+                sure: self.sure(),
+            },
+            edge_sessions: self.sessions.merged(),
+            worker_list: &self.worker_list,
+            loads: self.loads.loads(),
+            latencies: self.singleton.latencies(),
+        };
+        sources.to_json()
+    }
+}
--- a/sorreldoor/src/control_plane/run.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -4,8 +4,8 @@
 use super::controller::Controller;
 use super::events::{ControllerEffect, ControllerEvent, Start};
 use super::front::{Front, Looked, Reply};
-use super::saving::{self, Saver};
 use super::source::{Listed, OperatorDoor, WorkerSource};
+use super::storage_driver::{self, Saver};
 use crate::consensus::Member;
 use crate::discovery::{self, Load};
 use crate::http::{self, Call};
@@ -69,8 +69,8 @@
 {
     let set = Arc::new(set);
     let dir = set.data.clone().unwrap_or_default();
-    let mut store = saving::open(&dir)?;
-    let id = saving::identity(&mut store);
+    let mut store = storage_driver::open(&dir)?;
+    let id = storage_driver::identity(&mut store);
     let promise = store.value("promise").and_then(decode::<Vec<Member>>);
     let sure = store.value("sure").is_some();
     let (ring, rx) = bounded(RING);
@@ -199,8 +199,8 @@
 
 impl<S: Store + 'static> EffectHandler<Controller> for Daemon<S> {
     fn keeps_running(&mut self, controller: &Controller) -> bool {
-        self.front.show(&controller.places().1);
-        if controller.leaving && self.stop_at.is_none() {
+        self.front.show(&controller.endpoints().endpoints);
+        if controller.is_leaving() && self.stop_at.is_none() {
             log_event(LogEvent::Leaving, "core");
             // what was just acked should still reach the others
             self.stop_at = Some(Instant::now() + Duration::from_millis(300));
@@ -221,23 +221,26 @@
             ControllerEffect::Connect(a) => self.net.dial(a, self.set.reached(a)),
             ControllerEffect::Disconnect(a) => self.net.undial(a),
             ControllerEffect::Close(c) => self.net.close(c),
-            ControllerEffect::Done(request_id, o) => {
-                self.front.answers.give(request_id, Reply::Done(o))
-            }
-            ControllerEffect::Looked(request_id, ok) => {
+            ControllerEffect::ChangeDone {
+                request_id,
+                outcome,
+            } => self.front.answers.give(request_id, Reply::Done(outcome)),
+            ControllerEffect::StatusReady { request_id, proved } => {
                 use simd_json::prelude::*;
-                self.looked(controller, request_id, ok, controller.status().encode());
+                let status = controller.status().encode();
+                self.looked(controller, request_id, proved, status);
             }
-            ControllerEffect::Viewed(request_id, ok) => {
-                self.looked(controller, request_id, ok, String::new())
+            ControllerEffect::ViewReady { request_id, proved } => {
+                self.looked(controller, request_id, proved, String::new())
             }
-            ControllerEffect::AskRegistry => {
+            ControllerEffect::ReadWorkerList => {
                 if let Some(s) = self.source.clone() {
                     task::spawn(read_list(s, self.ring.clone()));
                 }
             }
-            ControllerEffect::AskLoads(epoch, to) => {
-                task::spawn(ask_loads(self.set.clone(), epoch, to, self.ring.clone()));
+            ControllerEffect::PollLoads { epoch, workers } => {
+                let (set, ring) = (self.set.clone(), self.ring.clone());
+                task::spawn(ask_loads(set, epoch, workers, ring));
             }
             ControllerEffect::Say(ev, about) => log_event(ev, about),
         }
--- /dev/null
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -0,0 +1,75 @@
+//! Distribution of state to edges: what each lacks, source by source.
+
+use super::sessions::EndpointList;
+use super::updates::{Due, Updates};
+use crate::consensus::{Member, Millis};
+use crate::discovery::{Loads, WorkerRegistry};
+use crate::net::Conn;
+use crate::replicated_state::{encode, ReplicatedState};
+use crate::wire::{mark, KnownVersions, StateDelta};
+use std::sync::Arc;
+
+/// The newest state of each source that edges subscribe to.
+pub(super) struct Sources<'a> {
+    /// None before this core is part of a site.
+    pub record: Option<&'a ReplicatedState>,
+    pub members: &'a [Member],
+    pub registry: Option<Arc<WorkerRegistry>>,
+    pub loads: &'a Arc<Loads>,
+    pub endpoints: &'a EndpointList,
+}
+
+/// Deltas to edges, and the large ones that are still in flight.
+#[derive(Default)]
+pub(super) struct Distribution {
+    updates: Updates,
+}
+
+impl Distribution {
+    /// A connection has closed; nothing is in flight on it any more.
+    pub fn closed(&mut self, conn: Conn) {
+        self.updates.closed(conn);
+    }
+
+    /// All that a subscriber with the versions `known` lacks.
+    pub fn delta(
+        &mut self,
+        conn: Conn,
+        known: &KnownVersions,
+        sources: Sources,
+        now: Millis,
+    ) -> StateDelta {
+        let due = sources.record.map_or(Due::Nothing, |record| {
+            self.updates.due(record, conn, known.record, now)
+        });
+        let (record, record_withheld) = match due {
+            Due::Nothing => (None, false),
+            Due::Update(update) => (Some(update), false),
+            Due::Later => (None, true),
+        };
+        let registry = sources.registry;
+        let loads = sources.loads;
+        let endpoints = sources.endpoints;
+        let endpoints_changed = endpoints.version != known.edge_sessions;
+        StateDelta {
+            cores: cores_delta(sources.members, known.cores),
+            record,
+            record_withheld,
+            registry: registry.filter(|registry| registry.version > known.registry),
+            loads: Some(loads.clone()).filter(|loads| loads.mark() > known.loads),
+            edge_sessions: endpoints_changed
+                .then(|| (endpoints.version, endpoints.endpoints.to_vec())),
+        }
+    }
+}
+
+/// Addresses and regions of the voters under a hash of them, unless they are
+/// the ones that the subscriber knows.
+fn cores_delta(members: &[Member], known: u64) -> Option<(u64, Vec<(String, u8)>)> {
+    let voters = members.iter().filter(|member| member.voter);
+    let cores: Vec<(String, u8)> = voters
+        .map(|member| (member.addr.clone(), member.region))
+        .collect();
+    let version = mark(&encode(&cores));
+    (version != known && !cores.is_empty()).then_some((version, cores))
+}
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -12,24 +12,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Who waits for an operator's change.
+/// Who waits for the outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum OpFrom {
-    Http(u64),
-    Edge(Conn, u64),
-}
-
-/// What a reader of this core's state wants once it is proved current.
-#[derive(Clone, Debug)]
-pub enum Want {
-    Http(u64),
-    View(u64),
-    Find(OpFrom, ProposalId),
-    Grant {
-        conn: Conn,
-        no: u64,
-        have: KnownVersions,
-    },
+pub enum Requester {
+    /// A local HTTP request.
+    Http { request_id: u64 },
+    /// An edge that has forwarded an operator's request.
+    Edge { conn: Conn, request_id: u64 },
 }
 
 #[derive(Debug)]
@@ -81,14 +70,29 @@
     Connect(SocketAddr),
     Disconnect(SocketAddr),
     Close(Conn),
-    Done(u64, OpOutcome),
-    /// The state is proved current; the daemon reads it off now.
-    Looked(u64, bool),
-    Viewed(u64, bool),
+    /// The outcome of a change that was requested locally.
+    ChangeDone {
+        request_id: u64,
+        outcome: OpOutcome,
+    },
+    /// The status may be read now; `proved` if the state is proved current.
+    StatusReady {
+        request_id: u64,
+        proved: bool,
+    },
+    /// Like `StatusReady`, for a read of the record alone.
+    ViewReady {
+        request_id: u64,
+        proved: bool,
+    },
     /// Read the list of workers; it comes as `ControllerEvent::WorkerRegistry`.
-    AskRegistry,
-    /// Ask these workers for their load, under the epoch given.
-    AskLoads(u64, Vec<(String, SocketAddr)>),
+    ReadWorkerList,
+    /// Poll these workers' loads; they come as `ControllerEvent::Loads` under
+    /// the same epoch.
+    PollLoads {
+        epoch: u64,
+        workers: Vec<(String, SocketAddr)>,
+    },
     Say(LogEvent, String),
 }
 
--- a/sorreldoor/src/control_plane/founding.rs
+++ b/sorreldoor/src/control_plane/founding.rs
@@ -127,8 +127,7 @@
 
     pub(super) fn greet(&mut self) {
         self.me.founded = true;
-        let conns: Vec<Conn> = self.connections.keys().copied().collect();
-        for c in conns {
+        for c in self.connections.all() {
             let h = self.me.clone();
             self.send(c, Payload::Hello(h));
         }
@@ -177,13 +176,6 @@
             }
         }
     }
-
-    pub(super) fn own_proposal_id(&mut self) -> ProposalId {
-        self.next_request_id += 1;
-        (ProposalId::from(self.me.id) << 64)
-            | (ProposalId::from(self.me.incarnation as u32) << 32)
-            | ProposalId::from(self.next_request_id as u32)
-    }
 }
 
 fn names(set: &[Member]) -> String {
--- /dev/null
+++ b/sorreldoor/src/control_plane/load_table.rs
@@ -0,0 +1,55 @@
+//! The workers' loads as this core knows them, from its own polls or from the
+//! holder of the singleton role.
+
+use crate::discovery::{Load, Loads};
+use std::sync::Arc;
+
+/// A worker that has stopped or resumed answering load polls.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct LivenessChange {
+    pub worker: String,
+    pub live: bool,
+}
+
+/// The newest loads.
+#[derive(Debug, Default)]
+pub(super) struct LoadTable {
+    loads: Arc<Loads>,
+}
+
+impl LoadTable {
+    pub fn loads(&self) -> &Arc<Loads> {
+        &self.loads
+    }
+
+    /// Take loads that another core has gathered, if they are newer. Those of
+    /// an epoch before `epoch` come from a deposed holder.
+    pub fn adopt(&mut self, loads: Arc<Loads>, epoch: u64) {
+        if loads.epoch >= epoch && loads.mark() > self.loads.mark() {
+            self.loads = loads;
+        }
+    }
+
+    /// Take the result of a poll of this core's own under its epoch.
+    pub fn polled(&mut self, epoch: u64, rows: Vec<Load>) -> Vec<LivenessChange> {
+        let changes = rows.iter().filter_map(|row| self.liveness_change(row));
+        let changes = changes.collect();
+        let version = self.loads.version + 1;
+        self.loads = Arc::new(Loads {
+            epoch,
+            version,
+            rows,
+        });
+        changes
+    }
+
+    /// A worker that answers its first poll has not changed.
+    fn liveness_change(&self, row: &Load) -> Option<LivenessChange> {
+        let was_live = self.loads.of(&row.name).map(|old| old.live);
+        let changed = was_live != Some(row.live) && !(row.live && was_live.is_none());
+        changed.then(|| LivenessChange {
+            worker: row.name.clone(),
+            live: row.live,
+        })
+    }
+}
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -13,6 +13,8 @@
 const FORGET: Millis = 4;
 /// A learner heard within so long can take a voter's place.
 const FRESH_MS: Millis = 1000;
+/// Interval of the leader's membership checks.
+const CHECK_MS: Millis = 100;
 /// Members at most, so that joining machines cannot make the list grow for ever.
 const MOST_MEMBERS: usize = 16;
 /// Fewer voters than this tolerate no loss, so no set shrinks below it.
@@ -139,6 +141,7 @@
     pub policy: Policy,
     /// Cores whose process said that it stops, and has not started again.
     stopping: BTreeSet<NodeId>,
+    next_check_at: Millis,
 }
 
 impl Membership {
@@ -146,9 +149,19 @@
         Membership {
             policy,
             stopping: BTreeSet::new(),
+            next_check_at: 0,
         }
     }
 
+    /// Whether the members should be checked now; if so it counts as begun.
+    pub fn begin_check(&mut self, now: Millis) -> bool {
+        let due = now >= self.next_check_at;
+        if due {
+            self.next_check_at = now + CHECK_MS;
+        }
+        due
+    }
+
     /// A core has said who it is, or that it is told to stop.
     pub fn on_hello(&mut self, hello: &Hello) {
         if hello.stopping {
--- a/sorreldoor/src/control_plane/mod.rs
+++ b/sorreldoor/src/control_plane/mod.rs
@@ -1,31 +1,33 @@
-//! The core node: consensus, sessions, delivery, duties.
+//! The control plane: the core node, its parts, and the router between them.
 
 mod api;
 pub mod book;
 mod claims;
 mod connections;
 mod controller;
-mod delivery;
-mod duty;
+mod daemon;
+mod distribution;
 mod events;
 mod founding;
 mod front;
 mod learn;
+mod load_table;
 pub mod membership;
+mod proposals;
 mod reads;
-mod regions;
-mod run;
-mod saving;
+mod sessions;
+mod singleton;
 mod source;
-mod start;
 mod status;
+mod storage_driver;
 pub mod updates;
 pub mod worker_list;
 
 pub use api::{Api, Door};
 pub use book::KEEP_MS;
 pub use controller::Controller;
-pub use events::{ControllerEffect, ControllerEvent, OpFrom, Start, Want};
+pub use daemon::{run, run_by, run_with};
+pub use events::{ControllerEffect, ControllerEvent, Requester, Start};
 pub use front::{Answers, Front, Looked, Reply};
-pub use run::{run, run_by, run_with};
+pub use sessions::EndpointList;
 pub use source::{Later, Listed, OperatorDoor, WorkerSource};
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -1,183 +1,239 @@
-//! What a core shows of the site: leaders, members, sessions, workers.
+//! A core's status document: leaders, members, sessions and workers, as JSON.
 
-use super::controller::Controller;
+use super::membership::Membership;
+use super::worker_list::WorkerList;
+use crate::configuration::{Configuration, Route, Share, Site};
+use crate::consensus::{Consensus, Member, NodeId};
+use crate::discovery::{Loads, Worker};
 use crate::json::Val;
-use crate::replicated_state::Recovery;
+use crate::replicated_state::{Recovery, ReplicatedState};
+use crate::weight_tuning::{self, Times};
+use crate::wire::{EdgeSession, Hello};
 use simd_json::prelude::*;
+use std::collections::BTreeSet;
 
-fn hex(n: u64) -> Val {
-    Val::from(format!("{n:x}"))
+/// Latencies are kept in tenths of a millisecond.
+const LATENCY_UNITS_PER_MS: i64 = 10;
+
+/// The state of the idempotency claims.
+pub(super) struct ClaimsStatus {
+    pub remembered: usize,
+    pub capacity: usize,
+    /// Whether this core may vote on claims.
+    pub sure: bool,
+}
+
+/// All that the status is made of.
+pub(super) struct StatusSources<'a> {
+    pub me: &'a Hello,
+    pub site: &'a Site,
+    pub leaving: bool,
+    /// Whether the last proof of leadership succeeded.
+    pub quorum: bool,
+    /// Wall-clock time in milliseconds since the Unix epoch.
+    pub wall_ms: i64,
+    pub membership: &'a Membership,
+    /// None while this core is part of no site.
+    pub consensus: Option<&'a Consensus<ReplicatedState>>,
+    pub live_cores: BTreeSet<NodeId>,
+    pub claims: ClaimsStatus,
+    pub edge_sessions: &'a [EdgeSession],
+    pub worker_list: &'a WorkerList,
+    pub loads: &'a Loads,
+    pub latencies: &'a Times,
 }
 
-pub fn recovery_text(r: Recovery) -> String {
-    match r {
+/// A region's recovery state in words.
+pub(super) fn recovery_text(state: Recovery) -> String {
+    match state {
         Recovery::Served => "served".into(),
         Recovery::Lost => "lost".into(),
-        Recovery::Returning(p) => format!("returning {p}%"),
+        Recovery::Returning(percent) => format!("returning {percent}%"),
     }
 }
 
-impl Controller {
-    pub fn status(&self) -> Val {
-        let mut v = Val::object();
-        let _ = v.insert("node", self.me.node.as_str());
-        let _ = v.insert("id", hex(self.me.id));
-        let _ = v.insert("founded", self.consensus.is_some());
-        let _ = v.insert("leaving", self.leaving);
-        let _ = v.insert("quorum", self.reads.quorum);
-        let _ = v.insert("wall_ms", self.wall);
-        let _ = v.insert("voters_wanted", self.membership.policy.voters);
-        if let Some(a) = &self.consensus {
-            let r = a.machine();
-            let _ = v.insert("leads", a.leads_globally());
-            let _ = v.insert("term", a.term());
-            let _ = v.insert("commit", a.commit_idx());
-            let _ = v.insert("disk_failed", a.disk_failed());
-            let gl = a.global_leader().map_or(Val::default(), hex);
-            let _ = v.insert("global_leader", gl);
-            let mut d = Val::object();
-            for (r, id) in a.domain_leaders() {
-                let _ = d.insert(self.site.region_name(r).to_string(), hex(id));
-            }
-            let _ = v.insert("domain_leaders", d);
-            let down: Vec<Val> = a
-                .regions_down()
-                .iter()
-                .map(|r| Val::from(self.site.region_name(*r)))
-                .collect();
-            let _ = v.insert("regions_down", down);
-            let ms: Vec<Val> = a
-                .members()
-                .iter()
-                .map(|m| {
-                    let mut o = Val::object();
-                    let _ = o.insert("id", hex(m.id));
-                    let _ = o.insert("zone", self.site.zone_name(m.zone));
-                    let _ = o.insert("addr", m.addr.as_str());
-                    let _ = o.insert("voter", m.voter);
-                    let live = m.id == self.me.id || self.live_cores(1500).contains_key(&m.id);
-                    let _ = o.insert("live", live);
-                    o
-                })
-                .collect();
-            let _ = v.insert("cores", ms);
-            let voters = a.members().iter().filter(|m| m.voter).count();
-            let _ = v.insert("voters", voters);
-            let differ = self.membership.shortfall(a.members());
-            let _ = v.insert("voters_differ", differ.map(|why| why.to_string()));
-            let _ = v.insert("serial", r.version());
-            let _ = v.insert("rev", r.revision());
-            let _ = v.insert("epoch", r.epoch());
-            let _ = v.insert("duty", hex(r.holder()));
-            let _ = v.insert("emptied", self.evacuated());
-            let mut rs = Val::object();
-            for (i, n) in self.site.regions.iter().enumerate() {
-                let _ = rs.insert(n.clone(), recovery_text(r.region(i as u8)));
-            }
-            let _ = v.insert("regions", rs);
+fn hex(n: u64) -> Val {
+    Val::from(format!("{n:x}"))
+}
+
+impl StatusSources<'_> {
+    /// The whole document.
+    pub fn to_json(&self) -> Val {
+        let mut doc = Val::object();
+        let _ = doc.insert("node", self.me.node.as_str());
+        let _ = doc.insert("id", hex(self.me.id));
+        let _ = doc.insert("founded", self.consensus.is_some());
+        let _ = doc.insert("leaving", self.leaving);
+        let _ = doc.insert("quorum", self.quorum);
+        let _ = doc.insert("wall_ms", self.wall_ms);
+        let _ = doc.insert("voters_wanted", self.membership.policy.voters);
+        if let Some(consensus) = self.consensus {
+            self.put_consensus(&mut doc, consensus);
+            self.put_members(&mut doc, consensus.members());
+            self.put_record(&mut doc, consensus.machine());
         }
-        let _ = v.insert("weights", self.weights());
-        let mut c = Val::object();
-        let _ = c.insert("remembered", self.claims.book.count());
-        let _ = c.insert("most", self.claims.book.most());
-        let _ = c.insert("sure", self.sure());
-        let _ = v.insert("claims", c);
-        let evacuated = self
-            .consensus
-            .as_ref()
-            .map(|a| a.machine().view().evacuated);
-        let zones = crate::operator_api::zones(
-            &self.site,
-            &evacuated.unwrap_or_default(),
-            self.worker_list.workers(),
-            &self.loads,
-            self.all_sessions()
-                .iter()
-                .map(|s| (s.hello.zone, s.running)),
-        );
-        let _ = v.insert("zones", zones);
-        let _ = v.insert("edges", self.edges());
-        let _ = v.insert("workers", self.workers());
-        let _ = v.insert("roster_serial", self.worker_list.version());
-        let _ = v.insert(
-            "roster_problem",
-            self.worker_list.error_code().map(str::to_string),
-        );
-        v
+        let _ = doc.insert("weights", self.weights());
+        let _ = doc.insert("claims", self.claims());
+        let _ = doc.insert("zones", self.zones());
+        let _ = doc.insert("edges", self.edges());
+        let _ = doc.insert("workers", self.workers());
+        let _ = doc.insert("roster_serial", self.worker_list.version());
+        let problem = self.worker_list.error_code().map(str::to_string);
+        let _ = doc.insert("roster_problem", problem);
+        doc
+    }
+
+    fn put_consensus(&self, doc: &mut Val, consensus: &Consensus<ReplicatedState>) {
+        let _ = doc.insert("leads", consensus.leads_globally());
+        let _ = doc.insert("term", consensus.term());
+        let _ = doc.insert("commit", consensus.commit_idx());
+        let _ = doc.insert("disk_failed", consensus.disk_failed());
+        let global_leader = consensus.global_leader().map_or(Val::default(), hex);
+        let _ = doc.insert("global_leader", global_leader);
+        let mut domain_leaders = Val::object();
+        for (region, id) in consensus.domain_leaders() {
+            let name = self.site.region_name(region).to_string();
+            let _ = domain_leaders.insert(name, hex(id));
+        }
+        let _ = doc.insert("domain_leaders", domain_leaders);
+        let regions_down = consensus.regions_down();
+        let name = |region: &u8| Val::from(self.site.region_name(*region));
+        let regions_down: Vec<Val> = regions_down.iter().map(name).collect();
+        let _ = doc.insert("regions_down", regions_down);
+    }
+
+    fn put_members(&self, doc: &mut Val, members: &[Member]) {
+        let cores: Vec<Val> = members.iter().map(|member| self.member(member)).collect();
+        let _ = doc.insert("cores", cores);
+        let voters = members.iter().filter(|member| member.voter).count();
+        let _ = doc.insert("voters", voters);
+        let shortfall = self.membership.shortfall(members);
+        let _ = doc.insert("voters_differ", shortfall.map(|why| why.to_string()));
+    }
+
+    fn member(&self, member: &Member) -> Val {
+        let live = member.id == self.me.id || self.live_cores.contains(&member.id);
+        let mut row = Val::object();
+        let _ = row.insert("id", hex(member.id));
+        let _ = row.insert("zone", self.site.zone_name(member.zone));
+        let _ = row.insert("addr", member.addr.as_str());
+        let _ = row.insert("voter", member.voter);
+        let _ = row.insert("live", live);
+        row
     }
 
-    /// Every share with bounds of its own: its weight now, and by what it is
-    /// tuned, as this core measured while it held the duty.
+    fn put_record(&self, doc: &mut Val, record: &ReplicatedState) {
+        let _ = doc.insert("serial", record.version());
+        let _ = doc.insert("rev", record.revision());
+        let _ = doc.insert("epoch", record.epoch());
+        let _ = doc.insert("duty", hex(record.holder()));
+        let evacuated = record.view().evacuated;
+        let zone_name = |zone: &u16| self.site.zone_name(*zone).to_string();
+        let evacuated: Vec<String> = evacuated.iter().map(zone_name).collect();
+        let _ = doc.insert("emptied", evacuated);
+        let mut regions = Val::object();
+        for (region, name) in self.site.regions.iter().enumerate() {
+            let _ = regions.insert(name.clone(), recovery_text(record.region(region as u8)));
+        }
+        let _ = doc.insert("regions", regions);
+    }
+
+    /// Every share with bounds of its own: its weight now, and the latency by
+    /// which this core tuned it while it held the singleton role.
     fn weights(&self) -> Vec<Val> {
-        let Some(a) = &self.consensus else {
+        let Some(record) = self.consensus.map(|c| c.machine()) else {
+            return Vec::new();
+        };
+        let Some(configuration) = record.configuration() else {
             return Vec::new();
         };
-        let (view, s) = (a.machine().view(), a.machine().configuration());
-        let routes = s.iter().flat_map(|s| s.routes.iter().enumerate());
-        let shares = routes.flat_map(|(i, r)| r.shares.iter().map(move |h| (i, r, h)));
+        let tuned = record.view().weights;
+        let routes = configuration.routes.iter().enumerate();
+        let shares = routes.flat_map(|(index, route)| {
+            let shares = route.shares.iter();
+            shares.map(move |share| (index as u16, route, share))
+        });
         shares
-            .filter(|(_, _, h)| h.least < h.most)
-            .map(|(i, r, h)| {
-                let name = s.map_or("", |s| &s.services[h.service as usize].name);
-                let tuned = crate::weight_tuning::weight(&view.weights, i as u16, h.service);
-                let took = self.duty.times().of(&r.name, name);
-                let mut o = Val::object();
-                let _ = o.insert("route", r.name.as_str());
-                let _ = o.insert("service", name);
-                let _ = o.insert("weight", tuned.unwrap_or(h.weight));
-                let _ = o.insert("set", h.weight);
-                let _ = o.insert("least", h.least);
-                let _ = o.insert("most", h.most);
-                let _ = o.insert("took_ms", took.map(|t| t / 10));
-                o
+            .filter(|(_, _, share)| share.least < share.most)
+            .map(|(index, route, share)| {
+                let now = weight_tuning::weight(&tuned, index, share.service);
+                self.weight(configuration, route, share, now)
             })
             .collect()
     }
 
-    pub fn evacuated(&self) -> Vec<String> {
-        self.consensus.as_ref().map_or(Vec::new(), |a| {
-            a.machine()
-                .view()
-                .evacuated
-                .iter()
-                .map(|z| self.site.zone_name(*z).to_string())
-                .collect()
-        })
+    fn weight(
+        &self,
+        configuration: &Configuration,
+        route: &Route,
+        share: &Share,
+        tuned: Option<u32>,
+    ) -> Val {
+        let service = &configuration.services[share.service as usize].name;
+        let latency = self.latencies.of(&route.name, service);
+        let mut row = Val::object();
+        let _ = row.insert("route", route.name.as_str());
+        let _ = row.insert("service", service.as_str());
+        let _ = row.insert("weight", tuned.unwrap_or(share.weight));
+        let _ = row.insert("set", share.weight);
+        let _ = row.insert("least", share.least);
+        let _ = row.insert("most", share.most);
+        let _ = row.insert("took_ms", latency.map(|l| l / LATENCY_UNITS_PER_MS));
+        row
+    }
+
+    fn claims(&self) -> Val {
+        let mut claims = Val::object();
+        let _ = claims.insert("remembered", self.claims.remembered);
+        let _ = claims.insert("most", self.claims.capacity);
+        let _ = claims.insert("sure", self.claims.sure);
+        claims
+    }
+
+    fn zones(&self) -> Vec<Val> {
+        let record = self.consensus.map(|c| c.machine());
+        let evacuated = record.map(|record| record.view().evacuated);
+        let sessions = self.edge_sessions.iter();
+        crate::operator_api::zones(
+            self.site,
+            &evacuated.unwrap_or_default(),
+            self.worker_list.workers(),
+            self.loads,
+            sessions.map(|session| (session.hello.zone, session.running)),
+        )
     }
 
     fn edges(&self) -> Vec<Val> {
-        self.all_sessions()
-            .iter()
-            .map(|s| {
-                let mut o = Val::object();
-                let _ = o.insert("node", s.hello.node.as_str());
-                let _ = o.insert("zone", self.site.zone_name(s.hello.zone));
-                let _ = o.insert("http", s.hello.http.as_str());
-                let _ = o.insert("serial", s.version);
-                let _ = o.insert("permit", s.lease);
-                let _ = o.insert("running", s.running);
-                o
-            })
-            .collect()
+        let edge = |session: &EdgeSession| {
+            let mut row = Val::object();
+            let _ = row.insert("node", session.hello.node.as_str());
+            let _ = row.insert("zone", self.site.zone_name(session.hello.zone));
+            let _ = row.insert("http", session.hello.http.as_str());
+            let _ = row.insert("serial", session.version);
+            let _ = row.insert("permit", session.lease);
+            let _ = row.insert("running", session.running);
+            row
+        };
+        self.edge_sessions.iter().map(edge).collect()
     }
 
     fn workers(&self) -> Vec<Val> {
-        let ws = self.worker_list.workers();
-        ws.iter()
-            .map(|w| {
-                let mut o = Val::object();
-                let l = self.loads.of(&w.name);
-                let _ = o.insert("name", w.name.as_str());
-                let _ = o.insert("addr", w.addr.to_string());
-                let _ = o.insert("group", w.group.as_str());
-                let _ = o.insert("zone", self.site.zone_name(w.zone));
-                let _ = o.insert("leaving", w.leaving);
-                let _ = o.insert("live", l.is_some_and(|l| l.live));
-                let _ = o.insert("running", l.map_or(0, |l| l.running));
-                let _ = o.insert("queued", l.map_or(0, |l| l.queued));
-                let _ = o.insert("finished", l.map_or(0, |l| l.finished));
-                o
-            })
-            .collect()
+        let workers = self.worker_list.workers().iter();
+        workers.map(|worker| self.worker(worker)).collect()
+    }
+
+    fn worker(&self, worker: &Worker) -> Val {
+        let load = self.loads.of(&worker.name);
+        let mut row = Val::object();
+        let _ = row.insert("name", worker.name.as_str());
+        let _ = row.insert("addr", worker.addr.to_string());
+        let _ = row.insert("group", worker.group.as_str());
+        let _ = row.insert("zone", self.site.zone_name(worker.zone));
+        let _ = row.insert("leaving", worker.leaving);
+        let _ = row.insert("live", load.is_some_and(|load| load.live));
+        let _ = row.insert("running", load.map_or(0, |load| load.running));
+        let _ = row.insert("queued", load.map_or(0, |load| load.queued));
+        let _ = row.insert("finished", load.map_or(0, |load| load.finished));
+        row
     }
 }
--- a/testbed/src/hollow/core.rs
+++ b/testbed/src/hollow/core.rs
@@ -92,8 +92,10 @@
     }
 
     pub(super) fn on_duty(&self) -> Option<usize> {
-        self.cores()
-            .find(|p| self.controller_at(*p).is_some_and(|h| h.on_duty()))
+        self.cores().find(|p| {
+            self.controller_at(*p)
+                .is_some_and(|h| h.holds_singleton_role())
+        })
     }
 
     /// One event through a core's reducer, its host time under `what`.
@@ -132,9 +134,12 @@
             ControllerEffect::Connect(a) => self.peer_addresses(p, a),
             ControllerEffect::Disconnect(a) => self.undial(p, a),
             ControllerEffect::Close(c) => self.close(c),
-            ControllerEffect::Done(request_id, o) => self.done(request_id, o),
+            ControllerEffect::ChangeDone {
+                request_id,
+                outcome,
+            } => self.done(request_id, outcome),
             // all of a round's answers come within the time one may take
-            ControllerEffect::AskLoads(epoch, _) => {
+            ControllerEffect::PollLoads { epoch, .. } => {
                 self.after(200, Act::Rows(p, incarnation, epoch))
             }
             _ => {}
--- a/testbed/src/hollow/report.rs
+++ b/testbed/src/hollow/report.rs
@@ -175,11 +175,11 @@
             );
             put(row, "size.record", encode(&v).len() as f64);
         }
-        if let Some(r) = h.worker_list.current() {
+        if let Some(r) = h.worker_list().current() {
             put(row, "size.registry", encode(r).len() as f64);
         }
-        put(row, "size.loads", encode(&h.loads).len() as f64);
-        let edge_sessions = h.all_sessions();
+        put(row, "size.loads", encode(h.loads()).len() as f64);
+        let edge_sessions = h.edge_sessions();
         put(row, "size.seats", encode(&edge_sessions).len() as f64);
         put(row, "seats", edge_sessions.len() as f64);
     }
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -286,13 +286,16 @@
             ControllerEffect::Connect(a) => self.want(p, a),
             ControllerEffect::Disconnect(a) => self.undial(p, a),
             ControllerEffect::Close(c) => self.close(c),
-            ControllerEffect::Done(request_id, o) => self.changed(request_id, o),
-            ControllerEffect::Viewed(request_id, ok) => {
-                self.note_read(p, request_id, ok);
-                self.viewed(p, request_id, ok);
+            ControllerEffect::ChangeDone {
+                request_id,
+                outcome,
+            } => self.changed(request_id, outcome),
+            ControllerEffect::ViewReady { request_id, proved } => {
+                self.note_read(p, request_id, proved);
+                self.viewed(p, request_id, proved);
             }
-            ControllerEffect::Looked(..) => {}
-            ControllerEffect::AskRegistry => {
+            ControllerEffect::StatusReady { .. } => {}
+            ControllerEffect::ReadWorkerList => {
                 self.polls += 1;
                 let version = 0;
                 let workers = self.registry.workers.clone();
@@ -303,8 +306,8 @@
                     })
                 });
             }
-            ControllerEffect::AskLoads(epoch, to) => {
-                let names: Vec<String> = to.into_iter().map(|t| t.0).collect();
+            ControllerEffect::PollLoads { epoch, workers } => {
+                let names: Vec<String> = workers.into_iter().map(|t| t.0).collect();
                 let region = self.procs[p].region;
                 self.after(40, move |w| {
                     let rows = names.iter().map(|n| w.load_of(n, region)).collect();
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -82,7 +82,7 @@
 }
 
 fn holder(w: &World) -> Option<usize> {
-    let on = |c: &usize| w.controller(*c).is_some_and(|h| h.on_duty());
+    let on = |c: &usize| w.controller(*c).is_some_and(|h| h.holds_singleton_role());
     w.cores().into_iter().find(on)
 }
 
