--- a/sorreldoor/src/control_plane/connections.rs
+++ b/sorreldoor/src/control_plane/connections.rs
@@ -1,8 +1,8 @@
 //! Open connections to other nodes: who is at the other end of each, and when
 //! it last carried a frame in either direction.
 
-use crate::consensus::{Millis, NodeId};
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use crate::wire::Hello;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -3,10 +3,11 @@
 use super::super::events::{ControllerEffect, Requester};
 use super::super::proposals;
 use super::Controller;
-use crate::consensus::{Body, Event, Lost, ProposalId};
+use crate::consensus::{Body, Event, Lost};
 use crate::log_events::LogEvent;
 use crate::order_id::format_proposal_id;
 use crate::replicated_state::{encode, Command, Outcome};
+use crate::types::ProposalId;
 use crate::wire::{OpOutcome, Payload};
 use std::sync::Arc;
 
--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -2,8 +2,9 @@
 
 use super::super::events::ControllerEffect;
 use super::Controller;
-use crate::consensus::{Effect, Event, Member, Note, RegionId};
+use crate::consensus::{Effect, Event, Member, Note};
 use crate::log_events::LogEvent;
+use crate::types::RegionId;
 use crate::wire::Payload;
 
 impl Controller {
--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -6,10 +6,10 @@
 use super::super::reads::Read;
 use super::super::sessions::{SessionChange, SESSION_TIMEOUT_MS};
 use super::Controller;
-use crate::consensus::{Millis, NodeId};
 use crate::invariants::{broken, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use crate::wire::{EdgeStatus, Hello, KnownVersions, Payload, SessionReport};
 use crate::wire::{StateDelta, Unverified};
 
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -5,8 +5,9 @@
 use super::super::events::{ControllerEffect, Requester};
 use super::super::membership::{Health, Observed};
 use super::Controller;
-use crate::consensus::{Body, Event, Member, NodeId, ProposalId};
+use crate::consensus::{Body, Event, Member};
 use crate::log_events::LogEvent;
+use crate::types::{NodeId, ProposalId};
 use crate::wire::{OpOutcome, Payload};
 
 impl Controller {
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -3,9 +3,10 @@
 use super::super::events::ControllerEffect;
 use super::super::reads::Read;
 use super::Controller;
-use crate::consensus::{Event, ProposalId, StateMachine};
+use crate::consensus::{Event, StateMachine};
 use crate::invariants::{broken, Invariant};
 use crate::replicated_state::decode;
+use crate::types::ProposalId;
 use crate::wire::{OpOutcome, StateDelta};
 
 impl Controller {
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -12,8 +12,9 @@
 use super::super::singleton::SingletonRole;
 use super::super::worker_list::WorkerList;
 use super::Controller;
-use crate::consensus::{Consensus, Kept, Millis, StateMachine};
+use crate::consensus::{Consensus, Kept, StateMachine};
 use crate::replicated_state::ReplicatedState;
+use crate::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Controller {
--- a/sorreldoor/src/control_plane/distribution.rs
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -2,10 +2,11 @@
 
 use super::sessions::EndpointList;
 use super::updates::{Due, Updates};
-use crate::consensus::{Member, Millis};
+use crate::consensus::Member;
 use crate::discovery::{Loads, WorkerRegistry};
 use crate::net::Conn;
 use crate::replicated_state::{encode, ReplicatedState};
+use crate::types::Millis;
 use crate::wire::{mark, KnownVersions, StateDelta};
 use std::sync::Arc;
 
--- a/sorreldoor/src/control_plane/proposals.rs
+++ b/sorreldoor/src/control_plane/proposals.rs
@@ -2,8 +2,9 @@
 //! the ids that this core gives to proposals and reads of its own.
 
 use super::events::Requester;
-use crate::consensus::{Lost, NodeId, ProposalId};
+use crate::consensus::Lost;
 use crate::replicated_state::{decode, Outcome};
+use crate::types::{NodeId, ProposalId};
 use crate::wire::{Hello, OpOutcome};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/sorreldoor/src/control_plane/reads.rs
+++ b/sorreldoor/src/control_plane/reads.rs
@@ -4,8 +4,8 @@
 //! proved.
 
 use super::events::Requester;
-use crate::consensus::{Millis, ProposalId};
 use crate::net::Conn;
+use crate::types::{Millis, ProposalId};
 use crate::wire::KnownVersions;
 use std::collections::BTreeMap;
 
--- a/sorreldoor/src/control_plane/sessions.rs
+++ b/sorreldoor/src/control_plane/sessions.rs
@@ -1,9 +1,9 @@
 //! Sessions of edges: those that are connected to this core, and those that
 //! other cores report.
 
-use crate::consensus::{Millis, NodeId};
 use crate::net::Conn;
 use crate::replicated_state::encode;
+use crate::types::{Millis, NodeId};
 use crate::wire::{mark, EdgeEndpoint, EdgeSession, EdgeStatus, Hello, SessionReport};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/sorreldoor/src/control_plane/singleton/mod.rs
+++ b/sorreldoor/src/control_plane/singleton/mod.rs
@@ -6,9 +6,10 @@
 mod regions;
 
 use crate::configuration::{Configuration, Route};
-use crate::consensus::{Member, Millis, NodeId, ProposalId};
+use crate::consensus::Member;
 use crate::discovery::{Loads, WorkerRegistry};
 use crate::replicated_state::{Recovery, ReplicatedState};
+use crate::types::{Millis, NodeId, ProposalId};
 use crate::weight_tuning;
 use crate::wire::EdgeSession;
 use regions::{region_capacity, RegionWatch};
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -3,10 +3,11 @@
 use super::membership::Membership;
 use super::worker_list::WorkerList;
 use crate::configuration::{Configuration, Route, Share, Site};
-use crate::consensus::{Consensus, Member, NodeId};
+use crate::consensus::{Consensus, Member};
 use crate::discovery::{Loads, Worker};
 use crate::json::Val;
 use crate::replicated_state::{Recovery, ReplicatedState};
+use crate::types::NodeId;
 use crate::weight_tuning::{self, Times};
 use crate::wire::{EdgeSession, Hello};
 use simd_json::prelude::*;
