--- a/sorreldoor/src/balancer/endpoint.rs
+++ b/sorreldoor/src/balancer/endpoint.rs
@@ -37,14 +37,14 @@
     /// Long shared prefixes are kept here.
     pub heavy: bool,
     /// When anything was last heard of it.
-    pub pulse: Millis,
+    pub last_activity: Millis,
     /// Since when this node waits for it to say anything at all.
     pub unheard: Option<Millis>,
     /// Requests of this node that are there.
     pub mine: u32,
     /// Requests of others there, as of `heard`.
     others: f64,
-    outcome: Millis,
+    reported_at: Millis,
     pub full_until: Millis,
     pub cold_until: Millis,
     sent: VecDeque<Millis>,
@@ -70,11 +70,11 @@
             stale: None,
             slots: 0,
             heavy: false,
-            pulse: 0,
+            last_activity: 0,
             unheard: None,
             mine: 0,
             others: 0.0,
-            outcome: 0,
+            reported_at: 0,
             full_until: 0,
             cold_until: 0,
             sent: VecDeque::new(),
@@ -91,7 +91,7 @@
 
     /// Something came of it.
     pub fn beat(&mut self, now: Millis) {
-        self.pulse = self.pulse.max(now);
+        self.last_activity = self.last_activity.max(now);
         self.unheard = Some(now).filter(|_| self.mine > 0);
     }
 
@@ -102,7 +102,7 @@
 
     /// Running and waiting there, as far as is known.
     pub fn load(&self, now: Millis) -> f64 {
-        let age = now.saturating_sub(self.outcome);
+        let age = now.saturating_sub(self.reported_at);
         let fade = match age <= FRESH {
             true => 1.0,
             // what is not heard again is tried again
@@ -114,7 +114,7 @@
     /// Its own word; `mine` of them are this node's.
     pub fn report(&mut self, running: u32, waiting: u32, slots: u32, now: Millis) {
         self.others = (f64::from(running) + f64::from(waiting) - f64::from(self.mine)).max(0.0);
-        self.outcome = now;
+        self.reported_at = now;
         if slots > 0 {
             self.slots = slots;
         }
--- a/sorreldoor/src/balancer/heavy.rs
+++ b/sorreldoor/src/balancer/heavy.rs
@@ -1,7 +1,7 @@
 //! Which workers of a service long shared prefixes are kept with, found alike
 //! by all nodes from the configuration and the list alone.
 
-use super::state::Table;
+use super::state::Balancer;
 use crate::configuration::hosted::{Hosted, Kind};
 use crate::types::Millis;
 
@@ -11,7 +11,7 @@
 /// Long prefixes seen within this keep short prompts away from their workers.
 pub(super) const LATELY: Millis = 30_000;
 
-impl Table {
+impl Balancer {
     /// How much of each service's streams the homes of routes bind to a region.
     pub(super) fn bind(&mut self, h: &Hosted) {
         let regions = 1 + self.place.regions.iter().copied().max().unwrap_or(0) as usize;
--- a/sorreldoor/src/balancer/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -15,7 +15,7 @@
 mod state;
 mod waits;
 
-pub use state::{Counts, Table};
+pub use state::{Balancer, Counts};
 
 use crate::error::ErrorCode;
 use crate::types::Millis;
@@ -42,36 +42,36 @@
 
 /// What to do with a request now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Pick {
-    Go(Target),
+pub enum Decision {
+    Send(Target),
     /// Ask again when woken, at the latest in so many milliseconds.
     Wait(Millis),
     /// It is not sent (again): the kind, and when to come back, in milliseconds.
-    Refuse(ErrorCode, Millis),
+    Reject(ErrorCode, Millis),
 }
 
 /// How one sending came to its end, or how it is going.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptOutcome {
     /// The worker's head: running, waiting, slots; cold for so long.
-    Head {
+    HeadReceived {
         load: Option<(u32, u32, u32)>,
         cold_ms: Option<u64>,
     },
     /// The first event of a stream, or the whole answer.
-    First,
+    FirstEvent,
     /// Answered whole; the status that the worker gave.
-    Done(u16),
+    Completed(u16),
     /// The worker says it did not run (503, 429); load as above.
-    NotRun(Option<(u32, u32, u32)>),
+    Rejected(Option<(u32, u32, u32)>),
     /// Another worker has this address now.
     Misdirected,
     /// No connection came up: nothing was sent.
     ConnectFailed,
     /// Broken off, silent, or no proper answer, after it was sent.
-    Broke,
+    Failed,
     /// The caller is gone, or its time is up; the worker is not to blame.
-    Left,
+    Canceled,
 }
 
 /// What the table must know of its own node.
--- a/sorreldoor/src/balancer/pick.rs
+++ b/sorreldoor/src/balancer/pick.rs
@@ -3,9 +3,9 @@
 use super::endpoint::Endpoint;
 use super::rank::{Choice, Offer};
 use super::requests::{weighted, Req, Sending};
-use super::state::Table;
+use super::state::Balancer;
 use super::waits::{Line, Rank, TICK};
-use super::{Pick, RequestId, Target};
+use super::{Decision, RequestId, Target};
 use crate::configuration::hosted::{Hosted, Route};
 use crate::error::ErrorCode;
 use crate::proxy::attempt::{ClientAnswer, Event, Repeatability};
@@ -18,7 +18,7 @@
 /// When to come back after a refusal, in milliseconds.
 const AGAIN: (Millis, Millis) = (100, 400);
 
-impl Table {
+impl Balancer {
     /// The service next in this request's own order behind `after`, and its
     /// place in that order.
     pub(super) fn drawn(&self, r: &Req, route: &Route, after: f64) -> Option<(u32, f64)> {
@@ -34,7 +34,7 @@
     }
 
     /// Decides on a request, under the configuration in force.
-    pub fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
+    pub fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
         self.tick(now);
         self.unwait(request_id);
         if self
@@ -43,16 +43,16 @@
             .is_some_and(|r| r.sending.is_some())
         {
             // it may be at one worker only; the last sending has no word left
-            self.outcome(request_id, super::AttemptOutcome::Left, now);
+            self.record_outcome(request_id, super::AttemptOutcome::Canceled, now);
         }
         let (Some(h), Some(mut r)) = (self.hosted.clone(), self.requests.lend(request_id)) else {
-            return Pick::Refuse(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::GivenUp, 0);
         };
         self.refind(&mut r, &h);
         let route = r.route.and_then(|i| h.routes.get(i as usize)).map(|r| &**r);
         let p = self.decide(request_id, &mut r, route, now);
         self.requests.back(request_id, r);
-        self.counts.refused += u64::from(matches!(p, Pick::Refuse(..)));
+        self.counts.refused += u64::from(matches!(p, Decision::Reject(..)));
         p
     }
 
@@ -62,7 +62,7 @@
         r: &mut Req,
         route: Option<&Route>,
         now: Millis,
-    ) -> Pick {
+    ) -> Decision {
         // without a route nothing says that it may run twice
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
         r.progress.on(Event::ConfigurationChanged(kind));
@@ -70,7 +70,7 @@
             return self.refuse(r, ErrorCode::Leaving, now);
         }
         let Some(route) = route else {
-            return Pick::Refuse(ErrorCode::UnknownRoute, 0);
+            return Decision::Reject(ErrorCode::UnknownRoute, 0);
         };
         if r.deadline < now + TOO_LATE {
             return self.refuse(r, ErrorCode::GivenUp, now);
@@ -114,7 +114,7 @@
     /// Whether a request that is at a worker could be taken up by another one:
     /// its route, its sendings so far, the budget and another worker's room
     /// allow it, and nothing was heard of its worker for `silent` ms.
-    pub fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
+    pub fn may_fail_over(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
         let (Some(r), Some(h)) = (self.requests.lend(request_id), self.hosted.clone()) else {
             return false;
         };
@@ -134,7 +134,7 @@
             .sending
             .and_then(|s| self.endpoints[s.endpoint as usize].as_ref());
         // a worker that speaks to others is slow, not gone
-        let dead = |w: &Endpoint| silent == 0 || w.pulse + silent <= now;
+        let dead = |w: &Endpoint| silent == 0 || w.last_activity + silent <= now;
         let Some(w) = here.filter(|w| !spent && !late && dead(w.as_ref())) else {
             return false;
         };
@@ -147,21 +147,28 @@
     }
 
     /// Something was heard of the worker that a request is at.
-    pub fn pulse(&mut self, request_id: RequestId, now: Millis) {
+    pub fn record_activity(&mut self, request_id: RequestId, now: Millis) {
         let s = self.requests.get(request_id).and_then(|r| r.sending);
         if let Some(w) = s.and_then(|s| self.endpoints[s.endpoint as usize].as_mut()) {
             w.beat(now);
         }
     }
 
-    fn wait(&mut self, r: &mut Req, line: Line, rank: Rank, until: Millis, now: Millis) -> Pick {
+    fn wait(
+        &mut self,
+        r: &mut Req,
+        line: Line,
+        rank: Rank,
+        until: Millis,
+        now: Millis,
+    ) -> Decision {
         self.counts.waited += u64::from(!std::mem::replace(&mut r.waited, true));
         // one that shuns a worker must not hold up those behind it
         if r.tried.is_empty() {
             r.waits = Some((line, rank));
             self.waits.put(line, rank, now);
         }
-        Pick::Wait(until.saturating_sub(now).clamp(1, TICK))
+        Decision::Wait(until.saturating_sub(now).clamp(1, TICK))
     }
 
     /// The first service in the request's order that has workers for it.
@@ -186,7 +193,7 @@
         self.nodes.part(s, self.service_states[svc as usize].hash)
     }
 
-    fn refuse(&mut self, r: &Req, p: ErrorCode, now: Millis) -> Pick {
+    fn refuse(&mut self, r: &Req, p: ErrorCode, now: Millis) -> Decision {
         let p = match r.progress.client_answer() {
             ClientAnswer::Refused => p,
             ClientAnswer::GatewayTimeout => ErrorCode::DeadlinePassed,
@@ -197,19 +204,19 @@
         let most = r.deadline.saturating_sub(now) / 3;
         let (lo, hi) = AGAIN;
         let at = lo + (self.draw.unit() * (hi - lo) as f64) as Millis;
-        Pick::Refuse(p, if p.again() { at.min(most) } else { 0 })
+        Decision::Reject(p, if p.again() { at.min(most) } else { 0 })
     }
 
-    fn go(&mut self, r: &mut Req, svc: u32, c: Choice, route: &Route, now: Millis) -> Pick {
+    fn go(&mut self, r: &mut Req, svc: u32, c: Choice, route: &Route, now: Millis) -> Decision {
         let conf = self.conf(svc);
         let engine = conf.and_then(|s| s.engine);
         let conns = conf.map_or(1, |s| s.max_conns);
         let b = &self.bounds;
         let Some(w) = self.endpoints[c.endpoint as usize].as_mut() else {
-            return Pick::Refuse(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::GivenUp, 0);
         };
         // what may run once goes out only where the worker is known to be
-        let fresh = w.suspect(now) || (!route.repeatable() && now >= w.pulse + KNOWN);
+        let fresh = w.suspect(now) || (!route.repeatable() && now >= w.last_activity + KNOWN);
         w.mine += 1;
         w.unheard.get_or_insert(now);
         w.note_sent(now);
@@ -251,7 +258,7 @@
             fresh,
         };
         let key = w.hash;
-        Pick::Go(Target {
+        Decision::Send(Target {
             max_conns: self.conns(conns, key),
             ..t
         })
--- a/sorreldoor/src/balancer/rank.rs
+++ b/sorreldoor/src/balancer/rank.rs
@@ -5,7 +5,7 @@
 use super::hash;
 use super::heavy::{LATELY, LONG_SHARED};
 use super::requests::Req;
-use super::state::Table;
+use super::state::Balancer;
 use crate::configuration::hosted::{Route, Service};
 use crate::types::Millis;
 
@@ -62,7 +62,7 @@
     lately: bool,
 }
 
-impl Table {
+impl Balancer {
     pub(super) fn may(&self, w: &Endpoint, i: u32, r: &Req, route: &Route) -> bool {
         w.open
             && w.stale.is_none()
--- a/sorreldoor/src/balancer/requests.rs
+++ b/sorreldoor/src/balancer/requests.rs
@@ -3,7 +3,7 @@
 use super::endpoint::FULL;
 use super::hash;
 use super::health::Sign;
-use super::state::Table;
+use super::state::Balancer;
 use super::waits::Line;
 use super::{AttemptOutcome, RequestId};
 use crate::configuration::hosted;
@@ -121,7 +121,7 @@
     }
 }
 
-impl Table {
+impl Balancer {
     /// A request came whole with its head; it counts for the budget from now
     /// on. `host` and `path` as the caller wrote them, times in milliseconds.
     pub fn begin(
@@ -196,26 +196,28 @@
     }
 
     /// What came of the last sending of this request.
-    pub fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
+    pub fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
         self.tick(now);
         let Some(s) = self.requests.get(request_id).and_then(|r| r.sending) else {
             return;
         };
         if !matches!(
             h,
-            AttemptOutcome::ConnectFailed | AttemptOutcome::Broke | AttemptOutcome::Left
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Failed | AttemptOutcome::Canceled
         ) {
-            self.pulse(request_id, now);
+            self.record_activity(request_id, now);
         }
         match h {
-            AttemptOutcome::Head { load, cold_ms } => self.head(s.endpoint, load, cold_ms, now),
-            AttemptOutcome::First => self.first(request_id, now),
-            AttemptOutcome::Done(status) => {
+            AttemptOutcome::HeadReceived { load, cold_ms } => {
+                self.head(s.endpoint, load, cold_ms, now)
+            }
+            AttemptOutcome::FirstEvent => self.first(request_id, now),
+            AttemptOutcome::Completed(status) => {
                 self.done(request_id, s, status, now);
                 self.close(request_id, true);
                 self.note(request_id, Event::AnswerComplete, None);
             }
-            AttemptOutcome::NotRun(load) => {
+            AttemptOutcome::Rejected(load) => {
                 self.head(s.endpoint, load, None, now);
                 self.unread(request_id, s);
                 self.close(request_id, true);
@@ -246,12 +248,12 @@
                 self.sign(s, Sign::ConnectFailed, now);
                 self.note(request_id, Event::ConnectFailed, Some(ErrorCode::GivenUp));
             }
-            AttemptOutcome::Broke => {
+            AttemptOutcome::Failed => {
                 self.close(request_id, true);
                 self.sign(s, Sign::Bad, now);
                 self.note(request_id, Event::Closed, Some(ErrorCode::WorkerBroke));
             }
-            AttemptOutcome::Left => {
+            AttemptOutcome::Canceled => {
                 self.close(request_id, true);
                 self.note(request_id, Event::Closed, None);
             }
@@ -267,7 +269,7 @@
     }
 
     /// Something happened to a request that only its own progress depends on.
-    pub fn progressed(&mut self, request_id: RequestId, event: Event) {
+    pub fn record_event(&mut self, request_id: RequestId, event: Event) {
         if let Some(r) = self.requests.get_mut(request_id) {
             r.progress.on(event);
         }
@@ -329,7 +331,7 @@
     }
 
     /// The request is over, whatever became of it.
-    pub fn end(&mut self, request_id: RequestId, now: Millis) {
+    pub fn finish(&mut self, request_id: RequestId, now: Millis) {
         self.tick(now);
         self.unwait(request_id);
         let at = self
@@ -355,9 +357,9 @@
     }
 
     /// The requests that may find a place now, the most urgent first.
-    pub fn woken(&mut self, now: Millis) -> Vec<RequestId> {
+    pub fn take_ready(&mut self, now: Millis) -> Vec<RequestId> {
         self.tick(now);
-        self.waits.woken(now)
+        self.waits.take_ready(now)
     }
 }
 
--- a/sorreldoor/src/balancer/signs.rs
+++ b/sorreldoor/src/balancer/signs.rs
@@ -2,7 +2,7 @@
 
 use super::health::Sign;
 use super::requests::Sending;
-use super::state::Table;
+use super::state::Balancer;
 use super::RequestId;
 use crate::types::Millis;
 
@@ -18,7 +18,7 @@
     *old += NEW * (new - *old);
 }
 
-impl Table {
+impl Balancer {
     /// A worker's head: its load, and how long it stays cold.
     pub(super) fn head(
         &mut self,
--- a/sorreldoor/src/balancer/state.rs
+++ b/sorreldoor/src/balancer/state.rs
@@ -59,7 +59,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct Balancer {
     pub(super) place: Locality,
     pub(super) bounds: Bounds,
     pub(super) draw: Draw,
@@ -85,10 +85,10 @@
     pub(super) counts: Counts,
 }
 
-impl Table {
-    pub fn new(place: Locality, bounds: Bounds, seed: u64) -> Table {
+impl Balancer {
+    pub fn new(place: Locality, bounds: Bounds, seed: u64) -> Balancer {
         let nodes = Nodes::new(&place.node, place.region);
-        Table {
+        Balancer {
             draw: Draw(seed ^ hash::name(&place.node)),
             place,
             bounds,
@@ -143,7 +143,7 @@
     }
 
     /// A configuration is in force from now on.
-    pub fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis) {
+    pub fn apply_configuration(&mut self, h: Arc<Hosted>, now: Millis) {
         self.tick(now);
         self.edition = self.edition.wrapping_add(1);
         self.service_states.iter_mut().for_each(|s| s.conf = None);
@@ -195,7 +195,7 @@
 
     /// The names and zones of the ready nodes; to be called once the list is
     /// thought whole: until then this node counts on no part of a common bound.
-    pub fn take_nodes(&mut self, all: Vec<(String, u16)>) {
+    pub fn update_nodes(&mut self, all: Vec<(String, u16)>) {
         let of = |z: u16| self.place.regions.get(z as usize).copied();
         let all = all
             .iter()
@@ -204,7 +204,7 @@
     }
 
     /// The platform's list; one that is older than the last is let go.
-    pub fn take_registry(&mut self, r: &WorkerRegistry, now: Millis) {
+    pub fn update_registry(&mut self, r: &WorkerRegistry, now: Millis) {
         self.tick(now);
         if self.listed_once && r.version < self.version {
             return;
--- a/sorreldoor/src/balancer/waits.rs
+++ b/sorreldoor/src/balancer/waits.rs
@@ -64,7 +64,7 @@
         self.rows.values_mut().for_each(|r| r.due = 0);
     }
 
-    pub fn woken(&mut self, now: Millis) -> Vec<RequestId> {
+    pub fn take_ready(&mut self, now: Millis) -> Vec<RequestId> {
         let mut out: Vec<Rank> = Vec::new();
         for row in self.rows.values_mut() {
             let n = match row.due <= now {
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -17,7 +17,7 @@
 use super::shared::Shared;
 use super::stream::relay;
 use super::verdict::{judge, Expected, Verdict};
-use crate::balancer::{AttemptOutcome, Pick, RequestId};
+use crate::balancer::{AttemptOutcome, Decision, RequestId};
 use crate::configuration::hosted::{Kind, Route};
 use crate::error::ErrorCode;
 use crate::runtime::Clock;
@@ -39,14 +39,14 @@
     loop {
         let (pick, route, deadline) = pick(shared, request.request_id);
         let target = match pick {
-            Pick::Go(target) => target,
-            Pick::Wait(ms) => {
+            Decision::Send(target) => target,
+            Decision::Wait(ms) => {
                 if !wait_in_queue(shared, client, request.request_id, ms).await {
                     return false;
                 }
                 continue;
             }
-            Pick::Refuse(error_code, retry_after_ms) => {
+            Decision::Reject(error_code, retry_after_ms) => {
                 return refuse(client, delivery, error_code, retry_after_ms).await;
             }
         };
@@ -70,11 +70,11 @@
 fn pick<D: Dialect, C: Clock>(
     shared: &Shared<D, C>,
     request_id: RequestId,
-) -> (Pick, Option<Route>, Millis) {
+) -> (Decision, Option<Route>, Millis) {
     let now = shared.now();
     let mut front = shared.lock();
     if shared.is_queue_closed() {
-        front.table.progressed(request_id, Event::Shutdown);
+        front.table.record_event(request_id, Event::Shutdown);
     }
     let pick = front.table.pick(request_id, now);
     let route = front.table.route(request_id).cloned();
@@ -204,13 +204,13 @@
             let mut decoder = Decoder::new(framing);
             let most = REFUSAL_BODY_MS.min(exchange.time_left());
             let _ = read_whole(exchange, client, connection, &head, &mut decoder, most).await;
-            exchange.outcome(AttemptOutcome::NotRun(told.load));
+            exchange.outcome(AttemptOutcome::Rejected(told.load));
             Outcome::AttemptEnded
         }
         Verdict::Own(framing) => {
             exchange.progressed(Event::HeadReceived);
             let (load, cold_ms) = (told.load, told.cold_ms);
-            exchange.outcome(AttemptOutcome::Head { load, cold_ms });
+            exchange.outcome(AttemptOutcome::HeadReceived { load, cold_ms });
             deliver(exchange, client, delivery, connection, head, framing).await
         }
     }
@@ -244,7 +244,7 @@
     let bytes = whole_answer(client, &head, &body);
     // a worker's failure is its answer, unless another may do better
     let try_another = head.status >= 500 && exchange.may_move(0);
-    exchange.outcome(AttemptOutcome::Done(head.status));
+    exchange.outcome(AttemptOutcome::Completed(head.status));
     if try_another {
         delivery.failure = Some(bytes);
         return Outcome::AttemptEnded;
--- a/sorreldoor/src/proxy/exchange.rs
+++ b/sorreldoor/src/proxy/exchange.rs
@@ -58,7 +58,7 @@
     /// Reports a step within the attempt.
     pub fn progressed(&self, event: Event) {
         let mut front = self.shared.lock();
-        front.table.progressed(self.request.request_id, event);
+        front.table.record_event(self.request.request_id, event);
     }
 
     /// Reports what the table places later requests by.
@@ -67,21 +67,21 @@
         self.shared
             .lock()
             .table
-            .outcome(self.request.request_id, outcome, now);
+            .record_outcome(self.request.request_id, outcome, now);
         self.shared.wake();
     }
 
     /// Ends the attempt: the worker failed, in the way that `event` names.
     pub fn worker_failed(&self, event: Event) -> Outcome {
         self.progressed(event);
-        self.outcome(AttemptOutcome::Broke);
+        self.outcome(AttemptOutcome::Failed);
         Outcome::AttemptEnded
     }
 
     /// Ends the attempt and the request: the client is gone.
     pub fn client_gone(&self) -> Outcome {
         self.progressed(Event::ClientDone);
-        self.outcome(AttemptOutcome::Left);
+        self.outcome(AttemptOutcome::Canceled);
         Outcome::Finished { keep_alive: false }
     }
 
@@ -111,12 +111,17 @@
     pub fn may_move(&self, silent: Millis) -> bool {
         let now = self.now();
         let mut front = self.shared.lock();
-        front.table.may_move(self.request.request_id, silent, now)
+        front
+            .table
+            .may_fail_over(self.request.request_id, silent, now)
     }
 
     /// The worker was heard of.
     pub fn worker_alive(&self) {
         let now = self.now();
-        self.shared.lock().table.pulse(self.request.request_id, now);
+        self.shared
+            .lock()
+            .table
+            .record_activity(self.request.request_id, now);
     }
 }
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -1,7 +1,7 @@
 //! The control half of a node that serves hosted routes: its session with a
 //! core, the news it takes, and the table that news goes into.
 
-use crate::balancer::Table;
+use crate::balancer::Balancer;
 use crate::configuration::hosted::Hosted;
 use crate::configuration::Site;
 use crate::discovery::WorkerRegistry;
@@ -46,7 +46,7 @@
     pub me: Hello,
     pub site: Arc<Site>,
     pub pull: Pull,
-    pub table: Table,
+    pub table: Balancer,
     /// Nodes that are ready, by the sessions that cores tell of.
     pub nodes: Vec<Seen>,
     pub view: View,
@@ -89,7 +89,7 @@
 }
 
 impl Front {
-    pub fn new(me: Hello, site: Arc<Site>, pull: Pull, table: Table) -> Front {
+    pub fn new(me: Hello, site: Arc<Site>, pull: Pull, table: Balancer) -> Front {
         Front {
             me,
             site,
@@ -145,7 +145,7 @@
     /// that are not ready yet.
     fn count_nodes(&mut self) {
         if !self.all.is_empty() && self.whole_at.is_some_and(|t| self.now >= t) {
-            self.table.take_nodes(std::mem::take(&mut self.all));
+            self.table.update_nodes(std::mem::take(&mut self.all));
         }
     }
 
@@ -234,7 +234,7 @@
         // lists are told by more than one way, and an older may come later
         if r.version > self.pull.have.registry {
             self.pull.have.registry = r.version;
-            self.table.take_registry(r, self.now);
+            self.table.update_registry(r, self.now);
         }
     }
 
@@ -283,7 +283,7 @@
         let old = self.table.hosted().filter(|_| !whole).cloned();
         let old: Arc<Hosted> = old.unwrap_or_default();
         if let Some(hosted) = c.hosted(&old, &self.site)? {
-            self.table.take_hosted(Arc::new(hosted), self.now);
+            self.table.apply_configuration(Arc::new(hosted), self.now);
         }
         Ok(())
     }
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -5,7 +5,7 @@
 use super::front::{Front, FrontEffect, FrontEvent, Seen};
 use super::serve;
 use super::shared::Shared;
-use crate::balancer::{Bounds, Locality, Table};
+use crate::balancer::{Balancer, Bounds, Locality};
 use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent};
 use crate::runtime::{Clock, Reducer};
@@ -82,7 +82,7 @@
         region: set.region,
         regions: set.names.zones.iter().map(|(_, r)| *r).collect(),
     };
-    let table = Table::new(place, start.bounds, crate::order_id::random_id());
+    let table = Balancer::new(place, start.bounds, crate::order_id::random_id());
     let pull = Pull::new(&set.seeds, set.lease_ms, now.monotonic_ms, now.wall)
         .named(&set.node)
         .paced(&set.pacing);
--- a/sorreldoor/src/proxy/serve.rs
+++ b/sorreldoor/src/proxy/serve.rs
@@ -174,7 +174,7 @@
     };
     let keep = carry(shared, client, &request).await;
     let now = shared.now();
-    shared.lock().table.end(request_id, now);
+    shared.lock().table.finish(request_id, now);
     shared.wake();
     keep
 }
--- a/sorreldoor/src/proxy/shared.rs
+++ b/sorreldoor/src/proxy/shared.rs
@@ -84,7 +84,7 @@
             return;
         }
         let now = self.now();
-        let all = self.lock().table.woken(now);
+        let all = self.lock().table.take_ready(now);
         let w = self.waiters();
         for tx in all.iter().filter_map(|r| w.get(r)) {
             let _ = tx.try_send(());
--- a/sorreldoor/src/proxy/stream.rs
+++ b/sorreldoor/src/proxy/stream.rs
@@ -115,7 +115,7 @@
             false => self.pass_chunk(&passed, whole).await,
         };
         if std::mem::take(&mut self.first) {
-            self.exchange.outcome(AttemptOutcome::First);
+            self.exchange.outcome(AttemptOutcome::FirstEvent);
         }
         self.passed_at = self.exchange.now();
         written
@@ -151,7 +151,7 @@
 
     fn finished(self) -> Outcome {
         self.exchange
-            .outcome(AttemptOutcome::Done(self.head.status));
+            .outcome(AttemptOutcome::Completed(self.head.status));
         self.exchange.progressed(Event::ClientDone);
         let keep_alive = !self.client.close;
         Outcome::Finished { keep_alive }
@@ -169,7 +169,7 @@
     async fn late(self, connection: Connection) -> Outcome {
         self.exchange.close(connection);
         self.exchange.progressed(Event::DeadlinePassed);
-        self.exchange.outcome(AttemptOutcome::Left);
+        self.exchange.outcome(AttemptOutcome::Canceled);
         let head_sent = self.delivery.head_sent;
         let keep_alive = !head_sent
             && self
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -1,6 +1,8 @@
 //! The table of requests under way: each rule by itself, and nodes together.
 
-use sorreldoor::balancer::{AttemptOutcome, Bounds, Locality, Pick, RequestId, Table, Target};
+use sorreldoor::balancer::{
+    AttemptOutcome, Balancer, Bounds, Decision, Locality, RequestId, Target,
+};
 use sorreldoor::configuration::hosted::{Engine, Hosted, Kind, Route, Service};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::error::ErrorCode;
@@ -124,11 +126,11 @@
     WorkerRegistry { version, workers }
 }
 
-fn table(h: Arc<Hosted>, workers: Vec<Worker>) -> Table {
-    let mut t = Table::new(place("n0", 0), bounds(), 7);
-    t.take_hosted(h, 0);
-    t.take_nodes(vec![("n0".into(), 0)]);
-    t.take_registry(&registry(1, workers), 0);
+fn table(h: Arc<Hosted>, workers: Vec<Worker>) -> Balancer {
+    let mut t = Balancer::new(place("n0", 0), bounds(), 7);
+    t.apply_configuration(h, 0);
+    t.update_nodes(vec![("n0".into(), 0)]);
+    t.update_registry(&registry(1, workers), 0);
     t
 }
 
@@ -147,18 +149,18 @@
     }
 }
 
-fn begin(t: &mut Table, path: &str, now: u64) -> RequestId {
+fn begin(t: &mut Balancer, path: &str, now: u64) -> RequestId {
     t.begin("h", path, ask(&[]), now, now).unwrap()
 }
 
-fn go(p: Pick) -> Target {
+fn go(p: Decision) -> Target {
     match p {
-        Pick::Go(t) => t,
+        Decision::Send(t) => t,
         p => panic!("not sent: {p:?}"),
     }
 }
 
-fn sent(t: &mut Table, path: &str, now: u64) -> (RequestId, Target) {
+fn sent(t: &mut Balancer, path: &str, now: u64) -> (RequestId, Target) {
     let r = begin(t, path, now);
     let g = go(t.pick(r, now));
     (r, g)
--- a/sorreldoor/tests/balancer/drive.rs
+++ b/sorreldoor/tests/balancer/drive.rs
@@ -48,7 +48,7 @@
 }
 
 pub struct Drive {
-    pub nodes: Vec<Table>,
+    pub nodes: Vec<Balancer>,
     /// Each node has a clock of its own.
     pub skew: Vec<u64>,
     pub region: Vec<u8>,
@@ -86,10 +86,10 @@
         let skew: Vec<u64> = (0..n).map(|_| rand.below(1_000_000)).collect();
         let nodes = (0..n)
             .map(|i| {
-                let mut t = Table::new(place(&names[i].0, zones[i]), bounds(), seed);
-                t.take_hosted(h.clone(), skew[i]);
-                t.take_nodes(names.clone());
-                t.take_registry(&registry(1, list.clone()), skew[i]);
+                let mut t = Balancer::new(place(&names[i].0, zones[i]), bounds(), seed);
+                t.apply_configuration(h.clone(), skew[i]);
+                t.update_nodes(names.clone());
+                t.update_registry(&registry(1, list.clone()), skew[i]);
                 t
             })
             .collect();
@@ -153,23 +153,23 @@
                     let b = &self.backs[w as usize];
                     let load = Some((b.running, b.queue.len() as u32, b.slots));
                     let cold_ms = None;
-                    self.outcome(n, r, AttemptOutcome::Head { load, cold_ms });
-                    self.outcome(n, r, AttemptOutcome::First);
+                    self.record_outcome(n, r, AttemptOutcome::HeadReceived { load, cold_ms });
+                    self.record_outcome(n, r, AttemptOutcome::FirstEvent);
                 }
                 Ev::End(n, r, w) => {
-                    self.outcome(n, r, AttemptOutcome::Done(200));
+                    self.record_outcome(n, r, AttemptOutcome::Completed(200));
                     self.over(n, r);
                     self.served += 1;
                     self.leave(w);
                 }
                 Ev::Break(n, r, w) => {
-                    self.outcome(n, r, AttemptOutcome::Broke);
+                    self.record_outcome(n, r, AttemptOutcome::Failed);
                     self.leave(w);
                     self.pick(n, r);
                 }
                 Ev::Wake(n) => {
                     let t = self.clock(n);
-                    for r in self.nodes[n].woken(t) {
+                    for r in self.nodes[n].take_ready(t) {
                         self.pick(n, r);
                     }
                     self.put(at + 10, Ev::Wake(n));
@@ -186,11 +186,11 @@
     pub fn restart(&mut self, n: usize, h: Arc<Hosted>) {
         let t = self.clock(n);
         let zone = (n % 3) as u16;
-        let mut x = Table::new(place(&format!("n{n}"), zone), bounds(), t);
-        x.take_hosted(h, t);
+        let mut x = Balancer::new(place(&format!("n{n}"), zone), bounds(), t);
+        x.apply_configuration(h, t);
         let all = 0..self.nodes.len();
-        x.take_nodes(all.map(|i| (format!("n{i}"), (i % 3) as u16)).collect());
-        x.take_registry(&registry(1, self.list.clone()), t);
+        x.update_nodes(all.map(|i| (format!("n{i}"), (i % 3) as u16)).collect());
+        x.update_registry(&registry(1, self.list.clone()), t);
         self.nodes[n] = x;
         self.open.retain(|k, _| k.0 != n);
         self.waiting.retain(|k| k.0 != n);
@@ -214,14 +214,14 @@
         self.now + self.skew[n]
     }
 
-    fn outcome(&mut self, n: usize, r: RequestId, h: AttemptOutcome) {
+    fn record_outcome(&mut self, n: usize, r: RequestId, h: AttemptOutcome) {
         let t = self.clock(n);
-        self.nodes[n].outcome(r, h, t);
+        self.nodes[n].record_outcome(r, h, t);
     }
 
     fn over(&mut self, n: usize, r: RequestId) {
         let t = self.clock(n);
-        self.nodes[n].end(r, t);
+        self.nodes[n].finish(r, t);
         self.open.remove(&(n, r));
     }
 
@@ -257,7 +257,7 @@
         let t = self.clock(n);
         self.waiting.remove(&(n, r));
         match self.nodes[n].pick(r, t) {
-            Pick::Go(g) => {
+            Decision::Send(g) => {
                 let mut w = g.worker;
                 if self.round_robin {
                     w = loop {
@@ -269,18 +269,18 @@
                     };
                 }
                 if self.rand.chance(self.backs[w as usize].dead) {
-                    self.outcome(n, r, AttemptOutcome::ConnectFailed);
+                    self.record_outcome(n, r, AttemptOutcome::ConnectFailed);
                     return self.pick(n, r);
                 }
                 let far = self.list[w as usize].region != self.region[n];
                 let lag = 1 + self.rand.below(3) + if far { 35 } else { 0 };
                 self.put(self.now + lag, Ev::Reach(n, r, w));
             }
-            Pick::Wait(ms) => {
+            Decision::Wait(ms) => {
                 self.waiting.insert((n, r));
                 self.put(self.now + ms, Ev::Again(n, r));
             }
-            Pick::Refuse(..) => {
+            Decision::Reject(..) => {
                 self.refused += 1;
                 self.over(n, r);
             }
@@ -301,7 +301,7 @@
         b.came.push(now);
         if self.rand.chance(b.away) || b.queue.len() as u32 > 2 * b.slots {
             let load = Some((b.running, b.queue.len() as u32, b.slots));
-            self.outcome(n, r, AttemptOutcome::NotRun(load));
+            self.record_outcome(n, r, AttemptOutcome::Rejected(load));
             return self.pick(n, r);
         }
         if self.rand.chance(b.broke) {
--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -14,21 +14,21 @@
         }
         let r = begin(&mut t, "/web/x", now);
         let mut g = t.pick(r, now);
-        while let Pick::Go(x) = &g {
+        while let Decision::Send(x) = &g {
             if x.name == bad {
                 hits.push(now);
                 last = now;
             }
             if x.name == bad && dead {
-                t.outcome(r, AttemptOutcome::ConnectFailed, now);
+                t.record_outcome(r, AttemptOutcome::ConnectFailed, now);
                 g = t.pick(r, now);
             } else {
-                t.outcome(r, AttemptOutcome::Done(200), now + 15);
+                t.record_outcome(r, AttemptOutcome::Completed(200), now + 15);
                 break;
             }
         }
-        assert!(matches!(g, Pick::Go(_)), "{g:?}");
-        t.end(r, now + 15);
+        assert!(matches!(g, Decision::Send(_)), "{g:?}");
+        t.finish(r, now + 15);
     }
     let early: Vec<u64> = hits.iter().copied().filter(|h| *h < 12_000).collect();
     assert!(early.len() <= 6, "{early:?}");
@@ -46,16 +46,16 @@
     let mut t = table(usual(), many("web", 6, &[0; 9]));
     for now in 0..400u64 {
         let (r, _) = sent(&mut t, "/webonce/x", now);
-        t.outcome(r, AttemptOutcome::Broke, now);
-        t.end(r, now);
+        t.record_outcome(r, AttemptOutcome::Failed, now);
+        t.finish(r, now);
         assert!(t.counts().out <= 3);
     }
     assert_eq!(t.counts().out, 3);
     let mut t = table(usual(), many("web", 6, &[0; 3]));
     for now in 0..60u64 {
         let (r, _) = sent(&mut t, "/webonce/x", now);
-        t.outcome(r, AttemptOutcome::ConnectFailed, now);
-        t.end(r, now);
+        t.record_outcome(r, AttemptOutcome::ConnectFailed, now);
+        t.finish(r, now);
     }
     assert_eq!(t.counts().out, 3);
     sent(&mut t, "/webonce/x", 61);
@@ -65,7 +65,7 @@
 fn a_full_worker_is_left_alone_for_a_while() {
     let mut t = table(usual(), many("web", 6, &[0, 0]));
     let (r, a) = sent(&mut t, "/webonce/x", 1000);
-    t.outcome(r, AttemptOutcome::NotRun(Some((6, 24, 6))), 1001);
+    t.record_outcome(r, AttemptOutcome::Rejected(Some((6, 24, 6))), 1001);
     let b = go(t.pick(r, 1001));
     assert_ne!(a.name, b.name);
     for now in 1002..1008 {
@@ -85,11 +85,11 @@
     let mut all = many("web", 6000, &[0, 0]);
     all.extend(many("model", 48, &[0, 0]));
     let mut t = table(hosted(vec![r, n, z]), all);
-    let share = |t: &mut Table, path: &str, f: &dyn Fn(u64) -> Vec<(u64, u32)>| {
+    let share = |t: &mut Balancer, path: &str, f: &dyn Fn(u64) -> Vec<(u64, u32)>| {
         let hit = (0..2000u64).filter(|i| {
             let r = t.begin("h", path, ask(&f(*i)), *i, *i).unwrap();
             let g = go(t.pick(r, *i));
-            t.end(r, *i);
+            t.finish(r, *i);
             g.name.starts_with("web")
         });
         hit.count()
@@ -128,9 +128,9 @@
             .begin("h", "/once/", chain(1000 + i * 500), 10, 10)
             .unwrap();
         at.push(go(t.pick(r, 10)).name);
-        t.outcome(r, AttemptOutcome::First, 50);
-        t.outcome(r, AttemptOutcome::Done(200), 60);
-        t.end(r, 60);
+        t.record_outcome(r, AttemptOutcome::FirstEvent, 50);
+        t.record_outcome(r, AttemptOutcome::Completed(200), 60);
+        t.finish(r, 60);
     }
     at.dedup();
     assert_eq!(at.len(), 1);
@@ -143,8 +143,8 @@
     let mut ends: Vec<(u64, RequestId)> = Vec::new();
     for now in 0..20_000u64 {
         for (_, r) in ends.iter().filter(|e| e.0 == now) {
-            t.outcome(*r, AttemptOutcome::Done(200), now);
-            t.end(*r, now);
+            t.record_outcome(*r, AttemptOutcome::Completed(200), now);
+            t.finish(*r, now);
         }
         ends.retain(|e| e.0 != now);
         if now % 30 == 0 {
@@ -165,9 +165,9 @@
             .begin("h", "/once/", ask(&[(i, 300), (i | 1 << 40, 90)]), i, i)
             .unwrap();
         let p = t.pick(r, i);
-        assert!(matches!(p, Pick::Go(_)));
-        t.outcome(r, AttemptOutcome::Done(200), i + 1);
-        t.end(r, i + 1);
+        assert!(matches!(p, Decision::Send(_)));
+        t.record_outcome(r, AttemptOutcome::Completed(200), i + 1);
+        t.finish(r, i + 1);
     }
     let c = t.counts();
     assert_eq!((c.open, c.waiting, c.served), (0, 0, 60_000));
@@ -182,10 +182,10 @@
     assert_eq!(sent(&mut t, "/p/x", 10).1.priority, Some(9));
     let sum: u32 = (0..93)
         .map(|i| {
-            let mut t = Table::new(place(&format!("n{i}"), 0), bounds(), 1);
-            t.take_hosted(usual(), 0);
-            t.take_nodes((0..93).map(|i| (format!("n{i}"), 0)).collect());
-            t.take_registry(&registry(1, many("model", 48, &[0])), 0);
+            let mut t = Balancer::new(place(&format!("n{i}"), 0), bounds(), 1);
+            t.apply_configuration(usual(), 0);
+            t.update_nodes((0..93).map(|i| (format!("n{i}"), 0)).collect());
+            t.update_registry(&registry(1, many("model", 48, &[0])), 0);
             sent(&mut t, "/once/x", 10).1.max_conns
         })
         .sum();
--- a/sorreldoor/tests/balancer/fuzz.rs
+++ b/sorreldoor/tests/balancer/fuzz.rs
@@ -46,9 +46,9 @@
     let mut x = Rand(seed.wrapping_mul(0x9e37_79b9) | 1);
     let hs = configurations();
     let mut h = hs[0].clone();
-    let mut t = Table::new(place("n0", 0), bounds(), seed);
-    t.take_hosted(h.clone(), 0);
-    t.take_nodes(vec![("n0".into(), 0), ("n1".into(), 2)]);
+    let mut t = Balancer::new(place("n0", 0), bounds(), seed);
+    t.apply_configuration(h.clone(), 0);
+    t.update_nodes(vec![("n0".into(), 0), ("n1".into(), 2)]);
     let mut list: Vec<Worker> = Vec::new();
     let (mut version, mut evacuated, mut born, mut now) = (0, vec![], 0, 0u64);
     let mut open: BTreeMap<RequestId, Seen> = BTreeMap::new();
@@ -62,7 +62,7 @@
         match x.below(100) {
             0 => {
                 h = hs[x.below(2) as usize].clone();
-                t.take_hosted(h.clone(), now);
+                t.apply_configuration(h.clone(), now);
             }
             1 => {
                 evacuated = (0..3u16).filter(|_| x.chance(0.2)).collect();
@@ -81,7 +81,7 @@
                     list.push(worker(&format!("w{born}"), g, x.below(3) as u16, 4));
                 }
                 version += x.below(2);
-                t.take_registry(&registry(version, list.clone()), now);
+                t.update_registry(&registry(version, list.clone()), now);
                 stale.retain(|_, s| *s >= version);
             }
             5..=34 => {
@@ -109,7 +109,7 @@
                 (s.homes, s.attempts) = (f.homes.clone(), f.attempts);
                 s.deadline = t.deadline(r);
                 match p {
-                    Pick::Go(g) => {
+                    Decision::Send(g) => {
                         let w = list.iter().find(|w| w.name == g.name).unwrap();
                         assert!(!w.leaving && w.leaves_ms.is_none());
                         assert!(!evacuated.contains(&w.zone));
@@ -126,12 +126,12 @@
                         s.tried.push(g.name.clone());
                         s.at = Some(g.name);
                     }
-                    Pick::Wait(ms) => assert!((1..=20).contains(&ms)),
-                    Pick::Refuse(p, ms) => {
+                    Decision::Wait(ms) => assert!((1..=20).contains(&ms)),
+                    Decision::Reject(p, ms) => {
                         assert!(ms * 3 <= s.deadline.saturating_sub(now));
                         // 429 and 503 promise that it did not run
                         assert!(!s.ran || p.status() != 503, "{p}");
-                        t.end(r, now);
+                        t.finish(r, now);
                         open.remove(&r);
                     }
                 }
@@ -143,20 +143,20 @@
                 let s = open.get_mut(&r).unwrap();
                 let kind = x.below(9);
                 let hs = match kind {
-                    0 => AttemptOutcome::Head {
+                    0 => AttemptOutcome::HeadReceived {
                         load: Some((x.below(9) as u32, x.below(3) as u32, 4)),
                         cold_ms: Some(x.below(2) * 800),
                     },
-                    1 => AttemptOutcome::First,
-                    2 => AttemptOutcome::Done(500),
-                    3 => AttemptOutcome::NotRun(Some((4, 2, 4))),
+                    1 => AttemptOutcome::FirstEvent,
+                    2 => AttemptOutcome::Completed(500),
+                    3 => AttemptOutcome::Rejected(Some((4, 2, 4))),
                     4 => AttemptOutcome::Misdirected,
                     5 => AttemptOutcome::ConnectFailed,
-                    6 => AttemptOutcome::Broke,
-                    7 => AttemptOutcome::Left,
-                    _ => AttemptOutcome::Done(200),
+                    6 => AttemptOutcome::Failed,
+                    7 => AttemptOutcome::Canceled,
+                    _ => AttemptOutcome::Completed(200),
                 };
-                t.outcome(r, hs, now);
+                t.record_outcome(r, hs, now);
                 if kind > 1 {
                     let at = s.at.take();
                     s.ran |= at.is_some() && ![3, 4, 5].contains(&kind);
@@ -169,18 +169,18 @@
                 let Some(r) = some(&mut x, &open) else {
                     continue;
                 };
-                t.end(r, now);
-                t.end(r, now);
-                t.outcome(r, AttemptOutcome::Broke, now);
+                t.finish(r, now);
+                t.finish(r, now);
+                t.record_outcome(r, AttemptOutcome::Failed, now);
                 open.remove(&r);
             }
-            _ => assert!(t.woken(now).iter().all(|r| open.contains_key(r))),
+            _ => assert!(t.take_ready(now).iter().all(|r| open.contains_key(r))),
         }
     }
     for r in open.keys() {
-        t.end(*r, now);
+        t.finish(*r, now);
     }
-    t.take_registry(&registry(version + 1, vec![]), now);
+    t.update_registry(&registry(version + 1, vec![]), now);
     let c = t.counts();
     assert_eq!((c.open, c.waiting, c.workers), (0, 0, 0));
     assert!(!format!("{t:?}").contains("Spot {"));
--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -7,12 +7,12 @@
 
 #[test]
 fn no_setup_and_no_route() {
-    let mut t = Table::new(place("n0", 0), bounds(), 7);
+    let mut t = Balancer::new(place("n0", 0), bounds(), 7);
     assert_eq!(
         t.begin("h", "/web/x", ask(&[]), 0, 0),
         Err(ErrorCode::NoConfiguration)
     );
-    t.take_hosted(usual(), 0);
+    t.apply_configuration(usual(), 0);
     assert_eq!(
         t.begin("h", "/no/x", ask(&[]), 0, 0),
         Err(ErrorCode::UnknownRoute)
@@ -27,34 +27,37 @@
 fn what_may_have_run_is_not_sent_again() {
     let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
     let (r, _) = sent(&mut t, "/webonce/x", 100);
-    t.outcome(r, AttemptOutcome::Broke, 120);
-    assert_eq!(t.pick(r, 120), Pick::Refuse(ErrorCode::OutcomeUnknown, 0));
+    t.record_outcome(r, AttemptOutcome::Failed, 120);
+    assert_eq!(
+        t.pick(r, 120),
+        Decision::Reject(ErrorCode::OutcomeUnknown, 0)
+    );
 }
 
 #[test]
 fn what_did_not_run_goes_on_within_attempts() {
     for (h, again) in [
-        (AttemptOutcome::NotRun(None), true),
+        (AttemptOutcome::Rejected(None), true),
         (AttemptOutcome::Misdirected, true),
         (AttemptOutcome::ConnectFailed, true),
-        (AttemptOutcome::Broke, false),
-        (AttemptOutcome::Left, false),
-        (AttemptOutcome::Done(500), false),
+        (AttemptOutcome::Failed, false),
+        (AttemptOutcome::Canceled, false),
+        (AttemptOutcome::Completed(500), false),
     ] {
         let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
         let (r, a) = sent(&mut t, "/webonce/x", 20_000);
-        t.outcome(r, h.clone(), 20_010);
+        t.record_outcome(r, h.clone(), 20_010);
         match t.pick(r, 20_010) {
-            Pick::Go(b) => assert!(again && a.name != b.name, "{h:?}"),
+            Decision::Send(b) => assert!(again && a.name != b.name, "{h:?}"),
             p => assert!(!again, "{h:?}: {p:?}"),
         }
         if !again {
             continue;
         }
-        t.outcome(r, h.clone(), 20_020);
+        t.record_outcome(r, h.clone(), 20_020);
         // no connection means not sent, and a worker that is gone was not
         // sent to either, so a third worker is no third sending
-        let third = matches!(t.pick(r, 20_020), Pick::Go(_));
+        let third = matches!(t.pick(r, 20_020), Decision::Send(_));
         let unsent = [AttemptOutcome::ConnectFailed, AttemptOutcome::Misdirected].contains(&h);
         assert_eq!(third, unsent, "{h:?}");
     }
@@ -64,13 +67,13 @@
 fn a_repeatable_one_goes_on_after_a_break_and_ends_unpromised() {
     let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
     let (r, a) = sent(&mut t, "/web/x", 20_000);
-    t.outcome(r, AttemptOutcome::Broke, 20_010);
+    t.record_outcome(r, AttemptOutcome::Failed, 20_010);
     let b = go(t.pick(r, 20_010));
     assert_ne!(a.name, b.name);
-    t.outcome(r, AttemptOutcome::NotRun(None), 20_020);
+    t.record_outcome(r, AttemptOutcome::Rejected(None), 20_020);
     let p = t.pick(r, 20_020);
     assert!(
-        matches!(p, Pick::Refuse(ErrorCode::WorkerBroke, _)),
+        matches!(p, Decision::Reject(ErrorCode::WorkerBroke, _)),
         "{p:?}"
     );
 }
@@ -79,14 +82,14 @@
 fn a_route_that_turns_repeatable_does_not_free_what_was_sent_once() {
     let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
     let (r, _) = sent(&mut t, "/webonce/x", 20_000);
-    t.take_hosted(
+    t.apply_configuration(
         hosted(vec![route("x", "/webonce/", Kind::Idempotent, 1)]),
         20_005,
     );
-    t.outcome(r, AttemptOutcome::Broke, 20_010);
+    t.record_outcome(r, AttemptOutcome::Failed, 20_010);
     assert_eq!(
         t.pick(r, 20_010),
-        Pick::Refuse(ErrorCode::OutcomeUnknown, 0)
+        Decision::Reject(ErrorCode::OutcomeUnknown, 0)
     );
 }
 
@@ -99,15 +102,18 @@
     let (a, b) = (begin(&mut t, "/w/x", 20_010), begin(&mut t, "/w/x", 20_010));
     let first = go(t.pick(a, 20_010));
     assert!(first.name.starts_with("web") && first.priority.is_none());
-    t.take_hosted(both(0), 20_011);
+    t.apply_configuration(both(0), 20_011);
     let second = go(t.pick(b, 20_011));
     assert!(second.name.starts_with("model") && second.priority == Some(1));
     // a refused sending is looked up anew as well
-    t.outcome(a, AttemptOutcome::NotRun(None), 20_012);
+    t.record_outcome(a, AttemptOutcome::Rejected(None), 20_012);
     assert!(go(t.pick(a, 20_012)).name.starts_with("model"));
     let c = begin(&mut t, "/w/x", 20_012);
-    t.take_hosted(hosted(vec![route("v", "/v/", Kind::Once, 1)]), 20_013);
-    assert_eq!(t.pick(c, 20_013), Pick::Refuse(ErrorCode::UnknownRoute, 0));
+    t.apply_configuration(hosted(vec![route("v", "/v/", Kind::Once, 1)]), 20_013);
+    assert_eq!(
+        t.pick(c, 20_013),
+        Decision::Reject(ErrorCode::UnknownRoute, 0)
+    );
     assert!(t.route(c).is_none());
 }
 
@@ -167,11 +173,11 @@
         for i in 0..20 {
             let r = begin(&mut t, path, i);
             let got = match t.pick(r, i) {
-                Pick::Go(g) => Some(g.name),
+                Decision::Send(g) => Some(g.name),
                 _ => None,
             };
             assert_eq!(got.as_deref(), want, "{path} {ws:?} {evacuated:?}");
-            t.end(r, i);
+            t.finish(r, i);
         }
     }
 }
@@ -180,12 +186,12 @@
 fn what_is_off_the_list_or_misdirected_gets_nothing() {
     let mut t = table(usual(), many("web", 6, &[0, 1]));
     let (r, a) = sent(&mut t, "/web/x", 10);
-    t.outcome(r, AttemptOutcome::Misdirected, 11);
-    t.end(r, 11);
-    let names = |t: &mut Table, now: u64| -> Vec<String> {
+    t.record_outcome(r, AttemptOutcome::Misdirected, 11);
+    t.finish(r, 11);
+    let names = |t: &mut Balancer, now: u64| -> Vec<String> {
         let one = |_| {
             let (r, g) = sent(t, "/web/x", now);
-            t.end(r, now);
+            t.finish(r, now);
             g.name
         };
         let mut v: Vec<String> = (0..12).map(one).collect();
@@ -194,14 +200,14 @@
         v
     };
     assert!(!names(&mut t, 12).contains(&a.name));
-    t.take_registry(&registry(1, many("web", 6, &[0, 1])), 13);
+    t.update_registry(&registry(1, many("web", 6, &[0, 1])), 13);
     assert!(!names(&mut t, 14).contains(&a.name));
-    t.take_registry(&registry(2, many("web", 6, &[0, 1])), 4000);
+    t.update_registry(&registry(2, many("web", 6, &[0, 1])), 4000);
     assert!(names(&mut t, 4001).contains(&a.name));
-    t.take_registry(&registry(3, vec![worker("new", "web", 0, 6)]), 5000);
+    t.update_registry(&registry(3, vec![worker("new", "web", 0, 6)]), 5000);
     assert_eq!(names(&mut t, 5001), ["new"]);
     // an older list that comes late changes nothing
-    t.take_registry(&registry(2, many("web", 6, &[0, 1])), 5002);
+    t.update_registry(&registry(2, many("web", 6, &[0, 1])), 5002);
     assert_eq!(names(&mut t, 5003), ["new"]);
 }
 
@@ -214,19 +220,22 @@
     a.deadline_ms = None;
     let n = t.begin("h", "/web/x", a, 1000, 1010).unwrap();
     assert_eq!(t.deadline(n), 9000);
-    assert!(matches!(t.pick(r, 1010), Pick::Wait(w) if w > 0));
+    assert!(matches!(t.pick(r, 1010), Decision::Wait(w) if w > 0));
     // within a quarter of the aim it is told to come back
     let at = 1200;
     match t.pick(r, at) {
-        Pick::Refuse(ErrorCode::NoWorker, ms) => assert!((100..=400).contains(&ms)),
+        Decision::Reject(ErrorCode::NoWorker, ms) => assert!((100..=400).contains(&ms)),
         p => panic!("{p:?}"),
     }
     match t.pick(r, 5700) {
-        Pick::Refuse(ErrorCode::NoWorker, ms) => assert!(ms <= 100),
+        Decision::Reject(ErrorCode::NoWorker, ms) => assert!(ms <= 100),
         p => panic!("{p:?}"),
     }
     let p = t.pick(r, 5998);
-    assert!(matches!(p, Pick::Refuse(ErrorCode::GivenUp, _)), "{p:?}");
+    assert!(
+        matches!(p, Decision::Reject(ErrorCode::GivenUp, _)),
+        "{p:?}"
+    );
 }
 
 #[test]
@@ -238,25 +247,25 @@
         vec![worker("w", "web", 0, 2)],
     );
     let held: Vec<RequestId> = (0..3).map(|_| sent(&mut t, "/high/x", 0).0).collect();
-    let late = |t: &mut Table, path: &str, now| {
+    let late = |t: &mut Balancer, path: &str, now| {
         let r = begin(t, path, now);
-        assert!(matches!(t.pick(r, now), Pick::Wait(_)));
+        assert!(matches!(t.pick(r, now), Decision::Wait(_)));
         r
     };
     let l = late(&mut t, "/low/x", 1);
     let h2 = late(&mut t, "/high/x", 3);
     let h1 = late(&mut t, "/high/x", 2);
-    assert!(t.woken(4).is_empty());
-    t.outcome(held[0], AttemptOutcome::Done(200), 5);
-    assert_eq!(t.woken(5), [h1]);
+    assert!(t.take_ready(4).is_empty());
+    t.record_outcome(held[0], AttemptOutcome::Completed(200), 5);
+    assert_eq!(t.take_ready(5), [h1]);
     // one that comes now stands behind those that wait already
     let h3 = late(&mut t, "/high/x", 5);
     go(t.pick(h1, 5));
-    assert!(matches!(t.pick(h2, 6), Pick::Wait(_)));
-    assert_eq!(t.woken(60), [h2, h3, l]);
-    t.end(h2, 61);
-    t.outcome(held[1], AttemptOutcome::Done(200), 61);
-    assert_eq!(t.woken(61), [h3]);
+    assert!(matches!(t.pick(h2, 6), Decision::Wait(_)));
+    assert_eq!(t.take_ready(60), [h2, h3, l]);
+    t.finish(h2, 61);
+    t.record_outcome(held[1], AttemptOutcome::Completed(200), 61);
+    assert_eq!(t.take_ready(61), [h3]);
     assert_eq!(t.counts().waiting, 2);
 }
 
@@ -272,20 +281,20 @@
         let x = draw >> 33;
         if x.is_multiple_of(3) && !open.is_empty() {
             let r = open.swap_remove((x / 3) as usize % open.len());
-            t.outcome(r, AttemptOutcome::Done(200), now);
-            t.end(r, now);
+            t.record_outcome(r, AttemptOutcome::Completed(200), now);
+            t.finish(r, now);
         }
         if x % 5 < if now % 8000 < 4000 { 3 } else { 1 } {
             let r = t
                 .begin("h", "/webonce/x", ask(&[]), now - now.min(300), now)
                 .unwrap();
             match t.pick(r, now) {
-                Pick::Go(_) => open.push(r),
-                Pick::Refuse(p, _) => {
+                Decision::Send(_) => open.push(r),
+                Decision::Reject(p, _) => {
                     assert_eq!(p, ErrorCode::NoWorker);
                     assert!(open.len() * 2 >= 16, "{} of 16 taken", open.len());
                     refused += 1;
-                    t.end(r, now);
+                    t.finish(r, now);
                 }
                 p => panic!("{p:?}"),
             }
--- a/sorreldoor/tests/balancer/nodes.rs
+++ b/sorreldoor/tests/balancer/nodes.rs
@@ -46,7 +46,7 @@
             });
             for i in 0..d.nodes.len() {
                 let t = d.clock(i);
-                d.nodes[i].take_registry(&registry(2, l.clone()), t);
+                d.nodes[i].update_registry(&registry(2, l.clone()), t);
             }
         });
         let cold = |w: usize, span: (u64, u64)| {
@@ -188,19 +188,19 @@
 }
 
 /// Nodes of both regions, none of which has heard of another.
-fn apart(h: &std::sync::Arc<Hosted>) -> Vec<Table> {
+fn apart(h: &std::sync::Arc<Hosted>) -> Vec<Balancer> {
     let one = |i: u64| {
         let zone = if i.is_multiple_of(2) { 0 } else { 2 };
-        let mut t = Table::new(place(&format!("n{i}"), zone), bounds(), i);
-        t.take_hosted(h.clone(), 0);
-        t.take_registry(&registry(1, workers()), 0);
+        let mut t = Balancer::new(place(&format!("n{i}"), zone), bounds(), i);
+        t.apply_configuration(h.clone(), 0);
+        t.update_registry(&registry(1, workers()), 0);
         t
     };
     (0..6).map(one).collect()
 }
 
 /// Where each of many prefixes goes from each node.
-fn goes(all: &mut [Table], path: &str, shared: u32) -> Vec<Vec<Worker>> {
+fn goes(all: &mut [Balancer], path: &str, shared: u32) -> Vec<Vec<Worker>> {
     let mut out = Vec::new();
     for id in 1..60u64 {
         let mut at = Vec::new();
@@ -209,7 +209,7 @@
             let r = t.begin("h", path, a, id, id).unwrap();
             let name = go(t.pick(r, id)).name;
             at.extend(workers().into_iter().find(|w| w.name == name));
-            t.end(r, id);
+            t.finish(r, id);
         }
         out.push(at);
     }
@@ -263,21 +263,21 @@
     let mut l = many("model", 48, &[0, 0]);
     l[0].cold_ms = 9000;
     let cold = l[0].name.clone();
-    let sends = |t: &mut Table, now: u64| {
+    let sends = |t: &mut Balancer, now: u64| {
         let hit = (0..40).filter(|_| sent(t, "/once/x", now).1.name == cold);
         hit.count()
     };
-    let mut t = Table::new(place("n0", 0), bounds(), 1);
-    t.take_hosted(usual(), 0);
-    t.take_registry(&registry(1, l.clone()), 0);
+    let mut t = Balancer::new(place("n0", 0), bounds(), 1);
+    t.apply_configuration(usual(), 0);
+    t.update_registry(&registry(1, l.clone()), 0);
     assert_eq!(sends(&mut t, 5000), 0);
     let mut t = table(usual(), l.clone());
     assert_eq!(sends(&mut t, 1000), 0);
     assert!(sends(&mut t, 3000) > 0);
     // nodes that are missing for a moment still have their parts
     let mut t = table(usual(), l);
-    t.take_nodes((0..12).map(|i| (format!("n{i}"), 0)).collect());
-    t.take_nodes(vec![("n0".into(), 0)]);
+    t.update_nodes((0..12).map(|i| (format!("n{i}"), 0)).collect());
+    t.update_nodes(vec![("n0".into(), 0)]);
     assert!((1..=4).contains(&sends(&mut t, 3000)));
 }
 
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -4,7 +4,7 @@
 use async_std::io::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use sorreldoor::balancer::{Bounds, Locality, Table};
+use sorreldoor::balancer::{Balancer, Bounds, Locality};
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::proxy::body::*;
@@ -231,10 +231,10 @@
         warmup_excess: 1.5,
         warmup_slack: 5.0,
     };
-    let mut table = Table::new(place, bounds, 7);
+    let mut table = Balancer::new(place, bounds, 7);
     let (s, _) = configuration::read(configuration_text.as_bytes(), &site).unwrap();
-    table.take_nodes(vec![("n1".into(), 0)]);
-    table.take_hosted(s.hosted.unwrap(), 1);
+    table.update_nodes(vec![("n1".into(), 0)]);
+    table.apply_configuration(s.hosted.unwrap(), 1);
     let row = |(i, s): (usize, &&Stand)| Worker {
         name: format!("w{i}"),
         addr: s.addr,
@@ -243,7 +243,7 @@
         ..Worker::blank()
     };
     let workers = stands.iter().enumerate().map(row).collect();
-    table.take_registry(
+    table.update_registry(
         &WorkerRegistry {
             version: 1,
             workers,
--- a/testbed/src/emul/client.rs
+++ b/testbed/src/emul/client.rs
@@ -39,7 +39,7 @@
     /// It goes on behind this event.
     pub from: u32,
     pub got: u32,
-    pub outcome: Us,
+    pub last_heard: Us,
     pub over: bool,
     pub refused: bool,
     pub sends: u32,
@@ -189,7 +189,7 @@
             deadline,
             from,
             got: from,
-            outcome: self.now,
+            last_heard: self.now,
             over: false,
             refused: false,
             sends: 0,
@@ -209,7 +209,7 @@
             "stream" => 2000.max(4 * c.aim_ms).max(8 * c.gap_ms),
             _ => 1 << 32,
         };
-        tr.outcome + us(ms as f64)
+        tr.last_heard + us(ms as f64)
     }
 
     pub(super) fn patience(&mut self, t: usize) {
@@ -252,7 +252,7 @@
         }
         let now = self.now;
         let i = self.tries[t].ask;
-        self.tries[t].outcome = now;
+        self.tries[t].last_heard = now;
         match m {
             ToClient::Event(no, _) => {
                 if no != self.tries[t].got + 1 {
--- a/testbed/src/emul/control.rs
+++ b/testbed/src/emul/control.rs
@@ -188,14 +188,14 @@
         match x {
             ControlUpdate::Hosted(h) => {
                 node.has.0 = true;
-                node.policy.take_hosted(h, now);
+                node.policy.apply_configuration(h, now);
             }
             ControlUpdate::WorkerRegistry(r) => {
                 node.has.1 = true;
-                node.policy.take_registry(&r, now);
+                node.policy.update_registry(&r, now);
             }
             ControlUpdate::Evacuated(z) => node.policy.set_evacuated_zones(z, now),
-            ControlUpdate::Nodes(all) => node.policy.take_nodes(all),
+            ControlUpdate::Nodes(all) => node.policy.update_nodes(all),
         }
         if !self.ready.contains(&n) && node.has == (true, true) {
             self.act(self.now + us(500.0), |w| w.directory());
--- a/testbed/src/emul/node.rs
+++ b/testbed/src/emul/node.rs
@@ -4,7 +4,7 @@
 use super::policy::Policy;
 use super::worker::Spoil;
 use super::*;
-use sorreldoor::balancer::{AttemptOutcome, Pick, RequestId, Target};
+use sorreldoor::balancer::{AttemptOutcome, Decision, RequestId, Target};
 use sorreldoor::error::ErrorCode;
 use sorreldoor::proxy::RequestMetadata;
 use std::collections::BTreeMap;
@@ -155,7 +155,7 @@
     pub(super) fn over(&mut self, n: usize, request_id: RequestId) {
         let now = self.ms();
         let x = &mut self.nodes[n];
-        x.policy.end(request_id, now);
+        x.policy.finish(request_id, now);
         if let Some(j) = x.jobs.remove(&request_id) {
             x.by_try.remove(&j.attempt);
         }
@@ -172,13 +172,13 @@
         j.waits += 1;
         let (t, no, life) = (j.attempt, j.waits, x.life);
         match x.policy.pick(request_id, now) {
-            Pick::Go(to) => self.send(n, request_id, &to),
-            Pick::Wait(ms) => {
+            Decision::Send(to) => self.send(n, request_id, &to),
+            Decision::Wait(ms) => {
                 j.waiting = true;
                 let at = self.now + us(ms.max(1) as f64);
                 self.push(at, Ev::Wake(n, life, request_id, no));
             }
-            Pick::Refuse(p, again) => {
+            Decision::Reject(p, again) => {
                 let (head, failed) = (j.head_sent, j.failed);
                 self.over(n, request_id);
                 match (head, failed) {
@@ -202,7 +202,7 @@
         let now = self.ms();
         let x = &mut self.nodes[n];
         let life = x.life;
-        let all = x.policy.woken(now);
+        let all = x.policy.take_ready(now);
         let of = |r: &RequestId| x.jobs.get(r).filter(|j| j.waiting).map(|j| (*r, j.waits));
         let all: Vec<(RequestId, u64)> = all.iter().filter_map(of).collect();
         for (request_id, no) in all {
@@ -212,7 +212,7 @@
 
     pub(super) fn outcome(&mut self, n: usize, request_id: RequestId, h: AttemptOutcome) {
         let now = self.ms();
-        self.nodes[n].policy.outcome(request_id, h, now);
+        self.nodes[n].policy.record_outcome(request_id, h, now);
         self.wake(n);
     }
 
--- a/testbed/src/emul/policy.rs
+++ b/testbed/src/emul/policy.rs
@@ -3,7 +3,7 @@
 
 use super::breach::Breaker;
 use super::simple::Simple;
-use sorreldoor::balancer::{AttemptOutcome, Bounds, Locality, Pick, RequestId, Table};
+use sorreldoor::balancer::{AttemptOutcome, Balancer, Bounds, Decision, Locality, RequestId};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::error::ErrorCode;
@@ -19,68 +19,68 @@
         asked: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode>;
-    fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick;
-    fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis);
-    fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool;
-    fn pulse(&mut self, request_id: RequestId, now: Millis);
-    fn end(&mut self, request_id: RequestId, now: Millis);
-    fn woken(&mut self, now: Millis) -> Vec<RequestId>;
+    fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision;
+    fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis);
+    fn may_fail_over(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool;
+    fn record_activity(&mut self, request_id: RequestId, now: Millis);
+    fn finish(&mut self, request_id: RequestId, now: Millis);
+    fn take_ready(&mut self, now: Millis) -> Vec<RequestId>;
     fn deadline(&self, request_id: RequestId) -> Millis;
     fn route(&self, request_id: RequestId) -> Option<Route>;
-    fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis);
-    fn take_registry(&mut self, r: &WorkerRegistry, now: Millis);
+    fn apply_configuration(&mut self, h: Arc<Hosted>, now: Millis);
+    fn update_registry(&mut self, r: &WorkerRegistry, now: Millis);
     fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis);
-    fn take_nodes(&mut self, all: Vec<(String, u16)>);
+    fn update_nodes(&mut self, all: Vec<(String, u16)>);
     /// Requests under way, and those that wait.
     fn open(&self) -> (u64, u64);
 }
 
 pub const HOST: &str = "emul.example";
 
-impl Policy for Table {
+impl Policy for Balancer {
     fn begin(
         &mut self,
         path: &str,
         asked: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
-        Table::begin(self, HOST, path, asked, now, now)
+        Balancer::begin(self, HOST, path, asked, now, now)
     }
-    fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
-        Table::pick(self, request_id, now)
+    fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
+        Balancer::pick(self, request_id, now)
     }
-    fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
-        Table::outcome(self, request_id, h, now);
+    fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
+        Balancer::record_outcome(self, request_id, h, now);
     }
-    fn may_move(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
-        Table::may_move(self, request_id, silent, now)
+    fn may_fail_over(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
+        Balancer::may_fail_over(self, request_id, silent, now)
     }
-    fn pulse(&mut self, request_id: RequestId, now: Millis) {
-        Table::pulse(self, request_id, now);
+    fn record_activity(&mut self, request_id: RequestId, now: Millis) {
+        Balancer::record_activity(self, request_id, now);
     }
-    fn end(&mut self, request_id: RequestId, now: Millis) {
-        Table::end(self, request_id, now);
+    fn finish(&mut self, request_id: RequestId, now: Millis) {
+        Balancer::finish(self, request_id, now);
     }
-    fn woken(&mut self, now: Millis) -> Vec<RequestId> {
-        Table::woken(self, now)
+    fn take_ready(&mut self, now: Millis) -> Vec<RequestId> {
+        Balancer::take_ready(self, now)
     }
     fn deadline(&self, request_id: RequestId) -> Millis {
-        Table::deadline(self, request_id)
+        Balancer::deadline(self, request_id)
     }
     fn route(&self, request_id: RequestId) -> Option<Route> {
-        Table::route(self, request_id).cloned()
+        Balancer::route(self, request_id).cloned()
     }
-    fn take_hosted(&mut self, h: Arc<Hosted>, now: Millis) {
-        Table::take_hosted(self, h, now);
+    fn apply_configuration(&mut self, h: Arc<Hosted>, now: Millis) {
+        Balancer::apply_configuration(self, h, now);
     }
-    fn take_registry(&mut self, r: &WorkerRegistry, now: Millis) {
-        Table::take_registry(self, r, now);
+    fn update_registry(&mut self, r: &WorkerRegistry, now: Millis) {
+        Balancer::update_registry(self, r, now);
     }
     fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
-        Table::set_evacuated_zones(self, zones, now);
+        Balancer::set_evacuated_zones(self, zones, now);
     }
-    fn take_nodes(&mut self, all: Vec<(String, u16)>) {
-        Table::take_nodes(self, all);
+    fn update_nodes(&mut self, all: Vec<(String, u16)>) {
+        Balancer::update_nodes(self, all);
     }
     fn open(&self) -> (u64, u64) {
         let c = self.counts();
@@ -91,7 +91,7 @@
 /// What decides at all nodes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    Table,
+    Balancer,
     RoundRobin,
     LeastLoad,
     /// The table, whose requests stay where they are; or where they have begun.
@@ -128,7 +128,7 @@
 impl Invariant {
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::Table => "table",
+            Invariant::Balancer => "table",
             Invariant::RoundRobin => "round robin",
             Invariant::LeastLoad => "least load",
             Invariant::Stay => "table, no moves",
@@ -139,7 +139,7 @@
 
     pub fn make(self, place: Locality, mut bounds: Bounds, seed: u64) -> Box<dyn Policy> {
         match self {
-            Invariant::Table => Box::new(Table::new(place, bounds, seed)),
+            Invariant::Balancer => Box::new(Balancer::new(place, bounds, seed)),
             Invariant::RoundRobin | Invariant::LeastLoad => {
                 Box::new(Simple::new(self, seed, &place.node))
             }
@@ -148,7 +148,7 @@
                     Invariant::Stay => Breach::Stay,
                     _ => Breach::StayBegun,
                 };
-                Box::new(Breaker::new(Table::new(place, bounds, seed), b))
+                Box::new(Breaker::new(Balancer::new(place, bounds, seed), b))
             }
             Invariant::Broken(b) => {
                 if b == Breach::Budget {
@@ -157,7 +157,7 @@
                 if b == Breach::Cold {
                     bounds.warmup_excess = 1e6;
                 }
-                Box::new(Breaker::new(Table::new(place, bounds, seed), b))
+                Box::new(Breaker::new(Balancer::new(place, bounds, seed), b))
             }
         }
     }
--- a/testbed/src/emul/relay.rs
+++ b/testbed/src/emul/relay.rs
@@ -44,10 +44,10 @@
             return;
         };
         match h {
-            AttemptOutcome::NotRun(_) => self.give_back(sid),
+            AttemptOutcome::Rejected(_) => self.give_back(sid),
             _ => self.drop_line(sid),
         }
-        let left = h == AttemptOutcome::Left;
+        let left = h == AttemptOutcome::Canceled;
         self.outcome(s.node, s.request_id, h);
         let late = self.ms() >= c.deadline;
         let Some(j) = self.nodes[s.node].jobs.get_mut(&s.request_id) else {
@@ -76,8 +76,8 @@
         }
         match c.phase {
             Phase::Connect => return self.ended(sid, AttemptOutcome::ConnectFailed),
-            Phase::Head if now >= c.deadline => return self.ended(sid, AttemptOutcome::Broke),
-            Phase::Relay if now >= c.deadline => return self.ended(sid, AttemptOutcome::Left),
+            Phase::Head if now >= c.deadline => return self.ended(sid, AttemptOutcome::Failed),
+            Phase::Relay if now >= c.deadline => return self.ended(sid, AttemptOutcome::Canceled),
             _ => {}
         }
         let own = match c.phase {
@@ -90,8 +90,8 @@
         let silent = if slow { 0 } else { own };
         if c.phase == Phase::Relay && !c.stream {
             // once its head is there a plain answer is waited for to the end
-        } else if self.nodes[n].policy.may_move(request_id, silent, now) {
-            return self.ended(sid, AttemptOutcome::Broke);
+        } else if self.nodes[n].policy.may_fail_over(request_id, silent, now) {
+            return self.ended(sid, AttemptOutcome::Failed);
         }
         if let Some(c) = self.cur(sid) {
             c.until = now + LOOK;
@@ -107,13 +107,13 @@
             Ans::Reset if c.phase == Phase::Connect => {
                 self.ended(sid, AttemptOutcome::ConnectFailed)
             }
-            Ans::Reset | Ans::Garbled => self.ended(sid, AttemptOutcome::Broke),
+            Ans::Reset | Ans::Garbled => self.ended(sid, AttemptOutcome::Failed),
             Ans::Misdirected => self.ended(sid, AttemptOutcome::Misdirected),
-            Ans::NotRun(l) => self.ended(sid, AttemptOutcome::NotRun(Some(l))),
+            Ans::NotRun(l) => self.ended(sid, AttemptOutcome::Rejected(Some(l))),
             Ans::Head(l) => {
                 c.phase = Phase::Relay;
                 (c.since, c.until) = (now, now.saturating_add(c.gap));
-                let h = AttemptOutcome::Head {
+                let h = AttemptOutcome::HeadReceived {
                     load: Some(l),
                     cold_ms: None,
                 };
@@ -131,18 +131,18 @@
                     (j.last, j.head_sent) = (no, true);
                     self.to(s.attempt, ToClient::Event(no, s.worker));
                 }
-                self.nodes[s.node].policy.pulse(s.request_id, now);
+                self.nodes[s.node].policy.record_activity(s.request_id, now);
                 if first {
-                    self.outcome(s.node, s.request_id, AttemptOutcome::First);
+                    self.outcome(s.node, s.request_id, AttemptOutcome::FirstEvent);
                 }
             }
             Ans::End => {
                 self.give_back(sid);
-                self.outcome(s.node, s.request_id, AttemptOutcome::Done(200));
+                self.outcome(s.node, s.request_id, AttemptOutcome::Completed(200));
                 self.over(s.node, s.request_id);
                 self.to(s.attempt, ToClient::End);
             }
-            Ans::Fail if c.phase == Phase::Relay => self.ended(sid, AttemptOutcome::Broke),
+            Ans::Fail if c.phase == Phase::Relay => self.ended(sid, AttemptOutcome::Failed),
             Ans::Fail => self.failed(sid),
         }
     }
@@ -151,9 +151,11 @@
     fn failed(&mut self, sid: u64) {
         let s = self.sends[sid as usize].clone();
         let now = self.ms();
-        let again = self.nodes[s.node].policy.may_move(s.request_id, 0, now);
+        let again = self.nodes[s.node]
+            .policy
+            .may_fail_over(s.request_id, 0, now);
         self.give_back(sid);
-        self.outcome(s.node, s.request_id, AttemptOutcome::Done(504));
+        self.outcome(s.node, s.request_id, AttemptOutcome::Completed(504));
         let Some(j) = self.nodes[s.node].jobs.get_mut(&s.request_id) else {
             return;
         };
@@ -178,10 +180,10 @@
             self.drop_line(c.sid);
             let h = match c.phase {
                 Phase::Connect => AttemptOutcome::ConnectFailed,
-                _ => AttemptOutcome::Left,
+                _ => AttemptOutcome::Canceled,
             };
             // before the request has gone out there is nothing to leave
-            if h == AttemptOutcome::Left {
+            if h == AttemptOutcome::Canceled {
                 self.outcome(n, request_id, h);
             }
         }
--- a/testbed/src/emul/simple.rs
+++ b/testbed/src/emul/simple.rs
@@ -2,7 +2,7 @@
 
 use super::policy::{Invariant, Policy, HOST};
 use crate::rand::Rand;
-use sorreldoor::balancer::{AttemptOutcome, Pick, RequestId, Target};
+use sorreldoor::balancer::{AttemptOutcome, Decision, RequestId, Target};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::error::ErrorCode;
@@ -120,30 +120,30 @@
         Ok(self.next)
     }
 
-    fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
+    fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
         let Some(mut h) = self.held.remove(&request_id) else {
-            return Pick::Refuse(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::GivenUp, 0);
         };
         let r = self.found(&h.path).cloned();
         let p = match r {
-            None => Pick::Refuse(ErrorCode::UnknownRoute, 0),
-            Some(r) if h.ran && !r.repeatable() => Pick::Refuse(ErrorCode::OutcomeUnknown, 0),
+            None => Decision::Reject(ErrorCode::UnknownRoute, 0),
+            Some(r) if h.ran && !r.repeatable() => Decision::Reject(ErrorCode::OutcomeUnknown, 0),
             Some(r) if h.tried.len() as u32 >= r.attempts.max(1) || now + 5 > h.deadline => {
                 let p = if h.ran {
                     ErrorCode::WorkerBroke
                 } else {
                     h.last
                 };
-                Pick::Refuse(p, 200)
+                Decision::Reject(p, 200)
             }
             Some(r) => match self.choose(&h) {
-                None => Pick::Refuse(ErrorCode::NoWorker, 200),
+                None => Decision::Reject(ErrorCode::NoWorker, 200),
                 Some(i) => {
                     h.tried.push(i);
                     h.at = Some(i);
                     self.endpoints[i].mine += 1;
                     let w = self.endpoints[i].w.clone().unwrap_or_else(Worker::blank);
-                    Pick::Go(Target {
+                    Decision::Send(Target {
                         worker: i as u32,
                         name: w.name,
                         addr: w.addr,
@@ -159,42 +159,45 @@
         p
     }
 
-    fn outcome(&mut self, request_id: RequestId, h: AttemptOutcome, _: Millis) {
+    fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, _: Millis) {
         let Some(r) = self.held.get_mut(&request_id) else {
             return;
         };
         let Some(i) = r.at else { return };
         let s = &mut self.endpoints[i];
         let load = match &h {
-            AttemptOutcome::Head { load, .. } | AttemptOutcome::NotRun(load) => *load,
+            AttemptOutcome::HeadReceived { load, .. } | AttemptOutcome::Rejected(load) => *load,
             _ => None,
         };
         if let Some((a, b, _)) = load {
             s.others = (a + b).saturating_sub(s.mine);
         }
-        if matches!(h, AttemptOutcome::Head { .. } | AttemptOutcome::First) {
+        if matches!(
+            h,
+            AttemptOutcome::HeadReceived { .. } | AttemptOutcome::FirstEvent
+        ) {
             return;
         }
         r.ran |= matches!(
             h,
-            AttemptOutcome::Broke | AttemptOutcome::Done(_) | AttemptOutcome::Left
+            AttemptOutcome::Failed | AttemptOutcome::Completed(_) | AttemptOutcome::Canceled
         );
         r.at = None;
         s.mine = s.mine.saturating_sub(1);
     }
 
-    fn may_move(&mut self, _: RequestId, _: Millis, _: Millis) -> bool {
+    fn may_fail_over(&mut self, _: RequestId, _: Millis, _: Millis) -> bool {
         false
     }
 
-    fn pulse(&mut self, _: RequestId, _: Millis) {}
+    fn record_activity(&mut self, _: RequestId, _: Millis) {}
 
-    fn end(&mut self, request_id: RequestId, now: Millis) {
-        self.outcome(request_id, AttemptOutcome::Left, now);
+    fn finish(&mut self, request_id: RequestId, now: Millis) {
+        self.record_outcome(request_id, AttemptOutcome::Canceled, now);
         self.held.remove(&request_id);
     }
 
-    fn woken(&mut self, _: Millis) -> Vec<RequestId> {
+    fn take_ready(&mut self, _: Millis) -> Vec<RequestId> {
         Vec::new()
     }
 
@@ -206,11 +209,11 @@
         self.found(&self.held.get(&request_id)?.path).cloned()
     }
 
-    fn take_hosted(&mut self, h: Arc<Hosted>, _: Millis) {
+    fn apply_configuration(&mut self, h: Arc<Hosted>, _: Millis) {
         self.hosted = h;
     }
 
-    fn take_registry(&mut self, r: &WorkerRegistry, _: Millis) {
+    fn update_registry(&mut self, r: &WorkerRegistry, _: Millis) {
         self.endpoints.iter_mut().for_each(|s| s.w = None);
         for w in &r.workers {
             let n = self.endpoints.len();
@@ -226,7 +229,7 @@
         self.evacuated = zones;
     }
 
-    fn take_nodes(&mut self, _: Vec<(String, u16)>) {}
+    fn update_nodes(&mut self, _: Vec<(String, u16)>) {}
 
     fn open(&self) -> (u64, u64) {
         (self.held.len() as u64, 0)
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -102,10 +102,10 @@
 pub fn run(a: &Args) -> Result<bool, String> {
     let m = mix(a)?;
     let invariants: &[Invariant] = match (a.table, a.moves) {
-        (_, true) => &[Invariant::Table, Invariant::StayBegun, Invariant::Stay],
-        (true, _) => &[Invariant::Table],
+        (_, true) => &[Invariant::Balancer, Invariant::StayBegun, Invariant::Stay],
+        (true, _) => &[Invariant::Balancer],
         _ => &[
-            Invariant::Table,
+            Invariant::Balancer,
             Invariant::RoundRobin,
             Invariant::LeastLoad,
         ],
--- a/testbed/tests/emul.rs
+++ b/testbed/tests/emul.rs
@@ -32,7 +32,7 @@
 #[test]
 fn a_quiet_day_is_served_whole() {
     for seed in 0..3 {
-        let w = World::new(seed, small(), Invariant::Table).run();
+        let w = World::new(seed, small(), Invariant::Balancer).run();
         let (wrong, t) = (check(&w), w.tally());
         assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
         assert!(t.asked > 1000, "seed {seed}: {} asked", t.asked);
@@ -44,7 +44,10 @@
 fn runs_repeat_for_a_seed() {
     let mut m = small();
     m.troubles = storm(3, &m, 5);
-    let (a, b) = (play(3, &m, Invariant::Table), play(3, &m, Invariant::Table));
+    let (a, b) = (
+        play(3, &m, Invariant::Balancer),
+        play(3, &m, Invariant::Balancer),
+    );
     assert_eq!(a.0, b.0);
     assert_eq!(format!("{:?}", a.1), format!("{:?}", b.1));
 }
@@ -61,7 +64,7 @@
     for seed in seeds(24) {
         let mut m = small();
         m.troubles = storm(seed, &m, 6);
-        let (wrong, t) = play(seed, &m, Invariant::Table);
+        let (wrong, t) = play(seed, &m, Invariant::Balancer);
         println!("seed {seed}: {t}");
         bad.extend(wrong.iter().map(|w| format!("seed {seed}: {w}")));
     }
@@ -82,7 +85,7 @@
             ..Trouble::default()
         };
         m.troubles = vec![t(2.0, 2, 5.0), t(9.0, 3, 0.0), t(11.0, 2, 0.5)];
-        let (wrong, t) = play(seed, &m, Invariant::Table);
+        let (wrong, t) = play(seed, &m, Invariant::Balancer);
         println!("seed {seed}: {t}");
         bad.extend(wrong.iter().map(|w| format!("seed {seed}: {w}")));
     }
@@ -247,7 +250,7 @@
         t.asked - (t.served - t.late)
     };
     let (a, b, c) = (
-        late(Invariant::Table),
+        late(Invariant::Balancer),
         late(Invariant::RoundRobin),
         late(Invariant::LeastLoad),
     );
