--- a/sorreldoor/src/replicated_state/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -5,8 +5,9 @@
 use super::persistent::PersistentState;
 use super::{decode, encode, Command, Outcome, ReplicatedState, Version};
 use crate::configuration;
-use crate::consensus::{ProposalId, StateMachine};
+use crate::consensus::StateMachine;
 use crate::invariants::{broken, Invariant};
+use crate::types::ProposalId;
 use std::sync::Arc;
 
 /// Marks a rejection where a test has them remembered; no version is 0.
--- a/sorreldoor/src/replicated_state/deduplication.rs
+++ b/sorreldoor/src/replicated_state/deduplication.rs
@@ -6,7 +6,7 @@
 //! it is final: versions only rise, so a request whose base was superseded
 //! can never become valid again.
 
-use crate::consensus::ProposalId;
+use crate::types::ProposalId;
 use im::{OrdMap, Vector};
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu};
--- a/sorreldoor/src/replicated_state/persistent.rs
+++ b/sorreldoor/src/replicated_state/persistent.rs
@@ -3,7 +3,7 @@
 use super::deduplication::AppliedRequests;
 use super::{decode, Document, Outcome, Recovery};
 use super::{Epoch, RegionIndex, Revision, RouteIndex, ServiceIndex, Version, ZoneIndex};
-use crate::consensus::ProposalId;
+use crate::types::ProposalId;
 use im::{OrdMap, OrdSet, Vector};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
