--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -14,7 +14,7 @@
 use crate::replicated_state::decode;
 use crate::runtime::{self, EffectHandler};
 use crate::settings::Settings;
-use crate::store::{DurableStore, Folder, Store};
+use crate::store::{Directory, DurableStore, Store};
 use crate::wire::Hello;
 use async_std::channel::bounded;
 use async_std::net::TcpListener;
@@ -37,7 +37,7 @@
 pub fn run_by<C, S>(
     set: Settings,
     clock: C,
-    wrap: impl FnOnce(DurableStore<Folder>) -> S,
+    wrap: impl FnOnce(DurableStore<Directory>) -> S,
 ) -> Result<(), String>
 where
     C: runtime::Clock,
@@ -59,7 +59,7 @@
 pub fn run_with<C, S>(
     set: Settings,
     clock: C,
-    wrap: impl FnOnce(DurableStore<Folder>) -> S,
+    wrap: impl FnOnce(DurableStore<Directory>) -> S,
     source: Option<Arc<dyn WorkerSource>>,
     door: impl OperatorDoor,
 ) -> Result<(), String>
@@ -103,12 +103,12 @@
         sure,
         most_claims: set.most_claims,
         // whoever lost its state to damage was a member once
-        bootstrap: set.bootstrap && !store.rejoins(),
+        bootstrap: set.bootstrap && !store.must_rejoin(),
         grow: set.grow,
         pacing: set.pacing.clone(),
         poll_ms,
     };
-    let controller = Controller::new(start, store.kept(), 0);
+    let controller = Controller::new(start, store.consensus_state(), 0);
     let net = Net::new(
         set.site_mark(),
         ring.clone(),
--- a/sorreldoor/src/control_plane/founding.rs
+++ b/sorreldoor/src/control_plane/founding.rs
@@ -167,7 +167,7 @@
                 // a promise that came to nothing must not look like a founder's
                 self.out.push(ControllerEffect::Keep("promise", Vec::new()));
                 self.promise = None;
-                let k = crate::store::DurableState::default().kept();
+                let k = crate::store::DurableState::default().to_consensus();
                 let r = ReplicatedState::new(self.site.clone());
                 let (timing, seed, now) = (self.timing.clone(), self.seed, self.now);
                 self.consensus = Some(Consensus::new(self.me.id, timing, k, r, seed, now));
--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -6,7 +6,7 @@
 use crate::log_events::{log_event, LogEvent};
 use crate::net::Ring;
 use crate::replicated_state::{decode, encode};
-use crate::store::{DurableStore, Folder, Opened, Store};
+use crate::store::{Directory, DurableStore, OpenedStore, Store};
 use async_std::channel::{bounded, Receiver, Sender};
 use std::io;
 use std::path::Path;
@@ -27,10 +27,10 @@
 ///
 /// # Errors
 /// What waiting cannot mend: the folder is not ours to use.
-pub(super) fn open(folder: &Path) -> Result<DurableStore<Folder>, String> {
+pub(super) fn open(folder: &Path) -> Result<DurableStore<Directory>, String> {
     let mut refused = false;
     let opened = loop {
-        match DurableStore::open_folder(folder) {
+        match DurableStore::open_directory(folder) {
             Ok(opened) => break opened,
             Err(e) if !may_pass(&e) => {
                 return Err(format!("data: cannot use {}: {e}", folder.display()));
@@ -44,7 +44,7 @@
     if refused {
         log_event(LogEvent::DiskRecovered, folder.display());
     }
-    let Opened {
+    let OpenedStore {
         store,
         torn,
         damage,
@@ -75,7 +75,7 @@
 }
 
 /// The core's identity: random, made once, synced before it is used.
-pub(super) fn identity(store: &mut DurableStore<Folder>) -> u64 {
+pub(super) fn identity(store: &mut DurableStore<Directory>) -> u64 {
     if let Some(id) = store.value("identity").and_then(decode::<u64>) {
         return id;
     }
--- a/sorreldoor/src/doctor/look.rs
+++ b/sorreldoor/src/doctor/look.rs
@@ -4,7 +4,7 @@
 use crate::http::{self, Call};
 use crate::json::{self, Value};
 use crate::settings::Settings;
-use crate::store::probe_folder;
+use crate::store::probe_directory;
 use crate::wire::{self, Hello, Payload, Refused};
 use async_std::future::timeout;
 use async_std::io::ReadExt;
@@ -103,7 +103,7 @@
 
 fn disk(dir: &Path) -> Disk {
     let began = Instant::now();
-    let tried = probe_folder(dir);
+    let tried = probe_directory(dir);
     let sync_ms = tried
         .map(|()| began.elapsed().as_millis() as u64)
         .map_err(|e| e.to_string());
--- a/sorreldoor/src/settings.rs
+++ b/sorreldoor/src/settings.rs
@@ -305,7 +305,7 @@
         f.add("data", "is missing");
         return;
     };
-    let tried = std::fs::create_dir_all(d).and_then(|_| crate::store::probe_folder(d));
+    let tried = std::fs::create_dir_all(d).and_then(|_| crate::store::probe_directory(d));
     if let Err(e) = tried {
         f.add("data", format!("{} is not writable: {e}", d.display()));
     }
--- a/sorreldoor/src/store/disk.rs
+++ b/sorreldoor/src/store/disk.rs
@@ -1,39 +1,47 @@
-//! The few file operations that the store needs, as a trait, so that tests
-//! can put a simulated disk below the real store.
+//! The file operations that the store needs, as a trait, so that tests can
+//! run the real store on a simulated disk.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Named files in one folder. After a loss of power, what was written to a
-/// file since its last `sync`, and names made since the last `sync_folder`,
-/// may be there, lost, or torn, each by itself.
+/// Named files in one directory. After a loss of power, what was written to a
+/// file since its last `sync`, and names created since the last
+/// `sync_directory`, may be present, lost or torn, each independently. Every
+/// operation fails with the error of the file system.
 pub trait Disk: Send {
-    /// Makes the file unless it is there; true if it was made.
+    /// Creates the file unless it exists; true if it was created.
     fn create(&mut self, name: &str) -> io::Result<bool>;
+    /// The length of a file in bytes.
     fn length(&mut self, name: &str) -> io::Result<u64>;
+    /// Truncates a file, or extends it by zeros.
     fn set_length(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Reads exactly `length` bytes from `offset` on.
     fn read(&mut self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>>;
+    /// Writes all bytes from `offset` on.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()>;
+    /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    fn sync_folder(&mut self) -> io::Result<()>;
+    /// Makes the names of files durable.
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the file system. Files stay open.
+/// A directory of the file system. Files stay open.
 #[derive(Debug)]
-pub struct Folder {
+pub struct Directory {
     path: PathBuf,
     files: BTreeMap<String, File>,
 }
 
-impl Folder {
+impl Directory {
+    /// Opens a directory, and creates it if it is missing.
+    ///
     /// # Errors
-    /// The folder cannot be made.
-    pub fn new(path: &Path) -> io::Result<Folder> {
+    /// The directory cannot be created.
+    pub fn new(path: &Path) -> io::Result<Directory> {
         fs::create_dir_all(path)?;
-        Ok(Folder {
+        Ok(Directory {
             path: path.to_path_buf(),
             files: BTreeMap::new(),
         })
@@ -46,7 +54,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Disk for Directory {
     fn create(&mut self, name: &str) -> io::Result<bool> {
         let path = self.path.join(name);
         let missing = !path.try_exists()?;
@@ -86,7 +94,7 @@
         self.file(name)?.sync_data()
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -1,136 +1,159 @@
-//! What the saves so far add up to; the same for the disk and the simulator.
+//! The state that a sequence of saves adds up to; the same for the disk and
+//! for the simulators.
 
 use crate::consensus::{ClaimRecord, Entry, HardState, Kept, Log, LogPosition, Save, Snapshot};
+use crate::types::Millis;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a claim of the release before is kept, which gave no time.
-const OLD_MS: u64 = 900_000;
+/// How long a claim of the previous release is retained, which stored no time.
+const LEGACY_CLAIM_MS: Millis = 900_000;
 
-/// One change as a store writes it.
+/// One change, as a batch record holds it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Change<'a> {
+    /// A save of consensus, with its sequence number.
     Save(u64, Cow<'a, Save>),
     /// A small value beside the log, under its name.
     Put(Cow<'a, str>, Cow<'a, [u8]>),
 }
 
-/// All that a core keeps. Snapshots and entries are shared with the consensus
-/// in memory, not copied.
+/// All that a core stores. Snapshots and entries are shared with the
+/// consensus in memory, not copied.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DurableState {
+    /// The term, the vote and the commit index.
     pub hard: HardState,
-    pub snap: Option<Snapshot>,
+    #[serde(rename = "snap")]
+    pub snapshot: Option<Snapshot>,
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Claims as the release before kept them.
-    #[serde(default)]
-    pub claims: VecDeque<(String, u128)>,
-    /// Errand ids claimed here and not forgotten yet.
-    #[serde(default)]
-    pub noted: BTreeMap<String, ClaimRecord>,
-    /// Number of the last save taken in.
+    /// Claims as the previous release stored them.
+    #[serde(default, rename = "claims")]
+    legacy_claims: VecDeque<(String, u128)>,
+    /// Claims on idempotency keys by key, until they expire.
+    #[serde(default, rename = "noted")]
+    claims: BTreeMap<String, ClaimRecord>,
+    /// Sequence number of the last save applied.
     pub seq: u64,
-    /// Small values by name: identity, promise, and the like.
+    /// Small values by name, such as the identity of the core.
     #[serde(default)]
     pub values: BTreeMap<String, Vec<u8>>,
 }
 
 impl DurableState {
-    fn base(&self) -> LogPosition {
-        self.snap
-            .as_ref()
-            .map_or(LogPosition::default(), |s| s.last)
-    }
-
-    /// Takes in a change; one that is in already changes nothing.
+    /// Applies a change; one that was applied before has no effect.
     pub fn apply(&mut self, change: &Change) {
         match change {
-            Change::Save(seq, save) => self.take(*seq, save),
+            Change::Save(seq, save) => self.apply_save(*seq, save),
             Change::Put(name, value) => {
                 self.values.insert(name.to_string(), value.to_vec());
             }
         }
     }
 
-    /// Nothing was ever kept in it.
-    pub fn untouched(&self) -> bool {
-        self.blank() && self.values.is_empty()
-    }
-
-    /// Take in save number `seq`; older ones are in already.
-    pub fn take(&mut self, seq: u64, save: &Save) {
+    /// Applies the save number `seq`; one that was applied before has no
+    /// effect.
+    pub fn apply_save(&mut self, seq: u64, save: &Save) {
         if seq <= self.seq {
             return;
         }
         self.seq = seq;
         match save {
-            Save::Hard(h) => {
-                let commit = self.hard.commit.max(h.commit);
-                self.hard = HardState {
-                    commit,
-                    ..h.clone()
-                };
-            }
+            Save::Hard(hard) => self.set_hard_state(hard),
             Save::Append {
                 from,
                 entries,
                 commit,
-            } => {
-                self.hard.commit = self.hard.commit.max(*commit);
-                let n = from.saturating_sub(self.base().idx + 1) as usize;
-                self.entries.truncate(n);
-                self.entries.extend(entries.iter().cloned());
-            }
-            Save::Claims(all) => self.claims.extend(all.iter().cloned()),
-            Save::ClaimRecord(all) => {
-                let rows = all.iter().map(|n| (n.id.clone(), n.clone()));
-                self.noted.extend(rows);
-            }
-            Save::Forgot(ids) => ids.iter().for_each(|id| {
-                self.noted.remove(id);
-                self.claims.retain(|(i, _)| i != id);
-            }),
-            Save::Snap { snap, reset } => {
-                let n = snap.last.idx.saturating_sub(self.base().idx) as usize;
-                if *reset {
-                    self.entries.clear();
-                } else {
-                    self.entries.drain(..n.min(self.entries.len()));
-                }
-                self.snap = Some(snap.clone());
+            } => self.append(*from, entries, *commit),
+            Save::Claims(claims) => self.legacy_claims.extend(claims.iter().cloned()),
+            Save::ClaimRecord(claims) => {
+                let rows = claims.iter().map(|claim| (claim.id.clone(), claim.clone()));
+                self.claims.extend(rows);
             }
+            Save::Forgot(ids) => ids.iter().for_each(|id| self.remove_claim(id)),
+            Save::Snap { snap, reset } => self.install_snapshot(snap, *reset),
         }
     }
 
-    fn claims(&self) -> Vec<ClaimRecord> {
-        let old = self.claims.iter().map(|(id, by)| ClaimRecord {
-            id: id.clone(),
-            by: *by,
-            keep_ms: OLD_MS,
-        });
-        let old = old.filter(|n| !self.noted.contains_key(&n.id));
-        old.chain(self.noted.values().cloned()).collect()
+    fn set_hard_state(&mut self, hard: &HardState) {
+        let commit = self.hard.commit.max(hard.commit);
+        self.hard = HardState {
+            commit,
+            ..hard.clone()
+        };
+    }
+
+    /// Replaces the entries from index `from` on.
+    fn append(&mut self, from: u64, entries: &[Entry], commit: u64) {
+        self.hard.commit = self.hard.commit.max(commit);
+        let retained = from.saturating_sub(self.snapshot_position().idx + 1) as usize;
+        self.entries.truncate(retained);
+        self.entries.extend(entries.iter().cloned());
     }
 
-    pub fn blank(&self) -> bool {
+    fn remove_claim(&mut self, id: &str) {
+        self.claims.remove(id);
+        self.legacy_claims.retain(|(claimed, _)| claimed != id);
+    }
+
+    /// Replaces the snapshot and drops the entries that it covers, or all of
+    /// them where the log is `reset`.
+    fn install_snapshot(&mut self, snapshot: &Snapshot, reset: bool) {
+        let base = self.snapshot_position().idx;
+        let covered = snapshot.last.idx.saturating_sub(base) as usize;
+        if reset {
+            self.entries.clear();
+        } else {
+            self.entries.drain(..covered.min(self.entries.len()));
+        }
+        self.snapshot = Some(snapshot.clone());
+    }
+
+    fn snapshot_position(&self) -> LogPosition {
+        let snapshot = self.snapshot.as_ref();
+        snapshot.map_or(LogPosition::default(), |snapshot| snapshot.last)
+    }
+
+    /// Whether no save was ever applied.
+    #[must_use]
+    pub fn has_no_saves(&self) -> bool {
         self.seq == 0
     }
 
-    pub fn kept(&self) -> Kept {
-        let log = self.snap.as_ref().map_or_else(
+    /// Whether nothing was ever stored, neither saves nor values.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.has_no_saves() && self.values.is_empty()
+    }
+
+    /// The state from which consensus starts.
+    #[must_use]
+    pub fn to_consensus(&self) -> Kept {
+        let log = self.snapshot.as_ref().map_or_else(
             || {
-                let mut l = Log::default();
-                l.push(self.entries.clone());
-                l
+                let mut log = Log::default();
+                log.push(self.entries.clone());
+                log
             },
-            |s| Log::from_parts(s, self.entries.clone()),
+            |snapshot| Log::from_parts(snapshot, self.entries.clone()),
         );
         Kept {
             hard: self.hard.clone(),
             log,
-            snap: self.snap.clone(),
-            claims: self.claims(),
+            snap: self.snapshot.clone(),
+            claims: self.all_claims(),
         }
     }
+
+    fn all_claims(&self) -> Vec<ClaimRecord> {
+        let legacy = self.legacy_claims.iter().map(|(id, by)| ClaimRecord {
+            id: id.clone(),
+            by: *by,
+            keep_ms: LEGACY_CLAIM_MS,
+        });
+        let legacy = legacy.filter(|claim| !self.claims.contains_key(&claim.id));
+        legacy.chain(self.claims.values().cloned()).collect()
+    }
 }
--- a/sorreldoor/src/store/legacy.rs
+++ b/sorreldoor/src/store/legacy.rs
@@ -1,6 +1,7 @@
-//! Read-only: what the release before kept, an image and a log of `okaywal`
-//! beside small files.
+//! Reader of the previous release's storage: an image, a log of `okaywal`, and
+//! small files beside them. It is never written.
 
+use super::damage::{Damage, LegacyBatchSnafu, LegacyGapSnafu, LegacyImageSnafu, LegacyLogSnafu};
 use super::DurableState;
 use crate::consensus::Save;
 use crate::replicated_state::decode;
@@ -10,63 +11,69 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Starts every batch, so that one can be found behind damage.
+/// Starts every batch, so that batches can be found behind damage.
 const MAGIC: &[u8; 8] = b"SDbatch1";
 const IMAGE: &str = "image";
 const LOG: &str = "log";
-/// Small files, each of which is a value of the same name today.
+/// Small files, each of which is now a value of the same name.
 const VALUES: [&str; 3] = ["identity", "promise", "sure"];
 
-/// What the release before left in a folder.
-pub enum Before {
-    Nothing,
+/// What the previous release left in a directory.
+pub enum LegacyState {
+    /// Nothing.
+    Absent,
+    /// Its complete state.
     State(Box<DurableState>),
-    Damaged(String),
+    /// A state that cannot be trusted.
+    Damaged(Damage),
 }
 
+/// Reads the state of the previous release.
+///
 /// # Errors
-/// The disk refuses to be read.
-pub fn read(folder: &Path) -> io::Result<Before> {
+/// The disk cannot be read.
+pub(super) fn read(directory: &Path) -> io::Result<LegacyState> {
     let mut values = Vec::new();
     for name in VALUES {
-        values.extend(read_file(folder, name)?.map(|bytes| (name.to_string(), bytes)));
+        values.extend(read_file(directory, name)?.map(|bytes| (name.to_string(), bytes)));
     }
-    let image = read_file(folder, IMAGE)?;
-    let logs = folder.join(LOG);
+    let image = read_file(directory, IMAGE)?;
+    let logs = directory.join(LOG);
     if values.is_empty() && image.is_none() && !logs.try_exists()? {
-        return Ok(Before::Nothing);
+        return Ok(LegacyState::Absent);
     }
     let (batch, state) = match image.map(|bytes| decode::<(u64, DurableState)>(&bytes)) {
         None => (0, DurableState::default()),
         Some(Some(image)) => image,
-        Some(None) => return Ok(Before::Damaged("the image cannot be read".to_string())),
+        Some(None) => return Ok(LegacyState::Damaged(LegacyImageSnafu.build())),
     };
     Ok(match replay(&logs, batch, state)? {
         Ok(mut state) => {
             state.values.extend(values);
-            Before::State(Box::new(state))
+            LegacyState::State(Box::new(state))
         }
-        Err(what) => Before::Damaged(what),
+        Err(damage) => LegacyState::Damaged(damage),
     })
 }
 
-/// Removes what was taken over, for good.
+/// Removes the files of the previous release.
 ///
 /// # Errors
 /// The disk refuses.
-pub fn remove(folder: &Path) -> io::Result<()> {
+pub(super) fn remove(directory: &Path) -> io::Result<()> {
     let mut removed = false;
     for name in VALUES.iter().chain([&IMAGE]) {
-        removed |= gone(fs::remove_file(folder.join(name)))?;
+        removed |= existed(fs::remove_file(directory.join(name)))?;
     }
-    removed |= gone(fs::remove_dir_all(folder.join(LOG)))?;
+    removed |= existed(fs::remove_dir_all(directory.join(LOG)))?;
     if removed {
-        File::open(folder)?.sync_all()?;
+        File::open(directory)?.sync_all()?;
     }
     Ok(())
 }
 
-fn gone(result: io::Result<()>) -> io::Result<bool> {
+/// Whether a removal found something to remove.
+fn existed(result: io::Result<()>) -> io::Result<bool> {
     match result {
         Ok(()) => Ok(true),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(false),
@@ -74,21 +81,21 @@
     }
 }
 
-fn read_file(folder: &Path, name: &str) -> io::Result<Option<Vec<u8>>> {
-    match fs::read(folder.join(name)) {
+fn read_file(directory: &Path, name: &str) -> io::Result<Option<Vec<u8>>> {
+    match fs::read(directory.join(name)) {
         Ok(bytes) => Ok(Some(bytes)),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e),
     }
 }
 
-/// What was found while reading the log back.
+/// The progress of replaying the log.
 #[derive(Debug, Default)]
 struct Replay {
     state: DurableState,
     /// Number of the last good batch.
     batch: u64,
-    wrong: Option<String>,
+    damage: Option<Damage>,
 }
 
 #[derive(Debug)]
@@ -99,7 +106,7 @@
         let chunks = entry.read_all_chunks().ok().flatten();
         let first = chunks.and_then(|chunks| chunks.into_iter().next());
         // whether this is a torn end or a hole shows in what follows
-        let Some((number, saves)) = first.and_then(|bytes| batch_of(&bytes)) else {
+        let Some((number, saves)) = first.and_then(|bytes| decode_batch(&bytes)) else {
             return Ok(());
         };
         let mut replay = lock(&self.0);
@@ -107,12 +114,15 @@
             return Ok(());
         }
         if number != replay.batch + 1 {
-            let what = format!("batch {number} follows batch {}", replay.batch);
-            replay.wrong.get_or_insert(what);
+            let damage = LegacyGapSnafu {
+                batch: number,
+                previous: replay.batch,
+            };
+            replay.damage.get_or_insert(damage.build());
         }
         replay.batch = number;
         for (seq, save) in saves {
-            replay.state.take(seq, &save);
+            replay.state.apply_save(seq, &save);
         }
         Ok(())
     }
@@ -133,17 +143,20 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-fn batch_of(bytes: &[u8]) -> Option<(u64, Vec<(u64, Save)>)> {
+/// The number of a batch and its saves.
+fn decode_batch(bytes: &[u8]) -> Option<(u64, Vec<(u64, Save)>)> {
     let body = bytes.strip_prefix(MAGIC)?;
     let number = u64::from_le_bytes(body.get(..8)?.try_into().ok()?);
     decode(&body[8..]).map(|saves| (number, saves))
 }
 
+/// Replays the log on the state of the image, which includes all batches up
+/// to `batch`.
 fn replay(
     logs: &Path,
     batch: u64,
     state: DurableState,
-) -> io::Result<Result<DurableState, String>> {
+) -> io::Result<Result<DurableState, Damage>> {
     if !logs.try_exists()? {
         return Ok(Ok(state));
     }
@@ -152,25 +165,33 @@
     let replay = Arc::new(Mutex::new(Replay {
         state,
         batch,
-        wrong: None,
+        damage: None,
     }));
     let log = match Configuration::default_for(logs).open(Reader(replay.clone())) {
         Ok(log) => log,
-        Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Ok(Err(e.to_string())),
-        Err(e) if e.kind() == io::ErrorKind::InvalidData => return Ok(Err(e.to_string())),
-        Err(e) => return Err(e),
+        Err(error) if is_damage(&error) => {
+            let reason = error.to_string();
+            return Ok(LegacyLogSnafu { reason }.fail());
+        }
+        Err(error) => return Err(error),
     };
     drop(log);
     let mut replay = lock(&replay);
     // the last batch may be unfinished, one before it may not
-    let hole = highest > replay.batch + 1;
-    let wrong = replay.wrong.take();
-    let wrong = wrong.or(hole.then(|| format!("batch {} cannot be read", replay.batch + 1)));
-    Ok(wrong.map_or_else(|| Ok(std::mem::take(&mut replay.state)), Err))
+    let next = replay.batch + 1;
+    let lost = (highest > next).then(|| LegacyBatchSnafu { batch: next }.build());
+    let damage = replay.damage.take().or(lost);
+    Ok(damage.map_or_else(|| Ok(std::mem::take(&mut replay.state)), Err))
+}
+
+fn is_damage(error: &io::Error) -> bool {
+    use io::ErrorKind::{InvalidData, UnexpectedEof};
+    matches!(error.kind(), UnexpectedEof | InvalidData)
 }
 
-/// A segment is made before its first batch is synced: a loss of power may
-/// leave one without even a header, which `okaywal` refuses to open.
+/// Removes segments without a header, which `okaywal` refuses to open. A
+/// segment is created before its first batch is synced, so a loss of power
+/// may leave one.
 fn drop_unused_segments(logs: &Path) -> io::Result<()> {
     for file in fs::read_dir(logs)? {
         let path = file?.path();
@@ -182,23 +203,25 @@
     Ok(())
 }
 
-/// The highest batch number that stands anywhere in the logs in use.
+/// The highest batch number anywhere in the segments in use.
 fn highest_batch(logs: &Path) -> io::Result<u64> {
-    let mut high = 0;
+    let mut highest = 0;
     for file in fs::read_dir(logs)? {
         let path = file?.path();
         if path.extension().is_some() || path.to_string_lossy().ends_with("-cp") {
             continue;
         }
         let bytes = fs::read(&path)?;
-        let mut at = 0;
-        while let Some(found) = find(&bytes[at..], MAGIC) {
-            at += found + MAGIC.len();
-            let number = bytes.get(at..at + 8).and_then(|b| b.try_into().ok());
-            high = high.max(number.map_or(0, u64::from_le_bytes));
+        let mut offset = 0;
+        while let Some(found) = find(&bytes[offset..], MAGIC) {
+            offset += found + MAGIC.len();
+            let number = bytes
+                .get(offset..offset + 8)
+                .and_then(|b| b.try_into().ok());
+            highest = highest.max(number.map_or(0, u64::from_le_bytes));
         }
     }
-    Ok(high)
+    Ok(highest)
 }
 
 fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
--- /dev/null
+++ b/sorreldoor/src/store/log_files.rs
@@ -0,0 +1,179 @@
+//! The two files of a store: checkpoints and the write-ahead log.
+//!
+//! One file is active: it starts with a checkpoint, the complete state, and
+//! each batch of changes is appended as a numbered record and synced. From
+//! time to time a checkpoint starts the other file, which becomes the active
+//! one. The newest state is the one whose last complete record has the
+//! highest number.
+
+use super::disk::Disk;
+use super::durable_state::{Change, DurableState};
+use super::record::{rewrite, write_record, RecordKind, RecordTarget};
+use super::recovery::{first_record, DamagedStore, RecoveredState, FIRST_NUMBER};
+use super::FILES;
+use crate::consensus::Save;
+use std::io;
+
+/// A checkpoint is due when the records after the last one take this many
+/// bytes and twice the length of that checkpoint.
+const MIN_LOG_BYTES: u64 = 256 * 1024;
+
+/// The files of a store, open for writing.
+pub(super) struct LogFiles<D> {
+    disk: D,
+    /// Number of the last record.
+    number: u64,
+    /// Index of the active file in `FILES`.
+    active: usize,
+    /// Offset of the next record in the active file.
+    end: u64,
+    checkpoint_length: u64,
+    /// A failed append may have left bytes behind `end`.
+    tail_dirty: bool,
+    /// A failed checkpoint may be in the inactive file.
+    inactive_dirty: bool,
+}
+
+impl<D: Disk> LogFiles<D> {
+    /// Files that are neither recovered nor written yet.
+    pub(super) fn new(disk: D) -> LogFiles<D> {
+        LogFiles {
+            disk,
+            number: 0,
+            active: 0,
+            end: 0,
+            checkpoint_length: 0,
+            tail_dirty: false,
+            inactive_dirty: false,
+        }
+    }
+
+    /// Returns the disk, for tests of what is left on it.
+    pub(super) fn into_disk(self) -> D {
+        self.disk
+    }
+
+    /// Starts an empty store.
+    pub(super) fn initialize(&mut self) -> io::Result<()> {
+        let bytes = first_record();
+        for file in FILES {
+            self.disk.set_length(file, 0)?;
+        }
+        self.disk.write(FILES[self.active], 0, &bytes)?;
+        for file in FILES {
+            self.disk.sync(file)?;
+        }
+        self.number = FIRST_NUMBER;
+        self.end = bytes.len() as u64;
+        self.checkpoint_length = self.end;
+        Ok(())
+    }
+
+    /// Continues after the last record of the previous process, and returns
+    /// the state there. What that process left may not be synced, and a sync
+    /// that failed may have dropped bytes that can still be read: the last
+    /// record, the only one that this may concern, is written again as it
+    /// is. The other file is truncated, so that nothing unsynced of it can
+    /// count later.
+    pub(super) fn resume(&mut self, recovered: RecoveredState) -> io::Result<DurableState> {
+        self.number = recovered.number;
+        self.active = recovered.file;
+        self.end = recovered.end;
+        self.checkpoint_length = recovered.checkpoint_length;
+        let file = FILES[self.active];
+        if recovered.torn {
+            self.disk.set_length(file, self.end)?;
+        }
+        rewrite(&mut self.disk, file, recovered.last_record, self.end)?;
+        self.disk.sync(file)?;
+        self.inactive_dirty = true;
+        self.clear_inactive()?;
+        Ok(recovered.state)
+    }
+
+    /// Numbers the next record behind all of a damaged store; the file that
+    /// shows the damage stays until the next checkpoint is synced.
+    pub(super) fn skip_damaged(&mut self, damaged: &DamagedStore) {
+        self.number = damaged.highest_number;
+        self.active = damaged.file;
+    }
+
+    /// Makes changes durable that `state` already contains.
+    pub(super) fn commit(&mut self, state: &DurableState, changes: &[Change]) -> io::Result<()> {
+        self.clear_inactive()?;
+        if self.checkpoint_due(changes) && self.checkpoint(state).is_ok() {
+            return Ok(());
+        }
+        // a disk that is nearly full may still take the change alone
+        self.clear_inactive()?;
+        self.append(changes)
+    }
+
+    fn checkpoint_due(&self, changes: &[Change]) -> bool {
+        let is_snapshot = |change: &Change| match change {
+            Change::Save(_, save) => matches!(**save, Save::Snap { .. }),
+            Change::Put(..) => false,
+        };
+        let log_length = self.end - self.checkpoint_length;
+        log_length > MIN_LOG_BYTES + 2 * self.checkpoint_length || changes.iter().any(is_snapshot)
+    }
+
+    fn inactive(&self) -> usize {
+        1 - self.active
+    }
+
+    /// Truncates a failed checkpoint: it may be complete on the disk, and
+    /// would be taken for newer than what is appended to the active file.
+    fn clear_inactive(&mut self) -> io::Result<()> {
+        if self.inactive_dirty {
+            let inactive = FILES[self.inactive()];
+            self.disk.set_length(inactive, 0)?;
+            self.disk.sync(inactive)?;
+            self.inactive_dirty = false;
+        }
+        Ok(())
+    }
+
+    /// Writes the complete state to the inactive file and activates it.
+    pub(super) fn checkpoint(&mut self, state: &DurableState) -> io::Result<()> {
+        let inactive = self.inactive();
+        let target = RecordTarget {
+            file: FILES[inactive],
+            offset: 0,
+            kind: RecordKind::Checkpoint,
+            number: self.number + 1,
+        };
+        self.inactive_dirty = true;
+        self.disk.set_length(target.file, 0)?;
+        let length = write_record(&mut self.disk, &target, state)?;
+        self.disk.sync(target.file)?;
+        self.inactive_dirty = false;
+        self.tail_dirty = false;
+        self.number += 1;
+        self.end = length;
+        self.checkpoint_length = length;
+        // only to free its space: whatever comes back of it is older
+        let _ = self.disk.set_length(FILES[self.active], 0);
+        self.active = inactive;
+        Ok(())
+    }
+
+    fn append(&mut self, changes: &[Change]) -> io::Result<()> {
+        let target = RecordTarget {
+            file: FILES[self.active],
+            offset: self.end,
+            kind: RecordKind::Batch,
+            number: self.number + 1,
+        };
+        if self.tail_dirty {
+            self.disk.set_length(target.file, self.end)?;
+        }
+        self.tail_dirty = true;
+        let length = write_record(&mut self.disk, &target, &changes)?;
+        self.disk.sync(target.file)?;
+        self.tail_dirty = false;
+        self.number += 1;
+        self.end += length;
+        Ok(())
+    }
+}
--- a/sorreldoor/src/store/mod.rs
+++ b/sorreldoor/src/store/mod.rs
@@ -1,33 +1,40 @@
-//! Keeping the core's state on disk; nothing counts before it is synced.
+//! Durable storage of a core: a checkpoint and a write-ahead log of numbered
+//! records. Nothing counts as stored before it is synced.
 
+mod damage;
 mod disk;
 mod durable_state;
 mod durable_store;
-mod frame;
 mod legacy;
+mod log_files;
 mod probe;
+mod record;
 mod recovery;
 
-pub use disk::{Disk, Folder};
+pub use damage::Damage;
+pub use disk::{Directory, Disk};
 pub use durable_state::{Change, DurableState};
-pub use durable_store::{DurableStore, Opened};
-pub use legacy::Before;
-pub use probe::probe_folder;
+pub use durable_store::{DurableStore, OpenedStore};
+pub use legacy::LegacyState;
+pub use probe::probe_directory;
 
 use crate::consensus::Save;
 use std::io;
 
-/// The two files of a store. They are made once and never renamed or removed.
+/// The two files of a store. They are created once and never renamed or
+/// removed.
 pub const FILES: [&str; 2] = ["state-a", "state-b"];
 
-/// A place for what a core keeps. What was given is durable when a call has
-/// returned Ok. After an error the same call is to be made again: until one
-/// succeeds, the change may or may not be on the disk.
+/// Storage of a core's state. A change is durable once the call returns `Ok`.
+/// After an error the caller must retry the same call: until one succeeds,
+/// the change may or may not be on the disk.
 pub trait Store: Send {
+    /// Stores a batch of saves with their sequence numbers.
+    ///
     /// # Errors
     /// The disk refuses.
     fn save(&mut self, batch: &[(u64, Save)]) -> io::Result<()>;
-    /// Keeps a small value under a name.
+    /// Stores a small value under a name.
     ///
     /// # Errors
     /// The disk refuses.
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -360,7 +360,7 @@
 pub(super) fn durable_state() -> DurableState {
     let mut state = DurableState::default();
     for (number, save) in (1..).zip(saves()) {
-        state.take(number, &save);
+        state.apply_save(number, &save);
     }
     state.values.insert("sure".into(), vec![1]);
     state
--- a/sorreldoor/tests/store/damage.rs
+++ b/sorreldoor/tests/store/damage.rs
@@ -30,8 +30,11 @@
 }
 
 fn assert_given_up(store: &DurableStore<SimDisk>) {
-    assert!(store.rejoins());
-    assert!(store.kept().is_none(), "nothing is left of the old state");
+    assert!(store.must_rejoin());
+    assert!(
+        store.consensus_state().is_none(),
+        "nothing is left of the old state"
+    );
     assert_eq!(store.value("identity"), None, "the old name is gone");
 }
 
--- a/sorreldoor/tests/store/legacy.rs
+++ b/sorreldoor/tests/store/legacy.rs
@@ -4,7 +4,7 @@
 use okaywal::{Configuration, LogManager, WriteAheadLog};
 use sorreldoor::consensus::Save;
 use sorreldoor::replicated_state::encode;
-use sorreldoor::store::{DurableState, DurableStore, Folder, Opened, Store};
+use sorreldoor::store::{Directory, DurableState, DurableStore, OpenedStore, Store};
 use std::fs::{self, OpenOptions};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -54,9 +54,9 @@
     let path = folder(name);
     let mut state = DurableState::default();
     for index in 1..=3 {
-        state.take(index, &append(index, 50));
+        state.apply_save(index, &append(index, 50));
     }
-    state.take(4, &snapshot(2, 500));
+    state.apply_save(4, &snapshot(2, 500));
     fs::write(path.join("image"), encode(&(4u64, &state))).unwrap();
     let saves: Vec<Save> = (4..=7).map(|index| append(index, 50)).collect();
     write_log(&path, 5, &saves);
@@ -65,8 +65,8 @@
     path
 }
 
-fn open(path: &Path) -> Opened<Folder> {
-    DurableStore::open_folder(path).unwrap()
+fn open(path: &Path) -> OpenedStore<Directory> {
+    DurableStore::open_directory(path).unwrap()
 }
 
 fn names(path: &Path) -> Vec<String> {
@@ -141,7 +141,7 @@
         });
         let opened = open(&path);
         assert!(opened.damage.is_some(), "{name}");
-        assert!(opened.store.rejoins() && opened.store.kept().is_none());
+        assert!(opened.store.must_rejoin() && opened.store.consensus_state().is_none());
         assert_eq!(names(&path), ["state-a", "state-b"]);
     }
 }
@@ -151,7 +151,7 @@
     let path = whole("image");
     fs::write(path.join("image"), b"not an image").unwrap();
     let opened = open(&path);
-    assert!(opened.damage.is_some() && opened.store.rejoins());
+    assert!(opened.damage.is_some() && opened.store.must_rejoin());
 }
 
 #[test]
--- a/sorreldoor/tests/store/sim_disk.rs
+++ b/sorreldoor/tests/store/sim_disk.rs
@@ -294,7 +294,7 @@
         Err(io::Error::other("sync failed"))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let mut state = self.state();
         state.step()?;
         let files = state.files.values_mut();
--- a/sorreldoor/tests/store/work.rs
+++ b/sorreldoor/tests/store/work.rs
@@ -3,13 +3,13 @@
 use super::sim_disk::{Random, SimDisk};
 use sorreldoor::consensus::{Body, ClaimRecord, Entry, HardState, LogPosition, Save, Snapshot};
 use sorreldoor::replicated_state::encode;
-use sorreldoor::store::{Before, Change, DurableState, DurableStore, Opened, Store};
+use sorreldoor::store::{Change, DurableState, DurableStore, LegacyState, OpenedStore, Store};
 use std::borrow::Cow;
 use std::io;
 use std::sync::Arc;
 
-pub fn open(disk: &SimDisk) -> io::Result<Opened<SimDisk>> {
-    DurableStore::open(disk.clone(), || Ok(Before::Nothing))
+pub fn open(disk: &SimDisk) -> io::Result<OpenedStore<SimDisk>> {
+    DurableStore::open(disk.clone(), || Ok(LegacyState::Absent))
 }
 
 pub fn entry(term: u64, length: usize) -> Entry {
@@ -106,7 +106,7 @@
                 // a pending batch is the last one given
                 let before = self.given - saves.len() as u64;
                 for (nth, save) in saves.iter().enumerate() {
-                    state.take(self.first_seq + before + nth as u64 + 1, save);
+                    state.apply_save(self.first_seq + before + nth as u64 + 1, save);
                 }
             }
             Call::Put(name, value) => {
@@ -163,7 +163,7 @@
         let saves: Vec<Save> = (0..count)
             .map(|_| {
                 let save = self.any_save(&state);
-                state.take(state.seq + 1, &save);
+                state.apply_save(state.seq + 1, &save);
                 save
             })
             .collect();
@@ -172,7 +172,7 @@
     }
 
     fn any_save(&mut self, state: &DurableState) -> Save {
-        let base = state.snap.as_ref().map_or(0, |s| s.last.idx);
+        let base = state.snapshot.as_ref().map_or(0, |s| s.last.idx);
         let last = base + state.entries.len() as u64;
         match self.random.below(12) {
             0 => Save::Hard(HardState {
--- a/testbed/src/disk.rs
+++ b/testbed/src/disk.rs
@@ -74,7 +74,7 @@
     pub fn synced(&mut self, upto: u64) {
         while self.unsynced.front().is_some_and(|(s, _)| *s <= upto) {
             if let Some((s, save)) = self.unsynced.pop_front() {
-                self.kept.take(s + self.first_seq, &save);
+                self.kept.apply_save(s + self.first_seq, &save);
             }
         }
     }
@@ -87,7 +87,7 @@
     pub fn crash(&mut self, survive: usize) {
         let kept: Vec<(u64, Save)> = self.unsynced.drain(..).take(survive).collect();
         for (seq, save) in kept {
-            self.kept.take(seq + self.first_seq, &save);
+            self.kept.apply_save(seq + self.first_seq, &save);
         }
         (self.busy_until, self.next_until) = (0, 0);
     }
--- a/testbed/src/sim/core.rs
+++ b/testbed/src/sim/core.rs
@@ -31,7 +31,7 @@
             members: members.to_vec(),
             image: Arc::new(ReplicatedState::new(site.clone()).image()),
         };
-        n.disk.kept.take(1, &Save::Snap { snap, reset: true });
+        n.disk.kept.apply_save(1, &Save::Snap { snap, reset: true });
         n
     }
 
@@ -54,7 +54,7 @@
     }
 
     pub fn start(&mut self, timing: Timing, mut machine: Watched, seed: u64, now: Millis) -> u64 {
-        let kept = self.disk.kept.kept();
+        let kept = self.disk.kept.to_consensus();
         if let Some(s) = &kept.snap {
             machine.load(&s.image);
         }
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -159,7 +159,9 @@
         };
         if q.core {
             q.disk.open();
-            let kept = Some(&q.disk.kept).filter(|m| !m.blank()).map(|m| m.kept());
+            let kept = Some(&q.disk.kept)
+                .filter(|m| !m.has_no_saves())
+                .map(|m| m.to_consensus());
             let s = Start {
                 me,
                 site,
--- a/testbed/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -189,10 +189,10 @@
     let core = w.cores()[0];
     w.crash(core);
     let disk = &mut w.procs[core].disk;
-    let mut snap = disk.kept.snap.clone().expect("a founded core has one");
+    let mut snap = disk.kept.snapshot.clone().expect("a founded core has one");
     snap.image = Arc::new(b"not an image".to_vec());
     let seq = disk.kept.seq + 1;
     let reset = false;
-    disk.kept.take(seq, &Save::Snap { snap, reset });
+    disk.kept.apply_save(seq, &Save::Snap { snap, reset });
     w.start(core);
 }
