--- a/sorreldoor/src/configuration/hosted_change.rs
+++ b/sorreldoor/src/configuration/hosted_change.rs
@@ -2,7 +2,7 @@
 //! is read, and the result is checked like a whole one.
 
 use super::hosted::{Hosted, Route, Service};
-use super::hosted_read::{self as read, Item};
+use super::hosted_parse::{self as parse, Item};
 use super::Site;
 use crate::json::{join, Faults, Value};
 use simd_json::prelude::*;
@@ -59,28 +59,28 @@
         let routes = self.routes(old, &services, &index, site, &mut f);
         let by_host = match same_places(&old.routes, &routes) {
             true => old.by_host.clone(),
-            false => read::by_host(&routes, &mut f),
+            false => parse::by_host(&routes, &mut f),
         };
         let top = self.rest.map(|r| Item::of(r, "hosted".into(), &mut f));
         let limits = top
             .flatten()
-            .map_or(old.limits, |i| read::limits_of(&i, &mut f));
+            .map_or(old.limits, |i| parse::limits_of(&i, &mut f));
         let hosted = Hosted {
             routes,
             services,
             limits,
             by_host,
         };
-        if f.none() {
+        if f.is_empty() {
             Ok(hosted)
         } else {
-            Err(f.0)
+            Err(f.into_list())
         }
     }
 
     fn services(&self, old: &Hosted, f: &mut Faults) -> Vec<Service> {
         let items = self.services.items("services", f);
-        let new = items.iter().map(|i| read::service(i, f)).collect();
+        let new = items.iter().map(|i| parse::service(i, f)).collect();
         let gone = &self.services.deleted;
         merged(&old.services, new, |s| &s.name, gone)
     }
@@ -94,7 +94,7 @@
         f: &mut Faults,
     ) -> Vec<Arc<Route>> {
         let items = self.routes.items("routes", f);
-        let new = items.iter().map(|i| read::route(i, index, site, f));
+        let new = items.iter().map(|i| parse::route(i, index, site, f));
         let new: Vec<Arc<Route>> = new.map(Arc::new).collect();
         let set: HashSet<String> = new.iter().map(|r| r.name.clone()).collect();
         let mut all = merged(&old.routes, new, |r| &r.name, &self.routes.deleted);
--- a/sorreldoor/src/configuration/hosted_read.rs
+++ b/sorreldoor/src/configuration/hosted_parse.rs
@@ -107,7 +107,7 @@
 }
 
 /// Reads the `hosted` part of a document; faults are added under their path.
-pub fn read(v: &Value, site: &Site, f: &mut Faults) -> Option<Hosted> {
+pub fn parse(v: &Value, site: &Site, f: &mut Faults) -> Option<Hosted> {
     let top = Item::of(v, "hosted".into(), f)?;
     let services: Vec<Service> = top
         .items("services", f)
--- a/sorreldoor/src/configuration/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -1,11 +1,11 @@
 //! The operator's setup: one whole document, read once, names made dense.
 
-mod check;
 pub mod hosted;
 pub mod hosted_change;
-mod hosted_read;
+mod hosted_parse;
+mod parse;
 
-pub use check::{read, MAX_BYTES};
+pub use parse::{parse, MAX_BYTES};
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/sorreldoor/src/configuration/check.rs
+++ b/sorreldoor/src/configuration/parse.rs
@@ -1,23 +1,27 @@
 //! Reading and checking a setup as a whole: all of it, or every fault.
 
-use super::{hosted_read, Configuration, Group, Kind, Route, Service, Share, Site, Warm};
+use super::{hosted_parse, Configuration, Group, Kind, Route, Service, Share, Site, Warm};
 use crate::json::{self, join, Faults, ObjectReader, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 pub const MAX_BYTES: usize = 4 << 20;
 
-pub fn read(text: &[u8], site: &Site) -> Result<(Configuration, Value), Vec<String>> {
+pub fn parse(text: &[u8], site: &Site) -> Result<(Configuration, Value), Vec<String>> {
     let v = json::parse(text, MAX_BYTES).map_err(|e| vec![format!("setup: {e}")])?;
     let mut f = Faults::default();
     let s = whole(&v, site, &mut f);
-    s.filter(|_| f.none()).map(|s| (s, v)).ok_or(f.0)
+    s.filter(|_| f.is_empty())
+        .map(|s| (s, v))
+        .ok_or(f.into_list())
 }
 
 fn whole(v: &Value, site: &Site, f: &mut Faults) -> Option<Configuration> {
     let keys = ["groups", "services", "routes", "spill", "retry", "hosted"];
     let o = f.object(v, "", &keys)?;
-    let hosted = o.get("hosted").and_then(|h| hosted_read::read(h, site, f));
+    let hosted = o
+        .get("hosted")
+        .and_then(|h| hosted_parse::parse(h, site, f));
     let only = o.get("hosted").is_some();
     for k in ["groups", "services", "routes"] {
         if o.get(k).is_none() && !only {
@@ -39,14 +43,14 @@
         .into_iter()
         .filter_map(|(n, v)| route(n, v, &services, &groups, f))
         .collect();
-    if routes.is_empty() && !only && f.none() {
+    if routes.is_empty() && !only && f.is_empty() {
         f.add("routes", "must name at least one route");
     }
     let spill = spill(o.get("spill"), site, f);
     let retry_percent = o
         .get("retry")
         .and_then(|r| f.object(r, "retry", &["percent"]))
-        .and_then(|r| r.num("percent", 0, 20, f))
+        .and_then(|r| r.integer("percent", 0, 20, f))
         .unwrap_or(10) as u32;
     Some(Configuration {
         groups,
@@ -66,8 +70,8 @@
     if kind.is_some_and(|k| k != "model" && k != "web") {
         f.add(&o.at("kind"), "must be \"model\" or \"web\"");
     }
-    let slots = o.num("slots", 1, 1024, f).unwrap_or(4) as u32;
-    let queue = o.num("queue", 0, 4096, f).unwrap_or(64) as u32;
+    let slots = o.integer("slots", 1, 1024, f).unwrap_or(4) as u32;
+    let queue = o.integer("queue", 0, 4096, f).unwrap_or(64) as u32;
     let w = o
         .get("warmup")
         .and_then(|w| f.object(w, &o.at("warmup"), &["first", "after"]));
@@ -89,7 +93,7 @@
 
 fn num_of(o: &Option<ObjectReader>, k: &str, b: (u64, u64), or: u32, f: &mut Faults) -> u32 {
     o.as_ref()
-        .and_then(|o| o.num(k, b.0, b.1, f))
+        .and_then(|o| o.integer(k, b.0, b.1, f))
         .map_or(or, |n| n as u32)
 }
 
@@ -149,7 +153,7 @@
     let streamed = o.flag("streamed", f).unwrap_or(kind != Kind::Fetch);
     let repeatable = o.flag("repeatable", f).unwrap_or(false);
     let home = o.flag("home", f).unwrap_or(false);
-    let cutoff_ms = o.num("cutoff_ms", 50, 600_000, f).unwrap_or(30_000);
+    let cutoff_ms = o.integer("cutoff_ms", 50, 600_000, f).unwrap_or(30_000);
     let mut shares = Vec::new();
     for (s, v) in f.named(o.get("shares"), &o.at("shares")) {
         let at = join(&o.at("shares"), s);
@@ -188,10 +192,10 @@
     if o.get("weight").is_none() {
         f.add(&o.at("weight"), "is missing");
     }
-    let weight = o.num("weight", 0, 1000, f).unwrap_or(0) as u32;
+    let weight = o.integer("weight", 0, 1000, f).unwrap_or(0) as u32;
     // without bounds of the operator's own, nothing may tune the weight
-    let least = o.num("least", 0, 1000, f).map_or(weight, |n| n as u32);
-    let most = o.num("most", 0, 1000, f).map_or(weight, |n| n as u32);
+    let least = o.integer("least", 0, 1000, f).map_or(weight, |n| n as u32);
+    let most = o.integer("most", 0, 1000, f).map_or(weight, |n| n as u32);
     if !(least..=most).contains(&weight) {
         f.add(&o.at("weight"), "must lie within least and most");
     }
@@ -219,7 +223,7 @@
             continue;
         };
         for (j, b) in site.regions.iter().enumerate() {
-            let n = o.num(b, 0, 100, f);
+            let n = o.integer(b, 0, 100, f);
             if n.is_some() && i == Some(j as u8) {
                 f.add(&o.at(b), "a region does not spill to itself");
             }
--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -22,7 +22,7 @@
         let at = self.set.http;
         let web = task::block_on(TcpListener::bind(at))
             .map_err(|e| format!("http: cannot bind {at}: {e}"))?;
-        let most = self.set.most_connections;
+        let most = self.set.max_connections;
         let set = self.set;
         let api = Api { set, front };
         task::spawn(http::serve(web, most, gate, move |r, _| {
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -4,6 +4,7 @@
 use super::controller::Controller;
 use super::events::{ControllerEffect, ControllerEvent, Start};
 use super::front::{Front, Looked, Reply};
+use super::membership::Policy;
 use super::source::{Listed, OperatorDoor, WorkerSource};
 use super::storage_driver::{self, Saver};
 use crate::consensus::Member;
@@ -96,12 +97,12 @@
         site: set.names.clone(),
         seeds: set.seeds.clone(),
         cores: set.cores,
-        members: set.members(),
+        members: Policy::from(&*set),
         timing: set.pacing.timing(set.ack_ms),
         seed: crate::order_id::random_id(),
         promise,
         sure,
-        most_claims: set.most_claims,
+        most_claims: set.max_claims,
         // whoever lost its state to damage was a member once
         bootstrap: set.bootstrap && !store.must_rejoin(),
         grow: set.grow,
@@ -110,10 +111,10 @@
     };
     let controller = Controller::new(start, store.consensus_state(), 0);
     let net = Net::new(
-        set.site_mark(),
+        set.site_fingerprint(),
         ring.clone(),
         ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
-        set.most_connections,
+        set.max_connections,
     );
     task::spawn(net.clone().listen(frames));
     let front = Front::new(ring.clone(), set.ack_ms);
@@ -164,7 +165,7 @@
     let asks: Vec<_> = to
         .into_iter()
         .map(|(name, addr)| {
-            let to = set.reached(addr);
+            let to = set.dial_address(addr);
             task::spawn(async move {
                 let got =
                     http::call(to, Call::get("/load"), 1 << 16, Duration::from_millis(400)).await;
@@ -218,7 +219,7 @@
             ControllerEffect::Send(c, p) => {
                 self.net.send(c, &p);
             }
-            ControllerEffect::Connect(a) => self.net.dial(a, self.set.reached(a)),
+            ControllerEffect::Connect(a) => self.net.dial(a, self.set.dial_address(a)),
             ControllerEffect::Disconnect(a) => self.net.undial(a),
             ControllerEffect::Close(c) => self.net.close(c),
             ControllerEffect::ChangeDone {
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -1,6 +1,7 @@
 //! Membership of the consensus group: the changes that follow from what the
 //! leader observes.
 
+mod from_settings;
 mod reducer;
 mod spread;
 
--- a/sorreldoor/src/control_plane/source.rs
+++ b/sorreldoor/src/control_plane/source.rs
@@ -58,7 +58,7 @@
     fn poll(&self) -> Later<Result<WorkerRegistry, String>> {
         let (set, at) = (self.set.clone(), self.at);
         Box::pin(async move {
-            let (to, most) = (set.reached(at), Duration::from_secs(1));
+            let (to, most) = (set.dial_address(at), Duration::from_secs(1));
             let got = http::call(to, Call::get("/workers"), 1 << 20, most).await;
             got.map_err(|b| format!("{at}: {b:?}"))
                 .and_then(|c| match c.status {
--- a/sorreldoor/src/discovery.rs
+++ b/sorreldoor/src/discovery.rs
@@ -135,7 +135,7 @@
 const MOST: usize = 1 << 20;
 
 pub fn read_registry(text: &[u8], site: &Site) -> Result<WorkerRegistry, String> {
-    let v = json::parse(text, MOST)?;
+    let v = json::parse(text, MOST).map_err(|error| error.to_string())?;
     let mut f = Faults::default();
     let version = v.get("serial").and_then(|s| s.as_u64());
     if version.is_none() {
@@ -156,7 +156,9 @@
         workers,
     };
     // half a list would look like workers gone
-    Some(r).filter(|_| f.none()).ok_or(f.0.join("; "))
+    Some(r)
+        .filter(|_| f.is_empty())
+        .ok_or(f.into_list().join("; "))
 }
 
 fn worker(v: &Value, at: &str, site: &Site, f: &mut Faults) -> Option<Worker> {
@@ -192,7 +194,7 @@
 
 /// A worker's own report; it must name itself as the registry does.
 pub fn read_load(text: &[u8], name: &str) -> Result<Load, String> {
-    let v = json::parse(text, MOST)?;
+    let v = json::parse(text, MOST).map_err(|error| error.to_string())?;
     let mut f = Faults::default();
     let keys = [
         "worker", "running", "queued", "slots", "finished", "adapters", "weights",
@@ -205,7 +207,7 @@
         f.add("worker", format!("is {who:?}, not {name:?}"));
     }
     let top = u64::from(u32::MAX);
-    let mut num = |k: &str| o.num(k, 0, top, &mut f).unwrap_or(0);
+    let mut num = |k: &str| o.integer(k, 0, top, &mut f).unwrap_or(0);
     let (running, queued, slots) = (num("running"), num("queued"), num("slots"));
     let finished = num("finished");
     let adapters = o.texts("adapters", &mut f);
@@ -220,5 +222,7 @@
         weights,
         live: true,
     };
-    Some(l).filter(|_| f.none()).ok_or(f.0.join("; "))
+    Some(l)
+        .filter(|_| f.is_empty())
+        .ok_or(f.into_list().join("; "))
 }
--- a/sorreldoor/src/doctor/look.rs
+++ b/sorreldoor/src/doctor/look.rs
@@ -47,8 +47,8 @@
         ..Seen::default()
     };
     for a in &s.seeds {
-        let to = s.reached(*a);
-        let found = task::block_on(seed(to, &s.site_mark()));
+        let to = s.dial_address(*a);
+        let found = task::block_on(seed(to, &s.site_fingerprint()));
         seen.seeds.push((a.to_string(), found));
     }
     let cores: Vec<Hello> = seen
@@ -96,7 +96,12 @@
 fn status(s: &Settings, h: &Hello) -> Option<Value> {
     let at: SocketAddr = h.http.parse().ok()?;
     let within = WITHIN + Duration::from_millis(s.ack_ms * 3);
-    let c = http::call(s.reached(at), Call::get("/v1/status"), 16 << 20, within);
+    let c = http::call(
+        s.dial_address(at),
+        Call::get("/v1/status"),
+        16 << 20,
+        within,
+    );
     let c = task::block_on(c).ok().filter(|c| c.status == 200)?;
     json::parse(&c.body, usize::MAX).ok()
 }
--- a/sorreldoor/src/doctor/mod.rs
+++ b/sorreldoor/src/doctor/mod.rs
@@ -9,7 +9,7 @@
 pub use look::{look, Disk, Seed, Seen};
 
 use crate::json::Value;
-use crate::settings::{Over, Role, Settings};
+use crate::settings::{Overrides, Role, Settings};
 use gumdrop::Options;
 use simd_json::prelude::*;
 use std::path::PathBuf;
@@ -54,10 +54,10 @@
 fn examine(file: &std::path::Path) -> Vec<Finding> {
     // an edge's file is a core's without `listen` and `data`, so the one
     // that says `listen` is read as a core's
-    let edge = Settings::load(file, &Over::default(), Role::Edge);
+    let edge = Settings::load(file, &Overrides::default(), Role::Edge);
     let core = edge.as_ref().is_ok_and(|s| s.listen.is_some());
     let set = if core {
-        Settings::load(file, &Over::default(), Role::Core)
+        Settings::load(file, &Overrides::default(), Role::Core)
     } else {
         edge
     };
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -245,11 +245,11 @@
         if !fits {
             return http::shed(ErrorCode::BadMethod, "", 1);
         }
-        let body = match http::body(req, self.set.most_body, BODY).await {
+        let body = match http::body(req, self.set.max_body, BODY).await {
             Ok(b) => b,
             Err(p) => return http::shed(p, "", 1),
         };
-        if model && json::parse(&body, self.set.most_body).is_err() {
+        if model && json::parse(&body, self.set.max_body).is_err() {
             return http::shed(ErrorCode::BadJson, "", 1);
         }
         let load = Load {
--- a/sorreldoor/src/gateway/request_table/plan.rs
+++ b/sorreldoor/src/gateway/request_table/plan.rs
@@ -64,7 +64,7 @@
             .doc
             .as_ref()
             .filter(|_| !same)
-            .map(|d| configuration::read(d.as_bytes(), &self.site));
+            .map(|d| configuration::parse(d.as_bytes(), &self.site));
         self.shown.view = v;
         let ok = read.as_ref().is_none_or(|r| r.is_ok());
         if let Some(r) = read {
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -115,13 +115,13 @@
         desk: desk.clone(),
     };
     let net = Net::new(
-        set.site_mark(),
+        set.site_fingerprint(),
         ring.clone(),
         EdgeEvent::Net as fn(NetEvent) -> EdgeEvent,
-        set.most_connections,
+        set.max_connections,
     );
     let gate = http::Gate::default();
-    let most = set.most_connections;
+    let most = set.max_connections;
     task::spawn(http::serve(web, most, gate.clone(), move |r, p| {
         api.clone().handle(r, p)
     }));
@@ -190,7 +190,7 @@
             EdgeEffect::Send(c, p) => {
                 self.net.send(c, &p);
             }
-            EdgeEffect::Connect(a) => self.net.dial(a, self.set.reached(a)),
+            EdgeEffect::Connect(a) => self.net.dial(a, self.set.dial_address(a)),
             EdgeEffect::Disconnect(a) => self.net.undial(a),
             EdgeEffect::Come(request_id, s) => self.desk.give(request_id, Reply::Come(s)),
             EdgeEffect::Where(request_id, r) => self.desk.give(request_id, Reply::Where(r)),
@@ -264,7 +264,7 @@
             words: rx,
             hand,
         };
-        task::spawn(t.run(self.set.reached(addr)));
+        task::spawn(t.run(self.set.dial_address(addr)));
     }
 
     fn word(&self, token: u64, w: Word) {
--- /dev/null
+++ b/sorreldoor/src/json/mod.rs
@@ -0,0 +1,13 @@
+//! JSON documents: strict parsing, canonical text, merge patches, and typed
+//! reading that collects every fault under its path.
+
+mod canonical;
+mod parse;
+mod reader;
+
+pub use canonical::{canonical, merge};
+pub use parse::{parse, parse_canonical, JsonError, MAX_DEPTH};
+pub use reader::{is_valid_name, join, Faults, ObjectReader};
+
+/// A parsed JSON value.
+pub type Value = simd_json::OwnedValue;
--- a/sorreldoor/src/main.rs
+++ b/sorreldoor/src/main.rs
@@ -1,7 +1,7 @@
 //! One program; the role is a subcommand.
 
 use gumdrop::Options;
-use sorreldoor::settings::{Over, Role, Settings};
+use sorreldoor::settings::{Overrides, Role, Settings};
 use sorreldoor::{ctl, doctor};
 use std::path::PathBuf;
 use std::process::exit;
@@ -87,7 +87,7 @@
 }
 
 fn node(n: Node, role: Role) -> i32 {
-    let over = Over {
+    let over = Overrides {
         node: n.node,
         zone: n.zone,
         listen: n.listen,
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -105,7 +105,7 @@
 
 async fn check(req: &mut Request, site: &Site) -> Result<OperatorRequest, ErrorCode> {
     let t = text(req).await?;
-    let faults = configuration::read(t.as_bytes(), site)
+    let faults = configuration::parse(t.as_bytes(), site)
         .err()
         .unwrap_or_default();
     Ok(OperatorRequest::Check { faults })
--- a/sorreldoor/src/pacing.rs
+++ b/sorreldoor/src/pacing.rs
@@ -66,16 +66,16 @@
     pub fn read(o: &ObjectReader, f: &mut Faults) -> Pacing {
         let d = Pacing::default();
         Pacing {
-            tick_ms: o.num("tick_ms", 1, 250, f).unwrap_or(d.tick_ms),
-            beat_ms: o.num("beat_ms", 20, 2000, f),
-            renew_ms: o.num("renew_ms", 50, 2000, f).unwrap_or(d.renew_ms),
-            hedge_ms: o.num("hedge_ms", 50, 2000, f).unwrap_or(d.hedge_ms),
-            ping_ms: o.num("ping_ms", 50, 1000, f).unwrap_or(d.ping_ms),
-            batch_ms: o.num("batch_ms", 0, 1000, f).unwrap_or(d.batch_ms),
+            tick_ms: o.integer("tick_ms", 1, 250, f).unwrap_or(d.tick_ms),
+            beat_ms: o.integer("beat_ms", 20, 2000, f),
+            renew_ms: o.integer("renew_ms", 50, 2000, f).unwrap_or(d.renew_ms),
+            hedge_ms: o.integer("hedge_ms", 50, 2000, f).unwrap_or(d.hedge_ms),
+            ping_ms: o.integer("ping_ms", 50, 1000, f).unwrap_or(d.ping_ms),
+            batch_ms: o.integer("batch_ms", 0, 1000, f).unwrap_or(d.batch_ms),
             gather: o.flag("gather", f).unwrap_or(d.gather),
             claims: o.flag("claims", f).unwrap_or(d.claims),
             accounts: o.flag("accounts", f).unwrap_or(d.accounts),
-            unverified_after_ms: o.num("unverified_after_ms", 0, 600_000, f),
+            unverified_after_ms: o.integer("unverified_after_ms", 0, 600_000, f),
         }
     }
 
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -90,10 +90,10 @@
     let sh = Arc::new(SharedState::new(front, dialect, clock, set.reach.clone()));
     let (ring, rx) = bounded(RING);
     let net = Net::new(
-        set.site_mark(),
+        set.site_fingerprint(),
         ring.clone(),
         ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
-        set.most_connections,
+        set.max_connections,
     );
     crate::run::on_term(ring, || ControllerEvent::Stop)?;
     task::block_on(async move {
@@ -118,7 +118,7 @@
             task::spawn(door::serve(l, f));
         }
         log_event(LogEvent::Started, format!("edge {}", set.node));
-        task::spawn(accept(l, sh.clone(), set.most_connections));
+        task::spawn(accept(l, sh.clone(), set.max_connections));
         control(sh, net, rx, start.grace, &set).await;
         log_event(LogEvent::Stopped, "edge");
         Ok(())
@@ -189,7 +189,7 @@
                 ControllerEffect::Send(c, p) => {
                     net.send(c, &p);
                 }
-                ControllerEffect::Connect(a) => net.dial(a, set.reached(a)),
+                ControllerEffect::Connect(a) => net.dial(a, set.dial_address(a)),
                 ControllerEffect::Disconnect(a) => net.undial(a),
                 ControllerEffect::Say(ev, about) => log_event(ev, about),
             }
--- a/sorreldoor/src/replicated_state/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -52,7 +52,7 @@
             document.index();
         }
         let text = legacy_document.or_else(|| data.document.as_ref().map(|d| Arc::new(d.text())));
-        let read = text.map(|text| configuration::read(text.as_bytes(), &self.site));
+        let read = text.map(|text| configuration::parse(text.as_bytes(), &self.site));
         if read.as_ref().is_some_and(|result| result.is_err()) {
             return false;
         }
--- a/sorreldoor/src/replicated_state/change.rs
+++ b/sorreldoor/src/replicated_state/change.rs
@@ -210,7 +210,7 @@
     }
 
     fn replace_document(&mut self, text: Vec<u8>) -> Result<(), Faults> {
-        let (configuration, value) = configuration::read(&text, &self.site)?;
+        let (configuration, value) = configuration::parse(&text, &self.site)?;
         let revision = self.data.revision + 1;
         let document = self.data.document.get_or_insert_with(Document::default);
         document.replace(&value, revision);
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -6,7 +6,7 @@
 use sorreldoor::discovery::{read_load, read_registry};
 use sorreldoor::json;
 use sorreldoor::replicated_state::{encode, Command, Outcome, ReplicatedState};
-use sorreldoor::settings::{Over, Role, Settings};
+use sorreldoor::settings::{Overrides, Role, Settings};
 use sorreldoor::wire::{length, pack, unpack, EdgeStatus, Hello, KnownVersions, Payload};
 use std::path::Path;
 use std::sync::Arc;
@@ -136,12 +136,12 @@
 fn damaged_setups_and_patches_have_faults_or_are_whole() {
     let site = site();
     let doc = example("press-setup.json");
-    let (good, _) = configuration::read(&doc, &site).expect("the example is good");
+    let (good, _) = configuration::parse(&doc, &site).expect("the example is good");
     let (mut ok, mut bad) = (0, 0);
     for seed in 1..2500 {
         let mut d = Dice::new(seed);
         let b = damaged(&mut d, &doc);
-        match configuration::read(&b, &site) {
+        match configuration::parse(&b, &site) {
             Ok((s, _)) => {
                 ok += 1;
                 assert!(s.retry_percent <= 20 && !s.routes.is_empty());
@@ -207,7 +207,7 @@
         faults += usize::from(a.is_err_and(|e| !e.is_empty()));
         let b = read_load(&damaged(&mut d, load), "gpu0");
         faults += usize::from(b.is_err_and(|e| !e.is_empty()));
-        let c = Settings::read(&damaged(&mut d, &set), &Over::default(), Role::Edge);
+        let c = Settings::parse(&damaged(&mut d, &set), &Overrides::default(), Role::Edge);
         faults += usize::from(c.is_err_and(|e| !e.is_empty()));
         let _ = json::parse(&damaged(&mut d, &set), 1 << 16);
     }
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -27,7 +27,7 @@
  {"name":"t"}],"limits":{"header_bytes":1000,"body_bytes":2000,"header_ms":30,"idle_ms":40}}}"#;
 
 fn read(doc: &str) -> Result<Configuration, Vec<String>> {
-    configuration::read(doc.as_bytes(), &site()).map(|(s, _)| s)
+    configuration::parse(doc.as_bytes(), &site()).map(|(s, _)| s)
 }
 
 #[test]
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -3,7 +3,7 @@
 use sorreldoor::configuration;
 use sorreldoor::error::ErrorCode;
 use sorreldoor::log_events::LogEvent;
-use sorreldoor::settings::{Over, Role, Settings};
+use sorreldoor::settings::{Overrides, Role, Settings};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -59,16 +59,16 @@
         let mut names = None;
         for (role, file) in [(Role::Core, "core"), (Role::Edge, "edge")] {
             let data = std::env::temp_dir().join(format!("sorreldoor-ex-{}", std::process::id()));
-            let over = Over {
+            let over = Overrides {
                 data: Some(data.display().to_string()),
-                ..Over::default()
+                ..Overrides::default()
             };
             let text = page(&format!("examples/{site}-{file}.json"));
-            let s = Settings::read(text.as_bytes(), &over, role).unwrap();
+            let s = Settings::parse(text.as_bytes(), &over, role).unwrap();
             names = Some(s.names.clone());
         }
         let text = page(&format!("examples/{site}-setup.json"));
-        let (s, _) = configuration::read(text.as_bytes(), &names.unwrap()).unwrap();
+        let (s, _) = configuration::parse(text.as_bytes(), &names.unwrap()).unwrap();
         assert!(s.routes.len() >= 3);
     }
 }
@@ -90,7 +90,7 @@
 #[test]
 fn the_example_of_hosted_routes_is_good() {
     let doc = block(&page("docs/hosted.md"), "    {\"hosted\"");
-    let (s, _) = configuration::read(doc.as_bytes(), &north()).unwrap();
+    let (s, _) = configuration::parse(doc.as_bytes(), &north()).unwrap();
     let h = s.hosted.unwrap();
     assert_eq!((h.routes.len(), h.services.len()), (2, 3));
     assert_eq!(h.find("desk.example", "/draft/x"), Some(0));
@@ -136,7 +136,7 @@
     ];
     for d in bad {
         let short: String = d.chars().take(300).collect();
-        let faults = configuration::read(d.as_bytes(), &north()).unwrap_err();
+        let faults = configuration::parse(d.as_bytes(), &north()).unwrap_err();
         let told = |f: &String| {
             let tail = f.split_once(": ").map_or(f.as_str(), |(_, t)| t);
             text.contains(f.as_str()) || text.contains(tail)
--- a/sorreldoor/tests/placement.rs
+++ b/sorreldoor/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Placement: few move when a worker comes or goes, and caps hold for all.
 
-use sorreldoor::configuration::{read, Site};
+use sorreldoor::configuration::{parse, Site};
 use sorreldoor::placement::{dealt_rank, match_candidate, part_of, Candidate, PlacementRequest};
 
 const DOC: &str = r#"{"groups":{"g":{"kind":"model"}},"services":{"s":{"groups":["g"]}},
@@ -27,7 +27,7 @@
         regions: vec!["a".into()],
         zones: vec![("a1".into(), 0)],
     };
-    let (s, _) = read(DOC.as_bytes(), &site).unwrap();
+    let (s, _) = parse(DOC.as_bytes(), &site).unwrap();
     let all = spots(10);
     let mut less = spots(10);
     if let Some(w) = less[3].as_mut() {
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -232,7 +232,7 @@
         warmup_slack: 5.0,
     };
     let mut table = Balancer::new(place, bounds, 7);
-    let (s, _) = configuration::read(configuration_text.as_bytes(), &site).unwrap();
+    let (s, _) = configuration::parse(configuration_text.as_bytes(), &site).unwrap();
     table.update_nodes(vec![("n1".into(), 0)]);
     table.apply_configuration(s.hosted.unwrap(), 1);
     let row = |(i, s): (usize, &&Stand)| Worker {
--- a/sorreldoor/tests/settings.rs
+++ b/sorreldoor/tests/settings.rs
@@ -1,10 +1,10 @@
 //! Settings and setups: every fault has its exact words, and a path.
 
-use sorreldoor::configuration::{read, Site};
-use sorreldoor::settings::{Over, Role, Settings};
+use sorreldoor::configuration::{parse, Site};
+use sorreldoor::settings::{Overrides, Role, Settings};
 
 fn faults(text: &str) -> Vec<String> {
-    Settings::read(text.as_bytes(), &Over::default(), Role::Edge)
+    Settings::parse(text.as_bytes(), &Overrides::default(), Role::Edge)
         .err()
         .unwrap_or_default()
 }
@@ -70,7 +70,7 @@
         r#""node":"n""#,
         r#""node":"n","listen":"127.0.0.1:81","data":"/proc/none""#,
     );
-    let f = Settings::read(text.as_bytes(), &Over::default(), Role::Core)
+    let f = Settings::parse(text.as_bytes(), &Overrides::default(), Role::Core)
         .err()
         .unwrap_or_default();
     assert_eq!(f.len(), 1);
@@ -95,7 +95,7 @@
 
 #[test]
 fn each_fault_of_a_setup_is_listed_under_its_path() {
-    assert!(read(CONFIGURATION.as_bytes(), &site()).is_ok());
+    assert!(parse(CONFIGURATION.as_bytes(), &site()).is_ok());
     let table = [
         (
             r#""slots":4"#,
@@ -160,14 +160,14 @@
     ];
     for (from, to, want) in table {
         assert!(CONFIGURATION.contains(from), "{from}");
-        let f = read(CONFIGURATION.replacen(from, to, 1).as_bytes(), &site()).err();
+        let f = parse(CONFIGURATION.replacen(from, to, 1).as_bytes(), &site()).err();
         assert_eq!(f, Some(vec![want.to_string()]), "{to}");
     }
     let deep = format!("{}1{}", "[".repeat(40), "]".repeat(40));
-    let f = read(deep.as_bytes(), &site()).err();
+    let f = parse(deep.as_bytes(), &site()).err();
     assert_eq!(f, Some(vec!["setup: is nested deeper than 16".to_string()]));
     let big = format!("{{\"x\":\"{}\"}}", "y".repeat(4 << 20));
-    let f = read(big.as_bytes(), &site()).err();
+    let f = parse(big.as_bytes(), &site()).err();
     assert_eq!(
         f,
         Some(vec!["setup: is larger than 4194304 bytes".to_string()])
@@ -176,7 +176,51 @@
         .replace(r#""slots":4"#, r#""slots":0"#)
         .replace(r#""percent":15"#, r#""percent":99"#);
     assert_eq!(
-        read(two.as_bytes(), &site()).err().map(|f| f.len()),
+        parse(two.as_bytes(), &site()).err().map(|f| f.len()),
         Some(2)
     );
 }
+
+fn number_of(settings: &Settings, key: &str) -> u64 {
+    match key {
+        "lease_ms" => settings.lease_ms,
+        "max_body" => settings.max_body as u64,
+        "max_connections" => settings.max_connections as u64,
+        "max_claims" => settings.max_claims as u64,
+        _ => unreachable!("{key} has one name only"),
+    }
+}
+
+/// The keys that were renamed, with their old names, a value and the bounds.
+const RENAMED: [(&str, &str, u64, &str); 4] = [
+    ("lease_ms", "permit_ms", 700, "500 to 2500"),
+    ("max_body", "most_body", 2048, "1024 to 67108864"),
+    ("max_connections", "most_connections", 9, "1 to 65536"),
+    ("max_claims", "most_claims", 1234, "1000 to 10000000"),
+];
+
+#[test]
+fn a_renamed_key_is_read_under_its_old_name_too() {
+    for (current, deprecated, value, _) in RENAMED {
+        for key in [current, deprecated] {
+            let text = with(r#""node":"n""#, &format!(r#""node":"n","{key}":{value}"#));
+            let settings = Settings::parse(text.as_bytes(), &Overrides::default(), Role::Edge);
+            let settings = settings.expect("either name is accepted");
+            assert_eq!(number_of(&settings, current), value, "{key}");
+        }
+    }
+}
+
+#[test]
+fn a_renamed_key_is_checked_under_the_name_that_is_given() {
+    for (current, deprecated, value, bounds) in RENAMED {
+        for key in [current, deprecated] {
+            let text = with(r#""node":"n""#, &format!(r#""node":"n","{key}":0"#));
+            let want = format!("{key}: must be a whole number from {bounds}");
+            assert_eq!(faults(&text), [want]);
+        }
+        let both = format!(r#""node":"n","{current}":{value},"{deprecated}":{value}"#);
+        let want = format!("{deprecated}: is the old name of {current}, which is given too");
+        assert_eq!(faults(&with(r#""node":"n""#, &both)), [want]);
+    }
+}
--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -174,7 +174,7 @@
 /// The whole document, read anew.
 fn read_whole(record: &ReplicatedState) -> Hosted {
     let text = record.view().doc.expect("a document");
-    let (s, _) = configuration::read(text.as_bytes(), &site()).expect("it is valid");
+    let (s, _) = configuration::parse(text.as_bytes(), &site()).expect("it is valid");
     (*s.hosted.expect("a hosted part")).clone()
 }
 
--- a/sorreldoor/tests/updates/costs.rs
+++ b/sorreldoor/tests/updates/costs.rs
@@ -23,7 +23,7 @@
         let whole = EncodedUpdate::new(&core.record.delta_since(0));
         let update = whole.update().expect("it can be read");
         let (take_whole, ()) = timed(|| edge.take(&update));
-        let (read_document, read) = timed(|| configuration::read(doc.as_bytes(), &super::site()));
+        let (read_document, read) = timed(|| configuration::parse(doc.as_bytes(), &super::site()));
         assert!(read.is_ok());
         let have = core.record.revision();
         let (edit, _) = timed(|| core.one_route(3, 77));
--- a/testbed/src/tricks.rs
+++ b/testbed/src/tricks.rs
@@ -6,7 +6,7 @@
 use sorreldoor::consensus::Save;
 use sorreldoor::json::{self, Value};
 use sorreldoor::runtime::{Clock, Now, SystemClock};
-use sorreldoor::settings::{Over, Role, Settings};
+use sorreldoor::settings::{Overrides, Role, Settings};
 use sorreldoor::store::Store;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -102,7 +102,7 @@
     } else {
         Role::Edge
     };
-    let set = Settings::load(settings, &Over::default(), role).map_err(|f| f.join("; "))?;
+    let set = Settings::load(settings, &Overrides::default(), role).map_err(|f| f.join("; "))?;
     match role {
         Role::Core => sorreldoor::control_plane::run_by(set, clock, |s| TrickStore(s, t)),
         Role::Edge => sorreldoor::gateway::run_with(set, clock),
