--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -1,6 +1,6 @@
 //! Callers' HTTP at an edge: where to go, errands, and operators' errands.
 
-use super::controller::EdgeEvent;
+use super::event::EdgeEvent;
 use super::relay::{Brought, Load, Piece};
 use super::run::{Desk, Reply};
 use crate::consensus::ProposalId;
@@ -115,7 +115,10 @@
             Err(p) => return http::shed(p, "", 1),
         };
         match self
-            .soon(|request_id| EdgeEvent::Explain { request_id, asked })
+            .soon(|request_id| EdgeEvent::Explain {
+                request_id,
+                spec: asked,
+            })
             .await
         {
             Some(Reply::Status { text, .. }) => http::json(200, text),
@@ -130,7 +133,10 @@
             Err(p) => return http::shed(p, "", 1),
         };
         match self
-            .soon(|request_id| EdgeEvent::Where { request_id, asked })
+            .soon(|request_id| EdgeEvent::LocateEdges {
+                request_id,
+                spec: asked,
+            })
             .await
         {
             Some(Reply::Where(Ok(all))) => {
@@ -149,7 +155,7 @@
             OperatorRequest::Check { faults } => operator_api::checked(&faults),
             OperatorRequest::Change { proposal_id, cmd } => {
                 let r = self
-                    .soon(|request_id| EdgeEvent::Change {
+                    .soon(|request_id| EdgeEvent::Propose {
                         request_id,
                         proposal_id,
                         cmd,
@@ -159,7 +165,7 @@
             }
             OperatorRequest::Proposal(proposal_id) => {
                 let r = self
-                    .soon(|request_id| EdgeEvent::Find {
+                    .soon(|request_id| EdgeEvent::QueryProposal {
                         request_id,
                         proposal_id,
                     })
@@ -167,7 +173,10 @@
                 changed(proposal_id, r)
             }
             OperatorRequest::Configuration => {
-                match self.soon(|request_id| EdgeEvent::Look { request_id }).await {
+                match self
+                    .soon(|request_id| EdgeEvent::ReadConfiguration { request_id })
+                    .await
+                {
                     Some(Reply::Looked(true, view)) => {
                         let doc = view.doc.as_ref().map(|d| d.as_str());
                         let names = &self.set.names;
@@ -205,7 +214,7 @@
         let key = head("x-prefix-key").unwrap_or_default();
         Ok(RequestSpec {
             route: route.to_string(),
-            given: given.is_some(),
+            client_supplied_id: given.is_some(),
             id,
             key,
             profile: RequestProfile::default(),
@@ -224,9 +233,9 @@
         // what is not wanted here is turned away before its body is read
         let a = asked.clone();
         let shown = match self
-            .soon(|request_id| EdgeEvent::Knock {
+            .soon(|request_id| EdgeEvent::CheckAdmission {
                 request_id,
-                asked: a,
+                spec: a,
             })
             .await
         {
@@ -265,18 +274,23 @@
             body,
             model,
             streamed: shown.streamed,
-            within: Duration::from_millis(shown.cutoff_ms),
+            within: Duration::from_millis(shown.timeout_ms),
         };
         let id = asked.id.clone();
         let (request_id, rx) = self.desk.open();
         self.desk.bring(request_id, load);
         let ring = self.ring.clone();
         let watch = peer.watch(move || async move {
-            let _ = ring.send(EdgeEvent::Gone { request_id }).await;
+            let _ = ring
+                .send(EdgeEvent::CallerDisconnected { request_id })
+                .await;
         });
         let sent = self
             .ring
-            .send(EdgeEvent::Request { request_id, asked })
+            .send(EdgeEvent::Submit {
+                request_id,
+                spec: asked,
+            })
             .await;
         let got = match sent {
             Ok(()) => timeout(LAST, rx.recv()).await.ok().and_then(|r| r.ok()),
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -1,399 +1,296 @@
-//! The edge's one reducer over all events, with effects as data.
+//! The edge controller: the reducer that owns the edge's state.
 
-use crate::consensus::{Millis, ProposalId};
+use super::event::{EdgeEffect, EdgeEvent};
+use super::releases::PendingReleases;
+use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{
-    AttemptEvent, Plan, RequestEffect, RequestProfile, RequestSpec, Table,
+    Admission, ClusterView, RequestEffect, RequestId, RequestProfile, RequestSpec, RequestTable,
 };
-use crate::json::Val;
 use crate::log_events::LogEvent;
-use crate::net::{Conn, NetEvent};
-use crate::replicated_state::Command;
+use crate::net::Conn;
+use crate::replicated_state;
 use crate::runtime::{Now, Reducer};
 use crate::subscription::{Pull, SubscriptionEffect};
-use crate::wire::*;
+use crate::wire::{EdgeStatus, Hello, Payload, RouteLatency, Unverified};
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
-
-#[derive(Debug)]
-pub enum EdgeEvent {
-    Tick,
-    Net(NetEvent),
-    /// A head has come; may its body be read?
-    Knock {
-        request_id: u64,
-        asked: RequestSpec,
-    },
-    Request {
-        request_id: u64,
-        asked: RequestSpec,
-    },
-    Gone {
-        request_id: u64,
-    },
-    AttemptEvent {
-        request_id: u64,
-        token: u64,
-        told: AttemptEvent,
-    },
-    Where {
-        request_id: u64,
-        asked: RequestSpec,
-    },
-    Change {
-        request_id: u64,
-        proposal_id: ProposalId,
-        cmd: Command,
-    },
-    Find {
-        request_id: u64,
-        proposal_id: ProposalId,
-    },
-    /// What would become of such an errand now, of a caller in that region.
-    Explain {
-        request_id: u64,
-        asked: RequestSpec,
-    },
-    /// Read the setup, proved current from now on.
-    Look {
-        request_id: u64,
-    },
-    Status {
-        request_id: u64,
-    },
-    Stop,
-}
-
-#[derive(Debug)]
-pub enum EdgeEffect {
-    Send(Conn, Payload),
-    Connect(SocketAddr),
-    Disconnect(SocketAddr),
-    Request(RequestEffect),
-    /// The body may come: for a model, streamed, within so long.
-    Come(u64, RequestProfile),
-    Where(u64, Result<Vec<String>, ErrorCode>),
-    Done(u64, OpOutcome),
-    Looked(u64, bool),
-    Status(u64, String),
-    Say(LogEvent, String),
-}
 
+/// State of an edge: its subscription to the control plane, its view of the
+/// cluster and its requests.
 pub struct EdgeController {
-    pub me: Hello,
-    pub plan: Plan,
-    pub table: Table,
+    pub(super) hello: Hello,
+    pub cluster: ClusterView,
+    pub table: RequestTable,
     pub pull: Pull,
-    /// The record as last told.
-    pub(super) copy: crate::replicated_state::Copy,
-    pub(super) looks: Vec<(u64, u64)>,
-    pub(super) changes: BTreeMap<u64, Conn>,
-    /// Claims given up that the cores have not confirmed: id, and since when.
-    pub(super) frees: BTreeMap<u64, (String, Millis)>,
-    pub(super) frees_at: Millis,
-    pub leaving: bool,
-    pub now: Millis,
-    pub(super) out: Vec<EdgeEffect>,
+    /// Replica of the replicated state, advanced by updates.
+    pub(super) replica: replicated_state::Copy,
+    /// Callers that wait for a proof that the configuration is current, each
+    /// with the number of the renewal that proves it.
+    pub(super) pending_reads: Vec<(RequestId, u64)>,
+    /// Callers that wait for the result of a proposal, each with the
+    /// connection that it was sent on.
+    pub(super) pending_proposals: BTreeMap<RequestId, Conn>,
+    pub(super) pending_releases: PendingReleases,
+    pub(super) leaving: bool,
+    /// Monotonic time of the latest event.
+    pub(super) now: Millis,
+    pub(super) effects: Vec<EdgeEffect>,
 }
 
 impl Reducer for EdgeController {
     type Event = EdgeEvent;
     type Effect = EdgeEffect;
 
-    fn step(&mut self, ev: EdgeEvent, at: Now) -> Vec<EdgeEffect> {
+    fn step(&mut self, event: EdgeEvent, at: Now) -> Vec<EdgeEffect> {
         self.now = self.now.max(at.monotonic_ms);
-        let now = self.now;
-        // what woke it may come before any alarm, and must find it shut
-        if let Some(f) = self.pull.awake(now, at.wall) {
-            self.pulled(f);
+        // the event that wakes a suspended process may come before any tick,
+        // and must find the lease void
+        if let Some(effect) = self.pull.awake(self.now, at.wall) {
+            self.on_subscription_effect(effect);
+        }
+        self.handle(event);
+        if self.pull.lease(self.now) {
+            self.table.match_waiting(&mut self.cluster, self.now);
+        }
+        for effect in std::mem::take(&mut self.table.effects) {
+            self.on_request_effect(&effect);
+            self.effects.push(EdgeEffect::Request(effect));
+        }
+        std::mem::take(&mut self.effects)
+    }
+}
+
+impl EdgeController {
+    /// The controller of an edge that introduces itself with `hello`.
+    pub fn new(hello: Hello, cluster: ClusterView, pull: Pull) -> EdgeController {
+        EdgeController {
+            hello,
+            cluster,
+            table: RequestTable::default(),
+            pull,
+            replica: Default::default(),
+            pending_reads: Vec::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_releases: PendingReleases::default(),
+            leaving: false,
+            now: 0,
+            effects: Vec::new(),
         }
-        match ev {
+    }
+
+    fn handle(&mut self, event: EdgeEvent) {
+        match event {
             EdgeEvent::Tick => self.tick(),
-            EdgeEvent::Net(n) => self.net(n),
-            EdgeEvent::Knock { request_id, asked } => self.knock(request_id, asked),
-            EdgeEvent::Request { request_id, asked } => match self.closed() {
-                Some(p) => self.shed(request_id, p),
-                None => self.table.take(&mut self.plan, request_id, asked, now),
-            },
-            EdgeEvent::Gone { request_id } => self.table.gone(&mut self.plan, request_id),
-            EdgeEvent::AttemptEvent {
-                request_id,
-                token,
-                told,
-            } => {
-                let lease = self.pull.lease(now);
+            EdgeEvent::Net(event) => self.on_net_event(event),
+            EdgeEvent::CheckAdmission { request_id, spec } => {
+                self.check_admission(request_id, &spec)
+            }
+            EdgeEvent::Submit { request_id, spec } => self.submit(request_id, spec),
+            EdgeEvent::CallerDisconnected { request_id } => {
+                self.table.on_disconnect(&mut self.cluster, request_id)
+            }
+            EdgeEvent::Attempt(report) => {
+                let lease_valid = self.pull.lease(self.now);
                 self.table
-                    .told(&mut self.plan, request_id, token, told, lease, now);
+                    .on_attempt_event(&mut self.cluster, report, lease_valid, self.now);
             }
-            EdgeEvent::Where { request_id, asked } => self.whither(request_id, asked),
-            EdgeEvent::Change {
+            EdgeEvent::LocateEdges { request_id, spec } => self.locate_edges(request_id, &spec),
+            EdgeEvent::Propose {
                 request_id,
                 proposal_id,
                 cmd,
-            } => self.change(
-                request_id,
-                Payload::Op {
+            } => {
+                let payload = Payload::Op {
                     request_id,
                     proposal_id,
                     cmd,
-                },
-            ),
-            EdgeEvent::Find {
+                };
+                self.forward_proposal(request_id, payload)
+            }
+            EdgeEvent::QueryProposal {
                 request_id,
                 proposal_id,
-            } => self.change(
-                request_id,
-                Payload::OpFind {
+            } => {
+                let payload = Payload::OpFind {
                     request_id,
                     proposal_id,
-                },
-            ),
-            EdgeEvent::Explain { request_id, asked } => self.explain(request_id, asked),
-            EdgeEvent::Look { request_id } => self.look(request_id),
+                };
+                self.forward_proposal(request_id, payload)
+            }
+            EdgeEvent::Explain { request_id, spec } => self.explain(request_id, spec),
+            EdgeEvent::ReadConfiguration { request_id } => self.read_configuration(request_id),
             EdgeEvent::Status { request_id } => {
-                let s = self.status().encode();
-                self.out.push(EdgeEffect::Status(request_id, s));
+                let status = self.status().encode();
+                self.effects.push(EdgeEffect::Status(request_id, status));
             }
-            EdgeEvent::Stop => {
+            EdgeEvent::Shutdown => {
                 self.leaving = true;
                 self.log_event(LogEvent::Leaving, "edge");
             }
         }
-        if self.pull.lease(self.now) {
-            self.table.pass_match(&mut self.plan, now);
-        }
-        let fx = std::mem::take(&mut self.table.out);
-        for f in fx {
-            match &f {
-                RequestEffect::Claim { request_id, claim } => {
-                    self.claim(*request_id, claim.clone())
-                }
-                RequestEffect::Release { request_id, id } => self.release(*request_id, id.clone()),
-                RequestEffect::Unknown { id, worker } => {
-                    self.log_event(LogEvent::ErrandUnknown, format!("{id} at {worker}"))
-                }
-                RequestEffect::Bad {
-                    id,
-                    worker,
-                    error_code,
-                } => {
-                    let ev = if *error_code == ErrorCode::StreamBroken {
-                        LogEvent::StreamBroken
-                    } else {
-                        LogEvent::ResultBad
-                    };
-                    self.log_event(ev, format!("{id} at {worker}: {}", error_code.code()));
-                }
-                _ => {}
-            }
-            self.out.push(EdgeEffect::Request(f));
-        }
-        std::mem::take(&mut self.out)
     }
-}
 
-impl EdgeController {
-    pub fn new(me: Hello, plan: Plan, pull: Pull) -> EdgeController {
-        EdgeController {
-            me,
-            plan,
-            table: Table::default(),
-            pull,
-            copy: Default::default(),
-            looks: Vec::new(),
-            changes: BTreeMap::new(),
-            frees: BTreeMap::new(),
-            frees_at: 0,
-            leaving: false,
-            now: 0,
-            out: Vec::new(),
+    fn tick(&mut self) {
+        for effect in self.pull.tick(self.now) {
+            self.on_subscription_effect(effect);
+        }
+        self.resend_releases();
+        self.table.retry_pending_claims(self.now);
+        self.table.expire_requests(&mut self.cluster, self.now);
+        self.table.reject_unservable(&self.cluster, self.now);
+        if !self.pull.lease(self.now) {
+            self.table.reject_without_lease(self.now);
         }
     }
 
-    pub(super) fn log_event(&mut self, ev: LogEvent, about: impl Into<String>) {
-        self.out.push(EdgeEffect::Say(ev, about.into()));
-    }
-
-    fn shed(&mut self, request_id: u64, error_code: ErrorCode) {
-        self.table.shed(request_id, error_code, self.now);
+    pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
+        self.effects.push(EdgeEffect::Log(event, about.into()));
     }
 
-    /// Why nothing new is taken in just now.
-    fn closed(&self) -> Option<ErrorCode> {
+    /// Whether the edge accepts new requests as far as it is concerned.
+    ///
+    /// # Errors
+    /// `Leaving` during shutdown, `NoLease` without a valid lease.
+    pub(super) fn check_open(&self) -> Result<(), ErrorCode> {
         if self.leaving {
-            return Some(ErrorCode::Leaving);
+            return Err(ErrorCode::Leaving);
+        }
+        if !self.pull.lease(self.now) {
+            return Err(ErrorCode::NoLease);
         }
-        Some(ErrorCode::NoLease).filter(|_| !self.pull.lease(self.now))
+        Ok(())
     }
 
+    /// Whether callers should be sent to this edge.
+    ///
+    /// # Errors
+    /// The reason why not.
     pub fn ready(&self) -> Result<(), ErrorCode> {
-        self.closed().map_or(Ok(()), Err)?;
-        self.plan
-            .configuration
-            .as_ref()
-            .map(|_| ())
-            .ok_or(ErrorCode::NoConfiguration)?;
-        Some(())
-            .filter(|_| !self.plan.evacuated(self.plan.zone))
-            .ok_or(ErrorCode::Leaving)
-    }
-
-    pub fn idle(&self) -> bool {
-        self.table.rows.is_empty()
-    }
-
-    fn tick(&mut self) {
-        for f in self.pull.tick(self.now) {
-            self.pulled(f);
+        self.check_open()?;
+        if self.cluster.configuration.is_none() {
+            return Err(ErrorCode::NoConfiguration);
         }
-        self.releases_alarm();
-        self.table.pass_claims(self.now);
-        self.table.pass_cutoffs(&mut self.plan, self.now);
-        self.table.pass_hopeless(&self.plan, self.now);
-        if !self.pull.lease(self.now) {
-            self.table.pass_unpermitted(self.now);
+        if self.cluster.is_evacuated(self.cluster.zone) {
+            return Err(ErrorCode::Leaving);
         }
+        Ok(())
     }
 
-    pub(super) fn pulled(&mut self, f: SubscriptionEffect) {
-        match f {
-            SubscriptionEffect::Connect(a) => self.out.push(EdgeEffect::Connect(a)),
-            SubscriptionEffect::Disconnect(a) => self.out.push(EdgeEffect::Disconnect(a)),
-            SubscriptionEffect::Renew {
-                conn,
-                no,
-                unverified,
-            } => {
-                let have = self.pull.have.clone();
-                let edge_status = EdgeStatus {
-                    version: self.plan.shown.view.version,
-                    lease: self.ready().is_ok(),
-                    running: self.table.rows.len() as u32,
-                    first: self.table.counts.first,
-                    again: self.table.counts.again,
-                    shed: self.table.counts.shed,
-                    took: self.took(),
-                };
-                self.out.push(EdgeEffect::Send(
-                    conn,
-                    Payload::Renew {
-                        no,
-                        have,
-                        edge_status,
-                        unverified,
-                    },
-                ));
-            }
-            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::Woken, s),
-            SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
-            SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
-        }
+    /// Whether a shutdown has begun.
+    pub fn is_leaving(&self) -> bool {
+        self.leaving
     }
 
-    /// What errands took, by the names of the setup in force.
-    fn took(&self) -> Vec<RouteLatency> {
-        let all = self.table.took.iter();
-        let s = self.plan.configuration.as_ref();
-        let known = |r: &str| s.is_some_and(|s| s.route(r).is_some());
-        all.filter(|((r, _), _)| known(r))
-            .map(|((r, v), (n, ms))| RouteLatency {
-                route: r.clone(),
-                service: v.clone(),
-                n: *n,
-                ms: *ms,
-            })
-            .collect()
+    /// Whether no request is in the table.
+    pub fn is_idle(&self) -> bool {
+        self.table.requests.is_empty()
     }
 
-    fn knock(&mut self, request_id: u64, asked: RequestSpec) {
-        self.table.came(&self.plan, self.now);
-        if let Some(p) = self.closed() {
-            return self.shed(request_id, p);
-        }
-        match self.table.knock(&self.plan, request_id, &asked) {
-            Ok(true) => {
-                let profile = self.profile(&asked.route);
-                self.out.push(EdgeEffect::Come(request_id, profile));
+    fn check_admission(&mut self, request_id: RequestId, spec: &RequestSpec) {
+        self.table.record_arrival(&self.cluster, self.now);
+        let admission = self
+            .check_open()
+            .and_then(|()| self.table.check_admission(&self.cluster, request_id, spec));
+        match admission {
+            Ok(Admission::Accepted) => {
+                let profile = self.profile(&spec.route);
+                self.effects.push(EdgeEffect::Admitted(request_id, profile));
             }
-            Ok(false) => {}
-            Err(p) => self.shed(request_id, p),
+            Ok(Admission::Redirected) => {}
+            Err(error_code) => self.table.reject(request_id, error_code, self.now),
         }
     }
 
     fn profile(&self, route: &str) -> RequestProfile {
-        let s = self.plan.configuration.as_ref();
-        let r = s.and_then(|s| s.route(route).map(|i| &s.routes[i as usize]));
-        r.map_or(RequestProfile::default(), RequestProfile::of)
+        let route = self.cluster.route(route).ok();
+        route.map_or(RequestProfile::default(), |(configuration, index)| {
+            RequestProfile::of(&configuration.routes[index as usize])
+        })
     }
 
-    /// Where a caller should go with such an errand.
-    fn whither(&mut self, request_id: u64, a: RequestSpec) {
-        let r = self.closed().map_or(Ok(()), Err).and_then(|()| {
-            let s = self
-                .plan
-                .configuration
-                .as_ref()
-                .ok_or(ErrorCode::NoConfiguration)?;
-            let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
-            let home = s.routes[route as usize].home;
-            if home && a.home.is_none() {
-                return Err(ErrorCode::BadErrand);
-            }
-            let at = a.home.or(Some(self.plan.region));
-            let all = self.plan.edges_for(at, home, &a.key);
-            Some(all)
-                .filter(|l| !l.is_empty())
-                .ok_or(ErrorCode::NoWorker)
-        });
-        self.out.push(EdgeEffect::Where(request_id, r));
+    fn submit(&mut self, request_id: RequestId, spec: RequestSpec) {
+        match self.check_open() {
+            Ok(()) => self.table.submit(&self.cluster, request_id, spec, self.now),
+            Err(error_code) => self.table.reject(request_id, error_code, self.now),
+        }
     }
 
-    fn explain(&mut self, request_id: u64, a: RequestSpec) {
-        let region = a.home.unwrap_or(self.plan.region);
-        let told = self.closed().map_or(Ok(()), Err).and_then(|()| {
-            if region == self.plan.region {
-                return self.table.explain(&self.plan, a);
+    fn on_request_effect(&mut self, effect: &RequestEffect) {
+        match effect {
+            RequestEffect::Claim { request_id, claim } => {
+                self.send_claim(*request_id, claim.clone())
             }
-            // only an edge of that region knows what it would do
-            let all = self.plan.edges_for(Some(region), true, &a.key);
-            let mut v = Val::object();
-            let _ = v.insert("ask", all.first().cloned().ok_or(ErrorCode::NoWorker)?);
-            Ok(v)
-        });
-        self.out.push(match told {
-            Ok(v) => EdgeEffect::Status(request_id, v.encode()),
-            Err(p) => EdgeEffect::Where(request_id, Err(p)),
-        });
+            RequestEffect::Release { request_id, id } => self.release(*request_id, id.clone()),
+            RequestEffect::OutcomeUnknown { id, worker } => {
+                self.log_event(LogEvent::ErrandUnknown, format!("{id} at {worker}"))
+            }
+            RequestEffect::AttemptFailed {
+                id,
+                worker,
+                error_code,
+            } => {
+                let event = if *error_code == ErrorCode::StreamBroken {
+                    LogEvent::StreamBroken
+                } else {
+                    LogEvent::ResultBad
+                };
+                self.log_event(event, format!("{id} at {worker}: {}", error_code.code()));
+            }
+            _ => {}
+        }
     }
 
-    fn change(&mut self, request_id: u64, p: Payload) {
-        let Some(c) = self.pull.conn else {
-            // nothing has left this node, so it is surely not taken
-            self.out
-                .push(EdgeEffect::Done(request_id, OpOutcome::NotTaken));
-            return;
-        };
-        self.changes.insert(request_id, c);
-        self.out.push(EdgeEffect::Send(c, p));
+    pub(super) fn on_subscription_effect(&mut self, effect: SubscriptionEffect) {
+        match effect {
+            SubscriptionEffect::Connect(addr) => self.effects.push(EdgeEffect::Connect(addr)),
+            SubscriptionEffect::Disconnect(addr) => self.effects.push(EdgeEffect::Disconnect(addr)),
+            SubscriptionEffect::Renew {
+                conn,
+                no,
+                unverified,
+            } => self.send_renewal(conn, no, unverified),
+            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
+            SubscriptionEffect::Woken(cause) => self.log_event(LogEvent::Woken, cause),
+            SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
+            SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
+        }
     }
 
-    fn look(&mut self, request_id: u64) {
-        let Some(c) = self.pull.conn else {
-            self.out.push(EdgeEffect::Looked(request_id, false));
-            return;
+    fn send_renewal(&mut self, conn: Conn, no: u64, unverified: Unverified) {
+        let payload = Payload::Renew {
+            no,
+            have: self.pull.have.clone(),
+            edge_status: self.edge_status(),
+            unverified,
         };
-        let f = self.pull.renew(c, self.now);
-        self.looks.push((request_id, self.pull.last_no()));
-        self.pulled(f);
+        self.effects.push(EdgeEffect::Send(conn, payload));
     }
 
-    pub(super) fn looked(&mut self, no: u64, ok: bool) {
-        let (ready, wait): (Vec<_>, Vec<_>) = self.looks.drain(..).partition(|(_, n)| *n <= no);
-        self.looks = wait;
-        for (request_id, _) in ready {
-            self.out.push(EdgeEffect::Looked(request_id, ok));
+    fn edge_status(&self) -> EdgeStatus {
+        let counters = &self.table.counters;
+        EdgeStatus {
+            version: self.cluster.snapshot.view.version,
+            lease: self.ready().is_ok(),
+            running: self.table.requests.len() as u32,
+            first: counters.accepted,
+            again: counters.retries,
+            shed: counters.rejected,
+            took: self.route_latencies(),
         }
     }
+
+    /// Latency totals of the routes in the current configuration.
+    fn route_latencies(&self) -> Vec<RouteLatency> {
+        let totals = self.table.latency_totals.iter();
+        totals
+            .filter(|((route, _), _)| self.cluster.route(route).is_ok())
+            .map(|((route, service), (count, total_ms))| RouteLatency {
+                route: route.clone(),
+                service: service.clone(),
+                n: *count,
+                ms: *total_ms,
+            })
+            .collect()
+    }
 }
--- a/sorreldoor/src/gateway/mod.rs
+++ b/sorreldoor/src/gateway/mod.rs
@@ -1,12 +1,17 @@
-//! The edge node: callers' errands, under a setup it can show is current.
+//! The edge node: accepts callers' requests and sends them to workers, while
+//! it holds a lease that proves its configuration current.
 
 mod api;
 mod controller;
+mod event;
+mod queries;
 mod relay;
+mod releases;
 pub mod request_table;
 mod run;
 mod session;
 mod status;
 
-pub use controller::{EdgeController, EdgeEffect, EdgeEvent};
+pub use controller::EdgeController;
+pub use event::{EdgeEffect, EdgeEvent};
 pub use run::{run, run_with};
--- /dev/null
+++ b/sorreldoor/src/gateway/queries.rs
@@ -0,0 +1,92 @@
+//! Queries and proposals of callers and operators.
+
+use super::controller::EdgeController;
+use super::event::EdgeEffect;
+use crate::error::ErrorCode;
+use crate::gateway::request_table::{RequestId, RequestSpec};
+use crate::json::Val;
+use crate::wire::{OpOutcome, Payload};
+use simd_json::prelude::*;
+
+impl EdgeController {
+    /// Answers which edges a caller should send such a request to.
+    pub(super) fn locate_edges(&mut self, request_id: RequestId, spec: &RequestSpec) {
+        let edges = self.check_open().and_then(|()| self.edges_for(spec));
+        self.effects
+            .push(EdgeEffect::EdgesLocated(request_id, edges));
+    }
+
+    fn edges_for(&self, spec: &RequestSpec) -> Result<Vec<String>, ErrorCode> {
+        let (configuration, index) = self.cluster.route(&spec.route)?;
+        let home_bound = configuration.routes[index as usize].home;
+        if home_bound && spec.home.is_none() {
+            return Err(ErrorCode::BadErrand);
+        }
+        let region = spec.home.or(Some(self.cluster.region));
+        let edges = self.cluster.edges_for(region, home_bound, &spec.key);
+        if edges.is_empty() {
+            return Err(ErrorCode::NoWorker);
+        }
+        Ok(edges)
+    }
+
+    /// Explains where a request would go now.
+    pub(super) fn explain(&mut self, request_id: RequestId, spec: RequestSpec) {
+        let explanation = self.check_open().and_then(|()| self.explanation(spec));
+        self.effects.push(match explanation {
+            Ok(v) => EdgeEffect::Status(request_id, v.encode()),
+            Err(error_code) => EdgeEffect::EdgesLocated(request_id, Err(error_code)),
+        });
+    }
+
+    fn explanation(&self, spec: RequestSpec) -> Result<Val, ErrorCode> {
+        let region = spec.home.unwrap_or(self.cluster.region);
+        if region == self.cluster.region {
+            return self.table.explain(&self.cluster, spec);
+        }
+        // only an edge of that region knows what it would do
+        let edges = self.cluster.edges_for(Some(region), true, &spec.key);
+        let edge = edges.first().cloned().ok_or(ErrorCode::NoWorker)?;
+        let mut v = Val::object();
+        let _ = v.insert("ask", edge);
+        Ok(v)
+    }
+
+    /// Sends a proposal, or a query for one, to the control plane.
+    pub(super) fn forward_proposal(&mut self, request_id: RequestId, payload: Payload) {
+        let Some(conn) = self.pull.conn else {
+            // nothing has left this node, so the change is certainly not made
+            let outcome = OpOutcome::NotTaken;
+            self.effects
+                .push(EdgeEffect::ProposalResult(request_id, outcome));
+            return;
+        };
+        self.pending_proposals.insert(request_id, conn);
+        self.effects.push(EdgeEffect::Send(conn, payload));
+    }
+
+    /// Reads the configuration: a renewal sent now proves it current.
+    pub(super) fn read_configuration(&mut self, request_id: RequestId) {
+        let Some(conn) = self.pull.conn else {
+            self.effects
+                .push(EdgeEffect::ConfigurationRead(request_id, false));
+            return;
+        };
+        let renewal = self.pull.renew(conn, self.now);
+        self.pending_reads.push((request_id, self.pull.last_no()));
+        self.on_subscription_effect(renewal);
+    }
+
+    /// Answers the reads that the renewal `no`, or an earlier one, proves.
+    pub(super) fn complete_reads(&mut self, no: u64) {
+        let (proved, pending): (Vec<_>, Vec<_>) = self
+            .pending_reads
+            .drain(..)
+            .partition(|(_, renewal)| *renewal <= no);
+        self.pending_reads = pending;
+        for (request_id, _) in proved {
+            self.effects
+                .push(EdgeEffect::ConfigurationRead(request_id, true));
+        }
+    }
+}
--- a/sorreldoor/src/gateway/relay.rs
+++ b/sorreldoor/src/gateway/relay.rs
@@ -1,9 +1,9 @@
 //! A worker's side of one errand: connect, wait for the word, send, and bring
 //! the result back whole, or a stream event by event.
 
-use super::controller::EdgeEvent;
+use super::event::EdgeEvent;
 use crate::error::ErrorCode;
-use crate::gateway::request_table::AttemptEvent;
+use crate::gateway::request_table::{AttemptEvent, AttemptReport};
 use crate::http::{self, Broke, Call};
 use crate::invariants::{broken, Invariant};
 use crate::json;
@@ -76,19 +76,19 @@
         let (request_id, token) = (self.request_id, self.token);
         let _ = self
             .ring
-            .send(EdgeEvent::AttemptEvent {
+            .send(EdgeEvent::Attempt(AttemptReport {
                 request_id,
                 token,
-                told,
-            })
+                event: told,
+            }))
             .await;
     }
 
     pub async fn run(self, to: SocketAddr) {
         let Ok(s) = http::open(to, OPEN).await else {
-            return self.tell(AttemptEvent::Unsent).await;
+            return self.tell(AttemptEvent::ConnectFailed).await;
         };
-        self.tell(AttemptEvent::Ready).await;
+        self.tell(AttemptEvent::Connected).await;
         let Ok(Word::Go(adapter)) = self.words.recv().await else {
             return;
         };
@@ -96,7 +96,7 @@
         match got.unwrap_or(Err(Broke::Late)) {
             Ok(r) if self.load.streamed && u16::from(r.status()) == 200 => self.stream(r).await,
             Ok(r) => self.whole(r).await,
-            Err(b) => self.tell(AttemptEvent::Broke(kind(b))).await,
+            Err(b) => self.tell(AttemptEvent::Failed(kind(b))).await,
         }
     }
 
@@ -122,13 +122,13 @@
         let got = timeout(self.load.within, http::whole(r, MOST_RESULT)).await;
         let c = match got.unwrap_or(Err(Broke::Late)) {
             Ok(c) => c,
-            Err(b) => return self.tell(AttemptEvent::Broke(kind(b))).await,
+            Err(b) => return self.tell(AttemptEvent::Failed(kind(b))).await,
         };
         if !ran && (c.status == 503 || c.status == 429) {
-            return self.tell(AttemptEvent::NotRun).await;
+            return self.tell(AttemptEvent::NotExecuted).await;
         }
         if let Some(p) = self.wrong(&c) {
-            return self.tell(AttemptEvent::Broke(p)).await;
+            return self.tell(AttemptEvent::Failed(p)).await;
         }
         let brought = Brought::Whole {
             status: c.status,
@@ -137,7 +137,7 @@
             body: c.body,
         };
         let _ = self.hand.try_send(brought);
-        self.tell(AttemptEvent::Whole).await;
+        self.tell(AttemptEvent::Complete).await;
     }
 
     /// Why a result is not this errand's, though it came whole.
@@ -166,11 +166,11 @@
             } else {
                 ErrorCode::WrongErrand
             };
-            return self.tell(AttemptEvent::Broke(p)).await;
+            return self.tell(AttemptEvent::Failed(p)).await;
         }
         let (tx, rx) = bounded(EVENTS);
         let _ = self.hand.try_send(Brought::Stream(rx));
-        self.tell(AttemptEvent::Begun).await;
+        self.tell(AttemptEvent::StreamStarted).await;
         let lines = BufReader::new(r.take_body());
         let end = timeout(self.load.within, self.relay(lines, &tx))
             .await
@@ -178,12 +178,12 @@
         let told = match end {
             Ok(()) => {
                 let _ = tx.send(Piece::End).await;
-                AttemptEvent::Ended
+                AttemptEvent::StreamEnded
             }
             Err(p) => {
                 // the reader must see that this is no end
                 let _ = tx.send(Piece::Broke(p)).await;
-                AttemptEvent::Broke(p)
+                AttemptEvent::Failed(p)
             }
         };
         self.tell(told).await;
--- /dev/null
+++ b/sorreldoor/src/gateway/request_table/budgets.rs
@@ -0,0 +1,70 @@
+//! Budgets that bound the load an edge adds by retries and the traffic that
+//! it sends to other regions.
+
+use crate::invariants::{broken, Invariant};
+use std::collections::BTreeMap;
+
+/// One request, in the unit of both budgets (hundredths of a request).
+const ONE_REQUEST: u64 = 100;
+/// Most that the retry budget accumulates: two retries.
+const MAX_RETRY_BALANCE: u64 = 2 * ONE_REQUEST;
+/// Most that the spill budget accumulates for each region: two requests.
+const MAX_SPILL_BALANCE: u64 = 2 * ONE_REQUEST;
+
+/// Retry budget: retries as a share of first attempts, as in Finagle. Unused
+/// balance is kept up to [`MAX_RETRY_BALANCE`].
+#[derive(Clone, Debug, Default)]
+pub struct RetryBudget {
+    /// In hundredths of a retry.
+    balance: u64,
+}
+
+impl RetryBudget {
+    /// Credits the budget for a first attempt.
+    pub fn deposit(&mut self, percent: u32) {
+        self.balance = (self.balance + u64::from(percent)).min(MAX_RETRY_BALANCE);
+    }
+
+    /// Takes one retry from the budget; false if it is exhausted.
+    #[must_use]
+    pub fn try_withdraw(&mut self) -> bool {
+        let allowed = self.balance >= ONE_REQUEST || broken(Invariant::Budget);
+        let cost = if allowed { ONE_REQUEST } else { 0 };
+        self.balance = self.balance.saturating_sub(cost);
+        allowed
+    }
+}
+
+/// Budget for requests that spill over to other regions. Every arriving
+/// request credits the configured percentage. The balance is capped low, so
+/// that a quiet hour does not pay for a burst.
+#[derive(Clone, Debug, Default)]
+pub struct SpillBudget {
+    /// In hundredths of a request, by target region.
+    balance: BTreeMap<u8, u64>,
+}
+
+impl SpillBudget {
+    /// Credits the budget for an arriving request, with the configured
+    /// percentage for each target region.
+    pub fn deposit(&mut self, limits: impl Iterator<Item = (u8, u32)>) {
+        for (region, percent) in limits {
+            let balance = self.balance.entry(region).or_default();
+            *balance = (*balance + u64::from(percent)).min(MAX_SPILL_BALANCE);
+        }
+    }
+
+    /// Whether one more request may go to `region`.
+    #[must_use]
+    pub fn allows(&self, region: u8, percent: u32) -> bool {
+        let balance = self.balance.get(&region);
+        percent > 0 && balance.is_some_and(|balance| *balance >= ONE_REQUEST)
+    }
+
+    /// Charges one request that was sent to `region`.
+    pub fn withdraw(&mut self, region: u8) {
+        if let Some(balance) = self.balance.get_mut(&region) {
+            *balance = balance.saturating_sub(ONE_REQUEST);
+        }
+    }
+}
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -1,24 +1,34 @@
-//! Claims as an edge makes them: before an errand that may not be repeated is
-//! sent under an id that its caller chose, the cores must have noted it.
+//! Claims of request ids.
+//!
+//! A request that is not idempotent and carries an id chosen by its caller is
+//! sent only after the control plane has recorded the id for this edge, so
+//! that no other edge sends the same request.
 
-use super::{Plan, RequestEffect, RequestSpec, Stage, Table};
+use super::{ClusterView, RequestEffect, RequestId, RequestSpec, RequestTable, Stage};
 use crate::consensus::Millis;
 use crate::control_plane::KEEP_MS;
 use crate::error::ErrorCode;
 use crate::wire::Verdict;
 
+/// State of a request's claim on its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claim {
-    /// Its id is this edge's own, or it may be repeated.
-    Needless,
-    /// Asked, and when.
-    RequestSpec(Millis),
-    Held,
+pub enum ClaimState {
+    /// The id was generated here, or the request is idempotent.
+    NotRequired,
+    /// Sent to the control plane at this time, not answered yet.
+    Pending(Millis),
+    /// Recorded for this edge.
+    Granted,
 }
 
-const AGAIN_MS: Millis = 400;
+/// Time after which an unanswered claim is sent again.
+const CLAIM_RETRY_MS: Millis = 400;
+/// Most sent ids that are reported to a new control-plane session.
+const MAX_REPORTED_IDS: usize = 4096;
+/// Most sent ids that are remembered.
+const MAX_SENT_IDS: usize = 65_536;
 
-/// What is to be claimed: an id, and how long it is to be remembered.
+/// An id to claim, and how long the control plane is to remember it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     pub id: String,
@@ -26,101 +36,126 @@
 }
 
 impl ClaimRequest {
-    pub fn of(a: &RequestSpec, cutoff_ms: Millis) -> ClaimRequest {
+    /// The claim for a request that runs for at most `timeout_ms`.
+    pub fn new(spec: &RequestSpec, timeout_ms: Millis) -> ClaimRequest {
         ClaimRequest {
-            id: a.id.clone(),
-            keep_ms: cutoff_ms + KEEP_MS,
+            id: spec.id.clone(),
+            keep_ms: timeout_ms + KEEP_MS,
         }
     }
 }
 
-impl Table {
-    /// The cores' word on a claim.
-    pub fn claimed(
+/// The control plane's answer to a claim.
+#[derive(Clone, Copy, Debug)]
+pub struct ClaimResult<'a> {
+    pub request_id: RequestId,
+    pub id: &'a str,
+    pub verdict: Verdict,
+}
+
+impl RequestTable {
+    /// Handles the control plane's answer to a claim.
+    pub fn on_claim_result(
         &mut self,
-        p: &mut Plan,
-        request_id: u64,
-        id: &str,
-        said: Verdict,
-        lease: bool,
+        cluster: &mut ClusterView,
+        result: ClaimResult,
+        lease_valid: bool,
         now: Millis,
     ) {
-        let Some(e) = self.rows.get_mut(&request_id).filter(|e| e.asked.id == id) else {
+        let request_id = result.request_id;
+        let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
-        if !matches!(e.claim, Claim::RequestSpec(_)) {
+        let pending = matches!(request.claim, ClaimState::Pending(_));
+        if request.spec.id != result.id || !pending {
             return;
         }
-        if said == Verdict::Yes {
-            e.claim = Claim::Held;
-            if let (Stage::Opening(i), true) = (e.stage, e.ready) {
-                self.hand_over(p, request_id, i, lease, now);
-            }
-            return;
+        if result.verdict != Verdict::Yes {
+            return self.reject_unclaimed(cluster, request_id, result.verdict, now);
         }
-        let token = e.token;
-        if let Stage::Opening(i) = e.stage {
-            p.done(i);
-            self.out.push(RequestEffect::Drop { request_id, token });
+        request.claim = ClaimState::Granted;
+        if let (Stage::Connecting(worker), true) = (request.stage, request.connected) {
+            self.authorize_send(cluster, request_id, worker, lease_valid, now);
         }
-        // some cores may have noted it, and it must not stand in the way
-        self.forget(request_id);
-        let why = match said {
+    }
+
+    fn reject_unclaimed(
+        &mut self,
+        cluster: &mut ClusterView,
+        request_id: RequestId,
+        verdict: Verdict,
+        now: Millis,
+    ) {
+        self.abort_connecting(cluster, request_id);
+        // some replicas may have recorded the claim, so it is released
+        self.remove(request_id);
+        let error_code = match verdict {
             Verdict::Full => ErrorCode::ClaimsFull,
             _ => ErrorCode::AlreadyTaken,
         };
-        self.shed(request_id, why, now);
+        self.reject(request_id, error_code, now);
     }
 
-    /// Ask again for claims that have had no answer.
-    pub fn pass_claims(&mut self, now: Millis) {
-        for (request_id, e) in &mut self.rows {
-            if matches!(e.claim, Claim::RequestSpec(t) if now.saturating_sub(t) >= AGAIN_MS) {
-                e.claim = Claim::RequestSpec(now);
-                let claim = ClaimRequest::of(&e.asked, e.cutoff - e.since);
-                self.out.push(RequestEffect::Claim {
-                    request_id: *request_id,
-                    claim,
-                });
+    /// Sends claims again that have not been answered in time.
+    pub fn retry_pending_claims(&mut self, now: Millis) {
+        for (request_id, request) in &mut self.requests {
+            let ClaimState::Pending(sent_at) = request.claim else {
+                continue;
+            };
+            if now.saturating_sub(sent_at) < CLAIM_RETRY_MS {
+                continue;
             }
+            request.claim = ClaimState::Pending(now);
+            let claim = ClaimRequest::new(&request.spec, request.timeout_ms());
+            let request_id = *request_id;
+            self.effects
+                .push(RequestEffect::Claim { request_id, claim });
         }
     }
 
-    /// Take an errand out of the table; a claim on what never left is given up.
-    pub(super) fn forget(&mut self, request_id: u64) {
-        let Some(e) = self.rows.remove(&request_id) else {
+    /// Removes a request; the claim of one that was never sent is released.
+    pub(super) fn remove(&mut self, request_id: RequestId) {
+        let Some(request) = self.requests.remove(&request_id) else {
             return;
         };
-        if e.claim != Claim::Needless && !e.left {
-            let id = e.asked.id;
-            self.out.push(RequestEffect::Release { request_id, id });
+        if request.claim != ClaimState::NotRequired && !request.possibly_sent {
+            let id = request.spec.id;
+            self.effects.push(RequestEffect::Release { request_id, id });
         }
     }
 
-    /// Note an id that was sent from here.
-    pub(super) fn remember(&mut self, id: String, request_id: u64, until: Millis, now: Millis) {
+    /// Records an id as sent from here, and forgets expired ones.
+    ///
+    /// The control plane holds the authoritative record; this one only spares
+    /// a round trip.
+    pub(super) fn record_sent_id(
+        &mut self,
+        id: String,
+        request_id: RequestId,
+        until: Millis,
+        now: Millis,
+    ) {
         self.sent_ids.insert(id.clone(), request_id);
         self.sent_order.push_back((until, id, request_id));
-        // the cores remember for sure; this only spares asking them
-        while let Some((t, id, of)) = self.sent_order.front().cloned() {
-            if t > now && self.sent_order.len() <= super::REMEMBERED {
+        while let Some((until, id, owner)) = self.sent_order.front().cloned() {
+            if until > now && self.sent_order.len() <= MAX_SENT_IDS {
                 break;
             }
             self.sent_order.pop_front();
-            if self.sent_ids.get(&id) == Some(&of) {
+            if self.sent_ids.get(&id) == Some(&owner) {
                 self.sent_ids.remove(&id);
             }
         }
     }
 
-    /// Ids sent from here of late, for cores that may have lost them.
-    pub fn sent_lately(&self) -> Vec<(String, u64)> {
+    /// Ids sent from here, newest first, for replicas that may have lost them.
+    pub fn recently_sent_ids(&self) -> Vec<(String, RequestId)> {
         self.sent_order
             .iter()
             .rev()
             .filter(|(_, id, request_id)| self.sent_ids.get(id) == Some(request_id))
             .map(|(_, id, request_id)| (id.clone(), *request_id))
-            .take(4096)
+            .take(MAX_REPORTED_IDS)
             .collect()
     }
 }
--- a/sorreldoor/src/gateway/request_table/explain.rs
+++ b/sorreldoor/src/gateway/request_table/explain.rs
@@ -1,136 +1,129 @@
-//! What would become of an errand now, told to operators by the very
-//! functions that serve it.
+//! Explains to operators where a request would go now, by the same functions
+//! that serve requests.
 
-use super::{Claim, Plan, Request, RequestSpec, Stage, Table};
-use crate::configuration::{Kind, Route};
+use super::matching::Match;
+use super::{ClusterView, Request, RequestSpec, RequestTable};
+use crate::configuration::{Configuration, Kind, Route};
 use crate::error::ErrorCode;
 use crate::json::Val;
-use crate::placement::{self, PlacementRequest};
+use crate::placement::{self, Candidate, PlacementRequest};
+use crate::replicated_state::Recovery;
+use crate::weight_tuning;
 use simd_json::prelude::*;
 
-impl Table {
-    /// The way of an errand that came to this edge now.
-    pub fn explain(&self, p: &Plan, a: RequestSpec) -> Result<Val, ErrorCode> {
-        let s = p.configuration.clone().ok_or(ErrorCode::NoConfiguration)?;
-        let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
-        let r = &s.routes[route as usize];
-        let e = trial(&a, route);
-        let got = self.place(p, &e);
+impl RequestTable {
+    /// Where a request would go if it arrived at this edge now.
+    ///
+    /// # Errors
+    /// `NoConfiguration` or `UnknownRoute`.
+    pub fn explain(&self, cluster: &ClusterView, spec: RequestSpec) -> Result<Val, ErrorCode> {
+        let (configuration, index) = cluster.route(&spec.route)?;
+        let route = &configuration.routes[index as usize];
+        let request = Request::new(spec.clone(), index, 0, 0);
+        let chosen = self.find_worker(cluster, &request);
+        let worker = chosen.map(|chosen| worker_json(cluster, chosen.placement.worker));
+        let service = chosen.map(|chosen| {
+            let service = chosen.placement.service as usize;
+            configuration.services[service].name.clone()
+        });
+        let edges = cluster.edges_for(Some(cluster.region), route.home, &spec.key);
         let mut v = Val::object();
-        let _ = v.insert("route", r.name.as_str());
-        let _ = v.insert("key", a.key.as_str());
-        let _ = v.insert("region", p.site.region_name(p.region));
-        let _ = v.insert("serial", p.shown.view.version);
-        let _ = v.insert("edges", p.edges_for(Some(p.region), r.home, &a.key));
-        let _ = v.insert("services", shares(p, &a, route, r));
-        let _ = v.insert("spill", limits(p));
-        let _ = v.insert(
-            "worker",
-            got.map_or(Val::default(), |((_, i), _)| candidate(p, i)),
-        );
-        let chosen = got.map(|((v, _), _)| s.services[v as usize].name.clone());
-        let _ = v.insert("service", chosen);
-        let _ = v.insert("spilt", got.is_some_and(|(_, away)| away));
-        let _ = v.insert("why", why(p, &a, r, got));
+        let _ = v.insert("route", route.name.as_str());
+        let _ = v.insert("key", spec.key.as_str());
+        let _ = v.insert("region", cluster.site.region_name(cluster.region));
+        let _ = v.insert("serial", cluster.snapshot.view.version);
+        let _ = v.insert("edges", edges);
+        let services = services_json(cluster, configuration, &spec, index);
+        let _ = v.insert("services", services);
+        let _ = v.insert("spill", spill_json(cluster, configuration));
+        let _ = v.insert("worker", worker.unwrap_or_default());
+        let _ = v.insert("service", service);
+        let _ = v.insert("spilt", chosen.is_some_and(|chosen| chosen.spilled));
+        let _ = v.insert("why", reason(cluster, &spec, route, chosen));
         Ok(v)
     }
 }
 
-fn trial(a: &RequestSpec, route: u16) -> Request {
-    Request {
-        asked: a.clone(),
+/// The route's services in the order in which they are tried.
+fn services_json(
+    cluster: &ClusterView,
+    configuration: &Configuration,
+    spec: &RequestSpec,
+    route: u16,
+) -> Vec<Val> {
+    let request = PlacementRequest {
         route,
-        service: String::new(),
-        repeats: false,
-        stage: Stage::Waiting,
-        since: 0,
-        cutoff: 0,
-        sent_at: 0,
-        tries: 0,
-        spilt: false,
-        tried: Vec::new(),
-        token: 0,
-        claim: Claim::Needless,
-        ready: false,
-        left: false,
-    }
-}
-
-/// The route's shares in the order in which they are tried for this errand.
-fn shares(p: &Plan, a: &RequestSpec, route: u16, r: &Route) -> Vec<Val> {
-    let Some(s) = &p.configuration else {
-        return Vec::new();
-    };
-    let (key, id) = (a.key.as_str(), a.id.as_str());
-    let ask = PlacementRequest {
-        route,
-        key,
-        id,
+        key: &spec.key,
+        id: &spec.id,
         ..PlacementRequest::default()
     };
-    let ws = &p.shown.view.weights;
-    placement::services(s, ws, &ask)
+    let tuned = &cluster.snapshot.view.weights;
+    let shares = &configuration.routes[route as usize].shares;
+    placement::ranked_services(configuration, tuned, &request)
         .into_iter()
-        .filter_map(|v| r.shares.iter().find(|h| h.service == v))
-        .map(|h| {
-            let tuned = crate::weight_tuning::weight(ws, route, h.service);
-            let mut o = Val::object();
-            let _ = o.insert("service", s.services[h.service as usize].name.as_str());
-            let _ = o.insert("weight", tuned.unwrap_or(h.weight));
-            let _ = o.insert("set", h.weight);
-            let _ = o.insert("least", h.least);
-            let _ = o.insert("most", h.most);
-            o
+        .filter_map(|service| shares.iter().find(|share| share.service == service))
+        .map(|share| {
+            let weight = weight_tuning::weight(tuned, route, share.service);
+            let service = &configuration.services[share.service as usize];
+            let mut v = Val::object();
+            let _ = v.insert("service", service.name.as_str());
+            let _ = v.insert("weight", weight.unwrap_or(share.weight));
+            let _ = v.insert("set", share.weight);
+            let _ = v.insert("least", share.least);
+            let _ = v.insert("most", share.most);
+            v
         })
         .collect()
 }
 
-fn limits(p: &Plan) -> Val {
+fn spill_json(cluster: &ClusterView, configuration: &Configuration) -> Val {
     let mut v = Val::object();
-    let all = p.configuration.iter().flat_map(|s| s.spill.iter());
-    for ((from, to), n) in all.filter(|((from, _), _)| *from == p.region) {
-        debug_assert!(from != to);
-        let _ = v.insert(p.site.region_name(*to).to_string(), *n);
+    for (region, percent) in cluster.spill_limits(configuration) {
+        debug_assert!(region != cluster.region);
+        let _ = v.insert(cluster.site.region_name(region).to_string(), percent);
     }
     v
 }
 
-fn candidate(p: &Plan, i: usize) -> Val {
-    let mut o = Val::object();
-    if let Some(w) = p.candidates.get(i).and_then(|w| w.as_ref()) {
-        let _ = o.insert("name", w.name.as_str());
-        let _ = o.insert("zone", p.site.zone_name(w.zone));
-        let _ = o.insert("region", p.site.region_name(w.region));
-        let _ = o.insert("busy", w.busy);
-        let _ = o.insert("slots", w.slots);
-        let _ = o.insert("cap", w.cap);
+fn worker_json(cluster: &ClusterView, worker: usize) -> Val {
+    let mut v = Val::object();
+    if let Some(candidate) = cluster.candidate(worker) {
+        let _ = v.insert("name", candidate.name.as_str());
+        let _ = v.insert("zone", cluster.site.zone_name(candidate.zone));
+        let _ = v.insert("region", cluster.site.region_name(candidate.region));
+        let _ = v.insert("busy", candidate.in_flight);
+        let _ = v.insert("slots", candidate.slots);
+        let _ = v.insert("cap", candidate.total_limit);
     }
-    o
+    v
 }
 
-fn why(p: &Plan, a: &RequestSpec, r: &Route, got: Option<((u16, usize), bool)>) -> String {
-    let Some(((_, i), away)) = got else {
-        return if p.evacuated(p.zone) {
+fn reason(
+    cluster: &ClusterView,
+    spec: &RequestSpec,
+    route: &Route,
+    chosen: Option<Match>,
+) -> String {
+    let Some(chosen) = chosen else {
+        return if cluster.is_evacuated(cluster.zone) {
             "this edge's zone is emptied".into()
         } else {
             "no worker that the setup allows has room now; it would wait".into()
         };
     };
-    let full = |w: &placement::Candidate| w.busy >= w.slots.min(w.cap);
-    let busy = p.candidates[i].as_ref().is_some_and(full);
-    let first = match r.kind {
-        Kind::Prefix if !a.key.is_empty() && !busy => {
+    let candidate = cluster.candidate(chosen.placement.worker);
+    let full = candidate.is_some_and(Candidate::is_full);
+    let choice = match route.kind {
+        Kind::Prefix if !spec.key.is_empty() && !full => {
             "the highest-ranked worker for this prefix that is not full"
         }
         Kind::Prefix => "the least full worker, since those ranked for this prefix are full",
         _ => "the least full worker",
     };
-    let place = match (away, p.recovery(p.region)) {
+    let location = match (chosen.spilled, cluster.recovery(cluster.region)) {
         (true, _) => " in another region, within the spill limit",
-        (false, crate::replicated_state::Recovery::Returning(_)) => {
-            " here; the region is returning"
-        }
+        (false, Recovery::Returning(_)) => " here; the region is returning",
         _ => " here",
     };
-    format!("{first}{place}")
+    format!("{choice}{location}")
 }
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -1,10 +1,11 @@
 //! The edge's daemon: threads and rings around the edge controller.
 
 use super::api::Api;
-use super::controller::{EdgeController, EdgeEffect, EdgeEvent};
+use super::controller::EdgeController;
+use super::event::{EdgeEffect, EdgeEvent};
 use super::relay::{Brought, Load, Task, Word};
 use crate::error::ErrorCode;
-use crate::gateway::request_table::{Plan, RequestEffect, RequestProfile};
+use crate::gateway::request_table::{ClusterView, RequestEffect, RequestProfile};
 use crate::http;
 use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent, Ring};
@@ -104,7 +105,7 @@
         incarnation: crate::order_id::random_id(),
         ..Hello::default()
     };
-    let plan = Plan::new(set.names.clone(), set.node.clone(), set.zone, set.region);
+    let cluster = ClusterView::new(set.names.clone(), set.node.clone(), set.zone, set.region);
     let pull = Pull::new(&set.seeds, set.lease_ms, 0, clock.now().wall)
         .named(&set.node)
         .paced(&set.pacing);
@@ -128,8 +129,8 @@
     log_event(LogEvent::Started, format!("edge {}", set.node));
     log_event(LogEvent::Listening, format!("http {}", set.http));
     crate::run::ticker(ring.clone(), TICK, || EdgeEvent::Tick);
-    crate::run::on_term(ring.clone(), || EdgeEvent::Stop)?;
-    let mut controller = EdgeController::new(me, plan, pull);
+    crate::run::on_term(ring.clone(), || EdgeEvent::Shutdown)?;
+    let mut controller = EdgeController::new(me, cluster, pull);
     let mut hand = Daemon {
         net,
         set,
@@ -169,19 +170,24 @@
         // ring, so only what the table has let go of is forgotten
         if Instant::now() >= self.sweep_at {
             self.sweep_at = Instant::now() + Duration::from_secs(1);
-            let held: HashSet<u64> = controller.table.rows.values().map(|e| e.token).collect();
+            let held: HashSet<u64> = controller
+                .table
+                .requests
+                .values()
+                .map(|e| e.token)
+                .collect();
             self.tasks.retain(|t, _| held.contains(t));
         }
-        if controller.leaving && self.stop_at.is_none() {
+        if controller.is_leaving() && self.stop_at.is_none() {
             self.stop_at = Some(Instant::now() + Duration::from_millis(self.set.drain_ms));
         }
         // what runs is finished, up to the cutoff the settings give; then
         // nothing more is let in, and who is in hears a last word
         let Some(end) = self.stop_at else { return true };
-        if controller.idle() {
+        if controller.is_idle() {
             self.gate.shut();
         }
-        let done = controller.idle() && self.gate.open() == 0;
+        let done = controller.is_idle() && self.gate.open() == 0;
         !done && Instant::now() < end
     }
 
@@ -192,18 +198,18 @@
             }
             EdgeEffect::Connect(a) => self.net.dial(a, self.set.reached(a)),
             EdgeEffect::Disconnect(a) => self.net.undial(a),
-            EdgeEffect::Come(request_id, s) => self.desk.give(request_id, Reply::Come(s)),
-            EdgeEffect::Where(request_id, r) => self.desk.give(request_id, Reply::Where(r)),
-            EdgeEffect::Done(request_id, o) => self.desk.give(request_id, Reply::Done(o)),
-            EdgeEffect::Looked(request_id, ok) => {
-                let v = Box::new(controller.plan.shown.view.clone());
+            EdgeEffect::Admitted(request_id, s) => self.desk.give(request_id, Reply::Come(s)),
+            EdgeEffect::EdgesLocated(request_id, r) => self.desk.give(request_id, Reply::Where(r)),
+            EdgeEffect::ProposalResult(request_id, o) => self.desk.give(request_id, Reply::Done(o)),
+            EdgeEffect::ConfigurationRead(request_id, ok) => {
+                let v = Box::new(controller.cluster.snapshot.view.clone());
                 self.desk.give(request_id, Reply::Looked(ok, v));
             }
             EdgeEffect::Status(request_id, text) => {
                 let ready = controller.ready();
                 self.desk.give(request_id, Reply::Status { text, ready });
             }
-            EdgeEffect::Say(ev, about) => log_event(ev, about),
+            EdgeEffect::Log(ev, about) => log_event(ev, about),
             EdgeEffect::Request(f) => self.request(f),
         }
     }
@@ -212,28 +218,28 @@
 impl Daemon {
     fn request(&mut self, f: RequestEffect) {
         match f {
-            RequestEffect::Open {
+            RequestEffect::Connect {
                 request_id,
                 token,
                 addr,
                 ..
             } => self.open(request_id, token, addr),
-            RequestEffect::Go { token, adapter, .. } => self.word(token, Word::Go(adapter)),
-            RequestEffect::Drop { token, .. } => {
+            RequestEffect::Send { token, adapter, .. } => self.word(token, Word::Go(adapter)),
+            RequestEffect::Abort { token, .. } => {
                 self.word(token, Word::Drop);
                 self.tasks.remove(&token);
             }
-            RequestEffect::Shed {
+            RequestEffect::Reject {
                 request_id,
                 error_code,
                 retry_after_s,
             } => self
                 .desk
                 .give(request_id, Reply::Shed(error_code, retry_after_s)),
-            RequestEffect::Elsewhere { request_id, addr } => {
+            RequestEffect::Redirect { request_id, addr } => {
                 self.desk.give(request_id, Reply::Elsewhere(addr))
             }
-            RequestEffect::Give { request_id, token } => {
+            RequestEffect::Respond { request_id, token } => {
                 let got = self
                     .tasks
                     .get(&token)
@@ -242,8 +248,8 @@
                     self.desk.give(request_id, Reply::Brought(b));
                 }
             }
-            RequestEffect::Unknown { .. }
-            | RequestEffect::Bad { .. }
+            RequestEffect::OutcomeUnknown { .. }
+            | RequestEffect::AttemptFailed { .. }
             | RequestEffect::Claim { .. }
             | RequestEffect::Release { .. } => {}
         }
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -1,223 +1,172 @@
-//! The edge's session with a core: frames in, news taken, no step back.
+//! The edge's session with the control plane: frames received, and the state
+//! that they bring.
 
-use super::controller::{EdgeController, EdgeEffect};
-use crate::consensus::{ClaimRecord, Millis};
-use crate::control_plane::KEEP_MS;
+use super::controller::EdgeController;
+use super::event::EdgeEffect;
 use crate::discovery::WorkerRegistry;
-use crate::gateway::request_table::ClaimRequest;
+use crate::gateway::request_table::{ClaimResult, RequestId};
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::subscription::Granted;
-use crate::wire::*;
+use crate::wire::{EncodedUpdate, OpOutcome, Payload, StateDelta, LARGE_UPDATE};
+use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Ends of claims that are told again, at most, and how often.
-const FREES: usize = 65_536;
-const FREE_AGAIN: Millis = 500;
-
 impl EdgeController {
-    pub(super) fn net(&mut self, n: NetEvent) {
-        match n {
-            NetEvent::Up { conn, dialled } => {
-                let h = self.me.clone();
-                self.out.push(EdgeEffect::Send(conn, Payload::Hello(h)));
-                if let Some(a) = dialled {
-                    let fx = self.pull.up(conn, a, self.now);
-                    fx.into_iter().for_each(|f| self.pulled(f));
-                    self.log_event(LogEvent::SessionUp, a.to_string());
-                    self.retell(conn);
-                }
-            }
-            NetEvent::Down { conn } => {
-                self.pull.down(conn);
-                let lost: Vec<u64> = self
-                    .changes
-                    .iter()
-                    .filter(|(_, c)| **c == conn)
-                    .map(|(r, _)| *r)
-                    .collect();
-                for request_id in lost {
-                    self.changes.remove(&request_id);
-                    // it left on that session, so it may have been taken
-                    self.out
-                        .push(EdgeEffect::Done(request_id, OpOutcome::Unknown));
-                }
-            }
-            NetEvent::Frame { conn, payload } => self.frame(conn, *payload),
+    pub(super) fn on_net_event(&mut self, event: NetEvent) {
+        match event {
+            NetEvent::Up { conn, dialled } => self.on_connected(conn, dialled),
+            NetEvent::Down { conn } => self.on_disconnected(conn),
+            NetEvent::Frame { conn, payload } => self.on_payload(conn, *payload),
+        }
+    }
+
+    fn on_connected(&mut self, conn: Conn, dialled: Option<SocketAddr>) {
+        let hello = Payload::Hello(self.hello.clone());
+        self.effects.push(EdgeEffect::Send(conn, hello));
+        let Some(addr) = dialled else { return };
+        for effect in self.pull.up(conn, addr, self.now) {
+            self.on_subscription_effect(effect);
+        }
+        self.log_event(LogEvent::SessionUp, addr.to_string());
+        self.report_sent_ids(conn);
+    }
+
+    fn on_disconnected(&mut self, conn: Conn) {
+        self.pull.down(conn);
+        let lost: Vec<RequestId> = self
+            .pending_proposals
+            .iter()
+            .filter(|(_, sent_on)| **sent_on == conn)
+            .map(|(request_id, _)| *request_id)
+            .collect();
+        for request_id in lost {
+            // it was sent on that connection, so it may have been accepted
+            self.on_proposal_result(request_id, OpOutcome::Unknown);
         }
     }
 
-    fn frame(&mut self, conn: Conn, p: Payload) {
-        match p {
+    fn on_payload(&mut self, conn: Conn, payload: Payload) {
+        match payload {
             Payload::Grant { no, ok, delta } => self.on_grant(no, ok, delta),
             Payload::ClaimResult {
                 request_id,
                 id,
                 said,
             } => {
-                let (now, lease) = (self.now, self.pull.lease(self.now));
+                let result = ClaimResult {
+                    request_id,
+                    id: &id,
+                    verdict: said,
+                };
+                let lease_valid = self.pull.lease(self.now);
                 self.table
-                    .claimed(&mut self.plan, request_id, &id, said, lease, now);
-            }
-            Payload::Released { request_id } => {
-                self.frees.remove(&request_id);
+                    .on_claim_result(&mut self.cluster, result, lease_valid, self.now);
             }
+            Payload::Released { request_id } => self.pending_releases.confirm(request_id),
             Payload::OpDone {
                 request_id,
                 outcome,
-            } => self.on_done(request_id, outcome),
-            // renewals are sign of life enough on the session's own line
+            } => self.on_proposal_result(request_id, outcome),
+            // on the session's own connection renewals serve as heartbeats
             Payload::Ping { .. } if self.pull.conn == Some(conn) => {}
-            Payload::Ping { .. } => self
-                .out
-                .push(EdgeEffect::Send(conn, Payload::Ping { no: 0 })),
-            Payload::WorkerRegistry(r) => self.take_registry(r),
+            Payload::Ping { .. } => {
+                let pong = Payload::Ping { no: 0 };
+                self.effects.push(EdgeEffect::Send(conn, pong));
+            }
+            Payload::WorkerRegistry(registry) => self.apply_registry(registry),
             _ => {}
         }
     }
 
     fn on_grant(&mut self, no: u64, ok: bool, delta: StateDelta) {
-        // news from a core that could not prove itself may be old, and is
-        // taken only by an edge that has none at all
-        let some = delta.record.as_ref().is_some_and(|r| r.has_document);
+        // state from a core that could not prove itself may be old, and is
+        // applied only by an edge that has none at all
+        let has_document = delta.record.as_ref().is_some_and(|r| r.has_document);
         if delta.record_withheld {
             self.pull.withheld(no, self.now);
             return;
         }
-        match self.pull.granted(no, ok, some, self.now) {
+        match self.pull.granted(no, ok, has_document, self.now) {
             Granted::Proved => {
                 self.apply_delta(delta);
-                self.looked(no, true);
+                self.complete_reads(no);
             }
             Granted::Unverified => self.apply_delta(delta),
             Granted::No => {}
         }
     }
 
-    fn take_registry(&mut self, r: Arc<WorkerRegistry>) {
-        if r.version > self.pull.have.registry {
-            self.pull.have.registry = r.version;
-            self.plan.take_registry(r);
+    fn on_proposal_result(&mut self, request_id: RequestId, outcome: OpOutcome) {
+        if self.pending_proposals.remove(&request_id).is_some() {
+            self.effects
+                .push(EdgeEffect::ProposalResult(request_id, outcome));
         }
     }
 
-    fn on_done(&mut self, request_id: u64, outcome: OpOutcome) {
-        if self.changes.remove(&request_id).is_some() {
-            self.out.push(EdgeEffect::Done(request_id, outcome));
+    fn apply_delta(&mut self, delta: StateDelta) {
+        if let Some(update) = delta.record {
+            self.apply_record(&update);
         }
-    }
-
-    fn apply_delta(&mut self, n: StateDelta) {
-        let was = self.plan.shown.view.version;
-        // an answer that was long on its way must not undo a newer one
-        if let Some(u) = n.record.filter(|u| u.revision > self.pull.have.record) {
-            self.take_update(&u);
-            self.table.apply_configuration(&mut self.plan, self.now);
-            let now = self.plan.shown.view.version;
-            if now != was {
-                self.log_event(LogEvent::ConfigurationAdopted, format!("serial {now}"));
-            }
+        if let Some(registry) = delta.registry {
+            self.apply_registry(registry);
         }
-        if let Some(r) = n.registry {
-            self.take_registry(r);
+        if let Some(loads) = delta.loads {
+            self.pull.have.loads = loads.mark();
+            self.cluster.apply_loads(loads);
         }
-        if let Some(l) = n.loads {
-            self.pull.have.loads = l.mark();
-            self.plan.take_loads(l);
+        if let Some(edge_sessions) = delta.edge_sessions {
+            self.pull.have.edge_sessions = edge_sessions.0;
+            self.cluster.apply_edge_sessions(edge_sessions);
         }
-        if let Some(s) = n.edge_sessions {
-            self.pull.have.edge_sessions = s.0;
-            self.plan.take_seats(s);
+        if let Some((version, cores)) = delta.cores {
+            self.pull.have.cores = version;
+            let own_region = self.hello.region;
+            let cores = cores
+                .iter()
+                .filter_map(|(addr, region)| Some((addr.parse().ok()?, *region == own_region)));
+            self.pull.take_cores(cores.collect());
         }
-        if let Some((at, cores)) = n.cores {
-            self.pull.have.cores = at;
-            let region = self.me.region;
-            let near = |(a, r): &(String, u8)| a.parse().ok().map(|a| (a, *r == region));
-            self.pull
-                .take_cores(cores.iter().filter_map(near).collect());
+    }
+
+    fn apply_record(&mut self, update: &EncodedUpdate) {
+        // a delayed response must not undo a newer one
+        if update.revision <= self.pull.have.record {
+            return;
+        }
+        let old_version = self.cluster.snapshot.view.version;
+        self.apply_update(update);
+        self.table.apply_configuration(&mut self.cluster, self.now);
+        let version = self.cluster.snapshot.view.version;
+        if version != old_version {
+            self.log_event(LogEvent::ConfigurationAdopted, format!("serial {version}"));
         }
     }
 
-    fn take_update(&mut self, encoded: &EncodedUpdate) {
+    fn apply_update(&mut self, encoded: &EncodedUpdate) {
         let update = encoded.update();
-        if !update.as_ref().is_some_and(|u| self.copy.apply(u)) {
-            // it does not lead on from what is here; the whole will
+        if !update.as_ref().is_some_and(|u| self.replica.apply(u)) {
+            // it does not continue from the replica's state: request all of it
             self.pull.have.record = 0;
             return self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
         self.pull.have.record = encoded.revision;
-        if !self.plan.take_view(self.copy.view()) {
+        if !self.cluster.apply_view(self.replica.view()) {
             self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
         if encoded.bytes.len() > LARGE_UPDATE {
-            let conn = self.pull.conn;
-            let renewal = conn.map(|c| self.pull.renew(c, self.now));
-            renewal.into_iter().for_each(|f| self.pulled(f));
-        }
-    }
-
-    /// One try of one life of this edge, unlike any other.
-    fn by(&self, request_id: u64) -> u128 {
-        (u128::from(self.me.incarnation) << 64) | u128::from(request_id)
-    }
-
-    pub(super) fn claim(&mut self, request_id: u64, w: ClaimRequest) {
-        let (id, by, keep_ms) = (w.id, self.by(request_id), w.keep_ms);
-        let claim = ClaimRecord { id, by, keep_ms };
-        // without a session it is asked again by the pass over claims
-        if let Some(c) = self.pull.conn {
-            self.out
-                .push(EdgeEffect::Send(c, Payload::Claim { request_id, claim }));
-        }
-    }
-
-    /// Give a claim up: told again until a majority of cores has heard it, or
-    /// its id would be held by what never ran.
-    pub(super) fn release(&mut self, request_id: u64, id: String) {
-        if self.frees.len() < FREES {
-            self.frees.insert(request_id, (id.clone(), self.now));
-        }
-        self.send_release(request_id, id);
-    }
-
-    fn send_release(&mut self, request_id: u64, id: String) {
-        let by = self.by(request_id);
-        if let Some(c) = self.pull.conn {
-            self.out
-                .push(EdgeEffect::Send(c, Payload::Release { request_id, id, by }));
-        }
-    }
-
-    pub(super) fn releases_alarm(&mut self) {
-        if self.now < self.frees_at {
-            return;
-        }
-        self.frees_at = self.now + FREE_AGAIN;
-        let old = self.now.saturating_sub(KEEP_MS);
-        self.frees.retain(|_, (_, t)| *t > old);
-        let before = self.now.saturating_sub(FREE_AGAIN / 2);
-        let due: Vec<(u64, String)> = self
-            .frees
-            .iter()
-            .filter(|(_, (_, t))| *t <= before)
-            .map(|(request_id, (id, _))| (*request_id, id.clone()))
-            .take(256)
-            .collect();
-        for (request_id, id) in due {
-            self.send_release(request_id, id);
+            // the core sends nothing more before this is acknowledged
+            if let Some(conn) = self.pull.conn {
+                let renewal = self.pull.renew(conn, self.now);
+                self.on_subscription_effect(renewal);
+            }
         }
     }
 
-    /// A core may have lost what it noted; what was sent is told again.
-    fn retell(&mut self, conn: Conn) {
-        let all: Vec<(String, u128)> = self
-            .table
-            .sent_lately()
-            .into_iter()
-            .map(|(id, request_id)| (id, self.by(request_id)))
-            .collect();
-        if !all.is_empty() {
-            self.out.push(EdgeEffect::Send(conn, Payload::Sent { all }));
+    fn apply_registry(&mut self, registry: Arc<WorkerRegistry>) {
+        if registry.version > self.pull.have.registry {
+            self.pull.have.registry = registry.version;
+            self.cluster.apply_registry(registry);
         }
     }
 }
--- a/sorreldoor/src/gateway/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -1,45 +1,53 @@
-//! What an edge shows of itself.
+//! The status of an edge as JSON.
 
 use super::controller::EdgeController;
 use crate::json::Val;
+use crate::operator_api;
 use simd_json::prelude::*;
 
 impl EdgeController {
-    pub fn status(&self) -> Val {
-        let c = &self.table.counts;
+    /// The status that `/v1/status` returns.
+    pub(super) fn status(&self) -> Val {
+        let view = &self.cluster.snapshot.view;
+        let core = self.pull.dialled.map(|addr| addr.to_string());
         let mut v = Val::object();
-        let _ = v.insert("node", self.me.node.as_str());
+        let _ = v.insert("node", self.hello.node.as_str());
         let _ = v.insert("role", "edge");
-        let _ = v.insert("serial", self.plan.shown.view.version);
-        let _ = v.insert("rev", self.plan.shown.view.revision);
+        let _ = v.insert("serial", view.version);
+        let _ = v.insert("rev", view.revision);
         let _ = v.insert("permit_left_ms", self.pull.left(self.now));
         let _ = v.insert("session", self.pull.conn.is_some());
-        let _ = v.insert("core", self.pull.dialled.map(|a| a.to_string()));
+        let _ = v.insert("core", core);
         let _ = v.insert("leaving", self.leaving);
-        let _ = v.insert("open_errands", self.table.rows.len());
-        let s = &self.plan.shown;
-        let zones = crate::operator_api::zones(
-            &self.plan.site,
-            &s.view.evacuated,
-            &s.registry.workers,
-            &s.loads,
-            s.edge_sessions.1.iter().map(|p| (p.zone, p.running)),
-        );
-        let _ = v.insert("zones", zones);
-        let mut n = Val::object();
-        for (k, x) in [
-            ("first", c.first),
-            ("again", c.again),
-            ("served", c.served),
-            ("shed", c.shed),
-            ("unknown", c.unknown),
-            ("broken", c.broken),
-            ("gone", c.gone),
-            ("spilt", c.spilt),
-        ] {
-            let _ = n.insert(k, x);
-        }
-        let _ = v.insert("counts", n);
+        let _ = v.insert("open_errands", self.table.requests.len());
+        let _ = v.insert("zones", self.zones_json());
+        let _ = v.insert("counts", self.counters_json());
+        v
+    }
+
+    fn zones_json(&self) -> Vec<Val> {
+        let snapshot = &self.cluster.snapshot;
+        let edges = snapshot.edge_sessions.1.iter();
+        operator_api::zones(
+            &self.cluster.site,
+            &snapshot.view.evacuated,
+            &snapshot.registry.workers,
+            &snapshot.loads,
+            edges.map(|edge| (edge.zone, edge.running)),
+        )
+    }
+
+    fn counters_json(&self) -> Val {
+        let counters = &self.table.counters;
+        let mut v = Val::object();
+        let _ = v.insert("first", counters.accepted);
+        let _ = v.insert("again", counters.retries);
+        let _ = v.insert("served", counters.served);
+        let _ = v.insert("shed", counters.rejected);
+        let _ = v.insert("unknown", counters.outcome_unknown);
+        let _ = v.insert("broken", counters.broken_streams);
+        let _ = v.insert("gone", counters.disconnected);
+        let _ = v.insert("spilt", counters.spilled);
         v
     }
 }
--- a/sorreldoor/src/placement.rs
+++ b/sorreldoor/src/placement.rs
@@ -1,156 +1,208 @@
-//! Pure placement: which worker an errand should go to, given what is known.
+//! Placement: which worker a request should go to, as a pure function of the
+//! configuration and the state of the workers. Requests with a prefix key are
+//! placed by rendezvous hashing (Thaler and Ravishankar, 1998).
 
 use crate::configuration::{Configuration, Kind};
+use crate::weight_tuning;
 
-/// A worker as placement sees it, under its dense index.
+/// Tuned weights: route index, service index, weight.
+pub type TunedWeights = [(u16, u16, u32)];
+
+/// A worker as placement sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Candidate {
     pub name: String,
     pub group: u16,
     pub zone: u16,
     pub region: u8,
-    /// May take new errands: listed, not leaving, not in an emptied zone, live.
-    pub open: bool,
+    /// Takes new requests: registered, live, neither draining nor in an
+    /// evacuated zone.
+    pub available: bool,
     pub slots: u32,
-    /// Errands running or queued there, as last reported and since.
-    pub busy: u32,
-    /// Errands of this edge that are there now.
-    pub mine: u32,
-    /// Most errands of this edge that may be there at once.
-    pub most: u32,
-    /// Most errands that may be there at once, of all edges.
-    pub cap: u32,
+    /// Requests running or queued there, as reported and sent since.
+    pub in_flight: u32,
+    /// Requests of this edge that are there now.
+    pub own_in_flight: u32,
+    /// Most requests of this edge that may be there at once.
+    pub own_limit: u32,
+    /// Most requests of all edges that may be there at once.
+    pub total_limit: u32,
     pub adapters: Vec<String>,
 }
 
 impl Candidate {
-    fn room(&self) -> bool {
-        self.open && self.mine < self.most && self.busy < self.cap
+    /// Whether it may take one more request, queued or not.
+    fn has_capacity(&self) -> bool {
+        let below_own_limit = self.own_in_flight < self.own_limit;
+        self.available && below_own_limit && self.in_flight < self.total_limit
+    }
+
+    /// Whether a further request would have to queue there.
+    pub fn is_full(&self) -> bool {
+        self.in_flight >= self.slots.min(self.total_limit)
     }
 
-    fn calm(&self) -> bool {
-        self.room() && self.busy < self.slots.min(self.cap)
+    /// Requests in flight per slot, in thousandths.
+    fn utilization(&self) -> u64 {
+        u64::from(self.in_flight) * 1000 / u64::from(self.slots.max(1))
+    }
+
+    fn has_adapter(&self, adapter: &str) -> bool {
+        self.adapters.is_empty() || self.adapters.iter().any(|loaded| loaded == adapter)
     }
 }
 
-/// What matters of an errand for its place.
+/// The properties of a request that its placement depends on.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementRequest<'a> {
+    /// Index of the route in the configuration.
     pub route: u16,
-    /// What spreads errands: the prefix where there is one, else the errand.
+    /// Prefix key; empty if there is none.
     pub key: &'a str,
     pub id: &'a str,
+    /// The only region whose workers may take it.
     pub home: Option<u8>,
     pub adapter: Option<&'a str>,
 }
 
-/// A stable hash of two texts (FNV-1a with a final mix).
+/// Where a request is placed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Placement {
+    /// Index of the service in the configuration.
+    pub service: u16,
+    /// Index of the worker among the candidates.
+    pub worker: usize,
+}
+
+/// A stable hash of two strings (FNV-1a with a final avalanche step).
 pub fn mix(a: &str, b: &str) -> u64 {
-    let mut h = 0xcbf2_9ce4_8422_2325u64;
-    for x in a.bytes().chain([0xff]).chain(b.bytes()) {
-        h = (h ^ u64::from(x)).wrapping_mul(0x0100_0000_01b3);
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    const SEPARATOR: u8 = 0xff;
+    let mut hash = OFFSET_BASIS;
+    for byte in a.bytes().chain([SEPARATOR]).chain(b.bytes()) {
+        hash = (hash ^ u64::from(byte)).wrapping_mul(PRIME);
     }
-    h ^= h >> 33;
-    h = h.wrapping_mul(0xff51_afd7_ed55_8ccd);
-    h ^ (h >> 33)
+    hash ^= hash >> 33;
+    hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
+    hash ^ (hash >> 33)
 }
 
-/// Where the errand's services stand in order, the weighted draw first.
-pub fn services(s: &Configuration, tuned: &[(u16, u16, u32)], a: &PlacementRequest) -> Vec<u16> {
-    let r = &s.routes[a.route as usize];
-    let ws: Vec<(u16, u64)> = r
+/// The route's services with a weight above 0, in the order in which they are
+/// tried. The first is drawn by weight.
+pub fn ranked_services(
+    configuration: &Configuration,
+    tuned: &TunedWeights,
+    request: &PlacementRequest,
+) -> Vec<u16> {
+    let route = &configuration.routes[request.route as usize];
+    let weighted: Vec<(u16, u64)> = route
         .shares
         .iter()
-        .map(|h| {
-            let w = crate::weight_tuning::weight(tuned, a.route, h.service).unwrap_or(h.weight);
-            (h.service, u64::from(w))
+        .map(|share| {
+            let tuned = weight_tuning::weight(tuned, request.route, share.service);
+            (share.service, u64::from(tuned.unwrap_or(share.weight)))
         })
-        .filter(|(_, w)| *w > 0)
+        .filter(|(_, weight)| *weight > 0)
         .collect();
-    let sum: u64 = ws.iter().map(|(_, w)| w).sum();
     // one prefix must keep to one service, or its cache is built twice
-    let by = if r.kind == Kind::Prefix { a.key } else { a.id };
-    let mut at = mix(by, &r.name) % sum.max(1);
-    let mut first = 0;
-    for (i, (_, w)) in ws.iter().enumerate() {
-        if at < *w {
-            first = i;
-            break;
-        }
-        at -= w;
+    let key = if route.kind == Kind::Prefix {
+        request.key
+    } else {
+        request.id
+    };
+    let first = weighted_index(&weighted, mix(key, &route.name));
+    let mut services: Vec<u16> = weighted.iter().map(|(service, _)| *service).collect();
+    if !services.is_empty() {
+        services.rotate_left(first);
     }
-    let mut out: Vec<u16> = ws.iter().map(|(s, _)| *s).collect();
-    if !out.is_empty() {
-        out.rotate_left(first);
+    services
+}
+
+/// The index that a hash draws in proportion to the weights.
+fn weighted_index(weighted: &[(u16, u64)], hash: u64) -> usize {
+    let total: u64 = weighted.iter().map(|(_, weight)| weight).sum();
+    let mut point = hash % total.max(1);
+    for (index, (_, weight)) in weighted.iter().enumerate() {
+        if point < *weight {
+            return index;
+        }
+        point -= weight;
     }
-    out
+    0
 }
 
-/// The service and worker to go to in a region, or none that has room.
-pub fn match_candidate(
-    s: &Configuration,
-    tuned: &[(u16, u16, u32)],
+/// The service and worker for a request among the workers of `region`, or
+/// none if no worker that it may use has capacity.
+pub fn select_worker(
+    configuration: &Configuration,
+    tuned: &TunedWeights,
     candidates: &[Option<Candidate>],
     skip: &dyn Fn(usize) -> bool,
-    a: &PlacementRequest,
+    request: &PlacementRequest,
     region: u8,
-) -> Option<(u16, usize)> {
-    // a home-bound errand must not reach a worker anywhere else
-    if a.home.is_some_and(|h| h != region) {
+) -> Option<Placement> {
+    // a home-bound request must not reach a worker anywhere else
+    if request.home.is_some_and(|home| home != region) {
         return None;
     }
-    let kind = s.routes[a.route as usize].kind;
-    services(s, tuned, a).into_iter().find_map(|v| {
-        let sv = &s.services[v as usize];
-        let want = a.adapter.or(sv.adapter.as_deref());
-        let fits = |w: &Candidate| {
-            w.region == region
-                && sv.groups.contains(&w.group)
-                && w.room()
-                && want.is_none_or(|x| w.adapters.is_empty() || w.adapters.iter().any(|y| y == x))
+    let kind = configuration.routes[request.route as usize].kind;
+    let services = ranked_services(configuration, tuned, request);
+    services.into_iter().find_map(|index| {
+        let service = &configuration.services[index as usize];
+        let adapter = request.adapter.or(service.adapter.as_deref());
+        let usable = |candidate: &Candidate| {
+            candidate.region == region
+                && service.groups.contains(&candidate.group)
+                && candidate.has_capacity()
+                && adapter.is_none_or(|adapter| candidate.has_adapter(adapter))
         };
-        let all: Vec<(usize, &Candidate)> = candidates
+        let usable: Vec<(usize, &Candidate)> = candidates
             .iter()
             .enumerate()
-            .filter(|(i, _)| !skip(*i))
-            .filter_map(|(i, w)| w.as_ref().filter(|w| fits(w)).map(|w| (i, w)))
+            .filter(|(worker, _)| !skip(*worker))
+            .filter_map(|(worker, candidate)| Some((worker, candidate.as_ref()?)))
+            .filter(|(_, candidate)| usable(candidate))
             .collect();
-        pick(kind, &all, a).map(|i| (v, i))
+        let worker = pick(kind, &usable, request)?;
+        let service = index;
+        Some(Placement { service, worker })
     })
 }
 
-fn pick(kind: Kind, all: &[(usize, &Candidate)], a: &PlacementRequest) -> Option<usize> {
-    let full = |w: &Candidate| u64::from(w.busy) * 1000 / u64::from(w.slots.max(1));
-    let least = all
+fn pick(kind: Kind, usable: &[(usize, &Candidate)], request: &PlacementRequest) -> Option<usize> {
+    let least_utilized = usable
         .iter()
-        .min_by_key(|(_, w)| (full(w), mix(a.id, &w.name)))
-        .map(|(i, _)| *i);
+        .min_by_key(|(_, worker)| (worker.utilization(), mix(request.id, &worker.name)))
+        .map(|(index, _)| *index);
     if kind != Kind::Prefix {
-        return least;
+        return least_utilized;
     }
-    // the highest-ranked worker has the prefix warm, but a full one would
-    // cost more in queueing than its cache saves
-    all.iter()
-        .filter(|(_, w)| w.calm())
-        .max_by_key(|(_, w)| mix(a.key, &w.name))
-        .map(|(i, _)| *i)
-        .or(least)
+    // the highest-ranked worker has the prefix cached, but queueing at a full
+    // one would cost more than its cache saves
+    usable
+        .iter()
+        .filter(|(_, worker)| !worker.is_full())
+        .max_by_key(|(_, worker)| mix(request.key, &worker.name))
+        .map(|(index, _)| *index)
+        .or(least_utilized)
 }
 
-/// This edge's part of a cap that holds for all edges together.
-pub fn part_of(cap: u32, edges: usize, rank: usize) -> u32 {
-    let n = edges.max(1) as u32;
-    cap / n + u32::from((rank as u32) < cap % n)
+/// This edge's share of a limit that holds for all edges together.
+pub fn share_of_limit(limit: u32, edges: usize, rank: usize) -> u32 {
+    let edges = edges.max(1) as u32;
+    let remainder = limit % edges;
+    limit / edges + u32::from((rank as u32) < remainder)
 }
 
-/// Where this edge stands in the queue for the places of one cold worker.
+/// The rank of edge `node` for the places of one warming worker.
 ///
 /// Workers are dealt out in turn: each begins in the ring of edges where the
-/// one before it left off (`start`), so that no edge goes without a place while
-/// all cold workers together have one for each. Ranks drawn for each worker by
-/// itself left some edges without any, for as long as the draw stood.
-pub fn dealt_rank(edges: &[String], me: &str, start: u64) -> usize {
+/// one before it ended (`start`), so that no edge goes without a place while
+/// all warming workers together have one for each. Independent ranks for each
+/// worker left some edges without any place.
+pub fn edge_rank(edges: &[String], node: &str, start: u64) -> usize {
     let ring = edges.len().max(1) as u64;
-    let position = edges.iter().filter(|e| e.as_str() < me).count() as u64;
+    let position = edges.iter().filter(|edge| edge.as_str() < node).count() as u64;
     ((position + ring - start % ring) % ring) as usize
 }
--- a/sorreldoor/tests/placement.rs
+++ b/sorreldoor/tests/placement.rs
@@ -1,20 +1,22 @@
 //! Placement: few move when a worker comes or goes, and caps hold for all.
 
 use sorreldoor::configuration::{read, Site};
-use sorreldoor::placement::{dealt_rank, match_candidate, part_of, Candidate, PlacementRequest};
+use sorreldoor::placement::{
+    edge_rank, select_worker, share_of_limit, Candidate, PlacementRequest,
+};
 
 const DOC: &str = r#"{"groups":{"g":{"kind":"model"}},"services":{"s":{"groups":["g"]}},
  "routes":{"r":{"kind":"prefix","shares":{"s":{"weight":1}}}}}"#;
 
-fn spots(n: usize) -> Vec<Option<Candidate>> {
+fn candidates(n: usize) -> Vec<Option<Candidate>> {
     (0..n)
         .map(|i| {
             Some(Candidate {
                 name: format!("w{i}"),
-                open: true,
+                available: true,
                 slots: 4,
-                most: 4,
-                cap: 8,
+                own_limit: 4,
+                total_limit: 8,
                 ..Candidate::default()
             })
         })
@@ -28,18 +30,18 @@
         zones: vec![("a1".into(), 0)],
     };
     let (s, _) = read(DOC.as_bytes(), &site).unwrap();
-    let all = spots(10);
-    let mut less = spots(10);
+    let all = candidates(10);
+    let mut less = candidates(10);
     if let Some(w) = less[3].as_mut() {
-        w.open = false;
+        w.available = false;
     }
-    let at = |spots: &[Option<Candidate>], key: &str| {
+    let at = |candidates: &[Option<Candidate>], key: &str| {
         let a = PlacementRequest {
             key,
             id: "e",
             ..PlacementRequest::default()
         };
-        match_candidate(&s, &[], spots, &|_| false, &a, 0).map(|(_, i)| i)
+        select_worker(&s, &[], candidates, &|_| false, &a, 0).map(|placement| placement.worker)
     };
     let (mut moved, mut its) = (0, 0);
     for k in 0..1000 {
@@ -61,7 +63,7 @@
         for start in 0..20 {
             let sum: u32 = edges
                 .iter()
-                .map(|e| part_of(cap, edges.len(), dealt_rank(&edges, e, start)))
+                .map(|e| share_of_limit(cap, edges.len(), edge_rank(&edges, e, start)))
                 .sum();
             assert_eq!(sum, cap);
         }
@@ -78,8 +80,8 @@
             for turn in 0..count {
                 for edge in &edges {
                     let places: u32 = (0..workers)
-                        .map(|worker| dealt_rank(&edges, edge, worker * first + turn))
-                        .map(|rank| part_of(first as u32, edges.len(), rank))
+                        .map(|worker| edge_rank(&edges, edge, worker * first + turn))
+                        .map(|rank| share_of_limit(first as u32, edges.len(), rank))
                         .sum();
                     assert!(
                         places > 0,
--- a/testbed/src/hollow/node.rs
+++ b/testbed/src/hollow/node.rs
@@ -3,7 +3,7 @@
 
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::{ClaimRecord, Millis};
-use sorreldoor::gateway::request_table::Plan;
+use sorreldoor::gateway::request_table::ClusterView;
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::{Conn, NetEvent};
 use sorreldoor::runtime::{Now, Reducer};
@@ -59,12 +59,12 @@
         site: Arc<Site>,
     ) -> Node {
         let pull = Pull::new(seeds, LEASE, now.monotonic_ms, now.wall).named(&me.node);
-        let plan = Plan::new(site, me.node.clone(), me.zone, me.region);
-        let mut h = EdgeController::new(me, plan, pull);
+        let cluster = ClusterView::new(site, me.node.clone(), me.zone, me.region);
+        let mut h = EdgeController::new(me, cluster, pull);
         let rows = took
             .into_iter()
             .map(|t| ((t.route, t.service), (t.n, t.ms)));
-        h.table.took = rows.collect();
+        h.table.latency_totals = rows.collect();
         Node::Full(Box::new(h))
     }
 
@@ -83,7 +83,7 @@
     pub fn version(&self) -> u64 {
         match self {
             Node::Hollow(h) => h.version,
-            Node::Full(h) => h.plan.shown.view.version,
+            Node::Full(h) => h.cluster.snapshot.view.version,
         }
     }
 
--- a/testbed/src/site/callers.rs
+++ b/testbed/src/site/callers.rs
@@ -101,12 +101,12 @@
         n
     }
 
-    fn asked(&self, n: u64) -> RequestSpec {
+    fn request_spec(&self, n: u64) -> RequestSpec {
         let c = &self.callers[&n];
         RequestSpec {
             route: c.route.clone(),
             id: c.id.clone(),
-            given: self.given,
+            client_supplied_id: self.given,
             profile: Form::default(),
             key: c.key.clone(),
             home: c.home,
@@ -125,12 +125,12 @@
                 return w.got(n, Got::Lost);
             }
             w.reach_proc(p, incarnation, move |w| {
-                let asked = w.asked(n);
+                let spec = w.request_spec(n);
                 w.hall_step(
                     p,
-                    EdgeEvent::Knock {
+                    EdgeEvent::CheckAdmission {
                         request_id: n,
-                        asked,
+                        spec,
                     },
                 );
             });
@@ -151,13 +151,13 @@
                     caller: n,
                     doc,
                 });
-                let mut asked = w.asked(n);
-                asked.profile = profile;
+                let mut spec = w.request_spec(n);
+                spec.profile = profile;
                 w.hall_step(
                     p,
-                    EdgeEvent::Request {
+                    EdgeEvent::Submit {
                         request_id: n,
-                        asked,
+                        spec,
                     },
                 );
             });
@@ -292,7 +292,7 @@
         let incarnation = self.procs[p].incarnation;
         self.got(n, Got::HungUp);
         self.reach_proc(p, incarnation, move |w| {
-            w.hall_step(p, EdgeEvent::Gone { request_id: n })
+            w.hall_step(p, EdgeEvent::CallerDisconnected { request_id: n })
         });
     }
 
--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -318,7 +318,7 @@
                 .iter()
                 .all(|e| w.edge_controller(*e).is_some_and(|h| h.ready().is_ok()))
                 && w.edge_controller(edges[0])
-                    .is_some_and(|h| h.plan.shown.edge_sessions.1.len() == edges.len())
+                    .is_some_and(|h| h.cluster.snapshot.edge_sessions.1.len() == edges.len())
         });
         assert!(all, "seed {seed}: every edge serves");
         w.run_for(1500);
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -11,7 +11,7 @@
     pub fn version_at(&self, p: usize) -> Option<u64> {
         match (self.controller(p), self.edge_controller(p)) {
             (Some(h), _) => h.consensus.as_ref().map(|a| a.machine().version()),
-            (_, Some(h)) => Some(h.plan.shown.view.version),
+            (_, Some(h)) => Some(h.cluster.snapshot.view.version),
             _ => None,
         }
     }
@@ -19,7 +19,7 @@
     /// The document that an edge acts on now.
     pub fn doc_at(&self, p: usize) -> std::sync::Arc<String> {
         self.edge_controller(p)
-            .and_then(|h| h.plan.shown.view.doc.clone())
+            .and_then(|h| h.cluster.snapshot.view.doc.clone())
             .unwrap_or_default()
     }
 
@@ -65,7 +65,7 @@
             } else {
                 w.hall_step(
                     p,
-                    EdgeEvent::Change {
+                    EdgeEvent::Propose {
                         request_id,
                         proposal_id,
                         cmd,
--- a/testbed/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -223,7 +223,7 @@
             } else {
                 w.hall_step(
                     p,
-                    EdgeEvent::Change {
+                    EdgeEvent::Propose {
                         request_id,
                         proposal_id,
                         cmd,
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -5,7 +5,7 @@
 use sorreldoor::consensus::{Member, Millis, Save};
 use sorreldoor::control_plane::membership::Policy;
 use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent, Start};
-use sorreldoor::gateway::request_table::Plan;
+use sorreldoor::gateway::request_table::ClusterView;
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::NetEvent;
 use sorreldoor::runtime::Reducer;
@@ -177,11 +177,11 @@
             };
             q.role = Role::Core(Box::new(Controller::new(s, kept, now)));
         } else {
-            let plan = Plan::new(site, q.name.clone(), q.zone, q.region);
+            let cluster = ClusterView::new(site, q.name.clone(), q.zone, q.region);
             let pull = Pull::new(&seeds, lease, now, wall)
                 .named(&q.name)
                 .paced(&pacing);
-            q.role = Role::Edge(Box::new(EdgeController::new(me, plan, pull)));
+            q.role = Role::Edge(Box::new(EdgeController::new(me, cluster, pull)));
         }
         let incarnation = q.incarnation;
         self.tick(p, incarnation);
@@ -366,12 +366,12 @@
                 EdgeEffect::Send(c, m) => self.send(p, c, m),
                 EdgeEffect::Connect(a) => self.want(p, a),
                 EdgeEffect::Disconnect(a) => self.undial(p, a),
-                EdgeEffect::Done(request_id, o) => self.changed(request_id, o),
+                EdgeEffect::ProposalResult(request_id, o) => self.changed(request_id, o),
                 EdgeEffect::Request(f) => self.errand_fx(p, f),
-                EdgeEffect::Come(request_id, preset) => self.come(p, request_id, preset),
-                EdgeEffect::Where(request_id, r) => self.whither(request_id, r),
-                EdgeEffect::Looked(..) | EdgeEffect::Status(..) => {}
-                EdgeEffect::Say(ev, s) => {
+                EdgeEffect::Admitted(request_id, preset) => self.come(p, request_id, preset),
+                EdgeEffect::EdgesLocated(request_id, r) => self.whither(request_id, r),
+                EdgeEffect::ConfigurationRead(..) | EdgeEffect::Status(..) => {}
+                EdgeEffect::Log(ev, s) => {
                     let name = self.procs[p].name.clone();
                     self.says.push((self.now, name, ev, s));
                 }
--- a/testbed/src/site/runs.rs
+++ b/testbed/src/site/runs.rs
@@ -33,7 +33,7 @@
             if events == 0 {
                 let end = busy + gap;
                 self.after(end, move |world| {
-                    world.work_done(w, life, v, AttemptEvent::Whole)
+                    world.work_done(w, life, v, AttemptEvent::Complete)
                 });
             } else {
                 self.after(busy, move |world| world.stream(w, life, v, 0, events));
@@ -55,13 +55,13 @@
         let d = self.delay(self.workers[w].region, self.procs[v.edge].region);
         let u = v.clone();
         if i == 0 {
-            self.tell_edge(w, v.clone(), AttemptEvent::Begun);
+            self.tell_edge(w, v.clone(), AttemptEvent::StreamStarted);
         }
         self.after(d + 1, move |world| world.event(u, i, i + 1 == n));
         let gap = self.workers[w].gap;
         if i + 1 == n {
             self.after(2, move |world| {
-                world.work_done(w, life, v, AttemptEvent::Ended)
+                world.work_done(w, life, v, AttemptEvent::StreamEnded)
             });
         } else {
             self.after(gap, move |world| world.stream(w, life, v, i + 1, n));
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -5,7 +5,7 @@
 use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::{Load, Worker};
 use sorreldoor::error::ErrorCode;
-use sorreldoor::gateway::request_table::{AttemptEvent, RequestEffect};
+use sorreldoor::gateway::request_table::{AttemptEvent, AttemptReport, RequestEffect};
 use std::collections::VecDeque;
 
 /// One errand's visit at a worker.
@@ -145,7 +145,7 @@
         k.life += 1;
         let lost: Vec<Visit> = k.running.drain(..).chain(k.waiting.drain(..)).collect();
         for v in lost {
-            self.tell_edge(w, v, AttemptEvent::Broke(ErrorCode::WorkerBroke));
+            self.tell_edge(w, v, AttemptEvent::Failed(ErrorCode::WorkerBroke));
         }
     }
 
@@ -188,48 +188,48 @@
     pub(crate) fn told(&mut self, v: Visit, told: AttemptEvent) {
         let (p, incarnation) = (v.edge, v.incarnation);
         self.reach_proc(p, incarnation, move |w| {
-            if told == AttemptEvent::Whole {
+            if told == AttemptEvent::Complete {
                 if let Some(t) = w.procs[p].tries.get_mut(&v.token) {
                     t.brought = Some(v.caller);
                 }
             }
             let (request_id, token) = (v.request_id, v.token);
             // the edge's task itself shows a break to the reader
-            if matches!(told, AttemptEvent::Broke(_)) && w.procs[p].tries.contains_key(&token) {
+            if matches!(told, AttemptEvent::Failed(_)) && w.procs[p].tries.contains_key(&token) {
                 w.broken_off(p, request_id);
             }
             w.hall_step(
                 p,
-                sorreldoor::gateway::EdgeEvent::AttemptEvent {
+                sorreldoor::gateway::EdgeEvent::Attempt(AttemptReport {
                     request_id,
                     token,
-                    told,
-                },
+                    event: told,
+                }),
             );
         });
     }
 
     pub(crate) fn errand_fx(&mut self, p: usize, f: RequestEffect) {
         match f {
-            RequestEffect::Open {
+            RequestEffect::Connect {
                 request_id,
                 token,
                 addr,
                 ..
             } => self.open(p, request_id, token, addr.port()),
-            RequestEffect::Go {
+            RequestEffect::Send {
                 request_id, token, ..
             } => self.go(p, request_id, token),
-            RequestEffect::Drop { token, .. } => self.drop_try(p, token),
-            RequestEffect::Shed {
+            RequestEffect::Abort { token, .. } => self.drop_try(p, token),
+            RequestEffect::Reject {
                 request_id,
                 error_code,
                 retry_after_s,
             } => self.shed(request_id, error_code, retry_after_s),
-            RequestEffect::Give { request_id, token } => self.give(p, request_id, token),
-            RequestEffect::Elsewhere { request_id, addr } => self.elsewhere(request_id, addr),
-            RequestEffect::Unknown { .. }
-            | RequestEffect::Bad { .. }
+            RequestEffect::Respond { request_id, token } => self.give(p, request_id, token),
+            RequestEffect::Redirect { request_id, addr } => self.elsewhere(request_id, addr),
+            RequestEffect::OutcomeUnknown { .. }
+            | RequestEffect::AttemptFailed { .. }
             | RequestEffect::Claim { .. }
             | RequestEffect::Release { .. } => {}
         }
@@ -263,9 +263,9 @@
         let dark = self.worker_cuts.contains(&(p, w));
         let up = self.workers[w].up;
         let (wait, told) = match (dark, up) {
-            (true, _) => (800, AttemptEvent::Unsent),
-            (false, false) => (d, AttemptEvent::Unsent),
-            (false, true) => (d, AttemptEvent::Ready),
+            (true, _) => (800, AttemptEvent::ConnectFailed),
+            (false, false) => (d, AttemptEvent::ConnectFailed),
+            (false, true) => (d, AttemptEvent::Connected),
         };
         self.after(wait, move |w| w.told(v, told));
     }
@@ -280,7 +280,7 @@
         let id = self.callers[&caller].id.clone();
         let version = self
             .edge_controller(p)
-            .map_or(0, |h| h.plan.shown.view.version);
+            .map_or(0, |h| h.cluster.snapshot.view.version);
         self.handed.push(super::Handed {
             at: self.now,
             edge: p,
@@ -313,7 +313,7 @@
         }
         let gone = !self.procs[v.edge].tries.contains_key(&v.token);
         if !self.workers[w].up || self.workers[w].life != life {
-            return self.tell_edge(w, v, AttemptEvent::Broke(ErrorCode::WorkerBroke));
+            return self.tell_edge(w, v, AttemptEvent::Failed(ErrorCode::WorkerBroke));
         }
         // a caller that hung up before leaves a closed connection here
         if gone && self.rng.chance(50) {
--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -130,7 +130,7 @@
         for e in w.edges() {
             let h = w.edge_controller(e).expect("edges are up");
             assert!(
-                h.ready().is_ok() || h.plan.evacuated(h.plan.zone),
+                h.ready().is_ok() || h.cluster.is_evacuated(h.cluster.zone),
                 "seed {seed}"
             );
         }
--- a/testbed/tests/site/errands.rs
+++ b/testbed/tests/site/errands.rs
@@ -62,9 +62,13 @@
         sound(&w, seed);
         let (mut first, mut again) = (0, 0);
         for e in w.edges() {
-            let c = &w.edge_controller(e).expect("no edge was hurt").table.counts;
-            first += c.first;
-            again += c.again;
+            let c = &w
+                .edge_controller(e)
+                .expect("no edge was hurt")
+                .table
+                .counters;
+            first += c.accepted;
+            again += c.retries;
         }
         assert!(
             again * 5 <= first,
--- a/testbed/tests/site/members.rs
+++ b/testbed/tests/site/members.rs
@@ -8,7 +8,7 @@
         .into_iter()
         .find(|e| w.procs[*e].name != name && w.procs[*e].up);
     e.and_then(|e| w.edge_controller(e)).is_some_and(|h| {
-        let all = h.plan.edges_for(None, false, "k");
+        let all = h.cluster.edges_for(None, false, "k");
         all.iter().any(|n| n == name)
     })
 }
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -68,7 +68,12 @@
         w.run_for(20_000);
         assert_eq!(at(&w), was);
         let (edge_sessions, n) = (
-            &w.edge_controller(e).expect("up").plan.shown.edge_sessions.1,
+            &w.edge_controller(e)
+                .expect("up")
+                .cluster
+                .snapshot
+                .edge_sessions
+                .1,
             w.edges().len(),
         );
         assert_eq!(edge_sessions.iter().filter(|p| p.ready).count(), n);
@@ -78,7 +83,7 @@
 
 fn version(w: &World, e: usize) -> u64 {
     w.edge_controller(e)
-        .map_or(0, |h| h.plan.shown.registry.version)
+        .map_or(0, |h| h.cluster.snapshot.registry.version)
 }
 
 fn holder(w: &World) -> Option<usize> {
--- a/testbed/tests/site/regions.rs
+++ b/testbed/tests/site/regions.rs
@@ -44,8 +44,8 @@
         assert!(most <= Some(6), "{most:?}");
         let counts = w.edges().into_iter().filter_map(|e| w.edge_controller(e));
         let (first, again) = counts.fold((0, 0), |(f, a), h| {
-            let c = &h.table.counts;
-            (f + c.first, a + c.again)
+            let c = &h.table.counters;
+            (f + c.accepted, a + c.retries)
         });
         println!("seed {seed}: {again} retries of {first}");
         assert!(again * 5 <= first);
--- a/testbed/tests/site/returns.rs
+++ b/testbed/tests/site/returns.rs
@@ -33,7 +33,7 @@
 fn change(w: &mut World) {
     let base = w
         .edge_controller(w.edges()[0])
-        .map_or(0, |h| h.plan.shown.view.version);
+        .map_or(0, |h| h.cluster.snapshot.view.version);
     let (zone, at) = (0, w.cores()[0]);
     let evacuated = false;
     let c = w.change(
@@ -65,7 +65,7 @@
 
 fn ready(w: &World, e: usize) -> bool {
     w.edge_controller(e)
-        .is_some_and(|h| h.ready().is_ok() && h.plan.shown.registry.version > 0)
+        .is_some_and(|h| h.ready().is_ok() && h.cluster.snapshot.registry.version > 0)
 }
 
 /// What each edge acts by, which must only grow within its life.
@@ -74,7 +74,7 @@
         let h = w.edge_controller(*e)?;
         Some((
             h.pull.have.record,
-            h.plan.shown.view.version,
+            h.cluster.snapshot.view.version,
             h.pull.have.registry,
         ))
     };
@@ -150,7 +150,7 @@
 
 fn marks_of(w: &World, e: usize) -> u64 {
     w.edge_controller(e)
-        .map_or(0, |h| h.plan.shown.view.version)
+        .map_or(0, |h| h.cluster.snapshot.view.version)
 }
 
 /// A core that lost its disk has nothing to tell, and says nothing for news.
--- a/testbed/tests/site/zones.rs
+++ b/testbed/tests/site/zones.rs
@@ -221,7 +221,7 @@
         for e in w.edges().into_iter().filter(|e| w.procs[*e].up) {
             let h = w.edge_controller(e).expect("an edge that is up");
             assert!(
-                h.plan.shown.view.version >= 2,
+                h.cluster.snapshot.view.version >= 2,
                 "seed {seed}: read back at every edge"
             );
             n += 1;
