--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -2,7 +2,6 @@
 
 use super::event::{EdgeEffect, EdgeEvent};
 use super::releases::PendingReleases;
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{
     Admission, ClusterView, RequestEffect, RequestId, RequestProfile, RequestSpec, RequestTable,
@@ -12,6 +11,7 @@
 use crate::replicated_state;
 use crate::runtime::{Now, Reducer};
 use crate::subscription::{Pull, SubscriptionEffect};
+use crate::types::Millis;
 use crate::wire::{EdgeStatus, Hello, Payload, RouteLatency, Unverified};
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
--- a/sorreldoor/src/gateway/event.rs
+++ b/sorreldoor/src/gateway/event.rs
@@ -1,6 +1,5 @@
 //! Events that the edge controller handles, and its effects.
 
-use crate::consensus::ProposalId;
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{
     AttemptReport, RequestEffect, RequestId, RequestProfile, RequestSpec,
@@ -8,6 +7,7 @@
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::replicated_state::Command;
+use crate::types::ProposalId;
 use crate::wire::{OpOutcome, Payload};
 use std::net::SocketAddr;
 
--- a/sorreldoor/src/gateway/releases.rs
+++ b/sorreldoor/src/gateway/releases.rs
@@ -2,10 +2,11 @@
 
 use super::controller::EdgeController;
 use super::event::EdgeEffect;
-use crate::consensus::{ClaimRecord, Millis};
+use crate::consensus::ClaimRecord;
 use crate::control_plane::KEEP_MS;
 use crate::gateway::request_table::{ClaimRequest, RequestId};
 use crate::net::Conn;
+use crate::types::Millis;
 use crate::wire::Payload;
 use std::collections::BTreeMap;
 
--- a/sorreldoor/src/gateway/request_table/admission.rs
+++ b/sorreldoor/src/gateway/request_table/admission.rs
@@ -6,9 +6,9 @@
     RequestSpec, RequestTable, Stage,
 };
 use crate::configuration::{Configuration, Kind, Route};
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::replicated_state::Recovery;
+use crate::types::Millis;
 
 /// Outcome of the admission check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -5,9 +5,9 @@
 //! that no other edge sends the same request.
 
 use super::{ClusterView, RequestEffect, RequestId, RequestSpec, RequestTable, Stage};
-use crate::consensus::Millis;
 use crate::control_plane::KEEP_MS;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 use crate::wire::Verdict;
 
 /// State of a request's claim on its id.
--- a/sorreldoor/src/gateway/request_table/completion.rs
+++ b/sorreldoor/src/gateway/request_table/completion.rs
@@ -2,9 +2,9 @@
 
 use super::eligibility::is_idempotent;
 use super::{ClusterView, RequestEffect, RequestId, RequestTable, Stage};
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
+use crate::types::Millis;
 
 /// How long a worker is skipped after a failed attempt.
 const SKIP_MS: Millis = 1000;
--- a/sorreldoor/src/gateway/request_table/expiry.rs
+++ b/sorreldoor/src/gateway/request_table/expiry.rs
@@ -3,8 +3,8 @@
 
 use super::eligibility::has_eligible_worker;
 use super::{ClusterView, Request, RequestEffect, RequestId, RequestTable, Stage};
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 
 /// How long a request waits for a worker while none is available. A worker
 /// may be missing from the registry for a moment only.
--- a/sorreldoor/src/gateway/request_table/latency.rs
+++ b/sorreldoor/src/gateway/request_table/latency.rs
@@ -2,7 +2,7 @@
 //! route and service, which the control plane tunes weights by.
 
 use super::{RequestId, RequestTable};
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// Most pairs of route and service that totals are kept for.
 const MAX_LATENCY_TOTALS: usize = 256;
--- a/sorreldoor/src/gateway/request_table/matching.rs
+++ b/sorreldoor/src/gateway/request_table/matching.rs
@@ -3,9 +3,9 @@
 use super::eligibility::is_home_bound;
 use super::{ClusterView, Request, RequestEffect, RequestId, RequestTable, Stage};
 use crate::configuration::{Configuration, Kind, Route};
-use crate::consensus::Millis;
 use crate::placement::{self, Placement, PlacementRequest};
 use crate::replicated_state::Recovery;
+use crate::types::Millis;
 
 /// A worker chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/sorreldoor/src/gateway/request_table/mod.rs
+++ b/sorreldoor/src/gateway/request_table/mod.rs
@@ -29,7 +29,7 @@
 pub use request::{AttemptToken, Request, RequestId, RequestProfile, RequestSpec, Stage};
 pub use retry_after::RetryAfterSchedule;
 
-use crate::consensus::Millis;
+use crate::types::Millis;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// Counters since the start of the edge.
--- a/sorreldoor/src/gateway/request_table/reconfiguration.rs
+++ b/sorreldoor/src/gateway/request_table/reconfiguration.rs
@@ -5,8 +5,8 @@
     ClaimRequest, ClaimState, ClusterView, RequestEffect, RequestId, RequestProfile, RequestTable,
     Stage,
 };
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 
 /// The index of a route that the configuration no longer has.
 const REMOVED_ROUTE: u16 = u16::MAX;
--- a/sorreldoor/src/gateway/request_table/request.rs
+++ b/sorreldoor/src/gateway/request_table/request.rs
@@ -2,7 +2,7 @@
 
 use super::ClaimState;
 use crate::configuration::{Kind, Route};
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// Identifies a request within one run of an edge.
 pub type RequestId = u64;
--- a/sorreldoor/src/gateway/request_table/retry_after.rs
+++ b/sorreldoor/src/gateway/request_table/retry_after.rs
@@ -4,8 +4,8 @@
 //! second, so that a rejected burst does not come back as one burst and
 //! retries stay a small part of all traffic.
 
-use crate::consensus::Millis;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 
 /// Length of the schedule in seconds.
 const SCHEDULE_SECONDS: usize = 120;
--- a/sorreldoor/src/gateway/request_table/sending.rs
+++ b/sorreldoor/src/gateway/request_table/sending.rs
@@ -6,10 +6,10 @@
     AttemptEvent, AttemptReport, ClaimState, ClusterView, RequestEffect, RequestId, RequestTable,
     Stage,
 };
-use crate::consensus::Millis;
 use crate::control_plane::KEEP_MS;
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
+use crate::types::Millis;
 
 impl RequestTable {
     /// Handles an event of an attempt. `lease_valid` tells whether the edge
