--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -24,7 +24,7 @@
     pub table: RequestTable,
     pub pull: Pull,
     /// Replica of the replicated state, advanced by updates.
-    pub(super) replica: replicated_state::Copy,
+    pub(super) replica: replicated_state::StateReplica,
     /// Callers that wait for a proof that the configuration is current, each
     /// with the number of the renewal that proves it.
     pub(super) pending_reads: Vec<(RequestId, u64)>,
--- a/sorreldoor/src/gateway/queries.rs
+++ b/sorreldoor/src/gateway/queries.rs
@@ -4,7 +4,7 @@
 use super::event::EdgeEffect;
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{RequestId, RequestSpec};
-use crate::json::Val;
+use crate::json::Value;
 use crate::wire::{OpOutcome, Payload};
 use simd_json::prelude::*;
 
@@ -39,7 +39,7 @@
         });
     }
 
-    fn explanation(&self, spec: RequestSpec) -> Result<Val, ErrorCode> {
+    fn explanation(&self, spec: RequestSpec) -> Result<Value, ErrorCode> {
         let region = spec.home.unwrap_or(self.cluster.region);
         if region == self.cluster.region {
             return self.table.explain(&self.cluster, spec);
@@ -47,7 +47,7 @@
         // only an edge of that region knows what it would do
         let edges = self.cluster.edges_for(Some(region), true, &spec.key);
         let edge = edges.first().cloned().ok_or(ErrorCode::NoWorker)?;
-        let mut v = Val::object();
+        let mut v = Value::object();
         let _ = v.insert("ask", edge);
         Ok(v)
     }
--- a/sorreldoor/src/gateway/request_table/explain.rs
+++ b/sorreldoor/src/gateway/request_table/explain.rs
@@ -5,7 +5,7 @@
 use super::{ClusterView, Request, RequestSpec, RequestTable};
 use crate::configuration::{Configuration, Kind, Route};
 use crate::error::ErrorCode;
-use crate::json::Val;
+use crate::json::Value;
 use crate::placement::{self, Candidate, PlacementRequest};
 use crate::replicated_state::Recovery;
 use crate::weight_tuning;
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// `NoConfiguration` or `UnknownRoute`.
-    pub fn explain(&self, cluster: &ClusterView, spec: RequestSpec) -> Result<Val, ErrorCode> {
+    pub fn explain(&self, cluster: &ClusterView, spec: RequestSpec) -> Result<Value, ErrorCode> {
         let (configuration, index) = cluster.route(&spec.route)?;
         let route = &configuration.routes[index as usize];
         let request = Request::new(spec.clone(), index, 0, 0);
@@ -27,7 +27,7 @@
             configuration.services[service].name.clone()
         });
         let edges = cluster.edges_for(Some(cluster.region), route.home, &spec.key);
-        let mut v = Val::object();
+        let mut v = Value::object();
         let _ = v.insert("route", route.name.as_str());
         let _ = v.insert("key", spec.key.as_str());
         let _ = v.insert("region", cluster.site.region_name(cluster.region));
@@ -50,7 +50,7 @@
     configuration: &Configuration,
     spec: &RequestSpec,
     route: u16,
-) -> Vec<Val> {
+) -> Vec<Value> {
     let request = PlacementRequest {
         route,
         key: &spec.key,
@@ -65,7 +65,7 @@
         .map(|share| {
             let weight = weight_tuning::weight(tuned, route, share.service);
             let service = &configuration.services[share.service as usize];
-            let mut v = Val::object();
+            let mut v = Value::object();
             let _ = v.insert("service", service.name.as_str());
             let _ = v.insert("weight", weight.unwrap_or(share.weight));
             let _ = v.insert("set", share.weight);
@@ -76,8 +76,8 @@
         .collect()
 }
 
-fn spill_json(cluster: &ClusterView, configuration: &Configuration) -> Val {
-    let mut v = Val::object();
+fn spill_json(cluster: &ClusterView, configuration: &Configuration) -> Value {
+    let mut v = Value::object();
     for (region, percent) in cluster.spill_limits(configuration) {
         debug_assert!(region != cluster.region);
         let _ = v.insert(cluster.site.region_name(region).to_string(), percent);
@@ -85,8 +85,8 @@
     v
 }
 
-fn worker_json(cluster: &ClusterView, worker: usize) -> Val {
-    let mut v = Val::object();
+fn worker_json(cluster: &ClusterView, worker: usize) -> Value {
+    let mut v = Value::object();
     if let Some(candidate) = cluster.candidate(worker) {
         let _ = v.insert("name", candidate.name.as_str());
         let _ = v.insert("zone", cluster.site.zone_name(candidate.zone));
--- a/sorreldoor/src/gateway/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -1,16 +1,16 @@
 //! The status of an edge as JSON.
 
 use super::controller::EdgeController;
-use crate::json::Val;
+use crate::json::Value;
 use crate::operator_api;
 use simd_json::prelude::*;
 
 impl EdgeController {
     /// The status that `/v1/status` returns.
-    pub(super) fn status(&self) -> Val {
+    pub(super) fn status(&self) -> Value {
         let view = &self.cluster.snapshot.view;
         let core = self.pull.dialled.map(|addr| addr.to_string());
-        let mut v = Val::object();
+        let mut v = Value::object();
         let _ = v.insert("node", self.hello.node.as_str());
         let _ = v.insert("role", "edge");
         let _ = v.insert("serial", view.version);
@@ -25,7 +25,7 @@
         v
     }
 
-    fn zones_json(&self) -> Vec<Val> {
+    fn zones_json(&self) -> Vec<Value> {
         let snapshot = &self.cluster.snapshot;
         let edges = snapshot.edge_sessions.1.iter();
         operator_api::zones(
@@ -37,9 +37,9 @@
         )
     }
 
-    fn counters_json(&self) -> Val {
+    fn counters_json(&self) -> Value {
         let counters = &self.table.counters;
-        let mut v = Val::object();
+        let mut v = Value::object();
         let _ = v.insert("first", counters.accepted);
         let _ = v.insert("again", counters.retries);
         let _ = v.insert("served", counters.served);
