--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -1,7 +1,8 @@
-//! Operators' HTTP at a core: each errand becomes an event for the controller.
+//! The operators' HTTP interface of a core: each request becomes an event for
+//! the controller.
 
-use super::front::{Front, Looked};
-use super::source::OperatorDoor;
+use super::client::{ControllerClient, StateSnapshot};
+use super::integration::OperatorServer;
 use crate::error::ErrorCode;
 use crate::http;
 use crate::log_events::{log_event, LogEvent};
@@ -12,89 +13,112 @@
 use http_types::{Method, Request, Response};
 use std::sync::Arc;
 
-/// The door of the product's own HTTP interface.
-pub struct Door {
-    pub set: Arc<Settings>,
+/// Seconds after which a client should retry, in general and with a failed disk.
+const RETRY_AFTER_S: u64 = 1;
+const DISK_RETRY_AFTER_S: u64 = 5;
+
+/// The server of the product's own HTTP interface.
+pub struct HttpOperatorServer {
+    pub settings: Arc<Settings>,
 }
 
-impl OperatorDoor for Door {
-    fn open(self, front: Front, gate: http::Gate) -> Result<(), String> {
-        let at = self.set.http;
-        let web = task::block_on(TcpListener::bind(at))
-            .map_err(|e| format!("http: cannot bind {at}: {e}"))?;
-        let most = self.set.most_connections;
-        let set = self.set;
-        let api = Api { set, front };
-        task::spawn(http::serve(web, most, gate, move |r, _| {
-            api.clone().handle(r)
-        }));
-        log_event(LogEvent::Listening, format!("http {at}"));
+impl OperatorServer for HttpOperatorServer {
+    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), String> {
+        let address = self.settings.http;
+        let listener = task::block_on(TcpListener::bind(address))
+            .map_err(|e| format!("http: cannot bind {address}: {e}"))?;
+        let max_connections = self.settings.most_connections;
+        let settings = self.settings;
+        let api = Api { settings, client };
+        task::spawn(http::serve(
+            listener,
+            max_connections,
+            gate,
+            move |request, _| api.clone().handle(request),
+        ));
+        log_event(LogEvent::Listening, format!("http {address}"));
         Ok(())
     }
 }
 
+/// The handlers of the HTTP interface.
 #[derive(Clone)]
 pub struct Api {
-    pub set: Arc<Settings>,
-    pub front: Front,
+    pub settings: Arc<Settings>,
+    pub client: ControllerClient,
 }
 
 impl Api {
-    pub async fn handle(self, mut req: Request) -> Response {
-        let path = req.url().path().to_string();
-        if req.method() == Method::Get && path == "/health" {
+    /// Answers one request.
+    pub async fn handle(self, mut request: Request) -> Response {
+        let path = request.url().path().to_string();
+        if request.method() == Method::Get && path == "/health" {
             return http::json(200, "{\"alive\":true}".into());
         }
-        if req.method() == Method::Get && path == "/ready" {
+        if request.method() == Method::Get && path == "/ready" {
             return self.ready().await;
         }
-        match operator_api::read(&mut req, &self.set.names).await {
-            None => http::shed(ErrorCode::UnknownPath, &path, 1),
-            Some(Err(p)) => http::shed(p, "", 1),
-            Some(Ok(op)) => self.run(op).await,
+        match operator_api::read(&mut request, &self.settings.names).await {
+            None => http::shed(ErrorCode::UnknownPath, &path, RETRY_AFTER_S),
+            Some(Err(code)) => http::shed(code, "", RETRY_AFTER_S),
+            Some(Ok(request)) => self.handle_operator(request).await,
         }
     }
 
     async fn ready(&self) -> Response {
-        match self.front.look().await {
-            Some(Looked { ok: true, .. }) => http::json(200, "{\"ready\":true}".into()),
-            Some(Looked { disk: false, .. }) => http::shed(ErrorCode::DiskFailed, "", 5),
-            _ => http::shed(ErrorCode::NoCore, "no quorum is reached from here", 1),
+        match self.client.read_status().await {
+            Some(StateSnapshot { proved: true, .. }) => http::json(200, "{\"ready\":true}".into()),
+            Some(StateSnapshot { disk_ok: false, .. }) => {
+                http::shed(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
+            }
+            _ => http::shed(
+                ErrorCode::NoCore,
+                "no quorum is reached from here",
+                RETRY_AFTER_S,
+            ),
         }
     }
 
-    async fn run(&self, op: OperatorRequest) -> Response {
-        match op {
+    async fn handle_operator(&self, request: OperatorRequest) -> Response {
+        match request {
             OperatorRequest::Check { faults } => operator_api::checked(&faults),
             OperatorRequest::Change { proposal_id, cmd } => {
-                operator_api::result(proposal_id, &self.front.change(proposal_id, cmd).await)
+                let outcome = self.client.change(proposal_id, cmd).await;
+                operator_api::result(proposal_id, &outcome)
             }
             OperatorRequest::DropCore { proposal_id, id } => {
-                operator_api::result(proposal_id, &self.front.drop_core(proposal_id, id).await)
+                let outcome = self.client.remove_core(proposal_id, id).await;
+                operator_api::result(proposal_id, &outcome)
             }
-            OperatorRequest::Configuration => match self.front.look().await {
-                Some(Looked { ok: true, view, .. }) => {
-                    let doc = view.doc.as_ref().map(|d| d.as_str());
-                    let zones: Vec<String> = view
-                        .evacuated
-                        .iter()
-                        .map(|z| self.set.names.zone_name(*z).to_string())
-                        .collect();
-                    operator_api::configuration_view(view.version, doc, &zones)
-                }
-                _ => http::shed(ErrorCode::NoCore, "", 1),
-            },
-            OperatorRequest::Status => match self.front.look().await {
-                Some(Looked { status, .. }) => http::json(200, status),
-                _ => http::shed(ErrorCode::NoCore, "", 1),
-            },
-            OperatorRequest::Metrics => match self.front.look().await {
-                Some(Looked { status, .. }) => operator_api::metrics(&status),
-                _ => http::shed(ErrorCode::NoCore, "", 1),
-            },
             OperatorRequest::Proposal(proposal_id) => {
-                operator_api::result(proposal_id, &self.front.find(proposal_id).await)
+                let outcome = self.client.find_outcome(proposal_id).await;
+                operator_api::result(proposal_id, &outcome)
             }
+            OperatorRequest::Configuration => self.configuration().await,
+            OperatorRequest::Status => match self.client.read_status().await {
+                Some(state) => http::json(200, state.status),
+                None => unreachable_core(),
+            },
+            OperatorRequest::Metrics => match self.client.read_status().await {
+                Some(state) => operator_api::metrics(&state.status),
+                None => unreachable_core(),
+            },
         }
     }
+
+    async fn configuration(&self) -> Response {
+        let state = self.client.read_status().await;
+        let Some(state) = state.filter(|state| state.proved) else {
+            return unreachable_core();
+        };
+        let view = state.view;
+        let document = view.doc.as_ref().map(|document| document.as_str());
+        let zone_name = |zone: &u16| self.settings.names.zone_name(*zone).to_string();
+        let evacuated: Vec<String> = view.evacuated.iter().map(zone_name).collect();
+        operator_api::configuration_view(view.version, document, &evacuated)
+    }
+}
+
+fn unreachable_core() -> Response {
+    http::shed(ErrorCode::NoCore, "", RETRY_AFTER_S)
 }
--- /dev/null
+++ b/sorreldoor/src/control_plane/client.rs
@@ -0,0 +1,184 @@
+//! The handle by which other tasks use the controller: each request becomes an
+//! event for the reducer, and the task waits for the reply.
+
+use super::events::ControllerEvent;
+use crate::net::Ring;
+use crate::replicated_state::{Command, View};
+use crate::types::{NodeId, ProposalId};
+use crate::wire::{EdgeEndpoint, OpOutcome};
+use async_std::channel::{bounded, Receiver, Sender};
+use async_std::future::timeout;
+use std::collections::HashMap;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::Duration;
+
+/// The reducer replies within a few acknowledgement times by itself; a task
+/// that waits so many of them, and `TIMEOUT_SLACK_MS`, has lost its reply.
+const TIMEOUT_ACKS: u64 = 3;
+const TIMEOUT_SLACK_MS: u64 = 1000;
+
+/// A reply of the controller to one request.
+#[derive(Debug)]
+pub enum ControllerReply {
+    /// The outcome of a change, or of a search for one.
+    Change(OpOutcome),
+    State(StateSnapshot),
+}
+
+/// The core's state at one time.
+#[derive(Debug)]
+pub struct StateSnapshot {
+    /// Whether it was proved current after it was requested.
+    pub proved: bool,
+    /// Whether the core's disk works.
+    pub disk_ok: bool,
+    /// The status document as JSON; empty where it was not requested.
+    pub status: String,
+    pub view: Box<View>,
+}
+
+fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
+}
+
+/// Requests that wait for the controller's reply, by request id.
+#[derive(Clone, Default)]
+pub struct PendingRequests {
+    waiting: Arc<Mutex<HashMap<u64, Sender<ControllerReply>>>>,
+    last_id: Arc<AtomicU64>,
+}
+
+impl PendingRequests {
+    /// A new request id, and where its reply arrives.
+    #[must_use]
+    pub fn open(&self) -> (u64, Receiver<ControllerReply>) {
+        let request_id = self.last_id.fetch_add(1, Ordering::Relaxed) + 1;
+        let (sender, receiver) = bounded(1);
+        locked(&self.waiting).insert(request_id, sender);
+        (request_id, receiver)
+    }
+
+    /// Nobody waits for the reply any more.
+    pub fn close(&self, request_id: u64) {
+        locked(&self.waiting).remove(&request_id);
+    }
+
+    pub(super) fn reply(&self, request_id: u64, reply: ControllerReply) {
+        let sender = locked(&self.waiting).remove(&request_id);
+        // a requester that has stopped waiting needs no reply
+        let _ = sender.map(|sender| sender.try_send(reply).is_ok());
+    }
+}
+
+/// A handle to the controller of this process.
+#[derive(Clone)]
+pub struct ControllerClient {
+    events: Ring<ControllerEvent>,
+    pub(super) pending: PendingRequests,
+    /// Time within which a change should be acknowledged.
+    ack_ms: u64,
+    endpoints: Arc<Mutex<Arc<Vec<EdgeEndpoint>>>>,
+}
+
+impl ControllerClient {
+    /// A client that sends to `events`; `ack_ms` is the time in milliseconds
+    /// within which a change should be acknowledged.
+    #[must_use]
+    pub fn new(events: Ring<ControllerEvent>, ack_ms: u64) -> ControllerClient {
+        ControllerClient {
+            events,
+            pending: PendingRequests::default(),
+            ack_ms,
+            endpoints: Arc::default(),
+        }
+    }
+
+    async fn request(&self, event: impl FnOnce(u64) -> ControllerEvent) -> Option<ControllerReply> {
+        let (request_id, reply) = self.pending.open();
+        if self.events.send(event(request_id)).await.is_err() {
+            return None;
+        }
+        let limit = Duration::from_millis(self.ack_ms * TIMEOUT_ACKS + TIMEOUT_SLACK_MS);
+        let reply = timeout(limit, reply.recv()).await;
+        self.pending.close(request_id);
+        reply.ok()?.ok()
+    }
+
+    async fn request_outcome(&self, event: impl FnOnce(u64) -> ControllerEvent) -> OpOutcome {
+        match self.request(event).await {
+            Some(ControllerReply::Change(outcome)) => outcome,
+            _ => OpOutcome::Unknown,
+        }
+    }
+
+    async fn request_state(
+        &self,
+        event: impl FnOnce(u64) -> ControllerEvent,
+    ) -> Option<StateSnapshot> {
+        match self.request(event).await {
+            Some(ControllerReply::State(state)) => Some(state),
+            _ => None,
+        }
+    }
+
+    /// Proposes a change. The outcome is `Unknown` where none came in time;
+    /// the same change may then be proposed again under the same id.
+    pub async fn change(&self, proposal_id: ProposalId, command: Command) -> OpOutcome {
+        self.request_outcome(|request_id| ControllerEvent::Change {
+            request_id,
+            proposal_id,
+            cmd: command,
+        })
+        .await
+    }
+
+    /// The outcome of an earlier proposal.
+    pub async fn find_outcome(&self, proposal_id: ProposalId) -> OpOutcome {
+        self.request_outcome(|request_id| ControllerEvent::ReadOutcome {
+            request_id,
+            proposal_id,
+        })
+        .await
+    }
+
+    /// Removes a core from the membership without waiting for a replacement.
+    pub async fn remove_core(&self, proposal_id: ProposalId, core: NodeId) -> OpOutcome {
+        self.request_outcome(|request_id| ControllerEvent::RemoveCore {
+            request_id,
+            proposal_id,
+            core,
+        })
+        .await
+    }
+
+    /// The core's state with its status document, proved current or not; none
+    /// where there is no reply in time.
+    pub async fn read_status(&self) -> Option<StateSnapshot> {
+        self.request_state(|request_id| ControllerEvent::ReadStatus { request_id })
+            .await
+    }
+
+    /// The record, proved current after this was called; none where that
+    /// cannot be had in time.
+    pub async fn read_view(&self) -> Option<Box<View>> {
+        let state = self.request_state(|request_id| ControllerEvent::ReadView { request_id });
+        let state = state.await.filter(|state| state.proved);
+        state.map(|state| state.view)
+    }
+
+    /// The edges that have a session, and whether they serve, as last reported.
+    #[must_use]
+    pub fn endpoints(&self) -> Arc<Vec<EdgeEndpoint>> {
+        locked(&self.endpoints).clone()
+    }
+
+    pub(super) fn publish_endpoints(&self, endpoints: &Arc<Vec<EdgeEndpoint>>) {
+        let mut published = locked(&self.endpoints);
+        if !Arc::ptr_eq(&published, endpoints) {
+            *published = endpoints.clone();
+        }
+    }
+}
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -145,14 +145,14 @@
                 proposal_id,
                 cmd,
             } => self.change(Requester::Http { request_id }, proposal_id, cmd),
-            ControllerEvent::Reform {
+            ControllerEvent::RemoveCore {
                 request_id,
                 proposal_id,
-                drop,
-            } => self.remove_core(request_id, proposal_id, drop),
-            ControllerEvent::Look { request_id } => self.read(Read::Status { request_id }),
-            ControllerEvent::View { request_id } => self.read(Read::View { request_id }),
-            ControllerEvent::Find {
+                core,
+            } => self.remove_core(request_id, proposal_id, core),
+            ControllerEvent::ReadStatus { request_id } => self.read(Read::Status { request_id }),
+            ControllerEvent::ReadView { request_id } => self.read(Read::View { request_id }),
+            ControllerEvent::ReadOutcome {
                 request_id,
                 proposal_id,
             } => {
@@ -169,7 +169,7 @@
     }
 
     pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
-        self.out.push(ControllerEffect::Say(event, about.into()));
+        self.out.push(ControllerEffect::Log(event, about.into()));
     }
 
     pub(super) fn send(&mut self, conn: Conn, payload: Payload) {
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -3,7 +3,7 @@
 use super::super::claims::Claims;
 use super::super::connections::Connections;
 use super::super::distribution::Distribution;
-use super::super::events::Start;
+use super::super::events::ControllerConfig;
 use super::super::load_table::LoadTable;
 use super::super::membership::Membership;
 use super::super::proposals::{IdSequence, Proposals};
@@ -23,11 +23,11 @@
     /// # Panics
     /// If this release cannot read the stored snapshot: to go on with an empty
     /// record would be to lead with old state.
-    pub fn new(start: Start, kept: Option<Kept>, now: Millis) -> Controller {
-        let promised = start.promise.is_some();
-        let sure = start.sure;
-        let most_claims = start.most_claims;
-        let mut controller = Controller::blank(start, now);
+    pub fn new(config: ControllerConfig, kept: Option<Kept>, now: Millis) -> Controller {
+        let promised = config.promise.is_some();
+        let sure = config.sure;
+        let most_claims = config.most_claims;
+        let mut controller = Controller::blank(config, now);
         if let Some(kept) = kept {
             controller.claims = Claims::new(&kept.claims, most_claims, now);
             // a founder forgets nothing; who joined later says so itself
@@ -38,37 +38,37 @@
         controller
     }
 
-    fn blank(start: Start, now: Millis) -> Controller {
+    fn blank(config: ControllerConfig, now: Millis) -> Controller {
         Controller {
-            ids: IdSequence::new(&start.me),
-            sessions: Sessions::new(&start.me, start.pacing.accounts, now),
-            me: start.me,
-            site: start.site,
-            cores: start.cores,
-            membership: Membership::new(start.members),
-            bootstrap: start.bootstrap,
-            grow: start.grow,
-            founders: (start.seeds.iter().copied())
-                .filter(|_| start.grow)
+            ids: IdSequence::new(&config.me),
+            sessions: Sessions::new(&config.me, config.pacing.accounts, now),
+            me: config.me,
+            site: config.site,
+            cores: config.cores,
+            membership: Membership::new(config.membership),
+            bootstrap: config.bootstrap,
+            grow: config.grow,
+            founders: (config.seeds.iter().copied())
+                .filter(|_| config.grow)
                 .collect(),
             known: BTreeSet::new(),
-            pacing: start.pacing,
-            timing: start.timing,
-            seed: start.seed,
+            pacing: config.pacing,
+            timing: config.timing,
+            seed: config.seed,
             consensus: None,
             // whoever may not found must not use what it once promised
-            promise: start.promise.filter(|_| start.bootstrap),
+            promise: config.promise.filter(|_| config.bootstrap),
             promises: BTreeMap::new(),
-            seeds: start.seeds,
+            seeds: config.seeds,
             peer_addresses: BTreeSet::new(),
             connections: Connections::default(),
             distribution: Distribution::default(),
-            worker_list: WorkerList::new(start.poll_ms, now),
+            worker_list: WorkerList::new(config.worker_poll_ms, now),
             loads: LoadTable::default(),
             reads: Reads::default(),
             proposals: Proposals::default(),
             singleton: SingletonRole::new(now),
-            claims: Claims::new(&[], start.most_claims, now),
+            claims: Claims::new(&[], config.most_claims, now),
             slow_tick_at: now,
             logged_version: 0,
             leaving: false,
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -15,7 +15,7 @@
             leaving: self.leaving,
             quorum: self.reads.quorum(),
             wall_ms: self.wall,
-            membership: &self.membership,
+            policy: &self.membership.policy,
             consensus: self.consensus.as_ref(),
             live_cores: self.live_cores(LIVE_MS).into_keys().collect(),
             claims: ClaimsStatus {
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -1,16 +1,17 @@
-//! The core's daemon: threads and rings around the controller's reducer.
+//! The core's daemon: the threads, tasks and queues around the controller.
 
-use super::api::Door;
+use super::api::HttpOperatorServer;
+use super::client::{ControllerClient, ControllerReply, StateSnapshot};
 use super::controller::Controller;
-use super::events::{ControllerEffect, ControllerEvent, Start};
-use super::front::{Front, Looked, Reply};
-use super::source::{Listed, OperatorDoor, WorkerSource};
-use super::storage_driver::{self, Saver};
+use super::events::{ControllerConfig, ControllerEffect, ControllerEvent};
+use super::integration::{HttpWorkerSource, OperatorServer, WorkerSource};
+use super::polling::{poll_loads, read_workers, watch_workers};
+use super::storage_driver::{self, StorageDriver};
 use crate::consensus::Member;
-use crate::discovery::{self, Load};
-use crate::http::{self, Call};
+use crate::http;
 use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent, Ring};
+use crate::order_id::random_id;
 use crate::replicated_state::decode;
 use crate::runtime::{self, EffectHandler};
 use crate::settings::Settings;
@@ -19,243 +20,241 @@
 use async_std::channel::bounded;
 use async_std::net::TcpListener;
 use async_std::task;
+use simd_json::prelude::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const RING: usize = 4096;
+/// Events that may wait for the controller.
+const EVENT_QUEUE: usize = 4096;
+/// A stopping core runs on for this long, so that what was just acknowledged
+/// still reaches the other cores.
+const STOP_DELAY: Duration = Duration::from_millis(300);
+/// After this further time open HTTP requests are abandoned.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub fn run(set: Settings) -> Result<(), String> {
-    run_by(set, runtime::SystemClock::default(), |s| s)
+/// Runs a core until it is told to stop.
+///
+/// # Errors
+/// Why the core cannot start, in words.
+pub fn run(settings: Settings) -> Result<(), String> {
+    run_by(settings, runtime::SystemClock::default(), |store| store)
 }
 
-/// With the product's own list of workers and door, and another clock, or
-/// something around the store.
+/// With the product's own list of workers and HTTP interface, another clock,
+/// and a wrapper around the store.
 ///
 /// # Errors
 /// Why the core cannot start, in words.
 pub fn run_by<C, S>(
-    set: Settings,
+    settings: Settings,
     clock: C,
-    wrap: impl FnOnce(DurableStore<Folder>) -> S,
+    wrap_store: impl FnOnce(DurableStore<Folder>) -> S,
 ) -> Result<(), String>
 where
     C: runtime::Clock,
     S: Store + 'static,
 {
-    let shared = Arc::new(set.clone());
-    let source = set.platform.map(|at| {
-        let set = shared.clone();
-        Arc::new(Listed { set, at }) as Arc<dyn WorkerSource>
+    let shared = Arc::new(settings.clone());
+    let source = settings.platform.map(|address| {
+        let settings = shared.clone();
+        Arc::new(HttpWorkerSource { settings, address }) as Arc<dyn WorkerSource>
     });
-    run_with(set, clock, wrap, source, Door { set: shared })
+    let server = HttpOperatorServer { settings: shared };
+    run_with(settings, clock, wrap_store, source, server)
 }
 
 /// Runs a core until it is told to stop, with a list of workers from `source`
-/// and operators served by `door`.
+/// and operators' requests served by `server`.
 ///
 /// # Errors
 /// Why the core cannot start, in words.
 pub fn run_with<C, S>(
-    set: Settings,
+    settings: Settings,
     clock: C,
-    wrap: impl FnOnce(DurableStore<Folder>) -> S,
+    wrap_store: impl FnOnce(DurableStore<Folder>) -> S,
     source: Option<Arc<dyn WorkerSource>>,
-    door: impl OperatorDoor,
+    server: impl OperatorServer,
 ) -> Result<(), String>
 where
     C: runtime::Clock,
     S: Store + 'static,
 {
-    let set = Arc::new(set);
-    let dir = set.data.clone().unwrap_or_default();
-    let mut store = storage_driver::open(&dir)?;
+    let settings = Arc::new(settings);
+    let mut store = storage_driver::open(&settings.data.clone().unwrap_or_default())?;
     let id = storage_driver::identity(&mut store);
-    let promise = store.value("promise").and_then(decode::<Vec<Member>>);
-    let sure = store.value("sure").is_some();
-    let (ring, rx) = bounded(RING);
-    let listen = set.listen.ok_or("listen: is missing")?;
-    let frames = task::block_on(TcpListener::bind(listen))
-        .map_err(|e| format!("listen: cannot bind {listen}: {e}"))?;
-    let each = source.as_ref().is_some_and(|s| s.numbered());
-    let poll_ms = source.as_ref().filter(|_| !each).map(|s| s.pace_ms());
-    let start = Start {
-        me: Hello {
-            id,
-            node: set.node.clone(),
-            core: true,
-            region: set.region,
-            zone: set.zone,
-            addr: listen.to_string(),
-            http: set.http.to_string(),
-            founded: false,
-            incarnation: crate::order_id::random_id(),
-            learner_only: !set.voting,
-            ..Hello::default()
-        },
-        site: set.names.clone(),
-        seeds: set.seeds.clone(),
-        cores: set.cores,
-        members: set.members(),
-        timing: set.pacing.timing(set.ack_ms),
-        seed: crate::order_id::random_id(),
-        promise,
-        sure,
-        most_claims: set.most_claims,
-        // whoever lost its state to damage was a member once
-        bootstrap: set.bootstrap && !store.rejoins(),
-        grow: set.grow,
-        pacing: set.pacing.clone(),
-        poll_ms,
-    };
-    let controller = Controller::new(start, store.kept(), 0);
+    let (events, queue) = bounded(EVENT_QUEUE);
+    let address = settings.listen.ok_or("listen: is missing")?;
+    let listener = task::block_on(TcpListener::bind(address))
+        .map_err(|e| format!("listen: cannot bind {address}: {e}"))?;
+    let config = controller_config(&settings, &store, id, address, source.as_deref());
+    let mut controller = Controller::new(config, store.kept(), 0);
     let net = Net::new(
-        set.site_mark(),
-        ring.clone(),
+        settings.site_mark(),
+        events.clone(),
         ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
-        set.most_connections,
+        settings.most_connections,
     );
-    task::spawn(net.clone().listen(frames));
-    let front = Front::new(ring.clone(), set.ack_ms);
+    task::spawn(net.clone().listen(listener));
+    let client = ControllerClient::new(events.clone(), settings.ack_ms);
     let gate = http::Gate::default();
-    log_event(LogEvent::Started, format!("core {} ({id:x})", set.node));
-    log_event(LogEvent::Listening, format!("frames {listen}"));
-    door.open(front.clone(), gate.clone())?;
-    let tick = Duration::from_millis(set.pacing.tick_ms);
-    crate::run::ticker(ring.clone(), tick, || ControllerEvent::Tick);
-    crate::run::on_term(ring.clone(), || ControllerEvent::Stop)?;
-    if let Some(s) = source.clone().filter(|_| each) {
-        task::spawn(watch_list(s, ring.clone()));
-    }
-    let saver = Saver::start(wrap(store), ring.clone());
-    let mut controller = controller;
-    let mut hand = Daemon {
+    let node = &settings.node;
+    log_event(LogEvent::Started, format!("core {node} ({id:x})"));
+    log_event(LogEvent::Listening, format!("frames {address}"));
+    server.start(client.clone(), gate.clone())?;
+    start_event_sources(&settings, source.as_ref(), &events)?;
+    let storage = StorageDriver::start(wrap_store(store), events.clone());
+    let mut daemon = Daemon {
         net,
-        set,
-        front,
+        settings,
+        client,
         source,
-        saver,
-        ring,
+        storage,
+        events,
         gate,
         stop_at: None,
     };
-    runtime::run_event_loop(&mut controller, &clock, &mut hand, &rx);
+    runtime::run_event_loop(&mut controller, &clock, &mut daemon, &queue);
     log_event(LogEvent::Stopped, "core");
     Ok(())
 }
 
-async fn read_list(src: Arc<dyn WorkerSource>, ring: Ring<ControllerEvent>) -> bool {
-    let r = src.poll().await;
-    ring.send(ControllerEvent::WorkerRegistry(r)).await.is_ok()
-}
-
-async fn watch_list(src: Arc<dyn WorkerSource>, ring: Ring<ControllerEvent>) {
-    while read_list(src.clone(), ring.clone()).await {
-        task::sleep(Duration::from_millis(src.pace_ms())).await;
+/// What the controller starts from, by the settings and the store.
+fn controller_config(
+    settings: &Settings,
+    store: &DurableStore<Folder>,
+    id: u64,
+    address: SocketAddr,
+    source: Option<&dyn WorkerSource>,
+) -> ControllerConfig {
+    let unversioned = source.filter(|source| !source.is_versioned());
+    ControllerConfig {
+        me: Hello {
+            id,
+            node: settings.node.clone(),
+            core: true,
+            region: settings.region,
+            zone: settings.zone,
+            addr: address.to_string(),
+            http: settings.http.to_string(),
+            founded: false,
+            incarnation: random_id(),
+            learner_only: !settings.voting,
+            ..Hello::default()
+        },
+        site: settings.names.clone(),
+        seeds: settings.seeds.clone(),
+        cores: settings.cores,
+        membership: settings.members(),
+        timing: settings.pacing.timing(settings.ack_ms),
+        seed: random_id(),
+        promise: store.value("promise").and_then(decode::<Vec<Member>>),
+        sure: store.value("sure").is_some(),
+        most_claims: settings.most_claims,
+        // a core that lost its state to damage was a member once
+        bootstrap: settings.bootstrap && !store.rejoins(),
+        grow: settings.grow,
+        pacing: settings.pacing.clone(),
+        worker_poll_ms: unversioned.map(|source| source.poll_interval_ms()),
     }
 }
 
-async fn ask_loads(
-    set: Arc<Settings>,
-    epoch: u64,
-    to: Vec<(String, SocketAddr)>,
-    ring: Ring<ControllerEvent>,
-) {
-    let asks: Vec<_> = to
-        .into_iter()
-        .map(|(name, addr)| {
-            let to = set.reached(addr);
-            task::spawn(async move {
-                let got =
-                    http::call(to, Call::get("/load"), 1 << 16, Duration::from_millis(400)).await;
-                let l = got
-                    .ok()
-                    .filter(|c| c.status == 200)
-                    .and_then(|c| discovery::read_load(&c.body, &name).ok());
-                l.unwrap_or(Load {
-                    name,
-                    ..Load::default()
-                })
-            })
-        })
-        .collect();
-    let mut rows = Vec::new();
-    for a in asks {
-        rows.push(a.await);
+/// Starts the tasks that send ticks, the stop signal and, where every core
+/// reads them, lists of workers.
+fn start_event_sources(
+    settings: &Settings,
+    source: Option<&Arc<dyn WorkerSource>>,
+    events: &Ring<ControllerEvent>,
+) -> Result<(), String> {
+    let interval = Duration::from_millis(settings.pacing.tick_ms);
+    crate::run::ticker(events.clone(), interval, || ControllerEvent::Tick);
+    crate::run::on_term(events.clone(), || ControllerEvent::Stop)?;
+    if let Some(source) = source.filter(|source| source.is_versioned()) {
+        task::spawn(watch_workers(source.clone(), events.clone()));
     }
-    let _ = ring.send(ControllerEvent::Loads { epoch, rows }).await;
+    Ok(())
 }
 
+/// Carries out the controller's effects.
 struct Daemon<S> {
     net: Net<ControllerEvent>,
-    set: Arc<Settings>,
-    front: Front,
+    settings: Arc<Settings>,
+    client: ControllerClient,
     source: Option<Arc<dyn WorkerSource>>,
-    saver: Saver<S>,
-    ring: Ring<ControllerEvent>,
+    storage: StorageDriver<S>,
+    events: Ring<ControllerEvent>,
     gate: http::Gate,
+    /// When to end, once the process was told to stop.
     stop_at: Option<Instant>,
 }
 
 impl<S: Store + 'static> EffectHandler<Controller> for Daemon<S> {
     fn keeps_running(&mut self, controller: &Controller) -> bool {
-        self.front.show(&controller.endpoints().endpoints);
+        let endpoints = &controller.endpoints().endpoints;
+        self.client.publish_endpoints(endpoints);
         if controller.is_leaving() && self.stop_at.is_none() {
             log_event(LogEvent::Leaving, "core");
-            // what was just acked should still reach the others
-            self.stop_at = Some(Instant::now() + Duration::from_millis(300));
+            self.stop_at = Some(Instant::now() + STOP_DELAY);
             self.gate.shut();
         }
-        let late = Duration::from_secs(2);
-        let heard = |t: Instant| self.gate.open() == 0 || Instant::now() >= t + late;
-        self.stop_at.is_none_or(|t| Instant::now() < t || !heard(t))
+        let Some(stop_at) = self.stop_at else {
+            return true;
+        };
+        let drained = || self.gate.open() == 0 || Instant::now() >= stop_at + DRAIN_TIMEOUT;
+        Instant::now() < stop_at || !drained()
     }
 
     fn handle(&mut self, controller: &mut Controller, effect: ControllerEffect) {
         match effect {
-            ControllerEffect::Save(seq, save) => self.saver.save(seq, save),
-            ControllerEffect::Keep(name, value) => self.saver.put(name, &value),
-            ControllerEffect::Send(c, p) => {
-                self.net.send(c, &p);
+            ControllerEffect::Save(seq, save) => self.storage.save(seq, save),
+            ControllerEffect::Keep(name, value) => self.storage.put(name, &value),
+            ControllerEffect::Send(conn, payload) => {
+                self.net.send(conn, &payload);
             }
-            ControllerEffect::Connect(a) => self.net.dial(a, self.set.reached(a)),
-            ControllerEffect::Disconnect(a) => self.net.undial(a),
-            ControllerEffect::Close(c) => self.net.close(c),
+            ControllerEffect::Connect(address) => {
+                self.net.dial(address, self.settings.reached(address))
+            }
+            ControllerEffect::Disconnect(address) => self.net.undial(address),
+            ControllerEffect::Close(conn) => self.net.close(conn),
             ControllerEffect::ChangeDone {
                 request_id,
                 outcome,
-            } => self.front.answers.give(request_id, Reply::Done(outcome)),
+            } => {
+                let reply = ControllerReply::Change(outcome);
+                self.client.pending.reply(request_id, reply);
+            }
             ControllerEffect::StatusReady { request_id, proved } => {
-                use simd_json::prelude::*;
                 let status = controller.status().encode();
-                self.looked(controller, request_id, proved, status);
+                self.reply_state(controller, request_id, proved, status);
             }
             ControllerEffect::ViewReady { request_id, proved } => {
-                self.looked(controller, request_id, proved, String::new())
+                self.reply_state(controller, request_id, proved, String::new());
             }
             ControllerEffect::ReadWorkerList => {
-                if let Some(s) = self.source.clone() {
-                    task::spawn(read_list(s, self.ring.clone()));
+                if let Some(source) = self.source.clone() {
+                    task::spawn(read_workers(source, self.events.clone()));
                 }
             }
             ControllerEffect::PollLoads { epoch, workers } => {
-                let (set, ring) = (self.set.clone(), self.ring.clone());
-                task::spawn(ask_loads(set, epoch, workers, ring));
+                let (settings, events) = (self.settings.clone(), self.events.clone());
+                task::spawn(poll_loads(settings, epoch, workers, events));
             }
-            ControllerEffect::Say(ev, about) => log_event(ev, about),
+            ControllerEffect::Log(event, about) => log_event(event, about),
         }
     }
 }
 
 impl<S> Daemon<S> {
-    fn looked(&self, controller: &Controller, request_id: u64, ok: bool, status: String) {
-        let a = controller.consensus.as_ref();
-        let l = Looked {
-            ok,
-            disk: a.is_none_or(|a| !a.disk_failed()),
+    fn reply_state(&self, controller: &Controller, request_id: u64, proved: bool, status: String) {
+        let consensus = controller.consensus.as_ref();
+        let view = consensus.map(|consensus| consensus.machine().view());
+        let state = StateSnapshot {
+            proved,
+            disk_ok: consensus.is_none_or(|consensus| !consensus.disk_failed()),
             status,
-            view: Box::new(a.map(|a| a.machine().view()).unwrap_or_default()),
+            view: Box::new(view.unwrap_or_default()),
         };
-        self.front.answers.give(request_id, Reply::Looked(l));
+        let reply = ControllerReply::State(state);
+        self.client.pending.reply(request_id, reply);
     }
 }
--- a/sorreldoor/src/control_plane/distribution.rs
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -1,7 +1,7 @@
 //! Distribution of state to edges: what each lacks, source by source.
 
 use super::sessions::EndpointList;
-use super::updates::{Due, Updates};
+use super::updates::{NextUpdate, Updates};
 use crate::consensus::Member;
 use crate::discovery::{Loads, WorkerRegistry};
 use crate::net::Conn;
@@ -40,13 +40,13 @@
         sources: Sources,
         now: Millis,
     ) -> StateDelta {
-        let due = sources.record.map_or(Due::Nothing, |record| {
-            self.updates.due(record, conn, known.record, now)
+        let update = sources.record.map_or(NextUpdate::UpToDate, |record| {
+            self.updates.next(record, conn, known.record, now)
         });
-        let (record, record_withheld) = match due {
-            Due::Nothing => (None, false),
-            Due::Update(update) => (Some(update), false),
-            Due::Later => (None, true),
+        let (record, record_withheld) = match update {
+            NextUpdate::UpToDate => (None, false),
+            NextUpdate::Send(update) => (Some(update), false),
+            NextUpdate::Withheld => (None, true),
         };
         let registry = sources.registry;
         let loads = sources.loads;
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -1,4 +1,4 @@
-//! What goes into the controller's reducer, and what comes out.
+//! Inputs and outputs of the controller's reducer.
 
 use super::membership::Policy;
 use crate::configuration::Site;
@@ -22,50 +22,58 @@
     Edge { conn: Conn, request_id: u64 },
 }
 
+/// An input of the controller.
 #[derive(Debug)]
 pub enum ControllerEvent {
     Tick,
     Net(NetEvent),
+    /// All saves up to this number have been synced.
     Saved(u64),
-    /// The disk refuses; the store tries the same save again.
+    /// The disk has failed; the storage driver retries the same save.
     SaveFailed(String),
-    /// All that was waiting for the disk has been synced after all.
+    /// All pending saves have been synced after all.
     SaveRecovered,
     Change {
         request_id: u64,
         proposal_id: ProposalId,
         cmd: Command,
     },
-    /// Replace the members, one voter at a time; from `ctl`.
-    Reform {
+    /// Remove a core from the membership; from `ctl`.
+    RemoveCore {
         request_id: u64,
         proposal_id: ProposalId,
-        drop: NodeId,
+        core: NodeId,
     },
-    Look {
+    /// Read the status and the record.
+    ReadStatus {
         request_id: u64,
     },
-    /// Like `Look`, without the status, which takes its time.
-    View {
+    /// Read the record alone; the status document is expensive.
+    ReadView {
         request_id: u64,
     },
-    /// What became of a proposal, once this core is proved current.
-    Find {
+    /// Read the outcome of a proposal, once this core is proved current.
+    ReadOutcome {
         request_id: u64,
         proposal_id: ProposalId,
     },
+    /// A read of the worker list has ended.
     WorkerRegistry(Result<WorkerRegistry, String>),
+    /// A poll of the workers' loads has ended.
     Loads {
         epoch: u64,
         rows: Vec<Load>,
     },
+    /// The process was told to stop.
     Stop,
 }
 
+/// An action that the controller requests; effects are carried out in order.
 #[derive(Debug)]
 pub enum ControllerEffect {
+    /// Append to the store; `ControllerEvent::Saved` reports the number back.
     Save(u64, Save),
-    /// Keep a small value, synced, before anything that follows.
+    /// Store a small named value, synced before any later effect.
     Keep(&'static str, Vec<u8>),
     Send(Conn, Payload),
     Connect(SocketAddr),
@@ -94,17 +102,18 @@
         epoch: u64,
         workers: Vec<(String, SocketAddr)>,
     },
-    Say(LogEvent, String),
+    /// Write a line to the event log.
+    Log(LogEvent, String),
 }
 
 /// What a controller starts from.
-pub struct Start {
+pub struct ControllerConfig {
     pub me: Hello,
     pub site: Arc<Site>,
     pub seeds: Vec<SocketAddr>,
     pub cores: usize,
     /// How many voters there should be, and how they are spread.
-    pub members: Policy,
+    pub membership: Policy,
     pub timing: Timing,
     pub seed: u64,
     pub promise: Option<Vec<Member>>,
@@ -117,7 +126,7 @@
     /// The seeds found the site; further cores join it.
     pub grow: bool,
     pub pacing: Pacing,
-    /// The holder of the duty alone reads the list of workers, this often,
-    /// and numbers it; none: the lists that come have numbers of their own.
-    pub poll_ms: Option<Millis>,
+    /// Interval at which the holder of the singleton role reads the list of
+    /// workers and numbers it; none where lists have versions of their own.
+    pub worker_poll_ms: Option<Millis>,
 }
--- /dev/null
+++ b/sorreldoor/src/control_plane/membership/change.rs
@@ -0,0 +1,96 @@
+//! One change of the members, and why it is made.
+
+use crate::consensus::Member;
+use crate::types::NodeId;
+use std::fmt;
+
+/// One change of the members.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum MembershipChange {
+    AddLearner {
+        node: String,
+        member: Member,
+    },
+    Promote {
+        id: NodeId,
+    },
+    Swap {
+        out: NodeId,
+        into: NodeId,
+        reason: Reason,
+    },
+    Demote {
+        ids: Vec<NodeId>,
+        reason: Reason,
+    },
+    DropLearner {
+        id: NodeId,
+        reason: Reason,
+    },
+}
+
+/// Reason a member loses its place.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reason {
+    /// Another identity answers at its address: its disk was lost for certain.
+    Wiped,
+    Stopping,
+    Silent,
+    /// There are more voters than wanted.
+    Surplus,
+    /// Too many voters stand in one zone.
+    Zone,
+}
+
+impl fmt::Display for Reason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Reason::Wiped => "came back blank",
+            Reason::Stopping => "is stopping",
+            Reason::Silent => "is silent",
+            Reason::Surplus => "is one voter too many",
+            Reason::Zone => "shares its zone with other voters",
+        })
+    }
+}
+
+impl fmt::Display for MembershipChange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            MembershipChange::AddLearner { node, .. } => write!(f, "{node} joins as a non-voter"),
+            MembershipChange::Promote { id } => write!(f, "{id:x} becomes a voter"),
+            MembershipChange::Swap { out, into, reason } => {
+                write!(f, "{out:x} {reason}, {into:x} becomes a voter for it")
+            }
+            MembershipChange::Demote { ids, reason } => {
+                let ids: Vec<String> = ids.iter().map(|id| format!("{id:x}")).collect();
+                write!(f, "{} {reason} and loses its vote", ids.join(" "))
+            }
+            MembershipChange::DropLearner { id, reason } => {
+                write!(f, "{id:x} {reason} and is removed")
+            }
+        }
+    }
+}
+
+impl MembershipChange {
+    /// The members after this change.
+    pub fn applied(&self, members: &[Member]) -> Vec<Member> {
+        let mut next = members.to_vec();
+        let mut vote = |id: NodeId, voter: bool| {
+            let found = next.iter_mut().filter(|m| m.id == id);
+            found.for_each(|m| m.voter = voter);
+        };
+        match self {
+            MembershipChange::AddLearner { member, .. } => next.push(member.clone()),
+            MembershipChange::Promote { id } => vote(*id, true),
+            MembershipChange::Swap { out, into, .. } => {
+                vote(*out, false);
+                vote(*into, true);
+            }
+            MembershipChange::Demote { ids, .. } => ids.iter().for_each(|id| vote(*id, false)),
+            MembershipChange::DropLearner { id, .. } => next.retain(|m| m.id != *id),
+        }
+        next
+    }
+}
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -1,10 +1,14 @@
 //! Membership of the consensus group: the changes that follow from what the
 //! leader observes.
 
+mod change;
+mod observed;
+mod policy;
 mod reducer;
 mod spread;
 
-pub use reducer::{
-    learner, Health, Membership, MembershipChange, Observed, Policy, Shortfall, Why,
-};
+pub use change::{MembershipChange, Reason};
+pub use observed::{Health, Observed};
+pub use policy::{Policy, Shortfall};
+pub use reducer::{learner, Membership};
 pub use spread::Spread;
--- /dev/null
+++ b/sorreldoor/src/control_plane/membership/policy.rs
@@ -0,0 +1,68 @@
+//! The set of voters that the deployment asks for, and how the actual one
+//! differs from it.
+
+use crate::consensus::{quorum, Member};
+use crate::types::Millis;
+use std::cmp::Ordering;
+use std::fmt;
+
+/// What the deployment asks of the set of voters.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Policy {
+    /// Voters wanted: twice the number of machines that may be lost at once, plus
+    /// one.
+    pub voters: usize,
+    /// Zones that may be lost at once; 0 or 1.
+    pub zones: usize,
+    /// Silence after which a voter counts as lost.
+    pub silent_ms: Millis,
+}
+
+impl Policy {
+    /// As many voters as tolerate the loss of `nodes` machines at once.
+    #[must_use]
+    pub fn tolerating(nodes: usize, zones: usize, silent_ms: Millis) -> Policy {
+        let voters = 2 * nodes + 1;
+        Policy {
+            voters,
+            zones,
+            silent_ms,
+        }
+    }
+
+    /// Why the voters are not as wanted; none if they are.
+    #[must_use]
+    pub fn shortfall(&self, members: &[Member]) -> Option<Shortfall> {
+        if quorum::is_joint(members) {
+            return Some(Shortfall::ChangeUnderWay);
+        }
+        let voters = members.iter().filter(|m| m.voter).count();
+        let learners = members.len() - voters;
+        match voters.cmp(&self.voters) {
+            Ordering::Equal => None,
+            Ordering::Greater => Some(Shortfall::TooMany),
+            Ordering::Less if learners == 0 => Some(Shortfall::NoLearner),
+            Ordering::Less => Some(Shortfall::LearnerBehind),
+        }
+    }
+}
+
+/// Why the number of voters differs from the number wanted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Shortfall {
+    ChangeUnderWay,
+    TooMany,
+    NoLearner,
+    LearnerBehind,
+}
+
+impl fmt::Display for Shortfall {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Shortfall::ChangeUnderWay => "a change of voters is not finished",
+            Shortfall::TooMany => "there are more voters than wanted",
+            Shortfall::NoLearner => "no learner is there to become a voter",
+            Shortfall::LearnerBehind => "no learner has caught up",
+        })
+    }
+}
--- a/sorreldoor/src/control_plane/membership/spread.rs
+++ b/sorreldoor/src/control_plane/membership/spread.rs
@@ -4,16 +4,18 @@
 use crate::types::RegionId;
 use std::collections::BTreeMap;
 
-/// The less the better: first the voters that the loss of one zone takes, then
-/// how unevenly they are shared among regions.
+/// Ordered from best to worst: first by the voters that the loss of one zone
+/// takes, then by how unevenly the regions share them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Spread {
-    pub in_one_zone: usize,
-    pub uneven: usize,
+    /// Voters in the zone that has most of them.
+    pub max_in_one_zone: usize,
+    /// Difference between the regions with most and with fewest voters.
+    pub imbalance: usize,
 }
 
 impl Spread {
-    /// Of these voters, where `regions` are all regions that have members.
+    /// The spread of `voters`, where `regions` are all regions that have members.
     pub fn of<'m>(voters: impl Iterator<Item = &'m Member>, regions: &[RegionId]) -> Spread {
         let mut zones: BTreeMap<u16, usize> = BTreeMap::new();
         let mut shares: BTreeMap<RegionId, usize> = regions.iter().map(|r| (*r, 0)).collect();
@@ -24,13 +26,13 @@
         let most = shares.values().max().copied().unwrap_or(0);
         let least = shares.values().min().copied().unwrap_or(0);
         Spread {
-            in_one_zone: zones.values().max().copied().unwrap_or(0),
-            uneven: most - least,
+            max_in_one_zone: zones.values().max().copied().unwrap_or(0),
+            imbalance: most - least,
         }
     }
 
-    /// Whether a majority of so many voters is left when any one zone is lost.
-    pub fn bears_a_zone(&self, voters: usize) -> bool {
-        (voters - self.in_one_zone) * 2 > voters
+    /// Whether a majority of `voters` is left when any one zone is lost.
+    pub fn tolerates_zone_loss(&self, voters: usize) -> bool {
+        (voters - self.max_in_one_zone) * 2 > voters
     }
 }
--- /dev/null
+++ b/sorreldoor/src/control_plane/polling.rs
@@ -0,0 +1,62 @@
+//! Polls of the platform and of the workers; each result becomes an event for
+//! the controller.
+
+use super::events::ControllerEvent;
+use super::integration::WorkerSource;
+use crate::discovery::{self, Load};
+use crate::http::{self, Call};
+use crate::net::Ring;
+use crate::settings::Settings;
+use async_std::task;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// A worker that does not report its load within this time is not live.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(400);
+/// A load report is no longer than this.
+const MAX_LOAD_BYTES: usize = 1 << 16;
+
+/// Reads the list of workers once; false if the controller has stopped.
+pub(super) async fn read_workers(
+    source: Arc<dyn WorkerSource>,
+    events: Ring<ControllerEvent>,
+) -> bool {
+    let result = source.poll().await;
+    let event = ControllerEvent::WorkerRegistry(result);
+    events.send(event).await.is_ok()
+}
+
+/// Reads the list of workers periodically until the controller stops.
+pub(super) async fn watch_workers(source: Arc<dyn WorkerSource>, events: Ring<ControllerEvent>) {
+    while read_workers(source.clone(), events.clone()).await {
+        task::sleep(Duration::from_millis(source.poll_interval_ms())).await;
+    }
+}
+
+/// Polls the load of all workers, given by name and address, concurrently.
+pub(super) async fn poll_loads(
+    settings: Arc<Settings>,
+    epoch: u64,
+    workers: Vec<(String, SocketAddr)>,
+    events: Ring<ControllerEvent>,
+) {
+    let poll = |(name, address)| task::spawn(poll_load(settings.reached(address), name));
+    let polls: Vec<_> = workers.into_iter().map(poll).collect();
+    let mut rows = Vec::new();
+    for poll in polls {
+        rows.push(poll.await);
+    }
+    let _ = events.send(ControllerEvent::Loads { epoch, rows }).await;
+}
+
+/// The load of one worker; not live if it gives no valid report.
+async fn poll_load(address: SocketAddr, name: String) -> Load {
+    let result = http::call(address, Call::get("/load"), MAX_LOAD_BYTES, LOAD_TIMEOUT).await;
+    let response = result.ok().filter(|response| response.status == 200);
+    let load = response.and_then(|r| discovery::read_load(&r.body, &name).ok());
+    load.unwrap_or(Load {
+        name,
+        ..Load::default()
+    })
+}
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -1,6 +1,6 @@
 //! A core's status document: leaders, members, sessions and workers, as JSON.
 
-use super::membership::Membership;
+use super::membership::Policy;
 use super::worker_list::WorkerList;
 use crate::configuration::{Configuration, Route, Share, Site};
 use crate::consensus::{Consensus, Member};
@@ -33,7 +33,7 @@
     pub quorum: bool,
     /// Wall-clock time in milliseconds since the Unix epoch.
     pub wall_ms: i64,
-    pub membership: &'a Membership,
+    pub policy: &'a Policy,
     /// None while this core is part of no site.
     pub consensus: Option<&'a Consensus<ReplicatedState>>,
     pub live_cores: BTreeSet<NodeId>,
@@ -67,7 +67,7 @@
         let _ = doc.insert("leaving", self.leaving);
         let _ = doc.insert("quorum", self.quorum);
         let _ = doc.insert("wall_ms", self.wall_ms);
-        let _ = doc.insert("voters_wanted", self.membership.policy.voters);
+        let _ = doc.insert("voters_wanted", self.policy.voters);
         if let Some(consensus) = self.consensus {
             self.put_consensus(&mut doc, consensus);
             self.put_members(&mut doc, consensus.members());
@@ -79,7 +79,7 @@
         let _ = doc.insert("edges", self.edges());
         let _ = doc.insert("workers", self.workers());
         let _ = doc.insert("roster_serial", self.worker_list.version());
-        let problem = self.worker_list.error_code().map(str::to_string);
+        let problem = self.worker_list.last_error().map(str::to_string);
         let _ = doc.insert("roster_problem", problem);
         doc
     }
@@ -108,7 +108,7 @@
         let _ = doc.insert("cores", cores);
         let voters = members.iter().filter(|member| member.voter).count();
         let _ = doc.insert("voters", voters);
-        let shortfall = self.membership.shortfall(members);
+        let shortfall = self.policy.shortfall(members);
         let _ = doc.insert("voters_differ", shortfall.map(|why| why.to_string()));
     }
 
--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -1,5 +1,5 @@
-//! The core's store as the daemon uses it: opened however long the disk
-//! refuses, written by a thread of its own, and tried again after an error.
+//! Storage: the store is opened with retries, written by a thread of its own,
+//! and retried after an error.
 
 use super::events::ControllerEvent;
 use crate::consensus::Save;
@@ -14,34 +14,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Saves that may wait for the store.
-const MOST_WAITING: usize = 4096;
-/// Saves that share a sync.
-const MOST_BATCHED: usize = 256;
-/// A call of the store that takes longer is logged.
-const SLOW: Duration = Duration::from_millis(200);
-/// Pause before the disk is tried again.
-const RETRY: Duration = Duration::from_millis(100);
+/// Saves that may wait for the disk.
+const MAX_QUEUED: usize = 4096;
+/// Saves that share one sync.
+const MAX_BATCH: usize = 256;
+/// A save that takes longer is logged.
+const SLOW_SAVE: Duration = Duration::from_millis(200);
+/// Delay before a failed disk operation is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Opens the store; waits while the disk is full or fails.
+/// Opens the store; retries while the disk is full or fails.
 ///
 /// # Errors
-/// What waiting cannot mend: the folder is not ours to use.
+/// Where a retry cannot help: the folder is missing or not accessible.
 pub(super) fn open(folder: &Path) -> Result<DurableStore<Folder>, String> {
-    let mut refused = false;
+    let mut failed_before = false;
     let opened = loop {
         match DurableStore::open_folder(folder) {
             Ok(opened) => break opened,
-            Err(e) if !may_pass(&e) => {
-                return Err(format!("data: cannot use {}: {e}", folder.display()));
+            Err(error) if !is_transient(&error) => {
+                return Err(format!("data: cannot use {}: {error}", folder.display()));
             }
-            Err(e) if !refused => log_event(LogEvent::DiskFailed, e),
+            Err(error) if !failed_before => log_event(LogEvent::DiskFailed, error),
             Err(_) => {}
         }
-        refused = true;
-        thread::sleep(RETRY);
+        failed_before = true;
+        thread::sleep(RETRY_DELAY);
     };
-    if refused {
+    if failed_before {
         log_event(LogEvent::DiskRecovered, folder.display());
     }
     let Opened {
@@ -61,7 +61,7 @@
     Ok(store)
 }
 
-fn may_pass(error: &io::Error) -> bool {
+fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::*;
     !matches!(
         error.kind(),
@@ -74,50 +74,50 @@
     )
 }
 
-/// The core's identity: random, made once, synced before it is used.
+/// The core's identity: random, drawn once, synced before it is used.
 pub(super) fn identity(store: &mut DurableStore<Folder>) -> u64 {
     if let Some(id) = store.value("identity").and_then(decode::<u64>) {
         return id;
     }
     let id = crate::order_id::random_id() >> 1;
-    put_until_kept(|| store.put("identity", &encode(&id)));
+    retry_until_synced(|| store.put("identity", &encode(&id)));
     log_event(LogEvent::Identity, format!("{id:x}"));
     id
 }
 
-fn put_until_kept(mut put: impl FnMut() -> io::Result<()>) {
-    let mut refused = false;
-    while let Err(e) = put() {
-        if !refused {
-            log_event(LogEvent::DiskFailed, e);
+fn retry_until_synced(mut put: impl FnMut() -> io::Result<()>) {
+    let mut failed_before = false;
+    while let Err(error) = put() {
+        if !failed_before {
+            log_event(LogEvent::DiskFailed, error);
         }
-        refused = true;
-        thread::sleep(RETRY);
+        failed_before = true;
+        thread::sleep(RETRY_DELAY);
     }
-    if refused {
+    if failed_before {
         log_event(LogEvent::DiskRecovered, "");
     }
 }
 
-/// Hands changes to the store.
-pub(super) struct Saver<S> {
+/// Queues saves for the thread that writes the store.
+pub(super) struct StorageDriver<S> {
     store: Arc<Mutex<S>>,
     saves: Sender<(u64, Save)>,
 }
 
-impl<S: Store + 'static> Saver<S> {
-    /// Starts the thread that saves; it tells `ring` how each save ended.
-    pub(super) fn start(store: S, ring: Ring<ControllerEvent>) -> Saver<S> {
+impl<S: Store + 'static> StorageDriver<S> {
+    /// Starts the thread; it reports the end of each save to `events`.
+    pub(super) fn start(store: S, events: Ring<ControllerEvent>) -> StorageDriver<S> {
         let store = Arc::new(Mutex::new(store));
-        let (saves, waiting) = bounded(MOST_WAITING);
+        let (saves, queued) = bounded(MAX_QUEUED);
         let shared = store.clone();
-        thread::spawn(move || while save_next(&shared, &waiting, &ring).is_some() {});
-        Saver { store, saves }
+        thread::spawn(move || while save_next(&shared, &queued, &events).is_some() {});
+        StorageDriver { store, saves }
     }
 
-    /// Queues a save. Where the disk has been stuck for so long that the queue
-    /// is full, the process ends: a save that was dropped must never look
-    /// like a kept one, and what was queued comes again from the others.
+    /// Queues a save. Where the disk has stalled for so long that the queue is
+    /// full, the process exits: a dropped save must never look like a durable
+    /// one, and the other cores replicate again what was queued.
     pub(super) fn save(&self, seq: u64, save: Save) {
         if self.saves.try_send((seq, save)).is_err() {
             log_event(
@@ -128,9 +128,10 @@
         }
     }
 
-    /// Keeps a small value; returns once it is synced, however long that takes.
+    /// Stores a small named value; returns once it is synced, however long that
+    /// takes.
     pub(super) fn put(&self, name: &str, value: &[u8]) {
-        put_until_kept(|| locked(&self.store).put(name, value));
+        retry_until_synced(|| locked(&self.store).put(name, value));
     }
 }
 
@@ -140,41 +141,43 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Saves what waits, with one sync for all of it; none once nobody listens.
+/// Writes the queued saves with one sync for all; none once the controller has
+/// stopped.
 fn save_next<S: Store>(
     store: &Mutex<S>,
-    waiting: &Receiver<(u64, Save)>,
-    ring: &Ring<ControllerEvent>,
+    queued: &Receiver<(u64, Save)>,
+    events: &Ring<ControllerEvent>,
 ) -> Option<()> {
-    let mut batch = vec![waiting.recv_blocking().ok()?];
-    while batch.len() < MOST_BATCHED {
-        let Ok(more) = waiting.try_recv() else { break };
+    let mut batch = vec![queued.recv_blocking().ok()?];
+    while batch.len() < MAX_BATCH {
+        let Ok(more) = queued.try_recv() else { break };
         batch.push(more);
     }
-    let mut refused = false;
-    let mut began = Instant::now();
-    while let Err(e) = save_once(store, &batch) {
-        if !refused {
-            ring.send_blocking(ControllerEvent::SaveFailed(e.to_string()))
+    let mut failed_before = false;
+    let mut started = Instant::now();
+    while let Err(error) = save_once(store, &batch) {
+        if !failed_before {
+            events
+                .send_blocking(ControllerEvent::SaveFailed(error.to_string()))
                 .ok()?;
         }
-        refused = true;
-        thread::sleep(RETRY);
-        began = Instant::now();
+        failed_before = true;
+        thread::sleep(RETRY_DELAY);
+        started = Instant::now();
     }
-    let took = began.elapsed();
-    if took > SLOW {
-        log_event(LogEvent::DiskSlow, format!("{} ms", took.as_millis()));
+    let elapsed = started.elapsed();
+    if elapsed > SLOW_SAVE {
+        log_event(LogEvent::DiskSlow, format!("{} ms", elapsed.as_millis()));
     }
     let last = batch.last().map_or(0, |(seq, _)| *seq);
-    ring.send_blocking(ControllerEvent::Saved(last)).ok()?;
-    if refused {
-        ring.send_blocking(ControllerEvent::SaveRecovered).ok()?;
+    events.send_blocking(ControllerEvent::Saved(last)).ok()?;
+    if failed_before {
+        events.send_blocking(ControllerEvent::SaveRecovered).ok()?;
     }
     Some(())
 }
 
-/// The lock is not held between two tries, nor while the ring is full.
+/// The lock is released between attempts and while the event queue is full.
 fn save_once<S: Store>(store: &Mutex<S>, batch: &[(u64, Save)]) -> io::Result<()> {
     locked(store).save(batch)
 }
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -1,5 +1,5 @@
-//! Updates of the record as edges are sent them: encoded once for all who lack
-//! the same, and never more large ones on their way than links take.
+//! Updates of the record for edges: encoded once for all that lack the same
+//! revisions, with flow control for large ones.
 
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
@@ -8,15 +8,15 @@
 use crate::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::collections::BTreeMap;
 
-/// Bytes of large updates on their way from one core, at most: what a link of
+/// Bytes of large updates in flight from one core, at most: what a link of
 /// 100 Mbit/s carries in a third of a second.
 pub const MAX_IN_FLIGHT: usize = 4 << 20;
-/// A large update that was not taken within this is thought lost.
-const LOST_MS: Millis = 3000;
-/// Revisions that updates are kept encoded from, at most.
+/// A large update that was not acknowledged within this time counts as lost.
+const TRANSFER_TIMEOUT_MS: Millis = 3000;
+/// Base revisions for which an encoded update is cached, at most.
 const MAX_ENCODED: usize = 64;
 
-/// A large update on its way.
+/// A large update in flight.
 #[derive(Clone, Copy, Debug)]
 struct Transfer {
     revision: u64,
@@ -24,46 +24,53 @@
     since: Millis,
 }
 
-/// What is to be sent to an edge.
+/// What an edge should be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Due {
-    /// It has the newest.
-    Nothing,
-    Update(EncodedUpdate),
-    /// It lacks something and is to ask again: the link is full, or it has not
-    /// yet taken what was sent before.
-    Later,
+pub enum NextUpdate {
+    /// It has the newest revision.
+    UpToDate,
+    Send(EncodedUpdate),
+    /// There is a newer revision, but the edge should ask again: too much is in
+    /// flight, or it has not acknowledged the previous update.
+    Withheld,
 }
 
-/// Updates encoded and under way.
+/// Encoded updates, and the large ones that are in flight.
 #[derive(Default)]
 pub struct Updates {
-    /// Updates to this revision, by where they lead from.
+    /// The revision that the cached updates lead to.
     revision: u64,
+    /// By base revision.
     encoded: BTreeMap<u64, EncodedUpdate>,
     transfers: BTreeMap<Conn, Transfer>,
 }
 
 impl Updates {
-    /// What an edge that has revision `have` is to be sent now.
-    pub fn due(&mut self, record: &ReplicatedState, conn: Conn, have: u64, now: Millis) -> Due {
-        let taken = |t: &Transfer| have >= t.revision;
-        if self.transfers.get(&conn).is_some_and(taken) {
+    /// What an edge that has revision `known` should be sent now.
+    pub fn next(
+        &mut self,
+        record: &ReplicatedState,
+        conn: Conn,
+        known: u64,
+        now: Millis,
+    ) -> NextUpdate {
+        let acknowledged = |t: &Transfer| known >= t.revision;
+        if self.transfers.get(&conn).is_some_and(acknowledged) {
             self.transfers.remove(&conn);
         }
-        if record.revision() <= have {
-            return Due::Nothing;
+        if record.revision() <= known {
+            return NextUpdate::UpToDate;
         }
         self.transfers
-            .retain(|_, t| now.saturating_sub(t.since) < LOST_MS);
+            .retain(|_, t| now.saturating_sub(t.since) < TRANSFER_TIMEOUT_MS);
         if self.transfers.contains_key(&conn) {
-            return Due::Later;
+            return NextUpdate::Withheld;
         }
-        let update = self.encoded(record, have);
+        let update = self.encoded(record, known);
         let bytes = update.bytes.len();
         if bytes > LARGE_UPDATE && !broken(Invariant::CopiesBounded) {
-            if !self.fits(bytes) {
-                return Due::Later;
+            if !self.has_capacity(bytes) {
+                return NextUpdate::Withheld;
             }
             let transfer = Transfer {
                 revision: update.revision,
@@ -72,20 +79,20 @@
             };
             self.transfers.insert(conn, transfer);
         }
-        Due::Update(update)
+        NextUpdate::Send(update)
     }
 
-    /// The connection is no more.
+    /// A connection has closed; nothing is in flight on it any more.
     pub fn closed(&mut self, conn: Conn) {
         self.transfers.remove(&conn);
     }
 
-    /// Bytes of large updates that were sent and are not known to be taken.
+    /// Bytes of large updates that were sent and not acknowledged yet.
     pub fn in_flight(&self) -> usize {
         self.transfers.values().map(|t| t.bytes).sum()
     }
 
-    fn fits(&self, bytes: usize) -> bool {
+    fn has_capacity(&self, bytes: usize) -> bool {
         let in_flight = self.in_flight();
         in_flight == 0 || in_flight + bytes <= MAX_IN_FLIGHT
     }
--- a/sorreldoor/src/control_plane/worker_list.rs
+++ b/sorreldoor/src/control_plane/worker_list.rs
@@ -1,30 +1,30 @@
-//! The list of workers as one core holds it: when to read it, how a list
-//! without numbers of its own is numbered, and how old its times are.
+//! The list of workers on one core: when to read it, how a list without
+//! versions of its own is numbered, and the age of its timers.
 
 use crate::discovery::{Worker, WorkerRegistry};
 use crate::types::Millis;
 use std::sync::Arc;
 
-/// A read without any word for so long is taken for lost.
+/// A read that has not ended within this time counts as lost.
 const READ_TIMEOUT_MS: Millis = 5000;
-/// The serial of a list that was read by a core without the duty: below what
-/// any holder of the duty numbers, above no list at all.
+/// The version of a list that was read by a core without the singleton role:
+/// below all versions that a holder of the role gives, above no list at all.
 const UNNUMBERED_VERSION: u64 = 1;
 
-/// The newest list that a core knows, and the reads that bring newer ones.
+/// The newest list that a core knows, and the schedule of reads.
 #[derive(Clone, Debug)]
 pub struct WorkerList {
-    /// Between reads of a list that this core numbers itself; none where the
-    /// list comes with numbers of its own.
+    /// Interval between reads of a list that this core numbers itself; none
+    /// where lists have versions of their own.
     interval: Option<Millis>,
     next_read_at: Millis,
     reading_since: Option<Millis>,
-    /// Lists numbered in this life, and the epoch of the last of them.
+    /// Lists numbered by this incarnation, and the epoch of the last of them.
     numbered: u64,
     numbered_epoch: u64,
     current: Option<Arc<WorkerRegistry>>,
     received_at: Millis,
-    error_code: Option<String>,
+    last_error: Option<String>,
 }
 
 impl WorkerList {
@@ -38,16 +38,16 @@
             numbered_epoch: 0,
             current: None,
             received_at: now,
-            error_code: None,
+            last_error: None,
         }
     }
 
-    /// The newest list, with its times as they were when it came.
+    /// The newest list, with its timers as they were when it was received.
     pub fn current(&self) -> Option<&Arc<WorkerRegistry>> {
         self.current.as_ref()
     }
 
-    /// The serial of the newest list, or 0.
+    /// The version of the newest list, or 0.
     pub fn version(&self) -> u64 {
         self.current.as_ref().map_or(0, |list| list.version)
     }
@@ -58,11 +58,11 @@
     }
 
     /// Why the last read failed.
-    pub fn error_code(&self) -> Option<&str> {
-        self.error_code.as_deref()
+    pub fn last_error(&self) -> Option<&str> {
+        self.last_error.as_deref()
     }
 
-    /// The newest list with its times counted down to `now`.
+    /// The newest list with its timers counted down to `now`.
     pub fn at(&self, now: Millis) -> Option<Arc<WorkerRegistry>> {
         let age = now.saturating_sub(self.received_at);
         let timed = |w: &Worker| w.cold_ms > 0 || w.leaves_ms.is_some();
@@ -92,26 +92,26 @@
     }
 
     /// A read failed; true if the one before had not.
-    pub fn read_failed(&mut self, why: String) -> bool {
+    pub fn read_failed(&mut self, error: String) -> bool {
         self.reading_since = None;
-        self.error_code.replace(why).is_none()
+        self.last_error.replace(error).is_none()
     }
 
-    /// A read brought `list`: what is to be adopted and told, if anything.
-    /// `epoch` is the duty's where this core holds it.
+    /// A read returned `list`: what is to be adopted and broadcast, if anything.
+    /// `epoch` is that of the singleton role where this core holds it.
     pub fn read_done(
         &mut self,
         list: WorkerRegistry,
         epoch: Option<u64>,
         now: Millis,
     ) -> Option<Arc<WorkerRegistry>> {
-        self.error_code = None;
+        self.last_error = None;
         if self.interval.is_none() {
             return Some(Arc::new(list));
         }
         self.reading_since = None;
         let version = match epoch {
-            Some(epoch) => self.next_serial(&list, epoch, now)?,
+            Some(epoch) => self.next_version(&list, epoch, now)?,
             None if self.current.is_none() => UNNUMBERED_VERSION,
             None => return None,
         };
@@ -119,15 +119,15 @@
         Some(Arc::new(WorkerRegistry { version, workers }))
     }
 
-    /// The number of a list under the holder's epoch, if it says anything new.
-    fn next_serial(&mut self, list: &WorkerRegistry, epoch: u64, now: Millis) -> Option<u64> {
+    /// The version of a list under the holder's epoch, if it is a new list.
+    fn next_version(&mut self, list: &WorkerRegistry, epoch: u64, now: Millis) -> Option<u64> {
         let age = now.saturating_sub(self.received_at);
         let same = self
             .current
             .as_ref()
             .is_some_and(|old| old.same(&list.workers, age));
         // a new holder's first list must be newer than all that an older
-        // one may still tell of
+        // holder may still broadcast
         if same && self.numbered_epoch == epoch {
             return None;
         }
@@ -136,7 +136,7 @@
         Some((epoch << 32) | self.numbered)
     }
 
-    /// Take a list if it is newer than the one at hand.
+    /// Take a list if it is newer than the current one; true if so.
     pub fn adopt(&mut self, list: Arc<WorkerRegistry>, now: Millis) -> bool {
         let newer = self
             .current
--- a/sorreldoor/tests/membership.rs
+++ b/sorreldoor/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::{
-    learner, Health, Membership, MembershipChange, Observed, Policy, Why,
+    learner, Health, Membership, MembershipChange, Observed, Policy, Reason,
 };
 use sorreldoor::types::{Millis, NodeId};
 use sorreldoor::wire::Hello;
@@ -66,8 +66,8 @@
     }
 }
 
-fn swap(out: NodeId, into: NodeId, why: Why) -> Option<MembershipChange> {
-    Some(MembershipChange::Swap { out, into, why })
+fn swap(out: NodeId, into: NodeId, reason: Reason) -> Option<MembershipChange> {
+    Some(MembershipChange::Swap { out, into, reason })
 }
 
 #[test]
@@ -93,7 +93,7 @@
     s.silent(2, SILENT_MS - 1);
     assert_eq!(s.due(), None);
     s.silent(2, SILENT_MS);
-    assert_eq!(s.due(), swap(2, 4, Why::Silent));
+    assert_eq!(s.due(), swap(2, 4, Reason::Silent));
     s.health.entry(4).or_default().caught_up = false;
     assert_eq!(s.due(), None, "one that lags behind gets no vote");
 }
@@ -104,7 +104,7 @@
     let mut last_word = hello(3, 3);
     last_word.stopping = true;
     s.state.on_hello(&last_word);
-    assert_eq!(s.due(), swap(3, 4, Why::Stopping));
+    assert_eq!(s.due(), swap(3, 4, Reason::Stopping));
     s.state.on_hello(&hello(3, 3));
     assert_eq!(s.due(), None, "it has started again");
     let mut s = site(3, 3, 1);
@@ -118,7 +118,7 @@
     s.silent(2, 0);
     let address = s.members[1].addr.clone();
     s.live[2].addr = address;
-    assert_eq!(s.due(), swap(2, 4, Why::Wiped));
+    assert_eq!(s.due(), swap(2, 4, Reason::Wiped));
 }
 
 #[test]
@@ -131,12 +131,12 @@
     five.silent(2, long);
     assert_eq!(five.due(), None);
     five.silent(3, long);
-    let (ids, why) = (vec![2, 3], Why::Silent);
-    assert_eq!(five.due(), Some(MembershipChange::Demote { ids, why }));
+    let (ids, reason) = (vec![2, 3], Reason::Silent);
+    assert_eq!(five.due(), Some(MembershipChange::Demote { ids, reason }));
     let mut four = site(4, 4, 1);
     four.silent(2, SILENT_MS);
-    let (ids, why) = (vec![2], Why::Silent);
-    assert_eq!(four.due(), Some(MembershipChange::Demote { ids, why }));
+    let (ids, reason) = (vec![2], Reason::Silent);
+    assert_eq!(four.due(), Some(MembershipChange::Demote { ids, reason }));
 }
 
 #[test]
@@ -159,7 +159,7 @@
         change,
         MembershipChange::Swap {
             into: 4,
-            why: Why::Zone,
+            reason: Reason::Zone,
             ..
         }
     ));
--- a/sorreldoor/tests/updates/delivery.rs
+++ b/sorreldoor/tests/updates/delivery.rs
@@ -1,7 +1,7 @@
 //! Updates on their way: large ones and queues are bounded.
 
 use super::{with_routes, Core};
-use sorreldoor::control_plane::updates::{Due, Updates, MAX_IN_FLIGHT};
+use sorreldoor::control_plane::updates::{NextUpdate, Updates, MAX_IN_FLIGHT};
 use sorreldoor::net;
 use sorreldoor::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::sync::Arc;
@@ -13,28 +13,34 @@
     let mut core = Core::new();
     core.put(with_routes(1000));
     let mut updates = Updates::default();
-    let Due::Update(first) = updates.due(&core.record, 1, 0, 0) else {
+    let NextUpdate::Send(first) = updates.next(&core.record, 1, 0, 0) else {
         panic!("a blank edge is sent the whole");
     };
     assert!(first.bytes.len() > LARGE_UPDATE);
     for now in [100, 200, 900] {
         core.one_route(now as usize, now);
-        assert_eq!(updates.due(&core.record, 1, 0, now), Due::Later);
+        assert_eq!(updates.next(&core.record, 1, 0, now), NextUpdate::Withheld);
     }
     assert_eq!(updates.in_flight(), first.bytes.len());
     // once it has taken it, it is told what came since
-    let Due::Update(next) = updates.due(&core.record, 1, first.revision, 1000) else {
+    let NextUpdate::Send(next) = updates.next(&core.record, 1, first.revision, 1000) else {
         panic!("it lacks three changes");
     };
     assert!(next.bytes.len() < LARGE_UPDATE);
     assert_eq!(updates.in_flight(), 0);
     let newest = core.record.revision();
-    assert_eq!(updates.due(&core.record, 1, newest, 1100), Due::Nothing);
+    assert_eq!(
+        updates.next(&core.record, 1, newest, 1100),
+        NextUpdate::UpToDate
+    );
     // one that is lost is sent again, and a closed connection holds nothing
-    assert!(matches!(updates.due(&core.record, 2, 0, 0), Due::Update(_)));
     assert!(matches!(
-        updates.due(&core.record, 2, 0, 5000),
-        Due::Update(_)
+        updates.next(&core.record, 2, 0, 0),
+        NextUpdate::Send(_)
+    ));
+    assert!(matches!(
+        updates.next(&core.record, 2, 0, 5000),
+        NextUpdate::Send(_)
     ));
     updates.closed(2);
     assert_eq!(updates.in_flight(), 0);
@@ -54,20 +60,20 @@
         rounds += 1;
         let mut taken = Vec::new();
         for conn in &left {
-            match updates.due(&core.record, *conn, 0, rounds * 300) {
-                Due::Update(u) => {
+            match updates.next(&core.record, *conn, 0, rounds * 300) {
+                NextUpdate::Send(u) => {
                     taken.push((*conn, u.revision));
                     told.push(u);
                 }
-                due => assert_eq!(due, Due::Later),
+                due => assert_eq!(due, NextUpdate::Withheld),
             }
         }
         assert!(updates.in_flight() <= MAX_IN_FLIGHT);
         assert!(!taken.is_empty(), "someone is always served");
         for (conn, revision) in taken {
             assert_eq!(
-                updates.due(&core.record, conn, revision, rounds * 300),
-                Due::Nothing
+                updates.next(&core.record, conn, revision, rounds * 300),
+                NextUpdate::UpToDate
             );
             left.retain(|c| *c != conn);
         }
--- a/sorreldoor/tests/worker_list.rs
+++ b/sorreldoor/tests/worker_list.rs
@@ -31,7 +31,7 @@
     assert!(!workers.begin_read(INTERVAL_MS), "one is under way");
     assert!(workers.read_failed("refused".into()));
     assert!(!workers.read_failed("refused".into()), "told once");
-    assert_eq!(workers.error_code(), Some("refused"));
+    assert_eq!(workers.last_error(), Some("refused"));
     assert!(workers.begin_read(INTERVAL_MS));
     // a read without any word is lost after five seconds
     assert!(!workers.begin_read(INTERVAL_MS + 4999));
--- a/testbed/src/hollow/core.rs
+++ b/testbed/src/hollow/core.rs
@@ -4,7 +4,7 @@
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Timing};
 use sorreldoor::control_plane::membership::Policy;
-use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent, Start};
+use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEffect, ControllerEvent};
 use sorreldoor::discovery;
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::{Command, Outcome};
@@ -22,12 +22,12 @@
 impl World {
     /// The one place where a core's reducer is made.
     fn new_controller(&mut self, p: usize, incarnation: u64) -> Controller {
-        let start = Start {
+        let start = ControllerConfig {
             me: self.hello(p, incarnation),
             site: self.site.clone(),
             seeds: self.seeds(),
             cores: self.size.cores,
-            members: Policy {
+            membership: Policy {
                 voters: self.size.cores,
                 zones: 1,
                 silent_ms: 30_000,
@@ -40,7 +40,7 @@
             bootstrap: true,
             grow: false,
             pacing: Pacing::default(),
-            poll_ms: None,
+            worker_poll_ms: None,
         };
         Controller::new(start, None, self.now)
     }
--- a/testbed/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -321,7 +321,7 @@
         });
         let incarnation = self.procs[p].incarnation;
         self.reach_proc(p, incarnation, move |w| {
-            w.core_step(p, ControllerEvent::View { request_id })
+            w.core_step(p, ControllerEvent::ReadView { request_id })
         });
     }
 
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -4,7 +4,7 @@
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Save};
 use sorreldoor::control_plane::membership::Policy;
-use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent, Start};
+use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEffect, ControllerEvent};
 use sorreldoor::gateway::request_table::Plan;
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::NetEvent;
@@ -160,12 +160,12 @@
         if q.core {
             q.disk.open();
             let kept = Some(&q.disk.kept).filter(|m| !m.blank()).map(|m| m.kept());
-            let s = Start {
+            let s = ControllerConfig {
                 me,
                 site,
                 seeds,
                 cores: 3,
-                members: Policy::tolerating(tolerate, 1, replace_ms),
+                membership: Policy::tolerating(tolerate, 1, replace_ms),
                 timing,
                 seed,
                 promise: q.promise.clone(),
@@ -174,7 +174,7 @@
                 bootstrap: q.bootstrap,
                 grow,
                 pacing: pacing.clone(),
-                poll_ms: holder_polls,
+                worker_poll_ms: holder_polls,
             };
             q.role = Role::Core(Box::new(Controller::new(s, kept, now)));
         } else {
@@ -317,7 +317,7 @@
                     });
                 });
             }
-            ControllerEffect::Say(ev, s) => {
+            ControllerEffect::Log(ev, s) => {
                 let name = self.procs[p].name.clone();
                 self.says.push((self.now, name, ev, s));
             }
--- a/testbed/tests/large_config.rs
+++ b/testbed/tests/large_config.rs
@@ -3,7 +3,7 @@
 
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::StateMachine;
-use sorreldoor::control_plane::updates::{Due, Updates, MAX_IN_FLIGHT};
+use sorreldoor::control_plane::updates::{NextUpdate, Updates, MAX_IN_FLIGHT};
 use sorreldoor::invariants::{break_only, Invariant};
 use sorreldoor::replicated_state::{encode, Command, Copy, ReplicatedState};
 use sorreldoor::wire::EncodedUpdate;
@@ -97,7 +97,7 @@
     let mut sent = 0;
     for time in 0..times {
         for conn in 0..readers {
-            if let Due::Update(u) = updates.due(&record, conn, 0, time * 100) {
+            if let NextUpdate::Send(u) = updates.next(&record, conn, 0, time * 100) {
                 sent += u.bytes.len();
             }
         }
--- a/testbed/tests/site/freshness/watch.rs
+++ b/testbed/tests/site/freshness/watch.rs
@@ -124,7 +124,7 @@
         for core in w.cores() {
             let request_id = w.number();
             self.reads.push((request_id, core, w.now, newest));
-            w.core_step(core, ControllerEvent::View { request_id });
+            w.core_step(core, ControllerEvent::ReadView { request_id });
         }
     }
 
