--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -17,7 +17,7 @@
     #[must_use]
     pub fn holds_singleton_role(&self) -> bool {
         let record = self.consensus.as_ref().map(|c| c.machine());
-        record.is_some_and(|record| self.singleton.is_held(record, self.me.id))
+        record.is_some_and(|record| self.singleton.is_holder(record, self.me.id))
     }
 
     pub(super) fn epoch(&self) -> u64 {
@@ -27,9 +27,9 @@
 
     pub(super) fn tick_singleton(&mut self) {
         if !self.is_preferred_holder() || self.leaving {
-            return self.singleton.stand_down();
+            return self.singleton.withdraw();
         }
-        self.singleton.stand(self.now);
+        self.singleton.become_candidate(self.now);
         if !self.holds_singleton_role() {
             if self.singleton.claim_due(self.now) {
                 self.claim_singleton_role();
--- a/sorreldoor/src/control_plane/singleton/mod.rs
+++ b/sorreldoor/src/control_plane/singleton/mod.rs
@@ -17,7 +17,7 @@
 
 /// A core is the first live voter for this long before it claims the role, so
 /// that a core that flaps does not take it to and fro.
-const SETTLE_MS: Millis = 1000;
+const CLAIM_DELAY_MS: Millis = 1000;
 /// Interval of load polls.
 const POLL_MS: Millis = 500;
 /// Interval of weight tuning.
@@ -81,24 +81,24 @@
     }
 
     /// This core is not the first live voter.
-    pub fn stand_down(&mut self) {
+    pub fn withdraw(&mut self) {
         self.candidate_since = None;
     }
 
     /// This core is the first live voter.
-    pub fn stand(&mut self, now: Millis) {
+    pub fn become_candidate(&mut self, now: Millis) {
         self.candidate_since.get_or_insert(now);
     }
 
     /// Whether a candidate that does not hold the role should claim it now.
     pub fn claim_due(&self, now: Millis) -> bool {
-        let settled = |since| now.saturating_sub(since) >= SETTLE_MS;
-        self.candidate_since.is_some_and(settled) && self.proposal.is_none()
+        let stable = |since| now.saturating_sub(since) >= CLAIM_DELAY_MS;
+        self.candidate_since.is_some_and(stable) && self.proposal.is_none()
     }
 
     /// Whether this incarnation of the core `me` holds the role: versions
     /// numbered under an epoch must not restart within it.
-    pub fn is_held(&self, record: &ReplicatedState, me: NodeId) -> bool {
+    pub fn is_holder(&self, record: &ReplicatedState, me: NodeId) -> bool {
         record.holder() == me && self.granted_epoch == Some(record.epoch())
     }
 
--- a/sorreldoor/src/control_plane/singleton/regions.rs
+++ b/sorreldoor/src/control_plane/singleton/regions.rs
@@ -1,5 +1,5 @@
-//! Regions lost and returning: what the duty's holder sees of their workers,
-//! and the state that the record should have for each.
+//! Lost and recovering regions: the state that the record should have for each,
+//! by what the holder of the singleton role observes of their workers.
 
 use crate::configuration::Configuration;
 use crate::discovery::{Loads, Worker};
@@ -7,18 +7,18 @@
 use crate::types::Millis;
 use std::collections::BTreeMap;
 
-/// So long without any live model worker makes a region lost.
-const LOST_MS: Millis = 1500;
-/// So long after it came back, a region is served in full in any case.
-const FULL_MS: Millis = 10_000;
-/// A returning region's share rises by at least so many percent at a time, so
-/// that each worker's finished request is not a proposal.
+/// A region without any live model worker for this long is lost.
+const LOST_AFTER_MS: Millis = 1500;
+/// This long after its return, a region is served in full in any case.
+const MAX_RECOVERY_MS: Millis = 10_000;
+/// A recovering region's share rises by at least this many percent at a time,
+/// so that not each finished request leads to a proposal.
 const STEP_PERCENT: u8 = 10;
-/// From so many percent on, a region is served in full.
+/// From this percentage on, a region is served in full.
 const NEARLY_FULL_PERCENT: u8 = 95;
 
-/// The live model workers of a region: their slots, and how many of these they
-/// can bear by how warm they are.
+/// Slots of a region's live model workers, and how many of them these can use
+/// given how far they have warmed up (slow start).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capacity {
     slots: u64,
@@ -31,8 +31,8 @@
     }
 }
 
-/// What a region's workers can bear now; none for a region that is meant to
-/// have no model workers.
+/// The capacity of a region's workers; none for a region that has no model
+/// workers in the list.
 pub fn region_capacity(
     configuration: &Configuration,
     workers: &[Worker],
@@ -40,7 +40,7 @@
     region: u8,
 ) -> Option<Capacity> {
     let mut listed = false;
-    let mut sum = Capacity::default();
+    let mut total = Capacity::default();
     for worker in workers.iter().filter(|w| w.region == region && !w.leaving) {
         let group = configuration.group(&worker.group);
         let group = group.map(|g| &configuration.groups[g as usize]);
@@ -50,54 +50,54 @@
         listed = true;
         if let Some(load) = loads.of(&worker.name).filter(|l| l.live) {
             let slots = u64::from(load.slots.max(1).min(group.slots));
-            let finished = load.finished / u64::from(group.warm.after.max(1));
-            let warm = u64::from(group.warm.first) + finished;
-            sum.slots += slots;
-            sum.warm += warm.min(slots);
+            let steps = load.finished / u64::from(group.warm.after.max(1));
+            let warm = u64::from(group.warm.first) + steps;
+            total.slots += slots;
+            total.warm += warm.min(slots);
         }
     }
-    listed.then_some(sum)
+    listed.then_some(total)
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    dark_since: Option<Millis>,
-    back_since: Option<Millis>,
+struct Liveness {
+    down_since: Option<Millis>,
+    up_since: Option<Millis>,
 }
 
-/// What the holder remembers of each region between looks.
+/// Since when each region is without live workers, or has them again.
 #[derive(Clone, Debug, Default)]
 pub struct RegionWatch {
-    seen: BTreeMap<u8, Seen>,
+    regions: BTreeMap<u8, Liveness>,
 }
 
 impl RegionWatch {
-    /// The state that is due for a region which is in state `is`, if another.
+    /// The state that is due for a region, if it differs from `current`.
     pub fn next_state(
         &mut self,
         region: u8,
-        room: Capacity,
-        is: Recovery,
+        capacity: Capacity,
+        current: Recovery,
         now: Millis,
     ) -> Option<Recovery> {
-        let seen = self.seen.entry(region).or_default();
-        if room.slots == 0 {
-            seen.back_since = None;
-            let since = *seen.dark_since.get_or_insert(now);
-            let lost = now.saturating_sub(since) >= LOST_MS;
-            return (lost && is != Recovery::Lost).then_some(Recovery::Lost);
+        let liveness = self.regions.entry(region).or_default();
+        if capacity.slots == 0 {
+            liveness.up_since = None;
+            let since = *liveness.down_since.get_or_insert(now);
+            let lost = now.saturating_sub(since) >= LOST_AFTER_MS;
+            return (lost && current != Recovery::Lost).then_some(Recovery::Lost);
         }
-        seen.dark_since = None;
-        if is == Recovery::Served {
+        liveness.down_since = None;
+        if current == Recovery::Served {
             return None;
         }
-        let since = *seen.back_since.get_or_insert(now);
-        let percent = room.percent();
-        if percent >= NEARLY_FULL_PERCENT || now.saturating_sub(since) >= FULL_MS {
+        let since = *liveness.up_since.get_or_insert(now);
+        let percent = capacity.percent();
+        if percent >= NEARLY_FULL_PERCENT || now.saturating_sub(since) >= MAX_RECOVERY_MS {
             return Some(Recovery::Served);
         }
-        match is {
-            Recovery::Returning(was) if percent < was + STEP_PERCENT => None,
+        match current {
+            Recovery::Returning(previous) if percent < previous + STEP_PERCENT => None,
             _ => Some(Recovery::Returning(percent)),
         }
     }
