--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -3,6 +3,7 @@
 
 use super::client::{ControllerClient, StateSnapshot};
 use super::integration::OperatorServer;
+use super::start_error::{BindSnafu, StartError};
 use crate::error::ErrorCode;
 use crate::http;
 use crate::log_events::{log_event, LogEvent};
@@ -11,6 +12,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use http_types::{Method, Request, Response};
+use snafu::ResultExt;
 use std::sync::Arc;
 
 /// Seconds after which a client should retry, in general and with a failed disk.
@@ -23,10 +25,11 @@
 }
 
 impl OperatorServer for HttpOperatorServer {
-    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), String> {
+    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), StartError> {
         let address = self.settings.http;
-        let listener = task::block_on(TcpListener::bind(address))
-            .map_err(|e| format!("http: cannot bind {address}: {e}"))?;
+        let setting = "http";
+        let listener =
+            task::block_on(TcpListener::bind(address)).context(BindSnafu { setting, address })?;
         let max_connections = self.settings.most_connections;
         let settings = self.settings;
         let api = Api { settings, client };
--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -1,9 +1,9 @@
 //! Operators' changes: proposed, and answered with their outcome.
 
-use super::super::events::{ControllerEffect, Requester};
-use super::super::proposals;
 use super::Controller;
 use crate::consensus::{Body, Event, Lost};
+use crate::control_plane::events::{ControllerEffect, Requester};
+use crate::control_plane::proposals;
 use crate::log_events::LogEvent;
 use crate::order_id::format_proposal_id;
 use crate::replicated_state::{encode, Command, Outcome};
--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -1,8 +1,8 @@
 //! Consensus: its events in, its effects carried out.
 
-use super::super::events::ControllerEffect;
 use super::Controller;
 use crate::consensus::{Effect, Event, Member, Note};
+use crate::control_plane::events::ControllerEffect;
 use crate::log_events::LogEvent;
 use crate::types::RegionId;
 use crate::wire::Payload;
@@ -16,7 +16,7 @@
     }
 
     /// Run one event through the consensus reducer and carry out its effects.
-    pub(in super::super) fn agreed(&mut self, event: Event) {
+    pub(in crate::control_plane) fn agreed(&mut self, event: Event) {
         let now = self.now;
         let Some(consensus) = self.consensus.as_mut() else {
             return;
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(in super::super) fn effect(&mut self, effect: Effect) {
+    pub(in crate::control_plane) fn effect(&mut self, effect: Effect) {
         match effect {
             Effect::Save { seq, save } => self.out.push(ControllerEffect::Save(seq, save)),
             Effect::Send { to, msg } => {
--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -1,11 +1,11 @@
 //! Edges: their sessions, and the leases and state they are granted.
 
-use super::super::connections::REACHABLE_MS;
-use super::super::distribution::Sources;
-use super::super::events::ControllerEffect;
-use super::super::reads::Read;
-use super::super::sessions::{SessionChange, SESSION_TIMEOUT_MS};
 use super::Controller;
+use crate::control_plane::connections::REACHABLE_MS;
+use crate::control_plane::distribution::Sources;
+use crate::control_plane::events::ControllerEffect;
+use crate::control_plane::reads::Read;
+use crate::control_plane::sessions::{SessionChange, SESSION_TIMEOUT_MS};
 use crate::invariants::{broken, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -1,11 +1,11 @@
 //! Connections and frames: each frame goes to the part that it concerns.
 
-use super::super::events::{ControllerEffect, Requester};
-use super::super::learn::Page;
-use super::super::reads::Read;
 use super::edges::Renewal;
 use super::Controller;
 use crate::consensus::Event;
+use crate::control_plane::events::{ControllerEffect, Requester};
+use crate::control_plane::learn::Page;
+use crate::control_plane::reads::Read;
 use crate::net::{Conn, NetEvent};
 use crate::wire::{Hello, Payload};
 
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -1,11 +1,11 @@
 //! Membership: the leader's changes, an operator's removal of a core, and the
 //! stop of this process.
 
-use super::super::connections::LIVE_MS;
-use super::super::events::{ControllerEffect, Requester};
-use super::super::membership::{Health, Observed};
 use super::Controller;
 use crate::consensus::{Body, Event, Member};
+use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::events::{ControllerEffect, Requester};
+use crate::control_plane::membership::{Health, Observed};
 use crate::log_events::LogEvent;
 use crate::types::{NodeId, ProposalId};
 use crate::wire::{OpOutcome, Payload};
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -1,9 +1,9 @@
 //! Reads: proofs of leadership, and the answers that follow.
 
-use super::super::events::ControllerEffect;
-use super::super::reads::Read;
 use super::Controller;
 use crate::consensus::{Event, StateMachine};
+use crate::control_plane::events::ControllerEffect;
+use crate::control_plane::reads::Read;
 use crate::invariants::{broken, Invariant};
 use crate::replicated_state::decode;
 use crate::types::ProposalId;
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -1,11 +1,11 @@
 //! The singleton role: claimed by the preferred core, and the holder's work.
 
-use super::super::connections::LIVE_MS;
-use super::super::events::ControllerEffect;
-use super::super::singleton::{preferred_holder, RegionTransition};
-use super::super::status::recovery_text;
 use super::Controller;
 use crate::consensus::{Body, Event};
+use crate::control_plane::connections::{LIVE_MS, REACHABLE_MS};
+use crate::control_plane::events::{ControllerEffect, WorkerAddress};
+use crate::control_plane::singleton::{preferred_holder, RegionTransition};
+use crate::control_plane::status::recovery_text;
 use crate::discovery::{Load, Loads};
 use crate::log_events::LogEvent;
 use crate::replicated_state::{encode, Command};
@@ -70,7 +70,11 @@
     fn poll_loads(&mut self) {
         let epoch = self.epoch();
         let workers = self.worker_list.workers().iter();
-        let workers = workers.map(|w| (w.name.clone(), w.addr)).collect();
+        let workers = workers.map(|worker| WorkerAddress {
+            name: worker.name.clone(),
+            address: worker.addr,
+        });
+        let workers = workers.collect();
         self.out
             .push(ControllerEffect::PollLoads { epoch, workers });
     }
@@ -129,7 +133,7 @@
     }
 
     fn tune_weights(&mut self) {
-        let live = self.live_cores(super::REACHABLE_MS);
+        let live = self.live_cores(REACHABLE_MS);
         let Some(consensus) = &self.consensus else {
             return;
         };
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -1,18 +1,18 @@
 //! A controller as it starts: blank, or from what its store has kept.
 
-use super::super::claims::Claims;
-use super::super::connections::Connections;
-use super::super::distribution::Distribution;
-use super::super::events::ControllerConfig;
-use super::super::load_table::LoadTable;
-use super::super::membership::Membership;
-use super::super::proposals::{IdSequence, Proposals};
-use super::super::reads::Reads;
-use super::super::sessions::Sessions;
-use super::super::singleton::SingletonRole;
-use super::super::worker_list::WorkerList;
 use super::Controller;
 use crate::consensus::{Consensus, Kept, StateMachine};
+use crate::control_plane::claims::Claims;
+use crate::control_plane::connections::Connections;
+use crate::control_plane::distribution::Distribution;
+use crate::control_plane::events::ControllerConfig;
+use crate::control_plane::load_table::LoadTable;
+use crate::control_plane::membership::Membership;
+use crate::control_plane::proposals::{IdSequence, Proposals};
+use crate::control_plane::reads::Reads;
+use crate::control_plane::sessions::Sessions;
+use crate::control_plane::singleton::SingletonRole;
+use crate::control_plane::worker_list::WorkerList;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -1,8 +1,8 @@
 //! The status document, from the state of all parts.
 
-use super::super::connections::LIVE_MS;
-use super::super::status::{ClaimsStatus, StatusSources};
 use super::Controller;
+use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::status::{ClaimsStatus, StatusSources};
 use crate::json::Val;
 
 impl Controller {
--- a/sorreldoor/src/control_plane/controller/workers.rs
+++ b/sorreldoor/src/control_plane/controller/workers.rs
@@ -1,7 +1,7 @@
 //! Worker discovery: when the list of workers is read, and who is sent it.
 
-use super::super::events::ControllerEffect;
 use super::Controller;
+use crate::control_plane::events::ControllerEffect;
 use crate::discovery::WorkerRegistry;
 use crate::log_events::LogEvent;
 use crate::wire::Payload;
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -6,6 +6,7 @@
 use super::events::{ControllerConfig, ControllerEffect, ControllerEvent};
 use super::integration::{HttpWorkerSource, OperatorServer, WorkerSource};
 use super::polling::{poll_loads, read_workers, watch_workers};
+use super::start_error::{BindSnafu, NoListenAddressSnafu, StartError};
 use super::storage_driver::{self, StorageDriver};
 use crate::consensus::Member;
 use crate::http;
@@ -21,6 +22,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use simd_json::prelude::*;
+use snafu::{OptionExt, ResultExt};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -36,8 +38,8 @@
 /// Runs a core until it is told to stop.
 ///
 /// # Errors
-/// Why the core cannot start, in words.
-pub fn run(settings: Settings) -> Result<(), String> {
+/// Why the core cannot start.
+pub fn run(settings: Settings) -> Result<(), StartError> {
     run_by(settings, runtime::SystemClock::default(), |store| store)
 }
 
@@ -45,12 +47,12 @@
 /// and a wrapper around the store.
 ///
 /// # Errors
-/// Why the core cannot start, in words.
+/// Why the core cannot start.
 pub fn run_by<C, S>(
     settings: Settings,
     clock: C,
     wrap_store: impl FnOnce(DurableStore<Folder>) -> S,
-) -> Result<(), String>
+) -> Result<(), StartError>
 where
     C: runtime::Clock,
     S: Store + 'static,
@@ -68,14 +70,14 @@
 /// and operators' requests served by `server`.
 ///
 /// # Errors
-/// Why the core cannot start, in words.
+/// Why the core cannot start.
 pub fn run_with<C, S>(
     settings: Settings,
     clock: C,
     wrap_store: impl FnOnce(DurableStore<Folder>) -> S,
     source: Option<Arc<dyn WorkerSource>>,
     server: impl OperatorServer,
-) -> Result<(), String>
+) -> Result<(), StartError>
 where
     C: runtime::Clock,
     S: Store + 'static,
@@ -84,9 +86,10 @@
     let mut store = storage_driver::open(&settings.data.clone().unwrap_or_default())?;
     let id = storage_driver::identity(&mut store);
     let (events, queue) = bounded(EVENT_QUEUE);
-    let address = settings.listen.ok_or("listen: is missing")?;
-    let listener = task::block_on(TcpListener::bind(address))
-        .map_err(|e| format!("listen: cannot bind {address}: {e}"))?;
+    let address = settings.listen.context(NoListenAddressSnafu)?;
+    let setting = "listen";
+    let listener =
+        task::block_on(TcpListener::bind(address)).context(BindSnafu { setting, address })?;
     let config = controller_config(&settings, &store, id, address, source.as_deref());
     let mut controller = Controller::new(config, store.kept(), 0);
     let net = Net::new(
@@ -165,10 +168,11 @@
     settings: &Settings,
     source: Option<&Arc<dyn WorkerSource>>,
     events: &Ring<ControllerEvent>,
-) -> Result<(), String> {
+) -> Result<(), StartError> {
     let interval = Duration::from_millis(settings.pacing.tick_ms);
     crate::run::ticker(events.clone(), interval, || ControllerEvent::Tick);
-    crate::run::on_term(events.clone(), || ControllerEvent::Stop)?;
+    crate::run::on_term(events.clone(), || ControllerEvent::Stop)
+        .map_err(|reason| StartError::Signals { reason })?;
     if let Some(source) = source.filter(|source| source.is_versioned()) {
         task::spawn(watch_workers(source.clone(), events.clone()));
     }
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -22,6 +22,13 @@
     Edge { conn: Conn, request_id: u64 },
 }
 
+/// Where a worker reports its load.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WorkerAddress {
+    pub name: String,
+    pub address: SocketAddr,
+}
+
 /// An input of the controller.
 #[derive(Debug)]
 pub enum ControllerEvent {
@@ -100,7 +107,7 @@
     /// the same epoch.
     PollLoads {
         epoch: u64,
-        workers: Vec<(String, SocketAddr)>,
+        workers: Vec<WorkerAddress>,
     },
     /// Write a line to the event log.
     Log(LogEvent, String),
--- a/sorreldoor/src/control_plane/integration.rs
+++ b/sorreldoor/src/control_plane/integration.rs
@@ -2,6 +2,7 @@
 //! list of workers is read, and who serves its operators.
 
 use super::client::ControllerClient;
+use super::start_error::StartError;
 use crate::discovery::{self, WorkerRegistry};
 use crate::http::{self, Call};
 use crate::settings::Settings;
@@ -43,8 +44,8 @@
     /// Starts to listen before the core runs, and serves until `gate` is shut.
     ///
     /// # Errors
-    /// Why it cannot listen, in words; the core then does not start.
-    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), String>;
+    /// Why it cannot listen; the core then does not start.
+    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), StartError>;
 }
 
 /// The list of workers over HTTP as JSON, under versions of its source.
--- a/sorreldoor/src/control_plane/polling.rs
+++ b/sorreldoor/src/control_plane/polling.rs
@@ -1,7 +1,7 @@
 //! Polls of the platform and of the workers; each result becomes an event for
 //! the controller.
 
-use super::events::ControllerEvent;
+use super::events::{ControllerEvent, WorkerAddress};
 use super::integration::WorkerSource;
 use crate::discovery::{self, Load};
 use crate::http::{self, Call};
@@ -34,14 +34,17 @@
     }
 }
 
-/// Polls the load of all workers, given by name and address, concurrently.
+/// Polls the loads of all workers concurrently.
 pub(super) async fn poll_loads(
     settings: Arc<Settings>,
     epoch: u64,
-    workers: Vec<(String, SocketAddr)>,
+    workers: Vec<WorkerAddress>,
     events: Ring<ControllerEvent>,
 ) {
-    let poll = |(name, address)| task::spawn(poll_load(settings.reached(address), name));
+    let poll = |worker: WorkerAddress| {
+        let address = settings.reached(worker.address);
+        task::spawn(poll_load(address, worker.name))
+    };
     let polls: Vec<_> = workers.into_iter().map(poll).collect();
     let mut rows = Vec::new();
     for poll in polls {
--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -2,12 +2,14 @@
 //! and retried after an error.
 
 use super::events::ControllerEvent;
+use super::start_error::{OpenStoreSnafu, StartError};
 use crate::consensus::Save;
 use crate::log_events::{log_event, LogEvent};
 use crate::net::Ring;
 use crate::replicated_state::{decode, encode};
 use crate::store::{DurableStore, Folder, Opened, Store};
 use async_std::channel::{bounded, Receiver, Sender};
+use snafu::ResultExt;
 use std::io;
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -27,13 +29,13 @@
 ///
 /// # Errors
 /// Where a retry cannot help: the folder is missing or not accessible.
-pub(super) fn open(folder: &Path) -> Result<DurableStore<Folder>, String> {
+pub(super) fn open(folder: &Path) -> Result<DurableStore<Folder>, StartError> {
     let mut failed_before = false;
     let opened = loop {
         match DurableStore::open_folder(folder) {
             Ok(opened) => break opened,
-            Err(error) if !is_transient(&error) => {
-                return Err(format!("data: cannot use {}: {error}", folder.display()));
+            Err(source) if !is_transient(&source) => {
+                return Err(source).context(OpenStoreSnafu { folder });
             }
             Err(error) if !failed_before => log_event(LogEvent::DiskFailed, error),
             Err(_) => {}
--- a/sorreldoor/src/main.rs
+++ b/sorreldoor/src/main.rs
@@ -111,7 +111,7 @@
         return 0;
     }
     let r = match role {
-        Role::Core => sorreldoor::control_plane::run(set),
+        Role::Core => sorreldoor::control_plane::run(set).map_err(|e| e.to_string()),
         Role::Edge => sorreldoor::gateway::run(set),
     };
     r.map_or_else(
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -308,7 +308,7 @@
                 });
             }
             ControllerEffect::PollLoads { epoch, workers } => {
-                let names: Vec<String> = workers.into_iter().map(|t| t.0).collect();
+                let names: Vec<String> = workers.into_iter().map(|w| w.name).collect();
                 let region = self.procs[p].region;
                 self.after(40, move |w| {
                     let rows = names.iter().map(|n| w.load_of(n, region)).collect();
--- a/testbed/src/tricks.rs
+++ b/testbed/src/tricks.rs
@@ -104,7 +104,8 @@
     };
     let set = Settings::load(settings, &Over::default(), role).map_err(|f| f.join("; "))?;
     match role {
-        Role::Core => sorreldoor::control_plane::run_by(set, clock, |s| TrickStore(s, t)),
+        Role::Core => sorreldoor::control_plane::run_by(set, clock, |s| TrickStore(s, t))
+            .map_err(|e| e.to_string()),
         Role::Edge => sorreldoor::gateway::run_with(set, clock),
     }
 }
