--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -55,7 +55,7 @@
     pub(super) timing: Timing,
     pub(super) seed: u64,
     /// None while this core is part of no site.
-    pub consensus: Option<Consensus<ReplicatedState>>,
+    pub(super) consensus: Option<Consensus<ReplicatedState>>,
     pub(super) promise: Option<Vec<Member>>,
     pub(super) promises: BTreeMap<NodeId, Vec<Member>>,
     pub(super) seeds: Vec<SocketAddr>,
@@ -100,6 +100,13 @@
         self.leaving
     }
 
+    /// The consensus group's state here; none while this core is part of no
+    /// site.
+    #[must_use]
+    pub fn consensus(&self) -> Option<&Consensus<ReplicatedState>> {
+        self.consensus.as_ref()
+    }
+
     /// The newest list of workers.
     #[must_use]
     pub fn worker_list(&self) -> &WorkerList {
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -250,7 +250,7 @@
 
 impl<S> Daemon<S> {
     fn reply_state(&self, controller: &Controller, request_id: u64, proved: bool, status: String) {
-        let consensus = controller.consensus.as_ref();
+        let consensus = controller.consensus();
         let view = consensus.map(|consensus| consensus.machine().view());
         let state = StateSnapshot {
             proved,
--- a/testbed/src/hollow/core.rs
+++ b/testbed/src/hollow/core.rs
@@ -85,7 +85,7 @@
 
     pub(super) fn leader(&self) -> Option<usize> {
         let leads = |p: &usize| {
-            let a = self.controller_at(*p).and_then(|h| h.consensus.as_ref());
+            let a = self.controller_at(*p).and_then(|h| h.consensus());
             a.is_some_and(|a| a.leads_globally())
         };
         self.cores().find(leads)
@@ -199,7 +199,7 @@
 
     pub(super) fn propose(&mut self, c: Pending) {
         let p = self.rng.below(self.size.cores as u64) as usize;
-        let a = self.controller_at(p).and_then(|h| h.consensus.as_ref());
+        let a = self.controller_at(p).and_then(|h| h.consensus());
         let base = a.map_or(0, |a| a.machine().version());
         let cmd = if base == 0 {
             let doc = given::configuration(&self.size);
--- a/testbed/src/hollow/report.rs
+++ b/testbed/src/hollow/report.rs
@@ -166,7 +166,7 @@
         let Some(h) = self.cores().find_map(|p| self.controller_at(p)) else {
             return;
         };
-        if let Some(a) = &h.consensus {
+        if let Some(a) = h.consensus() {
             let v = a.machine().view();
             put(
                 row,
--- a/testbed/src/site/check.rs
+++ b/testbed/src/site/check.rs
@@ -149,7 +149,7 @@
             .into_iter()
             .filter_map(|p| {
                 self.controller(p)
-                    .and_then(|h| h.consensus.as_ref())
+                    .and_then(|h| h.consensus())
                     .map(|a| (p, a))
             })
             .filter(|(_, a)| a.machine().version() < top)
--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -296,7 +296,7 @@
         let end = w.now + 20_000;
         // two cores may found and lead before the third has heard of it
         let all = |w: &World| {
-            let has = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus.is_some());
+            let has = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus().is_some());
             w.leader().is_some() && w.cores().iter().all(has)
         };
         let founded = w.run_until(end, all);
--- a/testbed/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -327,7 +327,7 @@
 
     /// A core shows its record, proved current if `ok`.
     pub(crate) fn viewed(&mut self, p: usize, request_id: u64, ok: bool) {
-        let record = self.controller(p).and_then(|c| c.consensus.as_ref());
+        let record = self.controller(p).and_then(|c| c.consensus());
         let Some(record) = record.map(|a| a.machine()).filter(|_| ok) else {
             return;
         };
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -387,7 +387,7 @@
     pub fn leader(&self) -> Option<usize> {
         self.cores().into_iter().find(|p| {
             self.controller(*p)
-                .and_then(|h| h.consensus.as_ref())
+                .and_then(|h| h.consensus())
                 .is_some_and(|a| a.leads_globally())
         })
     }
--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -145,7 +145,7 @@
             let version = w
                 .cores()
                 .into_iter()
-                .filter_map(|c| w.controller(c).and_then(|h| h.consensus.as_ref()))
+                .filter_map(|c| w.controller(c).and_then(|h| h.consensus()))
                 .map(|a| a.machine().version())
                 .max()
                 .unwrap_or(0);
@@ -170,7 +170,7 @@
         sound(&w, seed);
         let won = w.cores().into_iter().filter_map(|c| w.controller(c));
         let top = won
-            .filter_map(|h| h.consensus.as_ref())
+            .filter_map(|h| h.consensus())
             .map(|a| a.machine().version());
         let top = top.max().unwrap_or(0);
         assert!(top > 8, "seed {seed}: operators got on to {top} only");
@@ -190,7 +190,7 @@
         for i in 0..200 {
             let p = w.cores()[(i % 3) as usize];
             w.after(i * 150, move |w| {
-                let version = w.controller(p).and_then(|h| h.consensus.as_ref());
+                let version = w.controller(p).and_then(|h| h.consensus());
                 let base = version.map_or(0, |a| a.machine().version());
                 let cmd = Command::Zone {
                     base,
@@ -204,7 +204,7 @@
         let gone = w.procs[lost].id;
         let done = w.run_until(end, |w| {
             w.controller(new)
-                .and_then(|h| h.consensus.as_ref())
+                .and_then(|h| h.consensus())
                 .is_some_and(|a| {
                     let seats = a.members().iter();
                     let voters: Vec<u64> = seats.filter(|m| m.voter).map(|m| m.id).collect();
--- a/testbed/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -37,7 +37,7 @@
     let end = w.now + 60_000;
     let seated = w.run_until(end, |w| {
         w.controller(b)
-            .and_then(|h| h.consensus.as_ref())
+            .and_then(|h| h.consensus())
             .is_some_and(|x| {
                 let voters = x.members().iter().filter(|m| m.voter);
                 let ids: Vec<u64> = voters.map(|m| m.id).collect();
--- a/testbed/tests/site/founding.rs
+++ b/testbed/tests/site/founding.rs
@@ -6,7 +6,7 @@
 fn sets(w: &World) -> BTreeSet<Vec<u64>> {
     w.cores()
         .into_iter()
-        .filter_map(|c| w.controller(c).and_then(|h| h.consensus.as_ref()))
+        .filter_map(|c| w.controller(c).and_then(|h| h.consensus()))
         .filter(|a| a.members().iter().any(|m| m.voter))
         .map(|a| {
             a.members()
@@ -53,7 +53,7 @@
             .cores()
             .into_iter()
             .filter(|c| {
-                let a = w.controller(*c).and_then(|h| h.consensus.as_ref());
+                let a = w.controller(*c).and_then(|h| h.consensus());
                 a.is_some_and(|a| a.leads_globally())
             })
             .collect();
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -98,7 +98,7 @@
     let end = w.now + 10_000;
     let whole = w.run_until(end, |w| {
         let a = w.leader().and_then(|c| w.controller(c));
-        let a = a.and_then(|h| h.consensus.as_ref());
+        let a = a.and_then(|h| h.consensus());
         a.is_some_and(|a| a.members().iter().filter(|m| m.voter).count() == voters)
     });
     assert!(whole, "seed {seed}: the wanted voters are there");
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -30,7 +30,7 @@
     let a = w
         .leader()
         .and_then(|c| w.controller(c))
-        .and_then(|h| h.consensus.as_ref());
+        .and_then(|h| h.consensus());
     a.map_or((Vec::new(), false), |a| {
         (a.members().to_vec(), !a.members_settled())
     })
@@ -202,7 +202,7 @@
             w.procs[c].bootstrap = false;
         }
         w.run_for(20_000);
-        let founded = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus.is_some());
+        let founded = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus().is_some());
         assert!(!w.cores().iter().any(founded), "seed {seed}");
     }
     // nor by what it promised in a life in which it had leave
@@ -224,7 +224,7 @@
         }
         all.iter().for_each(|c| w.start(*c));
         w.run_for(20_000);
-        let founded = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus.is_some());
+        let founded = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus().is_some());
         assert!(!w.cores().iter().any(founded), "seed {seed}");
     }
 }
--- a/testbed/tests/site/loads.rs
+++ b/testbed/tests/site/loads.rs
@@ -51,9 +51,7 @@
     let mut seen = Vec::new();
     while w.now < end {
         w.run_for(200);
-        let a = w
-            .controller(w.cores()[0])
-            .and_then(|h| h.consensus.as_ref());
+        let a = w.controller(w.cores()[0]).and_then(|h| h.consensus());
         let v = a.map(|a| a.machine().view()).unwrap_or_default();
         let s = a
             .and_then(|a| a.machine().configuration().cloned())
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -26,7 +26,7 @@
     let end = w.now + 8000;
     // two of them may found the site before the third has heard of it
     let ready = |w: &World| {
-        let has = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus.is_some());
+        let has = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus().is_some());
         whole(w) && w.cores().iter().all(has)
     };
     assert!(w.run_until(end, ready), "seed {seed}: {:?}", members(&w));
@@ -63,7 +63,7 @@
 /// The newest serial that any core has applied.
 fn newest(w: &World) -> u64 {
     let held = |c: usize| {
-        let a = w.controller(c).and_then(|h| h.consensus.as_ref());
+        let a = w.controller(c).and_then(|h| h.consensus());
         a.map_or(0, |a| a.machine().version())
     };
     w.cores().into_iter().map(held).max().unwrap_or(0)
