--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -2,17 +2,15 @@
 //! the controller.
 
 use super::client::{ControllerClient, StateSnapshot};
-use super::integration::OperatorServer;
-use super::start_error::{BindSnafu, StartError};
+use super::integration::{bind, OperatorServer};
+use super::start_error::StartError;
 use crate::error::ErrorCode;
 use crate::http;
 use crate::log_events::{log_event, LogEvent};
 use crate::operator_api::{self, OperatorRequest};
 use crate::settings::Settings;
-use async_std::net::TcpListener;
 use async_std::task;
 use http_types::{Method, Request, Response};
-use snafu::ResultExt;
 use std::sync::Arc;
 
 /// Seconds after which a client should retry, in general and with a failed disk.
@@ -27,9 +25,7 @@
 impl OperatorServer for HttpOperatorServer {
     fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), StartError> {
         let address = self.settings.http;
-        let setting = "http";
-        let listener =
-            task::block_on(TcpListener::bind(address)).context(BindSnafu { setting, address })?;
+        let listener = bind("http", address)?;
         let max_connections = self.settings.most_connections;
         let settings = self.settings;
         let api = Api { settings, client };
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -135,18 +135,9 @@
         match event {
             ControllerEvent::Tick => self.tick(),
             ControllerEvent::Net(event) => self.on_net(event),
-            ControllerEvent::Saved(seq) => {
-                self.agreed(Event::Saved { seq });
-                self.claims_saved(seq);
-            }
-            ControllerEvent::SaveFailed(error) => {
-                self.log_event(LogEvent::DiskFailed, error);
-                self.agreed(Event::SaveFailed);
-            }
-            ControllerEvent::SaveRecovered => {
-                self.log_event(LogEvent::DiskRecovered, "taking part again");
-                self.agreed(Event::SaveRecovered);
-            }
+            ControllerEvent::Saved(seq) => self.on_saved(seq),
+            ControllerEvent::SaveFailed(error) => self.on_save_failed(error),
+            ControllerEvent::SaveRecovered => self.on_save_recovered(),
             ControllerEvent::Change {
                 request_id,
                 proposal_id,
@@ -175,6 +166,21 @@
         }
     }
 
+    fn on_saved(&mut self, seq: u64) {
+        self.agreed(Event::Saved { seq });
+        self.claims_saved(seq);
+    }
+
+    fn on_save_failed(&mut self, error: String) {
+        self.log_event(LogEvent::DiskFailed, error);
+        self.agreed(Event::SaveFailed);
+    }
+
+    fn on_save_recovered(&mut self) {
+        self.log_event(LogEvent::DiskRecovered, "taking part again");
+        self.agreed(Event::SaveRecovered);
+    }
+
     pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
         self.out.push(ControllerEffect::Log(event, about.into()));
     }
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -4,9 +4,9 @@
 use super::client::{ControllerClient, ControllerReply, StateSnapshot};
 use super::controller::Controller;
 use super::events::{ControllerConfig, ControllerEffect, ControllerEvent};
-use super::integration::{HttpWorkerSource, OperatorServer, WorkerSource};
+use super::integration::{bind, HttpWorkerSource, OperatorServer, WorkerSource};
 use super::polling::{poll_loads, read_workers, watch_workers};
-use super::start_error::{BindSnafu, NoListenAddressSnafu, StartError};
+use super::start_error::{NoListenAddressSnafu, StartError};
 use super::storage_driver::{self, StorageDriver};
 use crate::consensus::Member;
 use crate::http;
@@ -22,7 +22,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use simd_json::prelude::*;
-use snafu::{OptionExt, ResultExt};
+use snafu::OptionExt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -87,18 +87,10 @@
     let id = storage_driver::identity(&mut store);
     let (events, queue) = bounded(EVENT_QUEUE);
     let address = settings.listen.context(NoListenAddressSnafu)?;
-    let setting = "listen";
-    let listener =
-        task::block_on(TcpListener::bind(address)).context(BindSnafu { setting, address })?;
+    let listener = bind("listen", address)?;
     let config = controller_config(&settings, &store, id, address, source.as_deref());
     let mut controller = Controller::new(config, store.kept(), 0);
-    let net = Net::new(
-        settings.site_mark(),
-        events.clone(),
-        ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
-        settings.most_connections,
-    );
-    task::spawn(net.clone().listen(listener));
+    let net = start_net(&settings, listener, &events);
     let client = ControllerClient::new(events.clone(), settings.ack_ms);
     let gate = http::Gate::default();
     let node = &settings.node;
@@ -122,6 +114,22 @@
     Ok(())
 }
 
+/// Serves connections of other nodes; what they send becomes events.
+fn start_net(
+    settings: &Settings,
+    listener: TcpListener,
+    events: &Ring<ControllerEvent>,
+) -> Net<ControllerEvent> {
+    let net = Net::new(
+        settings.site_mark(),
+        events.clone(),
+        ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
+        settings.most_connections,
+    );
+    task::spawn(net.clone().listen(listener));
+    net
+}
+
 /// What the controller starts from, by the settings and the store.
 fn controller_config(
     settings: &Settings,
--- a/sorreldoor/src/control_plane/integration.rs
+++ b/sorreldoor/src/control_plane/integration.rs
@@ -2,10 +2,13 @@
 //! list of workers is read, and who serves its operators.
 
 use super::client::ControllerClient;
-use super::start_error::StartError;
+use super::start_error::{BindSnafu, StartError};
 use crate::discovery::{self, WorkerRegistry};
 use crate::http::{self, Call};
 use crate::settings::Settings;
+use async_std::net::TcpListener;
+use async_std::task;
+use snafu::ResultExt;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -22,6 +25,14 @@
 /// A future that may be sent between threads.
 pub type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
+/// Listens on the address that `setting` gives.
+///
+/// # Errors
+/// If the address cannot be bound.
+pub fn bind(setting: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
+    task::block_on(TcpListener::bind(address)).context(BindSnafu { setting, address })
+}
+
 /// Where the list of workers is read.
 pub trait WorkerSource: Send + Sync + 'static {
     /// Interval between two reads, in milliseconds.
--- a/sorreldoor/src/control_plane/mod.rs
+++ b/sorreldoor/src/control_plane/mod.rs
@@ -50,6 +50,6 @@
 pub use controller::Controller;
 pub use daemon::{run, run_by, run_with};
 pub use events::{ControllerConfig, ControllerEffect, ControllerEvent, Requester, WorkerAddress};
-pub use integration::{BoxFuture, HttpWorkerSource, OperatorServer, WorkerSource};
+pub use integration::{bind, BoxFuture, HttpWorkerSource, OperatorServer, WorkerSource};
 pub use sessions::EndpointList;
 pub use start_error::StartError;
