--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -56,7 +56,10 @@
         let epoch = above + 1;
         let holder = self.me.id;
         self.log_event(LogEvent::DutyTaken, format!("epoch {epoch}"));
-        self.propose(Command::Duty { holder, above });
+        self.propose(Command::AcquireRole {
+            holder,
+            previous_epoch: above,
+        });
         self.singleton.claiming(epoch);
     }
 
@@ -115,7 +118,7 @@
         let name = self.site.region_name(region);
         let about = format!("{name}: {}", recovery_text(state));
         self.log_event(LogEvent::RegionState, about);
-        self.propose(Command::Region {
+        self.propose(Command::SetRegion {
             epoch,
             region,
             state,
@@ -148,7 +151,7 @@
         let weights = self.singleton.tune(&sessions, record, registry, loads);
         let (epoch, version) = (record.epoch(), record.version());
         if !weights.is_empty() && !self.singleton.is_proposing() {
-            self.propose(Command::Tune {
+            self.propose(Command::SetWeights {
                 epoch,
                 version,
                 weights,
