--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -55,7 +55,7 @@
     pub(super) timing: Timing,
     pub(super) seed: u64,
     /// None while this core is part of no site.
-    pub consensus: Option<Consensus<ReplicatedState>>,
+    pub(super) consensus: Option<Consensus<ReplicatedState>>,
     pub(super) promise: Option<Vec<Member>>,
     pub(super) promises: BTreeMap<NodeId, Vec<Member>>,
     pub(super) seeds: Vec<SocketAddr>,
@@ -100,6 +100,13 @@
         self.leaving
     }
 
+    /// The consensus group's state here; none while this core is part of no
+    /// site.
+    #[must_use]
+    pub fn consensus(&self) -> Option<&Consensus<ReplicatedState>> {
+        self.consensus.as_ref()
+    }
+
     /// The newest list of workers.
     #[must_use]
     pub fn worker_list(&self) -> &WorkerList {
@@ -128,31 +135,22 @@
         match event {
             ControllerEvent::Tick => self.tick(),
             ControllerEvent::Net(event) => self.on_net(event),
-            ControllerEvent::Saved(seq) => {
-                self.agreed(Event::Saved { seq });
-                self.claims_saved(seq);
-            }
-            ControllerEvent::SaveFailed(error) => {
-                self.log_event(LogEvent::DiskFailed, error);
-                self.agreed(Event::SaveFailed);
-            }
-            ControllerEvent::SaveRecovered => {
-                self.log_event(LogEvent::DiskRecovered, "taking part again");
-                self.agreed(Event::SaveRecovered);
-            }
+            ControllerEvent::Saved(seq) => self.on_saved(seq),
+            ControllerEvent::SaveFailed(error) => self.on_save_failed(error),
+            ControllerEvent::SaveRecovered => self.on_save_recovered(),
             ControllerEvent::Change {
                 request_id,
                 proposal_id,
                 cmd,
             } => self.change(Requester::Http { request_id }, proposal_id, cmd),
-            ControllerEvent::Reform {
+            ControllerEvent::RemoveCore {
                 request_id,
                 proposal_id,
-                drop,
-            } => self.remove_core(request_id, proposal_id, drop),
-            ControllerEvent::Look { request_id } => self.read(Read::Status { request_id }),
-            ControllerEvent::View { request_id } => self.read(Read::View { request_id }),
-            ControllerEvent::Find {
+                core,
+            } => self.remove_core(request_id, proposal_id, core),
+            ControllerEvent::ReadStatus { request_id } => self.read(Read::Status { request_id }),
+            ControllerEvent::ReadView { request_id } => self.read(Read::View { request_id }),
+            ControllerEvent::ReadOutcome {
                 request_id,
                 proposal_id,
             } => {
@@ -168,8 +166,23 @@
         }
     }
 
+    fn on_saved(&mut self, seq: u64) {
+        self.agreed(Event::Saved { seq });
+        self.claims_saved(seq);
+    }
+
+    fn on_save_failed(&mut self, error: String) {
+        self.log_event(LogEvent::DiskFailed, error);
+        self.agreed(Event::SaveFailed);
+    }
+
+    fn on_save_recovered(&mut self) {
+        self.log_event(LogEvent::DiskRecovered, "taking part again");
+        self.agreed(Event::SaveRecovered);
+    }
+
     pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
-        self.out.push(ControllerEffect::Say(event, about.into()));
+        self.out.push(ControllerEffect::Log(event, about.into()));
     }
 
     pub(super) fn send(&mut self, conn: Conn, payload: Payload) {
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -1,8 +1,8 @@
 //! The status document, from the state of all parts.
 
-use super::super::connections::LIVE_MS;
-use super::super::status::{ClaimsStatus, StatusSources};
 use super::Controller;
+use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::status::{ClaimsStatus, StatusSources};
 use crate::json::Value;
 
 impl Controller {
@@ -15,7 +15,7 @@
             leaving: self.leaving,
             quorum: self.reads.quorum(),
             wall_ms: self.wall,
-            membership: &self.membership,
+            policy: &self.membership.policy,
             consensus: self.consensus.as_ref(),
             live_cores: self.live_cores(LIVE_MS).into_keys().collect(),
             claims: ClaimsStatus {
