--- a/sorreldoor/src/balancer/pick.rs
+++ b/sorreldoor/src/balancer/pick.rs
@@ -46,7 +46,7 @@
             self.outcome(request_id, super::AttemptOutcome::Left, now);
         }
         let (Some(h), Some(mut r)) = (self.hosted.clone(), self.requests.lend(request_id)) else {
-            return Pick::Refuse(ErrorCode::GivenUp, 0);
+            return Pick::Refuse(ErrorCode::NotSent, 0);
         };
         self.refind(&mut r, &h);
         let route = r.route.and_then(|i| h.routes.get(i as usize)).map(|r| &**r);
@@ -67,13 +67,13 @@
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
         r.progress.on(Event::ConfigurationChanged(kind));
         if !r.progress.may_send_again() {
-            return self.refuse(r, ErrorCode::Leaving, now);
+            return self.refuse(r, ErrorCode::ShuttingDown, now);
         }
         let Some(route) = route else {
             return Pick::Refuse(ErrorCode::UnknownRoute, 0);
         };
         if r.deadline < now + TOO_LATE {
-            return self.refuse(r, ErrorCode::GivenUp, now);
+            return self.refuse(r, ErrorCode::NotSent, now);
         }
         let last = r.last.unwrap_or(ErrorCode::NoWorker);
         if r.sent >= route.attempts.max(1) {
@@ -189,15 +189,15 @@
     fn refuse(&mut self, r: &Req, p: ErrorCode, now: Millis) -> Pick {
         let p = match r.progress.client_answer() {
             ClientAnswer::Refused => p,
-            ClientAnswer::GatewayTimeout => ErrorCode::DeadlinePassed,
-            _ if r.progress.may_run_twice() => ErrorCode::WorkerBroke,
+            ClientAnswer::GatewayTimeout => ErrorCode::DeadlineExceeded,
+            _ if r.progress.may_run_twice() => ErrorCode::WorkerDisconnected,
             _ => ErrorCode::OutcomeUnknown,
         };
         // callers heed it up to a third of the time that they have left
         let most = r.deadline.saturating_sub(now) / 3;
         let (lo, hi) = AGAIN;
         let at = lo + (self.draw.unit() * (hi - lo) as f64) as Millis;
-        Pick::Refuse(p, if p.again() { at.min(most) } else { 0 })
+        Pick::Refuse(p, if p.is_retryable() { at.min(most) } else { 0 })
     }
 
     fn go(&mut self, r: &mut Req, svc: u32, c: Choice, route: &Route, now: Millis) -> Pick {
@@ -206,7 +206,7 @@
         let conns = conf.map_or(1, |s| s.max_conns);
         let b = &self.bounds;
         let Some(w) = self.endpoints[c.endpoint as usize].as_mut() else {
-            return Pick::Refuse(ErrorCode::GivenUp, 0);
+            return Pick::Refuse(ErrorCode::NotSent, 0);
         };
         // what may run once goes out only where the worker is known to be
         let fresh = w.suspect(now) || (!route.repeatable() && now >= w.pulse + KNOWN);
--- a/sorreldoor/src/balancer/requests.rs
+++ b/sorreldoor/src/balancer/requests.rs
@@ -233,7 +233,7 @@
                 if let Some(w) = &mut self.endpoints[s.endpoint as usize] {
                     w.stale = Some(version);
                 }
-                self.note(request_id, Event::NotRun, Some(ErrorCode::GivenUp));
+                self.note(request_id, Event::NotRun, Some(ErrorCode::NotSent));
                 // the worker it was meant for is gone, so none has had it
                 if let Some(r) = self.requests.get_mut(request_id) {
                     r.sent = r.sent.saturating_sub(1);
@@ -244,12 +244,16 @@
                 self.close(request_id, false);
                 self.never_left(request_id, s);
                 self.sign(s, Sign::ConnectFailed, now);
-                self.note(request_id, Event::ConnectFailed, Some(ErrorCode::GivenUp));
+                self.note(request_id, Event::ConnectFailed, Some(ErrorCode::NotSent));
             }
             AttemptOutcome::Broke => {
                 self.close(request_id, true);
                 self.sign(s, Sign::Bad, now);
-                self.note(request_id, Event::Closed, Some(ErrorCode::WorkerBroke));
+                self.note(
+                    request_id,
+                    Event::Closed,
+                    Some(ErrorCode::WorkerDisconnected),
+                );
             }
             AttemptOutcome::Left => {
                 self.close(request_id, true);
--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -59,7 +59,11 @@
         match self.front.look().await {
             Some(Looked { ok: true, .. }) => http::json(200, "{\"ready\":true}".into()),
             Some(Looked { disk: false, .. }) => http::shed(ErrorCode::DiskFailed, "", 5),
-            _ => http::shed(ErrorCode::NoCore, "no quorum is reached from here", 1),
+            _ => http::shed(
+                ErrorCode::NoControlPlane,
+                "no quorum is reached from here",
+                1,
+            ),
         }
     }
 
@@ -82,15 +86,15 @@
                         .collect();
                     operator_api::configuration_view(view.version, doc, &zones)
                 }
-                _ => http::shed(ErrorCode::NoCore, "", 1),
+                _ => http::shed(ErrorCode::NoControlPlane, "", 1),
             },
             OperatorRequest::Status => match self.front.look().await {
                 Some(Looked { status, .. }) => http::json(200, status),
-                _ => http::shed(ErrorCode::NoCore, "", 1),
+                _ => http::shed(ErrorCode::NoControlPlane, "", 1),
             },
             OperatorRequest::Metrics => match self.front.look().await {
                 Some(Looked { status, .. }) => operator_api::metrics(&status),
-                _ => http::shed(ErrorCode::NoCore, "", 1),
+                _ => http::shed(ErrorCode::NoControlPlane, "", 1),
             },
             OperatorRequest::Proposal(proposal_id) => {
                 operator_api::result(proposal_id, &self.front.find(proposal_id).await)
--- a/sorreldoor/src/control_plane/claims.rs
+++ b/sorreldoor/src/control_plane/claims.rs
@@ -191,7 +191,7 @@
         if note == Note::Full && !self.claims.full {
             self.claims.full = true;
             let n = self.claims.book.count();
-            self.log_event(LogEvent::ClaimsFull, format!("{n} remembered"));
+            self.log_event(LogEvent::ClaimTableFull, format!("{n} remembered"));
         }
         note
     }
--- a/sorreldoor/src/control_plane/controller.rs
+++ b/sorreldoor/src/control_plane/controller.rs
@@ -312,7 +312,7 @@
                     .iter()
                     .map(|m| format!("{:x}{}", m.id, if m.voter { "" } else { "?" }))
                     .collect();
-                self.log_event(LogEvent::Members, names.join(" "));
+                self.log_event(LogEvent::MembershipChanged, names.join(" "));
                 if !self.me.founded && ms.iter().any(|m| m.voter) {
                     self.greet();
                 }
@@ -330,9 +330,9 @@
             Note::SteppedDown { term, why } => {
                 (LogEvent::SteppedDown, format!("term {term}: {why}"))
             }
-            Note::RegionDown { region: r } => (LogEvent::RegionDown, region(r)),
-            Note::RegionUp { region: r } => (LogEvent::RegionUp, region(r)),
-            Note::Moving { to } => (LogEvent::Moving, format!("to {to:x}")),
+            Note::RegionDown { region: r } => (LogEvent::RegionUnavailable, region(r)),
+            Note::RegionUp { region: r } => (LogEvent::RegionAvailable, region(r)),
+            Note::Moving { to } => (LogEvent::LeadershipTransfer, format!("to {to:x}")),
             Note::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
         };
         self.log_event(ev, about);
@@ -342,7 +342,7 @@
         let version = self.consensus.as_ref().map_or(0, |a| a.machine().version());
         if version != self.last_version {
             self.last_version = version;
-            self.log_event(LogEvent::ConfigurationAdopted, format!("serial {version}"));
+            self.log_event(LogEvent::ConfigurationApplied, format!("serial {version}"));
         }
     }
 
@@ -389,10 +389,11 @@
         if !asked.is_empty() {
             let id = crate::order_id::format_proposal_id(proposal_id);
             let (ev, about) = match &outcome {
-                OpOutcome::Got(Outcome::Taken { version }) => {
-                    (LogEvent::ChangeTaken, format!("{id} as serial {version}"))
-                }
-                o => (LogEvent::ChangeRefused, format!("{id}: {o:?}")),
+                OpOutcome::Got(Outcome::Taken { version }) => (
+                    LogEvent::ChangeCommitted,
+                    format!("{id} as serial {version}"),
+                ),
+                o => (LogEvent::ChangeRejected, format!("{id}: {o:?}")),
             };
             self.log_event(ev, about);
         }
--- a/sorreldoor/src/control_plane/delivery.rs
+++ b/sorreldoor/src/control_plane/delivery.rs
@@ -32,7 +32,7 @@
             self.updates.closed(c);
             self.out.push(ControllerEffect::Close(c));
         }
-        self.log_event(LogEvent::NodeJoined, h.node.clone());
+        self.log_event(LogEvent::EdgeConnected, h.node.clone());
         self.edge_sessions.insert(
             conn,
             EdgeSession {
@@ -49,7 +49,7 @@
     pub(super) fn end_session(&mut self, conn: Conn) {
         self.updates.closed(conn);
         if let Some(s) = self.edge_sessions.remove(&conn) {
-            self.log_event(LogEvent::NodeLost, s.hello.node);
+            self.log_event(LogEvent::EdgeDisconnected, s.hello.node);
             self.sessions_changed();
         }
     }
--- a/sorreldoor/src/control_plane/duty.rs
+++ b/sorreldoor/src/control_plane/duty.rs
@@ -88,7 +88,7 @@
             }
             Err(why) => {
                 if self.worker_list.read_failed(why.clone()) {
-                    self.log_event(LogEvent::RosterLost, why);
+                    self.log_event(LogEvent::WorkerListUnavailable, why);
                 }
             }
         }
@@ -101,7 +101,7 @@
         }
         let n = list.workers.len();
         self.log_event(
-            LogEvent::RosterRead,
+            LogEvent::WorkerListChanged,
             format!("serial {}, {n} workers", list.version),
         );
         let cores = self.live_cores(3000).into_values().map(|(c, _)| c);
@@ -169,7 +169,7 @@
     fn take_duty(&mut self) {
         let above = self.consensus.as_ref().map_or(0, |a| a.machine().epoch());
         let holder = self.me.id;
-        self.log_event(LogEvent::DutyTaken, format!("epoch {}", above + 1));
+        self.log_event(LogEvent::SingletonAcquired, format!("epoch {}", above + 1));
         self.propose(Command::Duty { holder, above });
         self.duty.asked_epoch = self
             .duty_proposal_id
@@ -207,7 +207,7 @@
             };
             let name = self.site.region_name(region).to_string();
             let text = super::status::recovery_text(state);
-            self.log_event(LogEvent::RegionState, format!("{name}: {text}"));
+            self.log_event(LogEvent::RegionRecoveryChanged, format!("{name}: {text}"));
             return self.propose(Command::Region {
                 epoch,
                 region,
@@ -239,11 +239,15 @@
             let was = self.loads.of(&l.name).map(|o| o.live);
             if was != Some(l.live) {
                 if !l.live {
-                    self.out
-                        .push(ControllerEffect::Say(LogEvent::WorkerDark, l.name.clone()));
+                    self.out.push(ControllerEffect::Say(
+                        LogEvent::WorkerUnresponsive,
+                        l.name.clone(),
+                    ));
                 } else if was.is_some() {
-                    self.out
-                        .push(ControllerEffect::Say(LogEvent::WorkerBack, l.name.clone()));
+                    self.out.push(ControllerEffect::Say(
+                        LogEvent::WorkerResponsive,
+                        l.name.clone(),
+                    ));
                 }
             }
         }
--- a/sorreldoor/src/control_plane/founding.rs
+++ b/sorreldoor/src/control_plane/founding.rs
@@ -58,7 +58,7 @@
             // cores that share one can both be founded
             self.out
                 .push(ControllerEffect::Keep("promise", encode(&set)));
-            self.log_event(LogEvent::Promised, names(&set));
+            self.log_event(LogEvent::BootstrapPromised, names(&set));
             self.promise = Some(set);
         }
         let Some(set) = self.promise.clone() else {
@@ -115,7 +115,7 @@
     }
 
     fn found(&mut self, set: Vec<Member>) {
-        self.log_event(LogEvent::Founded, names(&set));
+        self.log_event(LogEvent::ClusterBootstrapped, names(&set));
         let r = ReplicatedState::new(self.site.clone());
         let (timing, seed, now) = (self.timing.clone(), self.seed, self.now);
         self.consensus = Some(Consensus::found(self.me.id, timing, set, r, seed, now));
@@ -163,7 +163,7 @@
                 if self.promise.as_ref() == Some(&set) && !set.is_empty() {
                     return self.found(set);
                 }
-                self.log_event(LogEvent::Joining, format!("through {}", from.node));
+                self.log_event(LogEvent::JoiningAsLearner, format!("through {}", from.node));
                 // a promise that came to nothing must not look like a founder's
                 self.out.push(ControllerEffect::Keep("promise", Vec::new()));
                 self.promise = None;
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -42,7 +42,7 @@
             live: &live,
         };
         if let Some(change) = self.membership.decide(&seen) {
-            self.log_event(LogEvent::Replacing, change.to_string());
+            self.log_event(LogEvent::MembershipChangeStarted, change.to_string());
             self.agreed(Event::Reconfigure(change.applied(&members)));
         }
     }
--- a/sorreldoor/src/control_plane/run.rs
+++ b/sorreldoor/src/control_plane/run.rs
@@ -201,7 +201,7 @@
     fn keeps_running(&mut self, controller: &Controller) -> bool {
         self.front.show(&controller.places().1);
         if controller.leaving && self.stop_at.is_none() {
-            log_event(LogEvent::Leaving, "core");
+            log_event(LogEvent::ShuttingDown, "core");
             // what was just acked should still reach the others
             self.stop_at = Some(Instant::now() + Duration::from_millis(300));
             self.gate.shut();
--- a/sorreldoor/src/control_plane/saving.rs
+++ b/sorreldoor/src/control_plane/saving.rs
@@ -50,7 +50,7 @@
         damage,
     } = opened;
     if torn {
-        log_event(LogEvent::DiskTorn, folder.display());
+        log_event(LogEvent::TornWrite, folder.display());
     }
     if let Some(what) = damage {
         log_event(
@@ -81,7 +81,7 @@
     }
     let id = crate::order_id::random_id() >> 1;
     put_until_kept(|| store.put("identity", &encode(&id)));
-    log_event(LogEvent::Identity, format!("{id:x}"));
+    log_event(LogEvent::IdentityCreated, format!("{id:x}"));
     id
 }
 
--- a/sorreldoor/src/error.rs
+++ b/sorreldoor/src/error.rs
@@ -1,75 +1,133 @@
-//! The closed list of problem kinds, and the table from kind to result.
+//! The closed list of errors that callers and operators are given, each with
+//! its code, HTTP status, and whether a retry is safe.
+//!
+//! The table below is the source of `docs/problems.md`; a test holds the page
+//! against it. Codes are public and never change.
 
 use std::fmt;
 
-/// One row: kind, its code for callers, HTTP status, whether coming back
-/// later makes sense, and what an operator or caller reads.
-macro_rules! problems {
-    ($($kind:ident $code:literal $status:literal $again:literal $text:literal;)*) => {
+macro_rules! error_codes {
+    ($($name:ident $code:literal $status:literal $retryable:literal $message:literal $action:literal;)*) => {
+        /// An error that ends a request or an operator's change.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-        pub enum ErrorCode { $($kind),* }
+        pub enum ErrorCode { $(#[doc = $message] $name),* }
 
         impl ErrorCode {
-            pub const ALL: &'static [ErrorCode] = &[$(ErrorCode::$kind),*];
+            /// All errors, in the order of the page.
+            pub const ALL: &'static [ErrorCode] = &[$(ErrorCode::$name),*];
+
+            /// The public code, as in the field `problem` of a JSON answer.
+            #[must_use]
             pub fn code(self) -> &'static str {
-                match self { $(ErrorCode::$kind => $code),* }
+                match self { $(ErrorCode::$name => $code),* }
             }
+
+            /// The HTTP status of the answer.
+            #[must_use]
             pub fn status(self) -> u16 {
-                match self { $(ErrorCode::$kind => $status),* }
+                match self { $(ErrorCode::$name => $status),* }
+            }
+
+            /// Whether a retry is safe and may succeed. Such answers carry
+            /// `Retry-After` (RFC 9110, section 10.2.3).
+            #[must_use]
+            pub fn is_retryable(self) -> bool {
+                match self { $(ErrorCode::$name => $retryable),* }
             }
-            /// Whether the result carries Retry-After.
-            pub fn again(self) -> bool {
-                match self { $(ErrorCode::$kind => $again),* }
+
+            /// What went wrong, for the caller or operator.
+            #[must_use]
+            pub fn message(self) -> &'static str {
+                match self { $(ErrorCode::$name => $message),* }
             }
-            pub fn text(self) -> &'static str {
-                match self { $(ErrorCode::$kind => $text),* }
+
+            /// What an engineer on call does about it.
+            #[must_use]
+            pub fn action(self) -> &'static str {
+                match self { $(ErrorCode::$name => $action),* }
             }
         }
     };
 }
 
-problems! {
-    BadJson "bad-json" 400 false "the body is not the JSON that is asked for here";
-    BadErrand "bad-errand" 400 false "a field of the errand is missing or malformed";
-    UnknownPath "unknown-path" 404 false "there is nothing at this path";
-    UnknownRoute "unknown-route" 404 false "the setup has no such route";
-    UnknownZone "unknown-zone" 404 false "the site has no such zone";
-    UnknownProposal "unknown-proposal" 404 false "no result is kept for this proposal id";
-    BadMethod "bad-method" 405 false "this path does not take this method";
-    BadRequest "bad-request" 400 false "the request is no proper HTTP/1.1";
-    HeadTooLarge "head-too-large" 431 false "the head is larger than the operator allows";
-    DeadlinePassed "deadline-passed" 504 false "the time for this request is over; whether it ran is not known";
-    SlowSender "slow-sender" 408 false "the errand did not arrive whole in time";
-    BodyTooLarge "body-too-large" 413 false "the body is larger than this node takes";
-    HomeElsewhere "home-elsewhere" 307 false "this errand is bound to its home region; go to the address given";
-    AlreadyTaken "already-taken" 409 false "an errand with this id was taken here before and will not run again";
-    StaleVersion "stale-serial" 409 true "the setup has moved on from the serial this builds on";
-    BaseAhead "base-ahead" 503 true "the serial that the change builds on is not there yet; the same change may be sent again";
-    NoBase "no-base" 428 false "the change does not say which serial it builds on";
-    InvalidConfiguration "bad-setup" 422 false "the setup has faults; none of it takes effect";
-    TooManyConnections "too-many-connections" 503 true "this node holds as many connections as it takes";
-    NoConfiguration "no-setup" 503 true "no setup has been adopted yet";
-    NoLease "no-permit" 503 true "this node cannot show that its setup is current";
-    NoWorker "no-worker" 503 true "no worker can take this errand now";
-    QueueFull "queue-full" 503 true "as much waits already as can be served in time";
-    ClaimsFull "claims-full" 503 true "the cores remember as many errand ids as they can; this one was not sent";
-    GivenUp "given-up" 503 true "the errand was not sent to any worker and will not be";
-    Leaving "leaving" 503 true "this node is going down";
-    NoCore "no-core" 503 true "no core node can be reached, or none leads";
-    DiskFailed "disk-failed" 503 true "this core cannot sync its disk";
-    NotTaken "not-taken" 503 true "the change was not taken and will not be";
-    PendingUnknown "pending-unknown" 504 false "the change may or may not be taken; ask by its proposal id";
-    OutcomeUnknown "outcome-unknown" 502 false "the errand was handed to a worker; whether it ran is not known";
-    WorkerBroke "worker-broke" 502 true "every worker tried broke off; the errand may be repeated";
-    WorkerShort "worker-short" 502 true "a worker's result ended before its stated length";
-    WorkerGarbage "worker-garbage" 502 true "a worker's result was not what its protocol says";
-    WrongErrand "wrong-errand" 502 true "a worker's result named another errand";
-    StreamBroken "stream-broken" 502 false "the stream broke off before its last event";
+error_codes! {
+    InvalidJson "bad-json" 400 false "the body is not the JSON that this path expects"
+        "the caller corrects its request";
+    InvalidRequestField "bad-errand" 400 false "a field of the request is missing or malformed"
+        "the caller corrects its request";
+    UnknownPath "unknown-path" 404 false "there is nothing at this path"
+        "the caller corrects the path; see api.md";
+    UnknownRoute "unknown-route" 404 false "the configuration has no such route"
+        "check the route name against `ctl get`";
+    UnknownZone "unknown-zone" 404 false "the site has no such zone"
+        "check the zone name against the settings";
+    UnknownProposal "unknown-proposal" 404 false "no outcome is stored for this proposal id"
+        "send the change again under the same id";
+    MethodNotAllowed "bad-method" 405 false "this path does not support this method"
+        "the caller corrects its request";
+    MalformedHttp "bad-request" 400 false "the request is not valid HTTP/1.1"
+        "find the client; something between it and the node may rewrite requests";
+    HeadTooLarge "head-too-large" 431 false "the request head exceeds the configured limit"
+        "raise `limits` of the hosted configuration, or shorten headers";
+    DeadlineExceeded "deadline-passed" 504 false "the deadline of this request has passed; whether it ran is not known"
+        "look at queue and worker latency; check before sending it again";
+    RequestTimeout "slow-sender" 408 false "the request was not received completely in time"
+        "look at the network between caller and node";
+    BodyTooLarge "body-too-large" 413 false "the body exceeds the limit of this node"
+        "raise `max_body`, or send less";
+    HomeRegionRedirect "home-elsewhere" 307 false "this request is bound to its home region; use the address given"
+        "nothing; clients follow the redirect";
+    DuplicateRequestId "already-taken" 409 false "a request with this id was accepted before and will not run again"
+        "nothing; the caller uses a fresh id for a new request";
+    StaleVersion "stale-serial" 409 true "the configuration has a newer version than the one this change builds on"
+        "read the configuration again and repeat the change on top of it";
+    BaseVersionAhead "base-ahead" 503 true "the version that the change builds on is not committed yet; the same change may be sent again"
+        "send the same change again";
+    MissingBaseVersion "no-base" 428 false "the change does not say which version it builds on"
+        "add `--base`";
+    InvalidConfiguration "bad-setup" 422 false "the configuration has faults; none of it takes effect"
+        "correct the faults that are listed";
+    TooManyConnections "too-many-connections" 503 true "this node has reached its connection limit"
+        "raise `max_connections`, or look for clients that leak connections";
+    NoConfiguration "no-setup" 503 true "no configuration is in force yet"
+        "put one: `ctl put FILE --base 0`; after a restart, look for a leader (`ctl status`)";
+    NoLease "no-permit" 503 true "this node cannot prove that its configuration is current"
+        "look for the Global Leader and for the path between this edge and the cores";
+    NoWorker "no-worker" 503 true "no worker can serve this request now"
+        "look at worker load, slow start and ejections (`ctl placement`)";
+    QueueFull "queue-full" 503 true "the queue is as long as can be served in time"
+        "add workers, or find where the load comes from";
+    ClaimTableFull "claims-full" 503 true "the cores store as many request ids as they may; this request was not sent"
+        "raise `max_claims` on every core, or send fewer requests under ids of their own";
+    NotSent "given-up" 503 true "the request was not sent to any worker and will not be"
+        "nothing unless frequent: then as for `no-worker`";
+    ShuttingDown "leaving" 503 true "this node is shutting down"
+        "nothing; clients use another node";
+    NoControlPlane "no-core" 503 true "no core can be reached, or none is the leader"
+        "see runbook.md, no leader";
+    DiskFailed "disk-failed" 503 true "this core cannot sync its disk"
+        "free space or replace the disk; see replacing.md";
+    ChangeNotAccepted "not-taken" 503 true "the change was not accepted and will not be"
+        "send it again";
+    ChangeOutcomeUnknown "pending-unknown" 504 false "the change may or may not be committed; ask by its proposal id"
+        "`ctl find ID`, then read the configuration";
+    OutcomeUnknown "outcome-unknown" 502 false "the request was sent to a worker; whether it ran is not known"
+        "check at the service behind before sending it again";
+    WorkerDisconnected "worker-broke" 502 true "every attempted worker closed the connection; the request may be repeated"
+        "look at the workers named in E272 and E271";
+    TruncatedResponse "worker-short" 502 true "a response of a worker ended before its stated length"
+        "look at that worker";
+    InvalidWorkerResponse "worker-garbage" 502 true "a response of a worker violated its protocol"
+        "look at that worker";
+    MismatchedRequestId "wrong-errand" 502 true "a response of a worker named another request"
+        "take that worker out: it mixes responses up";
+    StreamInterrupted "stream-broken" 502 false "the stream ended before its last event"
+        "look at the worker named in E271; the client resumes or repeats";
 }
 
 impl fmt::Display for ErrorCode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.code(), self.text())
+        write!(f, "{}: {}", self.code(), self.message())
     }
 }
 
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -77,7 +77,7 @@
         {
             Some(Reply::Status { ready: Ok(()), .. }) => http::json(200, "{\"ready\":true}".into()),
             Some(Reply::Status { ready: Err(p), .. }) => http::shed(p, "", 1),
-            _ => http::shed(ErrorCode::Leaving, "", 1),
+            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
@@ -87,20 +87,25 @@
             .await
         {
             Some(Reply::Status { text, .. }) => http::json(200, text),
-            _ => http::shed(ErrorCode::Leaving, "", 1),
+            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     fn home(&self, name: Option<String>) -> Result<Option<u8>, ErrorCode> {
-        name.map(|n| self.set.names.region(&n).ok_or(ErrorCode::BadErrand))
-            .transpose()
+        name.map(|n| {
+            self.set
+                .names
+                .region(&n)
+                .ok_or(ErrorCode::InvalidRequestField)
+        })
+        .transpose()
     }
 
     /// An errand as a query describes it.
     fn described(&self, req: &Request) -> Result<RequestSpec, ErrorCode> {
         let home = self.home(http::query(req, "region"))?;
         Ok(RequestSpec {
-            route: http::query(req, "route").ok_or(ErrorCode::BadErrand)?,
+            route: http::query(req, "route").ok_or(ErrorCode::InvalidRequestField)?,
             key: http::query(req, "key").unwrap_or_default(),
             id: order_id::format_proposal_id(order_id::random_proposal_id()),
             home,
@@ -120,7 +125,7 @@
         {
             Some(Reply::Status { text, .. }) => http::json(200, text),
             Some(Reply::Where(Err(p))) => http::shed(p, "", 1),
-            _ => http::shed(ErrorCode::Leaving, "", 1),
+            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
@@ -140,7 +145,7 @@
                 http::ok(v)
             }
             Some(Reply::Where(Err(p))) => http::shed(p, "", 1),
-            _ => http::shed(ErrorCode::Leaving, "", 1),
+            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
@@ -178,7 +183,7 @@
                             .collect();
                         operator_api::configuration_view(view.version, doc, &zones)
                     }
-                    _ => http::shed(ErrorCode::NoCore, "", 1),
+                    _ => http::shed(ErrorCode::NoControlPlane, "", 1),
                 }
             }
             OperatorRequest::Status => self.status().await,
@@ -187,7 +192,7 @@
                 .await
             {
                 Some(Reply::Status { text, .. }) => operator_api::metrics(&text),
-                _ => http::shed(ErrorCode::Leaving, "", 1),
+                _ => http::shed(ErrorCode::ShuttingDown, "", 1),
             },
             OperatorRequest::DropCore { .. } => http::shed(ErrorCode::UnknownPath, "ask a core", 1),
         }
@@ -197,7 +202,7 @@
         let head = |k: &str| req.header(k).map(|h| h.last().as_str().to_string());
         let given = head("x-errand-id");
         if given.as_deref().is_some_and(|i| !json::good_name(i)) {
-            return Err(ErrorCode::BadErrand);
+            return Err(ErrorCode::InvalidRequestField);
         }
         let id = given
             .clone()
@@ -232,7 +237,7 @@
         {
             Some(Reply::Come(shown)) => shown,
             Some(r) => return final_of(r, path, &asked.id),
-            None => return http::shed(ErrorCode::Leaving, "", 1),
+            None => return http::shed(ErrorCode::ShuttingDown, "", 1),
         };
         asked.profile = shown;
         let model = shown.model;
@@ -243,14 +248,14 @@
             method == Method::Get
         };
         if !fits {
-            return http::shed(ErrorCode::BadMethod, "", 1);
+            return http::shed(ErrorCode::MethodNotAllowed, "", 1);
         }
         let body = match http::body(req, self.set.most_body, BODY).await {
             Ok(b) => b,
             Err(p) => return http::shed(p, "", 1),
         };
         if model && json::parse(&body, self.set.most_body).is_err() {
-            return http::shed(ErrorCode::BadJson, "", 1);
+            return http::shed(ErrorCode::InvalidJson, "", 1);
         }
         let load = Load {
             id: asked.id.clone(),
@@ -289,7 +294,7 @@
                 watch.stop();
                 final_of(r, path, &id)
             }
-            None => http::shed(ErrorCode::Leaving, "", 1),
+            None => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 }
@@ -306,7 +311,7 @@
     let mut out = match r {
         Reply::Shed(p, again) => http::shed(p, "", again),
         Reply::Elsewhere(addr) => {
-            let mut r = http::shed(ErrorCode::HomeElsewhere, &addr, 1);
+            let mut r = http::shed(ErrorCode::HomeRegionRedirect, &addr, 1);
             r.insert_header("location", format!("http://{addr}{path}"));
             r
         }
@@ -329,7 +334,7 @@
             });
             r
         }
-        _ => http::shed(ErrorCode::Leaving, "", 1),
+        _ => http::shed(ErrorCode::ShuttingDown, "", 1),
     };
     out.insert_header("x-errand-id", id);
     out
@@ -378,7 +383,7 @@
             let piece = match Pin::new(&mut me.rx).poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
                 // a relay that vanished has not said that this is the end
-                Poll::Ready(None) => Piece::Broke(ErrorCode::StreamBroken),
+                Poll::Ready(None) => Piece::Broke(ErrorCode::StreamInterrupted),
                 Poll::Ready(Some(p)) => p,
             };
             me.at = 0;
@@ -391,7 +396,7 @@
                 Piece::Broke(p) => {
                     let mut v = Val::object();
                     let _ = v.insert("problem", p.code());
-                    let _ = v.insert("text", ErrorCode::StreamBroken.text());
+                    let _ = v.insert("text", ErrorCode::StreamInterrupted.message());
                     me.buf = (v.encode() + "\n").into_bytes();
                     me.broken = true;
                 }
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -157,7 +157,7 @@
             }
             EdgeEvent::Stop => {
                 self.leaving = true;
-                self.log_event(LogEvent::Leaving, "edge");
+                self.log_event(LogEvent::ShuttingDown, "edge");
             }
         }
         if self.pull.lease(self.now) {
@@ -171,17 +171,17 @@
                 }
                 RequestEffect::Release { request_id, id } => self.release(*request_id, id.clone()),
                 RequestEffect::Unknown { id, worker } => {
-                    self.log_event(LogEvent::ErrandUnknown, format!("{id} at {worker}"))
+                    self.log_event(LogEvent::OutcomeUnknown, format!("{id} at {worker}"))
                 }
                 RequestEffect::Bad {
                     id,
                     worker,
                     error_code,
                 } => {
-                    let ev = if *error_code == ErrorCode::StreamBroken {
-                        LogEvent::StreamBroken
+                    let ev = if *error_code == ErrorCode::StreamInterrupted {
+                        LogEvent::StreamInterrupted
                     } else {
-                        LogEvent::ResultBad
+                        LogEvent::WorkerResponseRejected
                     };
                     self.log_event(ev, format!("{id} at {worker}: {}", error_code.code()));
                 }
@@ -222,7 +222,7 @@
     /// Why nothing new is taken in just now.
     fn closed(&self) -> Option<ErrorCode> {
         if self.leaving {
-            return Some(ErrorCode::Leaving);
+            return Some(ErrorCode::ShuttingDown);
         }
         Some(ErrorCode::NoLease).filter(|_| !self.pull.lease(self.now))
     }
@@ -236,7 +236,7 @@
             .ok_or(ErrorCode::NoConfiguration)?;
         Some(())
             .filter(|_| !self.plan.evacuated(self.plan.zone))
-            .ok_or(ErrorCode::Leaving)
+            .ok_or(ErrorCode::ShuttingDown)
     }
 
     pub fn idle(&self) -> bool {
@@ -286,7 +286,7 @@
                 ));
             }
             SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::Woken, s),
+            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::ClockJump, s),
             SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
             SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
         }
@@ -339,7 +339,7 @@
             let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
             let home = s.routes[route as usize].home;
             if home && a.home.is_none() {
-                return Err(ErrorCode::BadErrand);
+                return Err(ErrorCode::InvalidRequestField);
             }
             let at = a.home.or(Some(self.plan.region));
             let all = self.plan.edges_for(at, home, &a.key);
--- a/sorreldoor/src/gateway/relay.rs
+++ b/sorreldoor/src/gateway/relay.rs
@@ -144,14 +144,14 @@
     fn wrong(&self, c: &http::Called) -> Option<ErrorCode> {
         let named = c.request.as_deref();
         if named.is_some_and(|n| n != self.load.id) && !broken(Invariant::ResultOwner) {
-            return Some(ErrorCode::WrongErrand);
+            return Some(ErrorCode::MismatchedRequestId);
         }
         if !self.load.model {
             return None;
         }
         let json = is(&c.kind, "application/json") && json::parse(&c.body, MOST_RESULT).is_ok();
         let missing = named.is_none();
-        (missing || !json).then_some(ErrorCode::WorkerGarbage)
+        (missing || !json).then_some(ErrorCode::InvalidWorkerResponse)
     }
 
     async fn stream(&self, mut r: Response) {
@@ -162,9 +162,9 @@
         let odd = !http::framed(&r) || !is(kind, "application/x-ndjson");
         if named.as_deref() != Some(&self.load.id) || odd {
             let p = if odd || named.is_none() {
-                ErrorCode::WorkerGarbage
+                ErrorCode::InvalidWorkerResponse
             } else {
-                ErrorCode::WrongErrand
+                ErrorCode::MismatchedRequestId
             };
             return self.tell(AttemptEvent::Broke(p)).await;
         }
@@ -174,7 +174,7 @@
         let lines = BufReader::new(r.take_body());
         let end = timeout(self.load.within, self.relay(lines, &tx))
             .await
-            .unwrap_or(Err(ErrorCode::StreamBroken));
+            .unwrap_or(Err(ErrorCode::StreamInterrupted));
         let told = match end {
             Ok(()) => {
                 let _ = tx.send(Piece::End).await;
@@ -203,23 +203,23 @@
                 .await
                 .ok()
                 .flatten()
-                .ok_or(ErrorCode::StreamBroken)?;
+                .ok_or(ErrorCode::StreamInterrupted)?;
             if n == 0 || line.last() != Some(&b'\n') {
-                return Err(ErrorCode::StreamBroken);
+                return Err(ErrorCode::StreamInterrupted);
             }
-            let v =
-                json::parse(&line, MOST_EVENT as usize).map_err(|_| ErrorCode::WorkerGarbage)?;
+            let v = json::parse(&line, MOST_EVENT as usize)
+                .map_err(|_| ErrorCode::InvalidWorkerResponse)?;
             let seq = v.get("seq").and_then(|s| s.as_u64());
             let whose = v.get("errand").and_then(|e| e.as_str());
             let odd = seq != Some(next) || whose.is_some_and(|w| w != self.load.id);
             if odd && !broken(Invariant::Sequence) {
-                return Err(ErrorCode::WorkerGarbage);
+                return Err(ErrorCode::InvalidWorkerResponse);
             }
             next += 1;
             let done = v.get("done").and_then(|d| d.as_bool()) == Some(true);
             tx.send(Piece::Event(line))
                 .await
-                .map_err(|_| ErrorCode::StreamBroken)?;
+                .map_err(|_| ErrorCode::StreamInterrupted)?;
             if done {
                 return Ok(());
             }
@@ -264,8 +264,8 @@
 
 fn kind(b: Broke) -> ErrorCode {
     match b {
-        Broke::Short => ErrorCode::WorkerShort,
-        Broke::Garbage => ErrorCode::WorkerGarbage,
-        _ => ErrorCode::WorkerBroke,
+        Broke::Short => ErrorCode::TruncatedResponse,
+        Broke::Garbage => ErrorCode::InvalidWorkerResponse,
+        _ => ErrorCode::WorkerDisconnected,
     }
 }
--- a/sorreldoor/src/gateway/request_table/again.rs
+++ b/sorreldoor/src/gateway/request_table/again.rs
@@ -93,7 +93,7 @@
         self.turn(now);
         let (least, reach) = match why {
             // another node may take it, so it need not wait for this one
-            ErrorCode::Leaving | ErrorCode::NoLease => (1, 10),
+            ErrorCode::ShuttingDown | ErrorCode::NoLease => (1, 10),
             // so long a lost worker or region is at least away
             ErrorCode::NoWorker | ErrorCode::NoConfiguration => (2, DAYS / 2),
             _ => (1 + waiting as u64 * 100 / self.best.max(100), DAYS / 2),
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -66,8 +66,8 @@
         // some cores may have noted it, and it must not stand in the way
         self.forget(request_id);
         let why = match said {
-            Verdict::Full => ErrorCode::ClaimsFull,
-            _ => ErrorCode::AlreadyTaken,
+            Verdict::Full => ErrorCode::ClaimTableFull,
+            _ => ErrorCode::DuplicateRequestId,
         };
         self.shed(request_id, why, now);
     }
--- a/sorreldoor/src/gateway/request_table/ends.rs
+++ b/sorreldoor/src/gateway/request_table/ends.rs
@@ -30,16 +30,16 @@
             match e.stage {
                 Stage::Waiting => {
                     self.forget(request_id);
-                    self.shed(request_id, ErrorCode::GivenUp, now);
+                    self.shed(request_id, ErrorCode::NotSent, now);
                 }
                 Stage::Opening(i) => {
                     self.out.push(RequestEffect::Drop { request_id, token });
                     self.end(p, request_id, i);
-                    self.shed(request_id, ErrorCode::GivenUp, now);
+                    self.shed(request_id, ErrorCode::NotSent, now);
                 }
                 Stage::Sent(i) => {
                     self.out.push(RequestEffect::Drop { request_id, token });
-                    self.broke(p, request_id, i, ErrorCode::WorkerBroke, now);
+                    self.broke(p, request_id, i, ErrorCode::WorkerDisconnected, now);
                 }
                 Stage::Relaying(i) => {
                     self.out.push(RequestEffect::Drop { request_id, token });
@@ -61,7 +61,7 @@
                 // a worker may only be a moment away from being seen again
                 let waited = now.saturating_sub(e.since) > HOPE_MS;
                 if p.evacuated(p.zone) {
-                    Some((*request_id, ErrorCode::Leaving))
+                    Some((*request_id, ErrorCode::ShuttingDown))
                 } else {
                     (waited && !hope(p, e)).then_some((*request_id, ErrorCode::NoWorker))
                 }
@@ -145,7 +145,7 @@
         }
         self.forget(request_id);
         let why = if known {
-            ErrorCode::GivenUp
+            ErrorCode::NotSent
         } else {
             ErrorCode::UnknownRoute
         };
--- a/sorreldoor/src/gateway/request_table/passes.rs
+++ b/sorreldoor/src/gateway/request_table/passes.rs
@@ -37,7 +37,7 @@
         let s = p.configuration.as_ref().ok_or(ErrorCode::NoConfiguration)?;
         let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
         let r = &s.routes[route as usize];
-        if bound(r) && a.home.ok_or(ErrorCode::BadErrand)? != p.region {
+        if bound(r) && a.home.ok_or(ErrorCode::InvalidRequestField)? != p.region {
             // the body must not pass through a region that is not its home
             let addr = p.edges_for(a.home, true, &a.key).first().cloned();
             let addr = addr.ok_or(ErrorCode::NoWorker)?;
@@ -45,7 +45,7 @@
             return Ok(false);
         }
         if p.evacuated(p.zone) {
-            return Err(ErrorCode::Leaving);
+            return Err(ErrorCode::ShuttingDown);
         }
         // nobody here could take it, so waiting would only use up its time
         let lost = r.kind != Kind::Fetch && p.recovery(p.region) == Recovery::Lost;
@@ -74,12 +74,12 @@
         }
         // its body was read for another kind of errand, under another setup
         if !RequestProfile::of(r).like(&a.profile) {
-            return Err(ErrorCode::GivenUp);
+            return Err(ErrorCode::NotSent);
         }
         // what was sent once from here must not be sent again
         let open = self.rows.values().any(|e| a.given && e.asked.id == a.id);
         if !r.repeatable && a.given && (open || self.sent_ids.contains_key(&a.id)) {
-            return Err(ErrorCode::AlreadyTaken);
+            return Err(ErrorCode::DuplicateRequestId);
         }
         let queue = self.queue_of(p, r);
         let waiting = self
@@ -134,7 +134,7 @@
 
     pub fn shed(&mut self, request_id: u64, error_code: ErrorCode, now: Millis) {
         self.counts.shed += 1;
-        let retry_after_s = if error_code.again() {
+        let retry_after_s = if error_code.is_retryable() {
             let rows = self.rows.values();
             let waiting = rows.filter(|e| e.stage == Stage::Waiting).count();
             self.again.book(error_code, waiting, now)
@@ -276,14 +276,14 @@
                 self.end(p, request_id, i);
             }
             (Stage::Relaying(i), AttemptEvent::Broke(_)) => {
-                self.bad(p, request_id, i, ErrorCode::StreamBroken);
+                self.bad(p, request_id, i, ErrorCode::StreamInterrupted);
                 // what a caller has seen of a stream cannot be gone on elsewhere
                 self.counts.broken += 1;
                 self.end(p, request_id, i);
             }
             (Stage::Sent(i), AttemptEvent::Broke(why)) => self.broke(p, request_id, i, why, now),
             (Stage::Opening(i) | Stage::Sent(i) | Stage::Relaying(i), _) => {
-                self.broke(p, request_id, i, ErrorCode::WorkerGarbage, now)
+                self.broke(p, request_id, i, ErrorCode::InvalidWorkerResponse, now)
             }
             (Stage::Waiting, _) => {}
         }
@@ -326,7 +326,7 @@
             }
             self.end(p, request_id, i);
             let why = if late {
-                ErrorCode::GivenUp
+                ErrorCode::NotSent
             } else {
                 ErrorCode::NoLease
             };
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -24,7 +24,7 @@
                 if let Some(a) = dialled {
                     let fx = self.pull.up(conn, a, self.now);
                     fx.into_iter().for_each(|f| self.pulled(f));
-                    self.log_event(LogEvent::SessionUp, a.to_string());
+                    self.log_event(LogEvent::SessionEstablished, a.to_string());
                     self.retell(conn);
                 }
             }
@@ -115,7 +115,7 @@
             self.table.apply_configuration(&mut self.plan, self.now);
             let now = self.plan.shown.view.version;
             if now != was {
-                self.log_event(LogEvent::ConfigurationAdopted, format!("serial {now}"));
+                self.log_event(LogEvent::ConfigurationApplied, format!("serial {now}"));
             }
         }
         if let Some(r) = n.registry {
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -41,12 +41,12 @@
 pub fn shed(p: ErrorCode, more: &str, again: u64) -> Response {
     let mut v = Val::object();
     let _ = v.insert("problem", p.code());
-    let _ = v.insert("text", p.text());
+    let _ = v.insert("text", p.message());
     if !more.is_empty() {
         let _ = v.insert("about", more);
     }
     let mut r = json(p.status(), v.encode());
-    if p.again() {
+    if p.is_retryable() {
         r.insert_header("retry-after", again.max(1).to_string());
     }
     r
@@ -230,7 +230,7 @@
             Err(_) => {
                 // a head that is no HTTP, or too large, still gets a word
                 if !begun.load(Ordering::SeqCst) {
-                    let _ = timeout(HEAD, refuse(&mut s, ErrorCode::BadErrand)).await;
+                    let _ = timeout(HEAD, refuse(&mut s, ErrorCode::InvalidRequestField)).await;
                 }
                 return;
             }
@@ -242,7 +242,7 @@
 async fn cut_late(mut s: TcpStream, begun: Arc<AtomicBool>) {
     task::sleep(HEAD).await;
     if !begun.load(Ordering::SeqCst) {
-        let _ = timeout(HEAD, refuse(&mut s, ErrorCode::SlowSender)).await;
+        let _ = timeout(HEAD, refuse(&mut s, ErrorCode::RequestTimeout)).await;
         let _ = s.shutdown(std::net::Shutdown::Both);
     }
 }
@@ -259,11 +259,11 @@
     let mut body = body.take(most as u64 + 1);
     let got = timeout(within, body.read_to_end(&mut b)).await;
     match got {
-        Err(_) => Err(ErrorCode::SlowSender),
-        Ok(Err(_)) => Err(ErrorCode::BadErrand),
+        Err(_) => Err(ErrorCode::RequestTimeout),
+        Ok(Err(_)) => Err(ErrorCode::InvalidRequestField),
         Ok(Ok(_)) if b.len() > most => Err(ErrorCode::BodyTooLarge),
         // async-h1 takes an early end of a counted body for its end
-        Ok(Ok(_)) if want.is_some_and(|n| n != b.len()) => Err(ErrorCode::SlowSender),
+        Ok(Ok(_)) if want.is_some_and(|n| n != b.len()) => Err(ErrorCode::RequestTimeout),
         Ok(Ok(_)) => Ok(b),
     }
 }
--- a/sorreldoor/src/log_events.rs
+++ b/sorreldoor/src/log_events.rs
@@ -1,74 +1,147 @@
-//! Numbered log events. Every line a daemon logs starts with its number.
+//! Numbered log events: every line a daemon logs starts with `E` and a number.
+//!
+//! The table below is the source of `docs/events.md`; a test holds the page
+//! against it. Numbers are never reused, so that alerts built on them last.
 
-macro_rules! events {
-    ($($name:ident $number:literal $level:ident $text:literal;)*) => {
+use std::fmt;
+
+macro_rules! log_events {
+    ($($event:ident $number:literal $level:ident $message:literal $action:literal;)*) => {
+        /// A kind of log line, with a fixed number and level.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub enum LogEvent { $($name),* }
+        pub enum LogEvent { $(#[doc = $message] $event),* }
 
         impl LogEvent {
-            pub const ALL: &'static [LogEvent] = &[$(LogEvent::$name),*];
+            /// All events in the order of their numbers.
+            pub const ALL: &'static [LogEvent] = &[$(LogEvent::$event),*];
+
+            /// The number after the `E`.
+            #[must_use]
             pub fn number(self) -> u16 {
-                match self { $(LogEvent::$name => $number),* }
+                match self { $(LogEvent::$event => $number),* }
             }
+
+            /// The level at which it is logged.
+            #[must_use]
             pub fn level(self) -> log::Level {
-                match self { $(LogEvent::$name => log::Level::$level),* }
+                match self { $(LogEvent::$event => log::Level::$level),* }
+            }
+
+            /// What happened, without the particulars of one occurrence.
+            #[must_use]
+            pub fn message(self) -> &'static str {
+                match self { $(LogEvent::$event => $message),* }
             }
-            pub fn text(self) -> &'static str {
-                match self { $(LogEvent::$name => $text),* }
+
+            /// What an engineer on call does about it.
+            #[must_use]
+            pub fn action(self) -> &'static str {
+                match self { $(LogEvent::$event => $action),* }
             }
         }
     };
 }
 
-events! {
-    Started 100 Info "node started";
-    Leaving 101 Info "told to stop; taking nothing new";
-    Stopped 102 Info "stopped cleanly";
-    Listening 103 Info "listening";
-    Woken 104 Warn "clock jumped or process was frozen; permit dropped";
-    RingFull 105 Warn "a ring between threads is full; its newest entry is dropped";
-    Identity 200 Info "identity made and synced";
-    Founded 201 Info "site founded";
-    Joining 202 Info "blank core joins a founded site as a non-voter";
-    Promised 203 Info "promised to found with these cores";
-    GlobalLeader 210 Info "is Global Leader";
-    DomainLeader 211 Info "is Domain Leader";
-    SteppedDown 212 Warn "gave up its leadership";
-    RegionDown 213 Warn "region unavailable to the Global Leader";
-    RegionUp 214 Info "region available again";
-    Moving 215 Info "handing the global leadership over";
-    Members 216 Info "core members changed";
-    Replacing 217 Warn "a change of the members begins";
-    DiskFailed 220 Error "disk cannot be written or synced; this core stands aside until it can";
-    DiskSlow 221 Warn "a save took long";
-    DiskCorrupt 222 Error "data folder is damaged; its state is given up and this core joins anew";
-    DiskTorn 223 Warn "an unfinished save at the end of the log was cut";
-    DiskRecovered 224 Info "disk takes writes again; this core takes part again";
-    FrameRefused 230 Warn "closed a connection over a frame";
-    SessionUp 240 Info "session with a core node stands";
-    SessionLost 241 Warn "session with a core node lost";
-    NodeJoined 242 Info "a node's session stands";
-    NodeLost 243 Warn "a node's session is gone";
-    DutyTaken 244 Info "takes up a duty under a new epoch";
-    ClaimsLearned 245 Info "knows the claims on errand ids; has a say on new ones";
-    ClaimsFull 246 Warn "as many errand ids are remembered as may be; new ones are shed";
-    LeaseExpired 250 Warn "permit ran out; serving nothing";
-    LeaseRenewed 251 Info "permit renewed; serving";
-    ConfigurationAdopted 252 Info "setup adopted";
-    ConfigurationUnreadable 253 Error "a delivered setup could not be read; keeping none";
-    RosterRead 260 Info "worker list changed";
-    RosterLost 261 Warn "platform's worker list cannot be read";
-    WorkerDark 262 Warn "a worker does not report its load";
-    WorkerBack 263 Info "a worker reports its load again";
-    ErrandUnknown 270 Warn "outcome of a non-repeatable errand is unknown";
-    StreamBroken 271 Warn "a worker's stream broke off";
-    ResultBad 272 Warn "a worker's result was refused";
-    ChangeTaken 280 Info "an operator's change was taken";
-    ChangeRefused 281 Info "an operator's change was refused";
-    RegionState 282 Info "a region's recovery state changed";
+log_events! {
+    Started 100 Info "node started"
+        "nothing";
+    ShuttingDown 101 Info "shutdown requested; accepting nothing new"
+        "nothing; it exits 0 when running requests have ended or `drain_ms` has passed";
+    Stopped 102 Info "stopped cleanly"
+        "nothing";
+    Listening 103 Info "listening"
+        "nothing";
+    ClockJump 104 Warn "clock jumped or process was frozen; lease dropped"
+        "if frequent, look for a starved or paused machine";
+    QueueFull 105 Warn "an event queue between threads is full; its newest entry is dropped"
+        "look for a thread that does not keep up: a stuck disk, a flood of frames";
+    IdentityCreated 200 Info "node identity created and synced"
+        "nothing; once in the life of a data folder";
+    ClusterBootstrapped 201 Info "cluster bootstrapped"
+        "nothing; once in the life of a site";
+    JoiningAsLearner 202 Info "blank core joins an existing cluster as a learner"
+        "nothing; see replacing.md";
+    BootstrapPromised 203 Info "promised to bootstrap with these cores"
+        "if no bootstrap follows, see replacing.md on founding";
+    GlobalLeader 210 Info "became Global Leader"
+        "nothing";
+    DomainLeader 211 Info "became Domain Leader"
+        "nothing";
+    SteppedDown 212 Warn "stepped down as leader"
+        "see the reason given; `a newer term` is a normal transfer";
+    RegionUnavailable 213 Warn "region unavailable to the Global Leader"
+        "look at the cores of that region; commits continue with the core majority";
+    RegionAvailable 214 Info "region available again"
+        "nothing";
+    LeadershipTransfer 215 Info "transferring the global leadership"
+        "nothing";
+    MembershipChanged 216 Info "core membership changed"
+        "nothing";
+    MembershipChangeStarted 217 Warn "membership change started"
+        "nothing if planned; else check that the core it names is really gone";
+    DiskFailed 220 Error "disk cannot be written or synced; this core does not take part until it can"
+        "free space or repair the disk (E224 follows); else replace the core as in replacing.md";
+    DiskSlow 221 Warn "a write to disk was slow"
+        "look at the disk if it persists";
+    DiskCorrupt 222 Error "data folder is damaged; its state is discarded and this core joins anew"
+        "look at the disk: synced bytes were lost; the core rejoins by itself as a blank one";
+    TornWrite 223 Warn "an incomplete write at the end of the log was truncated"
+        "nothing; what was truncated had never been acknowledged";
+    DiskRecovered 224 Info "disk accepts writes again; this core takes part again"
+        "nothing";
+    FrameRejected 230 Warn "closed a connection because of a rejected frame"
+        "another site, an older release or a stranger connects to this port";
+    SessionEstablished 240 Info "session with a core established"
+        "nothing";
+    SessionLost 241 Warn "session with a core lost"
+        "look at the core it was with";
+    EdgeConnected 242 Info "session of an edge established"
+        "nothing";
+    EdgeDisconnected 243 Warn "session of an edge lost"
+        "nothing if the edge was stopped";
+    SingletonAcquired 244 Info "acquired the singleton role under a new epoch"
+        "nothing";
+    ClaimsLearned 245 Info "has read the claims on request ids; votes on new ones"
+        "nothing; once after a blank core joined";
+    ClaimTableFull 246 Warn "claim table is full; new request ids are rejected"
+        "raise `max_claims`, or have callers send fewer requests under ids of their own";
+    LeaseExpired 250 Warn "lease expired; serving nothing"
+        "this edge sheds load; look at its path to the cores and at the Global Leader";
+    LeaseRenewed 251 Info "lease renewed; serving"
+        "nothing";
+    ConfigurationApplied 252 Info "configuration applied"
+        "nothing";
+    ConfigurationUnreadable 253 Error "a received configuration could not be read; keeping none"
+        "bring this node to the release of the others";
+    WorkerListChanged 260 Info "worker list changed"
+        "nothing";
+    WorkerListUnavailable 261 Warn "worker list of the platform cannot be read"
+        "look at the platform; the last list read stays in force";
+    WorkerUnresponsive 262 Warn "a worker does not report its load"
+        "look at the worker; it gets nothing new meanwhile";
+    WorkerResponsive 263 Info "a worker reports its load again"
+        "nothing";
+    OutcomeUnknown 270 Warn "outcome of a non-idempotent request is unknown"
+        "the caller was told so; look at the worker named";
+    StreamInterrupted 271 Warn "a stream of a worker was interrupted"
+        "the reader was shown the break";
+    WorkerResponseRejected 272 Warn "a response of a worker was rejected"
+        "look at the worker named";
+    ChangeCommitted 280 Info "a change of an operator was committed"
+        "nothing";
+    ChangeRejected 281 Info "a change of an operator was rejected"
+        "nothing";
+    RegionRecoveryChanged 282 Info "recovery state of a region changed"
+        "nothing";
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "E{} {}", self.number(), self.message())
+    }
 }
 
-/// Log one numbered event with what it is about.
-pub fn log_event(ev: LogEvent, about: impl std::fmt::Display) {
-    log::log!(target: "sorreldoor", ev.level(), "E{} {}: {}", ev.number(), ev.text(), about);
+/// Logs one event with the particulars of this occurrence.
+pub fn log_event(event: LogEvent, details: impl fmt::Display) {
+    log::log!(target: "sorreldoor", event.level(), "{event}: {details}");
 }
--- a/sorreldoor/src/net.rs
+++ b/sorreldoor/src/net.rs
@@ -166,7 +166,7 @@
                 .fetch_add(1, Ordering::Relaxed)
                 .is_multiple_of(1000)
         {
-            log_event(LogEvent::RingFull, format!("to connection {conn}"));
+            log_event(LogEvent::QueueFull, format!("to connection {conn}"));
         }
         sent == Some(true)
     }
@@ -271,7 +271,7 @@
                 }
                 Err(e) => {
                     let from = s.peer_addr().map(|a| a.to_string()).unwrap_or_default();
-                    log_event(LogEvent::FrameRefused, format!("from {from}: {e}"));
+                    log_event(LogEvent::FrameRejected, format!("from {from}: {e}"));
                     return;
                 }
             }
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -35,14 +35,14 @@
 }
 
 fn base(req: &Request) -> Result<u64, ErrorCode> {
-    let b = http::query(req, "base").ok_or(ErrorCode::NoBase)?;
-    b.parse().map_err(|_| ErrorCode::NoBase)
+    let b = http::query(req, "base").ok_or(ErrorCode::MissingBaseVersion)?;
+    b.parse().map_err(|_| ErrorCode::MissingBaseVersion)
 }
 
 fn given_proposal_id(req: &Request) -> Result<ProposalId, ErrorCode> {
     http::query(req, "id").map_or_else(
         || Ok(random_proposal_id()),
-        |s| parse_proposal_id(&s).ok_or(ErrorCode::BadErrand),
+        |s| parse_proposal_id(&s).ok_or(ErrorCode::InvalidRequestField),
     )
 }
 
@@ -58,7 +58,7 @@
         (Method::Get, ["metrics"]) => Ok(OperatorRequest::Metrics),
         (Method::Get, ["proposals", id]) => parse_proposal_id(id)
             .map(OperatorRequest::Proposal)
-            .ok_or(ErrorCode::BadErrand),
+            .ok_or(ErrorCode::InvalidRequestField),
         (Method::Put, ["setup"]) => {
             doc(req, |base, doc| Command::Put {
                 base,
@@ -72,20 +72,22 @@
         (Method::Post, ["zones", z, "empty"]) => zone(req, site, z, true),
         (Method::Post, ["zones", z, "return"]) => zone(req, site, z, false),
         (Method::Post, ["cores", id, "drop"]) => u64::from_str_radix(id, 16)
-            .map_err(|_| ErrorCode::BadErrand)
+            .map_err(|_| ErrorCode::InvalidRequestField)
             .and_then(|id| {
                 given_proposal_id(req)
                     .map(|proposal_id| OperatorRequest::DropCore { proposal_id, id })
             }),
         (_, ["setup" | "status" | "metrics" | "check"] | ["proposals", _])
-        | (_, ["zones", _, "empty" | "return"] | ["cores", _, "drop"]) => Err(ErrorCode::BadMethod),
+        | (_, ["zones", _, "empty" | "return"] | ["cores", _, "drop"]) => {
+            Err(ErrorCode::MethodNotAllowed)
+        }
         _ => return None,
     })
 }
 
 async fn text(req: &mut Request) -> Result<String, ErrorCode> {
     let b = http::body(req, configuration::MOST_BYTES, Duration::from_secs(10)).await?;
-    String::from_utf8(b).map_err(|_| ErrorCode::BadJson)
+    String::from_utf8(b).map_err(|_| ErrorCode::InvalidJson)
 }
 
 async fn doc(
@@ -156,20 +158,25 @@
         }
         OpOutcome::Got(Outcome::NotYet { version }) => {
             let _ = v.insert("serial", *version);
-            ErrorCode::BaseAhead
+            ErrorCode::BaseVersionAhead
+        }
+        OpOutcome::Got(Outcome::Unsure { .. }) | OpOutcome::Unknown => {
+            ErrorCode::ChangeOutcomeUnknown
         }
-        OpOutcome::Got(Outcome::Unsure { .. }) | OpOutcome::Unknown => ErrorCode::PendingUnknown,
-        OpOutcome::NotTaken => ErrorCode::NotTaken,
+        OpOutcome::NotTaken => ErrorCode::ChangeNotAccepted,
         OpOutcome::Nothing => ErrorCode::UnknownProposal,
     };
     // neither a yes nor a no may be read out of a don't-know
-    if !matches!(p, ErrorCode::PendingUnknown | ErrorCode::BaseAhead) {
+    if !matches!(
+        p,
+        ErrorCode::ChangeOutcomeUnknown | ErrorCode::BaseVersionAhead
+    ) {
         let _ = v.insert("taken", false);
     }
     let _ = v.insert("problem", p.code());
-    let _ = v.insert("text", p.text());
+    let _ = v.insert("text", p.message());
     let mut r = http::json(p.status(), v.encode());
-    if p.again() {
+    if p.is_retryable() {
         r.insert_header("retry-after", "1");
     }
     r
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -164,7 +164,7 @@
     if exchange.time_left() > 0 || delivery.head_sent {
         return outcome;
     }
-    let keep_alive = client.answer(ErrorCode::DeadlinePassed, 0).await;
+    let keep_alive = client.answer(ErrorCode::DeadlineExceeded, 0).await;
     Outcome::Finished { keep_alive }
 }
 
--- a/sorreldoor/src/proxy/client.rs
+++ b/sorreldoor/src/proxy/client.rs
@@ -38,7 +38,11 @@
 
     /// An answer of this node's own.
     pub async fn answer(&mut self, p: ErrorCode, again_ms: u64) -> bool {
-        let body = format!("{{\"problem\":\"{}\",\"text\":\"{}\"}}", p.code(), p.text());
+        let body = format!(
+            "{{\"problem\":\"{}\",\"text\":\"{}\"}}",
+            p.code(),
+            p.message()
+        );
         let status = p.status();
         let why = http_types::StatusCode::try_from(status).map_or("", |s| s.canonical_reason());
         let mut h = format!(
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -79,7 +79,7 @@
             FrontEvent::Net(n) => self.net(n),
             FrontEvent::Stop => {
                 self.leaving = true;
-                self.log_event(LogEvent::Leaving, "edge");
+                self.log_event(LogEvent::ShuttingDown, "edge");
             }
         }
         self.tell_ready();
@@ -175,7 +175,7 @@
                 self.out.push(FrontEffect::Send(conn, p));
             }
             SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::Woken, s),
+            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::ClockJump, s),
             SubscriptionEffect::LeaseExpired | SubscriptionEffect::LeaseRenewed => {}
         }
     }
@@ -188,7 +188,7 @@
                 if let Some(a) = dialled {
                     let fx = self.pull.up(conn, a, self.now);
                     fx.into_iter().for_each(|f| self.pulled(f));
-                    self.log_event(LogEvent::SessionUp, a.to_string());
+                    self.log_event(LogEvent::SessionEstablished, a.to_string());
                 }
             }
             NetEvent::Down { conn } => self.pull.down(conn),
@@ -250,7 +250,7 @@
         }
         if update.version != self.view.version {
             self.log_event(
-                LogEvent::ConfigurationAdopted,
+                LogEvent::ConfigurationApplied,
                 format!("serial {}", update.version),
             );
         }
--- a/sorreldoor/src/proxy/serve.rs
+++ b/sorreldoor/src/proxy/serve.rs
@@ -23,7 +23,7 @@
 fn fault_of(f: Fault) -> Option<ErrorCode> {
     match f {
         Fault::Ended | Fault::Cut => None,
-        Fault::Malformed => Some(ErrorCode::BadRequest),
+        Fault::Malformed => Some(ErrorCode::MalformedHttp),
         Fault::HeadTooLarge => Some(ErrorCode::HeadTooLarge),
         Fault::BodyTooLarge => Some(ErrorCode::BodyTooLarge),
     }
@@ -51,7 +51,7 @@
     }
     let late = Duration::from_millis(lim.header_ms.max(1));
     let head = timeout(late, read_head(client, lim.header_bytes)).await;
-    let head = head.map_err(|_| Some(ErrorCode::SlowSender))?;
+    let head = head.map_err(|_| Some(ErrorCode::RequestTimeout))?;
     let head = head.map_err(fault_of)?;
     let framing = head.request_framing().map_err(fault_of)?;
     let waits = head.get("expect");
@@ -65,7 +65,7 @@
         body(&mut client.stream, &mut client.buf, framing, lim.body_bytes),
     )
     .await;
-    let b = b.map_err(|_| Some(ErrorCode::SlowSender))?;
+    let b = b.map_err(|_| Some(ErrorCode::RequestTimeout))?;
     Ok((head, b.map_err(fault_of)?))
 }
 
@@ -156,7 +156,7 @@
             // a node that has just started needs a while to know its way,
             // and callers heed a third of their time at most
             let third = asked.deadline_ms.unwrap_or(3000) / 3;
-            let again = if p.again() {
+            let again = if p.is_retryable() {
                 third.min(RETRY_AFTER_START_MS)
             } else {
                 0
--- a/sorreldoor/src/proxy/stream.rs
+++ b/sorreldoor/src/proxy/stream.rs
@@ -174,7 +174,7 @@
         let keep_alive = !head_sent
             && self
                 .client
-                .answer(crate::error::ErrorCode::DeadlinePassed, 0)
+                .answer(crate::error::ErrorCode::DeadlineExceeded, 0)
                 .await;
         Outcome::Finished { keep_alive }
     }
--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -70,7 +70,7 @@
     t.outcome(r, AttemptOutcome::NotRun(None), 20_020);
     let p = t.pick(r, 20_020);
     assert!(
-        matches!(p, Pick::Refuse(ErrorCode::WorkerBroke, _)),
+        matches!(p, Pick::Refuse(ErrorCode::WorkerDisconnected, _)),
         "{p:?}"
     );
 }
@@ -226,7 +226,7 @@
         p => panic!("{p:?}"),
     }
     let p = t.pick(r, 5998);
-    assert!(matches!(p, Pick::Refuse(ErrorCode::GivenUp, _)), "{p:?}");
+    assert!(matches!(p, Pick::Refuse(ErrorCode::NotSent, _)), "{p:?}");
 }
 
 #[test]
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -15,33 +15,57 @@
     std::fs::read_to_string(root().join(name)).unwrap()
 }
 
+const GENERATED_BEGIN: &str = "<!-- generated from the code; see CONTRIBUTING.md -->\n";
+const GENERATED_END: &str = "<!-- end of the generated part -->\n";
+
+/// Holds the generated part of a page against the code, to the letter. With
+/// `SORRELDOOR_WRITE_DOCS=1` it writes that part instead.
+fn assert_generated(name: &str, table: &str) {
+    let text = page(name);
+    let (before, rest) = text.split_once(GENERATED_BEGIN).expect("a generated part");
+    let (stands, after) = rest.split_once(GENERATED_END).expect("its end");
+    if std::env::var_os("SORRELDOOR_WRITE_DOCS").is_some() {
+        let fresh = format!("{before}{GENERATED_BEGIN}{table}{GENERATED_END}{after}");
+        std::fs::write(root().join(name), fresh).expect("the page can be written");
+        return;
+    }
+    assert_eq!(
+        stands, table,
+        "{name}: write it with SORRELDOOR_WRITE_DOCS=1"
+    );
+}
+
 #[test]
-fn the_catalogue_of_events_is_the_codes() {
-    let text = page("docs/events.md");
+fn the_catalogue_of_events_is_generated_from_the_code() {
     let numbers: BTreeSet<u16> = LogEvent::ALL.iter().map(|e| e.number()).collect();
     assert_eq!(numbers.len(), LogEvent::ALL.len(), "numbers are given once");
-    for e in LogEvent::ALL {
-        let level = e.level().to_string().to_lowercase();
-        let row = format!("| E{} | {level} | {} | ", e.number(), e.text());
-        assert!(text.contains(&row), "{row}");
+    let mut table =
+        String::from("| number | level | message | what to do |\n| --- | --- | --- | --- |\n");
+    for event in LogEvent::ALL {
+        let level = event.level().to_string().to_lowercase();
+        let (message, action) = (event.message(), event.action());
+        table += &format!("| E{} | {level} | {message} | {action} |\n", event.number());
     }
-    assert_eq!(text.matches("\n| E").count(), LogEvent::ALL.len());
+    assert_generated("docs/events.md", &table);
 }
 
 #[test]
-fn the_table_of_problems_is_the_codes() {
-    let text = page("docs/problems.md");
-    for p in ErrorCode::ALL {
-        let again = if p.again() { "yes" } else { "no" };
-        let row = format!(
-            "| `{}` | {} | {again} | {} |",
-            p.code(),
-            p.status(),
-            p.text()
+fn the_table_of_errors_is_generated_from_the_code() {
+    let codes: BTreeSet<&str> = ErrorCode::ALL.iter().map(|e| e.code()).collect();
+    assert_eq!(codes.len(), ErrorCode::ALL.len(), "codes are given once");
+    let mut table = String::from(
+        "| code | status | retry | message | what to do |\n| --- | --- | --- | --- | --- |\n",
+    );
+    for error in ErrorCode::ALL {
+        let retry = if error.is_retryable() { "yes" } else { "no" };
+        let (message, action) = (error.message(), error.action());
+        table += &format!(
+            "| `{}` | {} | {retry} | {message} | {action} |\n",
+            error.code(),
+            error.status()
         );
-        assert!(text.contains(&row), "{row}");
     }
-    assert_eq!(text.matches("\n| `").count(), ErrorCode::ALL.len());
+    assert_generated("docs/problems.md", &table);
 }
 
 #[test]
--- a/testbed/src/emul/node.rs
+++ b/testbed/src/emul/node.rs
@@ -121,7 +121,7 @@
         let path = format!("/{}/x", c.name);
         let (from, x) = (tr.from, &mut self.nodes[n]);
         match x.policy.begin(&path, asked, now) {
-            Err(p) => self.answer(t, p, 200 * u64::from(p.again())),
+            Err(p) => self.answer(t, p, 200 * u64::from(p.is_retryable())),
             Ok(request_id) => {
                 x.by_try.insert(t, request_id);
                 x.jobs.insert(
--- a/testbed/src/emul/relay.rs
+++ b/testbed/src/emul/relay.rs
@@ -59,7 +59,7 @@
             self.over(s.node, s.request_id);
             return match left {
                 true => self.to(s.attempt, ToClient::Cut),
-                false => self.answer(s.attempt, ErrorCode::DeadlinePassed, 0),
+                false => self.answer(s.attempt, ErrorCode::DeadlineExceeded, 0),
             };
         }
         self.decide(s.node, s.request_id);
--- a/testbed/src/emul/simple.rs
+++ b/testbed/src/emul/simple.rs
@@ -122,7 +122,7 @@
 
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Pick {
         let Some(mut h) = self.held.remove(&request_id) else {
-            return Pick::Refuse(ErrorCode::GivenUp, 0);
+            return Pick::Refuse(ErrorCode::NotSent, 0);
         };
         let r = self.found(&h.path).cloned();
         let p = match r {
@@ -130,7 +130,7 @@
             Some(r) if h.ran && !r.repeatable() => Pick::Refuse(ErrorCode::OutcomeUnknown, 0),
             Some(r) if h.tried.len() as u32 >= r.attempts.max(1) || now + 5 > h.deadline => {
                 let p = if h.ran {
-                    ErrorCode::WorkerBroke
+                    ErrorCode::WorkerDisconnected
                 } else {
                     h.last
                 };
--- a/testbed/src/site/callers.rs
+++ b/testbed/src/site/callers.rs
@@ -27,7 +27,7 @@
     /// Told that nothing of its asking has run or will.
     pub fn refused(&self) -> bool {
         use ErrorCode::*;
-        matches!(self, Got::Shed(p) if !matches!(p, OutcomeUnknown | AlreadyTaken | StreamBroken))
+        matches!(self, Got::Shed(p) if !matches!(p, OutcomeUnknown | DuplicateRequestId | StreamInterrupted))
     }
 }
 
@@ -187,7 +187,7 @@
             .get(&request_id)
             .is_some_and(|c| c.got == Got::Open);
         self.got(request_id, Got::Shed(error_code));
-        if open && error_code.again() && self.patience > 0 {
+        if open && error_code.is_retryable() && self.patience > 0 {
             self.come_back(request_id, retry_after_s);
         }
     }
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -145,7 +145,7 @@
         k.life += 1;
         let lost: Vec<Visit> = k.running.drain(..).chain(k.waiting.drain(..)).collect();
         for v in lost {
-            self.tell_edge(w, v, AttemptEvent::Broke(ErrorCode::WorkerBroke));
+            self.tell_edge(w, v, AttemptEvent::Broke(ErrorCode::WorkerDisconnected));
         }
     }
 
@@ -313,7 +313,7 @@
         }
         let gone = !self.procs[v.edge].tries.contains_key(&v.token);
         if !self.workers[w].up || self.workers[w].life != life {
-            return self.tell_edge(w, v, AttemptEvent::Broke(ErrorCode::WorkerBroke));
+            return self.tell_edge(w, v, AttemptEvent::Broke(ErrorCode::WorkerDisconnected));
         }
         // a caller that hung up before leaves a closed connection here
         if gone && self.rng.chance(50) {
--- a/testbed/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -83,7 +83,7 @@
         let end = w.now + 8000;
         w.traffic(80, end, |_, _| true);
         w.run_for(12_000);
-        let full = |c: &&testbed::site::Caller| c.got == Got::Shed(ErrorCode::ClaimsFull);
+        let full = |c: &&testbed::site::Caller| c.got == Got::Shed(ErrorCode::ClaimTableFull);
         let shed = w.callers.values().filter(full).count();
         assert!(shed > 100, "seed {seed}: {shed}");
         let old: Vec<u64> = w.callers.keys().copied().collect();
@@ -159,7 +159,7 @@
         w.run_for(70_000);
         sound(&w, seed);
         for n in asked {
-            told += usize::from(w.callers[&n].got == Got::Shed(ErrorCode::AlreadyTaken));
+            told += usize::from(w.callers[&n].got == Got::Shed(ErrorCode::DuplicateRequestId));
         }
     }
     println!("{told} told that it was taken");
--- a/testbed/tests/site/errands.rs
+++ b/testbed/tests/site/errands.rs
@@ -103,7 +103,7 @@
         let c = &w.callers[&n];
         assert!(matches!(
             c.got,
-            Got::Shed(ErrorCode::GivenUp | ErrorCode::NoWorker)
+            Got::Shed(ErrorCode::NotSent | ErrorCode::NoWorker)
         ));
         let took = c.end - c.start;
         println!("seed {seed}: given up after {took} ms of 5000");
--- a/testbed/tests/site/freshness/watch.rs
+++ b/testbed/tests/site/freshness/watch.rs
@@ -57,7 +57,7 @@
     let said = w
         .says
         .iter()
-        .filter(|(_, _, ev, _)| *ev == LogEvent::ChangeTaken);
+        .filter(|(_, _, ev, _)| *ev == LogEvent::ChangeCommitted);
     let of = |text: &str| names.iter().any(|n| text.starts_with(n.as_str()));
     said.filter(|(.., text)| of(text)).map(|(at, ..)| *at).min()
 }
