--- a/sorreldoor/tests/replicated_state.rs
+++ b/sorreldoor/tests/replicated_state.rs
@@ -248,9 +248,12 @@
 /// The replicated state as the release before wrote it, as far as it matters.
 #[derive(serde::Serialize)]
 struct OldImage {
+    #[serde(rename = "rev")]
     revision: u64,
+    #[serde(rename = "serial")]
     version: u64,
     doc: Option<String>,
+    #[serde(rename = "emptied")]
     evacuated: Vec<u16>,
     weights: std::collections::BTreeMap<(u16, u16), u32>,
     regions: std::collections::BTreeMap<u8, Recovery>,
--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -322,9 +322,12 @@
 fn an_older_image_is_read() {
     #[derive(serde::Serialize)]
     struct Older {
+        #[serde(rename = "rev")]
         revision: u64,
+        #[serde(rename = "serial")]
         version: u64,
         doc: Option<Arc<String>>,
+        #[serde(rename = "emptied")]
         evacuated: Vec<u16>,
         weights: BTreeMap<(u16, u16), u32>,
         regions: BTreeMap<u8, u8>,
