--- a/sorreldoor/src/balancer/pick.rs
+++ b/sorreldoor/src/balancer/pick.rs
@@ -46,7 +46,7 @@
             self.record_outcome(request_id, super::AttemptOutcome::Canceled, now);
         }
         let (Some(h), Some(mut r)) = (self.hosted.clone(), self.requests.lend(request_id)) else {
-            return Decision::Reject(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::NotSent, 0);
         };
         self.refind(&mut r, &h);
         let route = r.route.and_then(|i| h.routes.get(i as usize)).map(|r| &**r);
@@ -204,7 +204,7 @@
         let most = r.deadline.saturating_sub(now) / 3;
         let (lo, hi) = AGAIN;
         let at = lo + (self.draw.unit() * (hi - lo) as f64) as Millis;
-        Decision::Reject(p, if p.again() { at.min(most) } else { 0 })
+        Decision::Reject(p, if p.is_retryable() { at.min(most) } else { 0 })
     }
 
     fn go(&mut self, r: &mut Req, svc: u32, c: Choice, route: &Route, now: Millis) -> Decision {
@@ -213,7 +213,7 @@
         let conns = conf.map_or(1, |s| s.max_conns);
         let b = &self.bounds;
         let Some(w) = self.endpoints[c.endpoint as usize].as_mut() else {
-            return Decision::Reject(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::NotSent, 0);
         };
         // what may run once goes out only where the worker is known to be
         let fresh = w.suspect(now) || (!route.repeatable() && now >= w.last_activity + KNOWN);
--- a/sorreldoor/src/proxy/serve.rs
+++ b/sorreldoor/src/proxy/serve.rs
@@ -23,7 +23,7 @@
 fn fault_of(f: ReadError) -> Option<ErrorCode> {
     match f {
         ReadError::Ended | ReadError::Cut => None,
-        ReadError::Malformed => Some(ErrorCode::BadRequest),
+        ReadError::Malformed => Some(ErrorCode::MalformedHttp),
         ReadError::HeadTooLarge => Some(ErrorCode::HeadTooLarge),
         ReadError::BodyTooLarge => Some(ErrorCode::BodyTooLarge),
     }
@@ -156,7 +156,7 @@
             // a node that has just started needs a while to know its way,
             // and callers heed a third of their time at most
             let third = metadata.deadline_ms.unwrap_or(3000) / 3;
-            let again = if p.again() {
+            let again = if p.is_retryable() {
                 third.min(RETRY_AFTER_START_MS)
             } else {
                 0
--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -73,7 +73,7 @@
     t.record_outcome(r, AttemptOutcome::Rejected(None), 20_020);
     let p = t.pick(r, 20_020);
     assert!(
-        matches!(p, Decision::Reject(ErrorCode::WorkerBroke, _)),
+        matches!(p, Decision::Reject(ErrorCode::WorkerDisconnected, _)),
         "{p:?}"
     );
 }
@@ -233,7 +233,7 @@
     }
     let p = t.pick(r, 5998);
     assert!(
-        matches!(p, Decision::Reject(ErrorCode::GivenUp, _)),
+        matches!(p, Decision::Reject(ErrorCode::NotSent, _)),
         "{p:?}"
     );
 }
--- a/testbed/src/emul/simple.rs
+++ b/testbed/src/emul/simple.rs
@@ -122,7 +122,7 @@
 
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
         let Some(mut h) = self.held.remove(&request_id) else {
-            return Decision::Reject(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::NotSent, 0);
         };
         let r = self.found(&h.path).cloned();
         let p = match r {
