--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -37,11 +37,13 @@
     fn bind_to_zone_state(&self, command: Command) -> Command {
         let record = self.consensus.as_ref().map(|c| c.machine());
         match (command, record) {
-            (Command::Evacuate { zone, evacuated }, Some(record)) => Command::EvacuateOnce {
-                zone,
-                evacuated,
-                changes: record.zone_changes(zone),
-            },
+            (Command::EvacuateUnversioned { zone, evacuated }, Some(record)) => {
+                Command::EvacuateIfUnchanged {
+                    zone,
+                    evacuated,
+                    changes: record.zone_changes(zone),
+                }
+            }
             (command, _) => command,
         }
     }
@@ -52,7 +54,7 @@
         result: Result<Arc<Vec<u8>>, Lost>,
     ) {
         let outcome = proposals::outcome(result);
-        let accepted = matches!(outcome, OpOutcome::Got(Outcome::Taken { .. }));
+        let accepted = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
         self.singleton.proposal_ended(proposal_id, accepted);
         let requesters = self.proposals.finished(proposal_id);
         if !requesters.is_empty() {
@@ -66,11 +68,10 @@
     fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &OpOutcome) {
         let id = format_proposal_id(proposal_id);
         let (event, about) = match outcome {
-            OpOutcome::Got(Outcome::Taken { version }) => (
-                LogEvent::ChangeCommitted,
-                format!("{id} as serial {version}"),
-            ),
-            other => (LogEvent::ChangeRejected, format!("{id}: {other:?}")),
+            OpOutcome::Got(Outcome::Applied { version }) => {
+                (LogEvent::ChangeTaken, format!("{id} as serial {version}"))
+            }
+            other => (LogEvent::ChangeRefused, format!("{id}: {other:?}")),
         };
         self.log_event(event, about);
     }
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -55,8 +55,11 @@
         let above = self.epoch();
         let epoch = above + 1;
         let holder = self.me.id;
-        self.log_event(LogEvent::SingletonAcquired, format!("epoch {epoch}"));
-        self.propose(Command::Duty { holder, above });
+        self.log_event(LogEvent::DutyTaken, format!("epoch {epoch}"));
+        self.propose(Command::AcquireRole {
+            holder,
+            previous_epoch: above,
+        });
         self.singleton.claiming(epoch);
     }
 
@@ -110,8 +113,8 @@
         };
         let name = self.site.region_name(region);
         let about = format!("{name}: {}", recovery_text(state));
-        self.log_event(LogEvent::RegionRecoveryChanged, about);
-        self.propose(Command::Region {
+        self.log_event(LogEvent::RegionState, about);
+        self.propose(Command::SetRegion {
             epoch,
             region,
             state,
@@ -144,7 +147,7 @@
         let weights = self.singleton.tune(&sessions, record, registry, loads);
         let (epoch, version) = (record.epoch(), record.version());
         if !weights.is_empty() && !self.singleton.is_proposing() {
-            self.propose(Command::Tune {
+            self.propose(Command::SetWeights {
                 epoch,
                 version,
                 weights,
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -3,12 +3,12 @@
 use super::super::connections::LIVE_MS;
 use super::super::status::{ClaimsStatus, StatusSources};
 use super::Controller;
-use crate::json::Val;
+use crate::json::Value;
 
 impl Controller {
     /// This core's status as JSON.
     #[must_use]
-    pub fn status(&self) -> Val {
+    pub fn status(&self) -> Value {
         let sources = StatusSources {
             me: &self.me,
             site: &self.site,
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -5,7 +5,7 @@
 use crate::configuration::{Configuration, Route, Share, Site};
 use crate::consensus::{Consensus, Member};
 use crate::discovery::{Loads, Worker};
-use crate::json::Val;
+use crate::json::Value;
 use crate::replicated_state::{Recovery, ReplicatedState};
 use crate::types::NodeId;
 use crate::weight_tuning::{self, Times};
@@ -53,14 +53,14 @@
     }
 }
 
-fn hex(n: u64) -> Val {
-    Val::from(format!("{n:x}"))
+fn hex(n: u64) -> Value {
+    Value::from(format!("{n:x}"))
 }
 
 impl StatusSources<'_> {
     /// The whole document.
-    pub fn to_json(&self) -> Val {
-        let mut doc = Val::object();
+    pub fn to_json(&self) -> Value {
+        let mut doc = Value::object();
         let _ = doc.insert("node", self.me.node.as_str());
         let _ = doc.insert("id", hex(self.me.id));
         let _ = doc.insert("founded", self.consensus.is_some());
@@ -84,27 +84,27 @@
         doc
     }
 
-    fn put_consensus(&self, doc: &mut Val, consensus: &Consensus<ReplicatedState>) {
+    fn put_consensus(&self, doc: &mut Value, consensus: &Consensus<ReplicatedState>) {
         let _ = doc.insert("leads", consensus.leads_globally());
         let _ = doc.insert("term", consensus.term());
         let _ = doc.insert("commit", consensus.commit_idx());
         let _ = doc.insert("disk_failed", consensus.disk_failed());
-        let global_leader = consensus.global_leader().map_or(Val::default(), hex);
+        let global_leader = consensus.global_leader().map_or(Value::default(), hex);
         let _ = doc.insert("global_leader", global_leader);
-        let mut domain_leaders = Val::object();
+        let mut domain_leaders = Value::object();
         for (region, id) in consensus.domain_leaders() {
             let name = self.site.region_name(region).to_string();
             let _ = domain_leaders.insert(name, hex(id));
         }
         let _ = doc.insert("domain_leaders", domain_leaders);
         let regions_down = consensus.regions_down();
-        let name = |region: &u8| Val::from(self.site.region_name(*region));
-        let regions_down: Vec<Val> = regions_down.iter().map(name).collect();
+        let name = |region: &u8| Value::from(self.site.region_name(*region));
+        let regions_down: Vec<Value> = regions_down.iter().map(name).collect();
         let _ = doc.insert("regions_down", regions_down);
     }
 
-    fn put_members(&self, doc: &mut Val, members: &[Member]) {
-        let cores: Vec<Val> = members.iter().map(|member| self.member(member)).collect();
+    fn put_members(&self, doc: &mut Value, members: &[Member]) {
+        let cores: Vec<Value> = members.iter().map(|member| self.member(member)).collect();
         let _ = doc.insert("cores", cores);
         let voters = members.iter().filter(|member| member.voter).count();
         let _ = doc.insert("voters", voters);
@@ -112,9 +112,9 @@
         let _ = doc.insert("voters_differ", shortfall.map(|why| why.to_string()));
     }
 
-    fn member(&self, member: &Member) -> Val {
+    fn member(&self, member: &Member) -> Value {
         let live = member.id == self.me.id || self.live_cores.contains(&member.id);
-        let mut row = Val::object();
+        let mut row = Value::object();
         let _ = row.insert("id", hex(member.id));
         let _ = row.insert("zone", self.site.zone_name(member.zone));
         let _ = row.insert("addr", member.addr.as_str());
@@ -123,7 +123,7 @@
         row
     }
 
-    fn put_record(&self, doc: &mut Val, record: &ReplicatedState) {
+    fn put_record(&self, doc: &mut Value, record: &ReplicatedState) {
         let _ = doc.insert("serial", record.version());
         let _ = doc.insert("rev", record.revision());
         let _ = doc.insert("epoch", record.epoch());
@@ -132,7 +132,7 @@
         let zone_name = |zone: &u16| self.site.zone_name(*zone).to_string();
         let evacuated: Vec<String> = evacuated.iter().map(zone_name).collect();
         let _ = doc.insert("emptied", evacuated);
-        let mut regions = Val::object();
+        let mut regions = Value::object();
         for (region, name) in self.site.regions.iter().enumerate() {
             let _ = regions.insert(name.clone(), recovery_text(record.region(region as u8)));
         }
@@ -141,7 +141,7 @@
 
     /// Every share with bounds of its own: its weight now, and the latency by
     /// which this core tuned it while it held the singleton role.
-    fn weights(&self) -> Vec<Val> {
+    fn weights(&self) -> Vec<Value> {
         let Some(record) = self.consensus.map(|c| c.machine()) else {
             return Vec::new();
         };
@@ -169,10 +169,10 @@
         route: &Route,
         share: &Share,
         tuned: Option<u32>,
-    ) -> Val {
+    ) -> Value {
         let service = &configuration.services[share.service as usize].name;
         let latency = self.latencies.of(&route.name, service);
-        let mut row = Val::object();
+        let mut row = Value::object();
         let _ = row.insert("route", route.name.as_str());
         let _ = row.insert("service", service.as_str());
         let _ = row.insert("weight", tuned.unwrap_or(share.weight));
@@ -183,15 +183,15 @@
         row
     }
 
-    fn claims(&self) -> Val {
-        let mut claims = Val::object();
+    fn claims(&self) -> Value {
+        let mut claims = Value::object();
         let _ = claims.insert("remembered", self.claims.remembered);
         let _ = claims.insert("most", self.claims.capacity);
         let _ = claims.insert("sure", self.claims.sure);
         claims
     }
 
-    fn zones(&self) -> Vec<Val> {
+    fn zones(&self) -> Vec<Value> {
         let record = self.consensus.map(|c| c.machine());
         let evacuated = record.map(|record| record.view().evacuated);
         let sessions = self.edge_sessions.iter();
@@ -204,9 +204,9 @@
         )
     }
 
-    fn edges(&self) -> Vec<Val> {
+    fn edges(&self) -> Vec<Value> {
         let edge = |session: &EdgeSession| {
-            let mut row = Val::object();
+            let mut row = Value::object();
             let _ = row.insert("node", session.hello.node.as_str());
             let _ = row.insert("zone", self.site.zone_name(session.hello.zone));
             let _ = row.insert("http", session.hello.http.as_str());
@@ -218,14 +218,14 @@
         self.edge_sessions.iter().map(edge).collect()
     }
 
-    fn workers(&self) -> Vec<Val> {
+    fn workers(&self) -> Vec<Value> {
         let workers = self.worker_list.workers().iter();
         workers.map(|worker| self.worker(worker)).collect()
     }
 
-    fn worker(&self, worker: &Worker) -> Val {
+    fn worker(&self, worker: &Worker) -> Value {
         let load = self.loads.of(&worker.name);
-        let mut row = Val::object();
+        let mut row = Value::object();
         let _ = row.insert("name", worker.name.as_str());
         let _ = row.insert("addr", worker.addr.to_string());
         let _ = row.insert("group", worker.group.as_str());
