--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -68,10 +68,11 @@
     fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &OpOutcome) {
         let id = format_proposal_id(proposal_id);
         let (event, about) = match outcome {
-            OpOutcome::Got(Outcome::Applied { version }) => {
-                (LogEvent::ChangeTaken, format!("{id} as serial {version}"))
-            }
-            other => (LogEvent::ChangeRefused, format!("{id}: {other:?}")),
+            OpOutcome::Got(Outcome::Applied { version }) => (
+                LogEvent::ChangeCommitted,
+                format!("{id} as serial {version}"),
+            ),
+            other => (LogEvent::ChangeRejected, format!("{id}: {other:?}")),
         };
         self.log_event(event, about);
     }
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -55,7 +55,7 @@
         let above = self.epoch();
         let epoch = above + 1;
         let holder = self.me.id;
-        self.log_event(LogEvent::DutyTaken, format!("epoch {epoch}"));
+        self.log_event(LogEvent::SingletonAcquired, format!("epoch {epoch}"));
         self.propose(Command::AcquireRole {
             holder,
             previous_epoch: above,
@@ -113,7 +113,7 @@
         };
         let name = self.site.region_name(region);
         let about = format!("{name}: {}", recovery_text(state));
-        self.log_event(LogEvent::RegionState, about);
+        self.log_event(LogEvent::RegionRecoveryChanged, about);
         self.propose(Command::SetRegion {
             epoch,
             region,
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -202,7 +202,7 @@
         let head = |k: &str| req.header(k).map(|h| h.last().as_str().to_string());
         let given = head("x-errand-id");
         if given.as_deref().is_some_and(|i| !json::is_valid_name(i)) {
-            return Err(ErrorCode::BadErrand);
+            return Err(ErrorCode::InvalidRequestField);
         }
         let id = given
             .clone()
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -89,7 +89,7 @@
 
 async fn text(req: &mut Request) -> Result<String, ErrorCode> {
     let b = http::body(req, configuration::MAX_BYTES, Duration::from_secs(10)).await?;
-    String::from_utf8(b).map_err(|_| ErrorCode::BadJson)
+    String::from_utf8(b).map_err(|_| ErrorCode::InvalidJson)
 }
 
 async fn doc(
@@ -166,8 +166,10 @@
             let _ = v.insert("serial", *version);
             ErrorCode::BaseVersionAhead
         }
-        OpOutcome::Got(Outcome::Unknown { .. }) | OpOutcome::Unknown => ErrorCode::PendingUnknown,
-        OpOutcome::NotTaken => ErrorCode::NotTaken,
+        OpOutcome::Got(Outcome::Unknown { .. }) | OpOutcome::Unknown => {
+            ErrorCode::ChangeOutcomeUnknown
+        }
+        OpOutcome::NotTaken => ErrorCode::ChangeNotAccepted,
         OpOutcome::Nothing => ErrorCode::UnknownProposal,
     };
     // neither a yes nor a no may be read out of a don't-know
