--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -71,7 +71,7 @@
                 http::shed(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
             }
             _ => http::shed(
-                ErrorCode::NoCore,
+                ErrorCode::NoControlPlane,
                 "no quorum is reached from here",
                 RETRY_AFTER_S,
             ),
@@ -119,5 +119,5 @@
 }
 
 fn unreachable_core() -> Response {
-    http::shed(ErrorCode::NoCore, "", RETRY_AFTER_S)
+    http::shed(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
 }
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -205,7 +205,7 @@
         let endpoints = &controller.endpoints().endpoints;
         self.client.publish_endpoints(endpoints);
         if controller.is_leaving() && self.stop_at.is_none() {
-            log_event(LogEvent::Leaving, "core");
+            log_event(LogEvent::ShuttingDown, "core");
             self.stop_at = Some(Instant::now() + STOP_DELAY);
             self.gate.shut();
         }
--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -83,7 +83,7 @@
     }
     let id = crate::order_id::random_id() >> 1;
     retry_until_synced(|| store.put("identity", &encode(&id)));
-    log_event(LogEvent::Identity, format!("{id:x}"));
+    log_event(LogEvent::IdentityCreated, format!("{id:x}"));
     id
 }
 
