--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -51,7 +51,7 @@
             format!("{:x}{learner}", member.id)
         };
         let names: Vec<String> = members.iter().map(name).collect();
-        self.log_event(LogEvent::Members, names.join(" "));
+        self.log_event(LogEvent::MembershipChanged, names.join(" "));
         if !self.me.founded && members.iter().any(|member| member.voter) {
             self.greet();
         }
@@ -66,9 +66,9 @@
             Note::SteppedDown { term, why } => {
                 (LogEvent::SteppedDown, format!("term {term}: {why}"))
             }
-            Note::RegionDown { region } => (LogEvent::RegionDown, name(region)),
-            Note::RegionUp { region } => (LogEvent::RegionUp, name(region)),
-            Note::Moving { to } => (LogEvent::Moving, format!("to {to:x}")),
+            Note::RegionDown { region } => (LogEvent::RegionUnavailable, name(region)),
+            Note::RegionUp { region } => (LogEvent::RegionAvailable, name(region)),
+            Note::Moving { to } => (LogEvent::LeadershipTransfer, format!("to {to:x}")),
             Note::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
         };
         self.log_event(event, about);
@@ -79,7 +79,7 @@
         let version = consensus.map_or(0, |consensus| consensus.machine().version());
         if version != self.logged_version {
             self.logged_version = version;
-            self.log_event(LogEvent::ConfigurationAdopted, format!("serial {version}"));
+            self.log_event(LogEvent::ConfigurationApplied, format!("serial {version}"));
         }
     }
 }
--- a/sorreldoor/src/control_plane/controller/workers.rs
+++ b/sorreldoor/src/control_plane/controller/workers.rs
@@ -35,7 +35,7 @@
             }
             Err(error) => {
                 if self.worker_list.read_failed(error.clone()) {
-                    self.log_event(LogEvent::RosterLost, error);
+                    self.log_event(LogEvent::WorkerListUnavailable, error);
                 }
             }
         }
@@ -48,7 +48,7 @@
         }
         let (version, count) = (list.version, list.workers.len());
         let about = format!("serial {version}, {count} workers");
-        self.log_event(LogEvent::RosterRead, about);
+        self.log_event(LogEvent::WorkerListChanged, about);
         // edges must know of a leaving worker before their next renewal
         for conn in self.subscribers() {
             self.send(conn, Payload::WorkerRegistry(list.clone()));
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -126,7 +126,7 @@
             }
             EdgeEvent::Shutdown => {
                 self.leaving = true;
-                self.log_event(LogEvent::Leaving, "edge");
+                self.log_event(LogEvent::ShuttingDown, "edge");
             }
         }
     }
@@ -154,7 +154,7 @@
     /// `Leaving` during shutdown, `NoLease` without a valid lease.
     pub(super) fn check_open(&self) -> Result<(), ErrorCode> {
         if self.leaving {
-            return Err(ErrorCode::Leaving);
+            return Err(ErrorCode::ShuttingDown);
         }
         if !self.pull.lease(self.now) {
             return Err(ErrorCode::NoLease);
@@ -172,7 +172,7 @@
             return Err(ErrorCode::NoConfiguration);
         }
         if self.cluster.is_evacuated(self.cluster.zone) {
-            return Err(ErrorCode::Leaving);
+            return Err(ErrorCode::ShuttingDown);
         }
         Ok(())
     }
@@ -223,17 +223,17 @@
             }
             RequestEffect::Release { request_id, id } => self.release(*request_id, id.clone()),
             RequestEffect::OutcomeUnknown { id, worker } => {
-                self.log_event(LogEvent::ErrandUnknown, format!("{id} at {worker}"))
+                self.log_event(LogEvent::OutcomeUnknown, format!("{id} at {worker}"))
             }
             RequestEffect::AttemptFailed {
                 id,
                 worker,
                 error_code,
             } => {
-                let event = if *error_code == ErrorCode::StreamBroken {
-                    LogEvent::StreamBroken
+                let event = if *error_code == ErrorCode::StreamInterrupted {
+                    LogEvent::StreamInterrupted
                 } else {
-                    LogEvent::ResultBad
+                    LogEvent::WorkerResponseRejected
                 };
                 self.log_event(event, format!("{id} at {worker}: {}", error_code.code()));
             }
@@ -251,7 +251,7 @@
                 unverified,
             } => self.send_renewal(conn, no, unverified),
             SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(cause) => self.log_event(LogEvent::Woken, cause),
+            SubscriptionEffect::Woken(cause) => self.log_event(LogEvent::ClockJump, cause),
             SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
             SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
         }
--- a/sorreldoor/src/gateway/queries.rs
+++ b/sorreldoor/src/gateway/queries.rs
@@ -20,7 +20,7 @@
         let (configuration, index) = self.cluster.route(&spec.route)?;
         let home_bound = configuration.routes[index as usize].home;
         if home_bound && spec.home.is_none() {
-            return Err(ErrorCode::BadErrand);
+            return Err(ErrorCode::InvalidRequestField);
         }
         let region = spec.home.or(Some(self.cluster.region));
         let edges = self.cluster.edges_for(region, home_bound, &spec.key);
--- a/sorreldoor/src/gateway/request_table/admission.rs
+++ b/sorreldoor/src/gateway/request_table/admission.rs
@@ -54,7 +54,9 @@
     ) -> Result<Admission, ErrorCode> {
         let (configuration, index) = cluster.route(&spec.route)?;
         let route = &configuration.routes[index as usize];
-        if is_home_bound(route) && spec.home.ok_or(ErrorCode::BadErrand)? != cluster.region {
+        if is_home_bound(route)
+            && spec.home.ok_or(ErrorCode::InvalidRequestField)? != cluster.region
+        {
             // the body must not pass through another region
             let edges = cluster.edges_for(spec.home, true, &spec.key);
             let addr = edges.first().cloned().ok_or(ErrorCode::NoWorker)?;
@@ -63,7 +65,7 @@
             return Ok(Admission::Redirected);
         }
         if cluster.is_evacuated(cluster.zone) {
-            return Err(ErrorCode::Leaving);
+            return Err(ErrorCode::ShuttingDown);
         }
         if self.is_unservable(cluster, configuration, route) {
             return Err(ErrorCode::NoWorker);
@@ -103,10 +105,10 @@
         }
         // the body was read for a profile of an earlier configuration
         if !RequestProfile::of(route).is_compatible(&spec.profile) {
-            return Err(ErrorCode::GivenUp);
+            return Err(ErrorCode::NotSent);
         }
         if !route.repeatable && self.is_duplicate(&spec) {
-            return Err(ErrorCode::AlreadyTaken);
+            return Err(ErrorCode::DuplicateRequestId);
         }
         let queue_limit = queue_limit(configuration, route);
         if self.queue_length(index) >= queue_limit.max(1) {
@@ -144,7 +146,7 @@
     /// Rejects a request that is not in the table (any more).
     pub fn reject(&mut self, request_id: RequestId, error_code: ErrorCode, now: Millis) {
         self.counters.rejected += 1;
-        let retry_after_s = if error_code.again() {
+        let retry_after_s = if error_code.is_retryable() {
             let queued = self.waiting_ids().len();
             self.retry_after.schedule(error_code, queued, now)
         } else {
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -90,8 +90,8 @@
         // some replicas may have recorded the claim, so it is released
         self.remove(request_id);
         let error_code = match verdict {
-            Verdict::Full => ErrorCode::ClaimsFull,
-            _ => ErrorCode::AlreadyTaken,
+            Verdict::Full => ErrorCode::ClaimTableFull,
+            _ => ErrorCode::DuplicateRequestId,
         };
         self.reject(request_id, error_code, now);
     }
--- a/sorreldoor/src/gateway/request_table/completion.rs
+++ b/sorreldoor/src/gateway/request_table/completion.rs
@@ -61,7 +61,7 @@
         request_id: RequestId,
         worker: usize,
     ) {
-        self.log_failure(cluster, request_id, worker, ErrorCode::StreamBroken);
+        self.log_failure(cluster, request_id, worker, ErrorCode::StreamInterrupted);
         self.counters.broken_streams += 1;
         self.finish(cluster, request_id, worker);
     }
--- a/sorreldoor/src/gateway/request_table/expiry.rs
+++ b/sorreldoor/src/gateway/request_table/expiry.rs
@@ -46,14 +46,20 @@
         match stage {
             Stage::Waiting => {
                 self.remove(request_id);
-                self.reject(request_id, ErrorCode::GivenUp, now);
+                self.reject(request_id, ErrorCode::NotSent, now);
             }
             Stage::Connecting(worker) => {
                 self.finish(cluster, request_id, worker);
-                self.reject(request_id, ErrorCode::GivenUp, now);
+                self.reject(request_id, ErrorCode::NotSent, now);
             }
             Stage::Sent(worker) => {
-                self.fail_attempt(cluster, request_id, worker, ErrorCode::WorkerBroke, now);
+                self.fail_attempt(
+                    cluster,
+                    request_id,
+                    worker,
+                    ErrorCode::WorkerDisconnected,
+                    now,
+                );
             }
             Stage::Streaming(worker) => {
                 self.counters.broken_streams += 1;
@@ -68,7 +74,7 @@
         let evacuated = cluster.is_evacuated(cluster.zone);
         let reason = |request: &Request| {
             if evacuated {
-                return Some(ErrorCode::Leaving);
+                return Some(ErrorCode::ShuttingDown);
             }
             let waited = now.saturating_sub(request.arrived_at);
             let unservable = waited > NO_WORKER_GRACE_MS && !has_eligible_worker(cluster, request);
--- a/sorreldoor/src/gateway/request_table/reconfiguration.rs
+++ b/sorreldoor/src/gateway/request_table/reconfiguration.rs
@@ -43,7 +43,7 @@
         let compatible = RequestProfile::of(route).is_compatible(&request.spec.profile);
         let elsewhere = is_home_bound(route) && request.spec.home != Some(cluster.region);
         if !compatible || elsewhere {
-            return self.reject_unsent(cluster, request_id, ErrorCode::GivenUp, now);
+            return self.reject_unsent(cluster, request_id, ErrorCode::NotSent, now);
         }
         // the route was idempotent when the request arrived, and is not now
         let needs_claim = !route.repeatable && request.spec.client_supplied_id;
--- a/sorreldoor/src/gateway/request_table/retry_after.rs
+++ b/sorreldoor/src/gateway/request_table/retry_after.rs
@@ -111,7 +111,7 @@
     fn delay_bounds(&self, reason: ErrorCode, queued: usize) -> (u64, u64) {
         let (min, max) = match reason {
             // another node may take the request, so the delay can be short
-            ErrorCode::Leaving | ErrorCode::NoLease => (1, 10),
+            ErrorCode::ShuttingDown | ErrorCode::NoLease => (1, 10),
             // a lost worker or region is away for at least this long
             ErrorCode::NoWorker | ErrorCode::NoConfiguration => (2, SCHEDULE_SECONDS / 2),
             _ => {
--- a/sorreldoor/src/gateway/request_table/sending.rs
+++ b/sorreldoor/src/gateway/request_table/sending.rs
@@ -61,7 +61,13 @@
                 self.skip_for_a_while(worker, now);
                 self.requeue_charged(cluster, request_id, worker, now);
             }
-            _ => self.fail_attempt(cluster, request_id, worker, ErrorCode::WorkerGarbage, now),
+            _ => self.fail_attempt(
+                cluster,
+                request_id,
+                worker,
+                ErrorCode::InvalidWorkerResponse,
+                now,
+            ),
         }
     }
 
@@ -80,7 +86,13 @@
             AttemptEvent::Failed(error_code) => {
                 self.fail_attempt(cluster, request_id, worker, error_code, now)
             }
-            _ => self.fail_attempt(cluster, request_id, worker, ErrorCode::WorkerGarbage, now),
+            _ => self.fail_attempt(
+                cluster,
+                request_id,
+                worker,
+                ErrorCode::InvalidWorkerResponse,
+                now,
+            ),
         }
     }
 
@@ -95,7 +107,13 @@
         match event {
             AttemptEvent::StreamEnded => self.end_stream(cluster, request_id, worker, now),
             AttemptEvent::Failed(_) => self.break_stream(cluster, request_id, worker),
-            _ => self.fail_attempt(cluster, request_id, worker, ErrorCode::WorkerGarbage, now),
+            _ => self.fail_attempt(
+                cluster,
+                request_id,
+                worker,
+                ErrorCode::InvalidWorkerResponse,
+                now,
+            ),
         }
     }
 
@@ -132,7 +150,7 @@
         }
         self.finish(cluster, request_id, worker);
         let error_code = if expired {
-            ErrorCode::GivenUp
+            ErrorCode::NotSent
         } else {
             ErrorCode::NoLease
         };
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -28,7 +28,7 @@
         for effect in self.pull.up(conn, addr, self.now) {
             self.on_subscription_effect(effect);
         }
-        self.log_event(LogEvent::SessionUp, addr.to_string());
+        self.log_event(LogEvent::SessionEstablished, addr.to_string());
         self.report_sent_ids(conn);
     }
 
@@ -139,7 +139,7 @@
         self.table.apply_configuration(&mut self.cluster, self.now);
         let version = self.cluster.snapshot.view.version;
         if version != old_version {
-            self.log_event(LogEvent::ConfigurationAdopted, format!("serial {version}"));
+            self.log_event(LogEvent::ConfigurationApplied, format!("serial {version}"));
         }
     }
 
--- a/sorreldoor/src/proxy/front.rs
+++ b/sorreldoor/src/proxy/front.rs
@@ -79,7 +79,7 @@
             ControllerEvent::Net(n) => self.net(n),
             ControllerEvent::Stop => {
                 self.leaving = true;
-                self.log_event(LogEvent::Leaving, "edge");
+                self.log_event(LogEvent::ShuttingDown, "edge");
             }
         }
         self.tell_ready();
@@ -175,7 +175,7 @@
                 self.out.push(ControllerEffect::Send(conn, p));
             }
             SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::Woken, s),
+            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::ClockJump, s),
             SubscriptionEffect::LeaseExpired | SubscriptionEffect::LeaseRenewed => {}
         }
     }
@@ -189,7 +189,7 @@
                 if let Some(a) = dialled {
                     let fx = self.pull.up(conn, a, self.now);
                     fx.into_iter().for_each(|f| self.pulled(f));
-                    self.log_event(LogEvent::SessionUp, a.to_string());
+                    self.log_event(LogEvent::SessionEstablished, a.to_string());
                 }
             }
             NetEvent::Down { conn } => self.pull.down(conn),
@@ -251,7 +251,7 @@
         }
         if update.version != self.view.version {
             self.log_event(
-                LogEvent::ConfigurationAdopted,
+                LogEvent::ConfigurationApplied,
                 format!("serial {}", update.version),
             );
         }
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -146,7 +146,7 @@
         k.life += 1;
         let lost: Vec<Visit> = k.running.drain(..).chain(k.waiting.drain(..)).collect();
         for v in lost {
-            self.tell_edge(w, v, AttemptEvent::Failed(ErrorCode::WorkerBroke));
+            self.tell_edge(w, v, AttemptEvent::Failed(ErrorCode::WorkerDisconnected));
         }
     }
 
@@ -314,7 +314,7 @@
         }
         let gone = !self.procs[v.edge].tries.contains_key(&v.token);
         if !self.workers[w].up || self.workers[w].life != life {
-            return self.tell_edge(w, v, AttemptEvent::Failed(ErrorCode::WorkerBroke));
+            return self.tell_edge(w, v, AttemptEvent::Failed(ErrorCode::WorkerDisconnected));
         }
         // a caller that hung up before leaves a closed connection here
         if gone && self.rng.chance(50) {
