--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -1,9 +1,9 @@
 //! Operators' changes: proposed, and answered with their outcome.
 
-use super::super::events::{ControllerEffect, Requester};
-use super::super::proposals;
 use super::Controller;
 use crate::consensus::{Body, Event, Lost};
+use crate::control_plane::events::{ControllerEffect, Requester};
+use crate::control_plane::proposals;
 use crate::log_events::LogEvent;
 use crate::order_id::format_proposal_id;
 use crate::replicated_state::{encode, Command, Outcome};
@@ -68,10 +68,11 @@
     fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &OpOutcome) {
         let id = format_proposal_id(proposal_id);
         let (event, about) = match outcome {
-            OpOutcome::Got(Outcome::Applied { version }) => {
-                (LogEvent::ChangeTaken, format!("{id} as serial {version}"))
-            }
-            other => (LogEvent::ChangeRefused, format!("{id}: {other:?}")),
+            OpOutcome::Got(Outcome::Applied { version }) => (
+                LogEvent::ChangeCommitted,
+                format!("{id} as serial {version}"),
+            ),
+            other => (LogEvent::ChangeRejected, format!("{id}: {other:?}")),
         };
         self.log_event(event, about);
     }
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -1,6 +1,6 @@
 //! Callers' HTTP at an edge: where to go, errands, and operators' errands.
 
-use super::controller::EdgeEvent;
+use super::event::EdgeEvent;
 use super::relay::{Brought, Load, Piece};
 use super::run::{Desk, Reply};
 use crate::error::ErrorCode;
@@ -77,7 +77,7 @@
         {
             Some(Reply::Status { ready: Ok(()), .. }) => http::json(200, "{\"ready\":true}".into()),
             Some(Reply::Status { ready: Err(p), .. }) => http::shed(p, "", 1),
-            _ => http::shed(ErrorCode::Leaving, "", 1),
+            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
@@ -87,20 +87,25 @@
             .await
         {
             Some(Reply::Status { text, .. }) => http::json(200, text),
-            _ => http::shed(ErrorCode::Leaving, "", 1),
+            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     fn home(&self, name: Option<String>) -> Result<Option<u8>, ErrorCode> {
-        name.map(|n| self.set.names.region(&n).ok_or(ErrorCode::BadErrand))
-            .transpose()
+        name.map(|n| {
+            self.set
+                .names
+                .region(&n)
+                .ok_or(ErrorCode::InvalidRequestField)
+        })
+        .transpose()
     }
 
     /// An errand as a query describes it.
     fn described(&self, req: &Request) -> Result<RequestSpec, ErrorCode> {
         let home = self.home(http::query(req, "region"))?;
         Ok(RequestSpec {
-            route: http::query(req, "route").ok_or(ErrorCode::BadErrand)?,
+            route: http::query(req, "route").ok_or(ErrorCode::InvalidRequestField)?,
             key: http::query(req, "key").unwrap_or_default(),
             id: order_id::format_proposal_id(order_id::random_proposal_id()),
             home,
@@ -115,12 +120,15 @@
             Err(p) => return http::shed(p, "", 1),
         };
         match self
-            .soon(|request_id| EdgeEvent::Explain { request_id, asked })
+            .soon(|request_id| EdgeEvent::Explain {
+                request_id,
+                spec: asked,
+            })
             .await
         {
             Some(Reply::Status { text, .. }) => http::json(200, text),
             Some(Reply::Where(Err(p))) => http::shed(p, "", 1),
-            _ => http::shed(ErrorCode::Leaving, "", 1),
+            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
@@ -130,7 +138,10 @@
             Err(p) => return http::shed(p, "", 1),
         };
         match self
-            .soon(|request_id| EdgeEvent::Where { request_id, asked })
+            .soon(|request_id| EdgeEvent::LocateEdges {
+                request_id,
+                spec: asked,
+            })
             .await
         {
             Some(Reply::Where(Ok(all))) => {
@@ -140,7 +151,7 @@
                 http::ok(v)
             }
             Some(Reply::Where(Err(p))) => http::shed(p, "", 1),
-            _ => http::shed(ErrorCode::Leaving, "", 1),
+            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
@@ -149,7 +160,7 @@
             OperatorRequest::Check { faults } => operator_api::checked(&faults),
             OperatorRequest::Change { proposal_id, cmd } => {
                 let r = self
-                    .soon(|request_id| EdgeEvent::Change {
+                    .soon(|request_id| EdgeEvent::Propose {
                         request_id,
                         proposal_id,
                         cmd,
@@ -159,7 +170,7 @@
             }
             OperatorRequest::Proposal(proposal_id) => {
                 let r = self
-                    .soon(|request_id| EdgeEvent::Find {
+                    .soon(|request_id| EdgeEvent::QueryProposal {
                         request_id,
                         proposal_id,
                     })
@@ -167,7 +178,10 @@
                 changed(proposal_id, r)
             }
             OperatorRequest::Configuration => {
-                match self.soon(|request_id| EdgeEvent::Look { request_id }).await {
+                match self
+                    .soon(|request_id| EdgeEvent::ReadConfiguration { request_id })
+                    .await
+                {
                     Some(Reply::Looked(true, view)) => {
                         let doc = view.doc.as_ref().map(|d| d.as_str());
                         let names = &self.set.names;
@@ -178,7 +192,7 @@
                             .collect();
                         operator_api::configuration_view(view.version, doc, &zones)
                     }
-                    _ => http::shed(ErrorCode::NoCore, "", 1),
+                    _ => http::shed(ErrorCode::NoControlPlane, "", 1),
                 }
             }
             OperatorRequest::Status => self.status().await,
@@ -187,7 +201,7 @@
                 .await
             {
                 Some(Reply::Status { text, .. }) => operator_api::metrics(&text),
-                _ => http::shed(ErrorCode::Leaving, "", 1),
+                _ => http::shed(ErrorCode::ShuttingDown, "", 1),
             },
             OperatorRequest::DropCore { .. } => http::shed(ErrorCode::UnknownPath, "ask a core", 1),
         }
@@ -197,7 +211,7 @@
         let head = |k: &str| req.header(k).map(|h| h.last().as_str().to_string());
         let given = head("x-errand-id");
         if given.as_deref().is_some_and(|i| !json::is_valid_name(i)) {
-            return Err(ErrorCode::BadErrand);
+            return Err(ErrorCode::InvalidRequestField);
         }
         let id = given
             .clone()
@@ -205,7 +219,7 @@
         let key = head("x-prefix-key").unwrap_or_default();
         Ok(RequestSpec {
             route: route.to_string(),
-            given: given.is_some(),
+            client_supplied_id: given.is_some(),
             id,
             key,
             profile: RequestProfile::default(),
@@ -224,15 +238,15 @@
         // what is not wanted here is turned away before its body is read
         let a = asked.clone();
         let shown = match self
-            .soon(|request_id| EdgeEvent::Knock {
+            .soon(|request_id| EdgeEvent::CheckAdmission {
                 request_id,
-                asked: a,
+                spec: a,
             })
             .await
         {
             Some(Reply::Come(shown)) => shown,
             Some(r) => return final_of(r, path, &asked.id),
-            None => return http::shed(ErrorCode::Leaving, "", 1),
+            None => return http::shed(ErrorCode::ShuttingDown, "", 1),
         };
         asked.profile = shown;
         let model = shown.model;
@@ -243,14 +257,14 @@
             method == Method::Get
         };
         if !fits {
-            return http::shed(ErrorCode::BadMethod, "", 1);
+            return http::shed(ErrorCode::MethodNotAllowed, "", 1);
         }
         let body = match http::body(req, self.set.max_body, BODY).await {
             Ok(b) => b,
             Err(p) => return http::shed(p, "", 1),
         };
         if model && json::parse(&body, self.set.max_body).is_err() {
-            return http::shed(ErrorCode::BadJson, "", 1);
+            return http::shed(ErrorCode::InvalidJson, "", 1);
         }
         let load = Load {
             id: asked.id.clone(),
@@ -265,18 +279,23 @@
             body,
             model,
             streamed: shown.streamed,
-            within: Duration::from_millis(shown.cutoff_ms),
+            within: Duration::from_millis(shown.timeout_ms),
         };
         let id = asked.id.clone();
         let (request_id, rx) = self.desk.open();
         self.desk.bring(request_id, load);
         let ring = self.ring.clone();
         let watch = peer.watch(move || async move {
-            let _ = ring.send(EdgeEvent::Gone { request_id }).await;
+            let _ = ring
+                .send(EdgeEvent::CallerDisconnected { request_id })
+                .await;
         });
         let sent = self
             .ring
-            .send(EdgeEvent::Request { request_id, asked })
+            .send(EdgeEvent::Submit {
+                request_id,
+                spec: asked,
+            })
             .await;
         let got = match sent {
             Ok(()) => timeout(LAST, rx.recv()).await.ok().and_then(|r| r.ok()),
@@ -289,7 +308,7 @@
                 watch.stop();
                 final_of(r, path, &id)
             }
-            None => http::shed(ErrorCode::Leaving, "", 1),
+            None => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
 }
@@ -306,7 +325,7 @@
     let mut out = match r {
         Reply::Shed(p, again) => http::shed(p, "", again),
         Reply::Elsewhere(addr) => {
-            let mut r = http::shed(ErrorCode::HomeElsewhere, &addr, 1);
+            let mut r = http::shed(ErrorCode::HomeRegionRedirect, &addr, 1);
             r.insert_header("location", format!("http://{addr}{path}"));
             r
         }
@@ -329,7 +348,7 @@
             });
             r
         }
-        _ => http::shed(ErrorCode::Leaving, "", 1),
+        _ => http::shed(ErrorCode::ShuttingDown, "", 1),
     };
     out.insert_header("x-errand-id", id);
     out
@@ -378,7 +397,7 @@
             let piece = match Pin::new(&mut me.rx).poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
                 // a relay that vanished has not said that this is the end
-                Poll::Ready(None) => Piece::Broke(ErrorCode::StreamBroken),
+                Poll::Ready(None) => Piece::Broke(ErrorCode::StreamInterrupted),
                 Poll::Ready(Some(p)) => p,
             };
             me.at = 0;
@@ -391,7 +410,7 @@
                 Piece::Broke(p) => {
                     let mut v = Value::object();
                     let _ = v.insert("problem", p.code());
-                    let _ = v.insert("text", ErrorCode::StreamBroken.text());
+                    let _ = v.insert("text", ErrorCode::StreamInterrupted.message());
                     me.buf = (v.encode() + "\n").into_bytes();
                     me.broken = true;
                 }
--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -296,7 +296,7 @@
         let end = w.now + 20_000;
         // two cores may found and lead before the third has heard of it
         let all = |w: &World| {
-            let has = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus.is_some());
+            let has = |c: &usize| w.controller(*c).is_some_and(|h| h.consensus().is_some());
             w.leader().is_some() && w.cores().iter().all(has)
         };
         let founded = w.run_until(end, all);
@@ -318,7 +318,7 @@
                 .iter()
                 .all(|e| w.edge_controller(*e).is_some_and(|h| h.ready().is_ok()))
                 && w.edge_controller(edges[0])
-                    .is_some_and(|h| h.plan.shown.edge_sessions.1.len() == edges.len())
+                    .is_some_and(|h| h.cluster.snapshot.edge_sessions.1.len() == edges.len())
         });
         assert!(all, "seed {seed}: every edge serves");
         w.run_for(1500);
--- a/testbed/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -227,7 +227,7 @@
             } else {
                 w.hall_step(
                     p,
-                    EdgeEvent::Change {
+                    EdgeEvent::Propose {
                         request_id,
                         proposal_id,
                         cmd,
@@ -325,13 +325,13 @@
         });
         let incarnation = self.procs[p].incarnation;
         self.reach_proc(p, incarnation, move |w| {
-            w.core_step(p, ControllerEvent::View { request_id })
+            w.core_step(p, ControllerEvent::ReadView { request_id })
         });
     }
 
     /// A core shows its record, proved current if `ok`.
     pub(crate) fn viewed(&mut self, p: usize, request_id: u64, ok: bool) {
-        let record = self.controller(p).and_then(|c| c.consensus.as_ref());
+        let record = self.controller(p).and_then(|c| c.consensus());
         let Some(record) = record.map(|a| a.machine()).filter(|_| ok) else {
             return;
         };
