--- a/sorreldoor/src/consensus/types.rs
+++ b/sorreldoor/src/consensus/types.rs
@@ -129,12 +129,16 @@
     Forgot(Vec<String>),
 }
 
-/// A claim on an errand id as a core keeps it, and for how long from then on.
+/// A claim on an idempotency key: the id of a request, who may send it, and
+/// for how many milliseconds the claim is retained.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     pub id: String,
-    pub by: u128,
-    pub keep_ms: Millis,
+    /// One request attempt of one incarnation of an edge.
+    #[serde(rename = "by")]
+    pub claimant: u128,
+    #[serde(rename = "keep_ms")]
+    pub retention_ms: Millis,
 }
 
 /// What one core is known to hold in the term of the message.
--- a/sorreldoor/src/control_plane/controller.rs
+++ b/sorreldoor/src/control_plane/controller.rs
@@ -3,6 +3,7 @@
 use super::connections::Connection;
 use super::duty::Duty;
 use super::events::{ControllerEffect, ControllerEvent, OpFrom, Want};
+use super::idempotency;
 use super::membership::{Membership, LOOK_MS};
 use super::reads::Reads;
 use super::worker_list::WorkerList;
@@ -57,7 +58,7 @@
     pub(super) ops: BTreeMap<ProposalId, Vec<OpFrom>>,
     pub(super) duty: Duty,
     pub(super) duty_proposal_id: Option<ProposalId>,
-    pub(super) claims: super::claims::Claims,
+    pub(super) idempotency: idempotency::Idempotency,
     pub(super) slow_at: Millis,
     pub(super) last_version: u64,
     pub leaving: bool,
@@ -78,7 +79,7 @@
             ControllerEvent::Net(n) => self.net(n),
             ControllerEvent::Saved(seq) => {
                 self.agreed(Event::Saved { seq });
-                self.claims_saved(seq);
+                self.idempotency_event(idempotency::Event::Synced { seq });
             }
             ControllerEvent::SaveFailed(why) => {
                 self.log_event(LogEvent::DiskFailed, why);
@@ -153,7 +154,7 @@
         }
         self.first_list();
         self.sessions_alarm();
-        self.tick_claims();
+        self.idempotency_tick();
         self.ping();
     }
 
@@ -220,37 +221,11 @@
                 proposal_id,
                 cmd,
             } => self.change(OpFrom::Edge(conn, request_id), proposal_id, cmd),
-            Payload::Claim { request_id, claim } => self.on_claim(conn, request_id, claim),
-            Payload::ClaimVoteRequest { no, claim } if from.core => {
-                self.on_claim_ask(conn, no, claim)
-            }
-            Payload::ClaimVoteReply { no, said } if from.core => {
-                self.on_claim_ans(from.id, no, said)
-            }
-            Payload::Release { request_id, id, by } => self.free_all(&id, by, (conn, request_id)),
-            Payload::Free { id, by } if from.core => self.on_free(conn, id, by),
-            Payload::ReleaseAck { by } if from.core => self.on_free_done(from.id, by),
-            Payload::Sent { all } => self.on_sent(all),
-            Payload::ClaimsPageRequest { from: at } if from.core => self.on_claims_pull(conn, at),
-            Payload::ClaimsPage {
-                from: at,
-                all,
-                next,
-                end,
-            } if from.core => {
-                let page = super::learn::Page {
-                    from: at,
-                    all,
-                    next,
-                    end,
-                };
-                self.on_claims_page(conn, &from, page)
-            }
             Payload::OpFind {
                 request_id,
                 proposal_id,
             } => self.want(Want::Find(OpFrom::Edge(conn, request_id), proposal_id)),
-            _ => {}
+            other => self.idempotency_frame(conn, &from, other),
         }
     }
 
--- a/sorreldoor/src/control_plane/founding.rs
+++ b/sorreldoor/src/control_plane/founding.rs
@@ -2,6 +2,7 @@
 
 use super::controller::Controller;
 use super::events::ControllerEffect;
+use super::idempotency;
 use super::membership::learner;
 use crate::consensus::*;
 use crate::log_events::LogEvent;
@@ -119,8 +120,7 @@
         let r = ReplicatedState::new(self.site.clone());
         let (timing, seed, now) = (self.timing.clone(), self.seed, self.now);
         self.consensus = Some(Consensus::found(self.me.id, timing, set, r, seed, now));
-        self.claims.learn.sure = true;
-        self.keep_sure();
+        self.idempotency_event(idempotency::Event::Founded);
         self.greet();
         self.agreed(Event::Tick);
     }
--- a/sorreldoor/src/control_plane/mod.rs
+++ b/sorreldoor/src/control_plane/mod.rs
@@ -1,8 +1,6 @@
 //! The core node: consensus, sessions, delivery, duties.
 
 mod api;
-pub mod book;
-mod claims;
 mod connections;
 mod controller;
 mod delivery;
@@ -10,7 +8,8 @@
 mod events;
 mod founding;
 mod front;
-mod learn;
+pub mod idempotency;
+mod idempotency_driver;
 pub mod membership;
 mod reads;
 mod regions;
@@ -23,9 +22,9 @@
 pub mod worker_list;
 
 pub use api::{Api, Door};
-pub use book::KEEP_MS;
 pub use controller::Controller;
 pub use events::{ControllerEffect, ControllerEvent, OpFrom, Start, Want};
 pub use front::{Answers, Front, Looked, Reply};
+pub use idempotency::RETENTION_MS;
 pub use run::{run, run_by, run_with};
 pub use source::{Later, Listed, OperatorDoor, WorkerSource};
--- a/sorreldoor/src/control_plane/start.rs
+++ b/sorreldoor/src/control_plane/start.rs
@@ -3,6 +3,7 @@
 use super::controller::Controller;
 use super::duty::Duty;
 use super::events::Start;
+use super::idempotency::{Idempotency, Options};
 use super::membership::Membership;
 use super::reads::Reads;
 use super::worker_list::WorkerList;
@@ -14,6 +15,11 @@
 impl Controller {
     pub fn new(s: Start, kept: Option<Kept>, now: Millis) -> Controller {
         let promised = s.promise.is_some();
+        let claim_options = Options {
+            capacity: s.most_claims,
+            founding_cores: s.cores,
+            reads_peers: s.pacing.claims,
+        };
         let mut h = Controller {
             me: s.me,
             site: s.site,
@@ -48,7 +54,7 @@
             ops: BTreeMap::new(),
             duty: Duty::new(now),
             duty_proposal_id: None,
-            claims: super::claims::Claims::new(&[], s.most_claims, now),
+            idempotency: Idempotency::new(claim_options.clone(), &[], false, now),
             slow_at: now,
             last_version: 0,
             leaving: false,
@@ -57,9 +63,10 @@
             out: Vec::new(),
         };
         if let Some(k) = kept {
-            h.claims = super::claims::Claims::new(&k.claims, s.most_claims, now);
-            // a founder forgets nothing; who joined later says so itself
-            h.claims.learn.sure = s.sure || promised;
+            // a founder has missed no claim; a core that joined later has kept
+            // on disk whether it caught up
+            let caught_up = s.sure || promised;
+            h.idempotency = Idempotency::new(claim_options, &k.claims, caught_up, now);
             let mut r = ReplicatedState::new(h.site.clone());
             if let Some(s) = &k.snap {
                 // to go on with an empty record would be to lead with old state
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -78,9 +78,12 @@
         }
         let _ = v.insert("weights", self.weights());
         let mut c = Val::object();
-        let _ = c.insert("remembered", self.claims.book.count());
-        let _ = c.insert("most", self.claims.book.most());
-        let _ = c.insert("sure", self.sure());
+        let _ = c.insert("remembered", self.idempotency.table().len());
+        let _ = c.insert("most", self.idempotency.table().capacity());
+        let _ = c.insert(
+            "sure",
+            self.consensus.is_some() && self.idempotency.is_caught_up(),
+        );
         let _ = v.insert("claims", c);
         let evacuated = self
             .consensus
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -3,9 +3,9 @@
 
 use super::{Plan, RequestEffect, RequestSpec, Stage, Table};
 use crate::consensus::Millis;
-use crate::control_plane::KEEP_MS;
+use crate::control_plane::RETENTION_MS;
 use crate::error::ErrorCode;
-use crate::wire::Verdict;
+use crate::wire::ClaimVote;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
@@ -22,26 +22,26 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     pub id: String,
-    pub keep_ms: Millis,
+    pub retention_ms: Millis,
 }
 
 impl ClaimRequest {
     pub fn of(a: &RequestSpec, cutoff_ms: Millis) -> ClaimRequest {
         ClaimRequest {
             id: a.id.clone(),
-            keep_ms: cutoff_ms + KEEP_MS,
+            retention_ms: cutoff_ms + RETENTION_MS,
         }
     }
 }
 
 impl Table {
-    /// The cores' word on a claim.
+    /// Takes in the result of the cores' votes on a claim.
     pub fn claimed(
         &mut self,
         p: &mut Plan,
         request_id: u64,
         id: &str,
-        said: Verdict,
+        result: ClaimVote,
         lease: bool,
         now: Millis,
     ) {
@@ -51,7 +51,7 @@
         if !matches!(e.claim, Claim::RequestSpec(_)) {
             return;
         }
-        if said == Verdict::Yes {
+        if result == ClaimVote::Granted {
             e.claim = Claim::Held;
             if let (Stage::Opening(i), true) = (e.stage, e.ready) {
                 self.hand_over(p, request_id, i, lease, now);
@@ -65,8 +65,8 @@
         }
         // some cores may have noted it, and it must not stand in the way
         self.forget(request_id);
-        let why = match said {
-            Verdict::Full => ErrorCode::ClaimsFull,
+        let why = match result {
+            ClaimVote::Full => ErrorCode::ClaimsFull,
             _ => ErrorCode::AlreadyTaken,
         };
         self.shed(request_id, why, now);
--- a/sorreldoor/src/gateway/request_table/passes.rs
+++ b/sorreldoor/src/gateway/request_table/passes.rs
@@ -7,7 +7,7 @@
 };
 use crate::configuration::{Kind, Route};
 use crate::consensus::Millis;
-use crate::control_plane::KEEP_MS;
+use crate::control_plane::RETENTION_MS;
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
 use crate::placement::{self, PlacementRequest};
@@ -343,7 +343,7 @@
         let adapter = adapter.or_else(|| service.and_then(|v| v.adapter.clone()));
         let (id, lasts) = (e.asked.id.clone(), e.cutoff - e.since);
         if !e.repeats && e.asked.given {
-            self.remember(id, request_id, now + lasts + KEEP_MS, now);
+            self.remember(id, request_id, now + lasts + RETENTION_MS, now);
         }
         self.out.push(RequestEffect::Go {
             request_id,
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -2,7 +2,7 @@
 
 use super::controller::{EdgeController, EdgeEffect};
 use crate::consensus::{ClaimRecord, Millis};
-use crate::control_plane::KEEP_MS;
+use crate::control_plane::RETENTION_MS;
 use crate::discovery::WorkerRegistry;
 use crate::gateway::request_table::ClaimRequest;
 use crate::log_events::LogEvent;
@@ -53,11 +53,11 @@
             Payload::ClaimResult {
                 request_id,
                 id,
-                said,
+                result,
             } => {
                 let (now, lease) = (self.now, self.pull.lease(self.now));
                 self.table
-                    .claimed(&mut self.plan, request_id, &id, said, lease, now);
+                    .claimed(&mut self.plan, request_id, &id, result, lease, now);
             }
             Payload::Released { request_id } => {
                 self.frees.remove(&request_id);
@@ -156,14 +156,17 @@
         }
     }
 
-    /// One try of one life of this edge, unlike any other.
-    fn by(&self, request_id: u64) -> u128 {
+    /// One request attempt of one incarnation of this edge, unlike any other.
+    fn claimant(&self, request_id: u64) -> u128 {
         (u128::from(self.me.incarnation) << 64) | u128::from(request_id)
     }
 
     pub(super) fn claim(&mut self, request_id: u64, w: ClaimRequest) {
-        let (id, by, keep_ms) = (w.id, self.by(request_id), w.keep_ms);
-        let claim = ClaimRecord { id, by, keep_ms };
+        let claim = ClaimRecord {
+            id: w.id,
+            claimant: self.claimant(request_id),
+            retention_ms: w.retention_ms,
+        };
         // without a session it is asked again by the pass over claims
         if let Some(c) = self.pull.conn {
             self.out
@@ -181,10 +184,16 @@
     }
 
     fn send_release(&mut self, request_id: u64, id: String) {
-        let by = self.by(request_id);
+        let claimant = self.claimant(request_id);
         if let Some(c) = self.pull.conn {
-            self.out
-                .push(EdgeEffect::Send(c, Payload::Release { request_id, id, by }));
+            self.out.push(EdgeEffect::Send(
+                c,
+                Payload::Release {
+                    request_id,
+                    id,
+                    claimant,
+                },
+            ));
         }
     }
 
@@ -193,7 +202,7 @@
             return;
         }
         self.frees_at = self.now + FREE_AGAIN;
-        let old = self.now.saturating_sub(KEEP_MS);
+        let old = self.now.saturating_sub(RETENTION_MS);
         self.frees.retain(|_, (_, t)| *t > old);
         let before = self.now.saturating_sub(FREE_AGAIN / 2);
         let due: Vec<(u64, String)> = self
@@ -210,14 +219,18 @@
 
     /// A core may have lost what it noted; what was sent is told again.
     fn retell(&mut self, conn: Conn) {
-        let all: Vec<(String, u128)> = self
+        let requests: Vec<SentRequest> = self
             .table
             .sent_lately()
             .into_iter()
-            .map(|(id, request_id)| (id, self.by(request_id)))
+            .map(|(id, request_id)| SentRequest {
+                id,
+                claimant: self.claimant(request_id),
+            })
             .collect();
-        if !all.is_empty() {
-            self.out.push(EdgeEffect::Send(conn, Payload::Sent { all }));
+        if !requests.is_empty() {
+            self.out
+                .push(EdgeEffect::Send(conn, Payload::Sent { requests }));
         }
     }
 }
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -106,8 +106,8 @@
     fn claims(&self) -> Vec<ClaimRecord> {
         let old = self.claims.iter().map(|(id, by)| ClaimRecord {
             id: id.clone(),
-            by: *by,
-            keep_ms: OLD_MS,
+            claimant: *by,
+            retention_ms: OLD_MS,
         });
         let old = old.filter(|n| !self.noted.contains_key(&n.id));
         old.chain(self.noted.values().cloned()).collect()
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -247,7 +247,7 @@
         request_id: u64,
         outcome: OpOutcome,
     },
-    /// An edge claims an errand id; `by` is one try of one life of it.
+    /// An edge claims the id of a request.
     Claim {
         #[serde(rename = "rid")]
         request_id: u64,
@@ -258,68 +258,120 @@
         #[serde(rename = "rid")]
         request_id: u64,
         id: String,
-        said: Verdict,
+        #[serde(rename = "said")]
+        result: ClaimVote,
     },
     #[serde(rename = "ClaimAsk")]
     ClaimVoteRequest {
-        no: u64,
+        #[serde(rename = "no")]
+        vote_id: VoteId,
         claim: ClaimRecord,
     },
     #[serde(rename = "ClaimAns")]
     ClaimVoteReply {
-        no: u64,
-        said: Verdict,
+        #[serde(rename = "no")]
+        vote_id: VoteId,
+        #[serde(rename = "said")]
+        vote: ClaimVote,
     },
-    /// An edge gives up a claim on what it never sent.
+    /// An edge releases its claim on a request that it never sent.
     Release {
         #[serde(rename = "rid")]
         request_id: u64,
         id: String,
-        by: u128,
+        #[serde(rename = "by")]
+        claimant: u128,
     },
     Released {
         #[serde(rename = "rid")]
         request_id: u64,
     },
-    Free {
+    /// A core passes a release on to its peers.
+    #[serde(rename = "Free")]
+    PeerRelease {
         id: String,
-        by: u128,
+        #[serde(rename = "by")]
+        claimant: u128,
     },
     #[serde(rename = "FreeDone")]
     ReleaseAck {
-        by: u128,
+        #[serde(rename = "by")]
+        claimant: u128,
     },
-    /// What an edge sent of late.
+    /// Requests that an edge has sent of late, for a core that may have lost
+    /// their claims.
     Sent {
-        all: Vec<(String, u128)>,
+        #[serde(rename = "all")]
+        requests: Vec<SentRequest>,
     },
+    /// Asks a peer for a page of its claim table.
     #[serde(rename = "ClaimsPull")]
     ClaimsPageRequest {
-        from: u64,
-    },
-    ClaimsPage {
-        from: u64,
-        all: Vec<ClaimRecord>,
-        next: u64,
-        end: bool,
+        /// Offset of the first claim.
+        #[serde(rename = "from")]
+        start: u64,
     },
+    ClaimsPage(ClaimsPage),
     Ping {
         no: u64,
     },
 }
 
-/// What was said of a claim.
+/// Number of a vote on a claim, by the core that collects the votes.
+pub type VoteId = u64;
+
+/// One core's vote on a claim, or the result of all votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
-    Yes,
-    /// Another has it.
-    Held(u128),
-    /// It was given up before it came.
-    Freed,
-    /// There is no room to remember it.
+pub enum ClaimVote {
+    #[serde(rename = "Yes")]
+    Granted,
+    /// This other claimant has the key.
+    #[serde(rename = "Held")]
+    HeldBy(u128),
+    /// The claim was released before it arrived.
+    #[serde(rename = "Freed")]
+    Released,
+    /// The claim table is at capacity.
     Full,
 }
 
+/// A request that an edge has sent itself, under its claim.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, u128)", into = "(String, u128)")]
+pub struct SentRequest {
+    /// The request's id: its idempotency key.
+    pub id: String,
+    pub claimant: u128,
+}
+
+impl From<(String, u128)> for SentRequest {
+    fn from((id, claimant): (String, u128)) -> SentRequest {
+        SentRequest { id, claimant }
+    }
+}
+
+impl From<SentRequest> for (String, u128) {
+    fn from(request: SentRequest) -> (String, u128) {
+        (request.id, request.claimant)
+    }
+}
+
+/// Consecutive entries of a claim table, in the order of their insertion.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ClaimsPage {
+    /// Offset that was asked for.
+    #[serde(rename = "from")]
+    pub start: u64,
+    /// The claims, each with the retention that is left to it.
+    #[serde(rename = "all")]
+    pub claims: Vec<ClaimRecord>,
+    /// Offset at which the next page starts.
+    pub next: u64,
+    /// Whether the sender knows of no claims beyond this page.
+    #[serde(rename = "end")]
+    pub last: bool,
+}
+
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OpOutcome {
     Got(Outcome),
--- a/sorreldoor/tests/formats/messages.rs
+++ b/sorreldoor/tests/formats/messages.rs
@@ -38,8 +38,8 @@
 pub(super) fn claim() -> ClaimRecord {
     ClaimRecord {
         id: "abc".into(),
-        by: 1 << 80,
-        keep_ms: 300_000,
+        claimant: 1 << 80,
+        retention_ms: 300_000,
     }
 }
 
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -7,8 +7,9 @@
 use sorreldoor::replicated_state::{encode, Command, Outcome, Recovery, ReplicatedState};
 use sorreldoor::store::DurableState;
 use sorreldoor::wire::{
-    EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello, KnownVersions,
-    OpOutcome, Payload, RouteLatency, SessionReport, StateDelta, Unverified, Verdict,
+    ClaimVote, ClaimsPage, EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello,
+    KnownVersions, OpOutcome, Payload, RouteLatency, SentRequest, SessionReport, StateDelta,
+    Unverified,
 };
 use std::sync::Arc;
 
@@ -263,45 +264,48 @@
             claim: claim(),
         },
         Payload::ClaimVoteRequest {
-            no: 1,
+            vote_id: 1,
             claim: claim(),
         },
         Payload::Release {
             request_id: 5,
             id: "abc".into(),
-            by: 9,
+            claimant: 9,
         },
         Payload::Released { request_id: 5 },
-        Payload::Free {
+        Payload::PeerRelease {
             id: "abc".into(),
-            by: 9,
+            claimant: 9,
         },
-        Payload::ReleaseAck { by: 9 },
+        Payload::ReleaseAck { claimant: 9 },
         Payload::Sent {
-            all: vec![("abc".into(), 9)],
+            requests: vec![SentRequest {
+                id: "abc".into(),
+                claimant: 9,
+            }],
         },
-        Payload::ClaimsPageRequest { from: 4 },
-        Payload::ClaimsPage {
-            from: 4,
-            all: claims,
+        Payload::ClaimsPageRequest { start: 4 },
+        Payload::ClaimsPage(ClaimsPage {
+            start: 4,
+            claims,
             next: 5,
-            end: true,
-        },
+            last: true,
+        }),
         Payload::Ping { no: 1 },
     ];
-    let verdicts = [
-        Verdict::Yes,
-        Verdict::Held(9),
-        Verdict::Freed,
-        Verdict::Full,
+    let votes = [
+        ClaimVote::Granted,
+        ClaimVote::HeldBy(9),
+        ClaimVote::Released,
+        ClaimVote::Full,
     ];
-    for said in verdicts {
+    for vote in votes {
         all.push(Payload::ClaimResult {
             request_id: 5,
             id: "abc".into(),
-            said,
+            result: vote,
         });
-        all.push(Payload::ClaimVoteReply { no: 1, said });
+        all.push(Payload::ClaimVoteReply { vote_id: 1, vote });
     }
     let op = |cmd| Payload::Op {
         request_id: 5,
@@ -349,8 +353,8 @@
             claim(),
             ClaimRecord {
                 id: "gone".into(),
-                by: 1,
-                keep_ms: 5,
+                claimant: 1,
+                retention_ms: 5,
             },
         ]),
         Save::Forgot(vec!["gone".into()]),
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -86,7 +86,7 @@
         doc: "{}".into(),
     };
     let (no, have, edge_status) = (4, KnownVersions::default(), EdgeStatus::default());
-    let all = vec![("id".to_string(), 7u128); 3];
+    let requests = vec![sorreldoor::wire::SentRequest::from(("id".to_string(), 7)); 3];
     vec![
         Payload::Hello(hello),
         Payload::Renew {
@@ -100,7 +100,7 @@
             proposal_id: 2,
             cmd,
         },
-        Payload::Sent { all },
+        Payload::Sent { requests },
         Payload::Ping { no: 0 },
     ]
 }
--- a/sorreldoor/tests/store/state.rs
+++ b/sorreldoor/tests/store/state.rs
@@ -28,9 +28,16 @@
     let mut state: DurableState = decode(&encode(&before)).expect("an image of that release");
     // its saves still stand in the log behind the image
     state.take(4, &Save::Claims(vec![("later".into(), 8)]));
-    let (id, by, keep_ms) = ("old".to_string(), 9, 5);
-    state.take(5, &Save::ClaimRecord(vec![ClaimRecord { id, by, keep_ms }]));
+    let (id, claimant, retention_ms) = ("old".to_string(), 9, 5);
+    state.take(
+        5,
+        &Save::ClaimRecord(vec![ClaimRecord {
+            id,
+            claimant,
+            retention_ms,
+        }]),
+    );
     let kept = state.kept().claims;
-    let by = |id: &str| kept.iter().find(|n| n.id == id).map(|n| n.by);
+    let by = |id: &str| kept.iter().find(|n| n.id == id).map(|n| n.claimant);
     assert_eq!((kept.len(), by("old"), by("later")), (2, Some(9), Some(8)));
 }
--- a/sorreldoor/tests/store/work.rs
+++ b/sorreldoor/tests/store/work.rs
@@ -181,8 +181,8 @@
             }),
             1 => Save::ClaimRecord(vec![ClaimRecord {
                 id: format!("id{}", self.random.below(5)),
-                by: 1,
-                keep_ms: 9,
+                claimant: 1,
+                retention_ms: 9,
             }]),
             2 => Save::Forgot(vec![format!("id{}", self.random.below(5))]),
             3 if last > base => {
--- a/testbed/src/hollow/node.rs
+++ b/testbed/src/hollow/node.rs
@@ -98,11 +98,15 @@
         h.claims += 1;
         let request_id = h.claims;
         let id = format!("{:016x}{request_id:016x}", h.me.incarnation);
-        let (by, keep_ms) = (
+        let (claimant, retention_ms) = (
             (u128::from(h.me.incarnation) << 64) | u128::from(request_id),
             360_000,
         );
-        let claim = ClaimRecord { id, by, keep_ms };
+        let claim = ClaimRecord {
+            id,
+            claimant,
+            retention_ms,
+        };
         h.pull
             .conn
             .map(|c| Out::Send(c, Payload::Claim { request_id, claim }))
--- a/testbed/src/site/net.rs
+++ b/testbed/src/site/net.rs
@@ -261,7 +261,7 @@
     );
     let ends = matches!(
         p,
-        Release { .. } | Released { .. } | Free { .. } | ReleaseAck { .. }
+        Release { .. } | Released { .. } | PeerRelease { .. } | ReleaseAck { .. }
     );
     mine || ends || matches!(p, ClaimsPageRequest { .. } | ClaimsPage { .. })
 }
