--- a/sorreldoor/src/balancer/waits.rs
+++ b/sorreldoor/src/balancer/waits.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for a place, in order of priority, then of arrival.
 
 use super::RequestId;
-use crate::consensus::Millis;
+use crate::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What the waiting ones can be served by: service, and homes as bits.
@@ -64,7 +64,7 @@
         self.rows.values_mut().for_each(|r| r.due = 0);
     }
 
-    pub fn woken(&mut self, now: Millis) -> Vec<RequestId> {
+    pub fn take_ready(&mut self, now: Millis) -> Vec<RequestId> {
         let mut out: Vec<Rank> = Vec::new();
         for row in self.rows.values_mut() {
             let n = match row.due <= now {
--- a/sorreldoor/src/control_plane/idempotency_driver.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency.rs
@@ -1,46 +1,19 @@
-//! Runs the idempotency part: frames and the timer in, its effects out.
+//! Idempotency keys: frames and the timer in, the part's effects carried out.
 
-use super::controller::Controller;
-use super::events::ControllerEffect;
-use super::idempotency::{Context, Effect, Event, Peer, ReplyTo};
-use crate::consensus::{Millis, NodeId, Save};
+use super::super::connections::{LIVE_MS, REACHABLE_MS};
+use super::super::events::ControllerEffect;
+use super::super::idempotency::{Context, Effect, Event, Peer, ReplyTo};
+use super::Controller;
+use crate::consensus::Save;
 use crate::net::Conn;
+use crate::types::NodeId;
 use crate::wire::{Hello, Payload};
 use std::collections::BTreeSet;
 
-/// A peer not heard from for so many milliseconds is asked for nothing.
-const PEER_TIMEOUT_MS: Millis = 1500;
-/// A peer not heard from for so many milliseconds is told of no release.
-const RELEASE_TIMEOUT_MS: Millis = 3000;
+/// Name of the stored value that this core has caught up on the claims.
+const CAUGHT_UP_KEY: &str = "sure";
 
 impl Controller {
-    /// Hands a frame to the idempotency part, if it is one of its own; what
-    /// only cores may say is taken from cores alone.
-    pub(super) fn idempotency_frame(&mut self, conn: Conn, from: &Hello, payload: Payload) {
-        let event = match payload {
-            Payload::Claim { request_id, claim } => Event::Claim {
-                reply_to: ReplyTo { conn, request_id },
-                claim,
-            },
-            Payload::Release {
-                request_id,
-                id,
-                claimant,
-            } => Event::Release {
-                reply_to: ReplyTo { conn, request_id },
-                id,
-                claimant,
-            },
-            Payload::Sent { requests } => Event::Sent(requests),
-            peer_payload if from.core => match peer_event(conn, from, peer_payload) {
-                Some(event) => event,
-                None => return,
-            },
-            _ => return,
-        };
-        self.idempotency_event(event);
-    }
-
     pub(super) fn idempotency_tick(&mut self) {
         let peers = if self.idempotency.reads_peers_at(self.now) {
             self.live_voters()
@@ -50,16 +23,14 @@
         self.idempotency_event(Event::Tick { peers });
     }
 
-    pub(super) fn idempotency_event(&mut self, event: Event) {
+    pub(in super::super) fn idempotency_event(&mut self, event: Event) {
+        let consensus = self.consensus.as_ref();
         let context = Context {
             now: self.now,
             own_id: self.me.id,
             voters: self.voter_ids(),
-            joined: self.consensus.is_some(),
-            has_unsynced_saves: self
-                .consensus
-                .as_ref()
-                .is_some_and(|c| c.unsaved().is_some()),
+            joined: consensus.is_some(),
+            has_unsynced_saves: consensus.is_some_and(|c| c.unsaved().is_some()),
         };
         for effect in self.idempotency.step(event, &context) {
             self.idempotency_effect(effect);
@@ -70,8 +41,7 @@
         match effect {
             Effect::Send(conn, payload) => self.send(conn, payload),
             Effect::SendToPeer(id, payload) => {
-                let live = self.live_cores(RELEASE_TIMEOUT_MS);
-                if let Some((conn, _)) = live.get(&id) {
+                if let Some((conn, _)) = self.live_cores(REACHABLE_MS).get(&id) {
                     self.send(*conn, payload);
                 }
             }
@@ -89,7 +59,10 @@
                     self.idempotency.defer(seq, action);
                 }
             }
-            Effect::KeepCaughtUp => self.out.push(ControllerEffect::Keep("sure", vec![1])),
+            Effect::KeepCaughtUp => {
+                let caught_up = ControllerEffect::Keep(CAUGHT_UP_KEY, vec![1]);
+                self.out.push(caught_up);
+            }
             Effect::Log(event, about) => self.log_event(event, about),
         }
     }
@@ -107,7 +80,7 @@
     fn broadcast_claim(&mut self, payload: Payload, except: &BTreeSet<NodeId>) {
         let voters = self.voter_ids();
         let targets: Vec<Conn> = self
-            .live_cores(PEER_TIMEOUT_MS)
+            .live_cores(LIVE_MS)
             .into_iter()
             .filter(|(id, (_, hello))| hello.founded || voters.contains(id))
             .filter(|(id, _)| !except.contains(id))
@@ -120,7 +93,7 @@
 
     fn live_voters(&self) -> Vec<Peer> {
         let voters = self.voter_ids();
-        self.live_cores(PEER_TIMEOUT_MS)
+        self.live_cores(LIVE_MS)
             .into_iter()
             .filter(|(id, _)| voters.contains(id))
             .map(|(_, (conn, hello))| peer(conn, &hello))
@@ -128,8 +101,8 @@
     }
 
     fn voter_ids(&self) -> Vec<NodeId> {
-        let members = self.consensus.as_ref().map_or(&[][..], |c| c.members());
-        members.iter().filter(|m| m.voter).map(|m| m.id).collect()
+        let voters = self.members().iter().filter(|member| member.voter);
+        voters.map(|member| member.id).collect()
     }
 }
 
@@ -141,28 +114,51 @@
     }
 }
 
-fn peer_event(conn: Conn, from: &Hello, payload: Payload) -> Option<Event> {
-    match payload {
-        Payload::ClaimVoteRequest { vote_id, claim } => Some(Event::VoteRequest {
+/// The event of a frame that only cores may send; the frame if it is another.
+#[allow(clippy::result_large_err)]
+pub(super) fn peer_event(conn: Conn, from: &Hello, payload: Payload) -> Result<Event, Payload> {
+    Ok(match payload {
+        Payload::ClaimVoteRequest { vote_id, claim } => Event::VoteRequest {
             conn,
             vote_id,
             claim,
-        }),
-        Payload::ClaimVoteReply { vote_id, vote } => Some(Event::VoteReply {
+        },
+        Payload::ClaimVoteReply { vote_id, vote } => Event::VoteReply {
             voter: from.id,
             vote_id,
             vote,
-        }),
-        Payload::PeerRelease { id, claimant } => Some(Event::PeerRelease { conn, id, claimant }),
-        Payload::ReleaseAck { claimant } => Some(Event::ReleaseAck {
+        },
+        Payload::PeerRelease { id, claimant } => Event::PeerRelease { conn, id, claimant },
+        Payload::ReleaseAck { claimant } => Event::ReleaseAck {
             voter: from.id,
             claimant,
-        }),
-        Payload::ClaimsPageRequest { start } => Some(Event::PageRequest { conn, start }),
-        Payload::ClaimsPage(page) => Some(Event::Page {
+        },
+        Payload::ClaimsPageRequest { start } => Event::PageRequest { conn, start },
+        Payload::ClaimsPage(page) => Event::Page {
             peer: peer(conn, from),
             page,
+        },
+        other => return Err(other),
+    })
+}
+
+/// The event of a frame that any node may send, if it concerns claims.
+pub(super) fn edge_event(conn: Conn, payload: Payload) -> Option<Event> {
+    match payload {
+        Payload::Claim { request_id, claim } => Some(Event::Claim {
+            reply_to: ReplyTo { conn, request_id },
+            claim,
+        }),
+        Payload::Release {
+            request_id,
+            id,
+            claimant,
+        } => Some(Event::Release {
+            reply_to: ReplyTo { conn, request_id },
+            id,
+            claimant,
         }),
+        Payload::Sent { requests } => Some(Event::Sent(requests)),
         _ => None,
     }
 }
--- a/sorreldoor/src/control_plane/idempotency/catch_up.rs
+++ b/sorreldoor/src/control_plane/idempotency/catch_up.rs
@@ -3,8 +3,8 @@
 //! enough tables to know every claim that it may have granted before.
 
 use super::claim_table::MAX_RETENTION_MS;
-use crate::consensus::{Millis, NodeId};
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use std::collections::BTreeMap;
 
 /// Milliseconds between two reads of a peer's table by a core that is caught up.
--- a/sorreldoor/src/control_plane/idempotency/claim_table.rs
+++ b/sorreldoor/src/control_plane/idempotency/claim_table.rs
@@ -2,7 +2,7 @@
 //! each key and the time at which the key expires. Entries leave by expiry or
 //! release only; a full table rejects new keys and never evicts one.
 
-use crate::consensus::Millis;
+use crate::types::Millis;
 use crate::wire::ClaimsPage;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/sorreldoor/src/control_plane/idempotency/event.rs
+++ b/sorreldoor/src/control_plane/idempotency/event.rs
@@ -3,9 +3,10 @@
 use super::catch_up::Peer;
 use super::claim_table::{ClaimRecord, Claimant};
 use super::pending::ReplyTo;
-use crate::consensus::{Millis, NodeId, Save};
+use crate::consensus::Save;
 use crate::log_events::LogEvent;
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use crate::wire::{ClaimVote, ClaimsPage, Payload, SentRequest, VoteId};
 use std::collections::BTreeSet;
 
--- a/sorreldoor/src/control_plane/idempotency/mod.rs
+++ b/sorreldoor/src/control_plane/idempotency/mod.rs
@@ -19,9 +19,10 @@
 pub use event::{AfterSync, Context, Effect, Event};
 pub use pending::ReplyTo;
 
-use crate::consensus::{Millis, Save};
+use crate::consensus::Save;
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
+use crate::types::Millis;
 use crate::wire::{Payload, SentRequest, VoteId};
 use catch_up::CatchUp;
 use pending::{PendingClaim, PendingRelease};
--- a/sorreldoor/src/control_plane/idempotency/peer_reads.rs
+++ b/sorreldoor/src/control_plane/idempotency/peer_reads.rs
@@ -4,10 +4,10 @@
 use super::claim_table::{ClaimOutcome, ClaimRecord};
 use super::event::{AfterSync, Context, Effect};
 use super::Idempotency;
-use crate::consensus::Millis;
 use crate::invariants::{broken, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
+use crate::types::Millis;
 use crate::wire::{ClaimsPage, Payload};
 
 /// Claims in one page.
--- a/sorreldoor/src/control_plane/idempotency/pending.rs
+++ b/sorreldoor/src/control_plane/idempotency/pending.rs
@@ -1,8 +1,8 @@
 //! Claims and releases that wait for a quorum of the voters.
 
 use super::claim_table::{ClaimRecord, Claimant};
-use crate::consensus::{Millis, NodeId};
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use crate::wire::ClaimVote;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/sorreldoor/src/control_plane/idempotency/votes.rs
+++ b/sorreldoor/src/control_plane/idempotency/votes.rs
@@ -4,9 +4,9 @@
 use super::event::{AfterSync, Context, Effect};
 use super::pending::{PendingClaim, ReplyTo};
 use super::Idempotency;
-use crate::consensus::{Millis, NodeId};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
+use crate::types::{Millis, NodeId};
 use crate::wire::{ClaimVote, Payload, VoteId};
 
 impl Idempotency {
--- a/sorreldoor/src/control_plane/mod.rs
+++ b/sorreldoor/src/control_plane/mod.rs
@@ -1,30 +1,31 @@
-//! The core node: consensus, sessions, delivery, duties.
+//! The control plane: the core node, its parts, and the router between them.
 
 mod api;
 mod connections;
 mod controller;
-mod delivery;
-mod duty;
+mod daemon;
+mod distribution;
 mod events;
 mod founding;
 mod front;
 pub mod idempotency;
-mod idempotency_driver;
+mod load_table;
 pub mod membership;
+mod proposals;
 mod reads;
-mod regions;
-mod run;
-mod saving;
+mod sessions;
+mod singleton;
 mod source;
-mod start;
 mod status;
+mod storage_driver;
 pub mod updates;
 pub mod worker_list;
 
 pub use api::{Api, Door};
 pub use controller::Controller;
-pub use events::{ControllerEffect, ControllerEvent, OpFrom, Start, Want};
+pub use daemon::{run, run_by, run_with};
+pub use events::{ControllerEffect, ControllerEvent, Requester, Start};
 pub use front::{Answers, Front, Looked, Reply};
 pub use idempotency::RETENTION_MS;
-pub use run::{run, run_by, run_with};
+pub use sessions::EndpointList;
 pub use source::{Later, Listed, OperatorDoor, WorkerSource};
