--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -1,8 +1,8 @@
 //! Consensus: its events in, its effects carried out.
 
-use super::super::events::ControllerEffect;
 use super::Controller;
 use crate::consensus::{Effect, Event, Member, Note};
+use crate::control_plane::events::ControllerEffect;
 use crate::log_events::LogEvent;
 use crate::types::RegionId;
 use crate::wire::Payload;
@@ -16,7 +16,7 @@
     }
 
     /// Run one event through the consensus reducer and carry out its effects.
-    pub(in super::super) fn agreed(&mut self, event: Event) {
+    pub(in crate::control_plane) fn agreed(&mut self, event: Event) {
         let now = self.now;
         let Some(consensus) = self.consensus.as_mut() else {
             return;
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(in super::super) fn effect(&mut self, effect: Effect) {
+    pub(in crate::control_plane) fn effect(&mut self, effect: Effect) {
         match effect {
             Effect::Save { seq, save } => self.out.push(ControllerEffect::Save(seq, save)),
             Effect::Send { to, msg } => {
@@ -51,7 +51,7 @@
             format!("{:x}{learner}", member.id)
         };
         let names: Vec<String> = members.iter().map(name).collect();
-        self.log_event(LogEvent::Members, names.join(" "));
+        self.log_event(LogEvent::MembershipChanged, names.join(" "));
         if !self.me.founded && members.iter().any(|member| member.voter) {
             self.greet();
         }
@@ -66,9 +66,9 @@
             Note::SteppedDown { term, why } => {
                 (LogEvent::SteppedDown, format!("term {term}: {why}"))
             }
-            Note::RegionDown { region } => (LogEvent::RegionDown, name(region)),
-            Note::RegionUp { region } => (LogEvent::RegionUp, name(region)),
-            Note::Moving { to } => (LogEvent::Moving, format!("to {to:x}")),
+            Note::RegionDown { region } => (LogEvent::RegionUnavailable, name(region)),
+            Note::RegionUp { region } => (LogEvent::RegionAvailable, name(region)),
+            Note::Moving { to } => (LogEvent::LeadershipTransfer, format!("to {to:x}")),
             Note::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
         };
         self.log_event(event, about);
@@ -79,7 +79,7 @@
         let version = consensus.map_or(0, |consensus| consensus.machine().version());
         if version != self.logged_version {
             self.logged_version = version;
-            self.log_event(LogEvent::ConfigurationAdopted, format!("serial {version}"));
+            self.log_event(LogEvent::ConfigurationApplied, format!("serial {version}"));
         }
     }
 }
--- a/sorreldoor/src/control_plane/controller/idempotency.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -1,10 +1,10 @@
 //! Idempotency keys: frames and the timer in, the part's effects carried out.
 
-use super::super::connections::{LIVE_MS, REACHABLE_MS};
-use super::super::events::ControllerEffect;
-use super::super::idempotency::{Context, Effect, Event, Peer, ReplyTo};
 use super::Controller;
 use crate::consensus::Save;
+use crate::control_plane::connections::{LIVE_MS, REACHABLE_MS};
+use crate::control_plane::events::ControllerEffect;
+use crate::control_plane::idempotency::{Context, Effect, Event, Peer, ReplyTo};
 use crate::net::Conn;
 use crate::types::NodeId;
 use crate::wire::{Hello, Payload};
@@ -14,7 +14,7 @@
 const CAUGHT_UP_KEY: &str = "sure";
 
 impl Controller {
-    pub(super) fn idempotency_tick(&mut self) {
+    pub(super) fn tick_idempotency(&mut self) {
         let peers = if self.idempotency.reads_peers_at(self.now) {
             self.live_voters()
         } else {
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -1,11 +1,11 @@
 //! Membership: the leader's changes, an operator's removal of a core, and the
 //! stop of this process.
 
-use super::super::connections::LIVE_MS;
-use super::super::events::{ControllerEffect, Requester};
-use super::super::membership::{Health, Observed};
 use super::Controller;
 use crate::consensus::{Body, Event, Member};
+use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::events::{ControllerEffect, Requester};
+use crate::control_plane::membership::{Health, Observed};
 use crate::log_events::LogEvent;
 use crate::types::{NodeId, ProposalId};
 use crate::wire::{OpOutcome, Payload};
@@ -33,7 +33,7 @@
             live: &self.connections.newest_core_by_address(since),
         };
         if let Some(change) = self.membership.decide(&observed) {
-            self.log_event(LogEvent::Replacing, change.to_string());
+            self.log_event(LogEvent::MembershipChangeStarted, change.to_string());
             self.agreed(Event::Reconfigure(change.applied(&members)));
         }
     }
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -1,11 +1,11 @@
 //! The singleton role: claimed by the preferred core, and the holder's work.
 
-use super::super::connections::LIVE_MS;
-use super::super::events::ControllerEffect;
-use super::super::singleton::{preferred_holder, RegionTransition};
-use super::super::status::recovery_text;
 use super::Controller;
 use crate::consensus::{Body, Event};
+use crate::control_plane::connections::{LIVE_MS, REACHABLE_MS};
+use crate::control_plane::events::{ControllerEffect, WorkerAddress};
+use crate::control_plane::singleton::{preferred_holder, RegionTransition};
+use crate::control_plane::status::recovery_text;
 use crate::discovery::{Load, Loads};
 use crate::log_events::LogEvent;
 use crate::replicated_state::{encode, Command};
@@ -17,7 +17,7 @@
     #[must_use]
     pub fn holds_singleton_role(&self) -> bool {
         let record = self.consensus.as_ref().map(|c| c.machine());
-        record.is_some_and(|record| self.singleton.is_held(record, self.me.id))
+        record.is_some_and(|record| self.singleton.is_holder(record, self.me.id))
     }
 
     pub(super) fn epoch(&self) -> u64 {
@@ -27,9 +27,9 @@
 
     pub(super) fn tick_singleton(&mut self) {
         if !self.is_preferred_holder() || self.leaving {
-            return self.singleton.stand_down();
+            return self.singleton.withdraw();
         }
-        self.singleton.stand(self.now);
+        self.singleton.become_candidate(self.now);
         if !self.holds_singleton_role() {
             if self.singleton.claim_due(self.now) {
                 self.claim_singleton_role();
@@ -55,8 +55,11 @@
         let above = self.epoch();
         let epoch = above + 1;
         let holder = self.me.id;
-        self.log_event(LogEvent::DutyTaken, format!("epoch {epoch}"));
-        self.propose(Command::Duty { holder, above });
+        self.log_event(LogEvent::SingletonAcquired, format!("epoch {epoch}"));
+        self.propose(Command::AcquireRole {
+            holder,
+            previous_epoch: above,
+        });
         self.singleton.claiming(epoch);
     }
 
@@ -70,7 +73,11 @@
     fn poll_loads(&mut self) {
         let epoch = self.epoch();
         let workers = self.worker_list.workers().iter();
-        let workers = workers.map(|w| (w.name.clone(), w.addr)).collect();
+        let workers = workers.map(|worker| WorkerAddress {
+            name: worker.name.clone(),
+            address: worker.addr,
+        });
+        let workers = workers.collect();
         self.out
             .push(ControllerEffect::PollLoads { epoch, workers });
     }
@@ -81,9 +88,9 @@
         }
         for change in self.loads.polled(epoch, rows) {
             let event = if change.live {
-                LogEvent::WorkerBack
+                LogEvent::WorkerResponsive
             } else {
-                LogEvent::WorkerDark
+                LogEvent::WorkerUnresponsive
             };
             self.log_event(event, change.worker);
         }
@@ -110,8 +117,8 @@
         };
         let name = self.site.region_name(region);
         let about = format!("{name}: {}", recovery_text(state));
-        self.log_event(LogEvent::RegionState, about);
-        self.propose(Command::Region {
+        self.log_event(LogEvent::RegionRecoveryChanged, about);
+        self.propose(Command::SetRegion {
             epoch,
             region,
             state,
@@ -129,7 +136,7 @@
     }
 
     fn tune_weights(&mut self) {
-        let live = self.live_cores(super::REACHABLE_MS);
+        let live = self.live_cores(REACHABLE_MS);
         let Some(consensus) = &self.consensus else {
             return;
         };
@@ -144,7 +151,7 @@
         let weights = self.singleton.tune(&sessions, record, registry, loads);
         let (epoch, version) = (record.epoch(), record.version());
         if !weights.is_empty() && !self.singleton.is_proposing() {
-            self.propose(Command::Tune {
+            self.propose(Command::SetWeights {
                 epoch,
                 version,
                 weights,
--- a/sorreldoor/src/control_plane/controller/workers.rs
+++ b/sorreldoor/src/control_plane/controller/workers.rs
@@ -1,7 +1,7 @@
 //! Worker discovery: when the list of workers is read, and who is sent it.
 
-use super::super::events::ControllerEffect;
 use super::Controller;
+use crate::control_plane::events::ControllerEffect;
 use crate::discovery::WorkerRegistry;
 use crate::log_events::LogEvent;
 use crate::wire::Payload;
@@ -35,7 +35,7 @@
             }
             Err(error) => {
                 if self.worker_list.read_failed(error.clone()) {
-                    self.log_event(LogEvent::RosterLost, error);
+                    self.log_event(LogEvent::WorkerListUnavailable, error);
                 }
             }
         }
@@ -48,7 +48,7 @@
         }
         let (version, count) = (list.version, list.workers.len());
         let about = format!("serial {version}, {count} workers");
-        self.log_event(LogEvent::RosterRead, about);
+        self.log_event(LogEvent::WorkerListChanged, about);
         // edges must know of a leaving worker before their next renewal
         for conn in self.subscribers() {
             self.send(conn, Payload::WorkerRegistry(list.clone()));
--- a/sorreldoor/src/control_plane/idempotency/votes.rs
+++ b/sorreldoor/src/control_plane/idempotency/votes.rs
@@ -55,7 +55,8 @@
         if outcome == ClaimOutcome::Full && !self.logged_full {
             self.logged_full = true;
             let about = format!("{} remembered", self.table.len());
-            self.effects.push(Effect::Log(LogEvent::ClaimsFull, about));
+            self.effects
+                .push(Effect::Log(LogEvent::ClaimTableFull, about));
         }
         outcome
     }
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -6,7 +6,7 @@
 pub use call::{call, framed, open, send, whole, Broke, Call, Called};
 
 use crate::error::ErrorCode;
-use crate::json::Val;
+use crate::json::Value;
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
 use async_std::net::{TcpListener, TcpStream};
@@ -33,20 +33,20 @@
     r
 }
 
-pub fn ok(v: Val) -> Response {
+pub fn ok(v: Value) -> Response {
     json(200, v.encode())
 }
 
 /// The result for a problem, straight from the table.
 pub fn shed(p: ErrorCode, more: &str, again: u64) -> Response {
-    let mut v = Val::object();
+    let mut v = Value::object();
     let _ = v.insert("problem", p.code());
-    let _ = v.insert("text", p.text());
+    let _ = v.insert("text", p.message());
     if !more.is_empty() {
         let _ = v.insert("about", more);
     }
     let mut r = json(p.status(), v.encode());
-    if p.again() {
+    if p.is_retryable() {
         r.insert_header("retry-after", again.max(1).to_string());
     }
     r
@@ -230,7 +230,7 @@
             Err(_) => {
                 // a head that is no HTTP, or too large, still gets a word
                 if !begun.load(Ordering::SeqCst) {
-                    let _ = timeout(HEAD, refuse(&mut s, ErrorCode::BadErrand)).await;
+                    let _ = timeout(HEAD, refuse(&mut s, ErrorCode::InvalidRequestField)).await;
                 }
                 return;
             }
@@ -242,7 +242,7 @@
 async fn cut_late(mut s: TcpStream, begun: Arc<AtomicBool>) {
     task::sleep(HEAD).await;
     if !begun.load(Ordering::SeqCst) {
-        let _ = timeout(HEAD, refuse(&mut s, ErrorCode::SlowSender)).await;
+        let _ = timeout(HEAD, refuse(&mut s, ErrorCode::RequestTimeout)).await;
         let _ = s.shutdown(std::net::Shutdown::Both);
     }
 }
@@ -259,11 +259,11 @@
     let mut body = body.take(most as u64 + 1);
     let got = timeout(within, body.read_to_end(&mut b)).await;
     match got {
-        Err(_) => Err(ErrorCode::SlowSender),
-        Ok(Err(_)) => Err(ErrorCode::BadErrand),
+        Err(_) => Err(ErrorCode::RequestTimeout),
+        Ok(Err(_)) => Err(ErrorCode::InvalidRequestField),
         Ok(Ok(_)) if b.len() > most => Err(ErrorCode::BodyTooLarge),
         // async-h1 takes an early end of a counted body for its end
-        Ok(Ok(_)) if want.is_some_and(|n| n != b.len()) => Err(ErrorCode::SlowSender),
+        Ok(Ok(_)) if want.is_some_and(|n| n != b.len()) => Err(ErrorCode::RequestTimeout),
         Ok(Ok(_)) => Ok(b),
     }
 }
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -10,8 +10,8 @@
     /// The serial that a process knows of.
     pub fn version_at(&self, p: usize) -> Option<u64> {
         match (self.controller(p), self.edge_controller(p)) {
-            (Some(h), _) => h.consensus.as_ref().map(|a| a.machine().version()),
-            (_, Some(h)) => Some(h.plan.shown.view.version),
+            (Some(h), _) => h.consensus().map(|a| a.machine().version()),
+            (_, Some(h)) => Some(h.cluster.snapshot.view.version),
             _ => None,
         }
     }
@@ -19,7 +19,7 @@
     /// The document that an edge acts on now.
     pub fn doc_at(&self, p: usize) -> std::sync::Arc<String> {
         self.edge_controller(p)
-            .and_then(|h| h.plan.shown.view.doc.clone())
+            .and_then(|h| h.cluster.snapshot.view.doc.clone())
             .unwrap_or_default()
     }
 
@@ -28,10 +28,10 @@
         let request_id = self.number();
         let proposal_id = u128::from(request_id) + (1 << 80);
         let (base, zone) = match &cmd {
-            Command::Put { base, .. } | Command::Edit { base, .. } => (*base, None),
-            Command::Items { base, .. } => (*base, None),
-            Command::Evacuate { zone, evacuated } => (0, Some((*zone, *evacuated))),
-            Command::Zone {
+            Command::Put { base, .. } | Command::MergePatch { base, .. } => (*base, None),
+            Command::ChangeItems { base, .. } => (*base, None),
+            Command::EvacuateUnversioned { zone, evacuated } => (0, Some((*zone, *evacuated))),
+            Command::EvacuateZone {
                 base,
                 zone,
                 evacuated,
@@ -65,7 +65,7 @@
             } else {
                 w.hall_step(
                     p,
-                    EdgeEvent::Change {
+                    EdgeEvent::Propose {
                         request_id,
                         proposal_id,
                         cmd,
--- a/testbed/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -37,7 +37,7 @@
     let end = w.now + 60_000;
     let seated = w.run_until(end, |w| {
         w.controller(b)
-            .and_then(|h| h.consensus.as_ref())
+            .and_then(|h| h.consensus())
             .is_some_and(|x| {
                 let voters = x.members().iter().filter(|m| m.voter);
                 let ids: Vec<u64> = voters.map(|m| m.id).collect();
@@ -83,7 +83,7 @@
         let end = w.now + 8000;
         w.traffic(80, end, |_, _| true);
         w.run_for(12_000);
-        let full = |c: &&testbed::site::Caller| c.got == Got::Shed(ErrorCode::ClaimsFull);
+        let full = |c: &&testbed::site::Caller| c.got == Got::Shed(ErrorCode::ClaimTableFull);
         let shed = w.callers.values().filter(full).count();
         assert!(shed > 100, "seed {seed}: {shed}");
         let old: Vec<u64> = w.callers.keys().copied().collect();
@@ -159,7 +159,7 @@
         w.run_for(70_000);
         sound(&w, seed);
         for n in asked {
-            told += usize::from(w.callers[&n].got == Got::Shed(ErrorCode::AlreadyTaken));
+            told += usize::from(w.callers[&n].got == Got::Shed(ErrorCode::DuplicateRequestId));
         }
     }
     println!("{told} told that it was taken");
