--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -69,7 +69,7 @@
             Note::RegionDown { region } => (LogEvent::RegionDown, name(region)),
             Note::RegionUp { region } => (LogEvent::RegionUp, name(region)),
             Note::Moving { to } => (LogEvent::Moving, format!("to {to:x}")),
-            Note::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
+            Note::DiskFailed => (LogEvent::DiskFailed, "not participating".to_string()),
         };
         self.log_event(event, about);
     }
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -177,7 +177,7 @@
     }
 
     fn on_save_recovered(&mut self) {
-        self.log_event(LogEvent::DiskRecovered, "taking part again");
+        self.log_event(LogEvent::DiskRecovered, "participating again");
         self.agreed(Event::SaveRecovered);
     }
 
--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -124,7 +124,7 @@
         if self.saves.try_send((seq, save)).is_err() {
             log_event(
                 LogEvent::DiskFailed,
-                "too many saves wait for the disk; ending",
+                "too many saves are queued; exiting",
             );
             std::process::exit(1);
         }
