--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -33,7 +33,7 @@
             live: &self.connections.newest_core_by_address(since),
         };
         if let Some(change) = self.membership.decide(&observed) {
-            self.log_event(LogEvent::Replacing, change.to_string());
+            self.log_event(LogEvent::MembershipChangeStarted, change.to_string());
             self.agreed(Event::Reconfigure(change.applied(&members)));
         }
     }
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -55,7 +55,7 @@
         let above = self.epoch();
         let epoch = above + 1;
         let holder = self.me.id;
-        self.log_event(LogEvent::DutyTaken, format!("epoch {epoch}"));
+        self.log_event(LogEvent::SingletonAcquired, format!("epoch {epoch}"));
         self.propose(Command::AcquireRole {
             holder,
             previous_epoch: above,
@@ -88,9 +88,9 @@
         }
         for change in self.loads.polled(epoch, rows) {
             let event = if change.live {
-                LogEvent::WorkerBack
+                LogEvent::WorkerResponsive
             } else {
-                LogEvent::WorkerDark
+                LogEvent::WorkerUnresponsive
             };
             self.log_event(event, change.worker);
         }
@@ -117,7 +117,7 @@
         };
         let name = self.site.region_name(region);
         let about = format!("{name}: {}", recovery_text(state));
-        self.log_event(LogEvent::RegionState, about);
+        self.log_event(LogEvent::RegionRecoveryChanged, about);
         self.propose(Command::SetRegion {
             epoch,
             region,
--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -52,7 +52,7 @@
         damage,
     } = opened;
     if torn {
-        log_event(LogEvent::DiskTorn, folder.display());
+        log_event(LogEvent::TornWrite, folder.display());
     }
     if let Some(what) = damage {
         log_event(
@@ -83,7 +83,7 @@
     }
     let id = crate::order_id::random_id() >> 1;
     retry_until_synced(|| store.put("identity", &encode(&id)));
-    log_event(LogEvent::Identity, format!("{id:x}"));
+    log_event(LogEvent::IdentityCreated, format!("{id:x}"));
     id
 }
 
@@ -122,10 +122,7 @@
     /// one, and the other cores replicate again what was queued.
     pub(super) fn save(&self, seq: u64, save: Save) {
         if self.saves.try_send((seq, save)).is_err() {
-            log_event(
-                LogEvent::DiskFailed,
-                "too many saves are queued; exiting",
-            );
+            log_event(LogEvent::DiskFailed, "too many saves are queued; exiting");
             std::process::exit(1);
         }
     }
