--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -69,7 +69,7 @@
             Note::RegionDown { region } => (LogEvent::RegionUnavailable, name(region)),
             Note::RegionUp { region } => (LogEvent::RegionAvailable, name(region)),
             Note::Moving { to } => (LogEvent::LeadershipTransfer, format!("to {to:x}")),
-            Note::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
+            Note::DiskFailed => (LogEvent::DiskFailed, "not participating".to_string()),
         };
         self.log_event(event, about);
     }
--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -122,10 +122,7 @@
     /// one, and the other cores replicate again what was queued.
     pub(super) fn save(&self, seq: u64, save: Save) {
         if self.saves.try_send((seq, save)).is_err() {
-            log_event(
-                LogEvent::DiskFailed,
-                "too many saves wait for the disk; ending",
-            );
+            log_event(LogEvent::DiskFailed, "too many saves are queued; exiting");
             std::process::exit(1);
         }
     }
