--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -28,7 +28,7 @@
         self.proposals.wait(proposal_id, requester);
         let command = self.bind_to_zone_state(command);
         let body = Body::Data(Arc::new(encode(&command)));
-        self.agreed(Event::Propose { proposal_id, body });
+        self.step_consensus(Event::Propose { proposal_id, body });
     }
 
     /// An evacuation is valid only for the state of its zone that this core
--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -16,17 +16,17 @@
     }
 
     /// Run one event through the consensus reducer and carry out its effects.
-    pub(in crate::control_plane) fn agreed(&mut self, event: Event) {
+    pub(in crate::control_plane) fn step_consensus(&mut self, event: Event) {
         let now = self.now;
         let Some(consensus) = self.consensus.as_mut() else {
             return;
         };
         for effect in consensus.step(event, now) {
-            self.effect(effect);
+            self.apply_consensus_effect(effect);
         }
     }
 
-    pub(in crate::control_plane) fn effect(&mut self, effect: Effect) {
+    pub(in crate::control_plane) fn apply_consensus_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Save { seq, save } => self.out.push(ControllerEffect::Save(seq, save)),
             Effect::Send { to, msg } => {
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -23,7 +23,7 @@
         self.idempotency_event(Event::Tick { peers });
     }
 
-    pub(in super::super) fn idempotency_event(&mut self, event: Event) {
+    pub(in crate::control_plane) fn idempotency_event(&mut self, event: Event) {
         let consensus = self.consensus.as_ref();
         let context = Context {
             now: self.now,
@@ -71,7 +71,7 @@
     fn save_claims(&mut self, save: Save) -> Option<u64> {
         let (seq, effects) = self.consensus.as_mut()?.keep(save);
         for effect in effects {
-            self.effect(effect);
+            self.apply_consensus_effect(effect);
         }
         Some(seq)
     }
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -34,7 +34,7 @@
         };
         if let Some(change) = self.membership.decide(&observed) {
             self.log_event(LogEvent::MembershipChangeStarted, change.to_string());
-            self.agreed(Event::Reconfigure(change.applied(&members)));
+            self.step_consensus(Event::Reconfigure(change.applied(&members)));
         }
     }
 
@@ -55,7 +55,7 @@
             let hello = self.me.clone();
             self.send(conn, Payload::Hello(hello));
         }
-        self.agreed(Event::Stop);
+        self.step_consensus(Event::Stop);
     }
 
     /// An operator removes a core by id, without waiting for a replacement.
@@ -72,6 +72,6 @@
         let requester = Requester::Http { request_id };
         self.proposals.wait(proposal_id, requester);
         let body = Body::Members(rest);
-        self.agreed(Event::Propose { proposal_id, body });
+        self.step_consensus(Event::Propose { proposal_id, body });
     }
 }
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -169,18 +169,18 @@
     }
 
     fn on_saved(&mut self, seq: u64) {
-        self.agreed(Event::Saved { seq });
+        self.step_consensus(Event::Saved { seq });
         self.idempotency_event(idempotency::Event::Synced { seq });
     }
 
     fn on_save_failed(&mut self, error: String) {
         self.log_event(LogEvent::DiskFailed, error);
-        self.agreed(Event::SaveFailed);
+        self.step_consensus(Event::SaveFailed);
     }
 
     fn on_save_recovered(&mut self) {
         self.log_event(LogEvent::DiskRecovered, "participating again");
-        self.agreed(Event::SaveRecovered);
+        self.step_consensus(Event::SaveRecovered);
     }
 
     pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
@@ -205,7 +205,7 @@
     }
 
     fn tick(&mut self) {
-        self.agreed(Event::Tick);
+        self.step_consensus(Event::Tick);
         self.check_membership();
         self.expire_reads();
         if self.now >= self.slow_tick_at {
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -34,7 +34,7 @@
             return self.answer_reads(reads, true);
         }
         self.reads.proof_started(request_id);
-        self.agreed(Event::Read { request_id });
+        self.step_consensus(Event::Read { request_id });
     }
 
     pub(super) fn on_proof(&mut self, request_id: u64, proved: bool) {
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -67,7 +67,7 @@
         let proposal_id = self.ids.next_proposal_id();
         self.singleton.proposing(proposal_id);
         let body = Body::Data(Arc::new(encode(&command)));
-        self.agreed(Event::Propose { proposal_id, body });
+        self.step_consensus(Event::Propose { proposal_id, body });
     }
 
     fn poll_loads(&mut self) {
--- a/sorreldoor/src/control_plane/founding.rs
+++ b/sorreldoor/src/control_plane/founding.rs
@@ -123,7 +123,7 @@
         self.consensus = Some(Consensus::found(self.me.id, timing, set, r, seed, now));
         self.idempotency_event(idempotency::Event::Founded);
         self.greet();
-        self.agreed(Event::Tick);
+        self.step_consensus(Event::Tick);
     }
 
     pub(super) fn greet(&mut self) {
