--- /dev/null
+++ b/sorreldoor/src/balancer/candidates.rs
@@ -0,0 +1,216 @@
+//! The endpoints of a service that may take a request now, and the best of them.
+
+use super::cost::{PromptProfile, Query};
+use super::endpoint::{Endpoint, SLOW_START_WINDOW};
+use super::hash;
+use super::index::{EndpointIndex, ServiceIndex};
+use super::request_table::Request;
+use super::service::ServiceState;
+use super::state::Balancer;
+use crate::configuration::hosted::{Route, Service};
+use crate::types::Millis;
+
+/// Load of an endpoint over its slots up to which it gets requests: a few that
+/// queue keep it busy, more only wait.
+const MAX_LOAD_RATIO: f64 = 1.5;
+/// Share of the rate limit of slow start that is used.
+const SLOW_START_MARGIN: f64 = 0.85;
+
+/// An endpoint that may be chosen, and what its choice assumes.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Choice {
+    pub endpoint: EndpointIndex,
+    pub cost: f64,
+    pub load: f64,
+    /// Leading prompt parts expected in its prefix cache.
+    pub cached_parts: usize,
+    /// Prompt tokens left for prefill.
+    pub prefill_tokens: u32,
+}
+
+/// What a service offers a request now.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Candidates {
+    /// Number of endpoints that may take it at all.
+    pub eligible: u32,
+    /// The cheapest endpoints with capacity: in this region, and in others.
+    local: Option<Choice>,
+    remote: Option<Choice>,
+    /// The least loaded endpoint without capacity.
+    pub overloaded: Option<Choice>,
+    /// Slots of the eligible endpoints, and those in use.
+    pub slots: f64,
+    pub used_slots: f64,
+}
+
+impl Candidates {
+    /// The endpoint to send to. Another region is far, while an endpoint of this
+    /// region queues only briefly.
+    pub fn best(&self) -> Option<Choice> {
+        self.local.or(self.remote)
+    }
+}
+
+/// The settings of a service that are needed for each endpoint.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ServiceProfile {
+    /// Slots of an endpoint as configured; 0: not configured.
+    pub slots: u32,
+    /// Requests a second that an endpoint in slow start bears; 0: no limit.
+    pub warmup_per_s: f64,
+    pub has_engine: bool,
+}
+
+impl ServiceProfile {
+    /// Slots of an endpoint, the larger of those reported and configured.
+    pub fn slots_of(&self, endpoint: &Endpoint) -> f64 {
+        f64::from(endpoint.slots.max(self.slots).max(1))
+    }
+}
+
+impl From<&Service> for ServiceProfile {
+    fn from(config: &Service) -> ServiceProfile {
+        ServiceProfile {
+            slots: config.engine.map_or(0, |engine| engine.slots),
+            warmup_per_s: config.warmup_per_s,
+            has_engine: config.engine.is_some(),
+        }
+    }
+}
+
+impl Balancer {
+    /// Looks at all endpoints of a service. Ejected ones that are not due for a
+    /// trial count only if `include_ejected` is set.
+    pub(super) fn candidates(
+        &mut self,
+        service: ServiceIndex,
+        request: &Request,
+        route: &Route,
+        include_ejected: bool,
+        now: Millis,
+    ) -> Candidates {
+        let mut candidates = Candidates::default();
+        let Some(profile) = self.service_config(service).map(ServiceProfile::from) else {
+            return candidates;
+        };
+        let state = &self.services[service];
+        let query = Query {
+            request,
+            prompt: PromptProfile::new(request, &profile, state, now),
+            profile,
+            now,
+        };
+        let idempotent = route.repeatable();
+        let usable = |endpoint: &Endpoint| {
+            let outlier = &endpoint.outlier;
+            !outlier.ejected() || include_ejected || outlier.trial_due(now, idempotent)
+        };
+        let eligible = || {
+            self.endpoints_of(state).filter(|(index, endpoint)| {
+                self.may_serve(endpoint, *index, request, route) && usable(endpoint)
+            })
+        };
+        let preferred = self.preferred_endpoint(&query.prompt, eligible());
+        let mut rng = self.rng.clone();
+        for (index, endpoint) in eligible() {
+            let slots = profile.slots_of(endpoint);
+            let load = endpoint.load(now);
+            candidates.eligible += 1;
+            candidates.slots += slots;
+            candidates.used_slots += load.min(slots);
+            let is_preferred = preferred == Some(index);
+            let choice = self.evaluate(&query, (index, endpoint), is_preferred, rng.unit());
+            if self.slow_start_exhausted(endpoint, &profile, now) {
+                continue;
+            }
+            let has_capacity = load < slots * MAX_LOAD_RATIO && now >= endpoint.overloaded_until;
+            let local = endpoint.region == self.locality.region;
+            let near = local || (query.prompt.long_prefix && load < slots);
+            let best = match (has_capacity, near) {
+                (true, true) => &mut candidates.local,
+                (true, false) if load < slots => &mut candidates.remote,
+                _ => &mut candidates.overloaded,
+            };
+            let better = |other: &Choice| match has_capacity {
+                true => choice.cost < other.cost,
+                false => choice.load / slots < other.load / slots,
+            };
+            if best.as_ref().is_none_or(better) {
+                *best = Some(choice);
+            }
+        }
+        self.rng = rng;
+        candidates
+    }
+
+    fn endpoints_of<'a>(
+        &'a self,
+        service: &'a ServiceState,
+    ) -> impl Iterator<Item = (EndpointIndex, &'a Endpoint)> {
+        let indices = service.endpoints.iter();
+        indices.filter_map(|index| Some((*index, self.endpoints.get(*index)?)))
+    }
+
+    /// Whether the rules of the registry and the route let an endpoint serve a
+    /// request.
+    fn may_serve(
+        &self,
+        endpoint: &Endpoint,
+        index: EndpointIndex,
+        request: &Request,
+        route: &Route,
+    ) -> bool {
+        endpoint.accepting
+            && endpoint.misdirected_at.is_none()
+            && !self.evacuated_zones.contains(&endpoint.zone)
+            && (route.homes.is_empty() || route.homes.contains(&endpoint.region))
+            && !request.tried.contains(&index)
+    }
+
+    /// The endpoint that every node prefers for a prompt prefix, found by
+    /// rendezvous hashing without any exchange between nodes.
+    fn preferred_endpoint<'a>(
+        &self,
+        prompt: &PromptProfile,
+        eligible: impl Iterator<Item = (EndpointIndex, &'a Endpoint)>,
+    ) -> Option<EndpointIndex> {
+        let key = prompt.prefix_key?;
+        let suitable = |endpoint: &Endpoint| {
+            if prompt.long_prefix {
+                endpoint.serves_long_prompts
+            } else {
+                endpoint.region == self.locality.region
+            }
+        };
+        eligible
+            .filter(|(_, endpoint)| !endpoint.outlier.ejected())
+            .max_by_key(|(_, endpoint)| (suitable(endpoint), hash::mix(key, endpoint.hash)))
+            .map(|(index, _)| index)
+    }
+
+    /// Whether this node has used its share of an endpoint's slow start.
+    fn slow_start_exhausted(
+        &self,
+        endpoint: &Endpoint,
+        profile: &ServiceProfile,
+        now: Millis,
+    ) -> bool {
+        let limited = profile.warmup_per_s > 0.0 && endpoint.in_slow_start(now);
+        if !limited {
+            return false;
+        }
+        // a restarted node forgot its earlier attempts
+        let restarted = now < self.started_at.unwrap_or(now) + SLOW_START_WINDOW;
+        restarted || endpoint.recent_attempts(now) >= self.slow_start_share(endpoint, profile)
+    }
+
+    /// This node's share of the attempts in one window that all nodes together
+    /// may send to an endpoint in slow start.
+    fn slow_start_share(&self, endpoint: &Endpoint, profile: &ServiceProfile) -> u32 {
+        let bounds = &self.bounds;
+        let per_second = profile.warmup_per_s * bounds.warmup_excess + bounds.warmup_slack;
+        let limit = per_second * SLOW_START_MARGIN;
+        self.nodes
+            .regional_share(limit, endpoint.hash, endpoint.region)
+    }
+}
--- a/sorreldoor/src/balancer/endpoint.rs
+++ b/sorreldoor/src/balancer/endpoint.rs
@@ -1,144 +1,207 @@
-//! What the table knows of one worker.
+//! What the balancer knows about one endpoint, that is, one worker of a service.
 
-use super::health::Health;
-use super::kept::Kept;
+use super::hash;
+use super::index::ServiceIndex;
+use super::outlier_detection::OutlierDetector;
+use super::prefix_cache::PrefixCache;
+use super::request_table::Attempt;
+use super::LoadReport;
 use crate::types::Millis;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Sendings in this time count against a cold worker's bound of a second; more
-/// than a second, for a sending may leave later than it was decided.
-pub const COLD_SPAN: Millis = 1200;
-/// A report of load counts whole for so long, then fades by halves.
-const FRESH: Millis = 1000;
-/// A worker that said that it is full gets nothing for so long.
-pub const FULL: Millis = 100;
-/// A worker that owes a word for so long may be gone, in milliseconds.
-const SUSPECT: Millis = 300;
-/// Sending times remembered of one worker, at most.
-const MOST_SENT: usize = 256;
+/// Window of the rate limit of slow start. The limit is stated for a second;
+/// the window is longer, as an attempt may leave later than it was decided.
+pub(super) const SLOW_START_WINDOW: Millis = 1200;
+/// A load report counts fully for so long, then decays.
+const LOAD_REPORT_FRESH: Millis = 1000;
+/// Half-life of an older load report, in milliseconds.
+const LOAD_HALF_LIFE_MS: f64 = 1500.0;
+/// An endpoint that rejected a request gets nothing for so long.
+pub(super) const OVERLOAD_BACKOFF: Millis = 100;
+/// An endpoint that has not answered for so long may be dead.
+const SUSPECT_AFTER: Millis = 300;
+/// Send times remembered for one endpoint, at most.
+const MAX_RECENT_ATTEMPTS: usize = 256;
 
+/// State of one endpoint.
 #[derive(Clone, Debug)]
-pub struct Endpoint {
+pub(super) struct Endpoint {
     pub name: String,
     pub hash: u64,
     pub addr: SocketAddr,
-    /// Dense index of the service in the table.
-    pub service: u32,
+    pub service: ServiceIndex,
     pub zone: u16,
     pub region: u8,
-    /// On the newest list, not draining, not about to leave.
-    pub open: bool,
-    /// On the newest list.
-    pub listed: bool,
-    /// Not used until the list is newer than this serial.
-    pub stale: Option<u64>,
+    /// Registered, not draining and not about to leave.
+    pub accepting: bool,
+    /// In the newest registry.
+    pub registered: bool,
+    /// Version of the registry under which a request was misdirected; the
+    /// endpoint is not used until a newer registry comes.
+    pub misdirected_at: Option<u64>,
     pub slots: u32,
-    /// Long shared prefixes are kept here.
-    pub heavy: bool,
-    /// When anything was last heard of it.
+    /// Serves prompts with long shared prefixes.
+    pub serves_long_prompts: bool,
+    /// When anything last came from it.
     pub last_activity: Millis,
-    /// Since when this node waits for it to say anything at all.
-    pub unheard: Option<Millis>,
-    /// Requests of this node that are there.
-    pub mine: u32,
-    /// Requests of others there, as of `heard`.
-    others: f64,
+    pub overloaded_until: Millis,
+    pub prefix_cache: PrefixCache,
+    pub outlier: OutlierDetector,
+    /// Latency to the first event over the usual one of the service; 1: as usual.
+    pub latency_ratio: f64,
+    /// Since when this node waits for the endpoint to send anything at all.
+    awaiting_since: Option<Millis>,
+    /// Attempts of this node that are in flight.
+    in_flight: u32,
+    /// Requests of other nodes, as of `reported_at`.
+    other_load: f64,
     reported_at: Millis,
-    pub full_until: Millis,
-    pub cold_until: Millis,
-    sent: VecDeque<Millis>,
-    /// Prompt tokens of this node's requests that are still being read there.
-    pub reading: u64,
-    pub kept: Kept,
-    pub health: Health,
-    /// Time to the first event over what is usual in its service; 1: as usual.
-    pub slow: f64,
+    slow_start_until: Millis,
+    recent_attempts: VecDeque<Millis>,
+    /// Prompt tokens of this node's attempts that are still in prefill.
+    prefill_tokens: u64,
 }
 
 impl Endpoint {
-    pub fn new(name: &str, addr: SocketAddr, service: u32) -> Endpoint {
+    pub fn new(name: &str, addr: SocketAddr, service: ServiceIndex) -> Endpoint {
         Endpoint {
             name: name.to_string(),
-            hash: super::hash::name(name),
+            hash: hash::name(name),
             addr,
             service,
             zone: 0,
             region: 0,
-            open: false,
-            listed: false,
-            stale: None,
+            accepting: false,
+            registered: false,
+            misdirected_at: None,
             slots: 0,
-            heavy: false,
+            serves_long_prompts: false,
             last_activity: 0,
-            unheard: None,
-            mine: 0,
-            others: 0.0,
+            overloaded_until: 0,
+            prefix_cache: PrefixCache::default(),
+            outlier: OutlierDetector::default(),
+            latency_ratio: 1.0,
+            awaiting_since: None,
+            in_flight: 0,
+            other_load: 0.0,
             reported_at: 0,
-            full_until: 0,
-            cold_until: 0,
-            sent: VecDeque::new(),
-            reading: 0,
-            kept: Kept::default(),
-            health: Health::default(),
-            slow: 1.0,
+            slow_start_until: 0,
+            recent_attempts: VecDeque::new(),
+            prefill_tokens: 0,
         }
     }
 
-    pub fn cold(&self, now: Millis) -> bool {
-        now < self.cold_until
+    /// Marks the endpoint as absent from the registry.
+    pub fn unregister(&mut self) {
+        self.accepting = false;
+        self.registered = false;
     }
 
-    /// Something came of it.
-    pub fn beat(&mut self, now: Millis) {
+    pub fn in_slow_start(&self, now: Millis) -> bool {
+        now < self.slow_start_until
+    }
+
+    /// Sets the end of slow start as the endpoint itself reports it.
+    pub fn set_slow_start(&mut self, until: Millis) {
+        self.slow_start_until = until;
+    }
+
+    /// Extends slow start; a later end that is known already stays.
+    pub fn extend_slow_start(&mut self, until: Millis) {
+        self.slow_start_until = self.slow_start_until.max(until);
+    }
+
+    /// Something came from the endpoint.
+    pub fn record_activity(&mut self, now: Millis) {
         self.last_activity = self.last_activity.max(now);
-        self.unheard = Some(now).filter(|_| self.mine > 0);
+        self.awaiting_since = Some(now).filter(|_| self.in_flight > 0);
     }
 
-    /// It owes this node a word for so long that it may be gone.
+    /// It has not answered for so long that it may be dead.
     pub fn suspect(&self, now: Millis) -> bool {
-        self.unheard.is_some_and(|t| now >= t + SUSPECT)
+        self.awaiting_since
+            .is_some_and(|since| now >= since + SUSPECT_AFTER)
+    }
+
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
+    }
+
+    pub fn prefill_tokens(&self) -> u64 {
+        self.prefill_tokens
     }
 
-    /// Running and waiting there, as far as is known.
+    /// Estimated number of requests running and waiting there.
     pub fn load(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.reported_at);
-        let fade = match age <= FRESH {
+        // an endpoint with an old report is tried again some time
+        let weight = match age <= LOAD_REPORT_FRESH {
             true => 1.0,
-            // what is not heard again is tried again
-            false => (-((age - FRESH) as f64) / 1500.0).exp2(),
+            false => (-((age - LOAD_REPORT_FRESH) as f64) / LOAD_HALF_LIFE_MS).exp2(),
         };
-        f64::from(self.mine) + self.others * fade
+        f64::from(self.in_flight) + self.other_load * weight
     }
 
-    /// Its own word; `mine` of them are this node's.
-    pub fn report(&mut self, running: u32, waiting: u32, slots: u32, now: Millis) {
-        self.others = (f64::from(running) + f64::from(waiting) - f64::from(self.mine)).max(0.0);
+    /// Takes in the endpoint's own report of its load.
+    pub fn report_load(&mut self, load: LoadReport, now: Millis) {
+        let total = f64::from(load.running) + f64::from(load.waiting);
+        self.other_load = (total - f64::from(self.in_flight)).max(0.0);
         self.reported_at = now;
-        if slots > 0 {
-            self.slots = slots;
+        if load.slots > 0 {
+            self.slots = load.slots;
         }
     }
 
-    pub fn note_sent(&mut self, now: Millis) {
-        while self.sent.len() >= MOST_SENT
-            || self.sent.front().is_some_and(|t| t + COLD_SPAN <= now)
+    /// Counts an attempt that is sent now.
+    pub fn start_attempt(&mut self, prefill_tokens: u32, now: Millis) {
+        self.in_flight += 1;
+        self.awaiting_since.get_or_insert(now);
+        self.record_send(now);
+        self.prefill_tokens += u64::from(prefill_tokens);
+    }
+
+    /// Counts an attempt that came to its end.
+    pub fn end_attempt(&mut self, attempt: &Attempt) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.awaiting_since = self.awaiting_since.filter(|_| self.in_flight > 0);
+        if !attempt.prefill_done {
+            self.end_prefill(attempt.prefill_tokens);
+        }
+        if attempt.trial {
+            self.outlier.end_trial();
+        }
+    }
+
+    /// The prompt of an attempt was read.
+    pub fn end_prefill(&mut self, tokens: u32) {
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(u64::from(tokens));
+    }
+
+    fn record_send(&mut self, now: Millis) {
+        let expired = |sent: &Millis| sent + SLOW_START_WINDOW <= now;
+        while self.recent_attempts.len() >= MAX_RECENT_ATTEMPTS
+            || self.recent_attempts.front().is_some_and(expired)
         {
-            self.sent.pop_front();
+            self.recent_attempts.pop_front();
         }
-        self.sent.push_back(now);
+        self.recent_attempts.push_back(now);
     }
 
-    /// Takes back a sending that never left.
-    pub fn unsent(&mut self, then: Millis) {
-        if let Some(i) = self.sent.iter().rposition(|t| *t == then) {
-            self.sent.remove(i);
+    /// Takes back the record of an attempt that never left this node.
+    pub fn cancel_send(&mut self, sent_at: Millis) {
+        let recorded = self.recent_attempts.iter().rposition(|t| *t == sent_at);
+        if let Some(position) = recorded {
+            self.recent_attempts.remove(position);
         }
     }
 
-    /// Sendings of this node in the last span.
-    pub fn sent_lately(&self, now: Millis) -> u32 {
-        let n = self.sent.iter().rev().take_while(|t| **t + COLD_SPAN > now);
-        n.count() as u32
+    /// Attempts of this node in the window of slow start.
+    pub fn recent_attempts(&self, now: Millis) -> u32 {
+        self.recent_attempts
+            .iter()
+            .rev()
+            .take_while(|sent| **sent + SLOW_START_WINDOW > now)
+            .count() as u32
     }
 }
--- a/sorreldoor/src/balancer/hash.rs
+++ b/sorreldoor/src/balancer/hash.rs
@@ -1,6 +1,6 @@
-//! Mixing of numbers and names, the same on every node.
+//! Hash functions and a random generator that give the same results on every node.
 
-/// A stable mix of two numbers (the end of MurmurHash3).
+/// A stable hash of two numbers (the finalizer of MurmurHash3).
 pub fn mix(a: u64, b: u64) -> u64 {
     let mut h = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31);
     h ^= h >> 33;
@@ -18,40 +18,43 @@
     mix(h, 0)
 }
 
-/// A hash as a share of one, over 0 and below 1.
+/// Maps a hash to a fraction over 0 and below 1.
 pub fn unit(h: u64) -> f64 {
     ((h >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// Numbers drawn from a seed (SplitMix64).
+/// A seeded random generator (SplitMix64).
 #[derive(Clone, Debug)]
-pub struct Draw(pub u64);
+pub struct SplitMix64(pub u64);
 
-impl Draw {
+impl SplitMix64 {
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         mix(self.0, 1)
     }
-    /// Over 0 and below 1.
+
+    /// A fraction over 0 and below 1.
     pub fn unit(&mut self) -> f64 {
         unit(self.next())
     }
 }
 
-/// Hashes keys that are numbers already.
+/// A hasher for keys that are hashes already.
 #[derive(Clone, Copy, Default)]
-pub struct Mixer(u64);
+pub struct U64Hasher(u64);
 
-impl std::hash::Hasher for Mixer {
+impl std::hash::Hasher for U64Hasher {
     fn finish(&self) -> u64 {
         self.0
     }
+
     fn write(&mut self, b: &[u8]) {
         self.0 = b.iter().fold(self.0, |h, x| mix(h, u64::from(*x)));
     }
+
     fn write_u64(&mut self, x: u64) {
         self.0 = mix(self.0, x);
     }
 }
 
-pub type Mixed = std::hash::BuildHasherDefault<Mixer>;
+pub type U64HashBuilder = std::hash::BuildHasherDefault<U64Hasher>;
--- a/sorreldoor/src/balancer/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -1,19 +1,31 @@
-//! The table of requests under way, and where each may go: pure, in
-//! milliseconds of a monotonic clock that is handed in.
+//! Load balancing of hosted routes: the requests in progress at this node, what
+//! is known of each endpoint, and the decision where a request goes next.
+//!
+//! The module does no I/O and reads no clock. Every call takes the time in
+//! milliseconds of one monotonic clock, and every random draw comes from a seed,
+//! so that a run can be repeated.
 
-mod budget;
+mod candidates;
+mod cost;
+mod decide;
+mod dispatch;
 mod endpoint;
+mod failover;
+mod feedback;
 mod hash;
-mod health;
-mod heavy;
-mod kept;
+mod index;
+mod lifecycle;
+mod long_prompts;
 mod nodes;
-mod pick;
-mod rank;
-mod requests;
-mod signs;
+mod outcomes;
+mod outlier_detection;
+mod prefix_cache;
+mod registry;
+mod request_table;
+mod retry_budget;
+mod service;
 mod state;
-mod waits;
+mod wait_queue;
 
 pub use state::{Balancer, Counts};
 
@@ -21,60 +33,77 @@
 use crate::types::Millis;
 use std::net::SocketAddr;
 
-/// A request under way at this node.
+/// Id of a request in progress at this node; never used twice.
 pub type RequestId = u64;
 
-/// Where one sending of a request goes.
+/// The endpoint that one attempt of a request is sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Dense index of the worker, as long as the table lives.
+    /// Dense index of the endpoint, valid as long as the balancer lives.
     pub worker: u32,
+    /// Name of the endpoint in the platform's registry.
     pub name: String,
     pub addr: SocketAddr,
-    /// What is left of the caller's time, in milliseconds.
-    pub left_ms: u64,
+    /// Time until the client's deadline, in milliseconds.
+    pub time_left_ms: u64,
+    /// Scheduling priority at the engine, 0 (first) to 9; none where the
+    /// service has no engine.
     pub priority: Option<u8>,
-    /// Connections this node may hold to the worker.
+    /// Connections that this node may open to the endpoint.
     pub max_conns: u32,
-    /// Only on a new connection, which proves that the worker is there.
-    pub fresh: bool,
+    /// Requires a new connection, which proves that the endpoint is alive.
+    pub new_connection: bool,
 }
 
 /// What to do with a request now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
+    /// Send an attempt to this endpoint.
     Send(Target),
-    /// Ask again when woken, at the latest in so many milliseconds.
+    /// Decide again when woken, at the latest after so many milliseconds.
     Wait(Millis),
-    /// It is not sent (again): the kind, and when to come back, in milliseconds.
+    /// Send no (further) attempt. Carries the error for the client and the
+    /// retry-after time in milliseconds; 0: the client should not retry.
     Reject(ErrorCode, Millis),
 }
 
-/// How one sending came to its end, or how it is going.
+/// Load of an endpoint as it reports it in the head of an answer.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LoadReport {
+    /// Requests in the running batch.
+    pub running: u32,
+    /// Requests in the endpoint's own queue.
+    pub waiting: u32,
+    /// Capacity of the batch; 0: not reported.
+    pub slots: u32,
+}
+
+/// Progress or end of one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// The worker's head: running, waiting, slots; cold for so long.
+    /// The head of the answer came, with the endpoint's load and the rest of
+    /// its slow start in milliseconds, where it reports them.
     HeadReceived {
-        load: Option<(u32, u32, u32)>,
-        cold_ms: Option<u64>,
+        load: Option<LoadReport>,
+        slow_start_ms: Option<u64>,
     },
-    /// The first event of a stream, or the whole answer.
+    /// The first event of a stream, or the complete answer, came.
     FirstEvent,
-    /// Answered whole; the status that the worker gave.
+    /// The answer is complete; carries its HTTP status.
     Completed(u16),
-    /// The worker says it did not run (503, 429); load as above.
-    Rejected(Option<(u32, u32, u32)>),
-    /// Another worker has this address now.
+    /// The endpoint promises that it did not run the request (429 or 503).
+    Rejected(Option<LoadReport>),
+    /// Another endpoint has this address by now (421).
     Misdirected,
     /// No connection came up: nothing was sent.
     ConnectFailed,
-    /// Broken off, silent, or no proper answer, after it was sent.
+    /// Broken off, timed out or answered with garbage after it was sent.
     Failed,
-    /// The caller is gone, or its time is up; the worker is not to blame.
+    /// The client left or its deadline passed; not the endpoint's fault.
     Canceled,
 }
 
-/// What the table must know of its own node.
+/// The position of this node in the site.
 #[derive(Clone, Debug, Default)]
 pub struct Locality {
     pub node: String,
@@ -84,14 +113,17 @@
     pub regions: Vec<u8>,
 }
 
-/// The operator's bounds that hold over all nodes.
+/// Limits set by the operator that hold for all nodes together.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// Further sendings in any window, over first ones.
+    /// Retries in any window, as a share of the requests in it.
     pub retry_ratio: f64,
+    /// Length of the retry window, in milliseconds.
     pub retry_window_ms: Millis,
+    /// Retries in a window that need no requests.
     pub retry_slack: f64,
-    /// A cold worker takes `warmup_per_s * warmup_excess + warmup_slack` a second.
+    /// In slow start an endpoint takes `warmup_per_s * warmup_excess +
+    /// warmup_slack` requests a second.
     pub warmup_excess: f64,
     pub warmup_slack: f64,
 }
--- a/sorreldoor/src/balancer/nodes.rs
+++ b/sorreldoor/src/balancer/nodes.rs
@@ -1,89 +1,103 @@
-//! The equal nodes, and this node's part of what holds for all of them together.
+//! The nodes of the site, and this node's share of limits that hold for all of
+//! them together.
+//!
+//! All nodes compute their shares from names alone. The shares add up to the
+//! limit at most, as long as the nodes see the same list.
 
 use super::hash;
 use crate::types::Millis;
 
-/// A node that was ready within this time still has its part, in milliseconds.
-const LATELY: Millis = 30_000;
-
-/// What the nodes of a region have of its own, as a share.
-const NEAR: f64 = 0.85;
+/// A node that was ready within this time still has its share.
+const RECENTLY_READY: Millis = 30_000;
+/// Share of an endpoint's capacity that goes to the nodes of its own region.
+const LOCAL_REGION_SHARE: f64 = 0.85;
 
 #[derive(Clone, Debug)]
 struct Node {
     hash: u64,
     region: u8,
-    seen: Millis,
+    last_ready: Millis,
 }
 
+/// The nodes that are or recently were ready.
 #[derive(Clone, Debug)]
-pub struct Nodes {
-    me: u64,
-    region: u8,
-    all: Vec<Node>,
+pub(super) struct Nodes {
+    own_hash: u64,
+    own_region: u8,
+    nodes: Vec<Node>,
 }
 
 impl Nodes {
-    pub fn new(me: &str, region: u8) -> Nodes {
+    /// Knows no node yet; until the first update every share is 0.
+    pub fn new(own_name: &str, own_region: u8) -> Nodes {
         Nodes {
-            me: hash::name(me),
-            region,
-            all: Vec::new(),
+            own_hash: hash::name(own_name),
+            own_region,
+            nodes: Vec::new(),
         }
     }
 
-    /// Names and regions of the ready nodes.
-    pub fn take(&mut self, all: impl Iterator<Item = (u64, u8)>, now: Millis) {
-        // a node missing for a moment still spends its part
-        self.all.retain(|n| now.saturating_sub(n.seen) < LATELY);
-        let me = (self.me, self.region);
-        for (hash, region) in all.chain([me]) {
-            let n = Node {
+    /// Takes in the hashed names and the regions of the ready nodes.
+    pub fn update(&mut self, ready: impl Iterator<Item = (u64, u8)>, now: Millis) {
+        // a node that is missing for a moment still uses its share
+        self.nodes
+            .retain(|node| now.saturating_sub(node.last_ready) < RECENTLY_READY);
+        let own = (self.own_hash, self.own_region);
+        for (hash, region) in ready.chain([own]) {
+            let node = Node {
                 hash,
                 region,
-                seen: now,
+                last_ready: now,
             };
-            match self.all.iter_mut().find(|n| n.hash == hash) {
-                Some(old) => *old = n,
-                None => self.all.push(n),
+            match self.nodes.iter_mut().find(|known| known.hash == hash) {
+                Some(known) => *known = node,
+                None => self.nodes.push(node),
             }
         }
     }
 
-    /// Nodes that are or lately were ready, this one included.
-    pub fn known(&self) -> u32 {
-        self.all.len().max(1) as u32
+    /// Number of nodes that are or recently were ready, this one included.
+    pub fn count(&self) -> u32 {
+        self.nodes.len().max(1) as u32
     }
 
-    /// This node's part of `total`; the parts of all nodes add up to `total`
-    /// at most. What is left over goes to other nodes for another `key`.
-    pub fn part(&self, total: f64, key: u64) -> u32 {
-        self.among(total.max(0.0) as u32, key, |_| true)
+    /// This node's share of `total`. The remainder of the division goes to
+    /// other nodes for another `key`.
+    pub fn share(&self, total: f64, key: u64) -> u32 {
+        self.share_among(total.max(0.0) as u32, key, |_| true)
     }
 
-    /// As `part`, of something in a region: its own nodes need more of it.
-    pub fn part_near(&self, total: f64, key: u64, region: u8) -> u32 {
-        let here = self.all.iter().filter(|n| n.region == region).count();
-        if here == 0 || here == self.all.len() {
-            return self.part(total, key);
+    /// As [`Nodes::share`], for something in a region: the nodes of that region
+    /// get the larger part.
+    pub fn regional_share(&self, total: f64, key: u64, region: u8) -> u32 {
+        let in_region = |node: &Node| node.region == region;
+        let local_nodes = self.nodes.iter().filter(|node| in_region(node)).count();
+        if local_nodes == 0 || local_nodes == self.nodes.len() {
+            return self.share(total, key);
         }
-        let t = total.max(0.0) as u32;
-        let near = (f64::from(t) * NEAR) as u32;
-        let is = self.region == region;
-        let mine = if is { near } else { t - near };
-        self.among(mine, key, |n| (n.region == region) == is)
+        let total = total.max(0.0) as u32;
+        let local_total = (f64::from(total) * LOCAL_REGION_SHARE) as u32;
+        let local = self.own_region == region;
+        let group_total = if local {
+            local_total
+        } else {
+            total - local_total
+        };
+        self.share_among(group_total, key, |node| in_region(node) == local)
     }
 
-    fn among(&self, t: u32, key: u64, of: impl Fn(&Node) -> bool) -> u32 {
-        let all = || self.all.iter().filter(|n| of(n));
-        let n = all().count() as u32;
-        // the others may have spent all of it while none is known
-        if n == 0 {
+    fn share_among(&self, total: u32, key: u64, member: impl Fn(&Node) -> bool) -> u32 {
+        let members = || self.nodes.iter().filter(|node| member(node));
+        let count = members().count() as u32;
+        // while no node is known the others may use all of it
+        if count == 0 {
             return 0;
         }
-        let mine = hash::mix(key, self.me);
-        // clocks are not shared, so who has the rest hangs on names alone
-        let rank = all().filter(|x| hash::mix(key, x.hash) > mine).count() as u32;
-        t / n + u32::from(rank < t % n)
+        let own_rank = hash::mix(key, self.own_hash);
+        // clocks are not shared, so the remainder is dealt out by names alone
+        let ahead = members()
+            .filter(|node| hash::mix(key, node.hash) > own_rank)
+            .count() as u32;
+        total / count + u32::from(ahead < total % count)
     }
 }
--- /dev/null
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -0,0 +1,163 @@
+//! What the outcome of an attempt changes: the request, the endpoint and the
+//! retry budget.
+
+use super::endpoint::OVERLOAD_BACKOFF;
+use super::outlier_detection::HealthSignal;
+use super::request_table::Attempt;
+use super::state::Balancer;
+use super::{AttemptOutcome, LoadReport, RequestId};
+use crate::error::ErrorCode;
+use crate::proxy::attempt::Event;
+use crate::types::Millis;
+
+impl AttemptOutcome {
+    /// Whether the outcome shows that the endpoint is alive.
+    fn shows_activity(&self) -> bool {
+        !matches!(
+            self,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Failed | AttemptOutcome::Canceled
+        )
+    }
+}
+
+impl Balancer {
+    /// Records the progress or the end of the request's current attempt.
+    /// Without a current attempt nothing changes.
+    pub fn record_outcome(&mut self, request_id: RequestId, outcome: AttemptOutcome, now: Millis) {
+        self.advance_clock(now);
+        let Some(attempt) = self.requests.get(request_id).and_then(|r| r.attempt) else {
+            return;
+        };
+        if outcome.shows_activity() {
+            self.record_activity(request_id, now);
+        }
+        match outcome {
+            AttemptOutcome::HeadReceived {
+                load,
+                slow_start_ms,
+            } => self.record_head(attempt.endpoint, load, slow_start_ms, now),
+            AttemptOutcome::FirstEvent => self.record_first_event(request_id, now),
+            AttemptOutcome::Completed(status) => {
+                self.record_completed(request_id, attempt, status, now);
+                self.close_attempt(request_id, true);
+                self.end_attempt(request_id, Event::AnswerComplete, None);
+            }
+            AttemptOutcome::Rejected(load) => self.attempt_rejected(request_id, attempt, load, now),
+            AttemptOutcome::Misdirected => self.attempt_misdirected(request_id, attempt),
+            AttemptOutcome::ConnectFailed => self.connect_failed(request_id, attempt, now),
+            AttemptOutcome::Failed => {
+                self.close_attempt(request_id, true);
+                self.record_health(attempt, HealthSignal::Failure, now);
+                self.end_attempt(request_id, Event::Closed, Some(ErrorCode::WorkerBroke));
+            }
+            AttemptOutcome::Canceled => {
+                self.close_attempt(request_id, true);
+                self.end_attempt(request_id, Event::Closed, None);
+            }
+        }
+        self.remove_if_unused(attempt.endpoint);
+    }
+
+    /// Something came from the endpoint of the request's current attempt.
+    pub fn record_activity(&mut self, request_id: RequestId, now: Millis) {
+        let attempt = self.requests.get(request_id).and_then(|r| r.attempt);
+        let endpoint = attempt.and_then(|attempt| self.endpoints.get_mut(attempt.endpoint));
+        if let Some(endpoint) = endpoint {
+            endpoint.record_activity(now);
+        }
+    }
+
+    fn attempt_rejected(
+        &mut self,
+        request_id: RequestId,
+        attempt: Attempt,
+        load: Option<LoadReport>,
+        now: Millis,
+    ) {
+        self.record_head(attempt.endpoint, load, None, now);
+        self.forget_cached_parts(request_id, attempt);
+        self.close_attempt(request_id, true);
+        if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
+            endpoint.overloaded_until = now + OVERLOAD_BACKOFF;
+        }
+        // an answer shows that the endpoint is healthy, however loaded
+        self.record_health(attempt, HealthSignal::Success, now);
+        self.end_attempt(request_id, Event::NotRun, Some(ErrorCode::NoWorker));
+    }
+
+    fn attempt_misdirected(&mut self, request_id: RequestId, attempt: Attempt) {
+        self.forget_cached_parts(request_id, attempt);
+        self.close_attempt(request_id, true);
+        let version = self.registry_version;
+        if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
+            endpoint.misdirected_at = Some(version);
+        }
+        self.end_attempt(request_id, Event::NotRun, Some(ErrorCode::GivenUp));
+        // the endpoint it was meant for is gone, so no endpoint has had it
+        self.uncount_attempt(request_id);
+    }
+
+    fn connect_failed(&mut self, request_id: RequestId, attempt: Attempt, now: Millis) {
+        self.forget_cached_parts(request_id, attempt);
+        self.close_attempt(request_id, false);
+        self.cancel_attempt(request_id, attempt);
+        self.record_health(attempt, HealthSignal::ConnectFailure, now);
+        self.end_attempt(request_id, Event::ConnectFailed, Some(ErrorCode::GivenUp));
+    }
+
+    fn end_attempt(&mut self, request_id: RequestId, event: Event, error: Option<ErrorCode>) {
+        if let Some(request) = self.requests.get_mut(request_id) {
+            request.progress.on(event);
+            request.last_error = error;
+        }
+    }
+
+    /// Ends the request's current attempt and frees its slot. `reached` is
+    /// false if certainly nothing reached the endpoint.
+    pub(super) fn close_attempt(&mut self, request_id: RequestId, reached: bool) {
+        let Some(request) = self.requests.get_mut(request_id) else {
+            return;
+        };
+        let Some(attempt) = request.attempt.take() else {
+            return;
+        };
+        request.reached_endpoint |= reached;
+        if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
+            endpoint.end_attempt(&attempt);
+            self.wait_queue.slot_freed(endpoint.service);
+        }
+    }
+
+    /// Takes back the counts of an attempt that never left this node: it costs
+    /// no retry budget and none of the route's attempts.
+    fn cancel_attempt(&mut self, request_id: RequestId, attempt: Attempt) {
+        let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else {
+            return;
+        };
+        endpoint.cancel_send(attempt.sent_at);
+        if attempt.is_retry {
+            self.services[endpoint.service]
+                .retry_budget
+                .cancel_retry(&self.bounds, attempt.sent_at);
+            self.counts.retried = self.counts.retried.saturating_sub(1);
+        }
+        self.uncount_attempt(request_id);
+    }
+
+    fn uncount_attempt(&mut self, request_id: RequestId) {
+        if let Some(request) = self.requests.get_mut(request_id) {
+            request.attempts = request.attempts.saturating_sub(1);
+        }
+    }
+
+    /// The endpoint did not read the prompt after all.
+    fn forget_cached_parts(&mut self, request_id: RequestId, attempt: Attempt) {
+        let Some(request) = self.requests.get(request_id) else {
+            return;
+        };
+        if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
+            let first = attempt.cached_parts.min(request.parts.len());
+            endpoint.prefix_cache.remove(&request.parts[first..]);
+        }
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/balancer/wait_queue.rs
@@ -0,0 +1,114 @@
+//! Requests that wait for capacity, by priority and then by arrival.
+
+use super::index::ServiceIndex;
+use super::RequestId;
+use crate::types::Millis;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A waiting request is decided on again after so long at the latest.
+pub(super) const RECHECK_INTERVAL: Millis = 20;
+
+/// What the requests of one queue can be served by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct QueueKey {
+    pub service: ServiceIndex,
+    /// Regions that may serve them, as a bit set; 0: all.
+    pub regions: u64,
+}
+
+/// The position of a request in its queue; lower positions come first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Position {
+    pub priority: u8,
+    pub arrived_at: Millis,
+    pub request_id: RequestId,
+}
+
+#[derive(Clone, Debug, Default)]
+struct Queue {
+    positions: BTreeSet<Position>,
+    /// Slots that came free since requests were last taken.
+    freed_slots: u32,
+    /// When all of them are decided on again.
+    recheck_at: Millis,
+}
+
+/// All queues of waiting requests.
+#[derive(Clone, Debug, Default)]
+pub(super) struct WaitQueue {
+    queues: BTreeMap<QueueKey, Queue>,
+}
+
+impl WaitQueue {
+    pub fn len(&self) -> usize {
+        self.queues
+            .values()
+            .map(|queue| queue.positions.len())
+            .sum()
+    }
+
+    pub fn insert(&mut self, key: QueueKey, position: Position, now: Millis) {
+        let queue = self.queues.entry(key).or_default();
+        if queue.positions.is_empty() {
+            queue.recheck_at = now + RECHECK_INTERVAL;
+            queue.freed_slots = 0;
+        }
+        queue.positions.insert(position);
+    }
+
+    pub fn remove(&mut self, key: QueueKey, position: Position) {
+        if let Some(queue) = self.queues.get_mut(&key) {
+            queue.positions.remove(&position);
+            if queue.positions.is_empty() {
+                self.queues.remove(&key);
+            }
+        }
+    }
+
+    /// Whether some request waits ahead of `position`.
+    pub fn any_ahead_of(&self, key: QueueKey, position: Position) -> bool {
+        let first = self
+            .queues
+            .get(&key)
+            .and_then(|queue| queue.positions.first());
+        first.is_some_and(|first| *first < position)
+    }
+
+    /// A slot came free at an endpoint of the service.
+    pub fn slot_freed(&mut self, service: ServiceIndex) {
+        let key = |regions| QueueKey { service, regions };
+        self.queues
+            .range_mut(key(0)..=key(u64::MAX))
+            .for_each(|(_, queue)| queue.freed_slots += 1);
+    }
+
+    /// Any request may find capacity now, as the registry or the configuration
+    /// has changed.
+    pub fn recheck_all(&mut self) {
+        self.queues
+            .values_mut()
+            .for_each(|queue| queue.recheck_at = 0);
+    }
+
+    /// The requests to decide on again, the first in order first. They stay in
+    /// their queues until they are removed.
+    pub fn take_ready(&mut self, now: Millis) -> Vec<RequestId> {
+        let mut ready: Vec<Position> = Vec::new();
+        for queue in self.queues.values_mut() {
+            let count = match queue.recheck_at <= now {
+                true => queue.positions.len(),
+                false => queue.freed_slots as usize,
+            };
+            if queue.recheck_at <= now {
+                queue.recheck_at = now + RECHECK_INTERVAL;
+            }
+            queue.freed_slots = 0;
+            ready.extend(queue.positions.iter().take(count));
+        }
+        ready.sort_unstable();
+        ready
+            .into_iter()
+            .map(|position| position.request_id)
+            .collect()
+    }
+}
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -209,8 +209,11 @@
         }
         Verdict::Own(framing) => {
             exchange.progressed(Event::HeadReceived);
-            let (load, cold_ms) = (told.load, told.cold_ms);
-            exchange.outcome(AttemptOutcome::HeadReceived { load, cold_ms });
+            let (load, slow_start_ms) = (told.load, told.cold_ms);
+            exchange.outcome(AttemptOutcome::HeadReceived {
+                load,
+                slow_start_ms,
+            });
             deliver(exchange, client, delivery, connection, head, framing).await
         }
     }
--- a/sorreldoor/src/proxy/dialect.rs
+++ b/sorreldoor/src/proxy/dialect.rs
@@ -1,5 +1,7 @@
 //! The seam between what an outside protocol calls things and what they mean.
 
+use crate::balancer::LoadReport;
+
 /// One part of a prompt, shared with other requests that name the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
@@ -48,8 +50,8 @@
     pub misdirected: bool,
     /// It bears the worker's stamp.
     pub stamped: bool,
-    /// Running, waiting, slots.
-    pub load: Option<(u32, u32, u32)>,
+    /// The worker's load.
+    pub load: Option<LoadReport>,
     /// How much longer the worker stays cold, in milliseconds.
     pub cold_ms: Option<u64>,
     /// The worker's name, where it gives it.
--- a/sorreldoor/src/proxy/plain_dialect.rs
+++ b/sorreldoor/src/proxy/plain_dialect.rs
@@ -1,6 +1,7 @@
 //! The product's own names for what passes between callers, nodes and workers.
 
 use super::dialect::{Dialect, Forward, Part, RequestMetadata, ResponseMetadata};
+use crate::balancer::LoadReport;
 
 /// Headers beginning with `x-`, as docs/api.md lists them.
 #[derive(Clone, Copy, Debug, Default)]
@@ -74,7 +75,11 @@
             "x-worker" => t.worker = Some(v.to_string()),
             "x-load" => {
                 let n: Vec<u32> = v.split(',').filter_map(|n| n.trim().parse().ok()).collect();
-                t.load = Some(n).filter(|n| n.len() == 3).map(|n| (n[0], n[1], n[2]));
+                t.load = Some(n).filter(|n| n.len() == 3).map(|n| LoadReport {
+                    running: n[0],
+                    waiting: n[1],
+                    slots: n[2],
+                });
             }
             _ => {}
         }
--- a/sorreldoor/src/proxy/send.rs
+++ b/sorreldoor/src/proxy/send.rs
@@ -66,7 +66,7 @@
 }
 
 fn kept_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
-    let within = match (exchange.target.fresh, exchange.route.repeatable()) {
+    let within = match (exchange.target.new_connection, exchange.route.repeatable()) {
         (true, _) => Duration::ZERO,
         (false, true) => ANY_AGE,
         // a worker's end of an older connection may be on its way
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -1,7 +1,7 @@
 //! The table of requests under way: each rule by itself, and nodes together.
 
 use sorreldoor::balancer::{
-    AttemptOutcome, Balancer, Bounds, Decision, Locality, RequestId, Target,
+    AttemptOutcome, Balancer, Bounds, Decision, LoadReport, Locality, RequestId, Target,
 };
 use sorreldoor::configuration::hosted::{Engine, Hosted, Kind, Route, Service};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
--- a/sorreldoor/tests/balancer/drive.rs
+++ b/sorreldoor/tests/balancer/drive.rs
@@ -34,6 +34,16 @@
     pub dead: f64,
 }
 
+impl Back {
+    fn load(&self) -> LoadReport {
+        LoadReport {
+            running: self.running,
+            waiting: self.queue.len() as u32,
+            slots: self.slots,
+        }
+    }
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ev {
     Come(usize),
@@ -151,9 +161,16 @@
                 Ev::Reach(n, r, w) => self.reach(n, r, w),
                 Ev::Head(n, r, w) => {
                     let b = &self.backs[w as usize];
-                    let load = Some((b.running, b.queue.len() as u32, b.slots));
-                    let cold_ms = None;
-                    self.record_outcome(n, r, AttemptOutcome::HeadReceived { load, cold_ms });
+                    let load = Some(b.load());
+                    let slow_start_ms = None;
+                    self.record_outcome(
+                        n,
+                        r,
+                        AttemptOutcome::HeadReceived {
+                            load,
+                            slow_start_ms,
+                        },
+                    );
                     self.record_outcome(n, r, AttemptOutcome::FirstEvent);
                 }
                 Ev::End(n, r, w) => {
@@ -300,7 +317,7 @@
         let b = &mut self.backs[w as usize];
         b.came.push(now);
         if self.rand.chance(b.away) || b.queue.len() as u32 > 2 * b.slots {
-            let load = Some((b.running, b.queue.len() as u32, b.slots));
+            let load = Some(b.load());
             self.record_outcome(n, r, AttemptOutcome::Rejected(load));
             return self.pick(n, r);
         }
--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -38,7 +38,7 @@
         "{early:?}"
     );
     assert!(last > 29_000 && hits.len() > 100, "{} {last}", hits.len());
-    assert_eq!(t.counts().out, 0);
+    assert_eq!(t.counts().ejected, 0);
 }
 
 #[test]
@@ -48,16 +48,16 @@
         let (r, _) = sent(&mut t, "/webonce/x", now);
         t.record_outcome(r, AttemptOutcome::Failed, now);
         t.finish(r, now);
-        assert!(t.counts().out <= 3);
+        assert!(t.counts().ejected <= 3);
     }
-    assert_eq!(t.counts().out, 3);
+    assert_eq!(t.counts().ejected, 3);
     let mut t = table(usual(), many("web", 6, &[0; 3]));
     for now in 0..60u64 {
         let (r, _) = sent(&mut t, "/webonce/x", now);
         t.record_outcome(r, AttemptOutcome::ConnectFailed, now);
         t.finish(r, now);
     }
-    assert_eq!(t.counts().out, 3);
+    assert_eq!(t.counts().ejected, 3);
     sent(&mut t, "/webonce/x", 61);
 }
 
@@ -65,7 +65,15 @@
 fn a_full_worker_is_left_alone_for_a_while() {
     let mut t = table(usual(), many("web", 6, &[0, 0]));
     let (r, a) = sent(&mut t, "/webonce/x", 1000);
-    t.record_outcome(r, AttemptOutcome::Rejected(Some((6, 24, 6))), 1001);
+    t.record_outcome(
+        r,
+        AttemptOutcome::Rejected(Some(LoadReport {
+            running: 6,
+            waiting: 24,
+            slots: 6,
+        })),
+        1001,
+    );
     let b = go(t.pick(r, 1001));
     assert_ne!(a.name, b.name);
     for now in 1002..1008 {
--- a/sorreldoor/tests/balancer/fuzz.rs
+++ b/sorreldoor/tests/balancer/fuzz.rs
@@ -121,7 +121,7 @@
                             .split
                             .iter()
                             .any(|(v, _)| { h.services[*v as usize].name == w.group }));
-                        assert_eq!(g.left_ms, s.deadline - now);
+                        assert_eq!(g.time_left_ms, s.deadline - now);
                         s.sent += 1;
                         s.tried.push(g.name.clone());
                         s.at = Some(g.name);
@@ -144,12 +144,20 @@
                 let kind = x.below(9);
                 let hs = match kind {
                     0 => AttemptOutcome::HeadReceived {
-                        load: Some((x.below(9) as u32, x.below(3) as u32, 4)),
-                        cold_ms: Some(x.below(2) * 800),
+                        load: Some(LoadReport {
+                            running: x.below(9) as u32,
+                            waiting: x.below(3) as u32,
+                            slots: 4,
+                        }),
+                        slow_start_ms: Some(x.below(2) * 800),
                     },
                     1 => AttemptOutcome::FirstEvent,
                     2 => AttemptOutcome::Completed(500),
-                    3 => AttemptOutcome::Rejected(Some((4, 2, 4))),
+                    3 => AttemptOutcome::Rejected(Some(LoadReport {
+                        running: 4,
+                        waiting: 2,
+                        slots: 4,
+                    })),
                     4 => AttemptOutcome::Misdirected,
                     5 => AttemptOutcome::ConnectFailed,
                     6 => AttemptOutcome::Failed,
@@ -183,5 +191,5 @@
     t.update_registry(&registry(version + 1, vec![]), now);
     let c = t.counts();
     assert_eq!((c.open, c.waiting, c.workers), (0, 0, 0));
-    assert!(!format!("{t:?}").contains("Spot {"));
+    assert!(!format!("{t:?}").contains("Endpoint {"));
 }
--- a/sorreldoor/tests/balancer/silence.rs
+++ b/sorreldoor/tests/balancer/silence.rs
@@ -13,7 +13,7 @@
 #[test]
 fn what_runs_once_goes_out_only_where_the_worker_is_known_to_be() {
     let (mut t, r, a) = waiting("/webonce/a");
-    assert!(a.fresh, "nothing was ever heard of it");
+    assert!(a.new_connection, "nothing was ever heard of it");
     t.record_outcome(r, AttemptOutcome::Completed(200), 20_050);
     t.finish(r, 20_050);
     let at = |t: &mut Balancer, now: u64| {
@@ -22,7 +22,7 @@
             .find(|(_, g)| g.name == a.name)
             .expect("it gets some of nine");
         t.finish(r, now);
-        g.fresh
+        g.new_connection
     };
     assert!(!at(&mut t.clone(), 20_100), "it has just spoken");
     assert!(at(&mut t, 20_400), "that is long ago");
@@ -32,14 +32,14 @@
 fn a_worker_that_owes_a_word_is_suspect_until_it_speaks() {
     let (mut t, r, a) = waiting("/web/a");
     assert!(
-        !a.fresh,
+        !a.new_connection,
         "what may run twice may go out on a kept connection"
     );
     let hits = |t: &Balancer, now: u64| {
         let mut t = t.clone();
         let all = (0..10).map(|_| sent(&mut t, "/web/b", now).1);
         let at: Vec<Target> = all.filter(|g| g.name == a.name).collect();
-        (at.len(), at.iter().all(|g| g.fresh))
+        (at.len(), at.iter().all(|g| g.new_connection))
     };
     let before = hits(&t, 20_200);
     assert!(before.0 > 2 && !before.1, "{before:?}");
--- a/testbed/src/emul/mod.rs
+++ b/testbed/src/emul/mod.rs
@@ -29,6 +29,7 @@
 use crate::rand::Rand;
 use client::{Ask, ToClient, Try};
 use node::{Node, Send};
+use sorreldoor::balancer::LoadReport;
 use sorreldoor::configuration::hosted::Hosted;
 use sorreldoor::discovery::WorkerRegistry;
 use std::cmp::Reverse;
@@ -47,11 +48,11 @@
 /// What comes from a worker on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Ans {
-    Head((u32, u32, u32)),
+    Head(LoadReport),
     Event(u32),
     /// The whole answer, or the end of the stream.
     End,
-    NotRun((u32, u32, u32)),
+    NotRun(LoadReport),
     Misdirected,
     /// Its own failure, after it ran.
     Fail,
--- a/testbed/src/emul/relay.rs
+++ b/testbed/src/emul/relay.rs
@@ -115,7 +115,7 @@
                 (c.since, c.until) = (now, now.saturating_add(c.gap));
                 let h = AttemptOutcome::HeadReceived {
                     load: Some(l),
-                    cold_ms: None,
+                    slow_start_ms: None,
                 };
                 self.outcome(s.node, s.request_id, h);
                 self.tick(sid);
--- a/testbed/src/emul/simple.rs
+++ b/testbed/src/emul/simple.rs
@@ -147,10 +147,10 @@
                         worker: i as u32,
                         name: w.name,
                         addr: w.addr,
-                        left_ms: h.deadline.saturating_sub(now),
+                        time_left_ms: h.deadline.saturating_sub(now),
                         priority: Some(r.priority),
                         max_conns: 64,
-                        fresh: false,
+                        new_connection: false,
                     })
                 }
             },
@@ -169,8 +169,8 @@
             AttemptOutcome::HeadReceived { load, .. } | AttemptOutcome::Rejected(load) => *load,
             _ => None,
         };
-        if let Some((a, b, _)) = load {
-            s.others = (a + b).saturating_sub(s.mine);
+        if let Some(load) = load {
+            s.others = (load.running + load.waiting).saturating_sub(s.mine);
         }
         if matches!(
             h,
--- a/testbed/src/emul/tally.rs
+++ b/testbed/src/emul/tally.rs
@@ -174,8 +174,12 @@
             w.svc == svc && w.dead.is_none() && w.leaving.is_none()
         };
         let all = (0..self.workers.len()).filter(fit).map(|i| self.load(i));
-        let (run, wait, slots) = all.fold((0, 0, 0), |x, y| (x.0 + y.0, x.1 + y.1, x.2 + y.2));
-        if run * 2 < slots && wait == 0 {
+        let total = all.fold(LoadReport::default(), |sum, load| LoadReport {
+            running: sum.running + load.running,
+            waiting: sum.waiting + load.waiting,
+            slots: sum.slots + load.slots,
+        });
+        if total.running * 2 < total.slots && total.waiting == 0 {
             self.tally.idle_refusals += 1;
             let key = format!("{} {}", c.name, p.code());
             self.tally.why.entry(key).or_default().1 += 1;
--- a/testbed/src/emul/worker.rs
+++ b/testbed/src/emul/worker.rs
@@ -44,11 +44,19 @@
 }
 
 impl World {
-    pub(super) fn load(&self, i: usize) -> (u32, u32, u32) {
+    pub(super) fn load(&self, i: usize) -> LoadReport {
         let w = &self.workers[i];
         match &w.body {
-            Body::Model(e) => (e.running(), e.waiting(), w.slots),
-            Body::Plain { running, queue } => (*running, queue.len() as u32, w.slots),
+            Body::Model(e) => LoadReport {
+                running: e.running(),
+                waiting: e.waiting(),
+                slots: w.slots,
+            },
+            Body::Plain { running, queue } => LoadReport {
+                running: *running,
+                waiting: queue.len() as u32,
+                slots: w.slots,
+            },
         }
     }
 
@@ -110,7 +118,7 @@
             Body::Model(e) => e.too_large(&a.parts, tokens),
             _ => false,
         };
-        if self.workers[i].full > self.now || load.1 >= x.queue || large {
+        if self.workers[i].full > self.now || load.waiting >= x.queue || large {
             return self.reply(sid, Ans::NotRun(load));
         }
         if let Some((k, share, until)) = self.workers[i].spoil {
@@ -276,7 +284,7 @@
         self.plan(i);
     }
 
-    fn head(&mut self, sid: u64, load: (u32, u32, u32)) {
+    fn head(&mut self, sid: u64, load: LoadReport) {
         self.sends[sid as usize].headed = true;
         self.reply(sid, Ans::Head(load));
     }
