--- a/sorreldoor/src/balancer/candidates.rs
+++ b/sorreldoor/src/balancer/candidates.rs
@@ -22,8 +22,8 @@
     pub endpoint: EndpointIndex,
     pub cost: f64,
     pub load: f64,
-    /// Leading prompt parts expected in its prefix cache.
-    pub cached_parts: usize,
+    /// Leading prompt segments expected in its prefix cache.
+    pub cached_segments: usize,
     /// Prompt tokens left for prefill.
     pub prefill_tokens: u32,
 }
--- a/sorreldoor/src/balancer/cost.rs
+++ b/sorreldoor/src/balancer/cost.rs
@@ -55,7 +55,7 @@
         let shared_tokens = request.shared_tokens();
         let last_long_prompt = service.last_long_prompt;
         PromptProfile {
-            tokens: request.part_tokens().max(request.prompt_tokens),
+            tokens: request.segment_tokens().max(request.prompt_tokens),
             shared_tokens,
             prefix_key: request.prefix_key().filter(|_| profile.has_engine),
             long_prefix: profile.has_engine && shared_tokens >= LONG_PREFIX_TOKENS,
@@ -84,8 +84,8 @@
     prefill_tokens: u32,
     /// All nodes prefer this endpoint for the prefix.
     preferred: bool,
-    /// The prompt has parts besides the request's own.
-    has_shared_parts: bool,
+    /// The prompt has segments besides the request's own.
+    has_shared_segments: bool,
     /// Random fraction.
     noise: f64,
 }
@@ -109,13 +109,13 @@
         let now = *now;
         let load = self.expected_load(endpoint, prompt, preferred, now);
         let hit = match profile.has_engine {
-            true => endpoint.prefix_cache.lookup(&request.parts),
+            true => endpoint.prefix_cache.lookup(&request.segments),
             false => Default::default(),
         };
-        let has_shared_parts = request.parts.len() > 1;
-        // other nodes send this prefix there too; a single part may well be the
+        let has_shared_segments = request.segments.len() > 1;
+        // other nodes send this prefix there too; a single segment may well be the
         // request's own, and new
-        let cached_tokens = match preferred && has_shared_parts {
+        let cached_tokens = match preferred && has_shared_segments {
             true => hit.tokens.max(prompt.shared_tokens),
             false => hit.tokens,
         };
@@ -126,7 +126,7 @@
             cached_tokens,
             prefill_tokens: prompt.tokens.saturating_sub(cached_tokens),
             preferred,
-            has_shared_parts,
+            has_shared_segments,
             noise,
         };
         let cost = match profile.has_engine {
@@ -137,7 +137,7 @@
             endpoint: index,
             cost: trial_cost(endpoint, prompt, cost, now),
             load,
-            cached_parts: hit.parts,
+            cached_segments: hit.segments,
             prefill_tokens: match profile.has_engine {
                 true => placement.prefill_tokens,
                 false => 0,
@@ -183,7 +183,7 @@
         let key = prompt.prefix_key;
         let order = key.map_or(0.0, |key| hash::unit(hash::mix(key, endpoint.hash)));
         // the turns of a session meet there, unless it is busy with prefill
-        let reread = match placement.preferred && !placement.has_shared_parts {
+        let reread = match placement.preferred && !placement.has_shared_segments {
             true => reread * 0.5,
             false => reread,
         };
--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -40,7 +40,7 @@
         if let Some(engine) = engine {
             // requests of other nodes fill its memory too
             let capacity = engine.kv_tokens * 6 / 10;
-            endpoint.prefix_cache.insert(&request.parts, capacity);
+            endpoint.prefix_cache.insert(&request.segments, capacity);
         }
         let trial = endpoint.outlier.start_attempt();
         let target = Target {
@@ -61,7 +61,7 @@
         request.attempt = Some(Attempt {
             endpoint: choice.endpoint,
             sent_at: now,
-            cached_parts: choice.cached_parts,
+            cached_segments: choice.cached_segments,
             prefill_tokens: choice.prefill_tokens,
             prefill_done: false,
             trial,
@@ -82,7 +82,7 @@
             budget.record_retry(&self.bounds, now);
             self.counts.retried += 1;
         }
-        let prompt_tokens = request.part_tokens().max(request.prompt_tokens);
+        let prompt_tokens = request.segment_tokens().max(request.prompt_tokens);
         let cached_tokens = prompt_tokens.saturating_sub(choice.prefill_tokens);
         self.counts.prefill_tokens += u64::from(choice.prefill_tokens);
         self.counts.cached_tokens += u64::from(cached_tokens);
--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -36,7 +36,7 @@
             client_timeout_ms: metadata.deadline_ms,
             deadline: deadline(route, metadata.deadline_ms, arrived_at),
             prompt_tokens: metadata.tokens_in,
-            parts: metadata.parts.into(),
+            segments: metadata.prompt_segments.into(),
             route: Some(route_index),
             generation: self.generation,
             split_draw: self.rng.next(),
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -75,7 +75,7 @@
         now: Millis,
     ) {
         self.record_head(attempt.endpoint, load, None, now);
-        self.forget_cached_parts(request_id, attempt);
+        self.forget_cached_segments(request_id, attempt);
         self.close_attempt(request_id, true);
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             endpoint.overloaded_until = now + OVERLOAD_BACKOFF;
@@ -86,7 +86,7 @@
     }
 
     fn attempt_misdirected(&mut self, request_id: RequestId, attempt: Attempt) {
-        self.forget_cached_parts(request_id, attempt);
+        self.forget_cached_segments(request_id, attempt);
         self.close_attempt(request_id, true);
         let version = self.registry_version;
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
@@ -98,7 +98,7 @@
     }
 
     fn connect_failed(&mut self, request_id: RequestId, attempt: Attempt, now: Millis) {
-        self.forget_cached_parts(request_id, attempt);
+        self.forget_cached_segments(request_id, attempt);
         self.close_attempt(request_id, false);
         self.cancel_attempt(request_id, attempt);
         self.record_health(attempt, HealthSignal::ConnectFailure, now);
@@ -151,13 +151,13 @@
     }
 
     /// The endpoint did not read the prompt after all.
-    fn forget_cached_parts(&mut self, request_id: RequestId, attempt: Attempt) {
+    fn forget_cached_segments(&mut self, request_id: RequestId, attempt: Attempt) {
         let Some(request) = self.requests.get(request_id) else {
             return;
         };
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
-            let first = attempt.cached_parts.min(request.parts.len());
-            endpoint.prefix_cache.remove(&request.parts[first..]);
+            let first = attempt.cached_segments.min(request.segments.len());
+            endpoint.prefix_cache.remove(&request.segments[first..]);
         }
     }
 }
--- a/sorreldoor/src/balancer/request_table.rs
+++ b/sorreldoor/src/balancer/request_table.rs
@@ -6,7 +6,7 @@
 use super::RequestId;
 use crate::error::ErrorCode;
 use crate::proxy::attempt::RequestProgress;
-use crate::proxy::Part;
+use crate::proxy::PromptSegment;
 use crate::types::Millis;
 
 /// An attempt that has not come to its end.
@@ -14,8 +14,8 @@
 pub(super) struct Attempt {
     pub endpoint: EndpointIndex,
     pub sent_at: Millis,
-    /// Leading prompt parts that were expected in the endpoint's prefix cache.
-    pub cached_parts: usize,
+    /// Leading prompt segments that were expected in the endpoint's prefix cache.
+    pub cached_segments: usize,
     /// Prompt tokens left for prefill.
     pub prefill_tokens: u32,
     pub prefill_done: bool,
@@ -33,7 +33,7 @@
     pub arrived_at: Millis,
     /// How long the client waits from arrival on, in milliseconds.
     pub client_timeout_ms: Option<u64>,
-    pub parts: Box<[Part]>,
+    pub segments: Box<[PromptSegment]>,
     pub prompt_tokens: u32,
     /// Index of the route in the configuration of `generation`.
     pub route: Option<u32>,
@@ -56,28 +56,31 @@
 }
 
 impl Request {
-    /// Prompt parts that other requests may share: all but the last, which is
-    /// the request's own or its session's; a single part may be a session's.
-    pub fn shared_parts(&self) -> &[Part] {
-        match self.parts.len() {
-            count if count > 1 => &self.parts[..count - 1],
-            _ => &self.parts,
+    /// Prompt segments that other requests may share: all but the last, which is
+    /// the request's own or its session's; a single segment may be a session's.
+    pub fn shared_segments(&self) -> &[PromptSegment] {
+        match self.segments.len() {
+            count if count > 1 => &self.segments[..count - 1],
+            _ => &self.segments,
         }
     }
 
-    /// Tokens in the shared parts.
+    /// Tokens in the shared segments.
     pub fn shared_tokens(&self) -> u32 {
-        self.shared_parts().iter().map(|part| part.tokens).sum()
+        self.shared_segments()
+            .iter()
+            .map(|segment| segment.tokens)
+            .sum()
     }
 
-    /// Tokens in all parts.
-    pub fn part_tokens(&self) -> u32 {
-        self.parts.iter().map(|part| part.tokens).sum()
+    /// Tokens in all segments.
+    pub fn segment_tokens(&self) -> u32 {
+        self.segments.iter().map(|segment| segment.tokens).sum()
     }
 
-    /// The affinity key of the prompt: its last shared part.
+    /// The affinity key of the prompt: its last shared segment.
     pub fn prefix_key(&self) -> Option<u64> {
-        self.shared_parts().last().map(|part| part.id)
+        self.shared_segments().last().map(|segment| segment.id)
     }
 }
 
