--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -65,10 +65,10 @@
             self.record_outcome(request_id, AttemptOutcome::Canceled, now);
         }
         let Some(hosted) = self.hosted.clone() else {
-            return Decision::Reject(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::NotSent, 0);
         };
         let Some(mut request) = self.requests.check_out(request_id) else {
-            return Decision::Reject(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::NotSent, 0);
         };
         self.refresh_route(&mut request, &hosted);
         let route = request.route.and_then(|i| hosted.routes.get(i as usize));
@@ -92,13 +92,13 @@
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
         request.progress.on(Event::ConfigurationChanged(kind));
         if !request.progress.may_send_again() {
-            return self.reject(request, ErrorCode::Leaving, now);
+            return self.reject(request, ErrorCode::ShuttingDown, now);
         }
         let Some(route) = route else {
             return Decision::Reject(ErrorCode::UnknownRoute, 0);
         };
         if request.deadline < now + MIN_TIME_LEFT {
-            return self.reject(request, ErrorCode::GivenUp, now);
+            return self.reject(request, ErrorCode::NotSent, now);
         }
         let last_error = request.last_error.unwrap_or(ErrorCode::NoWorker);
         if request.attempts >= route.attempts.max(1) {
@@ -182,15 +182,15 @@
     fn reject(&mut self, request: &Request, error: ErrorCode, now: Millis) -> Decision {
         let error = match request.progress.client_answer() {
             ClientAnswer::Refused => error,
-            ClientAnswer::GatewayTimeout => ErrorCode::DeadlinePassed,
-            _ if request.progress.may_run_twice() => ErrorCode::WorkerBroke,
+            ClientAnswer::GatewayTimeout => ErrorCode::DeadlineExceeded,
+            _ if request.progress.may_run_twice() => ErrorCode::WorkerDisconnected,
             _ => ErrorCode::OutcomeUnknown,
         };
         // clients wait for up to a third of the time that they have left
         let max_wait = request.deadline.saturating_sub(now) / 3;
         let range = (MAX_RETRY_AFTER - MIN_RETRY_AFTER) as f64;
         let retry_after = MIN_RETRY_AFTER + (self.rng.unit() * range) as Millis;
-        match error.again() {
+        match error.is_retryable() {
             true => Decision::Reject(error, retry_after.min(max_wait)),
             false => Decision::Reject(error, 0),
         }
--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -33,7 +33,7 @@
         let engine = config.and_then(|config| config.engine);
         let max_conns = config.map_or(1, |config| config.max_conns);
         let Some(endpoint) = self.endpoints.get_mut(choice.endpoint) else {
-            return Decision::Reject(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::NotSent, 0);
         };
         let new_connection = needs_new_connection(endpoint, route, now);
         endpoint.start_attempt(choice.prefill_tokens, now);
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -48,7 +48,11 @@
             AttemptOutcome::Failed => {
                 self.close_attempt(request_id, true);
                 self.record_health(attempt, HealthSignal::Failure, now);
-                self.end_attempt(request_id, Event::Closed, Some(ErrorCode::WorkerBroke));
+                self.end_attempt(
+                    request_id,
+                    Event::Closed,
+                    Some(ErrorCode::WorkerDisconnected),
+                );
             }
             AttemptOutcome::Canceled => {
                 self.close_attempt(request_id, true);
@@ -92,7 +96,7 @@
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             endpoint.misdirected_at = Some(version);
         }
-        self.end_attempt(request_id, Event::NotRun, Some(ErrorCode::GivenUp));
+        self.end_attempt(request_id, Event::NotRun, Some(ErrorCode::NotSent));
         // the endpoint it was meant for is gone, so no endpoint has had it
         self.uncount_attempt(request_id);
     }
@@ -102,7 +106,7 @@
         self.close_attempt(request_id, false);
         self.cancel_attempt(request_id, attempt);
         self.record_health(attempt, HealthSignal::ConnectFailure, now);
-        self.end_attempt(request_id, Event::ConnectFailed, Some(ErrorCode::GivenUp));
+        self.end_attempt(request_id, Event::ConnectFailed, Some(ErrorCode::NotSent));
     }
 
     fn end_attempt(&mut self, request_id: RequestId, event: Event, error: Option<ErrorCode>) {
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -1,21 +1,21 @@
 //! The status document, from the state of all parts.
 
-use super::super::connections::LIVE_MS;
-use super::super::status::{ClaimsStatus, StatusSources};
 use super::Controller;
-use crate::json::Val;
+use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::status::{ClaimsStatus, StatusSources};
+use crate::json::Value;
 
 impl Controller {
     /// This core's status as JSON.
     #[must_use]
-    pub fn status(&self) -> Val {
+    pub fn status(&self) -> Value {
         let sources = StatusSources {
             me: &self.me,
             site: &self.site,
             leaving: self.leaving,
             quorum: self.reads.quorum(),
             wall_ms: self.wall,
-            membership: &self.membership,
+            policy: &self.membership.policy,
             consensus: self.consensus.as_ref(),
             live_cores: self.live_cores(LIVE_MS).into_keys().collect(),
             claims: ClaimsStatus {
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -4,7 +4,7 @@
 use crate::gateway::request_table::{
     AttemptEvent, Plan, RequestEffect, RequestProfile, RequestSpec, Table,
 };
-use crate::json::Val;
+use crate::json::Value;
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::replicated_state::Command;
@@ -86,7 +86,7 @@
     pub table: Table,
     pub pull: Pull,
     /// The record as last told.
-    pub(super) copy: crate::replicated_state::Copy,
+    pub(super) copy: crate::replicated_state::StateReplica,
     pub(super) looks: Vec<(u64, u64)>,
     pub(super) changes: BTreeMap<u64, Conn>,
     /// Claims given up that the cores have not confirmed: id, and since when.
@@ -157,7 +157,7 @@
             }
             EdgeEvent::Stop => {
                 self.leaving = true;
-                self.log_event(LogEvent::Leaving, "edge");
+                self.log_event(LogEvent::ShuttingDown, "edge");
             }
         }
         if self.pull.lease(self.now) {
@@ -171,17 +171,17 @@
                 }
                 RequestEffect::Release { request_id, id } => self.release(*request_id, id.clone()),
                 RequestEffect::Unknown { id, worker } => {
-                    self.log_event(LogEvent::ErrandUnknown, format!("{id} at {worker}"))
+                    self.log_event(LogEvent::OutcomeUnknown, format!("{id} at {worker}"))
                 }
                 RequestEffect::Bad {
                     id,
                     worker,
                     error_code,
                 } => {
-                    let ev = if *error_code == ErrorCode::StreamBroken {
-                        LogEvent::StreamBroken
+                    let ev = if *error_code == ErrorCode::StreamInterrupted {
+                        LogEvent::StreamInterrupted
                     } else {
-                        LogEvent::ResultBad
+                        LogEvent::WorkerResponseRejected
                     };
                     self.log_event(ev, format!("{id} at {worker}: {}", error_code.code()));
                 }
@@ -222,7 +222,7 @@
     /// Why nothing new is taken in just now.
     fn closed(&self) -> Option<ErrorCode> {
         if self.leaving {
-            return Some(ErrorCode::Leaving);
+            return Some(ErrorCode::ShuttingDown);
         }
         Some(ErrorCode::NoLease).filter(|_| !self.pull.lease(self.now))
     }
@@ -236,7 +236,7 @@
             .ok_or(ErrorCode::NoConfiguration)?;
         Some(())
             .filter(|_| !self.plan.evacuated(self.plan.zone))
-            .ok_or(ErrorCode::Leaving)
+            .ok_or(ErrorCode::ShuttingDown)
     }
 
     pub fn idle(&self) -> bool {
@@ -286,7 +286,7 @@
                 ));
             }
             SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::Woken, s),
+            SubscriptionEffect::Woken(s) => self.log_event(LogEvent::ClockJump, s),
             SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
             SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
         }
@@ -339,7 +339,7 @@
             let route = s.route(&a.route).ok_or(ErrorCode::UnknownRoute)?;
             let home = s.routes[route as usize].home;
             if home && a.home.is_none() {
-                return Err(ErrorCode::BadErrand);
+                return Err(ErrorCode::InvalidRequestField);
             }
             let at = a.home.or(Some(self.plan.region));
             let all = self.plan.edges_for(at, home, &a.key);
@@ -358,7 +358,7 @@
             }
             // only an edge of that region knows what it would do
             let all = self.plan.edges_for(Some(region), true, &a.key);
-            let mut v = Val::object();
+            let mut v = Value::object();
             let _ = v.insert("ask", all.first().cloned().ok_or(ErrorCode::NoWorker)?);
             Ok(v)
         });
--- a/testbed/src/emul/node.rs
+++ b/testbed/src/emul/node.rs
@@ -121,7 +121,7 @@
         let path = format!("/{}/x", c.name);
         let (from, x) = (tr.from, &mut self.nodes[n]);
         match x.policy.begin(&path, asked, now) {
-            Err(p) => self.answer(t, p, 200 * u64::from(p.again())),
+            Err(p) => self.answer(t, p, 200 * u64::from(p.is_retryable())),
             Ok(request_id) => {
                 x.by_try.insert(t, request_id);
                 x.jobs.insert(
@@ -146,9 +146,9 @@
         self.push(at, Ev::Client(t, m));
     }
 
-    pub(super) fn answer(&mut self, t: usize, p: ErrorCode, again: u64) {
+    pub(super) fn answer(&mut self, t: usize, p: ErrorCode, retry_after_ms: u64) {
         self.refusal(t, p);
-        self.to(t, ToClient::Answer(p.status(), again));
+        self.to(t, ToClient::Answer(p.status(), retry_after_ms));
     }
 
     /// The request is over at this node.
@@ -178,13 +178,13 @@
                 let at = self.now + us(ms.max(1) as f64);
                 self.push(at, Ev::Wake(n, life, request_id, no));
             }
-            Decision::Reject(p, again) => {
+            Decision::Reject(p, retry_after_ms) => {
                 let (head, failed) = (j.head_sent, j.failed);
                 self.over(n, request_id);
                 match (head, failed) {
                     (true, _) => self.to(t, ToClient::Cut),
                     (_, true) => self.to(t, ToClient::Answer(500, 0)),
-                    _ => self.answer(t, p, again),
+                    _ => self.answer(t, p, retry_after_ms),
                 }
             }
         }
