--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -1,10 +1,10 @@
 //! Connections and frames: each frame goes to the part that it concerns.
 
 use super::edges::Renewal;
+use super::idempotency_keys::{edge_event, peer_event};
 use super::Controller;
 use crate::consensus::Event;
 use crate::control_plane::events::{ControllerEffect, Requester};
-use crate::control_plane::learn::Page;
 use crate::control_plane::reads::Read;
 use crate::net::{Conn, NetEvent};
 use crate::wire::{Hello, Payload};
@@ -77,26 +77,10 @@
             Payload::SessionReport(report) => self.on_session_report(from.id, report),
             Payload::WorkerRegistry(registry) => self.adopt_worker_list(registry),
             Payload::Loads(loads) => self.adopt_loads(loads),
-            Payload::ClaimVoteRequest { no, claim } => self.on_claim_ask(conn, no, claim),
-            Payload::ClaimVoteReply { no, said } => self.on_claim_ans(from.id, no, said),
-            Payload::Free { id, by } => self.on_free(conn, id, by),
-            Payload::ReleaseAck { by } => self.on_free_done(from.id, by),
-            Payload::ClaimsPageRequest { from: start } => self.on_claims_pull(conn, start),
-            Payload::ClaimsPage {
-                from: start,
-                all,
-                next,
-                end,
-            } => {
-                let page = Page {
-                    from: start,
-                    all,
-                    next,
-                    end,
-                };
-                self.on_claims_page(conn, &from, page)
-            }
-            payload => self.on_edge_frame(conn, payload),
+            payload => match peer_event(conn, &from, payload) {
+                Ok(event) => self.idempotency_event(event),
+                Err(payload) => self.on_edge_frame(conn, payload),
+            },
         }
     }
 
@@ -132,10 +116,11 @@
                     proposal_id,
                 });
             }
-            Payload::Claim { request_id, claim } => self.on_claim(conn, request_id, claim),
-            Payload::Release { request_id, id, by } => self.free_all(&id, by, (conn, request_id)),
-            Payload::Sent { all } => self.on_sent(all),
-            _ => {}
+            payload => {
+                if let Some(event) = edge_event(conn, payload) {
+                    self.idempotency_event(event);
+                }
+            }
         }
     }
 }
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -19,9 +19,9 @@
             consensus: self.consensus.as_ref(),
             live_cores: self.live_cores(LIVE_MS).into_keys().collect(),
             claims: ClaimsStatus {
-                remembered: self.claims.book.count(),
-                capacity: self.claims.book.most(),
-                sure: self.sure(),
+                remembered: self.idempotency.table().len(),
+                capacity: self.idempotency.table().capacity(),
+                can_vote: self.consensus.is_some() && self.idempotency.is_caught_up(),
             },
             edge_sessions: self.sessions.merged(),
             worker_list: &self.worker_list,
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -52,12 +52,12 @@
             Payload::ClaimResult {
                 request_id,
                 id,
-                said,
+                result,
             } => {
                 let result = ClaimResult {
                     request_id,
                     id: &id,
-                    verdict: said,
+                    vote: result,
                 };
                 let lease_valid = self.pull.lease(self.now);
                 self.table
