--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn what_did_not_run_goes_on_within_attempts() {
-    for (h, again) in [
+    for (h, retried) in [
         (AttemptOutcome::Rejected(None), true),
         (AttemptOutcome::Misdirected, true),
         (AttemptOutcome::ConnectFailed, true),
@@ -48,10 +48,10 @@
         let (r, a) = sent(&mut t, "/webonce/x", 20_000);
         t.record_outcome(r, h.clone(), 20_010);
         match t.pick(r, 20_010) {
-            Decision::Send(b) => assert!(again && a.name != b.name, "{h:?}"),
-            p => assert!(!again, "{h:?}: {p:?}"),
+            Decision::Send(b) => assert!(retried && a.name != b.name, "{h:?}"),
+            p => assert!(!retried, "{h:?}: {p:?}"),
         }
-        if !again {
+        if !retried {
             continue;
         }
         t.record_outcome(r, h.clone(), 20_020);
