--- a/sorreldoor/src/error.rs
+++ b/sorreldoor/src/error.rs
@@ -110,7 +110,7 @@
     ChangeNotAccepted "not-taken" 503 true "the change was not accepted and will not be"
         "send it again";
     ChangeOutcomeUnknown "pending-unknown" 504 false "the change may or may not be committed; ask by its proposal id"
-        "`ctl find ID`, then read the configuration";
+        "`ctl ask ID`, then read the configuration";
     OutcomeUnknown "outcome-unknown" 502 false "the request was sent to a worker; whether it ran is not known"
         "check at the service behind before sending it again";
     WorkerDisconnected "worker-broke" 502 true "every attempted worker closed the connection; the request may be repeated"
--- a/sorreldoor/src/invariants.rs
+++ b/sorreldoor/src/invariants.rs
@@ -1,14 +1,17 @@
-//! The rules that must never be broken, each where the code keeps it. Test
-//! builds can break one on purpose, to show that a check sees it; in what is
-//! shipped there is no switch, and every rule holds.
+//! The invariants of the system, for mutation testing: each is named where the
+//! code upholds it. Builds with the feature `mutants` can disable one, to show
+//! that a check notices; shipped builds have no such switch.
 
 macro_rules! invariants {
     ($($rule:ident $name:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+        /// A property that the code upholds, and that a mutant can give up.
         pub enum Invariant { $($rule),* }
 
         impl Invariant {
+            /// All invariants.
             pub const ALL: &'static [Invariant] = &[$(Invariant::$rule),*];
+            /// Its name in `SORRELDOOR_BREAK`.
             pub fn name(self) -> &'static str {
                 match self { $(Invariant::$rule => $name),* }
             }
@@ -56,7 +59,7 @@
     CopiesBounded "copies-bounded";
 }
 
-/// Whether a test has broken this rule.
+/// Whether a test has disabled this invariant.
 #[cfg(not(feature = "mutants"))]
 pub const fn broken(_: Invariant) -> bool {
     false
@@ -73,25 +76,26 @@
 
     thread_local! {
         // tests run side by side, each on a thread of its own
-        static HERE: Cell<Option<Invariant>> = const { Cell::new(None) };
+        static ON_THIS_THREAD: Cell<Option<Invariant>> = const { Cell::new(None) };
     }
 
-    /// Rules that a whole process was started to break.
-    fn told() -> &'static [Invariant] {
-        static TOLD: OnceLock<Vec<Invariant>> = OnceLock::new();
-        TOLD.get_or_init(|| {
+    /// The invariants that this process was started without.
+    fn from_environment() -> &'static [Invariant] {
+        static DISABLED: OnceLock<Vec<Invariant>> = OnceLock::new();
+        DISABLED.get_or_init(|| {
             let names = std::env::var("SORRELDOOR_BREAK").unwrap_or_default();
-            let one = |n: &str| Invariant::ALL.iter().find(|r| r.name() == n).copied();
-            names.split(',').filter_map(one).collect()
+            let by_name = |name: &str| Invariant::ALL.iter().find(|i| i.name() == name).copied();
+            names.split(',').filter_map(by_name).collect()
         })
     }
 
-    pub fn broken(r: Invariant) -> bool {
-        HERE.get() == Some(r) || told().contains(&r)
+    /// Whether a test has disabled this invariant.
+    pub fn broken(invariant: Invariant) -> bool {
+        ON_THIS_THREAD.get() == Some(invariant) || from_environment().contains(&invariant)
     }
 
-    /// From now on, on this thread, this rule is broken, or none is.
-    pub fn break_only(r: Option<Invariant>) {
-        HERE.set(r);
+    /// Disables this invariant on this thread from now on, and no other.
+    pub fn break_only(invariant: Option<Invariant>) {
+        ON_THIS_THREAD.set(invariant);
     }
 }
