--- a/sorreldoor/src/balancer/signs.rs
+++ b/sorreldoor/src/balancer/signs.rs
@@ -2,9 +2,9 @@
 
 use super::health::Sign;
 use super::requests::Sending;
-use super::state::Table;
+use super::state::Balancer;
 use super::RequestId;
-use crate::consensus::Millis;
+use crate::types::Millis;
 
 /// Weight of a new measure among the earlier ones.
 const NEW: f64 = 0.1;
@@ -18,7 +18,7 @@
     *old += NEW * (new - *old);
 }
 
-impl Table {
+impl Balancer {
     /// A worker's head: its load, and how long it stays cold.
     pub(super) fn head(
         &mut self,
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -1,10 +1,10 @@
 //! Updates of the record as edges are sent them: encoded once for all who lack
 //! the same, and never more large ones on their way than links take.
 
-use crate::consensus::Millis;
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
 use crate::replicated_state::ReplicatedState;
+use crate::types::Millis;
 use crate::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::collections::BTreeMap;
 
@@ -95,7 +95,7 @@
             self.encoded.clear();
             self.revision = record.revision();
         }
-        let encode = || EncodedUpdate::new(&record.update_since(from));
+        let encode = || EncodedUpdate::new(&record.delta_since(from));
         self.encoded.entry(from).or_insert_with(encode).clone()
     }
 }
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -4,12 +4,12 @@
 use async_std::io::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use sorreldoor::balancer::{Bounds, Locality, Table};
+use sorreldoor::balancer::{Balancer, Bounds, Locality};
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::proxy::body::*;
 use sorreldoor::proxy::http1::*;
-use sorreldoor::proxy::{accept, Front, Plain, Shared};
+use sorreldoor::proxy::{accept, PlainDialect, ProxyController, SharedState};
 use sorreldoor::runtime::{Clock, Now, SystemClock};
 use sorreldoor::subscription::Pull;
 use sorreldoor::wire::Hello;
@@ -102,10 +102,10 @@
 }
 
 pub async fn worker(me: Stand, acts: Arc<Vec<Act>>, mut c: TcpStream) {
-    let mut b = Buf::default();
+    let mut b = ReadBuffer::default();
     loop {
         let head = loop {
-            match take_request(&mut b, 1 << 16) {
+            match parse_request_head(&mut b, 1 << 16) {
                 Ok(Some(h)) => break h,
                 Ok(None) => {}
                 Err(_) => return,
@@ -206,7 +206,7 @@
 
 pub struct Proxy {
     pub at: SocketAddr,
-    pub sh: Arc<Shared<Plain, Later>>,
+    pub sh: Arc<SharedState<PlainDialect, Later>>,
 }
 
 pub async fn proxy(stands: &[&Stand]) -> Proxy {
@@ -231,10 +231,10 @@
         warmup_excess: 1.5,
         warmup_slack: 5.0,
     };
-    let mut table = Table::new(place, bounds, 7);
+    let mut table = Balancer::new(place, bounds, 7);
     let (s, _) = configuration::read(configuration_text.as_bytes(), &site).unwrap();
-    table.take_nodes(vec![("n1".into(), 0)]);
-    table.take_hosted(s.hosted.unwrap(), 1);
+    table.update_nodes(vec![("n1".into(), 0)]);
+    table.apply_configuration(s.hosted.unwrap(), 1);
     let row = |(i, s): (usize, &&Stand)| Worker {
         name: format!("w{i}"),
         addr: s.addr,
@@ -243,7 +243,7 @@
         ..Worker::blank()
     };
     let workers = stands.iter().enumerate().map(row).collect();
-    table.take_registry(
+    table.update_registry(
         &WorkerRegistry {
             version: 1,
             workers,
@@ -251,11 +251,11 @@
         1,
     );
     let pull = Pull::new(&[], 1000, 0, 0);
-    let mut front = Front::new(Hello::default(), site, pull, table);
+    let mut front = ProxyController::new(Hello::default(), site, pull, table);
     front.now = 1;
-    let sh = Arc::new(Shared::new(
+    let sh = Arc::new(SharedState::new(
         front,
-        Plain,
+        PlainDialect,
         Later::default(),
         Default::default(),
     ));
@@ -276,13 +276,13 @@
 
 pub struct Caller {
     pub s: TcpStream,
-    pub b: Buf,
+    pub b: ReadBuffer,
 }
 
 impl Caller {
     pub async fn new(p: &Proxy) -> Caller {
         let s = TcpStream::connect(p.at).await.unwrap();
-        let b = Buf::default();
+        let b = ReadBuffer::default();
         Caller { s, b }
     }
 
@@ -296,14 +296,14 @@
     pub async fn got(&mut self) -> Option<Got> {
         timeout(LONG, async {
             let head = loop {
-                if let Some(h) = take_answer(&mut self.b).unwrap() {
+                if let Some(h) = parse_response_head(&mut self.b).unwrap() {
                     break h;
                 }
                 if !matches!(self.b.fill(&mut self.s).await, Ok(n) if n > 0) {
                     return None;
                 }
             };
-            let f = head.answer_framing("POST").unwrap();
+            let f = head.response_framing("POST").unwrap();
             let mut d = Decoder::new(f);
             let mut out = Vec::new();
             let whole = loop {
--- a/testbed/src/disk.rs
+++ b/testbed/src/disk.rs
@@ -1,8 +1,9 @@
 //! A simulated disk in virtual time: writes become durable in order after a
 //! sync delay, and a crash loses those that were still pending.
 
-use sorreldoor::consensus::{Millis, Save};
+use sorreldoor::consensus::Save;
 use sorreldoor::store::DurableState;
+use sorreldoor::types::Millis;
 use std::collections::VecDeque;
 
 /// One core's disk: its durable contents and the writes that are pending.
--- a/testbed/src/emul/client.rs
+++ b/testbed/src/emul/client.rs
@@ -2,7 +2,7 @@
 
 use super::mix::{unit, ClassMix};
 use super::*;
-use sorreldoor::proxy::Part;
+use sorreldoor::proxy::PromptSegment;
 
 /// What one caller wants, over all its tries.
 #[derive(Clone, Debug)]
@@ -10,7 +10,7 @@
     pub class: usize,
     pub zone: usize,
     pub at: Us,
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptSegment>,
     pub events: u32,
     /// Events it has, when the first came, the last, and the longest pause.
     pub got: u32,
@@ -39,7 +39,7 @@
     /// It goes on behind this event.
     pub from: u32,
     pub got: u32,
-    pub outcome: Us,
+    pub last_heard: Us,
     pub over: bool,
     pub refused: bool,
     pub sends: u32,
@@ -119,7 +119,7 @@
         self.attempt(i);
     }
 
-    fn parts(&mut self, class: usize, c: &ClassMix) -> Vec<Part> {
+    fn parts(&mut self, class: usize, c: &ClassMix) -> Vec<PromptSegment> {
         let mut out = Vec::new();
         let mut thing = 0u64;
         // the deepest part decides, and those before it hang on it
@@ -134,11 +134,11 @@
             let id = (class as u64 + 1) << 56 | (level as u64 + 1) << 48 | at;
             let mut own = Rand::new(id);
             let tokens = p.tokens.draw(&mut own).max(1.0) as u32;
-            out.push(Part { id, tokens });
+            out.push(PromptSegment { id, tokens });
         }
         let tokens = c.own.draw(&mut self.asking).max(1.0) as u32;
         let id = 1 << 60 | self.asks.len() as u64;
-        out.push(Part { id, tokens });
+        out.push(PromptSegment { id, tokens });
         out
     }
 
@@ -189,7 +189,7 @@
             deadline,
             from,
             got: from,
-            outcome: self.now,
+            last_heard: self.now,
             over: false,
             refused: false,
             sends: 0,
@@ -209,7 +209,7 @@
             "stream" => 2000.max(4 * c.aim_ms).max(8 * c.gap_ms),
             _ => 1 << 32,
         };
-        tr.outcome + us(ms as f64)
+        tr.last_heard + us(ms as f64)
     }
 
     pub(super) fn patience(&mut self, t: usize) {
@@ -252,7 +252,7 @@
         }
         let now = self.now;
         let i = self.tries[t].ask;
-        self.tries[t].outcome = now;
+        self.tries[t].last_heard = now;
         match m {
             ToClient::Event(no, _) => {
                 if no != self.tries[t].got + 1 {
--- a/testbed/src/sim/check.rs
+++ b/testbed/src/sim/check.rs
@@ -1,8 +1,9 @@
 //! What must hold of a run: looked at from outside, entry by entry.
 
 use super::{Act, Done, Sim};
-use sorreldoor::consensus::{NodeId, ProposalId, StateMachine};
+use sorreldoor::consensus::StateMachine;
 use sorreldoor::replicated_state::Outcome;
+use sorreldoor::types::{NodeId, ProposalId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// All that was applied and led, by anybody, ever.
@@ -43,7 +44,7 @@
 fn changes(s: &Sim, w: &mut Vec<String>) {
     let mut won: BTreeMap<u64, ProposalId> = BTreeMap::new();
     for o in &s.ops {
-        let (Act::Change { base }, Done::Got(Outcome::Taken { version })) = (&o.act, &o.done)
+        let (Act::Change { base }, Done::Got(Outcome::Applied { version })) = (&o.act, &o.done)
         else {
             continue;
         };
--- a/testbed/src/site/checker.rs
+++ b/testbed/src/site/checker.rs
@@ -2,8 +2,8 @@
 
 use super::configuration_history;
 use super::{ClientOutcome, World};
-use sorreldoor::consensus::Millis;
 use sorreldoor::replicated_state::Outcome;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
 
@@ -67,7 +67,7 @@
 
 fn acknowledged_changes(world: &World) -> Vec<Acknowledged> {
     let acknowledged = world.changes.iter().filter_map(|change| {
-        let Some(OpOutcome::Got(Outcome::Taken { version })) = &change.outcome else {
+        let Some(OpOutcome::Got(Outcome::Applied { version })) = &change.outcome else {
             return None;
         };
         Some(Acknowledged {
@@ -186,7 +186,7 @@
 fn races(world: &World, violations: &mut Vec<String>) {
     let mut winners: BTreeMap<u64, u64> = BTreeMap::new();
     for change in &world.changes {
-        let Some(OpOutcome::Got(Outcome::Taken { version })) = &change.outcome else {
+        let Some(OpOutcome::Got(Outcome::Applied { version })) = &change.outcome else {
             continue;
         };
         if *version != change.base + 1 {
--- a/testbed/src/site/clients.rs
+++ b/testbed/src/site/clients.rs
@@ -3,10 +3,10 @@
 
 use super::workers::WorkerRequest;
 use super::{ReceivedBody, World};
-use sorreldoor::consensus::Millis;
 use sorreldoor::error::ErrorCode;
 use sorreldoor::gateway::request_table::{RequestProfile, RequestSpec};
 use sorreldoor::gateway::EdgeEvent;
+use sorreldoor::types::Millis;
 
 /// One way between a client and its edge.
 const CLIENT_DELAY_MS: Millis = 1;
--- a/testbed/src/site/clocks.rs
+++ b/testbed/src/site/clocks.rs
@@ -1,8 +1,8 @@
 //! Frozen processes, and what each process' clocks read.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::runtime::Now;
+use sorreldoor::types::Millis;
 
 /// What clocks read as time begins: far from zero, so that one that stopped
 /// never goes below it.
--- a/testbed/src/site/configuration_history.rs
+++ b/testbed/src/site/configuration_history.rs
@@ -5,7 +5,7 @@
 use super::workers::Execution;
 use super::{ForwardedRequest, World};
 use simd_json::prelude::*;
-use sorreldoor::json::{self, Val};
+use sorreldoor::json::{self, Value};
 use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
 use std::cell::RefCell;
@@ -18,20 +18,20 @@
 struct ConfigurationHistory {
     /// The documents that a version may stand for: one, or a few where the
     /// outcome of a change is unknown.
-    candidates: BTreeMap<u64, Vec<Rc<Val>>>,
+    candidates: BTreeMap<u64, Vec<Rc<Value>>>,
     /// Documents that were parsed before, by the address of their text.
-    parsed: RefCell<BTreeMap<usize, Rc<Val>>>,
+    parsed: RefCell<BTreeMap<usize, Rc<Value>>>,
 }
 
 /// JSON merge patch (RFC 7396), independent of the product's.
-fn merge_patch(target: &Val, patch: &Val) -> Val {
+fn merge_patch(target: &Value, patch: &Value) -> Value {
     let Some(fields) = patch.as_object() else {
         return patch.clone();
     };
     let mut merged = if target.is_object() {
         target.clone()
     } else {
-        Val::object()
+        Value::object()
     };
     for (key, value) in fields.iter() {
         if value.is_null() {
@@ -44,15 +44,15 @@
     merged
 }
 
-fn parse(text: &str) -> Option<Val> {
+fn parse(text: &str) -> Option<Value> {
     json::parse(text.as_bytes(), usize::MAX).ok()
 }
 
 /// The document that a command makes of another.
-fn apply(command: &Command, before: &Option<Rc<Val>>) -> Option<Rc<Val>> {
+fn apply(command: &Command, before: &Option<Rc<Value>>) -> Option<Rc<Value>> {
     match command {
-        Command::Put { doc, .. } => parse(doc).map(Rc::new),
-        Command::Edit { patch, .. } => before
+        Command::Put { document, .. } => parse(document).map(Rc::new),
+        Command::MergePatch { patch, .. } => before
             .as_ref()
             .zip(parse(patch))
             .map(|(doc, patch)| Rc::new(merge_patch(doc, &patch))),
@@ -63,7 +63,7 @@
 /// The commands that may have made a version: the acknowledged one, or, if
 /// there is none, all on its base whose outcome is unknown.
 fn commands_for(world: &World, version: u64) -> Vec<&Command> {
-    let committed = OpOutcome::Got(Outcome::Taken { version });
+    let committed = OpOutcome::Got(Outcome::Applied { version });
     let acknowledged: Vec<&Command> = world
         .changes
         .iter()
@@ -84,16 +84,16 @@
 
 impl ConfigurationHistory {
     fn new(world: &World) -> ConfigurationHistory {
-        let mut candidates: BTreeMap<u64, Vec<Rc<Val>>> = BTreeMap::new();
+        let mut candidates: BTreeMap<u64, Vec<Rc<Value>>> = BTreeMap::new();
         let last = world.changes.iter().map(|change| change.base + 1).max();
         for version in 1..=last.unwrap_or(0) {
             let before = candidates.get(&(version - 1)).cloned().unwrap_or_default();
-            let before: Vec<Option<Rc<Val>>> = if before.is_empty() {
+            let before: Vec<Option<Rc<Value>>> = if before.is_empty() {
                 vec![None]
             } else {
                 before.into_iter().map(Some).collect()
             };
-            let mut documents: Vec<Rc<Val>> = Vec::new();
+            let mut documents: Vec<Rc<Value>> = Vec::new();
             for command in commands_for(world, version) {
                 for document in before.iter().filter_map(|doc| apply(command, doc)) {
                     if !documents.contains(&document) {
@@ -109,7 +109,7 @@
         }
     }
 
-    fn parsed(&self, doc: &Arc<String>) -> Rc<Val> {
+    fn parsed(&self, doc: &Arc<String>) -> Rc<Value> {
         let address = Arc::as_ptr(doc) as usize;
         self.parsed
             .borrow_mut()
@@ -127,7 +127,7 @@
 }
 
 /// A switch of a route that is set in the document.
-fn has_flag(doc: &Val, route: &str, key: &str) -> bool {
+fn has_flag(doc: &Value, route: &str, key: &str) -> bool {
     let route = doc.get("routes").and_then(|routes| routes.get(route));
     let flag = route.and_then(|route| route.get(key));
     flag.and_then(|flag| flag.as_bool()) == Some(true)
@@ -167,7 +167,7 @@
 }
 
 /// Whether a share of the route that takes any traffic has the group.
-fn has_share(doc: &Val, route: &Val, group: &str) -> bool {
+fn has_share(doc: &Value, route: &Value, group: &str) -> bool {
     let Some(shares) = route.get("shares").and_then(|shares| shares.as_object()) else {
         return false;
     };
@@ -186,7 +186,7 @@
 }
 
 /// Whether the document lets a request go where it went.
-fn allows(world: &World, doc: &Val, request: &Destination) -> Result<(), Forbidden> {
+fn allows(world: &World, doc: &Value, request: &Destination) -> Result<(), Forbidden> {
     let Destination {
         route,
         group,
--- a/testbed/src/site/fault_injection.rs
+++ b/testbed/src/site/fault_injection.rs
@@ -2,8 +2,8 @@
 //! clock jumps and dead workers, each for a while; and healing them all.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::Millis;
 
 /// Which faults are injected, and how often.
 #[derive(Clone, Copy, Debug)]
@@ -195,7 +195,7 @@
         if let Some(base) = version {
             self.change(
                 process,
-                Command::Zone {
+                Command::EvacuateZone {
                     base,
                     zone,
                     evacuated,
--- a/testbed/src/site/linearizability.rs
+++ b/testbed/src/site/linearizability.rs
@@ -7,7 +7,7 @@
 //! before every remaining one had ended; states that failed before are not
 //! searched again.
 
-use sorreldoor::consensus::{Millis, ProposalId};
+use sorreldoor::types::{Millis, ProposalId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What was called.
--- a/testbed/src/site/network.rs
+++ b/testbed/src/site/network.rs
@@ -3,8 +3,8 @@
 //! and delivered if the link heals before the connection times out.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::net::NetEvent;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::Payload;
 use std::collections::btree_map::Entry;
 use std::net::SocketAddr;
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -1,10 +1,10 @@
 //! Operators: changes submitted to any process, and their outcomes.
 
 use super::{Change, Read, World};
-use sorreldoor::consensus::ProposalId;
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::gateway::EdgeEvent;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::ProposalId;
 use sorreldoor::wire::OpOutcome;
 use std::sync::Arc;
 
@@ -105,10 +105,10 @@
 /// (true) or readmits.
 fn base_and_zone(cmd: &Command) -> (u64, Option<(u16, bool)>) {
     match cmd {
-        Command::Put { base, .. } | Command::Edit { base, .. } => (*base, None),
-        Command::Items { base, .. } => (*base, None),
-        Command::Evacuate { zone, evacuated } => (0, Some((*zone, *evacuated))),
-        Command::Zone {
+        Command::Put { base, .. } | Command::MergePatch { base, .. } => (*base, None),
+        Command::ChangeItems { base, .. } => (*base, None),
+        Command::EvacuateUnversioned { zone, evacuated } => (0, Some((*zone, *evacuated))),
+        Command::EvacuateZone {
             base,
             zone,
             evacuated,
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -1,7 +1,7 @@
 //! Steps of the processes' reducers, and what their effects do to the world.
 
 use super::{LogRecord, Role, World};
-use sorreldoor::consensus::{Millis, Save};
+use sorreldoor::consensus::Save;
 use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent};
 use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
@@ -9,6 +9,7 @@
 use sorreldoor::net::NetEvent;
 use sorreldoor::replicated_state::{decode, encode};
 use sorreldoor::runtime::Reducer;
+use sorreldoor::types::Millis;
 
 /// How long the platform takes to answer for the list of workers.
 const REGISTRY_READ_MS: Millis = 20;
@@ -76,14 +77,17 @@
             ControllerEffect::Connect(addr) => self.connect(process, addr),
             ControllerEffect::Disconnect(addr) => self.disconnect(process, addr),
             ControllerEffect::Close(conn) => self.close(conn),
-            ControllerEffect::Done(request_id, outcome) => self.changed(request_id, outcome),
-            ControllerEffect::Viewed(request_id, ok) => {
-                self.record_read(process, request_id, ok);
-                self.viewed(process, request_id, ok);
+            ControllerEffect::ChangeDone {
+                request_id,
+                outcome,
+            } => self.changed(request_id, outcome),
+            ControllerEffect::ViewReady { request_id, proved } => {
+                self.record_read(process, request_id, proved);
+                self.viewed(process, request_id, proved);
             }
-            ControllerEffect::Looked(..) => {}
-            ControllerEffect::AskRegistry => self.read_registry(process),
-            ControllerEffect::AskLoads(epoch, workers) => {
+            ControllerEffect::StatusReady { .. } => {}
+            ControllerEffect::ReadWorkerList => self.read_registry(process),
+            ControllerEffect::PollLoads { epoch, workers } => {
                 let names = workers.into_iter().map(|worker| worker.0).collect();
                 self.check_workers(process, epoch, names);
             }
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -3,12 +3,13 @@
 use super::worker_requests::Attempt;
 use super::{Action, World};
 use crate::disk::Disk;
-use sorreldoor::consensus::{Member, Millis};
+use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::Policy;
 use sorreldoor::control_plane::{Controller, ControllerEvent, Start};
 use sorreldoor::gateway::request_table::Plan;
 use sorreldoor::gateway::{EdgeController, EdgeEvent};
 use sorreldoor::subscription::Pull;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::Hello;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/testbed/src/site/proposals.rs
+++ b/testbed/src/site/proposals.rs
@@ -4,9 +4,9 @@
 
 use super::linearizability::{Answer, Call, Operation};
 use super::World;
-use sorreldoor::consensus::{Millis, ProposalId};
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::replicated_state::{Command, Outcome};
+use sorreldoor::types::{Millis, ProposalId};
 use sorreldoor::wire::OpOutcome;
 
 /// How many proposals operators have in flight at once.
@@ -93,7 +93,7 @@
             .filter_map(|attempt| attempt.answer.as_ref());
         let (mut committed, mut rejected) = (0, 0);
         for (_, outcome) in all.clone() {
-            committed += usize::from(matches!(outcome, OpOutcome::Got(Outcome::Taken { .. })));
+            committed += usize::from(matches!(outcome, OpOutcome::Got(Outcome::Applied { .. })));
             rejected += usize::from(matches!(outcome, OpOutcome::Got(Outcome::Stale { .. })));
         }
         (
@@ -123,10 +123,10 @@
             .answer
             .as_ref()
             .and_then(|(at, outcome)| match outcome {
-                OpOutcome::Got(Outcome::Taken { version }) => {
+                OpOutcome::Got(Outcome::Applied { version }) => {
                     Some((*at, Answer::Committed(*version)))
                 }
-                OpOutcome::Got(Outcome::Stale { .. } | Outcome::Bad { .. }) => {
+                OpOutcome::Got(Outcome::Stale { .. } | Outcome::Invalid { .. }) => {
                     Some((*at, Answer::Rejected))
                 }
                 _ => None,
@@ -200,7 +200,11 @@
             base,
             version,
             marker,
-            cmd: Command::Put { base, to, doc },
+            cmd: Command::Put {
+                base,
+                new_version: to,
+                document: doc,
+            },
             proposed_at: self.now,
             done: false,
         });
@@ -277,7 +281,7 @@
         let attempt = &mut self.proposals.attempts[index];
         attempt.answer = Some((now, outcome.clone()));
         let process = attempt.process;
-        let committed = matches!(outcome, OpOutcome::Got(Outcome::Taken { .. }));
+        let committed = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
         if committed && self.processes[process].core && self.rng.chance(self.operator_faults.killed)
         {
             // it dies as it acknowledges; the answer may or may not get out
@@ -308,7 +312,7 @@
         };
         let proposal = self.proposals.attempts[attempt].proposal;
         match outcome {
-            Outcome::Taken { version } => {
+            Outcome::Applied { version } => {
                 self.proposals.known = self.proposals.known.max(version);
                 if self.rng.chance(self.operator_faults.repeated) {
                     let later = self.rng.below(8000);
@@ -316,7 +320,7 @@
                 }
             }
             Outcome::Stale { version } => self.proposals.known = self.proposals.known.max(version),
-            Outcome::Bad { .. } => {}
+            Outcome::Invalid { .. } => {}
             _ => return,
         }
         self.proposals.attempts[attempt].acknowledged = true;
--- a/testbed/src/site/random_configuration.rs
+++ b/testbed/src/site/random_configuration.rs
@@ -3,8 +3,8 @@
 
 use super::World;
 use crate::rand::Rand;
-use sorreldoor::consensus::Millis;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::Millis;
 
 /// How often, in percent, another operator races a change.
 const RIVAL_PERCENT: u64 = 25;
@@ -165,8 +165,8 @@
             let doc = self.random_marked_document();
             let rival = Command::Put {
                 base,
-                to: None,
-                doc,
+                new_version: None,
+                document: doc,
             };
             self.change(rival_process, rival);
         }
@@ -187,15 +187,15 @@
         match self.rng.below(10) {
             0 | 1 => Command::Put {
                 base,
-                to: None,
-                doc: corrupted(&mut self.rng, &doc),
+                new_version: None,
+                document: corrupted(&mut self.rng, &doc),
             },
             2..=5 => Command::Put {
                 base,
-                to: None,
-                doc,
+                new_version: None,
+                document: doc,
             },
-            _ => Command::Edit {
+            _ => Command::MergePatch {
                 base,
                 patch: random_patch(&mut self.rng, marker),
             },
--- a/testbed/src/site/records.rs
+++ b/testbed/src/site/records.rs
@@ -1,8 +1,8 @@
 //! What a run records for the checker and the tests.
 
-use sorreldoor::consensus::Millis;
 use sorreldoor::log_events::LogEvent;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::OpOutcome;
 use std::sync::Arc;
 
--- a/testbed/src/site/startup.rs
+++ b/testbed/src/site/startup.rs
@@ -2,8 +2,8 @@
 
 use super::World;
 use crate::fleet::{configuration, SitePreset};
-use sorreldoor::consensus::Millis;
 use sorreldoor::replicated_state::Command;
+use sorreldoor::types::Millis;
 
 const BOOTSTRAP_MS: Millis = 20_000;
 const FIRST_CHANGE_MS: Millis = 10_000;
@@ -43,8 +43,8 @@
         assert!(founded, "seed {seed}: the site is founded");
         let command = Command::Put {
             base: 0,
-            to: None,
-            doc: doc.to_string(),
+            new_version: None,
+            document: doc.to_string(),
         };
         let change = world.change(world.cores()[0], command);
         world.run_until(world.now + FIRST_CHANGE_MS, |world| {
--- a/testbed/src/site/traffic.rs
+++ b/testbed/src/site/traffic.rs
@@ -1,7 +1,7 @@
 //! Generated traffic: the mix of a deployment's requests at a given rate.
 
 use super::World;
-use sorreldoor::consensus::Millis;
+use sorreldoor::types::Millis;
 
 /// How many prefix keys the requests of a mix share.
 const PREFIX_KEYS: u64 = 24;
--- a/testbed/src/site/worker_execution.rs
+++ b/testbed/src/site/worker_execution.rs
@@ -3,8 +3,8 @@
 
 use super::workers::{Execution, WorkerRequest};
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::gateway::request_table::AttemptEvent;
+use sorreldoor::types::Millis;
 
 /// Between the last event of a stream and its end.
 const STREAM_END_MS: Millis = 2;
--- a/testbed/src/site/worker_requests.rs
+++ b/testbed/src/site/worker_requests.rs
@@ -3,10 +3,10 @@
 
 use super::workers::{worker_at, WorkerRequest};
 use super::{ForwardedRequest, World};
-use sorreldoor::consensus::Millis;
 use sorreldoor::error::ErrorCode;
 use sorreldoor::gateway::request_table::{AttemptEvent, RequestEffect};
 use sorreldoor::gateway::EdgeEvent;
+use sorreldoor::types::Millis;
 
 /// How long an edge waits for a connection to an unreachable worker.
 const CONNECT_TIMEOUT_MS: Millis = 800;
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -2,10 +2,10 @@
 //! execution that began.
 
 use super::World;
-use sorreldoor::consensus::Millis;
 use sorreldoor::discovery::{Load, Worker};
 use sorreldoor::error::ErrorCode;
 use sorreldoor::gateway::request_table::AttemptEvent;
+use sorreldoor::types::Millis;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -3,8 +3,9 @@
 //! back, and none of it loses what was acknowledged.
 
 use super::*;
-use sorreldoor::consensus::{Member, Millis};
+use sorreldoor::consensus::Member;
 use sorreldoor::replicated_state::Outcome;
+use sorreldoor::types::Millis;
 use sorreldoor::wire::OpOutcome;
 use std::net::SocketAddr;
 use testbed::site::FaultMix;
@@ -83,7 +84,7 @@
     let c = world.change(at, replacement(base, doc));
     let end = world.now + 10_000;
     world.run_until(end, |world| world.changes[c].outcome.is_some());
-    let taken = Outcome::Taken { version: base + 1 };
+    let taken = Outcome::Applied { version: base + 1 };
     world.changes[c].outcome == Some(OpOutcome::Got(taken))
 }
 
--- a/testbed/tests/site/linearizability.rs
+++ b/testbed/tests/site/linearizability.rs
@@ -194,7 +194,7 @@
         .into_iter()
         .filter(|c| *c != isolated)
         .collect();
-    let compare_and_set = |evacuated| Command::Evacuate { zone: 0, evacuated };
+    let compare_and_set = |evacuated| Command::EvacuateUnversioned { zone: 0, evacuated };
     for other in &others {
         world.partition_pair(isolated, *other);
     }
@@ -206,7 +206,7 @@
         let done = world.run_until(end, |world| world.changes[c].outcome.is_some());
         let committed = matches!(
             world.changes[c].outcome,
-            Some(OpOutcome::Got(Outcome::Taken { .. }))
+            Some(OpOutcome::Got(Outcome::Applied { .. }))
         );
         assert!(
             done && committed,
--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -4,8 +4,8 @@
 
 use super::configurations::configuration_changes;
 use super::*;
-use sorreldoor::consensus::Millis;
 use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::types::Millis;
 use testbed::site::FaultMix;
 
 type Run = fn(u64) -> World;
@@ -319,7 +319,7 @@
     let mut world = ready_world(1);
     let at = world.edges()[0];
     let c = world.change(at, zone_change(8, 0, false));
-    world.changes[c].outcome = Some(OpOutcome::Got(Outcome::Taken { version: 9 }));
+    world.changes[c].outcome = Some(OpOutcome::Got(Outcome::Applied { version: 9 }));
     assert!(world
         .lost_acknowledged_changes()
         .iter()
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -96,7 +96,7 @@
     let on = |c: &usize| {
         world
             .controller(*c)
-            .is_some_and(|controller| controller.on_duty())
+            .is_some_and(|controller| controller.holds_singleton_role())
     };
     world.cores().into_iter().find(on)
 }
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -3,8 +3,8 @@
 
 use super::growth::{all_members_settled, grown, ids, members, voters};
 use super::*;
-use sorreldoor::consensus::Millis;
 use sorreldoor::control_plane::ControllerEvent;
+use sorreldoor::types::Millis;
 
 /// What a new machine has to get ready, on small sites.
 const SYNC_MS: Millis = 4000;
--- a/testbed/tests/site/restarts.rs
+++ b/testbed/tests/site/restarts.rs
@@ -2,7 +2,7 @@
 //! older records too, and nothing an edge has had is ever undone.
 
 use super::*;
-use sorreldoor::consensus::Millis;
+use sorreldoor::types::Millis;
 
 /// As on machines where bytes and calls are dear.
 fn frugal_world(seed: u64) -> World {
--- a/testbed/tests/site/support.rs
+++ b/testbed/tests/site/support.rs
@@ -53,7 +53,7 @@
 
 /// The change that evacuates a zone or readmits it.
 pub fn zone_change(base: u64, zone: u16, evacuated: bool) -> Command {
-    Command::Zone {
+    Command::EvacuateZone {
         base,
         zone,
         evacuated,
@@ -64,15 +64,15 @@
 pub fn replacement(base: u64, doc: String) -> Command {
     Command::Put {
         base,
-        to: None,
-        doc,
+        new_version: None,
+        document: doc,
     }
 }
 
 /// Whether a change of the world was acknowledged.
 pub fn was_committed(world: &World, change: usize) -> bool {
     let outcome = &world.changes[change].outcome;
-    matches!(outcome, Some(OpOutcome::Got(Outcome::Taken { .. })))
+    matches!(outcome, Some(OpOutcome::Got(Outcome::Applied { .. })))
 }
 
 /// The newest version that any core has applied.
--- a/testbed/tests/site/zones.rs
+++ b/testbed/tests/site/zones.rs
@@ -176,7 +176,7 @@
             }
             1 => {
                 let patch = r#"{"retry":{"percent":7}}"#.to_string();
-                Command::Edit { base: 1, patch }
+                Command::MergePatch { base: 1, patch }
             }
             _ => {
                 let (zone, evacuated) = (world.rng.below(3) as u16, true);
