--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -16,8 +16,7 @@
     pub fn version_at(&self, process: usize) -> Option<u64> {
         match (self.controller(process), self.edge_controller(process)) {
             (Some(controller), _) => controller
-                .consensus
-                .as_ref()
+                .consensus()
                 .map(|consensus| consensus.machine().version()),
             (_, Some(controller)) => Some(controller.plan.shown.view.version),
             _ => None,
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -88,10 +88,10 @@
             ControllerEffect::StatusReady { .. } => {}
             ControllerEffect::ReadWorkerList => self.read_registry(process),
             ControllerEffect::PollLoads { epoch, workers } => {
-                let names = workers.into_iter().map(|worker| worker.0).collect();
+                let names = workers.into_iter().map(|worker| worker.name).collect();
                 self.check_workers(process, epoch, names);
             }
-            ControllerEffect::Say(event, message) => self.log(process, event, message),
+            ControllerEffect::Log(event, message) => self.log(process, event, message),
         }
     }
 
@@ -183,7 +183,7 @@
     pub fn leader(&self) -> Option<usize> {
         self.cores().into_iter().find(|core| {
             self.controller(*core)
-                .and_then(|controller| controller.consensus.as_ref())
+                .and_then(|controller| controller.consensus())
                 .is_some_and(|consensus| consensus.leads_globally())
         })
     }
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -5,7 +5,7 @@
 use crate::disk::Disk;
 use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::Policy;
-use sorreldoor::control_plane::{Controller, ControllerEvent, Start};
+use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEvent};
 use sorreldoor::gateway::request_table::Plan;
 use sorreldoor::gateway::{EdgeController, EdgeEvent};
 use sorreldoor::subscription::Pull;
@@ -173,12 +173,12 @@
         let state = &mut self.processes[process];
         state.disk.open();
         let stored = Some(&state.disk.durable).filter(|stored| !stored.blank());
-        let start = Start {
+        let config = ControllerConfig {
             me,
             site: self.site.clone(),
             seeds: (0..SEED_CORES).map(seed_address).collect(),
             cores: usize::from(SEED_CORES),
-            members: Policy::tolerating(self.tolerate, 1, self.replace_ms),
+            membership: Policy::tolerating(self.tolerate, 1, self.replace_ms),
             timing,
             seed,
             promise: state.promise.clone(),
@@ -187,9 +187,9 @@
             bootstrap: state.bootstrap,
             grow: self.grow,
             pacing: self.pacing.clone(),
-            poll_ms: self.singleton_poll_ms,
+            worker_poll_ms: self.singleton_poll_ms,
         };
-        Controller::new(start, stored.map(|stored| stored.kept()), now)
+        Controller::new(config, stored.map(|stored| stored.kept()), now)
     }
 
     fn new_edge_controller(&self, process: usize, me: Hello) -> EdgeController {
--- a/testbed/src/site/proposals.rs
+++ b/testbed/src/site/proposals.rs
@@ -337,7 +337,7 @@
         });
         let incarnation = self.processes[process].incarnation;
         self.deliver_to_process(process, incarnation, move |world| {
-            world.core_step(process, ControllerEvent::View { request_id })
+            world.core_step(process, ControllerEvent::ReadView { request_id })
         });
     }
 
@@ -345,7 +345,7 @@
     pub(crate) fn viewed(&mut self, process: usize, request_id: u64, ok: bool) {
         let record = self
             .controller(process)
-            .and_then(|controller| controller.consensus.as_ref());
+            .and_then(|controller| controller.consensus());
         let Some(record) = record.map(|consensus| consensus.machine()).filter(|_| ok) else {
             return;
         };
--- a/testbed/src/site/startup.rs
+++ b/testbed/src/site/startup.rs
@@ -61,7 +61,7 @@
     fn is_founded(&self) -> bool {
         let has_joined = |core: &usize| {
             let controller = self.controller(*core);
-            controller.is_some_and(|controller| controller.consensus.is_some())
+            controller.is_some_and(|controller| controller.consensus().is_some())
         };
         self.leader().is_some() && self.cores().iter().all(has_joined)
     }
--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -130,7 +130,7 @@
                 .filter_map(|c| {
                     world
                         .controller(c)
-                        .and_then(|controller| controller.consensus.as_ref())
+                        .and_then(|controller| controller.consensus())
                 })
                 .map(|a| a.machine().version())
                 .max()
@@ -155,7 +155,7 @@
             .into_iter()
             .filter_map(|c| world.controller(c));
         let top = won
-            .filter_map(|controller| controller.consensus.as_ref())
+            .filter_map(|controller| controller.consensus())
             .map(|a| a.machine().version());
         let top = top.max().unwrap_or(0);
         assert!(top > 8, "seed {seed}: operators got on to {top} only");
@@ -177,7 +177,7 @@
             world.after(i * 150, move |world| {
                 let version = world
                     .controller(p)
-                    .and_then(|controller| controller.consensus.as_ref());
+                    .and_then(|controller| controller.consensus());
                 let base = version.map_or(0, |a| a.machine().version());
                 let cmd = zone_change(base, 0, false);
                 world.change(p, cmd);
@@ -188,7 +188,7 @@
         let done = world.run_until(end, |world| {
             world
                 .controller(new)
-                .and_then(|controller| controller.consensus.as_ref())
+                .and_then(|controller| controller.consensus())
                 .is_some_and(|a| {
                     let seats = a.members().iter();
                     let voters: Vec<u64> = seats.filter(|m| m.voter).map(|m| m.id).collect();
--- a/testbed/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -39,7 +39,7 @@
     let seated = world.run_until(end, |world| {
         world
             .controller(b)
-            .and_then(|controller| controller.consensus.as_ref())
+            .and_then(|controller| controller.consensus())
             .is_some_and(|x| {
                 let voters = x.members().iter().filter(|m| m.voter);
                 let ids: Vec<u64> = voters.map(|m| m.id).collect();
--- a/testbed/tests/site/founding.rs
+++ b/testbed/tests/site/founding.rs
@@ -10,7 +10,7 @@
         .filter_map(|c| {
             world
                 .controller(c)
-                .and_then(|controller| controller.consensus.as_ref())
+                .and_then(|controller| controller.consensus())
         })
         .filter(|a| a.members().iter().any(|m| m.voter))
         .map(|a| {
@@ -60,7 +60,7 @@
             .filter(|c| {
                 let a = world
                     .controller(*c)
-                    .and_then(|controller| controller.consensus.as_ref());
+                    .and_then(|controller| controller.consensus());
                 a.is_some_and(|a| a.leads_globally())
             })
             .collect();
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -90,7 +90,7 @@
     let end = world.now + 10_000;
     let all_members_settled = world.run_until(end, |world| {
         let a = world.leader().and_then(|c| world.controller(c));
-        let a = a.and_then(|controller| controller.consensus.as_ref());
+        let a = a.and_then(|controller| controller.consensus());
         a.is_some_and(|a| a.members().iter().filter(|m| m.voter).count() == voters)
     });
     assert!(
--- a/testbed/tests/site/freshness/monitor.rs
+++ b/testbed/tests/site/freshness/monitor.rs
@@ -148,7 +148,7 @@
                 start: world.now,
                 newest,
             });
-            world.core_step(core, ControllerEvent::View { request_id });
+            world.core_step(core, ControllerEvent::ReadView { request_id });
         }
     }
 
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -30,7 +30,7 @@
     let a = world
         .leader()
         .and_then(|c| world.controller(c))
-        .and_then(|controller| controller.consensus.as_ref());
+        .and_then(|controller| controller.consensus());
     a.map_or((Vec::new(), false), |a| {
         (a.members().to_vec(), !a.members_settled())
     })
@@ -226,7 +226,7 @@
         let founded = |c: &usize| {
             world
                 .controller(*c)
-                .is_some_and(|controller| controller.consensus.is_some())
+                .is_some_and(|controller| controller.consensus().is_some())
         };
         assert!(!world.cores().iter().any(founded), "seed {seed}");
     }
@@ -252,7 +252,7 @@
         let founded = |c: &usize| {
             world
                 .controller(*c)
-                .is_some_and(|controller| controller.consensus.is_some())
+                .is_some_and(|controller| controller.consensus().is_some())
         };
         assert!(!world.cores().iter().any(founded), "seed {seed}");
     }
--- a/testbed/tests/site/linearizability.rs
+++ b/testbed/tests/site/linearizability.rs
@@ -223,7 +223,7 @@
         .cores()
         .into_iter()
         .filter_map(|c| world.controller(c));
-    let records = cores.filter_map(|c| c.consensus.as_ref());
+    let records = cores.filter_map(|c| c.consensus());
     records
         .into_iter()
         .any(|answer| answer.machine().evacuated(0))
--- a/testbed/tests/site/loads.rs
+++ b/testbed/tests/site/loads.rs
@@ -53,7 +53,7 @@
         world.run_for(200);
         let a = world
             .controller(world.cores()[0])
-            .and_then(|controller| controller.consensus.as_ref());
+            .and_then(|controller| controller.consensus());
         let v = a.map(|a| a.machine().view()).unwrap_or_default();
         let s = a
             .and_then(|a| a.machine().configuration().cloned())
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -20,7 +20,7 @@
         let has = |c: &usize| {
             world
                 .controller(*c)
-                .is_some_and(|controller| controller.consensus.is_some())
+                .is_some_and(|controller| controller.consensus().is_some())
         };
         all_members_settled(world) && world.cores().iter().all(has)
     };
