--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -33,14 +33,14 @@
             self.distribution.closed(stale);
             self.out.push(ControllerEffect::Close(stale));
         }
-        self.log_event(LogEvent::NodeJoined, node);
+        self.log_event(LogEvent::EdgeConnected, node);
         self.sessions_changed();
     }
 
     pub(super) fn end_session(&mut self, conn: Conn) {
         self.distribution.closed(conn);
         if let Some(session) = self.sessions.end(conn) {
-            self.log_event(LogEvent::NodeLost, session.hello.node);
+            self.log_event(LogEvent::EdgeDisconnected, session.hello.node);
             self.sessions_changed();
         }
     }
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -6,6 +6,7 @@
 mod consensus;
 mod edges;
 mod frames;
+mod idempotency_keys;
 mod membership;
 mod reads;
 mod singleton;
@@ -16,6 +17,7 @@
 use super::connections::{Connections, LIVE_MS, REACHABLE_MS};
 use super::distribution::Distribution;
 use super::events::{ControllerEffect, ControllerEvent, Requester};
+use super::idempotency::{self, Idempotency};
 use super::load_table::LoadTable;
 use super::membership::Membership;
 use super::proposals::{IdSequence, Proposals};
@@ -61,7 +63,7 @@
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) peer_addresses: BTreeSet<SocketAddr>,
     pub(super) connections: Connections,
-    pub(super) claims: super::claims::Claims,
+    idempotency: Idempotency,
     membership: Membership,
     sessions: Sessions,
     distribution: Distribution,
@@ -168,7 +170,7 @@
 
     fn on_saved(&mut self, seq: u64) {
         self.agreed(Event::Saved { seq });
-        self.claims_saved(seq);
+        self.idempotency_event(idempotency::Event::Synced { seq });
     }
 
     fn on_save_failed(&mut self, error: String) {
@@ -177,7 +179,7 @@
     }
 
     fn on_save_recovered(&mut self) {
-        self.log_event(LogEvent::DiskRecovered, "taking part again");
+        self.log_event(LogEvent::DiskRecovered, "participating again");
         self.agreed(Event::SaveRecovered);
     }
 
@@ -223,7 +225,7 @@
         }
         self.read_first_worker_list();
         self.tick_sessions();
-        self.tick_claims();
+        self.tick_idempotency();
         self.send_heartbeats();
     }
 
--- a/sorreldoor/src/control_plane/mod.rs
+++ b/sorreldoor/src/control_plane/mod.rs
@@ -11,6 +11,7 @@
 //! | `distribution`, `updates` | deltas to edges, and large updates in flight |
 //! | `reads` | linearizable reads that wait for a proof of leadership |
 //! | `proposals` | who waits for the outcome of a change; ids |
+//! | `idempotency` | claims on request ids: the claim table, votes, catch-up |
 //! | `membership` | the policy of voters, and which cores are stopping |
 //! | `singleton` | the singleton role: polls, regions, weight tuning |
 //! | `worker_list`, `load_table` | the list of workers, and their loads |
@@ -20,8 +21,6 @@
 //! handle of other tasks, and `api` serves operators over HTTP.
 
 mod api;
-pub mod book;
-mod claims;
 mod client;
 mod connections;
 mod controller;
@@ -29,8 +28,8 @@
 mod distribution;
 mod events;
 mod founding;
+pub mod idempotency;
 mod integration;
-mod learn;
 mod load_table;
 pub mod membership;
 mod polling;
@@ -45,11 +44,11 @@
 pub mod worker_list;
 
 pub use api::{Api, HttpOperatorServer};
-pub use book::KEEP_MS;
 pub use client::{ControllerClient, ControllerReply, PendingRequests, StateSnapshot};
 pub use controller::Controller;
 pub use daemon::{run, run_by, run_with};
 pub use events::{ControllerConfig, ControllerEffect, ControllerEvent, Requester, WorkerAddress};
+pub use idempotency::RETENTION_MS;
 pub use integration::{bind, BoxFuture, HttpWorkerSource, OperatorServer, WorkerSource};
 pub use sessions::EndpointList;
 pub use start_error::StartError;
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -164,7 +164,7 @@
     if exchange.time_left() > 0 || delivery.head_sent {
         return outcome;
     }
-    let keep_alive = client.answer(ErrorCode::DeadlinePassed, 0).await;
+    let keep_alive = client.answer(ErrorCode::DeadlineExceeded, 0).await;
     Outcome::Finished { keep_alive }
 }
 
@@ -209,8 +209,11 @@
         }
         ResponseClass::Own(framing) => {
             exchange.progressed(Event::HeadReceived);
-            let (load, cold_ms) = (metadata.load, metadata.warmup_remaining_ms);
-            exchange.outcome(AttemptOutcome::HeadReceived { load, cold_ms });
+            let (load, slow_start_ms) = (metadata.load, metadata.warmup_remaining_ms);
+            exchange.outcome(AttemptOutcome::HeadReceived {
+                load,
+                slow_start_ms,
+            });
             deliver(exchange, client, delivery, connection, head, framing).await
         }
     }
--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn what_did_not_run_goes_on_within_attempts() {
-    for (h, again) in [
+    for (h, retried) in [
         (AttemptOutcome::Rejected(None), true),
         (AttemptOutcome::Misdirected, true),
         (AttemptOutcome::ConnectFailed, true),
@@ -48,10 +48,10 @@
         let (r, a) = sent(&mut t, "/webonce/x", 20_000);
         t.record_outcome(r, h.clone(), 20_010);
         match t.pick(r, 20_010) {
-            Decision::Send(b) => assert!(again && a.name != b.name, "{h:?}"),
-            p => assert!(!again, "{h:?}: {p:?}"),
+            Decision::Send(b) => assert!(retried && a.name != b.name, "{h:?}"),
+            p => assert!(!retried, "{h:?}: {p:?}"),
         }
-        if !again {
+        if !retried {
             continue;
         }
         t.record_outcome(r, h.clone(), 20_020);
@@ -73,7 +73,7 @@
     t.record_outcome(r, AttemptOutcome::Rejected(None), 20_020);
     let p = t.pick(r, 20_020);
     assert!(
-        matches!(p, Decision::Reject(ErrorCode::WorkerBroke, _)),
+        matches!(p, Decision::Reject(ErrorCode::WorkerDisconnected, _)),
         "{p:?}"
     );
 }
@@ -233,7 +233,7 @@
     }
     let p = t.pick(r, 5998);
     assert!(
-        matches!(p, Decision::Reject(ErrorCode::GivenUp, _)),
+        matches!(p, Decision::Reject(ErrorCode::NotSent, _)),
         "{p:?}"
     );
 }
--- a/testbed/src/site/clients.rs
+++ b/testbed/src/site/clients.rs
@@ -38,9 +38,10 @@
     pub fn promises_not_executed(&self) -> bool {
         use ErrorCode::*;
         match self {
-            ClientOutcome::Rejected(code) => {
-                !matches!(code, OutcomeUnknown | AlreadyTaken | StreamBroken)
-            }
+            ClientOutcome::Rejected(code) => !matches!(
+                code,
+                OutcomeUnknown | DuplicateRequestId | StreamInterrupted
+            ),
             _ => false,
         }
     }
@@ -135,7 +136,7 @@
         RequestSpec {
             route: client.route.clone(),
             id: client.id.clone(),
-            given: self.client_chosen_ids,
+            client_supplied_id: self.client_chosen_ids,
             profile,
             key: client.key.clone(),
             home: client.home,
@@ -155,9 +156,9 @@
                 return world.finish_client(client_id, ClientOutcome::ConnectionLost);
             }
             world.deliver_to_process(edge, incarnation, move |world| {
-                let event = EdgeEvent::Knock {
+                let event = EdgeEvent::CheckAdmission {
                     request_id: client_id,
-                    asked: world.request_spec(client_id, RequestProfile::default()),
+                    spec: world.request_spec(client_id, RequestProfile::default()),
                 };
                 world.edge_step(edge, event);
             });
@@ -177,9 +178,9 @@
                     client: client_id,
                     doc,
                 });
-                let event = EdgeEvent::Request {
+                let event = EdgeEvent::Submit {
                     request_id: client_id,
-                    asked: world.request_spec(client_id, profile),
+                    spec: world.request_spec(client_id, profile),
                 };
                 world.edge_step(edge, event);
             });
@@ -207,7 +208,7 @@
         let client = self.clients.get(&client_id);
         let pending = client.is_some_and(Client::is_pending);
         self.finish_client(client_id, ClientOutcome::Rejected(error_code));
-        if pending && error_code.again() && self.max_client_retries > 0 {
+        if pending && error_code.is_retryable() && self.max_client_retries > 0 {
             self.retry_later(client_id, retry_after_s);
         }
     }
@@ -327,7 +328,7 @@
         let incarnation = self.processes[edge].incarnation;
         self.finish_client(client_id, ClientOutcome::Cancelled);
         self.deliver_to_process(edge, incarnation, move |world| {
-            let event = EdgeEvent::Gone {
+            let event = EdgeEvent::CallerDisconnected {
                 request_id: client_id,
             };
             world.edge_step(edge, event)
--- a/testbed/src/site/network.rs
+++ b/testbed/src/site/network.rs
@@ -355,7 +355,7 @@
     );
     let releasing = matches!(
         payload,
-        Release { .. } | Released { .. } | Free { .. } | ReleaseAck { .. }
+        Release { .. } | Released { .. } | PeerRelease { .. } | ReleaseAck { .. }
     );
     claiming || releasing || matches!(payload, ClaimsPageRequest { .. } | ClaimsPage { .. })
 }
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -18,7 +18,7 @@
             (Some(controller), _) => controller
                 .consensus()
                 .map(|consensus| consensus.machine().version()),
-            (_, Some(controller)) => Some(controller.plan.shown.view.version),
+            (_, Some(controller)) => Some(controller.cluster.snapshot.view.version),
             _ => None,
         }
     }
@@ -26,7 +26,7 @@
     /// The document that an edge acts on now.
     pub fn doc_at(&self, process: usize) -> Arc<String> {
         self.edge_controller(process)
-            .and_then(|controller| controller.plan.shown.view.doc.clone())
+            .and_then(|controller| controller.cluster.snapshot.view.doc.clone())
             .unwrap_or_default()
     }
 
@@ -67,7 +67,7 @@
                 };
                 world.core_step(process, event);
             } else {
-                let event = EdgeEvent::Change {
+                let event = EdgeEvent::Propose {
                     request_id,
                     proposal_id,
                     cmd,
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -100,11 +100,15 @@
             EdgeEffect::Send(conn, payload) => self.send(process, conn, payload),
             EdgeEffect::Connect(addr) => self.connect(process, addr),
             EdgeEffect::Disconnect(addr) => self.disconnect(process, addr),
-            EdgeEffect::Done(request_id, outcome) => self.changed(request_id, outcome),
+            EdgeEffect::ProposalResult(request_id, outcome) => self.changed(request_id, outcome),
             EdgeEffect::Request(effect) => self.request_effect(process, effect),
-            EdgeEffect::Come(request_id, profile) => self.send_body(process, request_id, profile),
-            EdgeEffect::Where(..) | EdgeEffect::Looked(..) | EdgeEffect::Status(..) => {}
-            EdgeEffect::Say(event, message) => self.log(process, event, message),
+            EdgeEffect::Admitted(request_id, profile) => {
+                self.send_body(process, request_id, profile)
+            }
+            EdgeEffect::EdgesLocated(..)
+            | EdgeEffect::ConfigurationRead(..)
+            | EdgeEffect::Status(..) => {}
+            EdgeEffect::Log(event, message) => self.log(process, event, message),
         }
     }
 
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -6,7 +6,7 @@
 use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::Policy;
 use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEvent};
-use sorreldoor::gateway::request_table::Plan;
+use sorreldoor::gateway::request_table::ClusterView;
 use sorreldoor::gateway::{EdgeController, EdgeEvent};
 use sorreldoor::subscription::Pull;
 use sorreldoor::types::Millis;
@@ -195,7 +195,7 @@
     fn new_edge_controller(&self, process: usize, me: Hello) -> EdgeController {
         let state = &self.processes[process];
         let seeds: Vec<SocketAddr> = (0..SEED_CORES).map(seed_address).collect();
-        let plan = Plan::new(
+        let cluster = ClusterView::new(
             self.site.clone(),
             state.name.clone(),
             state.zone,
@@ -205,7 +205,7 @@
         let subscription = Pull::new(&seeds, self.lease_ms, now, wall)
             .named(&state.name)
             .paced(&self.pacing);
-        EdgeController::new(me, plan, subscription)
+        EdgeController::new(me, cluster, subscription)
     }
 
     /// Whether a process is up in that incarnation.
--- a/testbed/src/site/startup.rs
+++ b/testbed/src/site/startup.rs
@@ -74,7 +74,7 @@
         };
         let knows_all = |edge: usize| {
             let controller = self.edge_controller(edge);
-            controller.is_some_and(|c| c.plan.shown.edge_sessions.1.len() == edges.len())
+            controller.is_some_and(|c| c.cluster.snapshot.edge_sessions.1.len() == edges.len())
         };
         edges.iter().all(serves) && knows_all(edges[0])
     }
--- a/testbed/src/site/worker_execution.rs
+++ b/testbed/src/site/worker_execution.rs
@@ -59,7 +59,7 @@
         let (incarnation, gap_ms) = (state.incarnation, state.gap_ms);
         if events == 0 {
             self.after(prompt_ms + gap_ms, move |world| {
-                world.finish_execution(worker, incarnation, request, AttemptEvent::Whole)
+                world.finish_execution(worker, incarnation, request, AttemptEvent::Complete)
             });
         } else {
             let position = StreamPosition { next: 0, events };
@@ -92,7 +92,7 @@
         let (from, to) = (state.region, self.processes[request.edge].region);
         let delay = self.delay(from, to);
         if position.next == 0 {
-            self.notify_edge(worker, request.clone(), AttemptEvent::Begun);
+            self.notify_edge(worker, request.clone(), AttemptEvent::StreamStarted);
         }
         let event_of = request.clone();
         self.after(delay + 1, move |world| {
@@ -100,7 +100,7 @@
         });
         if position.is_last() {
             self.after(STREAM_END_MS, move |world| {
-                world.finish_execution(worker, incarnation, request, AttemptEvent::Ended)
+                world.finish_execution(worker, incarnation, request, AttemptEvent::StreamEnded)
             });
         } else {
             let gap_ms = self.workers[worker].gap_ms;
--- a/testbed/src/site/worker_requests.rs
+++ b/testbed/src/site/worker_requests.rs
@@ -4,7 +4,7 @@
 use super::workers::{worker_at, WorkerRequest};
 use super::{ForwardedRequest, World};
 use sorreldoor::error::ErrorCode;
-use sorreldoor::gateway::request_table::{AttemptEvent, RequestEffect};
+use sorreldoor::gateway::request_table::{AttemptEvent, AttemptReport, RequestEffect};
 use sorreldoor::gateway::EdgeEvent;
 use sorreldoor::types::Millis;
 
@@ -47,48 +47,48 @@
         self.deliver_to_process(edge, incarnation, move |world| {
             let (request_id, token) = (request.request_id, request.token);
             let attempts = &mut world.processes[edge].attempts;
-            if event == AttemptEvent::Whole {
+            if event == AttemptEvent::Complete {
                 if let Some(attempt) = attempts.get_mut(&token) {
                     attempt.completed_for = Some(request.client);
                 }
             }
             // the edge's task itself reports the break to the client
-            if matches!(event, AttemptEvent::Broke(_)) && attempts.contains_key(&token) {
+            if matches!(event, AttemptEvent::Failed(_)) && attempts.contains_key(&token) {
                 world.break_stream(request_id);
             }
-            let event = EdgeEvent::AttemptEvent {
+            let report = AttemptReport {
                 request_id,
                 token,
-                told: event,
+                event,
             };
-            world.edge_step(edge, event);
+            world.edge_step(edge, EdgeEvent::Attempt(report));
         });
     }
 
     /// Carries out what an edge's request table decided.
     pub(crate) fn request_effect(&mut self, edge: usize, effect: RequestEffect) {
         match effect {
-            RequestEffect::Open {
+            RequestEffect::Connect {
                 request_id,
                 token,
                 addr,
                 ..
             } => self.open_connection(edge, request_id, token, addr.port()),
-            RequestEffect::Go {
+            RequestEffect::Send {
                 request_id, token, ..
             } => self.forward(edge, request_id, token),
-            RequestEffect::Drop { token, .. } => self.drop_attempt(edge, token),
-            RequestEffect::Shed {
+            RequestEffect::Abort { token, .. } => self.drop_attempt(edge, token),
+            RequestEffect::Reject {
                 request_id,
                 error_code,
                 retry_after_s,
             } => self.reject(request_id, error_code, retry_after_s),
-            RequestEffect::Give { request_id, token } => {
+            RequestEffect::Respond { request_id, token } => {
                 self.deliver_response(edge, request_id, token)
             }
-            RequestEffect::Elsewhere { request_id, addr } => self.redirect(request_id, addr),
-            RequestEffect::Unknown { .. }
-            | RequestEffect::Bad { .. }
+            RequestEffect::Redirect { request_id, addr } => self.redirect(request_id, addr),
+            RequestEffect::OutcomeUnknown { .. }
+            | RequestEffect::AttemptFailed { .. }
             | RequestEffect::Claim { .. }
             | RequestEffect::Release { .. } => {}
         }
@@ -111,9 +111,9 @@
         let round_trip = 2 * self.delay(self.processes[edge].region, self.workers[worker].region);
         let unreachable = self.blocked_worker_links.contains(&(edge, worker));
         let (wait, event) = match (unreachable, self.workers[worker].up) {
-            (true, _) => (CONNECT_TIMEOUT_MS, AttemptEvent::Unsent),
-            (false, false) => (round_trip, AttemptEvent::Unsent),
-            (false, true) => (round_trip, AttemptEvent::Ready),
+            (true, _) => (CONNECT_TIMEOUT_MS, AttemptEvent::ConnectFailed),
+            (false, false) => (round_trip, AttemptEvent::ConnectFailed),
+            (false, true) => (round_trip, AttemptEvent::Connected),
         };
         self.after(wait, move |world| {
             world.deliver_attempt_event(request, event)
@@ -153,7 +153,7 @@
             worker,
             version: self
                 .edge_controller(edge)
-                .map_or(0, |controller| controller.plan.shown.view.version),
+                .map_or(0, |controller| controller.cluster.snapshot.view.version),
             id: request.id.clone(),
             client,
             group: self.registered_group(worker),
@@ -176,7 +176,7 @@
         let attempts = &self.processes[request.edge].attempts;
         let cancelled = !attempts.contains_key(&request.token);
         if !self.workers[worker].up || self.workers[worker].incarnation != incarnation {
-            let event = AttemptEvent::Broke(ErrorCode::WorkerBroke);
+            let event = AttemptEvent::Failed(ErrorCode::WorkerDisconnected);
             return self.notify_edge(worker, request, event);
         }
         // a client that cancelled before leaves a closed connection here
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -247,7 +247,11 @@
         let running = state.running.drain(..);
         let lost: Vec<WorkerRequest> = running.chain(state.waiting.drain(..)).collect();
         for request in lost {
-            self.notify_edge(worker, request, AttemptEvent::Broke(ErrorCode::WorkerBroke));
+            self.notify_edge(
+                worker,
+                request,
+                AttemptEvent::Failed(ErrorCode::WorkerDisconnected),
+            );
         }
     }
 
--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -112,7 +112,8 @@
         for e in world.edges() {
             let controller = world.edge_controller(e).expect("edges are up");
             assert!(
-                controller.ready().is_ok() || controller.plan.evacuated(controller.plan.zone),
+                controller.ready().is_ok()
+                    || controller.cluster.is_evacuated(controller.cluster.zone),
                 "seed {seed}"
             );
         }
--- a/testbed/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -87,7 +87,7 @@
         world.traffic(80, end, |_, _| true);
         world.run_for(12_000);
         let full = |c: &&testbed::site::Client| {
-            c.outcome == ClientOutcome::Rejected(ErrorCode::ClaimsFull)
+            c.outcome == ClientOutcome::Rejected(ErrorCode::ClaimTableFull)
         };
         let reject = world.clients.values().filter(full).count();
         assert!(reject > 100, "seed {seed}: {reject}");
@@ -165,7 +165,7 @@
         assert_no_violations(&world, seed);
         for n in asked {
             told += usize::from(
-                world.clients[&n].outcome == ClientOutcome::Rejected(ErrorCode::AlreadyTaken),
+                world.clients[&n].outcome == ClientOutcome::Rejected(ErrorCode::DuplicateRequestId),
             );
         }
     }
--- a/testbed/tests/site/freshness/monitor.rs
+++ b/testbed/tests/site/freshness/monitor.rs
@@ -62,7 +62,7 @@
     let committed = world
         .log_records
         .iter()
-        .filter(|record| record.event == LogEvent::ChangeTaken && names_one(&record.message));
+        .filter(|record| record.event == LogEvent::ChangeCommitted && names_one(&record.message));
     committed.map(|record| record.at).min()
 }
 
--- a/testbed/tests/site/members.rs
+++ b/testbed/tests/site/members.rs
@@ -9,7 +9,7 @@
         .find(|e| world.processes[*e].name != name && world.processes[*e].up);
     e.and_then(|e| world.edge_controller(e))
         .is_some_and(|controller| {
-            let all = controller.plan.edges_for(None, false, "k");
+            let all = controller.cluster.edges_for(None, false, "k");
             all.iter().any(|n| n == name)
         })
 }
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -75,8 +75,8 @@
             &world
                 .edge_controller(e)
                 .expect("up")
-                .plan
-                .shown
+                .cluster
+                .snapshot
                 .edge_sessions
                 .1,
             world.edges().len(),
@@ -89,7 +89,7 @@
 fn version(world: &World, e: usize) -> u64 {
     world
         .edge_controller(e)
-        .map_or(0, |controller| controller.plan.shown.registry.version)
+        .map_or(0, |controller| controller.cluster.snapshot.registry.version)
 }
 
 fn singleton_holder(world: &World) -> Option<usize> {
--- a/testbed/tests/site/regions.rs
+++ b/testbed/tests/site/regions.rs
@@ -47,8 +47,8 @@
             .into_iter()
             .filter_map(|e| world.edge_controller(e));
         let (first, again) = counts.fold((0, 0), |(f, a), controller| {
-            let c = &controller.table.counts;
-            (f + c.first, a + c.again)
+            let c = &controller.table.counters;
+            (f + c.accepted, a + c.retries)
         });
         println!("seed {seed}: {again} retries of {first}");
         assert!(again * 5 <= first);
--- a/testbed/tests/site/requests.rs
+++ b/testbed/tests/site/requests.rs
@@ -70,9 +70,9 @@
                 .edge_controller(e)
                 .expect("no edge was hurt")
                 .table
-                .counts;
-            first += c.first;
-            again += c.again;
+                .counters;
+            first += c.accepted;
+            again += c.retries;
         }
         assert!(
             again * 5 <= first,
@@ -111,7 +111,7 @@
         let c = &world.clients[&n];
         assert!(matches!(
             c.outcome,
-            ClientOutcome::Rejected(ErrorCode::GivenUp | ErrorCode::NoWorker)
+            ClientOutcome::Rejected(ErrorCode::NotSent | ErrorCode::NoWorker)
         ));
         let took = c.end - c.start;
         println!("seed {seed}: given up after {took} ms of 5000");
--- a/testbed/tests/site/restarts.rs
+++ b/testbed/tests/site/restarts.rs
@@ -17,7 +17,7 @@
 fn change(world: &mut World) {
     let base = world
         .edge_controller(world.edges()[0])
-        .map_or(0, |controller| controller.plan.shown.view.version);
+        .map_or(0, |controller| controller.cluster.snapshot.view.version);
     let (zone, at) = (0, world.cores()[0]);
     let evacuated = false;
     let c = world.change(at, zone_change(base, zone, evacuated));
@@ -42,7 +42,7 @@
 
 fn ready(world: &World, e: usize) -> bool {
     world.edge_controller(e).is_some_and(|controller| {
-        controller.ready().is_ok() && controller.plan.shown.registry.version > 0
+        controller.ready().is_ok() && controller.cluster.snapshot.registry.version > 0
     })
 }
 
@@ -52,7 +52,7 @@
         let controller = world.edge_controller(*e)?;
         Some((
             controller.pull.have.record,
-            controller.plan.shown.view.version,
+            controller.cluster.snapshot.view.version,
             controller.pull.have.registry,
         ))
     };
@@ -131,7 +131,7 @@
 fn version_of(world: &World, e: usize) -> u64 {
     world
         .edge_controller(e)
-        .map_or(0, |controller| controller.plan.shown.view.version)
+        .map_or(0, |controller| controller.cluster.snapshot.view.version)
 }
 
 /// A core that lost its disk has nothing to tell, and says nothing for news.
--- a/testbed/tests/site/zones.rs
+++ b/testbed/tests/site/zones.rs
@@ -217,7 +217,7 @@
         for e in world.edges().into_iter().filter(|e| world.processes[*e].up) {
             let controller = world.edge_controller(e).expect("an edge that is up");
             assert!(
-                controller.plan.shown.view.version >= 2,
+                controller.cluster.snapshot.view.version >= 2,
                 "seed {seed}: read back at every edge"
             );
             n += 1;
