--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -21,7 +21,7 @@
     pub remembered: usize,
     pub capacity: usize,
     /// Whether this core may vote on claims.
-    pub sure: bool,
+    pub can_vote: bool,
 }
 
 /// All that the status is made of.
@@ -187,7 +187,7 @@
         let mut claims = Value::object();
         let _ = claims.insert("remembered", self.claims.remembered);
         let _ = claims.insert("most", self.claims.capacity);
-        let _ = claims.insert("sure", self.claims.sure);
+        let _ = claims.insert("sure", self.claims.can_vote);
         claims
     }
 
--- a/sorreldoor/src/gateway/releases.rs
+++ b/sorreldoor/src/gateway/releases.rs
@@ -3,11 +3,11 @@
 use super::controller::EdgeController;
 use super::event::EdgeEffect;
 use crate::consensus::ClaimRecord;
-use crate::control_plane::KEEP_MS;
+use crate::control_plane::RETENTION_MS;
 use crate::gateway::request_table::{ClaimRequest, RequestId};
 use crate::net::Conn;
 use crate::types::Millis;
-use crate::wire::Payload;
+use crate::wire::{Payload, SentRequest};
 use std::collections::BTreeMap;
 
 /// Most releases that are retried until they are confirmed.
@@ -43,7 +43,7 @@
             return Vec::new();
         }
         self.retry_at = now + RETRY_MS;
-        let expired = now.saturating_sub(KEEP_MS);
+        let expired = now.saturating_sub(RETENTION_MS);
         self.releases.retain(|_, (_, since)| *since > expired);
         let recent = now.saturating_sub(RETRY_MS / 2);
         self.releases
@@ -57,7 +57,7 @@
 
 impl EdgeController {
     /// Identifies a request of one incarnation of this edge.
-    fn claim_owner(&self, request_id: RequestId) -> u128 {
+    fn claimant(&self, request_id: RequestId) -> u128 {
         (u128::from(self.hello.incarnation) << 64) | u128::from(request_id)
     }
 
@@ -65,8 +65,8 @@
     pub(super) fn send_claim(&mut self, request_id: RequestId, request: ClaimRequest) {
         let claim = ClaimRecord {
             id: request.id,
-            by: self.claim_owner(request_id),
-            keep_ms: request.keep_ms,
+            claimant: self.claimant(request_id),
+            retention_ms: request.retention_ms,
         };
         self.send_to_control_plane(Payload::Claim { request_id, claim });
     }
@@ -80,8 +80,12 @@
     }
 
     fn send_release(&mut self, request_id: RequestId, id: String) {
-        let by = self.claim_owner(request_id);
-        self.send_to_control_plane(Payload::Release { request_id, id, by });
+        let claimant = self.claimant(request_id);
+        self.send_to_control_plane(Payload::Release {
+            request_id,
+            id,
+            claimant,
+        });
     }
 
     fn send_to_control_plane(&mut self, payload: Payload) {
@@ -101,13 +105,16 @@
     /// other end may have lost its record of them.
     pub(super) fn report_sent_ids(&mut self, conn: Conn) {
         let sent_ids = self.table.recently_sent_ids();
-        let all: Vec<(String, u128)> = sent_ids
+        let requests: Vec<SentRequest> = sent_ids
             .into_iter()
-            .map(|(id, request_id)| (id, self.claim_owner(request_id)))
+            .map(|(id, request_id)| SentRequest {
+                id,
+                claimant: self.claimant(request_id),
+            })
             .collect();
-        if !all.is_empty() {
+        if !requests.is_empty() {
             self.effects
-                .push(EdgeEffect::Send(conn, Payload::Sent { all }));
+                .push(EdgeEffect::Send(conn, Payload::Sent { requests }));
         }
     }
 }
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -5,10 +5,10 @@
 //! that no other edge sends the same request.
 
 use super::{ClusterView, RequestEffect, RequestId, RequestSpec, RequestTable, Stage};
-use crate::control_plane::KEEP_MS;
+use crate::control_plane::RETENTION_MS;
 use crate::error::ErrorCode;
 use crate::types::Millis;
-use crate::wire::Verdict;
+use crate::wire::ClaimVote;
 
 /// State of a request's claim on its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     pub id: String,
-    pub keep_ms: Millis,
+    pub retention_ms: Millis,
 }
 
 impl ClaimRequest {
@@ -40,7 +40,7 @@
     pub fn new(spec: &RequestSpec, timeout_ms: Millis) -> ClaimRequest {
         ClaimRequest {
             id: spec.id.clone(),
-            keep_ms: timeout_ms + KEEP_MS,
+            retention_ms: timeout_ms + RETENTION_MS,
         }
     }
 }
@@ -50,7 +50,7 @@
 pub struct ClaimResult<'a> {
     pub request_id: RequestId,
     pub id: &'a str,
-    pub verdict: Verdict,
+    pub vote: ClaimVote,
 }
 
 impl RequestTable {
@@ -70,8 +70,8 @@
         if request.spec.id != result.id || !pending {
             return;
         }
-        if result.verdict != Verdict::Yes {
-            return self.reject_unclaimed(cluster, request_id, result.verdict, now);
+        if result.vote != ClaimVote::Granted {
+            return self.reject_unclaimed(cluster, request_id, result.vote, now);
         }
         request.claim = ClaimState::Granted;
         if let (Stage::Connecting(worker), true) = (request.stage, request.connected) {
@@ -83,14 +83,14 @@
         &mut self,
         cluster: &mut ClusterView,
         request_id: RequestId,
-        verdict: Verdict,
+        vote: ClaimVote,
         now: Millis,
     ) {
         self.abort_connecting(cluster, request_id);
         // some replicas may have recorded the claim, so it is released
         self.remove(request_id);
-        let error_code = match verdict {
-            Verdict::Full => ErrorCode::ClaimTableFull,
+        let error_code = match vote {
+            ClaimVote::Full => ErrorCode::ClaimTableFull,
             _ => ErrorCode::DuplicateRequestId,
         };
         self.reject(request_id, error_code, now);
--- a/sorreldoor/src/gateway/request_table/sending.rs
+++ b/sorreldoor/src/gateway/request_table/sending.rs
@@ -6,7 +6,7 @@
     AttemptEvent, AttemptReport, ClaimState, ClusterView, RequestEffect, RequestId, RequestTable,
     Stage,
 };
-use crate::control_plane::KEEP_MS;
+use crate::control_plane::RETENTION_MS;
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
 use crate::types::Millis;
@@ -193,7 +193,7 @@
         let token = request.token;
         if !request.idempotent && request.spec.client_supplied_id {
             let id = request.spec.id.clone();
-            let until = now + request.timeout_ms() + KEEP_MS;
+            let until = now + request.timeout_ms() + RETENTION_MS;
             self.record_sent_id(id, request_id, until, now);
         }
         self.effects.push(RequestEffect::Send {
--- a/sorreldoor/src/proxy/carry.rs
+++ b/sorreldoor/src/proxy/carry.rs
@@ -209,8 +209,11 @@
         }
         ResponseClass::Own(framing) => {
             exchange.progressed(Event::HeadReceived);
-            let (load, cold_ms) = (metadata.load, metadata.warmup_remaining_ms);
-            exchange.outcome(AttemptOutcome::HeadReceived { load, cold_ms });
+            let (load, slow_start_ms) = (metadata.load, metadata.warmup_remaining_ms);
+            exchange.outcome(AttemptOutcome::HeadReceived {
+                load,
+                slow_start_ms,
+            });
             deliver(exchange, client, delivery, connection, head, framing).await
         }
     }
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -148,10 +148,10 @@
     }
 
     fn all_claims(&self) -> Vec<ClaimRecord> {
-        let legacy = self.legacy_claims.iter().map(|(id, by)| ClaimRecord {
+        let legacy = self.legacy_claims.iter().map(|(id, claimant)| ClaimRecord {
             id: id.clone(),
-            by: *by,
-            keep_ms: LEGACY_CLAIM_MS,
+            claimant: *claimant,
+            retention_ms: LEGACY_CLAIM_MS,
         });
         let legacy = legacy.filter(|claim| !self.claims.contains_key(&claim.id));
         legacy.chain(self.claims.values().cloned()).collect()
--- a/testbed/src/emul/relay.rs
+++ b/testbed/src/emul/relay.rs
@@ -115,7 +115,7 @@
                 (c.since, c.until) = (now, now.saturating_add(c.gap));
                 let h = AttemptOutcome::HeadReceived {
                     load: Some(l),
-                    cold_ms: None,
+                    slow_start_ms: None,
                 };
                 self.outcome(s.node, s.request_id, h);
                 self.tick(sid);
@@ -151,7 +151,7 @@
     fn failed(&mut self, sid: u64) {
         let s = self.sends[sid as usize].clone();
         let now = self.ms();
-        let again = self.nodes[s.node]
+        let may_fail_over = self.nodes[s.node]
             .policy
             .may_fail_over(s.request_id, 0, now);
         self.give_back(sid);
@@ -160,7 +160,7 @@
             return;
         };
         (j.cur, j.failed) = (None, true);
-        if again || j.head_sent {
+        if may_fail_over || j.head_sent {
             return self.decide(s.node, s.request_id);
         }
         self.over(s.node, s.request_id);
