--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -19,6 +19,7 @@
 
 /// The server of the product's own HTTP interface.
 pub struct HttpOperatorServer {
+    /// The settings of this core.
     pub settings: Arc<Settings>,
 }
 
@@ -43,7 +44,9 @@
 /// The handlers of the HTTP interface.
 #[derive(Clone)]
 pub struct Api {
+    /// The settings of this core.
     pub settings: Arc<Settings>,
+    /// The controller that serves the requests.
     pub client: ControllerClient,
 }
 
--- a/sorreldoor/src/control_plane/client.rs
+++ b/sorreldoor/src/control_plane/client.rs
@@ -23,6 +23,7 @@
 pub enum ControllerReply {
     /// The outcome of a change, or of a search for one.
     Change(OpOutcome),
+    /// The state that was read.
     State(StateSnapshot),
 }
 
@@ -35,6 +36,7 @@
     pub disk_ok: bool,
     /// The status document as JSON; empty where it was not requested.
     pub status: String,
+    /// The record as edges see it.
     pub view: Box<View>,
 }
 
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -17,22 +17,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Requester {
     /// A local HTTP request.
-    Http { request_id: u64 },
+    Http {
+        /// Names the request within this process.
+        request_id: u64,
+    },
     /// An edge that has forwarded an operator's request.
-    Edge { conn: Conn, request_id: u64 },
+    Edge {
+        /// The edge's connection.
+        conn: Conn,
+        /// Names the request among those of the edge.
+        request_id: u64,
+    },
 }
 
 /// Where a worker reports its load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerAddress {
+    /// The worker's name in the list of workers.
     pub name: String,
+    /// Where its load is polled.
     pub address: SocketAddr,
 }
 
 /// An input of the controller.
+///
+/// A `request_id` names a local request; its reply carries the same id.
 #[derive(Debug)]
 pub enum ControllerEvent {
+    /// The periodic timer has fired.
     Tick,
+    /// A connection was opened or closed, or a frame arrived.
     Net(NetEvent),
     /// All saves up to this number have been synced.
     Saved(u64),
@@ -40,6 +54,7 @@
     SaveFailed(String),
     /// All pending saves have been synced after all.
     SaveRecovered,
+    /// Propose a change of the configuration, for a local request.
     Change {
         request_id: u64,
         proposal_id: ProposalId,
@@ -52,13 +67,9 @@
         core: NodeId,
     },
     /// Read the status and the record.
-    ReadStatus {
-        request_id: u64,
-    },
+    ReadStatus { request_id: u64 },
     /// Read the record alone; the status document is expensive.
-    ReadView {
-        request_id: u64,
-    },
+    ReadView { request_id: u64 },
     /// Read the outcome of a proposal, once this core is proved current.
     ReadOutcome {
         request_id: u64,
@@ -67,40 +78,32 @@
     /// A read of the worker list has ended.
     WorkerRegistry(Result<WorkerRegistry, String>),
     /// A poll of the workers' loads has ended.
-    Loads {
-        epoch: u64,
-        rows: Vec<Load>,
-    },
+    Loads { epoch: u64, rows: Vec<Load> },
     /// The process was told to stop.
     Stop,
 }
 
-/// An action that the controller requests; effects are carried out in order.
+/// An action that the controller requests; actions are carried out in order.
 #[derive(Debug)]
 pub enum ControllerEffect {
     /// Append to the store; `ControllerEvent::Saved` reports the number back.
     Save(u64, Save),
     /// Store a small named value, synced before any later effect.
     Keep(&'static str, Vec<u8>),
+    /// Send a frame; it is dropped where the send queue is full.
     Send(Conn, Payload),
+    /// Keep a connection to this address open, and reconnect when it is lost.
     Connect(SocketAddr),
+    /// Stop connecting to this address.
     Disconnect(SocketAddr),
+    /// Close one connection.
     Close(Conn),
     /// The outcome of a change that was requested locally.
-    ChangeDone {
-        request_id: u64,
-        outcome: OpOutcome,
-    },
+    ChangeDone { request_id: u64, outcome: OpOutcome },
     /// The status may be read now; `proved` if the state is proved current.
-    StatusReady {
-        request_id: u64,
-        proved: bool,
-    },
+    StatusReady { request_id: u64, proved: bool },
     /// Like `StatusReady`, for a read of the record alone.
-    ViewReady {
-        request_id: u64,
-        proved: bool,
-    },
+    ViewReady { request_id: u64, proved: bool },
     /// Read the list of workers; it comes as `ControllerEvent::WorkerRegistry`.
     ReadWorkerList,
     /// Poll these workers' loads; they come as `ControllerEvent::Loads` under
@@ -115,23 +118,31 @@
 
 /// What a controller starts from.
 pub struct ControllerConfig {
+    /// How this node introduces itself.
     pub me: Hello,
+    /// Names of the site's regions and zones.
     pub site: Arc<Site>,
+    /// Addresses to connect to before the members are known.
     pub seeds: Vec<SocketAddr>,
+    /// How many cores found the site.
     pub cores: usize,
     /// How many voters there should be, and how they are spread.
     pub membership: Policy,
+    /// Time-outs of consensus.
     pub timing: Timing,
+    /// Seed of the random election time-outs.
     pub seed: u64,
+    /// The founding set that an earlier incarnation has promised to join.
     pub promise: Option<Vec<Member>>,
-    /// It has learned, in an earlier life, what claims there were.
+    /// An earlier incarnation has caught up on the idempotency claims.
     pub sure: bool,
-    /// Errand ids remembered at most.
+    /// Idempotency keys remembered at most.
     pub most_claims: usize,
-    /// Without it a blank core joins a site and never founds one.
+    /// Whether a blank core may found a site; otherwise it only joins one.
     pub bootstrap: bool,
-    /// The seeds found the site; further cores join it.
+    /// Whether the seeds found the site and further cores join it.
     pub grow: bool,
+    /// Intervals of periodic work.
     pub pacing: Pacing,
     /// Interval at which the holder of the singleton role reads the list of
     /// workers and numbers it; none where lists have versions of their own.
--- a/sorreldoor/src/control_plane/integration.rs
+++ b/sorreldoor/src/control_plane/integration.rs
@@ -61,6 +61,7 @@
 
 /// The list of workers over HTTP as JSON, under versions of its source.
 pub struct HttpWorkerSource {
+    /// The settings of this core.
     pub settings: Arc<Settings>,
     /// Address of the platform.
     pub address: SocketAddr,
--- a/sorreldoor/src/control_plane/membership/change.rs
+++ b/sorreldoor/src/control_plane/membership/change.rs
@@ -7,34 +7,51 @@
 /// One change of the members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
+    /// A core becomes a learner: it receives the log and has no vote.
     AddLearner {
+        /// Its node name, for the log.
         node: String,
+        /// The new member.
         member: Member,
     },
+    /// A learner becomes a voter.
     Promote {
+        /// The learner.
         id: NodeId,
     },
+    /// A learner replaces a voter.
     Swap {
+        /// The voter, which becomes a learner.
         out: NodeId,
+        /// The learner, which becomes a voter.
         into: NodeId,
+        /// Why the voter is replaced.
         reason: Reason,
     },
+    /// Voters become learners.
     Demote {
+        /// The voters.
         ids: Vec<NodeId>,
+        /// Why they lose their votes.
         reason: Reason,
     },
-    DropLearner {
+    /// A learner is removed.
+    RemoveLearner {
+        /// The learner.
         id: NodeId,
+        /// Why it is removed.
         reason: Reason,
     },
 }
 
-/// Reason a member loses its place.
+/// Why a member is demoted, replaced or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// Another identity answers at its address: its disk was lost for certain.
     Wiped,
+    /// Its process is shutting down.
     Stopping,
+    /// It sent nothing for too long.
     Silent,
     /// There are more voters than wanted.
     Surplus,
@@ -66,7 +83,7 @@
                 let ids: Vec<String> = ids.iter().map(|id| format!("{id:x}")).collect();
                 write!(f, "{} {reason} and loses its vote", ids.join(" "))
             }
-            MembershipChange::DropLearner { id, reason } => {
+            MembershipChange::RemoveLearner { id, reason } => {
                 write!(f, "{id:x} {reason} and is removed")
             }
         }
@@ -89,7 +106,7 @@
                 vote(*into, true);
             }
             MembershipChange::Demote { ids, .. } => ids.iter().for_each(|id| vote(*id, false)),
-            MembershipChange::DropLearner { id, .. } => next.retain(|m| m.id != *id),
+            MembershipChange::RemoveLearner { id, .. } => next.retain(|m| m.id != *id),
         }
         next
     }
--- a/sorreldoor/src/control_plane/membership/observed.rs
+++ b/sorreldoor/src/control_plane/membership/observed.rs
@@ -19,7 +19,9 @@
 /// them is in flight.
 #[derive(Clone, Debug)]
 pub struct Observed<'a> {
+    /// The leader, which decides.
     pub leader: NodeId,
+    /// All members, the leader among them.
     pub members: &'a [Member],
     /// Of every member but the leader.
     pub health: BTreeMap<NodeId, Health>,
--- a/sorreldoor/src/control_plane/membership/policy.rs
+++ b/sorreldoor/src/control_plane/membership/policy.rs
@@ -50,9 +50,13 @@
 /// Why the number of voters differs from the number wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortfall {
+    /// A change of the voters is not finished.
     ChangeUnderWay,
+    /// There are more voters than wanted.
     TooMany,
+    /// There is no learner to promote.
     NoLearner,
+    /// There are learners, but none has caught up.
     LearnerBehind,
 }
 
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -100,7 +100,7 @@
         wiped
             .filter_map(|(m, successor)| {
                 if !m.voter {
-                    return Some(MembershipChange::DropLearner { id: m.id, reason });
+                    return Some(MembershipChange::RemoveLearner { id: m.id, reason });
                 }
                 let standby = self.standbys(observed).find(|s| s.id == successor);
                 let into = standby.or_else(|| self.best_standby(observed, m))?.id;
@@ -203,7 +203,7 @@
         let lost = |m: &&Member| !m.voter && observed.health_of(m.id).silent_ms >= long;
         let id = observed.others().find(lost)?.id;
         let reason = Reason::Silent;
-        Some(MembershipChange::DropLearner { id, reason })
+        Some(MembershipChange::RemoveLearner { id, reason })
     }
 
     /// Learners that can become voters at once.
--- a/sorreldoor/src/control_plane/start_error.rs
+++ b/sorreldoor/src/control_plane/start_error.rs
@@ -12,7 +12,12 @@
 pub enum StartError {
     /// The data folder is missing or not accessible.
     #[snafu(display("data: cannot use {}: {source}", folder.display()))]
-    OpenStore { folder: PathBuf, source: io::Error },
+    OpenStore {
+        /// The data folder.
+        folder: PathBuf,
+        /// Why it cannot be used.
+        source: io::Error,
+    },
 
     /// The settings give no address for frames.
     #[snafu(display("listen: is missing"))]
@@ -21,12 +26,18 @@
     /// The address that `setting` gives cannot be listened on.
     #[snafu(display("{setting}: cannot bind {address}: {source}"))]
     Bind {
+        /// The setting that gives the address.
         setting: &'static str,
+        /// The address.
         address: SocketAddr,
+        /// Why it cannot be bound.
         source: io::Error,
     },
 
     /// The handler for the stop signals cannot be installed.
     #[snafu(display("{reason}"))]
-    Signals { reason: String },
+    Signals {
+        /// What failed, in words.
+        reason: String,
+    },
 }
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -29,6 +29,7 @@
 pub enum NextUpdate {
     /// It has the newest revision.
     UpToDate,
+    /// Send this update.
     Send(EncodedUpdate),
     /// There is a newer revision, but the edge should ask again: too much is in
     /// flight, or it has not acknowledged the previous update.
--- a/sorreldoor/src/runtime.rs
+++ b/sorreldoor/src/runtime.rs
@@ -62,7 +62,9 @@
 
 impl Default for SystemClock {
     fn default() -> SystemClock {
-        SystemClock { started: elapsed_ms() }
+        SystemClock {
+            started: elapsed_ms(),
+        }
     }
 }
 
