--- a/sorreldoor/src/doctor/mod.rs
+++ b/sorreldoor/src/doctor/mod.rs
@@ -1,19 +1,24 @@
-//! The doctor: looks at a node's settings, its disk, and the site around it,
-//! for common faults. Each finding has a number, its cause and a remedy.
+//! The doctor: checks a node's settings, its disk and the site around it for
+//! common faults. Each finding has a number, a subject and a remedy.
 
 mod checks;
-mod look;
-mod members;
+mod observe;
+mod rules;
 
-pub use checks::{check, Finding, Severity, ALL};
-pub use look::{look, Disk, Seed, Seen};
+pub use checks::check;
+pub use observe::{observe, DiskStatus, Observations, SeedStatus};
+pub use rules::{Finding, Rule, Severity, RULES};
 
 use crate::json::Value;
 use crate::settings::{Overrides, Role, Settings};
 use gumdrop::Options;
 use simd_json::prelude::*;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
+/// The rule that faults of the settings are reported under.
+const SETTINGS_FAULT: u8 = 1;
+
+/// Options of `sorreldoor doctor`.
 #[derive(Debug, Options)]
 pub struct Args {
     #[options(help = "show this help")]
@@ -26,56 +31,68 @@
     list: bool,
 }
 
-/// Exit codes: 0 sound, 1 something to look at, 2 something is broken.
-pub fn run(a: Args) -> i32 {
-    if a.list {
-        for (no, sev, text, remedy) in ALL {
-            println!("D{no:02} {} {text}: {remedy}", sev.text());
-        }
+/// Prints the findings. Exit codes: 0 sound, 1 something to look at, 2
+/// something is broken.
+pub fn run(args: Args) -> i32 {
+    if args.list {
+        print_rules();
         return 0;
     }
-    let file = a.settings.unwrap_or_default();
-    let found = examine(&file);
-    if a.json {
-        let rows: Vec<Value> = found.iter().map(json).collect();
+    let findings = examine(&args.settings.unwrap_or_default());
+    if args.json {
+        let rows: Vec<Value> = findings.iter().map(to_json).collect();
         println!("{}", Value::from(rows).encode());
-    } else if found.is_empty() {
-        println!("nothing found");
     } else {
-        for f in &found {
-            println!("D{:02} {} {}", f.no, f.severity.text(), f.text);
-            println!("     found:  {}", f.about);
-            println!("     remedy: {}", f.remedy);
-        }
+        print_findings(&findings);
+    }
+    let codes = findings.iter().map(|f| f.rule.severity.exit_code());
+    codes.max().unwrap_or(0)
+}
+
+fn print_rules() {
+    for rule in RULES {
+        let (number, severity) = (rule.number, rule.severity.name());
+        println!("D{number:02} {severity} {}: {}", rule.text, rule.remedy);
     }
-    found.iter().map(|f| f.severity.code()).max().unwrap_or(0)
 }
 
-fn examine(file: &std::path::Path) -> Vec<Finding> {
-    // an edge's file is a core's without `listen` and `data`, so the one
-    // that says `listen` is read as a core's
-    let edge = Settings::load(file, &Overrides::default(), Role::Edge);
-    let core = edge.as_ref().is_ok_and(|s| s.listen.is_some());
-    let set = if core {
+fn print_findings(findings: &[Finding]) {
+    if findings.is_empty() {
+        println!("nothing found");
+    }
+    for Finding { rule, subject } in findings {
+        let (number, severity) = (rule.number, rule.severity.name());
+        println!("D{number:02} {severity} {}", rule.text);
+        println!("     found:  {subject}");
+        println!("     remedy: {}", rule.remedy);
+    }
+}
+
+fn examine(file: &Path) -> Vec<Finding> {
+    // an edge's file is a core's without `listen` and `data`, so a file with
+    // `listen` is read as a core's
+    let as_edge = Settings::load(file, &Overrides::default(), Role::Edge);
+    let is_core = as_edge.as_ref().is_ok_and(|s| s.listen.is_some());
+    let settings = if is_core {
         Settings::load(file, &Overrides::default(), Role::Core)
     } else {
-        edge
+        as_edge
     };
-    match set {
-        Err(faults) => faults
-            .into_iter()
-            .map(|about| Finding::new(1, about))
-            .collect(),
-        Ok(s) => check(&look(&s)),
+    match settings {
+        Ok(settings) => check(&observe(&settings)),
+        Err(faults) => {
+            let findings = faults.into_iter();
+            findings.map(|f| Finding::new(SETTINGS_FAULT, f)).collect()
+        }
     }
 }
 
-fn json(f: &Finding) -> Value {
-    let mut v = Value::object();
-    let _ = v.insert("number", f.no);
-    let _ = v.insert("severity", f.severity.text());
-    let _ = v.insert("text", f.text);
-    let _ = v.insert("found", f.about.as_str());
-    let _ = v.insert("remedy", f.remedy);
-    v
+fn to_json(finding: &Finding) -> Value {
+    let mut value = Value::object();
+    let _ = value.insert("number", finding.rule.number);
+    let _ = value.insert("severity", finding.rule.severity.name());
+    let _ = value.insert("text", finding.rule.text);
+    let _ = value.insert("found", finding.subject.as_str());
+    let _ = value.insert("remedy", finding.rule.remedy);
+    value
 }
--- a/sorreldoor/tests/doctor.rs
+++ b/sorreldoor/tests/doctor.rs
@@ -1,7 +1,7 @@
 //! The doctor's checks on what cannot be brought about safely in a test.
 
 use simd_json::prelude::*;
-use sorreldoor::doctor::{check, Disk, Seed, Seen, ALL};
+use sorreldoor::doctor::{check, DiskStatus, Observations, SeedStatus, RULES};
 use sorreldoor::json::{self, Value};
 
 const SOUND: &str = r#"{"node":"c1","quorum":true,"wall_ms":1000000,"disk_failed":false,
@@ -12,18 +12,18 @@
  "weights":[{"route":"r","service":"s","weight":20,"set":50,"least":10,"most":90}],
  "workers":[{"name":"w","live":true,"leaving":false}]}"#;
 
-fn seen(status: &str) -> Seen {
+fn seen(status: &str) -> Observations {
     let v: Value = json::parse(status.as_bytes(), 1 << 20).unwrap();
     assert!(v.is_object());
-    Seen {
+    Observations {
         cores: vec![("c1".into(), v)],
         wall_ms: 1_000_100,
-        ..Seen::default()
+        ..Observations::default()
     }
 }
 
-fn numbers(s: &Seen) -> Vec<u8> {
-    check(s).iter().map(|f| f.no).collect()
+fn numbers(s: &Observations) -> Vec<u8> {
+    check(s).iter().map(|f| f.rule.number).collect()
 }
 
 #[test]
@@ -83,30 +83,36 @@
 
 #[test]
 fn disks_and_seeds_have_theirs() {
-    let with = |sync_ms: Result<u64, String>, free: u64| Seen {
-        disk: Some(Disk {
+    let with = |sync_ms: Result<u64, String>, free: u64| Observations {
+        disk: Some(DiskStatus {
             sync_ms,
             free_percent: Some(free),
         }),
-        ..Seen::default()
+        ..Observations::default()
     };
     assert_eq!(numbers(&with(Ok(5), 60)), Vec::<u8>::new());
     assert_eq!(numbers(&with(Err("I/O error".into()), 60)), vec![7]);
     assert_eq!(numbers(&with(Ok(900), 60)), vec![8]);
     assert_eq!(numbers(&with(Ok(5), 3)), vec![9]);
-    let seeds = |v: Vec<Seed>| Seen {
+    let seeds = |v: Vec<SeedStatus>| Observations {
         seeds: v.into_iter().map(|s| ("a".to_string(), s)).collect(),
-        ..Seen::default()
+        ..Observations::default()
     };
     assert_eq!(
-        numbers(&seeds(vec![Seed::Unreached, Seed::OtherProtocol(9)])),
+        numbers(&seeds(vec![
+            SeedStatus::Unreached,
+            SeedStatus::OtherProtocol(9)
+        ])),
         vec![5, 2]
     );
     assert_eq!(
-        numbers(&seeds(vec![Seed::Unreached, Seed::Unreached])),
+        numbers(&seeds(vec![SeedStatus::Unreached, SeedStatus::Unreached])),
         vec![3]
     );
-    assert_eq!(numbers(&seeds(vec![Seed::OtherSite("x".into())])), vec![4]);
-    let all: std::collections::BTreeSet<u8> = ALL.iter().map(|r| r.0).collect();
-    assert_eq!(all.len(), ALL.len());
+    assert_eq!(
+        numbers(&seeds(vec![SeedStatus::OtherSite("x".into())])),
+        vec![4]
+    );
+    let all: std::collections::BTreeSet<u8> = RULES.iter().map(|rule| rule.number).collect();
+    assert_eq!(all.len(), RULES.len());
 }
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -71,8 +71,12 @@
 #[test]
 fn the_doctors_page_is_the_codes() {
     let text = page("docs/doctor.md");
-    for (no, sev, what, remedy) in sorreldoor::doctor::ALL {
-        let row = format!("| D{no:02} | {} | {what} | {remedy} |", sev.text());
+    for rule in sorreldoor::doctor::RULES {
+        let (number, severity) = (rule.number, rule.severity.name());
+        let row = format!(
+            "| D{number:02} | {severity} | {} | {} |",
+            rule.text, rule.remedy
+        );
         assert!(text.contains(&row), "{row}");
     }
 }
