--- a/sorreldoor/src/ctl/show.rs
+++ b/sorreldoor/src/ctl/show.rs
@@ -1,4 +1,4 @@
-//! What the client prints for people.
+//! The text that the client prints for people.
 
 use crate::json::{canonical, join, Value};
 use simd_json::prelude::*;
--- a/sorreldoor/src/ctl/watch.rs
+++ b/sorreldoor/src/ctl/watch.rs
@@ -1,71 +1,68 @@
-//! What takes more than one look: placements in another region, and a zone
-//! that is waited for until nothing runs there any more.
+//! Waiting until nothing runs in an evacuated zone any more.
 
-use super::*;
-use std::time::Instant;
+use super::client::{Client, Request};
+use super::{Failure, REFUSED};
+use crate::json::{self, Value};
+use simd_json::prelude::*;
+use std::time::{Duration, Instant};
 
-/// From a yes until no edge acts on an older setup and reports have come in.
-const SURE: Duration = Duration::from_secs(4);
+/// From an acknowledged change until no gateway acts on an older
+/// configuration and all load reports have come in.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Between two reads of the status.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-impl Ctl {
-    pub(super) fn placement(&self, p: Placement) -> i32 {
-        let Some(route) = p.route else {
-            return usage("--route: name the errand's route");
-        };
-        let mut path = format!("/v1/placement?route={route}");
-        for (k, v) in [("key", p.key), ("region", p.region)] {
-            path += &v.map_or(String::new(), |v| format!("&{k}={v}"));
-        }
-        let to = match self.call(Method::Get, &path, &[]) {
-            Err(b) => return self.unreached(b, ""),
-            Ok(c) => json::parse(&c.body, usize::MAX).unwrap_or_default(),
-        };
-        let ask = to.get("ask").and_then(|a| a.as_str());
-        match ask.and_then(|a| a.parse().ok()) {
-            // only an edge of the caller's region can say what it would do
-            Some(a) => {
-                let (at, json) = (vec![a], self.json);
-                Ctl { at, json }.read(&path, show::placement)
-            }
-            None => self.read(&path, show::placement),
-        }
-    }
+/// Requests in flight in a zone.
+#[derive(Clone, Copy, PartialEq, Eq, Default)]
+struct InFlight {
+    at_workers: u64,
+    at_edges: u64,
+}
 
-    /// Wait until nothing runs in a zone; what is left is told.
-    pub(super) fn watch(&self, zone: &str, most: Duration) -> i32 {
-        // until then an edge may not know of it yet, and what it sends
-        // may not be in any report
-        let sure = Instant::now() + SURE;
-        let end = sure.max(Instant::now() + most);
-        let mut last = None;
+impl Client {
+    /// Waits until nothing runs in a zone; prints what is left on each change.
+    pub(super) fn wait_until_empty(&self, zone: &str, limit: Duration) -> Result<(), Failure> {
+        // until then a gateway may not know of the change yet, and what it
+        // sends may not be in any report
+        let settled = Instant::now() + SETTLE_TIME;
+        let deadline = settled.max(Instant::now() + limit);
+        let mut printed = None;
         loop {
-            let left = self.left(zone);
-            if left == Some((0, 0)) && Instant::now() >= sure {
+            let in_flight = self.in_flight(zone);
+            if in_flight == Some(InFlight::default()) && Instant::now() >= settled {
                 println!("zone {zone} is empty");
-                return DONE;
+                return Ok(());
             }
-            if left != last {
-                let (w, e) = left.unwrap_or_default();
-                println!("zone {zone}: {w} errands at its workers, {e} at its edges");
-                last = left;
+            if in_flight != printed {
+                let InFlight {
+                    at_workers,
+                    at_edges,
+                } = in_flight.unwrap_or_default();
+                println!(
+                    "zone {zone}: {at_workers} errands at its workers, {at_edges} at its edges"
+                );
+                printed = in_flight;
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 eprintln!("ctl: zone {zone} was not empty in time; the change stands");
-                return REFUSED;
+                return Err(REFUSED);
             }
-            std::thread::sleep(Duration::from_millis(250));
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Errands at a zone's workers and edges, if it is seen as emptied.
-    fn left(&self, zone: &str) -> Option<(u64, u64)> {
-        let c = self.call(Method::Get, "/v1/status", &[]).ok()?;
-        let v = json::parse(&c.body, usize::MAX).ok()?;
-        let all = v.get("zones").and_then(|z| z.as_array())?;
-        let named = |z: &&Value| z.get("zone").and_then(|n| n.as_str()) == Some(zone);
-        let z = all.iter().find(named)?;
-        let num = |k: &str| z.get(k).and_then(|n| n.as_u64()).unwrap_or(0);
-        let evacuated = z.get("emptied").and_then(|e| e.as_bool()) == Some(true);
-        evacuated.then(|| (num("at_workers"), num("at_edges")))
+    /// Requests at a zone's workers and gateways, if it is evacuated.
+    fn in_flight(&self, zone: &str) -> Option<InFlight> {
+        let called = self.call(&Request::get("/v1/status")).ok()?;
+        let status = json::parse(&called.body, usize::MAX).ok()?;
+        let rows = status.get("zones").and_then(|zones| zones.as_array())?;
+        let is_zone = |row: &&Value| row.get("zone").and_then(|name| name.as_str()) == Some(zone);
+        let row = rows.iter().find(is_zone)?;
+        let count = |key: &str| row.get(key).and_then(|count| count.as_u64()).unwrap_or(0);
+        let is_evacuated = row.get("emptied").and_then(|flag| flag.as_bool()) == Some(true);
+        is_evacuated.then(|| InFlight {
+            at_workers: count("at_workers"),
+            at_edges: count("at_edges"),
+        })
     }
 }
--- a/sorreldoor/src/main.rs
+++ b/sorreldoor/src/main.rs
@@ -1,4 +1,4 @@
-//! One program; the role is a subcommand.
+//! The `sorreldoor` program; the role is a subcommand.
 
 use gumdrop::Options;
 use sorreldoor::settings::{Overrides, Role, Settings};
@@ -19,9 +19,9 @@
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "run a core node: consensus, sessions, delivery; needs a data folder")]
-    Core(Node),
+    Core(NodeArgs),
     #[options(help = "run an edge node: takes callers' errands to workers")]
-    Edge(Node),
+    Edge(NodeArgs),
     #[options(help = "operators' client")]
     Ctl(ctl::Args),
     #[options(help = "look for common faults around a node")]
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug, Options)]
-struct Node {
+struct NodeArgs {
     #[options(help = "show this help")]
     help: bool,
     #[options(help = "settings file (JSON)", meta = "FILE", required)]
@@ -74,10 +74,10 @@
         return;
     }
     let code = match args.role {
-        Some(Command::Core(n)) => node(n, Role::Core),
-        Some(Command::Edge(n)) => node(n, Role::Edge),
-        Some(Command::Ctl(c)) => ctl::run(c),
-        Some(Command::Doctor(d)) => doctor::run(d),
+        Some(Command::Core(args)) => run_node(args, Role::Core),
+        Some(Command::Edge(args)) => run_node(args, Role::Edge),
+        Some(Command::Ctl(args)) => ctl::run(args),
+        Some(Command::Doctor(args)) => doctor::run(args),
         None => {
             eprintln!("sorreldoor: name a role: core, edge, ctl or doctor; see --help");
             2
@@ -86,35 +86,36 @@
     exit(code);
 }
 
-fn node(n: Node, role: Role) -> i32 {
-    let over = Overrides {
-        node: n.node,
-        zone: n.zone,
-        listen: n.listen,
-        http: n.http,
-        data: n.data,
-        platform: n.platform,
-        seeds: n.seed,
+/// Runs a node until it ends; returns the exit code.
+fn run_node(args: NodeArgs, role: Role) -> i32 {
+    let overrides = Overrides {
+        node: args.node,
+        zone: args.zone,
+        listen: args.listen,
+        http: args.http,
+        data: args.data,
+        platform: args.platform,
+        seeds: args.seed,
     };
-    let file = n.settings.unwrap_or_default();
-    let set = match Settings::load(&file, &over, role) {
-        Ok(s) => s,
+    let file = args.settings.unwrap_or_default();
+    let settings = match Settings::load(&file, &overrides, role) {
+        Ok(settings) => settings,
         Err(faults) => {
-            for f in faults {
-                eprintln!("settings: {f}");
+            for fault in faults {
+                eprintln!("settings: {fault}");
             }
             return 2;
         }
     };
-    if n.check {
+    if args.check {
         println!("settings are good");
         return 0;
     }
-    let r = match role {
-        Role::Core => sorreldoor::control_plane::run(set).map_err(|e| e.to_string()),
-        Role::Edge => sorreldoor::gateway::run(set),
+    let result = match role {
+        Role::Core => sorreldoor::control_plane::run(settings).map_err(|e| e.to_string()),
+        Role::Edge => sorreldoor::gateway::run(settings),
     };
-    r.map_or_else(
+    result.map_or_else(
         |e| {
             eprintln!("sorreldoor: {e}");
             1
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP interface as both roles serve it: which request a call
-//! is, and how its outcome is answered.
+//! The operators' HTTP interface as both roles serve it: parsing of requests
+//! and responses for their outcomes.
 
 use crate::configuration::{self, Site};
 use crate::discovery::{Loads, Worker};
@@ -14,7 +14,7 @@
 use simd_json::prelude::*;
 use std::time::Duration;
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
     Change {
@@ -34,9 +34,12 @@
     },
 }
 
+/// How long the body of a request may take.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+
 fn base(req: &Request) -> Result<u64, ErrorCode> {
-    let b = http::query(req, "base").ok_or(ErrorCode::MissingBaseVersion)?;
-    b.parse().map_err(|_| ErrorCode::MissingBaseVersion)
+    let base = http::query(req, "base").ok_or(ErrorCode::MissingBaseVersion)?;
+    base.parse().map_err(|_| ErrorCode::MissingBaseVersion)
 }
 
 fn given_proposal_id(req: &Request) -> Result<ProposalId, ErrorCode> {
@@ -46,13 +49,16 @@
     )
 }
 
-/// What an operator asks for; none where the path is no operator's.
+/// Parses a request; `None` if the path is not part of this interface.
+///
+/// # Errors
+/// The method, a parameter or the body is not valid.
 pub async fn read(req: &mut Request, site: &Site) -> Option<Result<OperatorRequest, ErrorCode>> {
     let path = req.url().path().to_string();
     let rest = path.strip_prefix("/v1/")?;
     let parts: Vec<&str> = rest.split('/').collect();
-    let m = req.method();
-    Some(match (m, parts.as_slice()) {
+    let method = req.method();
+    Some(match (method, parts.as_slice()) {
         (Method::Get, ["setup"]) => Ok(OperatorRequest::Configuration),
         (Method::Get, ["status"]) => Ok(OperatorRequest::Status),
         (Method::Get, ["metrics"]) => Ok(OperatorRequest::Metrics),
@@ -60,7 +66,7 @@
             .map(OperatorRequest::Proposal)
             .ok_or(ErrorCode::InvalidRequestField),
         (Method::Put, ["setup"]) => {
-            doc(req, |base, doc| Command::Put {
+            document_change(req, |base, doc| Command::Put {
                 base,
                 new_version: None,
                 document: doc,
@@ -68,7 +74,7 @@
             .await
         }
         (Method::Patch, ["setup"]) => {
-            doc(req, |base, patch| Command::MergePatch { base, patch }).await
+            document_change(req, |base, patch| Command::MergePatch { base, patch }).await
         }
         (Method::Post, ["check"]) => check(req, site).await,
         (Method::Post, ["zones", z, "empty"]) => zone(req, site, z, true),
@@ -87,27 +93,28 @@
     })
 }
 
-async fn text(req: &mut Request) -> Result<String, ErrorCode> {
-    let b = http::body(req, configuration::MAX_BYTES, Duration::from_secs(10)).await?;
-    String::from_utf8(b).map_err(|_| ErrorCode::InvalidJson)
+async fn body_text(req: &mut Request) -> Result<String, ErrorCode> {
+    let body = http::body(req, configuration::MAX_BYTES, BODY_TIMEOUT).await?;
+    String::from_utf8(body).map_err(|_| ErrorCode::InvalidJson)
 }
 
-async fn doc(
+/// A change whose body is a document or a patch.
+async fn document_change(
     req: &mut Request,
-    f: impl Fn(u64, String) -> Command,
+    command: impl Fn(u64, String) -> Command,
 ) -> Result<OperatorRequest, ErrorCode> {
     let base = base(req)?;
     let proposal_id = given_proposal_id(req)?;
-    let t = text(req).await?;
+    let text = body_text(req).await?;
     Ok(OperatorRequest::Change {
         proposal_id,
-        cmd: f(base, t),
+        cmd: command(base, text),
     })
 }
 
 async fn check(req: &mut Request, site: &Site) -> Result<OperatorRequest, ErrorCode> {
-    let t = text(req).await?;
-    let faults = configuration::parse(t.as_bytes(), site)
+    let text = body_text(req).await?;
+    let faults = configuration::parse(text.as_bytes(), site)
         .err()
         .unwrap_or_default();
     Ok(OperatorRequest::Check { faults })
@@ -140,11 +147,11 @@
     )
 }
 
-/// The yes, the no, or the honest don't-know to a change.
-pub fn result(proposal_id: ProposalId, o: &OpOutcome) -> Response {
+/// The response to a change: applied, rejected, or outcome unknown.
+pub fn result(proposal_id: ProposalId, outcome: &OpOutcome) -> Response {
     let mut v = Value::object();
     let _ = v.insert("proposal", format_proposal_id(proposal_id));
-    let p = match o {
+    let error_code = match outcome {
         OpOutcome::Got(Outcome::Applied { version }) => {
             let _ = v.insert("taken", true);
             let _ = v.insert("serial", *version);
@@ -172,22 +179,23 @@
         OpOutcome::NotTaken => ErrorCode::ChangeNotAccepted,
         OpOutcome::Nothing => ErrorCode::UnknownProposal,
     };
-    // neither a yes nor a no may be read out of a don't-know
+    // an unknown outcome must not be read as applied or as rejected
     if !matches!(
-        p,
+        error_code,
         ErrorCode::ChangeOutcomeUnknown | ErrorCode::BaseVersionAhead
     ) {
         let _ = v.insert("taken", false);
     }
-    let _ = v.insert("problem", p.code());
-    let _ = v.insert("text", p.message());
-    let mut r = http::json(p.status(), v.encode());
-    if p.is_retryable() {
+    let _ = v.insert("problem", error_code.code());
+    let _ = v.insert("text", error_code.message());
+    let mut r = http::json(error_code.status(), v.encode());
+    if error_code.is_retryable() {
         r.insert_header("retry-after", "1");
     }
     r
 }
 
+/// The response to a check of a document.
 pub fn checked(faults: &[String]) -> Response {
     let mut v = Value::object();
     let _ = v.insert("good", faults.is_empty());
@@ -195,7 +203,7 @@
     http::ok(v)
 }
 
-/// A status' numbers and flags, flat, for whoever gathers metrics.
+/// The numbers and flags of a status as flat metrics.
 pub fn metrics(status: &str) -> Response {
     let v = crate::json::parse(status.as_bytes(), usize::MAX).unwrap_or_default();
     let mut out = Value::object();
@@ -216,7 +224,7 @@
     http::ok(out)
 }
 
-/// The setup in force, as any node shows it.
+/// The configuration in force, as any node shows it.
 pub fn configuration_view(version: u64, doc: Option<&str>, evacuated: &[String]) -> Response {
     let mut v = Value::object();
     let _ = v.insert("serial", version);
@@ -226,7 +234,7 @@
     http::ok(v)
 }
 
-/// Zone by zone: whether it is emptied, and what still runs there.
+/// For each zone, whether it is evacuated and the requests in flight there.
 pub fn zones(
     site: &Site,
     evacuated: &[u16],
@@ -243,12 +251,12 @@
     let row = |z: u16, name: &str| {
         let mine = workers.iter().filter(|w| w.zone == z);
         let busy = |w: &Worker| loads.of(&w.name).map_or(0, |l| l.running + l.queued);
-        let mut o = Value::object();
-        let _ = o.insert("zone", name);
-        let _ = o.insert("emptied", evacuated.contains(&z));
-        let _ = o.insert("at_workers", mine.map(busy).sum::<u32>());
-        let _ = o.insert("at_edges", busy_edges[usize::from(z)]);
-        o
+        let mut status = Value::object();
+        let _ = status.insert("zone", name);
+        let _ = status.insert("emptied", evacuated.contains(&z));
+        let _ = status.insert("at_workers", mine.map(busy).sum::<u32>());
+        let _ = status.insert("at_edges", busy_edges[usize::from(z)]);
+        status
     };
     let names = site.zones.iter().enumerate();
     names.map(|(z, (n, _))| row(z as u16, n)).collect()
