--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -70,7 +70,7 @@
             .doc
             .as_ref()
             .filter(|_| !unchanged)
-            .map(|document| configuration::read(document.as_bytes(), &self.site));
+            .map(|document| configuration::parse(document.as_bytes(), &self.site));
         self.snapshot.view = view;
         let readable = parsed.as_ref().is_none_or(|result| result.is_ok());
         if let Some(result) = parsed {
--- a/testbed/src/faulty_node.rs
+++ b/testbed/src/faulty_node.rs
@@ -6,7 +6,7 @@
 use sorreldoor::consensus::Save;
 use sorreldoor::json::{self, Value};
 use sorreldoor::runtime::{Clock, Now, SystemClock};
-use sorreldoor::settings::{Over, Role, Settings};
+use sorreldoor::settings::{Overrides, Role, Settings};
 use sorreldoor::store::Store;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -105,7 +105,7 @@
     } else {
         Role::Edge
     };
-    let set = Settings::load(settings, &Over::default(), role).map_err(|f| f.join("; "))?;
+    let set = Settings::load(settings, &Overrides::default(), role).map_err(|f| f.join("; "))?;
     match role {
         Role::Core => sorreldoor::control_plane::run_by(set, clock, |s| FaultyStore(s, faults))
             .map_err(|e| e.to_string()),
