--- a/sorreldoor/src/configuration/hosted.rs
+++ b/sorreldoor/src/configuration/hosted.rs
@@ -1,10 +1,10 @@
-//! Hosted routes: requests told apart by host and path, carried byte for byte
-//! to workers of a service, under the operator's shares, bounds and homes.
+//! Hosted routes: requests are routed by host and path and proxied byte for
+//! byte to the workers of a service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What may be done again with a request that may have run.
+/// Whether a request that may have run may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Kind {
     /// It may run more than once.
@@ -16,6 +16,7 @@
     Stream,
 }
 
+/// How requests of one host and path prefix are served.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
     pub name: String,
@@ -23,57 +24,60 @@
     /// Begins and ends with a slash.
     pub prefix: String,
     pub kind: Kind,
-    /// The longest that a request is held, in milliseconds.
+    /// The request timeout in milliseconds.
     pub timeout_ms: u64,
-    /// Within this an answer earns its full worth, in milliseconds; 0: not said.
+    /// The latency target in milliseconds; 0: none.
     pub aim_ms: u64,
-    /// 0 is served first.
+    /// The priority class; 0 is served first.
     pub priority: u8,
-    /// Services by index, with their weights.
+    /// Indices of services with their traffic weights.
     pub split: Vec<(u16, u32)>,
-    /// Workers that one request may be sent to, at most.
+    /// The maximum number of attempts of one request.
     pub attempts: u32,
-    /// Requests that share a prompt prefix are kept together.
+    /// Prefix affinity: requests that share a prompt prefix go to one worker.
     pub sticky: bool,
-    /// A stream may be taken up by another worker where it broke.
+    /// A broken stream may be resumed on another worker.
     pub resume: bool,
-    /// The longest pause between events that is still in time, in milliseconds; 0: not said.
+    /// The target for the longest gap between events, in milliseconds; 0: none.
     pub gap_ms: u64,
-    /// Regions, by index, that alone may serve it; empty: all.
+    /// Indices of the only regions that may serve it; empty: all.
     pub homes: Vec<u8>,
 }
 
 impl Route {
+    /// Whether a request that may have run may be retried.
     pub fn repeatable(&self) -> bool {
         self.kind == Kind::Idempotent || (self.kind == Kind::Stream && self.resume)
     }
 }
 
-/// How the model workers of a service work.
+/// The inference engine of a service's workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Engine {
     /// Requests in one batch.
     pub slots: u32,
-    /// Tokens that a worker's memory holds.
+    /// Capacity of a worker's KV cache in tokens.
     pub kv_tokens: u64,
     /// Tokens in one event of a stream.
     pub stride: u32,
 }
 
+/// A set of workers that serve the same requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
     pub name: String,
-    /// The path of its workers' health.
+    /// The path of its workers' health check.
     pub health: String,
-    /// Connections that a worker takes from all callers together.
+    /// Connections that a worker accepts from all clients together.
     pub max_conns: u32,
-    /// How long a started worker stays cold, in milliseconds.
+    /// The slow-start period of a started worker, in milliseconds.
     pub warmup_ms: u64,
-    /// Requests a second that a cold worker bears; 0: no bound.
+    /// Requests per second that a worker takes during slow start; 0: no limit.
     pub warmup_per_s: f64,
     pub engine: Option<Engine>,
 }
 
+/// Limits on what clients send; times in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub header_bytes: usize,
@@ -93,30 +97,30 @@
     }
 }
 
-/// So few routes of a host are looked through one by one.
-const FEW: usize = 16;
+/// A host with at most this many routes is searched linearly.
+const MAX_LINEAR_SEARCH: usize = 16;
 
-/// The `hosted` part of a setup; names are made dense.
+/// The `hosted` section of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hosted {
     pub routes: Vec<Arc<Route>>,
     pub services: Vec<Service>,
     pub limits: Limits,
-    /// Routes of a host, in lower case: those with the longest prefix first, then
-    /// by the prefix.
+    /// Indices of the routes of each host (in lower case): longer prefixes
+    /// first, then by prefix.
     pub by_host: HashMap<String, Vec<u32>>,
 }
 
 impl Hosted {
-    /// The route whose prefix begins the path and is longest; hosts are
-    /// compared without regard to case.
+    /// The route with the longest prefix of the path; hosts are matched
+    /// case-insensitively.
     pub fn find(&self, host: &str, path: &str) -> Option<u32> {
         let rs = match self.by_host.get(host) {
             Some(rs) => rs,
             None => self.by_host.get(&host.to_ascii_lowercase())?,
         };
         let prefix = |i: &u32| self.routes[*i as usize].prefix.as_str();
-        if rs.len() <= FEW {
+        if rs.len() <= MAX_LINEAR_SEARCH {
             return rs.iter().copied().find(|i| path.starts_with(prefix(i)));
         }
         // a host may have thousands of routes, a path has few slashes
@@ -126,6 +130,7 @@
             .map(|n| rs[n])
     }
 
+    /// The index of a service.
     pub fn service(&self, name: &str) -> Option<u16> {
         let i = self.services.iter().position(|s| s.name == name);
         i.map(|i| i as u16)
--- a/sorreldoor/src/configuration/hosted_change.rs
+++ b/sorreldoor/src/configuration/hosted_change.rs
@@ -1,5 +1,5 @@
-//! A `hosted` part with some items set and others deleted: only what is set
-//! is read, and the result is checked like a whole one.
+//! Incremental changes of the `hosted` section: only the items that are set
+//! are parsed, and the result is validated like a complete section.
 
 use super::hosted::{Hosted, Route, Service};
 use super::hosted_parse::{self as parse, Item};
@@ -9,8 +9,8 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// Items of one list that are set, each replaced or added, and the names of
-/// those that are deleted; what is in both is set.
+/// A change of one list: items that are replaced or added, and names of items
+/// that are deleted. A name in both is set.
 #[derive(Default)]
 pub struct ListChange<'v> {
     pub set: Vec<&'v Value>,
@@ -27,10 +27,11 @@
         }
     }
 
-    fn items(&self, key: &str, f: &mut Faults) -> Vec<Item<'v>> {
+    fn items(&self, key: &str, faults: &mut Faults) -> Vec<Item<'v>> {
         let at = |n: usize| join("hosted", &format!("{key}[{n}]"));
         let all = self.set.iter().enumerate();
-        all.filter_map(|(n, v)| Item::of(v, at(n), f)).collect()
+        all.filter_map(|(n, v)| Item::of(v, at(n), faults))
+            .collect()
     }
 
     fn is_empty(&self) -> bool {
@@ -38,51 +39,51 @@
     }
 }
 
-/// A change of the `hosted` part.
+/// A change of the `hosted` section.
 #[derive(Default)]
 pub struct HostedChange<'v> {
-    /// The part without its lists; none where it stays as it is.
+    /// The section without its lists; `None` if that does not change.
     pub rest: Option<&'v Value>,
     pub services: ListChange<'v>,
     pub routes: ListChange<'v>,
 }
 
 impl HostedChange<'_> {
-    /// The part as changed.
+    /// The changed section.
     ///
     /// # Errors
     /// Every fault of the result, under its path.
     pub fn apply(&self, old: &Hosted, site: &Site) -> Result<Hosted, Vec<String>> {
-        let mut f = Faults::default();
-        let services = self.services(old, &mut f);
+        let mut faults = Faults::default();
+        let services = self.services(old, &mut faults);
         let index = by_name(&services);
-        let routes = self.routes(old, &services, &index, site, &mut f);
-        let by_host = match same_places(&old.routes, &routes) {
+        let routes = self.routes(old, &services, &index, site, &mut faults);
+        let by_host = match same_prefixes(&old.routes, &routes) {
             true => old.by_host.clone(),
-            false => parse::by_host(&routes, &mut f),
+            false => parse::by_host(&routes, &mut faults),
         };
-        let top = self.rest.map(|r| Item::of(r, "hosted".into(), &mut f));
+        let top = self.rest.map(|r| Item::of(r, "hosted".into(), &mut faults));
         let limits = top
             .flatten()
-            .map_or(old.limits, |i| parse::limits_of(&i, &mut f));
+            .map_or(old.limits, |i| parse::limits_of(&i, &mut faults));
         let hosted = Hosted {
             routes,
             services,
             limits,
             by_host,
         };
-        if f.is_empty() {
+        if faults.is_empty() {
             Ok(hosted)
         } else {
-            Err(f.into_list())
+            Err(faults.into_list())
         }
     }
 
-    fn services(&self, old: &Hosted, f: &mut Faults) -> Vec<Service> {
-        let items = self.services.items("services", f);
-        let new = items.iter().map(|i| parse::service(i, f)).collect();
-        let gone = &self.services.deleted;
-        merged(&old.services, new, |s| &s.name, gone)
+    fn services(&self, old: &Hosted, faults: &mut Faults) -> Vec<Service> {
+        let items = self.services.items("services", faults);
+        let new = items.iter().map(|i| parse::service(i, faults)).collect();
+        let deleted = &self.services.deleted;
+        merged(&old.services, new, |s| &s.name, deleted)
     }
 
     fn routes(
@@ -91,16 +92,16 @@
         services: &[Service],
         index: &HashMap<&str, u16>,
         site: &Site,
-        f: &mut Faults,
+        faults: &mut Faults,
     ) -> Vec<Arc<Route>> {
-        let items = self.routes.items("routes", f);
-        let new = items.iter().map(|i| parse::route(i, index, site, f));
+        let items = self.routes.items("routes", faults);
+        let new = items.iter().map(|i| parse::route(i, index, site, faults));
         let new: Vec<Arc<Route>> = new.map(Arc::new).collect();
         let set: HashSet<String> = new.iter().map(|r| r.name.clone()).collect();
         let mut all = merged(&old.routes, new, |r| &r.name, &self.routes.deleted);
         if !same_names(&old.services, services) {
-            let kept = all.iter_mut().filter(|r| !set.contains(&r.name));
-            kept.for_each(|r| renumber(r, &old.services, index, f));
+            let retained = all.iter_mut().filter(|r| !set.contains(&r.name));
+            retained.for_each(|r| renumber(r, &old.services, index, faults));
         }
         all
     }
@@ -121,16 +122,16 @@
     a.len() == b.len() && a.iter().zip(b).all(|(a, b)| a.name == b.name)
 }
 
-/// Whether each route is found at the place where it was.
-fn same_places(a: &[Arc<Route>], b: &[Arc<Route>]) -> bool {
+/// Whether all routes match the same requests as before, at the same indices.
+fn same_prefixes(a: &[Arc<Route>], b: &[Arc<Route>]) -> bool {
     let same = |a: &Arc<Route>, b: &Arc<Route>| {
         Arc::ptr_eq(a, b) || (a.host == b.host && a.prefix == b.prefix)
     };
     a.len() == b.len() && a.iter().zip(b).all(|(a, b)| same(a, b))
 }
 
-/// The old items with new ones in place of those of their name, and the rest
-/// of the new ones after them.
+/// The old items, each replaced by a new one of its name, then the other new
+/// items. Old items named in `deleted` are removed.
 fn merged<T: Clone>(
     old: &[T],
     new: Vec<T>,
@@ -158,14 +159,14 @@
     out
 }
 
-/// Services of a route that stays, by their new indices.
-fn renumber(r: &mut Arc<Route>, old: &[Service], index: &HashMap<&str, u16>, f: &mut Faults) {
+/// Updates the indices of services in a route that has not changed itself.
+fn renumber(r: &mut Arc<Route>, old: &[Service], index: &HashMap<&str, u16>, faults: &mut Faults) {
     let mut split = Vec::with_capacity(r.split.len());
     for (service, weight) in &r.split {
         let name = old.get(usize::from(*service)).map_or("", |s| &s.name);
         match index.get(name) {
             Some(i) => split.push((*i, *weight)),
-            None => f.add(
+            None => faults.add(
                 &format!("hosted.routes.{}.service", r.name),
                 format!("there is no service {name:?}"),
             ),
--- a/sorreldoor/src/configuration/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! The operator's setup: one whole document, read once, names made dense.
+//! The operator's configuration: a document that is parsed and validated as a
+//! whole. Names become dense indices.
 
 pub mod hosted;
 pub mod hosted_change;
@@ -10,34 +11,46 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Names of the site's regions and zones, in order; indices are dense.
+/// The layout of a site: names of regions and zones. Everything else refers to
+/// them by index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Site {
     pub regions: Vec<String>,
+    /// Each zone with the index of its region.
     pub zones: Vec<(String, u8)>,
 }
 
 impl Site {
+    /// The index of a region.
     pub fn region(&self, name: &str) -> Option<u8> {
         self.regions.iter().position(|r| r == name).map(|i| i as u8)
     }
+
+    /// The index of a zone.
     pub fn zone(&self, name: &str) -> Option<u16> {
         self.zones
             .iter()
             .position(|(z, _)| z == name)
             .map(|i| i as u16)
     }
+
+    /// The name of a zone, `?` if there is none.
     pub fn zone_name(&self, z: u16) -> &str {
         self.zones.get(z as usize).map_or("?", |(n, _)| n)
     }
+
+    /// The name of a region, `?` if there is none.
     pub fn region_name(&self, r: u8) -> &str {
         self.regions.get(r as usize).map_or("?", |n| n)
     }
+
+    /// The index of the region that a zone belongs to.
     pub fn region_of_zone(&self, z: u16) -> Option<u8> {
         self.zones.get(z as usize).map(|(_, r)| *r)
     }
 }
 
+/// The shape of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A large shared prefix and a private tail.
@@ -48,65 +61,81 @@
     Fetch,
 }
 
+/// A group of workers of one kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
     pub name: String,
+    /// Whether its workers serve a model; else they are plain web workers.
     pub model: bool,
-    /// Errands a worker of this group runs at once.
+    /// Requests that a worker of this group runs at once.
     pub slots: u32,
-    /// Errands that may wait at one edge for this group.
+    /// Requests that may be queued at one gateway for this group.
     pub queue: u32,
     pub warm: Warm,
 }
 
-/// How a cold worker is let in: `first` at once, then one more each time
-/// `after` have finished, until warm.
+/// The slow start of a cold worker: `first` requests at once, then one more
+/// each time `after` have finished, up to the group's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Warm {
     pub first: u32,
     pub after: u32,
 }
 
+/// Groups of workers that serve the same requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
     pub name: String,
+    /// Indices of its groups, the preferred ones first.
     pub groups: Vec<u16>,
     pub adapter: Option<String>,
 }
 
+/// The share of a route's requests that goes to a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
+    /// Index of the service.
     pub service: u16,
     pub weight: u32,
+    /// The lowest weight that may be tuned.
     pub least: u32,
+    /// The highest weight that may be tuned.
     pub most: u32,
 }
 
+/// How requests of one name are served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     pub name: String,
     pub kind: Kind,
+    /// Requests are idempotent, so that they may be retried.
     pub repeatable: bool,
+    /// Responses are streams of events.
     pub streamed: bool,
+    /// Requests stay in the caller's region.
     pub home: bool,
+    /// The request timeout in milliseconds.
     pub cutoff_ms: u64,
     pub shares: Vec<Share>,
 }
 
+/// A valid configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     pub groups: Vec<Group>,
     pub services: Vec<Service>,
     pub routes: Vec<Route>,
-    /// Most percent of a region's errands that may go to another.
+    /// The highest percentage of a region's requests that may spill over to
+    /// another, by both regions.
     pub spill: BTreeMap<(u8, u8), u32>,
-    /// Most retries in percent of first tries.
+    /// The retry budget in percent of first attempts.
     pub retry_percent: u32,
-    /// Routes told apart by host and path, if there are any.
+    /// Routes by host and path, if there are any.
     pub hosted: Option<Arc<hosted::Hosted>>,
 }
 
 impl Configuration {
+    /// The index of a route.
     pub fn route(&self, name: &str) -> Option<u16> {
         self.routes
             .iter()
@@ -119,6 +148,7 @@
         route.shares.iter().find(|share| share.service == service)
     }
 
+    /// The index of a group.
     pub fn group(&self, name: &str) -> Option<u16> {
         self.groups
             .iter()
