--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -1,7 +1,6 @@
 //! Edges: their sessions, and the leases and state they are granted.
 
 use super::Controller;
-use crate::control_plane::connections::REACHABLE_MS;
 use crate::control_plane::distribution::Sources;
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::reads::Read;
@@ -155,8 +154,8 @@
     /// Connections to which a newer list of workers goes: the reachable cores
     /// and then this core's edges.
     pub(super) fn subscribers(&self) -> Vec<Conn> {
-        let cores = self.live_cores(REACHABLE_MS).into_values();
-        let edges = self.sessions.local_connections();
-        cores.map(|(conn, _)| conn).chain(edges).collect()
+        let mut subscribers = self.reachable_cores();
+        subscribers.extend(self.sessions.local_connections());
+        subscribers
     }
 }
