--- /dev/null
+++ b/sorreldoor/src/consensus/election.rs
@@ -0,0 +1,267 @@
+//! Election of the Global Leader, with pre-vote (thesis, sections 3.4 and 9.6).
+//!
+//! On top of Raft's majority of all voters, the CD-Raft paper wants N-1 of N
+//! Domain Leaders to take part; that rule is waived after a time-out.
+
+use super::entry::LogPosition;
+use super::messages::{Msg, VoteReply};
+use super::node::Consensus;
+use super::quorum;
+use super::role::{Election, Role};
+use super::state_machine::StateMachine;
+use super::timing::InjectedFault;
+use crate::types::NodeId;
+
+/// Missed election time-outs after which any voter may campaign.
+const MISSED_ELECTIONS_BEFORE_ANY_VOTER: u32 = 1;
+
+impl<M: StateMachine> Consensus<M> {
+    pub(super) fn tick(&mut self) {
+        if self.disk_failed {
+            return;
+        }
+        self.tick_domain();
+        self.tick_global();
+        self.check_elections();
+        self.tick_proposals();
+        self.tick_reads();
+    }
+
+    fn tick_global(&mut self) {
+        if self.role == Role::Leader {
+            self.tick_leader();
+            return;
+        }
+        if self.domain_role == Role::Leader && self.now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = self.now + self.timing.heartbeat_interval;
+            self.replicate_in_domain(false);
+        }
+        if self.now >= self.election_deadline {
+            self.handle_election_timeout();
+        }
+    }
+
+    fn handle_election_timeout(&mut self) {
+        self.reset_initial_election_deadline();
+        if self.now >= self.missed_election_at + self.timing.election_timeout {
+            self.missed_election_at = self.now;
+            self.missed_elections += 1;
+        }
+        if self.promotable() && self.may_campaign() {
+            self.start_pre_vote();
+        }
+    }
+
+    /// The last connection to a core was closed: its process has ended, or
+    /// will connect again soon.
+    pub(super) fn handle_disconnect(&mut self, id: NodeId) {
+        let soon = self.now + self.rand(self.timing.election_timeout / 8);
+        let domain_leader = self.domain_leaders.get(&self.region());
+        if domain_leader.is_some_and(|leader| leader.id == id) {
+            self.domain_leader_known = false;
+            self.domain_election_deadline = self.domain_election_deadline.min(soon);
+        }
+        if self.global_leader == Some(id) {
+            self.leader_suspected = true;
+            self.election_deadline = self.election_deadline.min(soon);
+        }
+    }
+
+    /// Domain Leaders campaign. Any other voter may where its region has none,
+    /// or after missed elections.
+    ///
+    /// A region without its majority elects no Domain Leader, yet may have the
+    /// newest log. And a Domain Leader whose log or configuration is older than
+    /// another core's cannot win, so that other core must be able to.
+    fn may_campaign(&self) -> bool {
+        let domain_leader = self.domain_leaders.get(&self.region());
+        let heard_at = domain_leader.map_or(0, |leader| leader.last_heard_at);
+        let silence = self
+            .now
+            .saturating_sub(heard_at.max(self.domain_leader_heard_at));
+        self.domain_role == Role::Leader
+            || self.missed_elections > MISSED_ELECTIONS_BEFORE_ANY_VOTER
+            || silence > self.timing.region_rule_timeout
+    }
+
+    fn start_pre_vote(&mut self) {
+        // a repeated pre-vote must not put off the waiver of the region rule
+        let since = Some(self.election.since).filter(|_| self.role == Role::PreCandidate);
+        self.role = Role::PreCandidate;
+        self.election = self.new_election();
+        self.election.since = since.unwrap_or(self.now);
+        self.request_votes(self.hard_state.term + 1, true);
+        self.check_elections();
+    }
+
+    fn new_election(&self) -> Election {
+        let mut election = Election {
+            since: self.now,
+            votes: [self.id].into(),
+            ..Election::default()
+        };
+        if self.domain_role == Role::Leader {
+            election.domain_leaders.insert(self.id, self.log.last());
+        }
+        election
+    }
+
+    fn request_votes(&mut self, term: u64, pre_vote: bool) {
+        let last = self.log.last();
+        for id in self.voters() {
+            if id == self.id {
+                continue;
+            }
+            let request = Msg::VoteRequest {
+                term,
+                last,
+                pre_vote,
+            };
+            self.send_after_sync(id, request);
+        }
+    }
+
+    pub(super) fn become_candidate(&mut self) {
+        self.hard_state.term += 1;
+        self.hard_state.vote = Some(self.id);
+        self.global_leader = None;
+        self.reset_term_state();
+        self.save_hard_state();
+        self.role = Role::Candidate;
+        self.election = self.new_election();
+        self.election.vote_save_seq = self.save_seq;
+        let timeout = self.timing.election_timeout;
+        self.election_deadline = self.now + timeout + self.rand(timeout);
+        self.request_votes(self.hard_state.term, false);
+    }
+
+    pub(super) fn handle_vote_request(
+        &mut self,
+        from: NodeId,
+        term: u64,
+        last: LogPosition,
+        pre_vote: bool,
+    ) {
+        // what the reply says of this node is from before it grants anything
+        let is_domain_leader = self.domain_role == Role::Leader;
+        let own_last = self.log.last();
+        let granted = if pre_vote {
+            self.grant_pre_vote(from, term, last)
+        } else {
+            self.grant_vote(from, term, last)
+        };
+        let reply_term = if pre_vote && granted {
+            term
+        } else {
+            self.hard_state.term
+        };
+        let reply = VoteReply {
+            term: reply_term,
+            granted,
+            pre_vote,
+            is_domain_leader,
+            last: own_last,
+        };
+        self.send_after_sync(from, Msg::VoteReply(reply));
+    }
+
+    fn is_up_to_date(&self, last: LogPosition) -> bool {
+        let fault = self.timing.injected_fault;
+        last >= self.log.last() || fault == InjectedFault::VoteForStaleLog
+    }
+
+    fn grant_pre_vote(&mut self, from: NodeId, term: u64, last: LogPosition) -> bool {
+        // of two simultaneous campaigns only one may go on, or they would
+        // split the votes again and again
+        let rival = match self.role {
+            Role::PreCandidate => self.log.last() == last && self.id > from,
+            role => role == Role::Candidate,
+        };
+        let granted = self.is_up_to_date(last)
+            && self.no_active_leader()
+            && !rival
+            && term > self.hard_state.term
+            && !self.disk_stalled();
+        if granted && self.role == Role::PreCandidate {
+            self.role = Role::Follower;
+            self.reset_election_deadline();
+        }
+        granted
+    }
+
+    fn grant_vote(&mut self, from: NodeId, term: u64, last: LogPosition) -> bool {
+        if term > self.hard_state.term {
+            self.become_follower(term, None);
+        }
+        let vote = self.hard_state.vote;
+        let granted = term == self.hard_state.term
+            && vote.is_none_or(|id| id == from)
+            && self.is_up_to_date(last)
+            && self.role == Role::Follower
+            && !self.disk_stalled();
+        if granted && vote.is_none() {
+            self.hard_state.vote = Some(from);
+            self.reset_election_deadline();
+            self.save_hard_state();
+        }
+        granted
+    }
+
+    pub(super) fn handle_vote_reply(&mut self, from: NodeId, reply: VoteReply) {
+        let VoteReply {
+            term,
+            granted,
+            pre_vote,
+            is_domain_leader,
+            last,
+        } = reply;
+        if !granted && term > self.hard_state.term {
+            self.become_follower(term, None);
+            return;
+        }
+        let campaign_term = self.hard_state.term + u64::from(pre_vote && granted);
+        if self.role != Role::of_campaign(pre_vote) || (granted && term != campaign_term) {
+            return;
+        }
+        if is_domain_leader {
+            self.election.domain_leaders.insert(from, last);
+        }
+        if granted {
+            self.election.votes.insert(from);
+        }
+        self.check_elections();
+    }
+
+    /// Whether this node's campaign has succeeded: N-1 Domain Leaders took
+    /// part, its log is as new as N-2 others', and a majority of all voters
+    /// granted their vote. Only the last rule is never waived.
+    fn has_won_election(&self) -> bool {
+        let election = &self.election;
+        if !self.quorum().is_reached(|id| election.votes.contains(&id)) {
+            return false;
+        }
+        let regions = quorum::regions(self.log.members()).len();
+        let own_last = self.log.last();
+        let not_newer = election
+            .domain_leaders
+            .iter()
+            .filter(|(id, last)| **id != self.id && own_last >= **last)
+            .count();
+        let region_rule = election.domain_leaders.len() + 1 >= regions && not_newer + 2 >= regions;
+        // a region without its majority has no Domain Leader to take part
+        region_rule || self.now.saturating_sub(election.since) >= self.timing.region_rule_timeout
+    }
+
+    /// Take the next step in any election that has been won.
+    pub(super) fn check_elections(&mut self) {
+        self.check_domain_election();
+        if self.role == Role::PreCandidate && self.has_won_election() {
+            self.become_candidate();
+        }
+        // the own vote counts only once it is synced, like any other's
+        let synced = self.synced_seq >= self.election.vote_save_seq;
+        if self.role == Role::Candidate && synced && self.has_won_election() {
+            self.become_leader();
+        }
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/consensus/election_timer.rs
@@ -0,0 +1,52 @@
+//! Randomized election time-outs (thesis, section 3.4).
+
+use super::node::Consensus;
+use super::role::Role;
+use super::state_machine::StateMachine;
+use crate::types::Millis;
+
+impl<M: StateMachine> Consensus<M> {
+    /// A random number below `span` (xorshift64).
+    pub(super) fn rand(&mut self, span: Millis) -> Millis {
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        self.rng_state % span.max(1)
+    }
+
+    pub(super) fn reset_election_deadline(&mut self) {
+        let timeout = self.timing.election_timeout;
+        self.election_deadline = self.now + timeout + self.rand(timeout / 2);
+    }
+
+    /// As `reset_election_deadline`, but sooner while there is no active
+    /// leader. The pre-vote that follows can't depose one that others know.
+    pub(super) fn reset_initial_election_deadline(&mut self) {
+        if !self.no_active_leader() {
+            self.reset_election_deadline();
+            return;
+        }
+        let span = self.timing.election_timeout / 4;
+        self.election_deadline = self.now + span + self.rand(span);
+    }
+
+    pub(super) fn reset_domain_election_deadline(&mut self) {
+        let half = self.timing.election_timeout / 2;
+        // without a known Domain Leader there is none to depose
+        let span = if self.domain_leader_known {
+            half
+        } else {
+            half / 4
+        };
+        self.domain_election_deadline = self.now + span + self.rand(span);
+    }
+
+    /// Whether this node has no contact to a Global Leader: none known yet,
+    /// silent for an election time-out, or its connection was closed.
+    pub(super) fn no_active_leader(&self) -> bool {
+        let silence = self.now.saturating_sub(self.leader_heard_at);
+        let silent = silence >= self.timing.election_timeout;
+        self.role != Role::Leader
+            && (self.global_leader.is_none() || self.leader_suspected || silent)
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/consensus/entry.rs
@@ -0,0 +1,124 @@
+//! Log entries, members and what is durable of them: the data of Raft (Ongaro,
+//! "Consensus: Bridging Theory and Practice", chapters 3 to 5).
+//!
+//! All of these are written to disk and sent to other cores. Field names that
+//! differ from the stored ones carry a serde rename.
+
+use crate::types::{NodeId, ProposalId, RegionId};
+use serde::{Deserialize, Serialize};
+use std::sync::Arc;
+
+/// Serializes as one byte string; the default, a list of numbers, takes twice
+/// the space. Deserializing accepts both.
+pub(super) fn shared_bytes<S: serde::Serializer>(
+    bytes: &Arc<Vec<u8>>,
+    serializer: S,
+) -> Result<S::Ok, S::Error> {
+    serializer.serialize_bytes(bytes)
+}
+
+/// A core that replicates the log, as a voter or as a learner.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Member {
+    pub id: NodeId,
+    pub region: RegionId,
+    /// Failure domain within the region, as an index into the site's zones.
+    pub zone: u16,
+    pub addr: String,
+    /// Votes in the newest set of voters.
+    pub voter: bool,
+    /// Voted in the set that the change under way replaces. Only members of a
+    /// joint configuration have it set (thesis, section 4.3).
+    #[serde(default, skip_serializing_if = "is_false")]
+    pub outgoing: bool,
+}
+
+fn is_false(flag: &bool) -> bool {
+    !*flag
+}
+
+/// The payload of a log entry.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Body {
+    /// Appended by each new leader, so that its term has an entry to commit
+    /// (thesis, section 6.4).
+    Noop,
+    /// A command for the state machine.
+    Data(#[serde(serialize_with = "shared_bytes")] Arc<Vec<u8>>),
+    /// A configuration change: all members from this entry on.
+    Members(Vec<Member>),
+}
+
+impl Body {
+    /// Approximate size in memory and on the wire, in bytes.
+    pub fn bytes(&self) -> usize {
+        const OVERHEAD: usize = 64;
+        match self {
+            Body::Noop => OVERHEAD,
+            Body::Data(data) => OVERHEAD + data.len(),
+            Body::Members(members) => OVERHEAD * (1 + members.len()),
+        }
+    }
+}
+
+/// One entry of the replicated log.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Entry {
+    /// Term of the leader that appended the entry.
+    pub term: u64,
+    /// Zero if the leader appended the entry by itself.
+    #[serde(rename = "pid")]
+    pub proposal_id: ProposalId,
+    /// The core that received the proposal from its client.
+    pub origin: NodeId,
+    pub body: Body,
+}
+
+impl Entry {
+    /// Approximate size in memory and on the wire, in bytes.
+    pub fn bytes(&self) -> usize {
+        self.body.bytes()
+    }
+
+    /// Whether the entry exceeds one message and is sent in chunks.
+    pub fn is_large(&self) -> bool {
+        matches!(&self.body, Body::Data(data) if data.len() > super::CHUNK_BYTES)
+    }
+}
+
+/// Term and index of an entry. The order is the one by which votes compare
+/// logs: the last term first, then the length (thesis, section 3.6.1).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct LogPosition {
+    pub term: u64,
+    #[serde(rename = "idx")]
+    pub index: u64,
+}
+
+/// What a node must sync before it answers: terms and votes.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HardState {
+    pub term: u64,
+    pub vote: Option<NodeId>,
+    /// Term of the elections of Domain Leaders in the own region.
+    #[serde(rename = "dterm")]
+    pub domain_term: u64,
+    #[serde(rename = "dvote")]
+    pub domain_vote: Option<NodeId>,
+    /// Commit index known when this was saved. Raft doesn't need it; a
+    /// restarted core can apply that far without a leader.
+    #[serde(default, rename = "commit")]
+    pub committed: u64,
+}
+
+/// The state machine's image at a log position, which replaces the entries up
+/// to there.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Snapshot {
+    /// Position of the last entry that the image includes.
+    pub last: LogPosition,
+    /// The configuration at that position.
+    pub members: Vec<Member>,
+    #[serde(serialize_with = "shared_bytes")]
+    pub image: Arc<Vec<u8>>,
+}
--- /dev/null
+++ b/sorreldoor/src/consensus/leader.rs
@@ -0,0 +1,104 @@
+//! The Global Leader's term of office: taking it up, appending, and its tick.
+
+use super::entry::{Body, Entry};
+use super::event::StateChange;
+use super::node::Consensus;
+use super::progress::Progress;
+use super::role::Role;
+use super::save::Save;
+use super::state_machine::StateMachine;
+use crate::invariants::{broken, Invariant};
+
+impl<M: StateMachine> Consensus<M> {
+    /// Become the Global Leader after a won election.
+    pub(super) fn become_leader(&mut self) {
+        let next_index = self.log.last().index + 1;
+        self.role = Role::Leader;
+        self.global_leader = Some(self.id);
+        self.reset_leader_state(next_index);
+        self.next_placement_at = self.now + self.timing.placement_interval;
+        let (term, id) = (self.hard_state.term, self.id);
+        self.report(StateChange::GlobalLeader { term, id });
+        self.append(Entry {
+            term,
+            proposal_id: 0,
+            origin: id,
+            body: Body::Noop,
+        });
+        self.broadcast_heartbeat();
+        for id in self.pending_proposals.keys().copied().collect::<Vec<_>>() {
+            self.forward_proposal(id);
+        }
+    }
+
+    /// Begin to track all other members, and the uncommitted entries that
+    /// earlier leaders left.
+    fn reset_leader_state(&mut self, next_index: u64) {
+        self.progress.clear();
+        self.appended_at.clear();
+        self.uncommitted_proposals.clear();
+        self.unavailable_regions.clear();
+        for id in self.others() {
+            let progress = Progress::active_from(next_index, self.now);
+            self.progress.insert(id, progress);
+        }
+        for index in self.committed + 1..next_index {
+            if let Some(e) = self.log.get(index).filter(|e| e.proposal_id != 0) {
+                self.uncommitted_proposals.insert(e.proposal_id, index);
+            }
+            self.appended_at.push_back((index, self.now));
+        }
+    }
+
+    /// As Global Leader: append an entry to the log and replicate it.
+    pub(super) fn append(&mut self, entry: Entry) {
+        let index = self.log.last().index + 1;
+        if entry.proposal_id != 0 {
+            self.uncommitted_proposals.insert(entry.proposal_id, index);
+        }
+        self.appended_at.push_back((index, self.now));
+        let changes_members = matches!(entry.body, Body::Members(_));
+        self.log.push(vec![entry.clone()]);
+        self.save(Save::Append {
+            from: index,
+            entries: vec![entry],
+            commit: self.committed,
+        });
+        if changes_members {
+            self.members_changed();
+        }
+        self.replicate();
+    }
+
+    pub(super) fn tick_leader(&mut self) {
+        if !self.has_live_quorum() && !broken(Invariant::StepDown) {
+            self.step_down("no majority of cores heard");
+            return;
+        }
+        self.leader_known_at = Some(self.now);
+        if self.disk_stalled() {
+            self.step_down("disk does not sync in time");
+            return;
+        }
+        if self.now >= self.next_heartbeat_at {
+            self.broadcast_heartbeat();
+        }
+        self.update_region_availability();
+        self.replicate();
+        self.send_overdue_results();
+        self.leave_joint();
+        if self.role == Role::Leader {
+            self.tick_leader_transfer();
+        }
+    }
+
+    /// Check quorum (thesis, section 6.2): without a majority heard from for an
+    /// election time-out, the others may have elected another leader.
+    fn has_live_quorum(&self) -> bool {
+        let live = self.now.saturating_sub(self.timing.election_timeout);
+        self.quorum().is_reached(|id| {
+            let progress = self.progress.get(&id);
+            id == self.id || progress.is_some_and(|p| p.last_heard_at >= live)
+        })
+    }
+}
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -1,373 +1,310 @@
-//! The reducer's state in one struct, and the one door for all events.
+//! The reducer: all state of a node, and the dispatch of its events.
 
-use super::chunk::ContentHeader;
-use super::log::Log;
+use super::entry::{HardState, LogPosition, Member, Snapshot};
+use super::event::{Effect, Event};
+use super::messages::Msg;
+use super::pending::{
+    Confirmation, DeferredMessage, DeferredResult, LeaderTransfer, PendingProposal, PendingRead,
+    PendingReadIndex, UnsyncedSave,
+};
 use super::position::Load;
-use super::transfer::{Incoming, Transfer};
-use super::types::*;
-use crate::types::*;
+use super::progress::Progress;
+use super::raft_log::RaftLog;
+use super::role::{DomainLeader, Election, Role};
+use super::save::{RecoveredState, Save};
+use super::state_machine::StateMachine;
+use super::timing::Timing;
+use super::transfer::IncomingTransfer;
+use crate::types::{Millis, NodeId, ProposalId, RegionId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    Follower,
-    PreCandidate,
-    Candidate,
-    Leader,
-}
-
-/// What a leader knows of one node in its own term.
-#[derive(Clone, Debug, Default)]
-pub struct Progress {
-    pub upto: u64,
-    pub next: u64,
-    /// What the last append sent was to follow on.
-    pub probe: u64,
-    pub round: u64,
-    pub seen: Millis,
-    pub sent: Millis,
-    /// Entries sent and not acknowledged: the last index and the bytes of each
-    /// message.
-    pub in_flight: VecDeque<(u64, usize)>,
-    /// A snapshot or a large entry that is sent in chunks.
-    pub transfer: Option<Transfer>,
-}
-
-impl Progress {
-    /// The member holds the log up to `upto`.
-    pub fn acknowledge(&mut self, upto: u64) {
-        self.upto = self.upto.max(upto);
-        self.next = self.next.max(self.upto + 1);
-        let held = self.upto;
-        while self.in_flight.front().is_some_and(|(i, _)| *i <= held) {
-            self.in_flight.pop_front();
-        }
-        let arrived = |t: &Transfer| t.header().last().idx <= held;
-        if self.transfer.as_ref().is_some_and(arrived) {
-            self.transfer = None;
-        }
-    }
-
-    /// The member's log ends, or parts from this one, after `idx`.
-    pub fn fall_back(&mut self, idx: u64) {
-        self.next = idx.max(self.upto) + 1;
-        self.in_flight.clear();
-        let entry = |t: &Transfer| matches!(t.header(), ContentHeader::Entry { .. });
-        if self.transfer.as_ref().is_some_and(entry) {
-            self.transfer = None;
-        }
-    }
-
-    pub fn bytes_in_flight(&self) -> usize {
-        self.in_flight.iter().map(|(_, bytes)| bytes).sum()
-    }
-}
-
-/// An election under way, global or domain.
-#[derive(Clone, Debug, Default)]
-pub struct Election {
-    pub since: Millis,
-    pub yes: BTreeSet<NodeId>,
-    /// Domain Leaders that took part, with how new their logs are.
-    pub leads: BTreeMap<NodeId, LogPosition>,
-
-    /// The own vote counts once this save is synced.
-    pub seq: u64,
-}
-
-#[derive(Clone, Debug)]
-pub struct PendingProposal {
-    pub body: Body,
-    pub since: Millis,
-    pub sent: Option<Millis>,
-}
-
-#[derive(Clone, Debug)]
-pub struct PendingRead {
-    pub since: Millis,
-    pub sent: Option<Millis>,
-    pub idx: Option<u64>,
-}
-
-/// A read that the Global Leader has to prove itself for.
-#[derive(Clone, Debug)]
-pub struct ReadProof {
-    pub from: NodeId,
-    pub request_id: u64,
-    pub idx: u64,
-    pub round: u64,
-}
-
-/// The Domain Leader of a region, as heard of last.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct DomainLeader {
-    pub id: NodeId,
-    pub dterm: u64,
-    pub seen: Millis,
-}
-
-/// An outcome that a Domain Leader should give, or else we.
-#[derive(Clone, Debug)]
-pub struct OwedResult {
-    pub since: Millis,
-    pub proposal_id: ProposalId,
-    pub to: NodeId,
-    pub outcome: Arc<Vec<u8>>,
-}
-
+/// One node of the consensus group.
 pub struct Consensus<M: StateMachine> {
-    pub(super) me: NodeId,
+    pub(super) id: NodeId,
     pub(super) timing: Timing,
-    pub(super) hard: HardState,
-    pub(super) log: Log,
-    pub(super) machine: M,
-    pub(super) image: Option<Snapshot>,
-    pub(super) commit: u64,
+    pub(super) hard_state: HardState,
+    pub(super) log: RaftLog,
+    pub(super) state_machine: M,
+    /// The newest snapshot.
+    pub(super) snapshot: Option<Snapshot>,
+    pub(super) committed: u64,
     pub(super) applied: u64,
+
+    // roles and leaders
     pub(super) role: Role,
     pub(super) domain_role: Role,
-    pub(super) gl: Option<NodeId>,
-    pub(super) leads: BTreeMap<RegionId, DomainLeader>,
-    pub(super) heard_gl: Millis,
-    /// When a Global Leader was last heard of, or this node led, in this life.
-    pub(super) led_at: Option<Millis>,
-    pub(super) heard_dl: Millis,
-    /// The line to the Global Leader was closed, and it was not heard since.
-    pub(super) suspect: bool,
-    /// A Domain Leader of the own region was heard of, and is not known gone.
+    pub(super) global_leader: Option<NodeId>,
+    pub(super) domain_leaders: BTreeMap<RegionId, DomainLeader>,
+    pub(super) leader_heard_at: Millis,
+    /// When this process last had contact with a Global Leader, or was it.
+    pub(super) leader_known_at: Option<Millis>,
+    pub(super) domain_leader_heard_at: Millis,
+    /// The connection to the Global Leader was closed, and nothing has come
+    /// from it since.
+    pub(super) leader_suspected: bool,
+    /// The own region has a Domain Leader that isn't known to have ended.
     pub(super) domain_leader_known: bool,
-    /// Election times that passed without word of a Global Leader, and when
-    /// the last was counted.
-    pub(super) elections_missed: u32,
-    pub(super) election_missed_at: Millis,
-    pub(super) elect_at: Millis,
-    pub(super) delect_at: Millis,
+
+    // elections
+    /// Election time-outs in a row without contact to a Global Leader.
+    pub(super) missed_elections: u32,
+    pub(super) missed_election_at: Millis,
+    pub(super) election_deadline: Millis,
+    pub(super) domain_election_deadline: Millis,
     pub(super) election: Election,
     pub(super) domain_election: Election,
-    /// Rows of all nodes at the Global Leader, of the region at a Domain Leader.
-    pub(super) rows: BTreeMap<NodeId, Progress>,
-    /// Contents that others are sending here, by sender.
-    pub(super) incoming: BTreeMap<NodeId, Incoming>,
-    pub(super) domain_seen: BTreeMap<NodeId, Millis>,
-    /// How far this log is known to equal the Global Leader's in this term.
-    pub(super) verified: u64,
-    pub(super) round: u64,
-    pub(super) round_from: NodeId,
-    pub(super) beat_at: Millis,
-    /// When the last round of heartbeats was sent.
-    pub(super) beaten: Millis,
-    pub(super) dbeat_at: Millis,
-    pub(super) confirm: Option<(u64, Vec<NodeId>)>,
-    pub(super) confirmed: u64,
-    /// How far each Domain Leader says it has answered its own region.
-    pub(super) fast: BTreeMap<RegionId, u64>,
-    pub(super) owed: BTreeMap<u64, OwedResult>,
-    pub(super) born: VecDeque<(u64, Millis)>,
-    pub(super) inflight: BTreeMap<ProposalId, u64>,
+
+    // replication
+    /// Of all other nodes at the Global Leader, of the region's at a Domain
+    /// Leader.
+    pub(super) progress: BTreeMap<NodeId, Progress>,
+    /// Transfers to this node, by sender.
+    pub(super) incoming_transfers: BTreeMap<NodeId, IncomingTransfer>,
+    /// When this Domain Leader last had a heartbeat reply of each node.
+    pub(super) domain_peer_heard_at: BTreeMap<NodeId, Millis>,
+    /// Index up to which this log is known to match the Global Leader's of
+    /// this term.
+    pub(super) verified_index: u64,
+    /// The Global Leader's own round of heartbeats.
+    pub(super) heartbeat_round: u64,
+    /// The newest round received from the Global Leader.
+    pub(super) leader_round: u64,
+    pub(super) next_heartbeat_at: Millis,
+    pub(super) last_heartbeat_at: Millis,
+    pub(super) next_domain_heartbeat_at: Millis,
+
+    // Fast Return
+    /// The newest confirmation received.
+    pub(super) confirmation: Option<Confirmation>,
+    /// Index up to which this Global Leader has sent_at confirmations.
+    pub(super) confirmed_index: u64,
+    /// Index up to which each region's Domain Leader has answered proposals.
+    pub(super) fast_returned: BTreeMap<RegionId, u64>,
+    /// By the index of their entry.
+    pub(super) deferred_results: BTreeMap<u64, DeferredResult>,
+
+    // proposals and reads
+    /// Index and time of each uncommitted entry, oldest first.
+    pub(super) appended_at: VecDeque<(u64, Millis)>,
+    /// Index of each proposal that is in the log and not applied.
+    pub(super) uncommitted_proposals: BTreeMap<ProposalId, u64>,
     pub(super) pending_proposals: BTreeMap<ProposalId, PendingProposal>,
+    /// By request id.
     pub(super) pending_reads: BTreeMap<u64, PendingRead>,
-    pub(super) proofs: VecDeque<ReadProof>,
-    pub(super) down: BTreeSet<RegionId>,
-    pub(super) load: BTreeMap<RegionId, Load>,
-    pub(super) lat: BTreeMap<(RegionId, RegionId), Millis>,
-    pub(super) consider_move_at: Millis,
-    pub(super) moving: Option<(NodeId, Millis)>,
-    /// This node has been told to stop.
+    pub(super) read_index_queue: VecDeque<PendingReadIndex>,
+
+    // placement of the Global Leader
+    pub(super) unavailable_regions: BTreeSet<RegionId>,
+    pub(super) region_load: BTreeMap<RegionId, Load>,
+    /// Smoothed one-way delays between two regions.
+    pub(super) latencies: BTreeMap<(RegionId, RegionId), Millis>,
+    pub(super) next_placement_at: Millis,
+    pub(super) leader_transfer: Option<LeaderTransfer>,
+    /// A graceful shutdown has begun.
     pub(super) stopping: bool,
-    pub(super) seq: u64,
-    pub(super) saved: u64,
-    pub(super) unsaved: VecDeque<(u64, Millis, u64)>,
-    pub(super) held_back: VecDeque<(u64, NodeId, Msg)>,
-    pub(super) failed: bool,
+
+    // durable writes
+    /// Number of the last save ordered.
+    pub(super) save_seq: u64,
+    /// Number of the last save synced.
+    pub(super) synced_seq: u64,
+    pub(super) unsynced_saves: VecDeque<UnsyncedSave>,
+    pub(super) deferred_messages: VecDeque<DeferredMessage>,
+    pub(super) disk_failed: bool,
+
+    /// Time of the event being handled.
     pub(super) now: Millis,
-    pub(super) rng: u64,
-    pub(super) out: Vec<Effect>,
+    pub(super) rng_state: u64,
+    /// Effects of the event being handled, in order.
+    pub(super) effects: Vec<Effect>,
 }
 
 impl<M: StateMachine> Consensus<M> {
+    /// A node that starts from what its store has recovered. `seed` is for the
+    /// random part of election time-outs.
     pub fn new(
-        me: NodeId,
+        id: NodeId,
         timing: Timing,
-        kept: Kept,
-        machine: M,
+        recovered: RecoveredState,
+        state_machine: M,
         seed: u64,
         now: Millis,
     ) -> Consensus<M> {
-        let Kept {
-            hard, log, snap, ..
-        } = kept;
-        let base = log.base().idx;
-        let mut a = Consensus {
-            me,
+        let RecoveredState {
+            hard_state,
+            log,
+            snapshot,
+            ..
+        } = recovered;
+        let base = log.base().index;
+        let mut node = Consensus {
+            id,
             timing,
-            hard,
+            hard_state,
             log,
-            machine,
-            image: snap,
-            commit: base,
+            state_machine,
+            snapshot,
+            committed: base,
             applied: base,
             role: Role::Follower,
             domain_role: Role::Follower,
-            gl: None,
-            leads: BTreeMap::new(),
-            heard_gl: now,
-            led_at: None,
-            heard_dl: now,
-            suspect: false,
+            global_leader: None,
+            domain_leaders: BTreeMap::new(),
+            leader_heard_at: now,
+            leader_known_at: None,
+            domain_leader_heard_at: now,
+            leader_suspected: false,
             domain_leader_known: false,
-            elections_missed: 0,
-            election_missed_at: now,
-            elect_at: 0,
-            delect_at: 0,
+            missed_elections: 0,
+            missed_election_at: now,
+            election_deadline: 0,
+            domain_election_deadline: 0,
             election: Election::default(),
             domain_election: Election::default(),
-            rows: BTreeMap::new(),
-            incoming: BTreeMap::new(),
-            domain_seen: BTreeMap::new(),
-            verified: 0,
-            round: 0,
-            round_from: 0,
-            beat_at: now,
-            beaten: now,
-            dbeat_at: now,
-            confirm: None,
-            confirmed: 0,
-            fast: BTreeMap::new(),
-            owed: BTreeMap::new(),
-            born: VecDeque::new(),
-            inflight: BTreeMap::new(),
+            progress: BTreeMap::new(),
+            incoming_transfers: BTreeMap::new(),
+            domain_peer_heard_at: BTreeMap::new(),
+            verified_index: 0,
+            heartbeat_round: 0,
+            leader_round: 0,
+            next_heartbeat_at: now,
+            last_heartbeat_at: now,
+            next_domain_heartbeat_at: now,
+            confirmation: None,
+            confirmed_index: 0,
+            fast_returned: BTreeMap::new(),
+            deferred_results: BTreeMap::new(),
+            appended_at: VecDeque::new(),
+            uncommitted_proposals: BTreeMap::new(),
             pending_proposals: BTreeMap::new(),
             pending_reads: BTreeMap::new(),
-            proofs: VecDeque::new(),
-            down: BTreeSet::new(),
-            load: BTreeMap::new(),
-            lat: BTreeMap::new(),
-            consider_move_at: 0,
-            moving: None,
+            read_index_queue: VecDeque::new(),
+            unavailable_regions: BTreeSet::new(),
+            region_load: BTreeMap::new(),
+            latencies: BTreeMap::new(),
+            next_placement_at: 0,
+            leader_transfer: None,
             stopping: false,
-            seq: 0,
-            saved: 0,
-            unsaved: VecDeque::new(),
-            held_back: VecDeque::new(),
-            failed: false,
+            save_seq: 0,
+            synced_seq: 0,
+            unsynced_saves: VecDeque::new(),
+            deferred_messages: VecDeque::new(),
+            disk_failed: false,
             now,
-            rng: seed | 1,
-            out: Vec::new(),
+            rng_state: seed | 1,
+            effects: Vec::new(),
         };
-        a.consider_move_at = now + a.timing.tp;
-        a.soon_elect();
-        a.reset_delect();
-        // what was committed stays so, and need not wait for a leader
-        a.advance(a.hard.commit);
-        a
+        node.next_placement_at = now + node.timing.placement_interval;
+        node.reset_initial_election_deadline();
+        node.reset_domain_election_deadline();
+        // a committed entry stays committed, so applying it needs no leader
+        node.commit_to(node.hard_state.committed);
+        node
     }
 
-    /// A first member of a new site; the founding is its first save.
+    /// A first member of a new group; the founding snapshot is its first save.
     pub fn found(
-        me: NodeId,
+        id: NodeId,
         timing: Timing,
         members: Vec<Member>,
-        machine: M,
+        state_machine: M,
         seed: u64,
         now: Millis,
     ) -> Consensus<M> {
-        let snap = Snapshot {
+        let snapshot = Snapshot {
             last: LogPosition::default(),
             members: members.clone(),
-            image: Arc::new(machine.image()),
+            image: Arc::new(state_machine.image()),
         };
-        let kept = Kept {
-            hard: HardState::default(),
-            log: Log::founded(members),
-            snap: Some(snap.clone()),
+        let recovered = RecoveredState {
+            hard_state: HardState::default(),
+            log: RaftLog::founded(members),
+            snapshot: Some(snapshot.clone()),
             claims: Vec::new(),
         };
-        let mut a = Consensus::new(me, timing, kept, machine, seed, now);
-        a.save(Save::Snap { snap, reset: true });
-        a
+        let mut node = Consensus::new(id, timing, recovered, state_machine, seed, now);
+        node.save(Save::Snapshot {
+            snapshot,
+            discard_log: true,
+        });
+        node
     }
 
-    /// The one door: every event passes here, and effects come back in order.
-    pub fn step(&mut self, ev: Event, now: Millis) -> Vec<Effect> {
+    /// Handle an event at `now`; the effects are to be carried out in order.
+    pub fn step(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         self.now = self.now.max(now);
-        match ev {
+        match event {
             Event::Tick => self.tick(),
-            Event::Stop => self.on_stop(),
-            Event::Heard { from, msg } => self.heard(from, msg),
-            Event::Saved { seq } => self.on_saved(seq),
-            Event::Gone { id } => self.on_gone(id),
-            Event::SaveFailed => self.on_save_failed(),
-            Event::SaveRecovered => self.on_save_recovered(),
-            Event::Propose { proposal_id, body } => self.ask(proposal_id, body),
+            Event::Stop => self.handle_stop(),
+            Event::Received { from, msg } => self.handle_message(from, msg),
+            Event::Saved { seq } => self.handle_saved(seq),
+            Event::Disconnected { id } => self.handle_disconnect(id),
+            Event::SaveFailed => self.handle_save_failed(),
+            Event::SaveRecovered => self.handle_save_recovered(),
+            Event::Propose { proposal_id, body } => self.propose(proposal_id, body),
             Event::Reconfigure(next) => self.reconfigure(&next),
-            Event::Read { request_id } => self.look(request_id),
+            Event::Read { request_id } => self.read_index(request_id),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    fn heard(&mut self, from: NodeId, msg: Msg) {
-        // after a failed save nothing this node says can be relied on
-        if self.failed {
+    fn handle_message(&mut self, from: NodeId, msg: Msg) {
+        // after a failed save, no reply of this node could be relied on
+        if self.disk_failed {
             return;
         }
         match msg {
-            Msg::DomainVoteRequest { dterm, last, pre } => {
-                self.on_domain_ask(from, dterm, last, pre)
+            Msg::DomainVoteRequest {
+                domain_term,
+                last,
+                pre_vote,
+            } => self.handle_domain_vote_request(from, domain_term, last, pre_vote),
+            Msg::DomainVoteReply {
+                domain_term,
+                granted,
+                pre_vote,
+            } => self.handle_domain_vote_reply(from, domain_term, granted, pre_vote),
+            Msg::DomainHeartbeat {
+                domain_term,
+                sent_at,
+            } => self.handle_domain_heartbeat(from, domain_term, sent_at),
+            Msg::DomainHeartbeatReply { sent_at, .. } => {
+                self.handle_domain_heartbeat_reply(from, sent_at)
             }
-            Msg::DomainVoteReply { dterm, yes, pre } => self.on_domain_ans(from, dterm, yes, pre),
-            Msg::DomainHeartbeat { dterm, sent } => self.on_domain_beat(from, dterm, sent),
-            Msg::DomainHeartbeatReply { dterm, sent } => self.on_domain_back(from, dterm, sent),
-            Msg::VoteRequest { term, last, pre } => self.on_ask(from, term, last, pre),
-            Msg::VoteReply {
+            Msg::VoteRequest {
                 term,
-                yes,
-                pre,
-                leads,
                 last,
-            } => self.on_ans(from, (term, yes, pre), leads.then_some(last)),
-            Msg::Append {
-                term,
-                gl,
-                prev,
-                entries,
-                commit,
-                round,
-            } => self.on_append(from, (term, gl, round), prev, entries, commit),
-            Msg::AppendReply {
-                term,
-                rows,
-                hint,
-                fast,
-                lat,
-            } => self.on_holds(from, term, rows, hint, (fast, lat)),
+                pre_vote,
+            } => self.handle_vote_request(from, term, last, pre_vote),
+            Msg::VoteReply(reply) => self.handle_vote_reply(from, reply),
+            Msg::Append(request) => self.handle_append(from, request),
+            Msg::AppendReply(reply) => self.handle_append_reply(from, reply),
             Msg::Confirm {
                 term,
-                upto,
+                index,
                 holders,
-            } => self.on_confirm(term, upto, holders),
-            Msg::Chunk(chunk) => self.on_chunk(from, *chunk),
-            Msg::ChunkReply { term, id, held } => self.on_chunk_reply(from, term, id, held),
+            } => self.handle_confirm(term, Confirmation { index, holders }),
+            Msg::Chunk(chunk) => self.handle_chunk(from, *chunk),
+            Msg::ChunkReply { term, id, received } => {
+                self.handle_chunk_reply(from, term, id, received)
+            }
             Msg::Propose {
                 proposal_id,
                 origin,
                 body,
-            } => self.on_propose(proposal_id, origin, body),
+            } => self.handle_propose(proposal_id, origin, body),
             Msg::ProposalResult {
                 proposal_id,
                 outcome,
-            } => self.finish(proposal_id, Ok(outcome)),
-            Msg::ReadIndexRequest { request_id } => self.on_read_ask(from, request_id),
-            Msg::ReadIndexReply { request_id, idx } => self.on_read_ans(request_id, idx),
-            Msg::TimeoutNow { term } => self.on_move_now(term),
+            } => self.complete_proposal(proposal_id, Ok(outcome)),
+            Msg::ReadIndexRequest { request_id } => {
+                self.handle_read_index_request(from, request_id)
+            }
+            Msg::ReadIndexReply { request_id, index } => {
+                self.handle_read_index_reply(request_id, index)
+            }
+            Msg::TimeoutNow { term } => self.handle_timeout_now(term),
         }
     }
 }
-
-/// What a store gives back at start.
-pub struct Kept {
-    pub hard: HardState,
-    pub log: Log,
-    pub snap: Option<Snapshot>,
-    pub claims: Vec<ClaimRecord>,
-}
--- /dev/null
+++ b/sorreldoor/src/consensus/pending.rs
@@ -0,0 +1,75 @@
+//! Operations of this node that wait for something.
+
+use super::entry::Body;
+use super::messages::Msg;
+use crate::types::{Millis, NodeId, ProposalId};
+use std::sync::Arc;
+
+/// A proposal of a client of this node, without an outcome yet.
+#[derive(Clone, Debug)]
+pub(super) struct PendingProposal {
+    pub body: Body,
+    pub since: Millis,
+    pub sent_at: Option<Millis>,
+}
+
+/// A read of a client of this node.
+#[derive(Clone, Debug)]
+pub(super) struct PendingRead {
+    pub since: Millis,
+    pub sent_at: Option<Millis>,
+    /// The read index, once the Global Leader has given it.
+    pub index: Option<u64>,
+}
+
+/// A read index that the Global Leader gives once it has proved, by the
+/// heartbeats of `round`, that it still is the leader.
+#[derive(Clone, Debug)]
+pub(super) struct PendingReadIndex {
+    pub from: NodeId,
+    pub request_id: u64,
+    pub index: u64,
+    pub round: u64,
+}
+
+/// An outcome that the proposer's Domain Leader should send. The Global Leader
+/// sends it if that is overdue.
+#[derive(Clone, Debug)]
+pub(super) struct DeferredResult {
+    pub since: Millis,
+    pub proposal_id: ProposalId,
+    pub to: NodeId,
+    pub outcome: Arc<Vec<u8>>,
+}
+
+/// A message that relies on the saves up to `after_seq`.
+#[derive(Clone, Debug)]
+pub(super) struct DeferredMessage {
+    pub after_seq: u64,
+    pub to: NodeId,
+    pub msg: Msg,
+}
+
+/// A save that the store has not synced yet.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct UnsyncedSave {
+    pub seq: u64,
+    pub since: Millis,
+    /// First log index that it writes; zero if it writes none.
+    pub from_index: u64,
+}
+
+/// A leadership transfer under way.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LeaderTransfer {
+    pub to: NodeId,
+    pub since: Millis,
+}
+
+/// The Global Leader's word that a majority of its region, `holders`, has the
+/// log up to `index`.
+#[derive(Clone, Debug)]
+pub(super) struct Confirmation {
+    pub index: u64,
+    pub holders: Vec<NodeId>,
+}
--- a/sorreldoor/src/consensus/position.rs
+++ b/sorreldoor/src/consensus/position.rs
@@ -1,68 +1,95 @@
-//! Where the Global Leader should stand: the z with the least Ls.
+//! The region of the Global Leader: the one with the least total latency Ls.
+//!
+//! The model is that of the CD-Raft paper (section on the position of the
+//! Global Leader), whose symbols the comments give.
 
 use crate::types::{Millis, RegionId};
 use std::collections::BTreeMap;
 
-/// Reads and writes of one region's askers over the last period.
+/// Reads and writes of one region's clients in the last period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     pub reads: u64,
     pub writes: u64,
 }
 
-pub struct View<'a> {
+/// Predicts the latency that clients see, by the region of the leader.
+#[derive(Clone, Copy, Debug)]
+pub struct LatencyModel<'a> {
     pub load: &'a BTreeMap<RegionId, Load>,
-    /// One-way delay between two regions, where known.
-    pub lat: &'a BTreeMap<(RegionId, RegionId), Millis>,
-    pub up: &'a [RegionId],
-    pub all: &'a [RegionId],
+    /// One-way delay between two regions, where known, in one direction or
+    /// both.
+    pub latencies: &'a BTreeMap<(RegionId, RegionId), Millis>,
+    /// Regions whose majority answers.
+    pub available: &'a [RegionId],
+    pub regions: &'a [RegionId],
 }
 
-impl View<'_> {
-    fn l(&self, i: RegionId, j: RegionId) -> Option<Millis> {
-        (i == j)
-            .then_some(0)
-            .or_else(|| self.lat.get(&(i, j)).copied())
-            .or_else(|| self.lat.get(&(j, i)).copied())
+impl LatencyModel<'_> {
+    /// One-way delay between two regions.
+    fn delay(&self, from: RegionId, to: RegionId) -> Option<Millis> {
+        if from == to {
+            return Some(0);
+        }
+        let forward = self.latencies.get(&(from, to));
+        let delay = forward.or_else(|| self.latencies.get(&(to, from)));
+        delay.copied()
     }
 
-    fn nearest(&self, z: RegionId) -> Option<Millis> {
-        self.up
+    /// Delay from `leader` to the nearest other region that can vote.
+    fn nearest_delay(&self, leader: RegionId) -> Option<Millis> {
+        self.available
             .iter()
-            .filter(|j| **j != z)
-            .filter_map(|j| self.l(z, *j))
+            .filter(|region| **region != leader)
+            .filter_map(|region| self.delay(leader, *region))
             .min()
     }
 
-    /// Li of the paper, in its three cases; none while a delay is unknown.
-    pub fn li(&self, i: RegionId, z: RegionId) -> Option<u64> {
-        let n = self.load.get(&i).copied().unwrap_or_default();
-        let near = self.nearest(z).unwrap_or(0);
-        if i == z {
-            return Some(2 * near * n.writes);
+    /// Total latency of a region's clients with the leader in `leader`: Li of
+    /// the paper, in its three cases. None while the delay is unknown.
+    pub fn region_latency(&self, region: RegionId, leader: RegionId) -> Option<Millis> {
+        let load = self.load.get(&region).copied().unwrap_or_default();
+        let commit_delay = self.nearest_delay(leader).unwrap_or(0);
+        if region == leader {
+            return Some(2 * commit_delay * load.writes);
         }
-        self.l(i, z).map(|l| {
-            if self.up.contains(&i) {
-                2 * l * (n.writes + n.reads)
-            } else {
-                2 * (l + near) * n.writes + 2 * l * n.reads
-            }
-        })
+        let delay = self.delay(region, leader)?;
+        if self.available.contains(&region) {
+            // Fast Return: one round trip for writes as for reads
+            return Some(2 * delay * (load.writes + load.reads));
+        }
+        Some(2 * (delay + commit_delay) * load.writes + 2 * delay * load.reads)
     }
 
-    pub fn ls(&self, z: RegionId) -> Option<u64> {
-        self.all.iter().map(|i| self.li(*i, z)).sum()
+    /// Total latency of all clients with the leader in `leader`: Ls of the
+    /// paper. None while a delay is unknown.
+    pub fn total_latency(&self, leader: RegionId) -> Option<Millis> {
+        let regions = self.regions.iter();
+        regions
+            .map(|region| self.region_latency(*region, leader))
+            .sum()
     }
 }
 
-/// The region to move to, if it saves at least `gain` percent over `now`.
-pub fn best(v: &View, now: RegionId, gain: u64) -> Option<RegionId> {
-    let here = v.ls(now)?;
-    v.up.iter()
-        .filter(|z| **z != now)
-        .filter_map(|z| v.ls(*z).map(|s| (s, *z)))
-        .min()
-        // a region that is down cannot be stayed in, whatever it costs
-        .filter(|(s, _)| !v.up.contains(&now) || s * 100 < here * (100 - gain.min(100)))
-        .map(|(_, z)| z)
+/// The region to move the leader to from `current`, if that reduces the total
+/// latency by more than `min_gain_percent`.
+pub fn best_region(
+    model: &LatencyModel,
+    current: RegionId,
+    min_gain_percent: u64,
+) -> Option<RegionId> {
+    let current_latency = model.total_latency(current)?;
+    let limit_percent = 100 - min_gain_percent.min(100);
+    let candidates = model.available.iter().filter(|region| **region != current);
+    let (latency, region) = candidates
+        .filter_map(|region| {
+            model
+                .total_latency(*region)
+                .map(|latency| (latency, *region))
+        })
+        .min()?;
+    // an unavailable region is left whatever the latency
+    let must_leave = !model.available.contains(&current);
+    let gains = latency * 100 < current_latency * limit_percent;
+    (must_leave || gains).then_some(region)
 }
--- a/sorreldoor/src/consensus/quorum.rs
+++ b/sorreldoor/src/consensus/quorum.rs
@@ -1,45 +1,46 @@
-//! Who makes a majority: of a region, and of all voters.
+//! Voters and majorities: of a region, and of all regions together.
 
-use super::types::Member;
+use super::entry::Member;
 use crate::types::{NodeId, RegionId};
 use std::collections::BTreeSet;
 
-/// Members that vote: in the newest set, or in the one that it replaces.
-pub fn voters(ms: &[Member]) -> impl Iterator<Item = &Member> {
-    ms.iter().filter(|m| m.voter || m.outgoing)
+/// Members that vote, in the newest set or in the one that it replaces.
+pub fn voters(members: &[Member]) -> impl Iterator<Item = &Member> {
+    members.iter().filter(|m| m.voter || m.outgoing)
 }
 
-/// The voters of a region in the newest set. The rules on regions are not
-/// what safety rests on, so the set that is being replaced has no say there.
-pub fn in_region(ms: &[Member], r: RegionId) -> Vec<NodeId> {
-    let mine = ms.iter().filter(|m| m.voter && m.region == r);
+/// The voters of a region in the newest set. The region rules add no safety,
+/// so they ignore the set that is being replaced.
+pub fn voters_in_region(members: &[Member], r: RegionId) -> Vec<NodeId> {
+    let mine = members.iter().filter(|m| m.voter && m.region == r);
     mine.map(|m| m.id).collect()
 }
 
-/// The regions that have voters in the newest set.
-pub fn regions(ms: &[Member]) -> BTreeSet<RegionId> {
-    let voting = ms.iter().filter(|m| m.voter);
+/// Regions with voters in the newest set.
+pub fn regions(members: &[Member]) -> BTreeSet<RegionId> {
+    let voting = members.iter().filter(|m| m.voter);
     voting.map(|m| m.region).collect()
 }
 
-pub fn region_of(ms: &[Member], id: NodeId) -> Option<RegionId> {
-    ms.iter().find(|m| m.id == id).map(|m| m.region)
+/// The region of a member.
+pub fn region_of(members: &[Member], id: NodeId) -> Option<RegionId> {
+    members.iter().find(|m| m.id == id).map(|m| m.region)
 }
 
 /// Whether a change of voters is under way.
-pub fn is_joint(ms: &[Member]) -> bool {
-    ms.iter().any(|m| m.outgoing)
+pub fn is_joint(members: &[Member]) -> bool {
+    members.iter().any(|m| m.outgoing)
 }
 
 /// The identities that vote in the newest set.
-pub fn newest_voters(ms: &[Member]) -> BTreeSet<NodeId> {
-    ms.iter().filter(|m| m.voter).map(|m| m.id).collect()
+pub fn newest_voters(members: &[Member]) -> BTreeSet<NodeId> {
+    members.iter().filter(|m| m.voter).map(|m| m.id).collect()
 }
 
-/// The joint configuration that leads from the voters of `now` to those of
-/// `next`. Whoever leaves stays a member until the change has ended.
-pub fn joint(now: &[Member], next: &[Member]) -> Vec<Member> {
-    let was = newest_voters(now);
+/// The joint configuration that is_domain_leader from the voters of `now` to those of
+/// `next`. Removed members stay until the change has ended.
+pub fn enter_joint(now: &[Member], next: &[Member]) -> Vec<Member> {
+    let previous = newest_voters(now);
     let mut joint: Vec<Member> = next.to_vec();
     for m in now.iter().filter(|m| m.voter) {
         if next.iter().all(|n| n.id != m.id) {
@@ -48,23 +49,23 @@
         }
     }
     for m in &mut joint {
-        m.outgoing = was.contains(&m.id);
+        m.outgoing = previous.contains(&m.id);
     }
     joint
 }
 
-/// What follows a joint configuration once it is committed: the newest set
-/// alone. Members that have lost their vote stay on without one.
-pub fn settled(ms: &[Member]) -> Vec<Member> {
-    let alone = |m: &Member| Member {
+/// The configuration that follows a joint one once that is committed: the
+/// newest set alone. Members that have lost their vote stay as learners.
+pub fn without_outgoing(members: &[Member]) -> Vec<Member> {
+    let newest_only = |m: &Member| Member {
         outgoing: false,
         ..m.clone()
     };
-    ms.iter().map(alone).collect()
+    members.iter().map(newest_only).collect()
 }
 
-/// The sets of voters of which each must have a majority: one, or two while
-/// a change of voters is under way.
+/// The sets of voters that must each have a majority: one, or two in a joint
+/// configuration (thesis, section 4.3).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Quorum {
     newest: Vec<NodeId>,
@@ -72,44 +73,45 @@
 }
 
 impl Quorum {
-    pub fn of(ms: &[Member]) -> Quorum {
-        let ids = |f: fn(&&Member) -> bool| ms.iter().filter(f).map(|m| m.id).collect();
+    /// The quorum of a configuration.
+    pub fn from_members(members: &[Member]) -> Quorum {
+        let ids = |f: fn(&&Member) -> bool| members.iter().filter(f).map(|m| m.id).collect();
         Quorum {
             newest: ids(|m| m.voter),
             outgoing: ids(|m| m.outgoing),
         }
     }
 
-    /// The same without the set that is being replaced; only to show in a
-    /// test what that breaks.
+    /// Without the set that is being replaced: an injected fault.
     pub fn newest_only(mut self) -> Quorum {
         self.outgoing.clear();
         self
     }
 
-    /// A majority of each set satisfies `f`.
-    pub fn reached(&self, f: impl Fn(NodeId) -> bool) -> bool {
-        let left = self.outgoing.is_empty() || most(&self.outgoing, &f);
-        left && most(&self.newest, &f)
+    /// Whether a majority of each set satisfies `f`.
+    pub fn is_reached(&self, f: impl Fn(NodeId) -> bool) -> bool {
+        let outgoing_agrees = self.outgoing.is_empty() || has_majority(&self.outgoing, &f);
+        outgoing_agrees && has_majority(&self.newest, &f)
     }
 
-    /// The highest index that a majority of each set holds.
-    pub fn holds(&self, f: impl Fn(NodeId) -> u64) -> u64 {
-        let newest = held_by_most(&self.newest, &f);
+    /// The highest index that a majority of each set has.
+    pub fn committed_index(&self, f: impl Fn(NodeId) -> u64) -> u64 {
+        let newest = majority_index(&self.newest, &f);
         if self.outgoing.is_empty() {
             return newest;
         }
-        newest.min(held_by_most(&self.outgoing, &f))
+        newest.min(majority_index(&self.outgoing, &f))
     }
 }
 
-/// More than half of `ids` satisfy `f`; nobody is no majority.
-pub fn most(ids: &[NodeId], f: impl Fn(NodeId) -> bool) -> bool {
+/// Whether more than half of `ids` satisfy `f`; false for no ids.
+pub fn has_majority(ids: &[NodeId], f: impl Fn(NodeId) -> bool) -> bool {
     ids.iter().filter(|i| f(**i)).count() * 2 > ids.len()
 }
 
-/// The highest index that more than half of `ids` hold.
-pub fn held_by_most(ids: &[NodeId], f: impl Fn(NodeId) -> u64) -> u64 {
+/// The highest index that more than half of `ids` have, by `index_of`; zero
+/// for no ids.
+pub fn majority_index(ids: &[NodeId], f: impl Fn(NodeId) -> u64) -> u64 {
     let mut v: Vec<u64> = ids.iter().map(|i| f(*i)).collect();
     v.sort_unstable_by(|a, b| b.cmp(a));
     v.get(ids.len() / 2).copied().unwrap_or(0)
--- /dev/null
+++ b/sorreldoor/src/consensus/status.rs
@@ -0,0 +1,120 @@
+//! What the driver can observe of the reducer.
+
+use super::entry::Member;
+use super::node::Consensus;
+use super::quorum;
+use super::raft_log::RaftLog;
+use super::role::Role;
+use super::state_machine::StateMachine;
+use crate::types::{Millis, NodeId, RegionId};
+use std::collections::BTreeMap;
+
+/// Election time-outs without a leader after which a node counts as partitioned.
+const PARTITIONED_ELECTIONS: Millis = 4;
+/// Entries that a replica may lack and still count as caught up.
+const CAUGHT_UP_ENTRIES: u64 = 8;
+
+impl<M: StateMachine> Consensus<M> {
+    pub fn id(&self) -> NodeId {
+        self.id
+    }
+
+    pub fn state_machine(&self) -> &M {
+        &self.state_machine
+    }
+
+    pub fn state_machine_mut(&mut self) -> &mut M {
+        &mut self.state_machine
+    }
+
+    pub fn term(&self) -> u64 {
+        self.hard_state.term
+    }
+
+    pub fn leads_globally(&self) -> bool {
+        self.role == Role::Leader
+    }
+
+    pub fn leads_domain(&self) -> bool {
+        self.domain_role == Role::Leader
+    }
+
+    pub fn global_leader(&self) -> Option<NodeId> {
+        self.global_leader
+    }
+
+    /// The commit index.
+    pub fn committed(&self) -> u64 {
+        self.committed
+    }
+
+    /// Index of the last entry applied to the state machine.
+    pub fn applied(&self) -> u64 {
+        self.applied
+    }
+
+    pub fn log(&self) -> &RaftLog {
+        &self.log
+    }
+
+    /// Bytes of the newest snapshot's image.
+    pub fn snapshot_bytes(&self) -> usize {
+        self.snapshot.as_ref().map_or(0, |s| s.image.len())
+    }
+
+    pub fn members(&self) -> &[Member] {
+        self.log.members()
+    }
+
+    /// Regions whose majority this node, as Global Leader, does not hear from.
+    pub fn unavailable_regions(&self) -> Vec<RegionId> {
+        self.unavailable_regions.iter().copied().collect()
+    }
+
+    pub fn domain_leaders(&self) -> BTreeMap<RegionId, NodeId> {
+        let leaders = self.domain_leaders.iter();
+        leaders.map(|(region, l)| (*region, l.id)).collect()
+    }
+
+    /// Milliseconds since this node, as Global Leader, heard from `id`.
+    pub fn silent_for(&self, id: NodeId) -> Option<Millis> {
+        let progress = self.progress.get(&id);
+        progress
+            .filter(|_| self.role == Role::Leader)
+            .map(|p| self.now.saturating_sub(p.last_heard_at))
+    }
+
+    /// Whether the newest configuration is committed and not a joint one.
+    pub fn members_settled(&self) -> bool {
+        let committed = self.log.last_configuration_index() <= self.committed;
+        committed && !quorum::is_joint(self.log.members())
+    }
+
+    /// Whether the replica lacks few entries at most.
+    pub fn caught_up(&self, id: NodeId) -> bool {
+        let last = self.log.last().index;
+        self.progress
+            .get(&id)
+            .is_some_and(|p| p.matched > 0 && p.matched + CAUGHT_UP_ENTRIES >= last)
+    }
+
+    /// Whether a Global Leader was heard from lately, or is this node.
+    pub fn has_leader(&self) -> bool {
+        let silence = self.now.saturating_sub(self.leader_heard_at);
+        let live = silence < self.timing.election_timeout * 2;
+        self.role == Role::Leader || (self.global_leader.is_some() && live)
+    }
+
+    /// Whether this process had a leader and has been without one for longer
+    /// than an election takes: others may have a leader that it can't reach.
+    pub fn is_partitioned(&self) -> bool {
+        let limit = self.timing.election_timeout * PARTITIONED_ELECTIONS;
+        let known_at = self.leader_known_at.filter(|_| self.role != Role::Leader);
+        known_at.is_some_and(|known_at| self.now.saturating_sub(known_at) >= limit)
+    }
+
+    /// Whether the last save has failed and not been retried with success.
+    pub fn disk_failed(&self) -> bool {
+        self.disk_failed
+    }
+}
--- a/sorreldoor/src/consensus/term.rs
+++ b/sorreldoor/src/consensus/term.rs
@@ -1,49 +1,52 @@
-//! Entering a newer term, and giving up the leadership of one.
+//! Changes of term and role (thesis, section 3.3).
 
-use super::node::{Consensus, Role};
-use super::types::*;
-use crate::types::*;
+use super::event::StateChange;
+use super::node::Consensus;
+use super::role::Role;
+use super::state_machine::StateMachine;
+use crate::types::NodeId;
 
 impl<M: StateMachine> Consensus<M> {
-    /// Forget what only held in the term before.
-    pub(super) fn forget_term(&mut self) {
-        self.verified = 0;
-        self.round_from = 0;
-        self.rows.clear();
-        self.confirm = None;
-        self.confirmed = 0;
-        self.fast.clear();
-        self.owed.clear();
-        self.inflight.clear();
-        self.born.clear();
-        self.proofs.clear();
-        self.moving = None;
+    /// Clear the state that is valid in one term only.
+    pub(super) fn reset_term_state(&mut self) {
+        self.verified_index = 0;
+        self.leader_round = 0;
+        self.progress.clear();
+        self.confirmation = None;
+        self.confirmed_index = 0;
+        self.fast_returned.clear();
+        self.deferred_results.clear();
+        self.uncommitted_proposals.clear();
+        self.appended_at.clear();
+        self.read_index_queue.clear();
+        self.leader_transfer = None;
     }
 
-    pub(super) fn take_term(&mut self, term: u64, gl: Option<NodeId>) {
-        if self.role == Role::Leader {
-            self.note(Note::SteppedDown {
-                term: self.hard.term,
-                why: "a newer term",
-            });
-        }
-        self.hard.term = term;
-        self.hard.vote = None;
+    /// Enter a newer term as a follower.
+    pub(super) fn become_follower(&mut self, term: u64, global_leader: Option<NodeId>) {
+        self.report_step_down("a newer term");
+        self.hard_state.term = term;
+        self.hard_state.vote = None;
+        self.role = Role::Follower;
+        self.global_leader = global_leader;
+        self.reset_term_state();
+        self.save_hard_state();
+        self.reset_election_deadline();
+    }
+
+    /// Give up the leadership, or a campaign, within the term.
+    pub(super) fn step_down(&mut self, reason: &'static str) {
+        self.report_step_down(reason);
         self.role = Role::Follower;
-        self.gl = gl;
-        self.forget_term();
-        self.save_hard();
-        self.reset_elect();
+        self.global_leader = None;
+        self.reset_term_state();
+        self.reset_election_deadline();
     }
 
-    pub(super) fn step_down(&mut self, why: &'static str) {
+    fn report_step_down(&mut self, reason: &'static str) {
         if self.role == Role::Leader {
-            let term = self.hard.term;
-            self.note(Note::SteppedDown { term, why });
+            let term = self.hard_state.term;
+            self.report(StateChange::SteppedDown { term, reason });
         }
-        self.role = Role::Follower;
-        self.gl = None;
-        self.forget_term();
-        self.reset_elect();
     }
 }
--- a/sorreldoor/src/control_plane/claims.rs
+++ b/sorreldoor/src/control_plane/claims.rs
@@ -89,9 +89,9 @@
             return self.say_claim(s);
         };
         let (seq, fx) = if fresh.is_empty() {
-            (a.unsaved(), Vec::new())
+            (a.last_unsynced_save(), Vec::new())
         } else {
-            let (seq, fx) = a.keep(Save::ClaimRecord(fresh));
+            let (seq, fx) = a.save_beside_log(Save::ClaimRecord(fresh));
             (Some(seq), fx)
         };
         match seq {
@@ -286,7 +286,7 @@
 
     pub(super) fn forget_saved(&mut self, ids: Vec<String>) {
         if let Some(a) = self.consensus.as_mut() {
-            let (_, fx) = a.keep(Save::Forgot(ids));
+            let (_, fx) = a.save_beside_log(Save::ReleasedClaims(ids));
             fx.into_iter().for_each(|e| self.effect(e));
         }
     }
@@ -348,7 +348,7 @@
             }
         }
         if let Some(a) = self.consensus.as_mut().filter(|_| !fresh.is_empty()) {
-            let (_, fx) = a.keep(Save::ClaimRecord(fresh));
+            let (_, fx) = a.save_beside_log(Save::ClaimRecord(fresh));
             fx.into_iter().for_each(|e| self.effect(e));
         }
     }
--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -3,7 +3,7 @@
 use super::super::events::{ControllerEffect, Requester};
 use super::super::proposals;
 use super::Controller;
-use crate::consensus::{Body, Event, Lost};
+use crate::consensus::{Body, Event, ProposalError};
 use crate::log_events::LogEvent;
 use crate::order_id::format_proposal_id;
 use crate::replicated_state::{encode, Command, Outcome};
@@ -21,7 +21,7 @@
         if self.consensus.is_none() || self.leaving {
             return self.change_done(requester, OpOutcome::NotTaken);
         }
-        if self.consensus.as_ref().is_some_and(|c| c.cut_off()) {
+        if self.consensus.as_ref().is_some_and(|c| c.is_partitioned()) {
             // the operator does better to try another core at once
             return self.change_done(requester, OpOutcome::Unknown);
         }
@@ -35,7 +35,7 @@
     /// knows when the call comes: it has no id and no base version, so a
     /// delayed duplicate could not be told from a new call otherwise.
     fn bind_to_zone_state(&self, command: Command) -> Command {
-        let record = self.consensus.as_ref().map(|c| c.machine());
+        let record = self.consensus.as_ref().map(|c| c.state_machine());
         match (command, record) {
             (Command::Evacuate { zone, evacuated }, Some(record)) => Command::EvacuateOnce {
                 zone,
@@ -49,7 +49,7 @@
     pub(super) fn on_proposal_result(
         &mut self,
         proposal_id: ProposalId,
-        result: Result<Arc<Vec<u8>>, Lost>,
+        result: Result<Arc<Vec<u8>>, ProposalError>,
     ) {
         let outcome = proposals::outcome(result);
         let accepted = matches!(outcome, OpOutcome::Got(Outcome::Taken { .. }));
--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -2,7 +2,7 @@
 
 use super::super::events::ControllerEffect;
 use super::Controller;
-use crate::consensus::{Effect, Event, Member, Note};
+use crate::consensus::{Effect, Event, Member, StateChange};
 use crate::log_events::LogEvent;
 use crate::types::RegionId;
 use crate::wire::Payload;
@@ -34,14 +34,14 @@
                     self.send(conn, Payload::Consensus(msg));
                 }
             }
-            Effect::Result {
+            Effect::ProposalResult {
                 proposal_id,
                 outcome,
             } => self.on_proposal_result(proposal_id, outcome),
             Effect::ReadReady { request_id, ok } => self.on_proof(request_id, ok),
             Effect::Applied { .. } => self.on_applied(),
-            Effect::Members(members) => self.on_members(&members),
-            Effect::Note(note) => self.log_note(note),
+            Effect::MembersChanged(members) => self.on_members(&members),
+            Effect::StateChanged(note) => self.log_note(note),
         }
     }
 
@@ -58,25 +58,29 @@
         self.redial();
     }
 
-    fn log_note(&mut self, note: Note) {
+    fn log_note(&mut self, note: StateChange) {
         let name = |region: RegionId| self.site.region_name(region).to_string();
         let (event, about) = match note {
-            Note::GlobalLeader { term, .. } => (LogEvent::GlobalLeader, format!("term {term}")),
-            Note::DomainLeader { dterm, .. } => (LogEvent::DomainLeader, format!("term {dterm}")),
-            Note::SteppedDown { term, why } => {
-                (LogEvent::SteppedDown, format!("term {term}: {why}"))
+            StateChange::GlobalLeader { term, .. } => {
+                (LogEvent::GlobalLeader, format!("term {term}"))
             }
-            Note::RegionDown { region } => (LogEvent::RegionDown, name(region)),
-            Note::RegionUp { region } => (LogEvent::RegionUp, name(region)),
-            Note::Moving { to } => (LogEvent::Moving, format!("to {to:x}")),
-            Note::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
+            StateChange::DomainLeader { domain_term, .. } => {
+                (LogEvent::DomainLeader, format!("term {domain_term}"))
+            }
+            StateChange::SteppedDown { term, reason } => {
+                (LogEvent::SteppedDown, format!("term {term}: {reason}"))
+            }
+            StateChange::RegionUnavailable { region } => (LogEvent::RegionDown, name(region)),
+            StateChange::RegionAvailable { region } => (LogEvent::RegionUp, name(region)),
+            StateChange::TransferringLeadership { to } => (LogEvent::Moving, format!("to {to:x}")),
+            StateChange::DiskFailed => (LogEvent::DiskFailed, "standing aside".to_string()),
         };
         self.log_event(event, about);
     }
 
     fn on_applied(&mut self) {
         let consensus = self.consensus.as_ref();
-        let version = consensus.map_or(0, |consensus| consensus.machine().version());
+        let version = consensus.map_or(0, |consensus| consensus.state_machine().version());
         if version != self.logged_version {
             self.logged_version = version;
             self.log_event(LogEvent::ConfigurationAdopted, format!("serial {version}"));
--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -53,7 +53,7 @@
     fn merge_sessions(&mut self) {
         // an edge next to a dead core must not be listed longer than others
         let live = self.live_cores(SESSION_TIMEOUT_MS);
-        let record = self.consensus.as_ref().map(|c| c.machine());
+        let record = self.consensus.as_ref().map(|c| c.state_machine());
         let is_evacuated = |zone| record.is_some_and(|record| record.evacuated(zone));
         self.sessions
             .merge(|id| live.contains_key(&id), is_evacuated);
@@ -108,7 +108,7 @@
             SessionChange::Status => {}
         }
         let consensus = self.consensus.as_ref();
-        let led = consensus.is_some_and(|c| c.led()) || broken(Invariant::Proof);
+        let led = consensus.is_some_and(|c| c.has_leader()) || broken(Invariant::Proof);
         let offered = match renewal.unverified {
             Unverified::None => false,
             Unverified::FromStarting => !self.reads.ever_proved() || broken(Invariant::Unverified),
@@ -143,7 +143,7 @@
     pub(super) fn delta(&mut self, conn: Conn, known: &KnownVersions) -> StateDelta {
         let consensus = self.consensus.as_ref();
         let sources = Sources {
-            record: consensus.map(|c| c.machine()),
+            record: consensus.map(|c| c.state_machine()),
             members: consensus.map_or(&[], |c| c.members()),
             registry: self.worker_list.at(self.now),
             loads: self.loads.loads(),
--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -30,7 +30,7 @@
         self.end_session(conn);
         let core = hello.filter(|hello| hello.core).map(|hello| hello.id);
         if let Some(id) = core.filter(|id| self.connections.to(*id).is_none()) {
-            self.agreed(Event::Gone { id });
+            self.agreed(Event::Disconnected { id });
         }
     }
 
@@ -72,7 +72,7 @@
     /// Frames that only cores may send.
     fn on_core_frame(&mut self, conn: Conn, from: Hello, payload: Payload) {
         match payload {
-            Payload::Consensus(msg) => self.agreed(Event::Heard { from: from.id, msg }),
+            Payload::Consensus(msg) => self.agreed(Event::Received { from: from.id, msg }),
             Payload::Founding(founding) => self.on_founding(conn, from, founding),
             Payload::SessionReport(report) => self.on_session_report(from.id, report),
             Payload::WorkerRegistry(registry) => self.adopt_worker_list(registry),
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -11,7 +11,7 @@
 
 impl Controller {
     pub(super) fn read(&mut self, read: Read) {
-        let cut_off = self.consensus.as_ref().is_some_and(|c| c.cut_off());
+        let cut_off = self.consensus.as_ref().is_some_and(|c| c.is_partitioned());
         if cut_off && !broken(Invariant::Proof) {
             // the requester does better to try another core at once
             return self.answer_reads(vec![read], false);
@@ -44,7 +44,7 @@
 
     /// No read waits longer than a proof may take.
     pub(super) fn expire_reads(&mut self) {
-        let Some(limit) = self.now.checked_sub(self.timing.proof) else {
+        let Some(limit) = self.now.checked_sub(self.timing.read_timeout) else {
             return;
         };
         let expired = self.reads.expire(limit);
@@ -91,7 +91,7 @@
 
     /// The outcome of a proposal as far as the record tells.
     fn recorded_outcome(&self, proposal_id: ProposalId, proved: bool) -> OpOutcome {
-        let record = self.consensus.as_ref().map(|c| c.machine());
+        let record = self.consensus.as_ref().map(|c| c.state_machine());
         let bytes = record.and_then(|record| record.answered(proposal_id));
         match bytes.and_then(|bytes| decode(&bytes)) {
             Some(outcome) => OpOutcome::Got(outcome),
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -16,13 +16,13 @@
     /// Whether this incarnation of this core holds the singleton role.
     #[must_use]
     pub fn holds_singleton_role(&self) -> bool {
-        let record = self.consensus.as_ref().map(|c| c.machine());
+        let record = self.consensus.as_ref().map(|c| c.state_machine());
         record.is_some_and(|record| self.singleton.is_held(record, self.me.id))
     }
 
     pub(super) fn epoch(&self) -> u64 {
         let consensus = self.consensus.as_ref();
-        consensus.map_or(0, |consensus| consensus.machine().epoch())
+        consensus.map_or(0, |consensus| consensus.state_machine().epoch())
     }
 
     pub(super) fn tick_singleton(&mut self) {
@@ -120,7 +120,7 @@
 
     fn region_transition(&mut self) -> Option<RegionTransition> {
         self.singleton.region_transition(
-            self.consensus.as_ref()?.machine(),
+            self.consensus.as_ref()?.state_machine(),
             self.worker_list.current(),
             self.loads.loads(),
             self.site.regions.len(),
@@ -133,7 +133,7 @@
         let Some(consensus) = &self.consensus else {
             return;
         };
-        let record = consensus.machine();
+        let record = consensus.state_machine();
         if !self.singleton.begin_tuning(record, self.now) {
             return;
         }
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -12,7 +12,7 @@
 use super::super::singleton::SingletonRole;
 use super::super::worker_list::WorkerList;
 use super::Controller;
-use crate::consensus::{Consensus, Kept, StateMachine};
+use crate::consensus::{Consensus, RecoveredState, StateMachine};
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
     /// # Panics
     /// If this release cannot read the stored snapshot: to go on with an empty
     /// record would be to lead with old state.
-    pub fn new(start: Start, kept: Option<Kept>, now: Millis) -> Controller {
+    pub fn new(start: Start, kept: Option<RecoveredState>, now: Millis) -> Controller {
         let promised = start.promise.is_some();
         let sure = start.sure;
         let most_claims = start.most_claims;
@@ -78,9 +78,9 @@
         }
     }
 
-    fn restore(&mut self, kept: Kept) {
+    fn restore(&mut self, kept: RecoveredState) {
         let mut record = ReplicatedState::new(self.site.clone());
-        if let Some(snapshot) = &kept.snap {
+        if let Some(snapshot) = &kept.snapshot {
             assert!(
                 record.load(&snapshot.image),
                 "this release cannot read the snapshot"
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -254,7 +254,7 @@
             ok,
             disk: a.is_none_or(|a| !a.disk_failed()),
             status,
-            view: Box::new(a.map(|a| a.machine().view()).unwrap_or_default()),
+            view: Box::new(a.map(|a| a.state_machine().view()).unwrap_or_default()),
         };
         self.front.answers.give(request_id, Reply::Looked(l));
     }
--- a/sorreldoor/src/control_plane/proposals.rs
+++ b/sorreldoor/src/control_plane/proposals.rs
@@ -2,7 +2,7 @@
 //! the ids that this core gives to proposals and reads of its own.
 
 use super::events::Requester;
-use crate::consensus::Lost;
+use crate::consensus::ProposalError;
 use crate::replicated_state::{decode, Outcome};
 use crate::types::{NodeId, ProposalId};
 use crate::wire::{Hello, OpOutcome};
@@ -28,13 +28,13 @@
 }
 
 /// The outcome of a proposal, from the result that consensus gives.
-pub(super) fn outcome(result: Result<Arc<Vec<u8>>, Lost>) -> OpOutcome {
+pub(super) fn outcome(result: Result<Arc<Vec<u8>>, ProposalError>) -> OpOutcome {
     match result {
         // a membership change has no outcome of its own but having happened
         Ok(bytes) if bytes.is_empty() => OpOutcome::Got(Outcome::Taken { version: 0 }),
         Ok(bytes) => decode(&bytes).map_or(OpOutcome::Unknown, OpOutcome::Got),
-        Err(Lost::Unknown) => OpOutcome::Unknown,
-        Err(Lost::Full) => OpOutcome::NotTaken,
+        Err(ProposalError::OutcomeUnknown) => OpOutcome::Unknown,
+        Err(ProposalError::Dropped) => OpOutcome::NotTaken,
     }
 }
 
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -71,7 +71,7 @@
         if let Some(consensus) = self.consensus {
             self.put_consensus(&mut doc, consensus);
             self.put_members(&mut doc, consensus.members());
-            self.put_record(&mut doc, consensus.machine());
+            self.put_record(&mut doc, consensus.state_machine());
         }
         let _ = doc.insert("weights", self.weights());
         let _ = doc.insert("claims", self.claims());
@@ -87,7 +87,7 @@
     fn put_consensus(&self, doc: &mut Val, consensus: &Consensus<ReplicatedState>) {
         let _ = doc.insert("leads", consensus.leads_globally());
         let _ = doc.insert("term", consensus.term());
-        let _ = doc.insert("commit", consensus.commit_idx());
+        let _ = doc.insert("commit", consensus.committed());
         let _ = doc.insert("disk_failed", consensus.disk_failed());
         let global_leader = consensus.global_leader().map_or(Val::default(), hex);
         let _ = doc.insert("global_leader", global_leader);
@@ -97,7 +97,7 @@
             let _ = domain_leaders.insert(name, hex(id));
         }
         let _ = doc.insert("domain_leaders", domain_leaders);
-        let regions_down = consensus.regions_down();
+        let regions_down = consensus.unavailable_regions();
         let name = |region: &u8| Val::from(self.site.region_name(*region));
         let regions_down: Vec<Val> = regions_down.iter().map(name).collect();
         let _ = doc.insert("regions_down", regions_down);
@@ -142,7 +142,7 @@
     /// Every share with bounds of its own: its weight now, and the latency by
     /// which this core tuned it while it held the singleton role.
     fn weights(&self) -> Vec<Val> {
-        let Some(record) = self.consensus.map(|c| c.machine()) else {
+        let Some(record) = self.consensus.map(|c| c.state_machine()) else {
             return Vec::new();
         };
         let Some(configuration) = record.configuration() else {
@@ -192,7 +192,7 @@
     }
 
     fn zones(&self) -> Vec<Val> {
-        let record = self.consensus.map(|c| c.machine());
+        let record = self.consensus.map(|c| c.state_machine());
         let evacuated = record.map(|record| record.view().evacuated);
         let sessions = self.edge_sessions.iter();
         crate::operator_api::zones(
--- a/sorreldoor/src/pacing.rs
+++ b/sorreldoor/src/pacing.rs
@@ -81,19 +81,18 @@
 
     /// The protocol's waits for answers within `ack_ms`.
     pub fn timing(&self, ack_ms: Millis) -> Timing {
-        let p = Timing::for_ack(ack_ms);
-        let beat = self.beat_ms.unwrap_or(p.beat);
-        // whoever misses three heartbeats may think its leader gone, and
-        // no one sooner
-        let least = beat * 4;
+        let defaults = Timing::for_ack(ack_ms);
+        let heartbeat_interval = self.beat_ms.unwrap_or(defaults.heartbeat_interval);
+        // three missed heartbeats suspect a leader, fewer never do
+        let min_timeout = heartbeat_interval * 4;
         Timing {
-            beat,
-            elect: p.elect.max(least),
-            dead: p.dead.max(least),
-            waive: p.waive.max(least),
-            proof: p.proof.max(least),
-            batch: self.batch_ms,
-            ..p
+            heartbeat_interval,
+            election_timeout: defaults.election_timeout.max(min_timeout),
+            region_timeout: defaults.region_timeout.max(min_timeout),
+            region_rule_timeout: defaults.region_rule_timeout.max(min_timeout),
+            read_timeout: defaults.read_timeout.max(min_timeout),
+            read_batch_interval: self.batch_ms,
+            ..defaults
         }
     }
 }
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -1,6 +1,8 @@
 //! What the saves so far add up to; the same for the disk and the simulator.
 
-use crate::consensus::{ClaimRecord, Entry, HardState, Kept, Log, LogPosition, Save, Snapshot};
+use crate::consensus::{
+    ClaimRecord, Entry, HardState, LogPosition, RaftLog, RecoveredState, Save, Snapshot,
+};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, VecDeque};
@@ -65,10 +67,10 @@
         }
         self.seq = seq;
         match save {
-            Save::Hard(h) => {
-                let commit = self.hard.commit.max(h.commit);
+            Save::HardState(h) => {
+                let committed = self.hard.committed.max(h.committed);
                 self.hard = HardState {
-                    commit,
+                    committed,
                     ..h.clone()
                 };
             }
@@ -77,8 +79,8 @@
                 entries,
                 commit,
             } => {
-                self.hard.commit = self.hard.commit.max(*commit);
-                let n = from.saturating_sub(self.base().idx + 1) as usize;
+                self.hard.committed = self.hard.committed.max(*commit);
+                let n = from.saturating_sub(self.base().index + 1) as usize;
                 self.entries.truncate(n);
                 self.entries.extend(entries.iter().cloned());
             }
@@ -87,18 +89,21 @@
                 let rows = all.iter().map(|n| (n.id.clone(), n.clone()));
                 self.noted.extend(rows);
             }
-            Save::Forgot(ids) => ids.iter().for_each(|id| {
+            Save::ReleasedClaims(ids) => ids.iter().for_each(|id| {
                 self.noted.remove(id);
                 self.claims.retain(|(i, _)| i != id);
             }),
-            Save::Snap { snap, reset } => {
-                let n = snap.last.idx.saturating_sub(self.base().idx) as usize;
-                if *reset {
+            Save::Snapshot {
+                snapshot,
+                discard_log,
+            } => {
+                let n = snapshot.last.index.saturating_sub(self.base().index) as usize;
+                if *discard_log {
                     self.entries.clear();
                 } else {
                     self.entries.drain(..n.min(self.entries.len()));
                 }
-                self.snap = Some(snap.clone());
+                self.snap = Some(snapshot.clone());
             }
         }
     }
@@ -117,19 +122,19 @@
         self.seq == 0
     }
 
-    pub fn kept(&self) -> Kept {
+    pub fn kept(&self) -> RecoveredState {
         let log = self.snap.as_ref().map_or_else(
             || {
-                let mut l = Log::default();
+                let mut l = RaftLog::default();
                 l.push(self.entries.clone());
                 l
             },
-            |s| Log::from_parts(s, self.entries.clone()),
+            |s| RaftLog::from_parts(s, self.entries.clone()),
         );
-        Kept {
-            hard: self.hard.clone(),
+        RecoveredState {
+            hard_state: self.hard.clone(),
             log,
-            snap: self.snap.clone(),
+            snapshot: self.snap.clone(),
             claims: self.claims(),
         }
     }
--- a/sorreldoor/src/store/durable_store.rs
+++ b/sorreldoor/src/store/durable_store.rs
@@ -11,7 +11,7 @@
 use super::legacy;
 use super::recovery::{first_record, recover, Found, Recovered, FIRST_NUMBER};
 use super::{Store, FILES};
-use crate::consensus::{Kept, Save};
+use crate::consensus::{RecoveredState, Save};
 use std::borrow::Cow;
 use std::io;
 use std::path::Path;
@@ -117,7 +117,7 @@
     }
 
     /// What a core starts from, if it has kept anything.
-    pub fn kept(&self) -> Option<Kept> {
+    pub fn kept(&self) -> Option<RecoveredState> {
         (!self.state.blank()).then(|| self.state.kept())
     }
 
@@ -213,7 +213,7 @@
 
     fn checkpoint_due(&self, changes: &[Change]) -> bool {
         let snapshot = |change: &Change| match change {
-            Change::Save(_, save) => matches!(**save, Save::Snap { .. }),
+            Change::Save(_, save) => matches!(**save, Save::Snapshot { .. }),
             Change::Put(..) => false,
         };
         let log = self.end - self.checkpoint_length;
--- a/sorreldoor/tests/formats/messages.rs
+++ b/sorreldoor/tests/formats/messages.rs
@@ -1,7 +1,8 @@
 //! Samples of what consensus sends and of what it is made of.
 
 use sorreldoor::consensus::{
-    Body, Chunk, ClaimRecord, ContentHeader, Entry, Held, LogPosition, Member, Msg,
+    AppendReply, AppendRequest, Body, Chunk, ClaimRecord, ContentHeader, Entry, LogPosition,
+    Member, Msg, ReplicaProgress, VoteReply,
 };
 use std::sync::Arc;
 
@@ -17,7 +18,7 @@
 }
 
 pub(super) fn last() -> LogPosition {
-    LogPosition { term: 4, idx: 90 }
+    LogPosition { term: 4, index: 90 }
 }
 
 pub(super) fn entries() -> Vec<Entry> {
@@ -47,7 +48,7 @@
     let chunk = |header| {
         Msg::Chunk(Box::new(Chunk {
             term: 4,
-            gl: 1,
+            global_leader: 1,
             round: 8,
             commit: 89,
             header,
@@ -59,57 +60,57 @@
     };
     vec![
         Msg::DomainVoteRequest {
-            dterm: 2,
+            domain_term: 2,
             last: last(),
-            pre: true,
+            pre_vote: true,
         },
         Msg::DomainVoteReply {
-            dterm: 2,
-            yes: true,
-            pre: false,
+            domain_term: 2,
+            granted: true,
+            pre_vote: false,
         },
         Msg::DomainHeartbeat {
-            dterm: 2,
-            sent: 500,
+            domain_term: 2,
+            sent_at: 500,
         },
         Msg::DomainHeartbeatReply {
-            dterm: 2,
-            sent: 500,
+            domain_term: 2,
+            sent_at: 500,
         },
         Msg::VoteRequest {
             term: 4,
             last: last(),
-            pre: false,
+            pre_vote: false,
         },
-        Msg::VoteReply {
+        Msg::VoteReply(VoteReply {
             term: 4,
-            yes: true,
-            pre: false,
-            leads: true,
+            granted: true,
+            pre_vote: false,
+            is_domain_leader: true,
             last: last(),
-        },
-        Msg::Append {
+        }),
+        Msg::Append(AppendRequest {
             term: 4,
-            gl: 1,
+            global_leader: 1,
             prev: last(),
             entries: entries(),
             commit: 88,
             round: 8,
-        },
-        Msg::AppendReply {
+        }),
+        Msg::AppendReply(AppendReply {
             term: 4,
-            rows: vec![Held {
+            replicas: vec![ReplicaProgress {
                 id: 2,
-                upto: 88,
+                matched: 88,
                 round: 8,
             }],
-            hint: Some(70),
-            fast: 60,
-            lat: vec![(1, 30)],
-        },
+            conflict_hint: Some(70),
+            fast_returned: 60,
+            latencies: vec![(1, 30)],
+        }),
         Msg::Confirm {
             term: 4,
-            upto: 88,
+            index: 88,
             holders: vec![1, 2],
         },
         chunk(ContentHeader::Snapshot {
@@ -125,7 +126,7 @@
         Msg::ChunkReply {
             term: 4,
             id: 77,
-            held: 5,
+            received: 5,
         },
         Msg::Propose {
             proposal_id: 6,
@@ -139,7 +140,7 @@
         Msg::ReadIndexRequest { request_id: 5 },
         Msg::ReadIndexReply {
             request_id: 5,
-            idx: 90,
+            index: 90,
         },
         Msg::TimeoutNow { term: 4 },
     ]
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -323,26 +323,26 @@
     let hard = HardState {
         term: 4,
         vote: Some(1),
-        dterm: 2,
-        dvote: Some(3),
-        commit: 1,
+        domain_term: 2,
+        domain_vote: Some(3),
+        committed: 1,
     };
-    let position = LogPosition { term: 4, idx: 1 };
+    let position = LogPosition { term: 4, index: 1 };
     let snapshot = Snapshot {
         last: position,
         members: vec![member(1), member(2)],
         image: Arc::new(vec![5; 20]),
     };
     vec![
-        Save::Hard(hard),
+        Save::HardState(hard),
         Save::Append {
             from: 1,
             entries: entries(),
             commit: 1,
         },
-        Save::Snap {
-            snap: snapshot,
-            reset: false,
+        Save::Snapshot {
+            snapshot,
+            discard_log: false,
         },
         Save::Claims(vec![("old".into(), 7)]),
         Save::ClaimRecord(vec![
@@ -353,7 +353,7 @@
                 keep_ms: 5,
             },
         ]),
-        Save::Forgot(vec!["gone".into()]),
+        Save::ReleasedClaims(vec!["gone".into()]),
     ]
 }
 
--- a/sorreldoor/tests/position.rs
+++ b/sorreldoor/tests/position.rs
@@ -1,9 +1,9 @@
 //! The paper's Ls in its three cases, and the choice of z that follows.
 
-use sorreldoor::consensus::position::{best, Load, View};
+use sorreldoor::consensus::position::{best_region, LatencyModel, Load};
 use std::collections::BTreeMap;
 
-fn lat() -> BTreeMap<(u8, u8), u64> {
+fn latencies() -> BTreeMap<(u8, u8), u64> {
     [((0, 1), 10), ((0, 2), 30), ((1, 2), 25)].into()
 }
 
@@ -22,14 +22,14 @@
 
 #[test]
 fn li_in_its_three_cases() {
-    let (lat, load) = (lat(), load(&[(5, 7), (11, 13), (17, 19)]));
+    let (latencies, load) = (latencies(), load(&[(5, 7), (11, 13), (17, 19)]));
     let all = [0, 1, 2];
     let up = [0, 1];
-    let v = View {
+    let model = LatencyModel {
         load: &load,
-        lat: &lat,
-        up: &up,
-        all: &all,
+        latencies: &latencies,
+        available: &up,
+        regions: &all,
     };
     let table = [
         // own region: twice the nearest other available one, writes only
@@ -43,15 +43,17 @@
         ((2, 1), 2 * (25 + 10) * 19 + 2 * 25 * 17),
     ];
     for ((i, z), want) in table {
-        assert_eq!(v.li(i, z), Some(want), "i {i}, z {z}");
+        assert_eq!(model.region_latency(i, z), Some(want), "i {i}, z {z}");
     }
-    let sum = (0..3).map(|i| v.li(i, 0).unwrap()).sum::<u64>();
-    assert_eq!(v.ls(0), Some(sum));
+    let sum = (0..3)
+        .map(|i| model.region_latency(i, 0).unwrap())
+        .sum::<u64>();
+    assert_eq!(model.total_latency(0), Some(sum));
 }
 
 #[test]
 fn the_least_ls_wins_only_by_a_clear_margin() {
-    let lat = lat();
+    let latencies = latencies();
     let all = [0, 1, 2];
     type Row<'a> = (&'a str, &'a [(u64, u64)], u8, &'a [u8], Option<u8>);
     let table: [Row; 5] = [
@@ -75,13 +77,13 @@
     ];
     for (name, rows, now, up, want) in table {
         let load = load(rows);
-        let v = View {
+        let model = LatencyModel {
             load: &load,
-            lat: &lat,
-            up,
-            all: &all,
+            latencies: &latencies,
+            available: up,
+            regions: &all,
         };
-        assert_eq!(best(&v, now, 15), want, "{name}");
+        assert_eq!(best_region(&model, now, 15), want, "{name}");
     }
 }
 
@@ -89,11 +91,11 @@
 fn an_unknown_delay_moves_nothing() {
     let load = load(&[(0, 1), (50, 50)]);
     let none = BTreeMap::new();
-    let v = View {
+    let model = LatencyModel {
         load: &load,
-        lat: &none,
-        up: &[0, 1],
-        all: &[0, 1],
+        latencies: &none,
+        available: &[0, 1],
+        regions: &[0, 1],
     };
-    assert_eq!(best(&v, 0, 15), None);
+    assert_eq!(best_region(&model, 0, 15), None);
 }
--- a/sorreldoor/tests/store/work.rs
+++ b/sorreldoor/tests/store/work.rs
@@ -30,15 +30,15 @@
 }
 
 pub fn snapshot(index: u64, length: usize) -> Save {
-    let snap = Snapshot {
-        last: LogPosition {
-            term: index,
-            idx: index,
-        },
+    let snapshot = Snapshot {
+        last: LogPosition { term: index, index },
         members: Vec::new(),
         image: Arc::new(vec![index as u8; length]),
     };
-    Save::Snap { snap, reset: false }
+    Save::Snapshot {
+        snapshot,
+        discard_log: false,
+    }
 }
 
 /// One call of the store.
@@ -172,10 +172,10 @@
     }
 
     fn any_save(&mut self, state: &DurableState) -> Save {
-        let base = state.snap.as_ref().map_or(0, |s| s.last.idx);
+        let base = state.snap.as_ref().map_or(0, |s| s.last.index);
         let last = base + state.entries.len() as u64;
         match self.random.below(12) {
-            0 => Save::Hard(HardState {
+            0 => Save::HardState(HardState {
                 term: state.hard.term + 1,
                 ..state.hard.clone()
             }),
@@ -184,7 +184,7 @@
                 by: 1,
                 keep_ms: 9,
             }]),
-            2 => Save::Forgot(vec![format!("id{}", self.random.below(5))]),
+            2 => Save::ReleasedClaims(vec![format!("id{}", self.random.below(5))]),
             3 if last > base => {
                 let size = if self.random.chance(20) { 150_000 } else { 900 };
                 let at = base + 1 + self.random.below((last - base) as usize) as u64;
--- a/testbed/src/disk.rs
+++ b/testbed/src/disk.rs
@@ -22,7 +22,7 @@
     const SMALL: usize = 64;
     let bytes = match save {
         Save::Append { entries, .. } => entries.iter().map(|e| e.bytes()).sum(),
-        Save::Snap { snap, .. } => snap.image.len(),
+        Save::Snapshot { snapshot, .. } => snapshot.image.len(),
         _ => SMALL,
     };
     bytes as u64
--- a/testbed/src/hollow/core.rs
+++ b/testbed/src/hollow/core.rs
@@ -200,7 +200,7 @@
     pub(super) fn propose(&mut self, c: Pending) {
         let p = self.rng.below(self.size.cores as u64) as usize;
         let a = self.controller_at(p).and_then(|h| h.consensus.as_ref());
-        let base = a.map_or(0, |a| a.machine().version());
+        let base = a.map_or(0, |a| a.state_machine().version());
         let cmd = if base == 0 {
             let doc = given::configuration(&self.size);
             Command::Put {
--- a/testbed/src/hollow/report.rs
+++ b/testbed/src/hollow/report.rs
@@ -167,7 +167,7 @@
             return;
         };
         if let Some(a) = &h.consensus {
-            let v = a.machine().view();
+            let v = a.state_machine().view();
             put(
                 row,
                 "size.doc",
--- a/testbed/src/sim/askers.rs
+++ b/testbed/src/sim/askers.rs
@@ -129,12 +129,12 @@
         &mut self,
         _at: usize,
         proposal_id: ProposalId,
-        r: Result<Arc<Vec<u8>>, Lost>,
+        r: Result<Arc<Vec<u8>>, ProposalError>,
     ) {
         let done = match r {
             Ok(b) => decode(&b).map_or(Done::Unknown, Done::Got),
-            Err(Lost::Unknown) => Done::Unknown,
-            Err(Lost::Full) => Done::NotTaken,
+            Err(ProposalError::OutcomeUnknown) => Done::Unknown,
+            Err(ProposalError::Dropped) => Done::NotTaken,
         };
         self.end(proposal_id, done);
     }
--- a/testbed/src/sim/core.rs
+++ b/testbed/src/sim/core.rs
@@ -26,12 +26,18 @@
 impl Node {
     pub fn founded(i: usize, region: RegionId, members: &[Member], site: &Arc<Site>) -> Node {
         let mut n = Node::blank(i, region);
-        let snap = Snapshot {
+        let snapshot = Snapshot {
             last: LogPosition::default(),
             members: members.to_vec(),
             image: Arc::new(ReplicatedState::new(site.clone()).image()),
         };
-        n.disk.kept.take(1, &Save::Snap { snap, reset: true });
+        n.disk.kept.take(
+            1,
+            &Save::Snapshot {
+                snapshot,
+                discard_log: true,
+            },
+        );
         n
     }
 
@@ -55,7 +61,7 @@
 
     pub fn start(&mut self, timing: Timing, mut machine: Watched, seed: u64, now: Millis) -> u64 {
         let kept = self.disk.kept.kept();
-        if let Some(s) = &kept.snap {
+        if let Some(s) = &kept.snapshot {
             machine.load(&s.image);
         }
         self.incarnation += 1;
@@ -95,7 +101,7 @@
     }
 
     pub fn record(&self) -> Option<&ReplicatedState> {
-        self.consensus.as_ref().map(|a| &a.machine().record)
+        self.consensus.as_ref().map(|a| &a.state_machine().record)
     }
 }
 
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -70,7 +70,7 @@
     pub far_sent: BTreeMap<&'static str, u64>,
     pub trail: Rc<RefCell<Trail>>,
     pub ops: Vec<Op>,
-    pub notes: Vec<(Millis, NodeId, Note)>,
+    pub notes: Vec<(Millis, NodeId, StateChange)>,
     queue: BTreeMap<(Millis, u64), What>,
     count: u64,
     events: u64,
@@ -236,7 +236,7 @@
             } => {
                 // a connection ends with the process that it was to
                 if incarnation.is_none_or(|b| b == self.nodes[to].incarnation) {
-                    self.give(to, Event::Heard { from, msg });
+                    self.give(to, Event::Received { from, msg });
                 }
             }
             What::Synced {
@@ -304,19 +304,19 @@
                 );
             }
             Effect::Send { to, msg } => self.carry(i, to, msg),
-            Effect::Result {
+            Effect::ProposalResult {
                 proposal_id,
                 outcome,
             } => self.resulted(i, proposal_id, outcome),
             Effect::ReadReady { request_id, ok } => self.read_ready(i, request_id, ok),
-            Effect::Note(n) => {
+            Effect::StateChanged(n) => {
                 let id = self.nodes[i].id;
-                if let Note::GlobalLeader { term, id } = &n {
+                if let StateChange::GlobalLeader { term, id } = &n {
                     self.trail.borrow_mut().led(*term, *id);
                 }
                 self.notes.push((self.now, id, n));
             }
-            Effect::Applied { .. } | Effect::Members(_) => {}
+            Effect::Applied { .. } | Effect::MembersChanged(_) => {}
         }
     }
 
@@ -397,7 +397,7 @@
         Msg::DomainVoteRequest { .. } | Msg::DomainVoteReply { .. } => "domain-vote",
         Msg::DomainHeartbeat { .. } | Msg::DomainHeartbeatReply { .. } => "domain-beat",
         Msg::VoteRequest { .. } | Msg::VoteReply { .. } => "vote",
-        Msg::Append { entries, .. } if entries.is_empty() => "beat",
+        Msg::Append(request) if request.entries.is_empty() => "beat",
         Msg::Append { .. } => "append",
         Msg::AppendReply { .. } => "holds",
         Msg::Confirm { .. } => "confirm",
--- a/testbed/src/site/check.rs
+++ b/testbed/src/site/check.rs
@@ -152,9 +152,9 @@
                     .and_then(|h| h.consensus.as_ref())
                     .map(|a| (p, a))
             })
-            .filter(|(_, a)| a.machine().version() < top)
+            .filter(|(_, a)| a.state_machine().version() < top)
             .map(|(p, a)| {
-                let s = a.machine().version();
+                let s = a.state_machine().version();
                 format!("{} is at {s}, {top} was acked", self.procs[p].name)
             })
             .collect()
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -10,7 +10,7 @@
     /// The serial that a process knows of.
     pub fn version_at(&self, p: usize) -> Option<u64> {
         match (self.controller(p), self.edge_controller(p)) {
-            (Some(h), _) => h.consensus.as_ref().map(|a| a.machine().version()),
+            (Some(h), _) => h.consensus.as_ref().map(|a| a.state_machine().version()),
             (_, Some(h)) => Some(h.plan.shown.view.version),
             _ => None,
         }
--- a/testbed/src/site/orders.rs
+++ b/testbed/src/site/orders.rs
@@ -328,7 +328,7 @@
     /// A core shows its record, proved current if `ok`.
     pub(crate) fn viewed(&mut self, p: usize, request_id: u64, ok: bool) {
         let record = self.controller(p).and_then(|c| c.consensus.as_ref());
-        let Some(record) = record.map(|a| a.machine()).filter(|_| ok) else {
+        let Some(record) = record.map(|a| a.state_machine()).filter(|_| ok) else {
             return;
         };
         let view = record.view();
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -137,7 +137,7 @@
         let most = self.most_claims;
         let (grow, replace_ms) = (self.grow, self.replace_ms);
         let mut timing = self.pacing.timing(ack);
-        timing.keep_log = self.keep_log.unwrap_or(timing.keep_log);
+        timing.snapshot_entries = self.keep_log.unwrap_or(timing.snapshot_entries);
         let tolerate = self.tolerate;
         let (pacing, holder_polls) = (self.pacing.clone(), self.holder_polls);
         let q = &mut self.procs[p];
@@ -272,7 +272,7 @@
         let incarnation = self.procs[p].incarnation;
         match f {
             ControllerEffect::Save(seq, save) => {
-                if matches!(save, Save::ClaimRecord(_) | Save::Forgot(_)) {
+                if matches!(save, Save::ClaimRecord(_) | Save::ReleasedClaims(_)) {
                     self.claims_cost.2 += sorreldoor::replicated_state::encode(&save).len() as u64;
                 }
                 let now = self.now;
--- a/testbed/tests/catch_up/bounds.rs
+++ b/testbed/tests/catch_up/bounds.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 /// Snapshots come faster than one can be sent.
-fn short_log(broken: Broken) -> Option<Millis> {
+fn short_log(broken: InjectedFault) -> Option<Millis> {
     let mut s = Sim::new(
         2,
         &[0, 0, 0],
         Timing {
-            keep_log: 2,
+            snapshot_entries: 2,
             ..timing(broken)
         },
     );
@@ -35,20 +35,20 @@
 
 #[test]
 fn a_snapshot_is_of_use_though_newer_ones_were_made() {
-    let took = short_log(Broken::None);
+    let took = short_log(InjectedFault::None);
     println!("a snapshot every two changes: {took:?} ms");
     assert!(took.is_some());
-    assert_eq!(short_log(Broken::CompactAll), None);
+    assert_eq!(short_log(InjectedFault::CompactWithoutTail), None);
 }
 
 /// A deposed leader's own entries, which nobody else has, give way to the
 /// snapshot that reaches into them.
-fn conflicting_install(broken: Broken) -> Vec<String> {
+fn conflicting_install(broken: InjectedFault) -> Vec<String> {
     let mut s = Sim::new(
         4,
         &[0, 0, 0],
         Timing {
-            keep_log: 5,
+            snapshot_entries: 5,
             ..timing(broken)
         },
     );
@@ -74,9 +74,9 @@
 
 #[test]
 fn an_install_takes_the_place_of_conflicting_entries() {
-    let wrong = conflicting_install(Broken::None);
+    let wrong = conflicting_install(InjectedFault::None);
     assert!(wrong.is_empty(), "{wrong:#?}");
-    let run = std::panic::catch_unwind(|| conflicting_install(Broken::InstallKeepsLog));
+    let run = std::panic::catch_unwind(|| conflicting_install(InjectedFault::KeepConflictingLog));
     println!("with conflicting entries kept: {run:?}");
     assert!(run.map_or(true, |wrong| !wrong.is_empty()));
 }
@@ -84,7 +84,7 @@
 /// All that grows with the number of changes, over 5,000 of them.
 #[test]
 fn log_snapshots_and_memory_stay_bounded_over_5000_changes() {
-    let (mut s, leader) = group(1, &[0, 0, 0], 1600, Broken::None);
+    let (mut s, leader) = group(1, &[0, 0, 0], 1600, InjectedFault::None);
     println!("changes; log entries; log bytes; snapshot bytes; saved bytes");
     let mut most = 0;
     for round in 1..=10 {
@@ -95,7 +95,7 @@
             s.run_until(end, |s| s.op(p).done != Done::Open);
         }
         let c = consensus(&s, leader);
-        let log_bytes = c.log().bytes_after(c.log().base().idx);
+        let log_bytes = c.log().bytes_after(c.log().base().index);
         println!(
             "{}; {}; {log_bytes}; {}; {}",
             round * 500,
@@ -115,11 +115,11 @@
 /// its bytes long before it is by its entries.
 #[test]
 fn a_log_of_large_entries_is_bounded_by_bytes() {
-    let (mut s, leader) = group(6, &[0, 0, 0], 1600, Broken::None);
+    let (mut s, leader) = group(6, &[0, 0, 0], 1600, InjectedFault::None);
     for mark in 1..30 {
         put(&mut s, leader, 1600, mark);
         let c = consensus(&s, leader);
-        let log_bytes = c.log().bytes_after(c.log().base().idx);
+        let log_bytes = c.log().bytes_after(c.log().base().index);
         assert!(
             log_bytes < 2 * (c.snapshot_bytes() + 600_000),
             "{log_bytes} bytes of log after {mark}"
@@ -135,8 +135,8 @@
         seed,
         preset,
         Timing {
-            keep_log: 5,
-            ..timing(Broken::None)
+            snapshot_entries: 5,
+            ..timing(InjectedFault::None)
         },
     );
     s.most_events = 2_000_000;
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -4,7 +4,7 @@
 mod bounds;
 
 use sorreldoor::consensus::{
-    Broken, Consensus, Event, Member, Note, Timing, CHUNK_BYTES, WINDOW_BYTES,
+    Consensus, Event, InjectedFault, Member, StateChange, Timing, CHUNK_BYTES, WINDOW_BYTES,
 };
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::Command;
@@ -29,19 +29,19 @@
     )
 }
 
-fn timing(broken: Broken) -> Timing {
+fn timing(broken: InjectedFault) -> Timing {
     let pacing = Pacing {
         beat_ms: Some(150),
         ..Pacing::default()
     };
     Timing {
-        broken,
+        injected_fault: broken,
         ..pacing.timing(2000)
     }
 }
 
 /// A settled group on links of 10 Mbit/s, with a configuration of `routes`.
-fn group(seed: u64, preset: &[RegionId], routes: usize, broken: Broken) -> (Sim, usize) {
+fn group(seed: u64, preset: &[RegionId], routes: usize, broken: InjectedFault) -> (Sim, usize) {
     let mut s = Sim::new(seed, preset, timing(broken));
     s.far = 35;
     s.most_events = 20_000_000;
@@ -82,7 +82,7 @@
 }
 
 fn applied(s: &Sim, i: usize) -> u64 {
-    s.nodes[i].consensus.as_ref().map_or(0, |c| c.applied_idx())
+    s.nodes[i].consensus.as_ref().map_or(0, |c| c.applied())
 }
 
 /// How long a member takes until it lacks no more than the last few changes,
@@ -102,7 +102,7 @@
 fn leaders_since(s: &Sim, at: Millis) -> usize {
     s.notes
         .iter()
-        .filter(|(t, _, n)| *t >= at && matches!(n, Note::GlobalLeader { .. }))
+        .filter(|(t, _, n)| *t >= at && matches!(n, StateChange::GlobalLeader { .. }))
         .count()
 }
 
@@ -136,12 +136,17 @@
 }
 
 /// One member is away for `count` changes of a site with `routes`.
-fn away_for(count: usize, preset: &[RegionId], routes: usize, broken: Broken) -> (Sim, Return) {
-    let (mut s, mut leader) = group(7, preset, routes, Broken::None);
+fn away_for(
+    count: usize,
+    preset: &[RegionId],
+    routes: usize,
+    broken: InjectedFault,
+) -> (Sim, Return) {
+    let (mut s, mut leader) = group(7, preset, routes, InjectedFault::None);
     let away = follower(&s, leader);
     s.crash(away);
     changes(&mut s, leader, count);
-    if broken != Broken::None {
+    if broken != InjectedFault::None {
         leader = restart_with(&mut s, broken);
     }
     s.nodes[leader].uplink = Default::default();
@@ -160,8 +165,8 @@
 }
 
 /// All that are up start again with a rule broken; who leads then.
-fn restart_with(s: &mut Sim, broken: Broken) -> usize {
-    s.timing.broken = broken;
+fn restart_with(s: &mut Sim, broken: InjectedFault) -> usize {
+    s.timing.injected_fault = broken;
     let up: Vec<usize> = (0..s.nodes.len()).filter(|i| s.nodes[*i].up()).collect();
     for i in &up {
         s.crash(*i);
@@ -178,7 +183,7 @@
 fn a_member_that_was_down_for_600_changes_catches_up() {
     for preset in SHAPES {
         for routes in [1600, 5000] {
-            let (mut s, r) = away_for(620, preset, routes, Broken::None);
+            let (mut s, r) = away_for(620, preset, routes, InjectedFault::None);
             println!(
                 "{preset:?}, {routes} routes: caught up in {:?} ms, longest wait {} ms, largest frame {} bytes, {} elections",
                 r.took, r.longest_wait, r.largest_frame, r.elections
@@ -198,7 +203,9 @@
 
 #[test]
 fn snapshots_sent_whole_delay_heartbeats() {
-    let run = std::panic::catch_unwind(|| away_for(620, &[0, 0, 1], 5000, Broken::SendWhole).1);
+    let run = std::panic::catch_unwind(|| {
+        away_for(620, &[0, 0, 1], 5000, InjectedFault::SendUnchunked).1
+    });
     // without an acknowledgement in time the run ends early
     let Ok(r) = run else {
         return println!("whole: a change was not acknowledged");
@@ -211,7 +218,7 @@
 }
 
 /// Three large configurations one after the other, at a group of five.
-fn large_puts(broken: Broken) -> (usize, Millis) {
+fn large_puts(broken: InjectedFault) -> (usize, Millis) {
     let (mut s, leader) = group(11, &[0, 0, 0, 1, 1], 1600, broken);
     let began = s.now;
     s.nodes[leader].uplink = Default::default();
@@ -228,7 +235,7 @@
 
 #[test]
 fn large_entries_do_not_unseat_a_leader() {
-    let (elections, wait) = large_puts(Broken::None);
+    let (elections, wait) = large_puts(InjectedFault::None);
     println!("large entries in chunks: {elections} elections, longest wait {wait} ms");
     assert_eq!(elections, 0);
     assert!(wait < 250, "{wait}");
@@ -236,7 +243,7 @@
 
 #[test]
 fn large_entries_sent_whole_unseat_the_leader() {
-    let run = std::panic::catch_unwind(|| large_puts(Broken::SendWhole));
+    let run = std::panic::catch_unwind(|| large_puts(InjectedFault::SendUnchunked));
     println!("large entries whole: {run:?}");
     assert!(run.map_or(true, |(elections, wait)| elections > 0 || wait >= 250));
 }
@@ -249,7 +256,7 @@
 #[test]
 fn a_blank_member_catches_up_and_becomes_a_voter() {
     for preset in [&[0, 0, 0][..], &[0, 0, 1], &[0, 0, 0, 1, 1]] {
-        let (mut s, leader) = group(3, preset, 1600, Broken::None);
+        let (mut s, leader) = group(3, preset, 1600, InjectedFault::None);
         let lost = follower(&s, leader);
         s.crash(lost);
         changes(&mut s, leader, 300);
@@ -282,7 +289,7 @@
 
 #[test]
 fn a_member_with_a_slow_or_stalling_disk_catches_up() {
-    let (mut s, leader) = group(5, &[0, 0, 0], 1600, Broken::None);
+    let (mut s, leader) = group(5, &[0, 0, 0], 1600, InjectedFault::None);
     let slow = follower(&s, leader);
     s.crash(slow);
     changes(&mut s, leader, 620);
@@ -302,7 +309,7 @@
 #[test]
 fn a_member_that_restarts_during_an_install_catches_up() {
     for off in (20..700).step_by(40) {
-        let (mut s, leader) = group(off, &[0, 0, 1], 1600, Broken::None);
+        let (mut s, leader) = group(off, &[0, 0, 1], 1600, InjectedFault::None);
         let away = follower(&s, leader);
         s.crash(away);
         changes(&mut s, leader, 560);
@@ -323,7 +330,7 @@
 #[test]
 fn a_leader_change_during_an_install_is_survived() {
     for off in (20..700).step_by(40) {
-        let (mut s, leader) = group(off, &[0, 0, 0, 1, 1], 1600, Broken::None);
+        let (mut s, leader) = group(off, &[0, 0, 0, 1, 1], 1600, InjectedFault::None);
         let away = follower(&s, leader);
         s.crash(away);
         changes(&mut s, leader, 560);
@@ -348,7 +355,7 @@
 /// A break in the middle costs what was on its way, not the whole snapshot.
 #[test]
 fn a_transfer_goes_on_after_a_break_where_it_was() {
-    let (mut s, leader) = group(9, &[0, 0, 0], 5000, Broken::None);
+    let (mut s, leader) = group(9, &[0, 0, 0], 5000, InjectedFault::None);
     let away = follower(&s, leader);
     s.crash(away);
     changes(&mut s, leader, 560);
--- a/testbed/tests/conformance/answers.rs
+++ b/testbed/tests/conformance/answers.rs
@@ -29,7 +29,7 @@
 pub fn without_fast_return_it_takes_two() {
     for fast in [true, false] {
         let mut timing = Timing::for_ack(ACK);
-        timing.fast = fast;
+        timing.fast_return = fast;
         for seed in 0..200 {
             let mut s = Sim::new(seed, &[0, 0, 1], timing.clone());
             s.jitter = 0;
@@ -50,7 +50,7 @@
 
 pub fn the_commit_index_needs_another_region() {
     let (mut s, l) = led_from(&[0, 0, 0, 1, 1, 1], 0);
-    let before = s.nodes[l].consensus.as_ref().map_or(0, |a| a.commit_idx());
+    let before = s.nodes[l].consensus.as_ref().map_or(0, |a| a.committed());
     for i in 3..6 {
         for j in 0..3 {
             s.cut_both(i, j);
@@ -59,7 +59,7 @@
     let p = s.change(l, s.highest_version());
     s.run_for(200);
     assert_eq!(s.op(p).done, Done::Open);
-    let after = s.nodes[l].consensus.as_ref().map_or(0, |a| a.commit_idx());
+    let after = s.nodes[l].consensus.as_ref().map_or(0, |a| a.committed());
     assert_eq!(before, after);
 }
 
@@ -155,15 +155,15 @@
     let old = s.nodes[l].id;
     s.isolate(l);
     s.run_for(3000);
-    let commit = s.nodes[2].consensus.as_ref().map_or(0, |a| a.commit_idx());
+    let commit = s.nodes[2].consensus.as_ref().map_or(0, |a| a.committed());
     let msg = Msg::Confirm {
         term,
-        upto: commit + 50,
+        index: commit + 50,
         holders: vec![old, 2],
     };
-    let ev = sorreldoor::consensus::Event::Heard { from: old, msg };
+    let ev = sorreldoor::consensus::Event::Received { from: old, msg };
     s.give(2, ev);
-    let after = s.nodes[2].consensus.as_ref().map_or(0, |a| a.commit_idx());
+    let after = s.nodes[2].consensus.as_ref().map_or(0, |a| a.committed());
     assert_eq!(commit, after);
 }
 
@@ -193,7 +193,7 @@
     assert!(top.is_some(), "the others go on");
     s.give(l, Event::SaveRecovered);
     s.run_for(3000);
-    let holds = |s: &Sim, i: usize| s.nodes[i].consensus.as_ref().map(|a| a.applied_idx());
+    let holds = |s: &Sim, i: usize| s.nodes[i].consensus.as_ref().map(|a| a.applied());
     assert_eq!(holds(&s, l), holds(&s, (l + 1) % 3));
     // with another core gone, its vote and its disk are needed
     let other = s.leader().unwrap();
--- a/testbed/tests/conformance/elections.rs
+++ b/testbed/tests/conformance/elections.rs
@@ -1,7 +1,7 @@
 //! Who leads, and where.
 
 use super::*;
-use sorreldoor::consensus::Note;
+use sorreldoor::consensus::StateChange;
 use testbed::sim::{same, Done};
 
 pub fn a_domain_leader_needs_its_regions_majority() {
@@ -32,7 +32,7 @@
     s.run_for(3000);
     assert!(s.leader().is_some());
     let mut timing = Timing::for_ack(ACK);
-    timing.waive = 1_000_000;
+    timing.region_rule_timeout = 1_000_000;
     let mut s = Sim::new(4, &[0, 1, 2, 3, 3], timing);
     let l = s.settle();
     let lost: Vec<usize> = (0..5).filter(|i| *i != l).take(2).collect();
@@ -99,7 +99,7 @@
     let moved = s
         .notes
         .iter()
-        .any(|(_, _, n)| matches!(n, Note::Moving { .. }));
+        .any(|(_, _, n)| matches!(n, StateChange::TransferringLeadership { .. }));
     assert!(moved);
     let lost = s
         .ops
@@ -123,7 +123,7 @@
     let moves = s
         .notes
         .iter()
-        .filter(|(_, _, n)| matches!(n, Note::Moving { .. }))
+        .filter(|(_, _, n)| matches!(n, StateChange::TransferringLeadership { .. }))
         .count();
     assert!(moves <= 1, "{moves} moves in a minute of even asking");
 }
@@ -140,9 +140,12 @@
         s.run_for(9);
     }
     let noted = &s.notes[before..];
-    let swaps = noted
-        .iter()
-        .filter(|(_, _, n)| matches!(n, Note::DomainLeader { .. } | Note::Moving { .. }));
+    let swaps = noted.iter().filter(|(_, _, n)| {
+        matches!(
+            n,
+            StateChange::DomainLeader { .. } | StateChange::TransferringLeadership { .. }
+        )
+    });
     assert_eq!(swaps.count(), 0, "{noted:?}");
 }
 
@@ -154,7 +157,7 @@
             let moving = |s: &Sim| {
                 s.notes
                     .iter()
-                    .any(|(_, _, n)| matches!(n, Note::Moving { .. }))
+                    .any(|(_, _, n)| matches!(n, StateChange::TransferringLeadership { .. }))
             };
             let end = s.now + 30_000;
             while s.now < end && !moving(&s) {
--- a/testbed/tests/conformance/losses.rs
+++ b/testbed/tests/conformance/losses.rs
@@ -66,7 +66,7 @@
 fn end(s: &mut Sim, l: usize) {
     s.crash(l);
     let id = s.nodes[l].id;
-    (0..s.nodes.len()).for_each(|i| s.give(i, Event::Gone { id }));
+    (0..s.nodes.len()).for_each(|i| s.give(i, Event::Disconnected { id }));
 }
 
 #[test]
@@ -121,7 +121,7 @@
         let id = s.nodes[l].id;
         let other = (l + 1) % preset.len();
         for _ in 0..20 {
-            s.give(other, Event::Gone { id });
+            s.give(other, Event::Disconnected { id });
             s.run_for(100);
             assert_eq!(s.leader(), Some(l), "{preset:?} {far}");
         }
--- a/testbed/tests/consensus_sim.rs
+++ b/testbed/tests/consensus_sim.rs
@@ -1,15 +1,15 @@
 //! Seeded storms over the consensus reducers, in virtual time.
 
-use sorreldoor::consensus::{Broken, Timing};
+use sorreldoor::consensus::{InjectedFault, Timing};
 use sorreldoor::types::RegionId;
 use testbed::sim::{check, same, storm, Sim};
 
-fn run(seed: u64, preset: &[RegionId], broken: Broken) -> Vec<String> {
+fn run(seed: u64, preset: &[RegionId], broken: InjectedFault) -> Vec<String> {
     let mut timing = Timing::for_ack(2000);
-    timing.broken = broken;
+    timing.injected_fault = broken;
     // a snapshot every five entries and twenty kept behind it, so that whoever
     // lacks more is sent a snapshot
-    timing.keep_log = 5;
+    timing.snapshot_entries = 5;
     let mut s = Sim::new(seed, preset, timing);
     s.most_events = 400_000;
     s.loss = seed % 7;
@@ -34,7 +34,7 @@
 
 fn all(preset: &[RegionId], seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let w = run(seed, preset, Broken::None);
+        let w = run(seed, preset, InjectedFault::None);
         assert!(w.is_empty(), "seed {seed}, shape {preset:?}: {w:#?}");
     }
 }
@@ -61,9 +61,9 @@
 
 /// A leader that was cut off, and perhaps stands still, is asked for reads while
 /// another takes changes.
-fn reads_at_a_deposed_leader(seed: u64, broken: Broken, frozen: bool) -> Vec<String> {
+fn reads_at_a_deposed_leader(seed: u64, broken: InjectedFault, frozen: bool) -> Vec<String> {
     let mut timing = Timing::for_ack(2000);
-    timing.broken = broken;
+    timing.injected_fault = broken;
     let mut s = Sim::new(seed, &[0, 0, 0], timing);
     let old = s.settle();
     s.isolate(old);
@@ -90,11 +90,11 @@
 fn a_deposed_leader_answers_no_read() {
     for seed in 0..40 {
         for frozen in [false, true] {
-            let wrong = reads_at_a_deposed_leader(seed, Broken::None, frozen);
+            let wrong = reads_at_a_deposed_leader(seed, InjectedFault::None, frozen);
             assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
         }
     }
-    let unproved = |seed: u64| reads_at_a_deposed_leader(seed, Broken::ReadUnproved, true);
+    let unproved = |seed: u64| reads_at_a_deposed_leader(seed, InjectedFault::SkipReadProof, true);
     let caught = (0..40).find(|seed| !unproved(*seed).is_empty());
     println!("reads without proof: seen with seed {caught:?}");
     assert!(caught.is_some());
@@ -106,16 +106,16 @@
 #[test]
 fn the_checker_catches_every_broken_rule() {
     let broken = [
-        Broken::NoAnchor,
-        Broken::AckEarly,
-        Broken::ReadUnproved,
-        Broken::VoteStale,
+        InjectedFault::SkipCoreMajority,
+        InjectedFault::SendBeforeSync,
+        InjectedFault::SkipReadProof,
+        InjectedFault::VoteForStaleLog,
     ];
     for b in broken {
         let caught = (0..400).find(|seed| {
             let s = *seed;
             let run = std::panic::catch_unwind(move || match b {
-                Broken::ReadUnproved => reads_at_a_deposed_leader(s, b, true),
+                InjectedFault::SkipReadProof => reads_at_a_deposed_leader(s, b, true),
                 _ => run(s, &[0, 0, 1], b),
             });
             // a reducer that panics or chatters for ever is caught as well
--- a/testbed/tests/membership/main.rs
+++ b/testbed/tests/membership/main.rs
@@ -9,7 +9,7 @@
 mod play;
 
 use play::{Play, Trouble, STEP_MS, SYNC_MS, TROUBLES};
-use sorreldoor::consensus::Broken;
+use sorreldoor::consensus::InjectedFault;
 use sorreldoor::types::{Millis, RegionId};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -28,12 +28,12 @@
 /// How the reducers are broken on purpose.
 #[derive(Clone, Copy)]
 struct Mutant {
-    broken: Broken,
+    broken: InjectedFault,
     growing: bool,
 }
 
 const SOUND: Mutant = Mutant {
-    broken: Broken::None,
+    broken: InjectedFault::None,
     growing: false,
 };
 
--- a/testbed/tests/membership/play.rs
+++ b/testbed/tests/membership/play.rs
@@ -1,7 +1,7 @@
 //! One history of a small scope, played with the real reducers: three voters,
 //! two newcomers, and what happens to them at which moment.
 
-use sorreldoor::consensus::{Broken, Event, Timing};
+use sorreldoor::consensus::{Event, InjectedFault, Timing};
 use sorreldoor::control_plane::membership::{Health, Membership, Observed, Policy};
 use sorreldoor::types::{Millis, NodeId, RegionId};
 use sorreldoor::wire::Hello;
@@ -76,9 +76,9 @@
 }
 
 impl Play {
-    pub fn new(seed: u64, regions: [RegionId; 3], broken: Broken) -> Play {
+    pub fn new(seed: u64, regions: [RegionId; 3], broken: InjectedFault) -> Play {
         let mut timing = Timing::for_ack(2000);
-        timing.broken = broken;
+        timing.injected_fault = broken;
         let mut sim = Sim::new(seed, &regions, timing);
         sim.most_events = 4_000_000;
         let names = (0..3).map(|i| (i, format!("address-{i}"))).collect();
@@ -257,7 +257,7 @@
             silent_ms: consensus.silent_for(id).unwrap_or(0),
             caught_up: consensus.caught_up(id),
         };
-        let others = members.iter().filter(|m| m.id != consensus.me());
+        let others = members.iter().filter(|m| m.id != consensus.id());
         let health = others.map(|m| (m.id, health(m.id))).collect();
         let heard = |other: &usize| {
             let frozen = self.sim.nodes[*other].frozen_until > self.sim.now;
--- a/testbed/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -1,15 +1,15 @@
 //! Members that start again: none leads, votes or answers by less than what
 //! was committed.
 
-use sorreldoor::consensus::{Broken, Save, Timing};
+use sorreldoor::consensus::{InjectedFault, Save, Timing};
 use sorreldoor::types::{NodeId, RegionId};
 use std::sync::Arc;
 use testbed::sim::{check, Done, Sim};
 use testbed::site::World;
 
-fn timing(broken: Broken) -> Timing {
+fn timing(broken: InjectedFault) -> Timing {
     Timing {
-        broken,
+        injected_fault: broken,
         ..Timing::for_ack(2000)
     }
 }
@@ -21,18 +21,18 @@
 /// The highest index that any node knows to be committed.
 fn committed(s: &Sim) -> u64 {
     let nodes = s.nodes.iter().filter_map(|n| n.consensus.as_ref());
-    nodes.map(|c| c.commit_idx()).max().unwrap_or(0)
+    nodes.map(|c| c.committed()).max().unwrap_or(0)
 }
 
 /// Whether any node leads now whose log lacks what was `committed`.
 fn leads_with_old_state(s: &Sim, committed: u64) -> bool {
     let leader = s.leader().and_then(|l| s.nodes[l].consensus.as_ref());
-    leader.is_some_and(|c| c.log().last().idx < committed)
+    leader.is_some_and(|c| c.log().last().index < committed)
 }
 
 /// One member is down while the others change the configuration; it comes
 /// back as the leader dies, so it is needed for the majority.
-fn returns_as_the_leader_dies(seed: u64, preset: &[RegionId], broken: Broken) -> bool {
+fn returns_as_the_leader_dies(seed: u64, preset: &[RegionId], broken: InjectedFault) -> bool {
     let mut s = Sim::new(seed, preset, timing(broken));
     let leader = s.settle();
     let away = (leader + 1 + seed as usize % 2) % 3;
@@ -50,7 +50,7 @@
         old |= leads_with_old_state(&s, committed);
     }
     assert!(
-        s.leader().is_some() || broken != Broken::None,
+        s.leader().is_some() || broken != InjectedFault::None,
         "seed {seed}"
     );
     old || !check(&s).is_empty()
@@ -60,11 +60,12 @@
 fn a_member_that_was_away_never_leads_with_old_state() {
     for preset in [[0, 0, 0], [0, 0, 1], [0, 1, 2]] {
         for seed in 0..20 {
-            let old = returns_as_the_leader_dies(seed, &preset, Broken::None);
+            let old = returns_as_the_leader_dies(seed, &preset, InjectedFault::None);
             assert!(!old, "{preset:?}, seed {seed}");
         }
     }
-    let caught = (0..20).find(|s| returns_as_the_leader_dies(*s, &[0, 0, 0], Broken::VoteStale));
+    let caught = (0..20)
+        .find(|s| returns_as_the_leader_dies(*s, &[0, 0, 0], InjectedFault::VoteForStaleLog));
     println!("votes for older logs: seen with seed {caught:?}");
     assert!(caught.is_some());
 }
@@ -72,7 +73,7 @@
 /// Entries are on two of three; one of the two dies, the other loses its disk.
 /// Whether the third then leads without them.
 fn wiped_as(identity: Option<NodeId>) -> bool {
-    let mut s = Sim::new(3, &[0, 0, 0], timing(Broken::None));
+    let mut s = Sim::new(3, &[0, 0, 0], timing(InjectedFault::None));
     let leader = s.settle();
     let (wiped, behind) = ((leader + 1) % 3, (leader + 2) % 3);
     s.isolate(behind);
@@ -101,7 +102,7 @@
 #[test]
 fn replayed_state_is_not_read_as_current() {
     for seed in 0..10 {
-        let mut s = Sim::new(seed, &[0, 0, 1], timing(Broken::None));
+        let mut s = Sim::new(seed, &[0, 0, 1], timing(InjectedFault::None));
         let leader = s.settle();
         for _ in 0..20 {
             assert!(change(&mut s, leader));
@@ -189,10 +190,16 @@
     let core = w.cores()[0];
     w.crash(core);
     let disk = &mut w.procs[core].disk;
-    let mut snap = disk.kept.snap.clone().expect("a founded core has one");
-    snap.image = Arc::new(b"not an image".to_vec());
+    let mut snapshot = disk.kept.snap.clone().expect("a founded core has one");
+    snapshot.image = Arc::new(b"not an image".to_vec());
     let seq = disk.kept.seq + 1;
-    let reset = false;
-    disk.kept.take(seq, &Save::Snap { snap, reset });
+    let discard_log = false;
+    disk.kept.take(
+        seq,
+        &Save::Snapshot {
+            snapshot,
+            discard_log,
+        },
+    );
     w.start(core);
 }
--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -146,7 +146,7 @@
                 .cores()
                 .into_iter()
                 .filter_map(|c| w.controller(c).and_then(|h| h.consensus.as_ref()))
-                .map(|a| a.machine().version())
+                .map(|a| a.state_machine().version())
                 .max()
                 .unwrap_or(0);
             for _ in 0..3 {
@@ -171,7 +171,7 @@
         let won = w.cores().into_iter().filter_map(|c| w.controller(c));
         let top = won
             .filter_map(|h| h.consensus.as_ref())
-            .map(|a| a.machine().version());
+            .map(|a| a.state_machine().version());
         let top = top.max().unwrap_or(0);
         assert!(top > 8, "seed {seed}: operators got on to {top} only");
     }
@@ -191,7 +191,7 @@
             let p = w.cores()[(i % 3) as usize];
             w.after(i * 150, move |w| {
                 let version = w.controller(p).and_then(|h| h.consensus.as_ref());
-                let base = version.map_or(0, |a| a.machine().version());
+                let base = version.map_or(0, |a| a.state_machine().version());
                 let cmd = Command::Zone {
                     base,
                     zone: 0,
--- a/testbed/tests/site/loads.rs
+++ b/testbed/tests/site/loads.rs
@@ -54,9 +54,9 @@
         let a = w
             .controller(w.cores()[0])
             .and_then(|h| h.consensus.as_ref());
-        let v = a.map(|a| a.machine().view()).unwrap_or_default();
+        let v = a.map(|a| a.state_machine().view()).unwrap_or_default();
         let s = a
-            .and_then(|a| a.machine().configuration().cloned())
+            .and_then(|a| a.state_machine().configuration().cloned())
             .expect("a setup");
         let route = s.route("verdict").unwrap_or(0);
         let slow = s.services.iter().position(|s| s.name == "s").unwrap_or(0) as u16;
--- a/testbed/tests/site/orders.rs
+++ b/testbed/tests/site/orders.rs
@@ -211,7 +211,7 @@
 fn emptied_again(w: &World) -> bool {
     let cores = w.cores().into_iter().filter_map(|c| w.controller(c));
     let records = cores.filter_map(|c| c.consensus.as_ref());
-    records.into_iter().any(|a| a.machine().evacuated(0))
+    records.into_iter().any(|a| a.state_machine().evacuated(0))
 }
 
 #[test]
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -64,7 +64,7 @@
 fn newest(w: &World) -> u64 {
     let held = |c: usize| {
         let a = w.controller(c).and_then(|h| h.consensus.as_ref());
-        a.map_or(0, |a| a.machine().version())
+        a.map_or(0, |a| a.state_machine().version())
     };
     w.cores().into_iter().map(held).max().unwrap_or(0)
 }
