--- a/sorreldoor/src/consensus/save.rs
+++ b/sorreldoor/src/consensus/save.rs
@@ -37,13 +37,17 @@
     ReleasedClaims(Vec<String>),
 }
 
-/// A claim on a request id as a core stores it.
+/// A claim on an idempotency key: the id of a request, who may send it, and
+/// for how many milliseconds the claim is retained.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     pub id: String,
-    pub by: u128,
-    /// How long the claim lasts, counted from when it was stored or loaded.
-    pub keep_ms: Millis,
+    /// One request attempt of one incarnation of an edge.
+    #[serde(rename = "by")]
+    pub claimant: u128,
+    /// Counted from when the claim was stored or loaded.
+    #[serde(rename = "keep_ms")]
+    pub retention_ms: Millis,
 }
 
 /// The state that a store recovers when the process starts.
--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -1,9 +1,9 @@
 //! Operators' changes: proposed, and answered with their outcome.
 
-use super::super::events::{ControllerEffect, Requester};
-use super::super::proposals;
 use super::Controller;
 use crate::consensus::{Body, Event, ProposalError};
+use crate::control_plane::events::{ControllerEffect, Requester};
+use crate::control_plane::proposals;
 use crate::log_events::LogEvent;
 use crate::order_id::format_proposal_id;
 use crate::replicated_state::{encode, Command, Outcome};
@@ -37,11 +37,13 @@
     fn bind_to_zone_state(&self, command: Command) -> Command {
         let record = self.consensus.as_ref().map(|c| c.state_machine());
         match (command, record) {
-            (Command::Evacuate { zone, evacuated }, Some(record)) => Command::EvacuateOnce {
-                zone,
-                evacuated,
-                changes: record.zone_changes(zone),
-            },
+            (Command::EvacuateUnversioned { zone, evacuated }, Some(record)) => {
+                Command::EvacuateIfUnchanged {
+                    zone,
+                    evacuated,
+                    changes: record.zone_changes(zone),
+                }
+            }
             (command, _) => command,
         }
     }
@@ -52,7 +54,7 @@
         result: Result<Arc<Vec<u8>>, ProposalError>,
     ) {
         let outcome = proposals::outcome(result);
-        let accepted = matches!(outcome, OpOutcome::Got(Outcome::Taken { .. }));
+        let accepted = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
         self.singleton.proposal_ended(proposal_id, accepted);
         let requesters = self.proposals.finished(proposal_id);
         if !requesters.is_empty() {
@@ -66,10 +68,11 @@
     fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &OpOutcome) {
         let id = format_proposal_id(proposal_id);
         let (event, about) = match outcome {
-            OpOutcome::Got(Outcome::Taken { version }) => {
-                (LogEvent::ChangeTaken, format!("{id} as serial {version}"))
-            }
-            other => (LogEvent::ChangeRefused, format!("{id}: {other:?}")),
+            OpOutcome::Got(Outcome::Applied { version }) => (
+                LogEvent::ChangeCommitted,
+                format!("{id} as serial {version}"),
+            ),
+            other => (LogEvent::ChangeRejected, format!("{id}: {other:?}")),
         };
         self.log_event(event, about);
     }
--- /dev/null
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -0,0 +1,164 @@
+//! Idempotency keys: frames and the timer in, the part's effects carried out.
+
+use super::Controller;
+use crate::consensus::Save;
+use crate::control_plane::connections::{LIVE_MS, REACHABLE_MS};
+use crate::control_plane::events::ControllerEffect;
+use crate::control_plane::idempotency::{Context, Effect, Event, Peer, ReplyTo};
+use crate::net::Conn;
+use crate::types::NodeId;
+use crate::wire::{Hello, Payload};
+use std::collections::BTreeSet;
+
+/// Name of the stored value that this core has caught up on the claims.
+const CAUGHT_UP_KEY: &str = "sure";
+
+impl Controller {
+    pub(super) fn tick_idempotency(&mut self) {
+        let peers = if self.idempotency.reads_peers_at(self.now) {
+            self.live_voters()
+        } else {
+            Vec::new()
+        };
+        self.idempotency_event(Event::Tick { peers });
+    }
+
+    pub(in super::super) fn idempotency_event(&mut self, event: Event) {
+        let consensus = self.consensus.as_ref();
+        let context = Context {
+            now: self.now,
+            own_id: self.me.id,
+            voters: self.voter_ids(),
+            joined: consensus.is_some(),
+            has_unsynced_saves: consensus.is_some_and(|c| c.last_unsynced_save().is_some()),
+        };
+        for effect in self.idempotency.step(event, &context) {
+            self.idempotency_effect(effect);
+        }
+    }
+
+    fn idempotency_effect(&mut self, effect: Effect) {
+        match effect {
+            Effect::Send(conn, payload) => self.send(conn, payload),
+            Effect::SendToPeer(id, payload) => {
+                if let Some((conn, _)) = self.live_cores(REACHABLE_MS).get(&id) {
+                    self.send(*conn, payload);
+                }
+            }
+            Effect::Broadcast { payload, except } => self.broadcast_claim(payload, &except),
+            Effect::Save(save) => {
+                self.save_claims(save);
+            }
+            Effect::SaveThen(claims, action) => {
+                let seq = if claims.is_empty() {
+                    self.consensus.as_ref().and_then(|c| c.last_unsynced_save())
+                } else {
+                    self.save_claims(Save::ClaimRecord(claims))
+                };
+                if let Some(seq) = seq {
+                    self.idempotency.defer(seq, action);
+                }
+            }
+            Effect::KeepCaughtUp => {
+                let caught_up = ControllerEffect::Keep(CAUGHT_UP_KEY, vec![1]);
+                self.out.push(caught_up);
+            }
+            Effect::Log(event, about) => self.log_event(event, about),
+        }
+    }
+
+    /// Saves with the log's own saves; the sequence number of the save.
+    fn save_claims(&mut self, save: Save) -> Option<u64> {
+        let (seq, effects) = self.consensus.as_mut()?.save_beside_log(save);
+        for effect in effects {
+            self.effect(effect);
+        }
+        Some(seq)
+    }
+
+    /// Sends to every live peer that votes, or that may vote soon.
+    fn broadcast_claim(&mut self, payload: Payload, except: &BTreeSet<NodeId>) {
+        let voters = self.voter_ids();
+        let targets: Vec<Conn> = self
+            .live_cores(LIVE_MS)
+            .into_iter()
+            .filter(|(id, (_, hello))| hello.founded || voters.contains(id))
+            .filter(|(id, _)| !except.contains(id))
+            .map(|(_, (conn, _))| conn)
+            .collect();
+        for conn in targets {
+            self.send(conn, payload.clone());
+        }
+    }
+
+    fn live_voters(&self) -> Vec<Peer> {
+        let voters = self.voter_ids();
+        self.live_cores(LIVE_MS)
+            .into_iter()
+            .filter(|(id, _)| voters.contains(id))
+            .map(|(_, (conn, hello))| peer(conn, &hello))
+            .collect()
+    }
+
+    fn voter_ids(&self) -> Vec<NodeId> {
+        let voters = self.members().iter().filter(|member| member.voter);
+        voters.map(|member| member.id).collect()
+    }
+}
+
+fn peer(conn: Conn, hello: &Hello) -> Peer {
+    Peer {
+        id: hello.id,
+        incarnation: hello.incarnation,
+        conn,
+    }
+}
+
+/// The event of a frame that only cores may send; the frame if it is another.
+#[allow(clippy::result_large_err)]
+pub(super) fn peer_event(conn: Conn, from: &Hello, payload: Payload) -> Result<Event, Payload> {
+    Ok(match payload {
+        Payload::ClaimVoteRequest { vote_id, claim } => Event::VoteRequest {
+            conn,
+            vote_id,
+            claim,
+        },
+        Payload::ClaimVoteReply { vote_id, vote } => Event::VoteReply {
+            voter: from.id,
+            vote_id,
+            vote,
+        },
+        Payload::PeerRelease { id, claimant } => Event::PeerRelease { conn, id, claimant },
+        Payload::ReleaseAck { claimant } => Event::ReleaseAck {
+            voter: from.id,
+            claimant,
+        },
+        Payload::ClaimsPageRequest { start } => Event::PageRequest { conn, start },
+        Payload::ClaimsPage(page) => Event::Page {
+            peer: peer(conn, from),
+            page,
+        },
+        other => return Err(other),
+    })
+}
+
+/// The event of a frame that any node may send, if it concerns claims.
+pub(super) fn edge_event(conn: Conn, payload: Payload) -> Option<Event> {
+    match payload {
+        Payload::Claim { request_id, claim } => Some(Event::Claim {
+            reply_to: ReplyTo { conn, request_id },
+            claim,
+        }),
+        Payload::Release {
+            request_id,
+            id,
+            claimant,
+        } => Some(Event::Release {
+            reply_to: ReplyTo { conn, request_id },
+            id,
+            claimant,
+        }),
+        Payload::Sent { requests } => Some(Event::Sent(requests)),
+        _ => None,
+    }
+}
--- a/sorreldoor/src/control_plane/proposals.rs
+++ b/sorreldoor/src/control_plane/proposals.rs
@@ -31,7 +31,7 @@
 pub(super) fn outcome(result: Result<Arc<Vec<u8>>, ProposalError>) -> OpOutcome {
     match result {
         // a membership change has no outcome of its own but having happened
-        Ok(bytes) if bytes.is_empty() => OpOutcome::Got(Outcome::Taken { version: 0 }),
+        Ok(bytes) if bytes.is_empty() => OpOutcome::Got(Outcome::Applied { version: 0 }),
         Ok(bytes) => decode(&bytes).map_or(OpOutcome::Unknown, OpOutcome::Got),
         Err(ProposalError::OutcomeUnknown) => OpOutcome::Unknown,
         Err(ProposalError::Dropped) => OpOutcome::NotTaken,
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -7,8 +7,9 @@
 use sorreldoor::replicated_state::{encode, Command, Outcome, Recovery, ReplicatedState};
 use sorreldoor::store::DurableState;
 use sorreldoor::wire::{
-    EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello, KnownVersions,
-    OpOutcome, Payload, RouteLatency, SessionReport, StateDelta, Unverified, Verdict,
+    ClaimVote, ClaimsPage, EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello,
+    KnownVersions, OpOutcome, Payload, RouteLatency, SentRequest, SessionReport, StateDelta,
+    Unverified,
 };
 use std::sync::Arc;
 
@@ -97,53 +98,53 @@
     vec![
         Command::Put {
             base: 0,
-            to: Some(7),
-            doc: DOCUMENT.into(),
+            new_version: Some(7),
+            document: DOCUMENT.into(),
         },
-        Command::Edit {
+        Command::MergePatch {
             base: 7,
             patch: r#"{"routes":{"r":{"cutoff_ms":900}}}"#.into(),
         },
-        Command::Zone {
+        Command::EvacuateZone {
             base: 8,
             zone: 1,
             evacuated: true,
         },
-        Command::Duty {
+        Command::AcquireRole {
             holder: 11,
-            above: 0,
+            previous_epoch: 0,
         },
-        Command::Tune {
+        Command::SetWeights {
             epoch: 1,
             version: 9,
             weights: vec![(0, 0, 55)],
         },
-        Command::Region {
+        Command::SetRegion {
             epoch: 1,
             region: 1,
             state: Recovery::Returning(40),
         },
-        Command::Region {
+        Command::SetRegion {
             epoch: 1,
             region: 0,
             state: Recovery::Lost,
         },
-        Command::Region {
+        Command::SetRegion {
             epoch: 1,
             region: 0,
             state: Recovery::Served,
         },
-        Command::Items {
+        Command::ChangeItems {
             base: 9,
-            to: Some(10),
+            new_version: Some(10),
             set: r#"{"services":[{"name":"z"}]}"#.into(),
             drop: "{}".into(),
         },
-        Command::Evacuate {
+        Command::EvacuateUnversioned {
             zone: 0,
             evacuated: true,
         },
-        Command::EvacuateOnce {
+        Command::EvacuateIfUnchanged {
             zone: 0,
             evacuated: false,
             changes: 1,
@@ -153,14 +154,14 @@
 
 pub(super) fn outcomes() -> Vec<Outcome> {
     vec![
-        Outcome::Taken { version: 3 },
+        Outcome::Applied { version: 3 },
         Outcome::Stale { version: 3 },
-        Outcome::Bad {
+        Outcome::Invalid {
             faults: vec!["no such route".into()],
         },
-        Outcome::OldEpoch { epoch: 2 },
-        Outcome::NotYet { version: 3 },
-        Outcome::Unsure { version: 3 },
+        Outcome::StaleEpoch { epoch: 2 },
+        Outcome::BaseAhead { version: 3 },
+        Outcome::Unknown { version: 3 },
     ]
 }
 
@@ -179,7 +180,7 @@
 
 pub(super) fn payloads() -> Vec<Payload> {
     let (record, revision) = records();
-    let update = EncodedUpdate::new(&record.update_since(revision));
+    let update = EncodedUpdate::new(&record.delta_since(revision));
     let edge_status = EdgeStatus {
         version: 5,
         lease: true,
@@ -263,45 +264,48 @@
             claim: claim(),
         },
         Payload::ClaimVoteRequest {
-            no: 1,
+            vote_id: 1,
             claim: claim(),
         },
         Payload::Release {
             request_id: 5,
             id: "abc".into(),
-            by: 9,
+            claimant: 9,
         },
         Payload::Released { request_id: 5 },
-        Payload::Free {
+        Payload::PeerRelease {
             id: "abc".into(),
-            by: 9,
+            claimant: 9,
         },
-        Payload::ReleaseAck { by: 9 },
+        Payload::ReleaseAck { claimant: 9 },
         Payload::Sent {
-            all: vec![("abc".into(), 9)],
+            requests: vec![SentRequest {
+                id: "abc".into(),
+                claimant: 9,
+            }],
         },
-        Payload::ClaimsPageRequest { from: 4 },
-        Payload::ClaimsPage {
-            from: 4,
-            all: claims,
+        Payload::ClaimsPageRequest { start: 4 },
+        Payload::ClaimsPage(ClaimsPage {
+            start: 4,
+            claims,
             next: 5,
-            end: true,
-        },
+            last: true,
+        }),
         Payload::Ping { no: 1 },
     ];
-    let verdicts = [
-        Verdict::Yes,
-        Verdict::Held(9),
-        Verdict::Freed,
-        Verdict::Full,
+    let votes = [
+        ClaimVote::Granted,
+        ClaimVote::HeldBy(9),
+        ClaimVote::Released,
+        ClaimVote::Full,
     ];
-    for said in verdicts {
+    for vote in votes {
         all.push(Payload::ClaimResult {
             request_id: 5,
             id: "abc".into(),
-            said,
+            result: vote,
         });
-        all.push(Payload::ClaimVoteReply { no: 1, said });
+        all.push(Payload::ClaimVoteReply { vote_id: 1, vote });
     }
     let op = |cmd| Payload::Op {
         request_id: 5,
@@ -349,8 +353,8 @@
             claim(),
             ClaimRecord {
                 id: "gone".into(),
-                by: 1,
-                keep_ms: 5,
+                claimant: 1,
+                retention_ms: 5,
             },
         ]),
         Save::ReleasedClaims(vec!["gone".into()]),
--- a/testbed/src/hollow/core.rs
+++ b/testbed/src/hollow/core.rs
@@ -4,7 +4,7 @@
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Timing};
 use sorreldoor::control_plane::membership::Policy;
-use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent, Start};
+use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEffect, ControllerEvent};
 use sorreldoor::discovery;
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::{Command, Outcome};
@@ -22,12 +22,12 @@
 impl World {
     /// The one place where a core's reducer is made.
     fn new_controller(&mut self, p: usize, incarnation: u64) -> Controller {
-        let start = Start {
+        let start = ControllerConfig {
             me: self.hello(p, incarnation),
             site: self.site.clone(),
             seeds: self.seeds(),
             cores: self.size.cores,
-            members: Policy {
+            membership: Policy {
                 voters: self.size.cores,
                 zones: 1,
                 silent_ms: 30_000,
@@ -40,7 +40,7 @@
             bootstrap: true,
             grow: false,
             pacing: Pacing::default(),
-            poll_ms: None,
+            worker_poll_ms: None,
         };
         Controller::new(start, None, self.now)
     }
@@ -85,7 +85,7 @@
 
     pub(super) fn leader(&self) -> Option<usize> {
         let leads = |p: &usize| {
-            let a = self.controller_at(*p).and_then(|h| h.consensus.as_ref());
+            let a = self.controller_at(*p).and_then(|h| h.consensus());
             a.is_some_and(|a| a.leads_globally())
         };
         self.cores().find(leads)
@@ -199,14 +199,14 @@
 
     pub(super) fn propose(&mut self, c: Pending) {
         let p = self.rng.below(self.size.cores as u64) as usize;
-        let a = self.controller_at(p).and_then(|h| h.consensus.as_ref());
+        let a = self.controller_at(p).and_then(|h| h.consensus());
         let base = a.map_or(0, |a| a.state_machine().version());
         let cmd = if base == 0 {
             let doc = given::configuration(&self.size);
             Command::Put {
                 base,
-                doc,
-                to: None,
+                document: doc,
+                new_version: None,
             }
         } else {
             given::edit(&self.size, base, &mut self.rng)
@@ -229,13 +229,13 @@
             return;
         };
         match o {
-            OpOutcome::Got(Outcome::Taken { version }) => {
+            OpOutcome::Got(Outcome::Applied { version }) => {
                 self.acked.push(self.now - self.pending[i].since);
                 self.pending[i].version = Some(version);
                 self.everywhere();
             }
             // a faulty setup stays faulty; the report shows it as missing
-            OpOutcome::Got(Outcome::Bad { .. }) => {
+            OpOutcome::Got(Outcome::Invalid { .. }) => {
                 self.pending.remove(i);
             }
             _ => {
--- a/testbed/src/site/procs.rs
+++ b/testbed/src/site/procs.rs
@@ -4,8 +4,8 @@
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Save};
 use sorreldoor::control_plane::membership::Policy;
-use sorreldoor::control_plane::{Controller, ControllerEffect, ControllerEvent, Start};
-use sorreldoor::gateway::request_table::Plan;
+use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEffect, ControllerEvent};
+use sorreldoor::gateway::request_table::ClusterView;
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::NetEvent;
 use sorreldoor::runtime::Reducer;
@@ -160,12 +160,12 @@
         if q.core {
             q.disk.open();
             let kept = Some(&q.disk.kept).filter(|m| !m.blank()).map(|m| m.kept());
-            let s = Start {
+            let s = ControllerConfig {
                 me,
                 site,
                 seeds,
                 cores: 3,
-                members: Policy::tolerating(tolerate, 1, replace_ms),
+                membership: Policy::tolerating(tolerate, 1, replace_ms),
                 timing,
                 seed,
                 promise: q.promise.clone(),
@@ -174,15 +174,15 @@
                 bootstrap: q.bootstrap,
                 grow,
                 pacing: pacing.clone(),
-                poll_ms: holder_polls,
+                worker_poll_ms: holder_polls,
             };
             q.role = Role::Core(Box::new(Controller::new(s, kept, now)));
         } else {
-            let plan = Plan::new(site, q.name.clone(), q.zone, q.region);
+            let cluster = ClusterView::new(site, q.name.clone(), q.zone, q.region);
             let pull = Pull::new(&seeds, lease, now, wall)
                 .named(&q.name)
                 .paced(&pacing);
-            q.role = Role::Edge(Box::new(EdgeController::new(me, plan, pull)));
+            q.role = Role::Edge(Box::new(EdgeController::new(me, cluster, pull)));
         }
         let incarnation = q.incarnation;
         self.tick(p, incarnation);
@@ -308,7 +308,7 @@
                 });
             }
             ControllerEffect::PollLoads { epoch, workers } => {
-                let names: Vec<String> = workers.into_iter().map(|t| t.0).collect();
+                let names: Vec<String> = workers.into_iter().map(|w| w.name).collect();
                 let region = self.procs[p].region;
                 self.after(40, move |w| {
                     let rows = names.iter().map(|n| w.load_of(n, region)).collect();
@@ -317,7 +317,7 @@
                     });
                 });
             }
-            ControllerEffect::Say(ev, s) => {
+            ControllerEffect::Log(ev, s) => {
                 let name = self.procs[p].name.clone();
                 self.says.push((self.now, name, ev, s));
             }
@@ -370,12 +370,12 @@
                 EdgeEffect::Send(c, m) => self.send(p, c, m),
                 EdgeEffect::Connect(a) => self.want(p, a),
                 EdgeEffect::Disconnect(a) => self.undial(p, a),
-                EdgeEffect::Done(request_id, o) => self.changed(request_id, o),
+                EdgeEffect::ProposalResult(request_id, o) => self.changed(request_id, o),
                 EdgeEffect::Request(f) => self.errand_fx(p, f),
-                EdgeEffect::Come(request_id, preset) => self.come(p, request_id, preset),
-                EdgeEffect::Where(request_id, r) => self.whither(request_id, r),
-                EdgeEffect::Looked(..) | EdgeEffect::Status(..) => {}
-                EdgeEffect::Say(ev, s) => {
+                EdgeEffect::Admitted(request_id, preset) => self.come(p, request_id, preset),
+                EdgeEffect::EdgesLocated(request_id, r) => self.whither(request_id, r),
+                EdgeEffect::ConfigurationRead(..) | EdgeEffect::Status(..) => {}
+                EdgeEffect::Log(ev, s) => {
                     let name = self.procs[p].name.clone();
                     self.says.push((self.now, name, ev, s));
                 }
@@ -387,7 +387,7 @@
     pub fn leader(&self) -> Option<usize> {
         self.cores().into_iter().find(|p| {
             self.controller(*p)
-                .and_then(|h| h.consensus.as_ref())
+                .and_then(|h| h.consensus())
                 .is_some_and(|a| a.leads_globally())
         })
     }
--- a/testbed/tests/site/freshness/watch.rs
+++ b/testbed/tests/site/freshness/watch.rs
@@ -32,7 +32,7 @@
 /// An operator gives an order to a core, at first or again.
 pub(super) fn send(w: &mut World, core: usize, base: u64, proposal_id: ProposalId) {
     let (zone, evacuated) = (0, false);
-    let cmd = Command::Zone {
+    let cmd = Command::EvacuateZone {
         base,
         zone,
         evacuated,
@@ -57,7 +57,7 @@
     let said = w
         .says
         .iter()
-        .filter(|(_, _, ev, _)| *ev == LogEvent::ChangeTaken);
+        .filter(|(_, _, ev, _)| *ev == LogEvent::ChangeCommitted);
     let of = |text: &str| names.iter().any(|n| text.starts_with(n.as_str()));
     said.filter(|(.., text)| of(text)).map(|(at, ..)| *at).min()
 }
@@ -124,7 +124,7 @@
         for core in w.cores() {
             let request_id = w.number();
             self.reads.push((request_id, core, w.now, newest));
-            w.core_step(core, ControllerEvent::View { request_id });
+            w.core_step(core, ControllerEvent::ReadView { request_id });
         }
     }
 
