--- a/sorreldoor/src/control_plane/integration.rs
+++ b/sorreldoor/src/control_plane/integration.rs
@@ -61,6 +61,7 @@
 
 /// The list of workers over HTTP as JSON, under versions of its source.
 pub struct HttpWorkerSource {
+    /// The settings of this core.
     pub settings: Arc<Settings>,
     /// Address of the platform.
     pub address: SocketAddr,
@@ -78,7 +79,7 @@
     fn poll(&self) -> BoxFuture<Result<WorkerRegistry, String>> {
         let (settings, at) = (self.settings.clone(), self.address);
         Box::pin(async move {
-            let to = settings.reached(at);
+            let to = settings.dial_address(at);
             let result = http::call(to, Call::get("/workers"), MAX_LIST_BYTES, HTTP_TIMEOUT).await;
             let response = result.map_err(|error| format!("{at}: {error:?}"))?;
             match response.status {
--- a/testbed/src/sim/core.rs
+++ b/testbed/src/sim/core.rs
@@ -31,7 +31,7 @@
             members: members.to_vec(),
             image: Arc::new(ReplicatedState::new(site.clone()).image()),
         };
-        n.disk.kept.take(
+        n.disk.durable.apply_save(
             1,
             &Save::Snapshot {
                 snapshot,
@@ -60,7 +60,7 @@
     }
 
     pub fn start(&mut self, timing: Timing, mut machine: Watched, seed: u64, now: Millis) -> u64 {
-        let kept = self.disk.kept.kept();
+        let kept = self.disk.durable.to_consensus();
         if let Some(s) = &kept.snapshot {
             machine.load(&s.image);
         }
