--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -1,7 +1,7 @@
 //! A controller as it starts: blank, or from what its store has kept.
 
 use super::Controller;
-use crate::consensus::{Consensus, Kept, StateMachine};
+use crate::consensus::{Consensus, RecoveredState, StateMachine};
 use crate::control_plane::connections::Connections;
 use crate::control_plane::distribution::Distribution;
 use crate::control_plane::events::ControllerConfig;
@@ -23,7 +23,7 @@
     /// # Panics
     /// If this release cannot read the stored snapshot: to go on with an empty
     /// record would be to lead with old state.
-    pub fn new(config: ControllerConfig, kept: Option<Kept>, now: Millis) -> Controller {
+    pub fn new(config: ControllerConfig, kept: Option<RecoveredState>, now: Millis) -> Controller {
         let promised = config.promise.is_some();
         let sure = config.sure;
         let claim_options = Options::from(&config);
@@ -79,9 +79,9 @@
         }
     }
 
-    fn restore(&mut self, kept: Kept) {
+    fn restore(&mut self, kept: RecoveredState) {
         let mut record = ReplicatedState::new(self.site.clone());
-        if let Some(snapshot) = &kept.snap {
+        if let Some(snapshot) = &kept.snapshot {
             assert!(
                 record.load(&snapshot.image),
                 "this release cannot read the snapshot"
--- a/sorreldoor/src/control_plane/idempotency/mod.rs
+++ b/sorreldoor/src/control_plane/idempotency/mod.rs
@@ -195,7 +195,8 @@
     /// Releases a claim in the own table.
     fn release(&mut self, id: String, claimant: Claimant, now: Millis) {
         if self.table.release(&id, claimant, now) {
-            self.effects.push(Effect::Save(Save::Forgot(vec![id])));
+            self.effects
+                .push(Effect::Save(Save::ReleasedClaims(vec![id])));
         }
     }
 
@@ -256,7 +257,8 @@
         let expired = self.table.expire(context.now);
         if !expired.is_empty() {
             self.logged_full = false;
-            self.effects.push(Effect::Save(Save::Forgot(expired)));
+            self.effects
+                .push(Effect::Save(Save::ReleasedClaims(expired)));
         }
         if context.joined && self.options.reads_peers {
             self.read_peers(peers, context.now);
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -17,7 +17,7 @@
         match (self.controller(process), self.edge_controller(process)) {
             (Some(controller), _) => controller
                 .consensus()
-                .map(|consensus| consensus.machine().version()),
+                .map(|consensus| consensus.state_machine().version()),
             (_, Some(controller)) => Some(controller.cluster.snapshot.view.version),
             _ => None,
         }
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -169,7 +169,7 @@
     fn new_controller(&mut self, process: usize, me: Hello, seed: u64) -> Controller {
         let now = self.monotonic_ms(process);
         let mut timing = self.pacing.timing(self.ack_ms);
-        timing.keep_log = self.keep_log.unwrap_or(timing.keep_log);
+        timing.snapshot_entries = self.keep_log.unwrap_or(timing.snapshot_entries);
         let state = &mut self.processes[process];
         state.disk.open();
         let stored = Some(&state.disk.durable).filter(|stored| !stored.has_no_saves());
