--- a/sorreldoor/src/balancer/pick.rs
+++ b/sorreldoor/src/balancer/pick.rs
@@ -66,7 +66,7 @@
         // without a route nothing says that it may run twice
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
         r.progress.on(Event::ConfigurationChanged(kind));
-        if !r.progress.may_send_again() {
+        if !r.progress.may_send() {
             return self.refuse(r, ErrorCode::Leaving, now);
         }
         let Some(route) = route else {
--- a/sorreldoor/src/balancer/requests.rs
+++ b/sorreldoor/src/balancer/requests.rs
@@ -215,7 +215,7 @@
             AttemptOutcome::Completed(status) => {
                 self.done(request_id, s, status, now);
                 self.close(request_id, true);
-                self.note(request_id, Event::AnswerComplete, None);
+                self.note(request_id, Event::ResponseComplete, None);
             }
             AttemptOutcome::Rejected(load) => {
                 self.head(s.endpoint, load, None, now);
--- /dev/null
+++ b/sorreldoor/src/proxy/attempt/event.rs
@@ -0,0 +1,45 @@
+//! Inputs of the state machine of one request.
+
+use super::Repeatability;
+
+/// An input of [`RequestProgress`](super::RequestProgress).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Event {
+    /// The balancer chose a worker, under a route of this kind.
+    WorkerChosen(Repeatability),
+    /// No connection was established, or it failed before any byte was written.
+    ConnectFailed,
+    /// The connection to the worker is established.
+    Connected,
+    /// The operating system accepted this many more bytes.
+    BytesWritten(u64),
+    /// The complete request was written.
+    RequestSent,
+    /// The worker promises that it did not and will not run the request.
+    NotRun,
+    /// The head of this request's own response was received.
+    HeadReceived,
+    /// A response was received that belongs to another request, or to none.
+    MismatchedHead,
+    /// The bytes received are no valid HTTP response.
+    Malformed,
+    /// The worker's response was read to its end.
+    ResponseComplete,
+    /// The head and perhaps part of the body was forwarded to the client.
+    /// `resumable` is false if the part ends where no other worker can resume.
+    PartDelivered { resumable: bool },
+    /// The connection to the worker failed.
+    Reset,
+    /// The worker closed the connection.
+    Closed,
+    /// The worker sent nothing within the time-out.
+    IdleTimeout,
+    /// The request's deadline has passed.
+    DeadlinePassed,
+    /// The client disconnected, or has its complete response.
+    ClientDone,
+    /// This node shuts down; queued requests are not sent any more.
+    Shutdown,
+    /// A new configuration gives the route this kind.
+    ConfigurationChanged(Repeatability),
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/attempt/retry_decision.rs
@@ -0,0 +1,62 @@
+//! What follows from a request's state: whether it may be sent to a worker,
+//! and which answer of the proxy's own is honest.
+
+use super::progress::Delivered;
+use super::{Repeatability, RequestProgress, State};
+use crate::invariants::{broken, Invariant};
+
+/// The proxy's own answer when no worker's response can be forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum ClientAnswer {
+    /// 503: a promise that the request did not and will not run.
+    Refused,
+    /// 502: it may have run.
+    BadGateway,
+    /// 504: it may have run, and its deadline has passed.
+    GatewayTimeout,
+    /// The connection is closed, so that the client sees a truncated response.
+    CutConnection,
+}
+
+impl RequestProgress {
+    /// Whether the request may be sent to a worker now, for the first time or
+    /// as a retry.
+    pub fn may_send(&self) -> bool {
+        if self.state != State::Queued || self.deadline_passed {
+            return false;
+        }
+        match self.may_have_run {
+            true => self.may_run_twice(),
+            false => !self.shutting_down,
+        }
+    }
+
+    /// Whether a second run is harmless, whatever the state of the current one.
+    pub fn may_run_twice(&self) -> bool {
+        if broken(Invariant::SendOnce) {
+            return true;
+        }
+        let resumable = self.kind == Repeatability::ResumableStream;
+        let retryable = resumable || self.kind == Repeatability::Idempotent;
+        let can_continue = match self.delivered {
+            Delivered::Nothing => retryable,
+            Delivered::Resumable => resumable,
+            Delivered::Unresumable => false,
+        };
+        can_continue && !self.sent_as_non_idempotent
+    }
+
+    /// The answer that is true now if no worker's response is forwarded.
+    pub fn client_answer(&self) -> ClientAnswer {
+        if self.delivered != Delivered::Nothing || self.state == State::Done {
+            return ClientAnswer::CutConnection;
+        }
+        if !self.may_have_run() || broken(Invariant::HonestRefusal) {
+            return ClientAnswer::Refused;
+        }
+        match self.deadline_passed {
+            true => ClientAnswer::GatewayTimeout,
+            false => ClientAnswer::BadGateway,
+        }
+    }
+}
--- a/sorreldoor/src/proxy/client.rs
+++ b/sorreldoor/src/proxy/client.rs
@@ -2,73 +2,93 @@
 
 use super::http1::ReadBuffer;
 use crate::error::ErrorCode;
+use crate::types::Millis;
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use async_std::prelude::*;
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// How long an answer to a request that was not read whole may take to be seen.
+/// How long the client gets to read an answer before the connection with
+/// unread bytes is closed (lingering close).
 const LINGER: Duration = Duration::from_millis(500);
 
 /// One connection of a client.
 pub struct Client {
     pub stream: TcpStream,
-    pub buf: ReadBuffer,
-    /// What is said of the connection in the next answer.
+    pub buffer: ReadBuffer,
+    /// The next response announces the end of the connection.
     pub close: bool,
-    /// The client speaks HTTP/1.0: no chunks.
+    /// The client speaks HTTP/1.0, and cannot read chunks.
     pub http10: bool,
 }
 
 impl Client {
-    /// Whether all of it could be written.
-    pub async fn write(&mut self, b: &[u8]) -> bool {
-        self.stream.write_all(b).await.is_ok()
+    /// A connection that was just accepted.
+    pub fn new(stream: TcpStream) -> Client {
+        Client {
+            stream,
+            buffer: ReadBuffer::default(),
+            close: false,
+            http10: false,
+        }
+    }
+
+    /// Writes all bytes; false if the client is disconnected.
+    pub async fn write(&mut self, bytes: &[u8]) -> bool {
+        self.stream.write_all(bytes).await.is_ok()
     }
 
-    /// Ready once the client has hung up.
-    pub async fn gone(&self) {
-        let mut b = [0; 1];
-        // bytes that wait belong to the next request; only an end counts
-        if !matches!(self.stream.peek(&mut b).await, Ok(0) | Err(_)) {
+    /// Resolves once the client has disconnected.
+    pub async fn disconnected(&self) {
+        let mut byte = [0; 1];
+        // pending bytes belong to the next request; only an end counts
+        if !matches!(self.stream.peek(&mut byte).await, Ok(0) | Err(_)) {
             std::future::pending::<()>().await;
         }
     }
 
-    /// An answer of this node's own.
-    pub async fn answer(&mut self, p: ErrorCode, again_ms: u64) -> bool {
-        let body = format!("{{\"problem\":\"{}\",\"text\":\"{}\"}}", p.code(), p.text());
-        let status = p.status();
-        let why = http_types::StatusCode::try_from(status).map_or("", |s| s.canonical_reason());
-        let mut h = format!(
-            "HTTP/1.1 {status} {why}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
+    /// Writes an error answer of this node's own, with `Retry-After` if
+    /// `retry_after_ms` is above 0; false if the client is disconnected.
+    pub async fn answer_error(&mut self, error: ErrorCode, retry_after_ms: Millis) -> bool {
+        let body = format!(
+            "{{\"problem\":\"{}\",\"text\":\"{}\"}}",
+            error.code(),
+            error.text()
+        );
+        let status = error.status();
+        let reason = http_types::StatusCode::try_from(status).map_or("", |s| s.canonical_reason());
+        let mut response = format!(
+            "HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
             body.len()
         );
-        if again_ms > 0 {
-            h.push_str(&format!("Retry-After: {:.3}\r\n", again_ms as f64 / 1000.0));
+        if retry_after_ms > 0 {
+            let seconds = retry_after_ms as f64 / 1000.0;
+            response.push_str(&format!("Retry-After: {seconds:.3}\r\n"));
         }
         if self.close {
-            h.push_str("Connection: close\r\n");
+            response.push_str("Connection: close\r\n");
         }
-        h.push_str("\r\n");
-        h.push_str(&body);
-        self.write(h.as_bytes()).await
+        response.push_str("\r\n");
+        response.push_str(&body);
+        self.write(response.as_bytes()).await
     }
 
-    /// Answers what was not read whole, and lets the answer arrive.
-    pub async fn turn_away(&mut self, p: ErrorCode) {
+    /// Answers a request that was not read completely, and closes the
+    /// connection without losing the answer.
+    pub async fn reject_and_close(&mut self, error: ErrorCode) {
         self.close = true;
-        if !self.answer(p, 0).await {
+        if !self.answer_error(error, 0).await {
             return;
         }
         let _ = self.stream.shutdown(Shutdown::Write);
-        // closing with unread bytes resets, and the answer would be lost
-        let _ = timeout(LINGER, async {
-            while matches!(self.buf.fill(&mut self.stream).await, Ok(n) if n > 0) {
-                self.buf.eat(self.buf.len());
-            }
-        })
-        .await;
+        // closing with unread bytes sends a reset, and the answer could be lost
+        let _ = timeout(LINGER, self.discard_input()).await;
+    }
+
+    async fn discard_input(&mut self) {
+        while matches!(self.buffer.fill(&mut self.stream).await, Ok(count) if count > 0) {
+            self.buffer.consume(self.buffer.len());
+        }
     }
 }
--- /dev/null
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -0,0 +1,196 @@
+//! The proxy's daemon: sockets, timers and signals around its controller.
+
+use super::controller::{ControllerEffect, ControllerEvent, ProxyController};
+use super::dialect::Dialect;
+use super::drain::Drain;
+use super::listener::accept;
+use super::shared_state::SharedState;
+use super::status_endpoint::{
+    serve_status_endpoint, NodeStatus, RequestHandler, StatusEndpoint, StatusHandler,
+};
+use crate::balancer::{Balancer, Bounds, Locality};
+use crate::log_events::{log_event, LogEvent};
+use crate::net::{Net, NetEvent};
+use crate::order_id::random_id;
+use crate::runtime::{Clock, Reducer};
+use crate::settings::Settings;
+use crate::subscription::Pull;
+use crate::wire::Hello;
+use async_std::channel::{bounded, Receiver};
+use async_std::future::timeout;
+use async_std::net::TcpListener;
+use async_std::task;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Events that may wait for the controller.
+const EVENT_QUEUE_LENGTH: usize = 1024;
+/// Between ticks of the controller.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Between evictions of expired connections to workers.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(1000);
+
+/// What a proxy node needs beside the settings that all nodes have.
+pub struct ProxyOptions {
+    pub settings: Settings,
+    pub bounds: Bounds,
+    /// From the signal to stop until the process must have ended.
+    pub grace: Duration,
+}
+
+/// Runs a proxy node until it is told to stop and has drained.
+///
+/// # Errors
+/// What could not be set up: a signal handler, or a listener.
+pub fn run<D: Dialect, C: Clock + Send + Sync + 'static>(
+    options: ProxyOptions,
+    dialect: D,
+    clock: C,
+    endpoints: Vec<StatusEndpoint>,
+) -> Result<(), String> {
+    let ProxyOptions {
+        settings,
+        bounds,
+        grace,
+    } = options;
+    let controller = new_controller(&settings, bounds, &clock);
+    let dial_addrs = settings.reach.clone();
+    let shared = Arc::new(SharedState::new(controller, dialect, clock, dial_addrs));
+    let (events, received) = bounded(EVENT_QUEUE_LENGTH);
+    let net = Net::new(
+        settings.site_mark(),
+        events.clone(),
+        ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
+        settings.most_connections,
+    );
+    crate::run::on_term(events, || ControllerEvent::Stop)?;
+    task::block_on(async move {
+        let clients = bind("http", settings.http).await?;
+        for endpoint in endpoints {
+            let listener = bind("status endpoint", endpoint.addr).await?;
+            let handler = request_handler(shared.clone(), endpoint.handler);
+            task::spawn(serve_status_endpoint(listener, handler));
+        }
+        log_event(LogEvent::Started, format!("edge {}", settings.node));
+        task::spawn(accept(clients, shared.clone(), settings.most_connections));
+        run_controller(shared, net, received, grace, &settings).await;
+        log_event(LogEvent::Stopped, "edge");
+        Ok(())
+    })
+}
+
+fn new_controller<C: Clock>(settings: &Settings, bounds: Bounds, clock: &C) -> ProxyController {
+    let now = clock.now();
+    let identity = Hello {
+        id: random_id() >> 1,
+        node: settings.node.clone(),
+        core: false,
+        region: settings.region,
+        zone: settings.zone,
+        addr: String::new(),
+        http: settings.http.to_string(),
+        founded: false,
+        incarnation: random_id(),
+        ..Hello::default()
+    };
+    let locality = Locality {
+        node: settings.node.clone(),
+        zone: settings.zone,
+        region: settings.region,
+        regions: settings.names.zones.iter().map(|(_, r)| *r).collect(),
+    };
+    let balancer = Balancer::new(locality, bounds, random_id());
+    let subscription = Pull::new(
+        &settings.seeds,
+        settings.lease_ms,
+        now.monotonic_ms,
+        now.wall,
+    )
+    .named(&settings.node)
+    .paced(&settings.pacing);
+    ProxyController::new(identity, settings.names.clone(), subscription, balancer)
+}
+
+async fn bind(name: &str, addr: SocketAddr) -> Result<TcpListener, String> {
+    TcpListener::bind(addr)
+        .await
+        .map_err(|e| format!("{name}: cannot bind {addr}: {e}"))
+}
+
+fn request_handler<D: Dialect, C: Clock + Send + Sync + 'static>(
+    shared: Arc<SharedState<D, C>>,
+    handler: StatusHandler,
+) -> RequestHandler {
+    Arc::new(move |method: &str, target: &str| {
+        let status = {
+            let controller = shared.lock();
+            NodeStatus {
+                ready: controller.ready(),
+                ready_edges: controller.ready_edges(),
+            }
+        };
+        handler(&status, method, target)
+    })
+}
+
+/// Feeds the controller until the node has drained.
+async fn run_controller<D: Dialect, C: Clock>(
+    shared: Arc<SharedState<D, C>>,
+    net: Net<ControllerEvent>,
+    events: Receiver<ControllerEvent>,
+    grace: Duration,
+    settings: &Settings,
+) {
+    let mut tick_at = Instant::now();
+    let mut evict_at = tick_at;
+    let mut drain: Option<Drain> = None;
+    loop {
+        let wait = tick_at.saturating_duration_since(Instant::now());
+        let event = match timeout(wait, events.recv()).await {
+            Ok(Ok(event)) => event,
+            Ok(Err(_)) => return,
+            Err(_) => {
+                tick_at = Instant::now() + TICK_INTERVAL;
+                ControllerEvent::Tick
+            }
+        };
+        if matches!(event, ControllerEvent::Stop) && drain.is_none() {
+            drain = Some(Drain::start(&shared, grace));
+        }
+        let effects = step(&shared, event);
+        apply_effects(effects, &net, settings);
+        shared.wake_queued();
+        if Instant::now() >= evict_at {
+            evict_at = Instant::now() + EVICTION_INTERVAL;
+            shared.connections.evict_expired();
+        }
+        if drain.is_some_and(|d| d.advance(&shared)) {
+            return;
+        }
+    }
+}
+
+fn step<D: Dialect, C: Clock>(
+    shared: &SharedState<D, C>,
+    event: ControllerEvent,
+) -> Vec<ControllerEffect> {
+    let now = shared.clock.now();
+    let mut controller = shared.lock();
+    controller.running = shared.requests_in_flight.load(Ordering::Relaxed) as u32;
+    controller.step(event, now)
+}
+
+fn apply_effects(effects: Vec<ControllerEffect>, net: &Net<ControllerEvent>, settings: &Settings) {
+    for effect in effects {
+        match effect {
+            ControllerEffect::Send(conn, payload) => {
+                net.send(conn, &payload);
+            }
+            ControllerEffect::Connect(addr) => net.dial(addr, settings.reached(addr)),
+            ControllerEffect::Disconnect(addr) => net.undial(addr),
+            ControllerEffect::Log(event, detail) => log_event(event, detail),
+        }
+    }
+}
--- a/sorreldoor/src/proxy/delivery.rs
+++ b/sorreldoor/src/proxy/delivery.rs
@@ -1,45 +1,47 @@
-//! How far the answer to one client has come, over all workers that served it.
+//! How much of its response one client has received, over all attempts.
 
-/// What the client holds of its answer, and what is kept for it.
+/// How much of its response a client has received, and what is buffered for it.
 #[derive(Debug, Default)]
 pub struct Delivery {
-    /// The head of a stream has gone to the client.
+    /// The head of a stream was written to the client.
     pub head_sent: bool,
     /// The last event that the client has, or said it has.
     pub last_event: Option<u64>,
-    /// A worker's failure, kept in case no other worker does better.
-    pub failure: Option<Vec<u8>>,
-    /// The stream of a client that cannot be sent chunks, until it is whole.
-    held: Vec<u8>,
-    /// The last event that the client said it has.
-    asked_after: Option<u64>,
+    /// A worker's error response, kept in case no other worker does better.
+    pub error_response: Option<Vec<u8>>,
+    /// The stream so far of a client that cannot read chunks.
+    buffered_stream: Vec<u8>,
+    /// The `Last-Event-ID` of the client's request.
+    requested_last_event: Option<u64>,
 }
 
 impl Delivery {
+    /// Nothing delivered yet, to a client that resumes after `last_event`.
     pub fn new(last_event: Option<u64>) -> Delivery {
         Delivery {
             last_event,
-            asked_after: last_event,
+            requested_last_event: last_event,
             ..Delivery::default()
         }
     }
 
-    /// Keeps events for a client that can only be given them whole.
-    pub fn hold(&mut self, events: &[u8]) {
-        self.held.extend_from_slice(events);
+    /// Buffers events for a client that needs the complete stream at once.
+    pub fn buffer(&mut self, events: &[u8]) {
+        self.buffered_stream.extend_from_slice(events);
     }
 
-    /// Everything held, once the stream is whole.
-    pub fn take_held(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.held)
+    /// Removes all buffered events.
+    #[must_use]
+    pub fn take_buffered(&mut self) -> Vec<u8> {
+        std::mem::take(&mut self.buffered_stream)
     }
 
-    /// The stream broke before the client had any of it: the next worker
-    /// starts where the client asked.
-    pub fn forget_held(&mut self) {
+    /// Drops buffered events after a broken stream, so that the next worker
+    /// starts where the client's request did; no effect once the head was sent.
+    pub fn discard_buffered(&mut self) {
         if !self.head_sent {
-            self.held.clear();
-            self.last_event = self.asked_after;
+            self.buffered_stream.clear();
+            self.last_event = self.requested_last_event;
         }
     }
 }
--- a/sorreldoor/src/proxy/dialect.rs
+++ b/sorreldoor/src/proxy/dialect.rs
@@ -1,70 +1,76 @@
-//! The seam between what an outside protocol calls things and what they mean.
+//! Translation between an outside protocol's header names and what they mean
+//! to the proxy.
 
-/// One part of a prompt, shared with other requests that name the same id.
+/// One segment of a prompt, shared with all requests that name the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
     pub id: u64,
     pub tokens: u32,
 }
 
-/// What a request's head says that decisions rest on.
+/// What a request's headers say that decisions depend on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
-    /// The caller's id of this try.
+    /// The client's id of this attempt.
     pub id: String,
-    /// How long the caller will wait, in milliseconds, from when it asked.
+    /// How long the client will wait, in milliseconds, from when it sent the
+    /// request.
     pub deadline_ms: Option<u64>,
     pub model: String,
-    /// Tokens of the prompt, and the most put out; 0: not said.
+    /// Tokens of the prompt; 0: not stated.
     pub tokens_in: u32,
+    /// The most tokens to generate; 0: not stated.
     pub tokens_out: u32,
-    /// Parts of the prompt in order; the last is the request's own.
+    /// Segments of the prompt in order; the last is the request's own.
     pub prompt_segments: Vec<PromptSegment>,
-    /// The caller takes a stream up behind this event.
+    /// The client resumes a stream after this event.
     pub last_event: Option<u64>,
 }
 
-/// What is told to a worker beside the caller's own head.
+/// What the proxy tells a worker beside the client's own headers.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardHeaders<'a> {
-    /// The worker meant; any other must not run it.
+    /// The intended worker; any other must not run the request.
     pub worker: &'a str,
-    /// What is left of the caller's time, in milliseconds.
+    /// Milliseconds until the deadline.
     pub remaining_ms: u64,
-    /// 0 first, 9 last; none where the service has no engine.
+    /// From 0 (most urgent) to 9; none where the service has no engine.
     pub priority: Option<u8>,
-    /// Go on behind this event.
+    /// Resume the stream after this event.
     pub last_event: Option<u64>,
 }
 
-/// What a worker's head says.
+/// What the headers of a worker's response say.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseMetadata {
     /// The id of the request that it answers.
     pub id: Option<String>,
-    /// The request did not run at this worker and will not.
+    /// The worker promises that the request did not and will not run.
     pub not_run: bool,
-    /// The worker that should have been there is not.
+    /// Another worker than the intended one responded.
     pub misdirected: bool,
-    /// It bears the worker's stamp.
+    /// It carries the worker's signature.
     pub signed_by_worker: bool,
-    /// Running, waiting, slots.
+    /// Requests running, requests waiting, and slots of the worker.
     pub load: Option<(u32, u32, u32)>,
-    /// How much longer the worker stays cold, in milliseconds.
+    /// How much longer the worker warms up, in milliseconds.
     pub warmup_remaining_ms: Option<u64>,
-    /// The worker's name, where it gives it.
+    /// The worker's name, if stated.
     pub worker: Option<String>,
 }
 
-/// Names what the product decides; it decides nothing itself.
+/// The header names of a protocol; it names what the proxy decides, and
+/// decides nothing itself.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads one header of a request; true if it must not be passed on as it
-    /// stands, because `forward` writes it anew.
+    /// Reads one header of a request; true if it must not be forwarded as it
+    /// is, because [`Dialect::write_forward_headers`] replaces it.
     fn read_request_header(&self, name: &str, value: &[u8], metadata: &mut RequestMetadata)
         -> bool;
-    /// Writes the header lines that go to a worker, each ended by CRLF.
-    fn write_forward_headers(&self, f: &ForwardHeaders, out: &mut Vec<u8>);
-    /// Reads one header of a worker's answer.
+
+    /// Appends the header lines for a worker to `out`, each ended by CRLF.
+    fn write_forward_headers(&self, headers: &ForwardHeaders, out: &mut Vec<u8>);
+
+    /// Reads one header of a worker's response.
     fn read_response_header(
         &self,
         status: u16,
--- /dev/null
+++ b/sorreldoor/src/proxy/forward_request.rs
@@ -0,0 +1,121 @@
+//! One client request from its first attempt to its end: attempts one after
+//! the other, as the balancer decides, until the client has its response or an
+//! error answer.
+
+use super::attempt::Event;
+use super::client::Client;
+use super::delivery::Delivery;
+use super::dialect::Dialect;
+use super::shared_state::SharedState;
+use super::upstream::{run_attempt, AttemptResult, ClientRequest, Exchange};
+use crate::balancer::{Decision, RequestId};
+use crate::configuration::hosted::Route;
+use crate::error::ErrorCode;
+use crate::runtime::Clock;
+use crate::types::Millis;
+use async_std::task::sleep;
+use futures_lite::future::or;
+use std::time::Duration;
+
+/// What the balancer knows of a request at one moment.
+struct Placement {
+    decision: Decision,
+    /// None once the configuration has no route for it.
+    route: Option<Route>,
+    deadline: Millis,
+}
+
+/// Forwards one request; returns whether the client's connection stays open.
+pub async fn forward_request<D: Dialect, C: Clock>(
+    shared: &SharedState<D, C>,
+    client: &mut Client,
+    request: &ClientRequest,
+) -> bool {
+    let mut delivery = Delivery::new(request.last_event);
+    loop {
+        let placement = place(shared, request.request_id);
+        let target = match placement.decision {
+            Decision::Send(target) => target,
+            Decision::Wait(timeout_ms) => {
+                if !wait_in_queue(shared, client, request.request_id, timeout_ms).await {
+                    return false;
+                }
+                continue;
+            }
+            Decision::Reject(error, retry_after_ms) => {
+                return reject(client, delivery, error, retry_after_ms).await;
+            }
+        };
+        let Some(route) = placement.route else {
+            return client.answer_error(ErrorCode::UnknownRoute, 0).await;
+        };
+        let exchange = Exchange {
+            shared,
+            request,
+            target: &target,
+            route: &route,
+            deadline: placement.deadline,
+        };
+        match run_attempt(&exchange, client, &mut delivery).await {
+            AttemptResult::Finished { keep_alive } => return keep_alive,
+            AttemptResult::Ended => {}
+        }
+    }
+}
+
+fn place<D: Dialect, C: Clock>(shared: &SharedState<D, C>, request_id: RequestId) -> Placement {
+    let now = shared.now();
+    let mut controller = shared.lock();
+    let balancer = &mut controller.balancer;
+    if shared.is_queue_closed() {
+        balancer.record_event(request_id, Event::Shutdown);
+    }
+    let decision = balancer.pick(request_id, now);
+    Placement {
+        decision,
+        route: balancer.route(request_id).cloned(),
+        deadline: balancer.deadline(request_id),
+    }
+}
+
+/// Ends a request that is not sent to any (other) worker.
+async fn reject(
+    client: &mut Client,
+    mut delivery: Delivery,
+    error: ErrorCode,
+    retry_after_ms: Millis,
+) -> bool {
+    if delivery.head_sent {
+        // closing without a last chunk shows that the stream is incomplete
+        return false;
+    }
+    if let Some(response) = delivery.error_response.take() {
+        return client.write(&response).await;
+    }
+    client.answer_error(error, retry_after_ms).await
+}
+
+/// Waits until woken or the time-out; false once the client has disconnected.
+async fn wait_in_queue<D: Dialect, C: Clock>(
+    shared: &SharedState<D, C>,
+    client: &Client,
+    request_id: RequestId,
+    timeout_ms: Millis,
+) -> bool {
+    let wakeup = shared.enqueue(request_id);
+    let woken = async {
+        let _ = wakeup.recv().await;
+        true
+    };
+    let timer = async {
+        sleep(Duration::from_millis(timeout_ms.max(1))).await;
+        true
+    };
+    let disconnected = async {
+        client.disconnected().await;
+        false
+    };
+    let connected = or(woken, or(timer, disconnected)).await;
+    shared.dequeue(request_id);
+    connected
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/http1/head.rs
@@ -0,0 +1,100 @@
+//! The head of a message: start line and headers.
+
+use std::ops::Range;
+
+/// Headers that concern one connection only (RFC 9110, section 7.6.1), and
+/// those that the proxy writes itself.
+const HOP_BY_HOP: [&str; 9] = [
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "content-length",
+    "expect",
+];
+
+/// A head as received; the other fields are ranges of `raw`.
+#[derive(Debug, Default)]
+pub struct Head {
+    /// All bytes, with the empty line at the end.
+    pub raw: Vec<u8>,
+    /// Name and value of each header, in order.
+    pub headers: Vec<(Range<usize>, Range<usize>)>,
+    /// Empty in responses.
+    pub method: Range<usize>,
+    /// Empty in responses.
+    pub target: Range<usize>,
+    /// 0 in requests.
+    pub status: u16,
+    /// The minor version: 0 for HTTP/1.0, 1 for HTTP/1.1.
+    pub minor: u8,
+}
+
+impl Head {
+    fn text(&self, range: &Range<usize>) -> &str {
+        std::str::from_utf8(&self.raw[range.clone()]).unwrap_or("")
+    }
+
+    /// The method of a request.
+    pub fn method(&self) -> &str {
+        self.text(&self.method)
+    }
+
+    /// The target of a request.
+    pub fn target(&self) -> &str {
+        self.text(&self.target)
+    }
+
+    /// The target without its query.
+    pub fn path(&self) -> &str {
+        let target = self.target();
+        target.split_once('?').map_or(target, |(path, _)| path)
+    }
+
+    /// Names and values of all headers, in order.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
+        self.headers
+            .iter()
+            .map(|(name, value)| (self.text(name), &self.raw[value.clone()]))
+    }
+
+    /// The first value of a header, unless it is not UTF-8.
+    pub fn get(&self, name: &str) -> Option<&str> {
+        self.iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .and_then(|(_, value)| std::str::from_utf8(value).ok())
+    }
+
+    /// Whether a header holds `token` in its comma-separated list.
+    fn has_token(&self, name: &str, token: &str) -> bool {
+        self.iter()
+            .filter(|(n, _)| n.eq_ignore_ascii_case(name))
+            .filter_map(|(_, value)| std::str::from_utf8(value).ok())
+            .flat_map(|value| value.split(','))
+            .any(|t| t.trim().eq_ignore_ascii_case(token))
+    }
+
+    /// Whether the sender closes the connection after this message.
+    pub fn closes(&self) -> bool {
+        self.has_token("connection", "close")
+            || (self.minor == 0 && !self.has_token("connection", "keep-alive"))
+    }
+
+    /// Whether a header must not be forwarded.
+    pub fn is_hop_by_hop(&self, name: &str) -> bool {
+        HOP_BY_HOP.iter().any(|h| name.eq_ignore_ascii_case(h))
+            || self.has_token("connection", name)
+    }
+
+    /// Seconds that the peer keeps an idle connection open, if it says so.
+    pub fn keep_alive_s(&self) -> Option<u64> {
+        let value = self.get("keep-alive")?;
+        value
+            .split(',')
+            .find_map(|parameter| parameter.trim().strip_prefix("timeout="))
+            .and_then(|seconds| seconds.trim().parse().ok())
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/http1/parse.rs
@@ -0,0 +1,93 @@
+//! Parsing of message heads from a buffer.
+
+use super::{Head, ReadBuffer, ReadError};
+use std::ops::Range;
+
+/// Headers accepted in one head.
+const MAX_HEADERS: usize = 96;
+/// The largest incomplete head of a response, in bytes.
+const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
+
+/// Removes a complete request head from the front of `buffer`; `None` while
+/// it is incomplete.
+///
+/// # Errors
+/// A malformed head, or one of more than `max_bytes` bytes.
+pub fn parse_request_head(
+    buffer: &mut ReadBuffer,
+    max_bytes: usize,
+) -> Result<Option<Head>, ReadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
+    let status = request.parse(buffer.unread()).map_err(|e| match e {
+        httparse::Error::TooManyHeaders => ReadError::HeadTooLarge,
+        _ => ReadError::Malformed,
+    })?;
+    let httparse::Status::Complete(length) = status else {
+        return incomplete(buffer, max_bytes);
+    };
+    if length > max_bytes {
+        return Err(ReadError::HeadTooLarge);
+    }
+    let raw = buffer.unread();
+    let method = range_in(raw, request.method.unwrap_or("").as_bytes());
+    let target = range_in(raw, request.path.unwrap_or("").as_bytes());
+    let minor = request.version.unwrap_or(1);
+    let headers = header_ranges(raw, request.headers);
+    Ok(Some(Head {
+        raw: buffer.take(length),
+        headers,
+        method,
+        target,
+        status: 0,
+        minor,
+    }))
+}
+
+/// Removes a complete response head from the front of `buffer`; `None` while
+/// it is incomplete.
+///
+/// # Errors
+/// A malformed or too large head.
+pub fn parse_response_head(buffer: &mut ReadBuffer) -> Result<Option<Head>, ReadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    let status = response
+        .parse(buffer.unread())
+        .map_err(|_| ReadError::Malformed)?;
+    let httparse::Status::Complete(length) = status else {
+        return incomplete(buffer, MAX_RESPONSE_HEAD_BYTES);
+    };
+    let raw = buffer.unread();
+    let status = response.code.unwrap_or(0);
+    let minor = response.version.unwrap_or(1);
+    let headers = header_ranges(raw, response.headers);
+    Ok(Some(Head {
+        raw: buffer.take(length),
+        headers,
+        method: 0..0,
+        target: 0..0,
+        status,
+        minor,
+    }))
+}
+
+fn incomplete(buffer: &ReadBuffer, max_bytes: usize) -> Result<Option<Head>, ReadError> {
+    match buffer.len() <= max_bytes {
+        true => Ok(None),
+        false => Err(ReadError::HeadTooLarge),
+    }
+}
+
+fn header_ranges(raw: &[u8], headers: &[httparse::Header]) -> Vec<(Range<usize>, Range<usize>)> {
+    headers
+        .iter()
+        .map(|h| (range_in(raw, h.name.as_bytes()), range_in(raw, h.value)))
+        .collect()
+}
+
+/// The range of `raw` that `part` borrows from it.
+fn range_in(raw: &[u8], part: &[u8]) -> Range<usize> {
+    let start = part.as_ptr() as usize - raw.as_ptr() as usize;
+    start..start + part.len()
+}
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -1,33 +1,36 @@
-//! Hosted routes carried to workers: requests pass byte for byte, decisions
-//! are the table's, and names of headers are a dialect's.
+//! The reverse proxy of hosted routes: requests and responses pass byte for
+//! byte, the balancer decides where each attempt goes, and a [`Dialect`] knows
+//! the names of headers.
+//!
+//! The way of a request: [`accept`] → `serve_connection` → `request_reader` →
+//! `forward_request` (one round per attempt) → `upstream::run_attempt`.
 
-mod answer;
 pub mod attempt;
-mod await_head;
-pub mod body;
-mod carry;
 mod client;
+mod controller;
+mod daemon;
 mod delivery;
-pub mod dialect;
-mod door;
-mod events;
-mod exchange;
-mod front;
+mod dialect;
+mod drain;
+mod forward_request;
 pub mod http1;
+mod listener;
 mod plain_dialect;
-mod pool;
-mod read_whole;
-mod run;
-mod send;
-mod serve;
-mod shared;
-mod stream;
-pub mod verdict;
-mod wait;
+mod request_reader;
+mod response_writer;
+mod serve_connection;
+mod shared_state;
+mod status_endpoint;
+mod upstream;
 
+pub use controller::{ControllerEffect, ControllerEvent, ProxyController, ReadyEdge};
+pub use daemon::{run, ProxyOptions};
 pub use dialect::{Dialect, ForwardHeaders, PromptSegment, RequestMetadata, ResponseMetadata};
-pub use door::{serve as serve_status_endpoint, Answer};
-pub use front::{ControllerEffect, ControllerEvent, ProxyController, ReadyEdge};
+pub use listener::accept;
 pub use plain_dialect::PlainDialect;
-pub use run::{accept, run, Door, NodeStatus, ProxyOptions, StatusHandler};
-pub use shared::SharedState;
+pub use shared_state::SharedState;
+pub use status_endpoint::{
+    serve_status_endpoint, NodeStatus, RequestHandler, StatusEndpoint, StatusHandler,
+    StatusResponse,
+};
+pub use upstream::response_class;
--- a/sorreldoor/src/proxy/plain_dialect.rs
+++ b/sorreldoor/src/proxy/plain_dialect.rs
@@ -1,43 +1,67 @@
-//! The product's own names for what passes between callers, nodes and workers.
+//! The product's own header names, all beginning with `x-` (docs/hosted.md).
 
 use super::dialect::{Dialect, ForwardHeaders, PromptSegment, RequestMetadata, ResponseMetadata};
 
-/// Headers beginning with `x-`, as docs/api.md lists them.
+/// Status 421: the request was directed at another worker.
+const MISDIRECTED_REQUEST: u16 = 421;
+
+/// The product's own header names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainDialect;
 
-fn text(v: &[u8]) -> &str {
-    std::str::from_utf8(v).map_or("", str::trim)
+fn text(value: &[u8]) -> &str {
+    std::str::from_utf8(value).map_or("", str::trim)
+}
+
+/// `ID:TOKENS`, with the id in hex, joined by commas; malformed ones are skipped.
+fn prompt_segments(value: &str) -> Vec<PromptSegment> {
+    value.split(',').filter_map(prompt_segment).collect()
 }
 
-/// `ID:TOKENS`, with the id in hex, joined by commas; what is malformed is left out.
-fn prompt_segments(v: &str) -> Vec<PromptSegment> {
-    let one = |p: &str| {
-        let (id, n) = p.trim().split_once(':')?;
-        let id = u64::from_str_radix(id, 16).ok()?;
-        n.parse().ok().map(|tokens| PromptSegment { id, tokens })
-    };
-    v.split(',').filter_map(one).collect()
+fn prompt_segment(text: &str) -> Option<PromptSegment> {
+    let (id, tokens) = text.trim().split_once(':')?;
+    Some(PromptSegment {
+        id: u64::from_str_radix(id, 16).ok()?,
+        tokens: tokens.parse().ok()?,
+    })
+}
+
+/// Prompt tokens and the most to generate, joined by a comma.
+fn token_counts(value: &str) -> (u32, u32) {
+    let mut counts = value.split(',').map(|n| n.trim().parse().unwrap_or(0));
+    (counts.next().unwrap_or(0), counts.next().unwrap_or(0))
+}
+
+fn worker_load(value: &str) -> Option<(u32, u32, u32)> {
+    let numbers: Vec<u32> = value
+        .split(',')
+        .filter_map(|n| n.trim().parse().ok())
+        .collect();
+    match numbers[..] {
+        [running, waiting, slots] => Some((running, waiting, slots)),
+        _ => None,
+    }
 }
 
 impl Dialect for PlainDialect {
-    fn read_request_header(&self, name: &str, value: &[u8], a: &mut RequestMetadata) -> bool {
-        let v = text(value);
+    fn read_request_header(
+        &self,
+        name: &str,
+        value: &[u8],
+        metadata: &mut RequestMetadata,
+    ) -> bool {
+        let value = text(value);
         match name.to_ascii_lowercase().as_str() {
-            "x-request-id" => a.id = v.to_string(),
-            "x-model" => a.model = v.to_string(),
-            "x-prompt-parts" => a.prompt_segments = prompt_segments(v),
-            "x-tokens" => {
-                let mut n = v.split(',').map(|n| n.trim().parse().unwrap_or(0));
-                a.tokens_in = n.next().unwrap_or(0);
-                a.tokens_out = n.next().unwrap_or(0);
-            }
+            "x-request-id" => metadata.id = value.to_string(),
+            "x-model" => metadata.model = value.to_string(),
+            "x-prompt-parts" => metadata.prompt_segments = prompt_segments(value),
+            "x-tokens" => (metadata.tokens_in, metadata.tokens_out) = token_counts(value),
             "x-deadline-ms" => {
-                a.deadline_ms = v.parse().ok();
+                metadata.deadline_ms = value.parse().ok();
                 return true;
             }
             "last-event-id" => {
-                a.last_event = v.parse().ok();
+                metadata.last_event = value.parse().ok();
                 return true;
             }
             "x-worker" | "x-priority" => return true,
@@ -46,20 +70,20 @@
         false
     }
 
-    fn write_forward_headers(&self, f: &ForwardHeaders, out: &mut Vec<u8>) {
-        let mut put = |k: &str, v: String| {
-            out.extend_from_slice(k.as_bytes());
+    fn write_forward_headers(&self, headers: &ForwardHeaders, out: &mut Vec<u8>) {
+        let mut write = |name: &str, value: String| {
+            out.extend_from_slice(name.as_bytes());
             out.extend_from_slice(b": ");
-            out.extend_from_slice(v.as_bytes());
+            out.extend_from_slice(value.as_bytes());
             out.extend_from_slice(b"\r\n");
         };
-        put("x-worker", f.worker.to_string());
-        put("x-deadline-ms", f.remaining_ms.to_string());
-        if let Some(p) = f.priority {
-            put("x-priority", p.to_string());
+        write("x-worker", headers.worker.to_string());
+        write("x-deadline-ms", headers.remaining_ms.to_string());
+        if let Some(priority) = headers.priority {
+            write("x-priority", priority.to_string());
         }
-        if let Some(e) = f.last_event {
-            put("last-event-id", e.to_string());
+        if let Some(event) = headers.last_event {
+            write("last-event-id", event.to_string());
         }
     }
 
@@ -68,20 +92,17 @@
         status: u16,
         name: &str,
         value: &[u8],
-        t: &mut ResponseMetadata,
+        metadata: &mut ResponseMetadata,
     ) {
-        let v = text(value);
-        t.misdirected |= status == 421;
+        let value = text(value);
+        metadata.misdirected |= status == MISDIRECTED_REQUEST;
         match name.to_ascii_lowercase().as_str() {
-            "x-request-id" => t.id = Some(v.to_string()),
-            "x-not-run" => t.not_run = true,
-            "x-stamp" => t.signed_by_worker = true,
-            "x-cold-ms" => t.warmup_remaining_ms = v.parse().ok(),
-            "x-worker" => t.worker = Some(v.to_string()),
-            "x-load" => {
-                let n: Vec<u32> = v.split(',').filter_map(|n| n.trim().parse().ok()).collect();
-                t.load = Some(n).filter(|n| n.len() == 3).map(|n| (n[0], n[1], n[2]));
-            }
+            "x-request-id" => metadata.id = Some(value.to_string()),
+            "x-not-run" => metadata.not_run = true,
+            "x-stamp" => metadata.signed_by_worker = true,
+            "x-cold-ms" => metadata.warmup_remaining_ms = value.parse().ok(),
+            "x-worker" => metadata.worker = Some(value.to_string()),
+            "x-load" => metadata.load = worker_load(value),
             _ => {}
         }
     }
--- /dev/null
+++ b/sorreldoor/src/proxy/shared_state.rs
@@ -0,0 +1,141 @@
+//! State that all connections of one proxy node share.
+
+use super::controller::ProxyController;
+use super::dialect::Dialect;
+use super::upstream::ConnectionPool;
+use crate::balancer::RequestId;
+use crate::runtime::Clock;
+use crate::types::Millis;
+use async_std::channel::{bounded, Receiver, Sender};
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::{Mutex, MutexGuard};
+
+/// State that all connections of one proxy node share.
+pub struct SharedState<D, C> {
+    controller: Mutex<ProxyController>,
+    pub(super) connections: ConnectionPool,
+    pub(super) dialect: D,
+    pub(super) clock: C,
+    /// Where to dial instead of an announced address.
+    dial_addrs: BTreeMap<SocketAddr, SocketAddr>,
+    /// Requests queued for a worker, and how each is woken.
+    queued: Mutex<HashMap<RequestId, Sender<()>>>,
+    /// The node shuts down: responses close their connections.
+    draining: AtomicBool,
+    /// Queued requests are rejected from now on.
+    queue_closed: AtomicBool,
+    /// Client connections, and requests in flight.
+    pub(super) open_connections: AtomicUsize,
+    pub(super) requests_in_flight: AtomicUsize,
+    /// Closed once idle client connections must end.
+    idle_close: (Sender<()>, Receiver<()>),
+}
+
+impl<D: Dialect, C: Clock> SharedState<D, C> {
+    /// The state of a node that starts; `dial_addrs` maps announced addresses
+    /// to those that are dialled instead.
+    pub fn new(
+        controller: ProxyController,
+        dialect: D,
+        clock: C,
+        dial_addrs: BTreeMap<SocketAddr, SocketAddr>,
+    ) -> Self {
+        SharedState {
+            controller: Mutex::new(controller),
+            connections: ConnectionPool::default(),
+            dialect,
+            clock,
+            dial_addrs,
+            queued: Mutex::default(),
+            draining: AtomicBool::new(false),
+            queue_closed: AtomicBool::new(false),
+            open_connections: AtomicUsize::new(0),
+            requests_in_flight: AtomicUsize::new(0),
+            idle_close: bounded(1),
+        }
+    }
+
+    /// Milliseconds of the monotonic clock.
+    pub fn now(&self) -> Millis {
+        self.clock.now().monotonic_ms
+    }
+
+    /// Locks the controller with its balancer; never held across an await.
+    pub fn lock(&self) -> MutexGuard<'_, ProxyController> {
+        self.controller.lock().unwrap_or_else(|p| p.into_inner())
+    }
+
+    fn queued(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<()>>> {
+        self.queued.lock().unwrap_or_else(|p| p.into_inner())
+    }
+
+    /// Queues a request; the receiver resolves when it may find a worker.
+    pub fn enqueue(&self, request_id: RequestId) -> Receiver<()> {
+        let (waker, wakeup) = bounded(1);
+        self.queued().insert(request_id, waker);
+        wakeup
+    }
+
+    /// Removes a request from the queue.
+    pub fn dequeue(&self, request_id: RequestId) {
+        self.queued().remove(&request_id);
+    }
+
+    /// Wakes queued requests that may find a worker now.
+    pub fn wake_queued(&self) {
+        if self.queued().is_empty() {
+            return;
+        }
+        let now = self.now();
+        let ready = self.lock().balancer.take_ready(now);
+        let queued = self.queued();
+        for waker in ready.iter().filter_map(|id| queued.get(id)) {
+            let _ = waker.try_send(());
+        }
+    }
+
+    /// Whether the node shuts down.
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Relaxed)
+    }
+
+    /// From now on each response announces the end of its connection.
+    pub fn start_draining(&self) {
+        self.draining.store(true, Ordering::Relaxed);
+    }
+
+    /// Whether queued requests are rejected.
+    pub fn is_queue_closed(&self) -> bool {
+        self.queue_closed.load(Ordering::Relaxed)
+    }
+
+    /// Rejects all queued requests: they have not run, and there is no time
+    /// left for them to run here.
+    pub fn close_queue(&self) {
+        if !self.queue_closed.swap(true, Ordering::Relaxed) {
+            for waker in self.queued().values() {
+                let _ = waker.try_send(());
+            }
+        }
+    }
+
+    /// Ends idle client connections.
+    pub fn close_idle_connections(&self) {
+        self.idle_close.0.close();
+    }
+
+    /// Resolves once idle client connections must end.
+    pub async fn idle_connections_closed(&self) {
+        let _ = self.idle_close.1.recv().await;
+    }
+
+    /// The address to dial for an announced one.
+    pub fn dial_addr(&self, announced: SocketAddr) -> SocketAddr {
+        self.dial_addrs
+            .get(&announced)
+            .copied()
+            .unwrap_or(announced)
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/status_endpoint.rs
@@ -0,0 +1,124 @@
+//! Small HTTP endpoints beside the clients' listener: a method and target in,
+//! a JSON document out.
+
+use super::controller::ReadyEdge;
+use super::http1::{parse_request_head, read_body, Framing, Head, ReadBuffer};
+use async_std::future::timeout;
+use async_std::io::prelude::WriteExt;
+use async_std::net::{TcpListener, TcpStream};
+use async_std::task;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Within this a request must arrive and be answered.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long to wait after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_HEAD_BYTES: usize = 8 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
+
+/// What endpoints may show of the node.
+#[derive(Clone, Debug, Default)]
+pub struct NodeStatus {
+    pub ready: bool,
+    /// The edges that clients are sent to.
+    pub ready_edges: Vec<ReadyEdge>,
+}
+
+/// Status code and JSON text of an answer.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StatusResponse {
+    pub status: u16,
+    pub body: String,
+}
+
+/// Answers a method and target from the node's status.
+pub type StatusHandler = Box<dyn Fn(&NodeStatus, &str, &str) -> StatusResponse + Send + Sync>;
+
+/// A small endpoint: its address, and how it answers.
+pub struct StatusEndpoint {
+    pub addr: SocketAddr,
+    pub handler: StatusHandler,
+}
+
+/// Answers a method and target.
+pub type RequestHandler = Arc<dyn Fn(&str, &str) -> StatusResponse + Send + Sync>;
+
+/// Serves an endpoint's connections for as long as it is polled.
+pub async fn serve_status_endpoint(listener: TcpListener, handler: RequestHandler) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                task::spawn(serve_connection(stream, handler.clone()));
+            }
+            Err(_) => task::sleep(ACCEPT_BACKOFF).await,
+        }
+    }
+}
+
+async fn serve_connection(mut stream: TcpStream, handler: RequestHandler) {
+    let _ = stream.set_nodelay(true);
+    let mut buffer = ReadBuffer::default();
+    loop {
+        let request = serve_request(&mut stream, &mut buffer, &handler);
+        let Ok(true) = timeout(IDLE_TIMEOUT, request).await else {
+            return;
+        };
+        buffer.shrink();
+    }
+}
+
+/// Answers one request; returns whether the connection stays open.
+async fn serve_request(
+    stream: &mut TcpStream,
+    buffer: &mut ReadBuffer,
+    handler: &RequestHandler,
+) -> bool {
+    let Some(head) = read_head(stream, buffer).await else {
+        return false;
+    };
+    let framing = head.request_framing().unwrap_or(Framing::Close);
+    if framing == Framing::Close
+        || read_body(stream, buffer, framing, MAX_BODY_BYTES)
+            .await
+            .is_err()
+    {
+        return false;
+    }
+    let response = handler(head.method(), head.target());
+    let close = head.closes();
+    let bytes = encode_response(&response, close);
+    stream.write_all(bytes.as_bytes()).await.is_ok() && !close
+}
+
+async fn read_head(stream: &mut TcpStream, buffer: &mut ReadBuffer) -> Option<Head> {
+    loop {
+        match parse_request_head(buffer, MAX_HEAD_BYTES) {
+            Ok(Some(head)) => return Some(head),
+            Ok(None) => {}
+            Err(_) => return None,
+        }
+        if !matches!(buffer.fill(stream).await, Ok(count) if count > 0) {
+            return None;
+        }
+    }
+}
+
+fn encode_response(response: &StatusResponse, close: bool) -> String {
+    let status = response.status;
+    let reason = http_types::StatusCode::try_from(status).map_or("", |s| s.canonical_reason());
+    let retry_after = match status {
+        503 => "Retry-After: 1\r\n",
+        _ => "",
+    };
+    let connection = match close {
+        true => "Connection: close\r\n",
+        false => "",
+    };
+    format!(
+        "HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{retry_after}{connection}\r\n{}",
+        response.body.len(),
+        response.body
+    )
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/upstream/attempt_runner.rs
@@ -0,0 +1,160 @@
+//! One attempt from the chosen worker to the end of its response.
+
+use super::connection_pool::Connection;
+use super::exchange::{AttemptResult, Exchange};
+use super::request_sender::{send_request, SendResult};
+use super::response_body::read_response_body;
+use super::response_class::{classify_response, is_success, ExpectedRequest, ResponseClass};
+use super::response_head::await_head;
+use super::stream_relay::relay_stream;
+use crate::balancer::AttemptOutcome;
+use crate::configuration::hosted::Kind;
+use crate::error::ErrorCode;
+use crate::proxy::attempt::Event;
+use crate::proxy::client::Client;
+use crate::proxy::delivery::Delivery;
+use crate::proxy::dialect::{Dialect, ResponseMetadata};
+use crate::proxy::http1::{Framing, Head};
+use crate::proxy::response_writer::complete_response;
+use crate::runtime::Clock;
+use crate::types::Millis;
+
+/// Milliseconds to read the body of a rejection, so that its connection can be
+/// pooled.
+const REJECTION_BODY_TIMEOUT_MS: Millis = 100;
+/// Status 421: the request was directed at another worker.
+const MISDIRECTED_REQUEST: u16 = 421;
+
+/// Runs one attempt at the worker that the balancer chose.
+pub async fn run_attempt<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    client: &mut Client,
+    delivery: &mut Delivery,
+) -> AttemptResult {
+    let (mut connection, early_head) = match send_request(exchange, delivery.last_event).await {
+        SendResult::Sent(connection) => (connection, None),
+        SendResult::EarlyResponse(connection, head) => (connection, Some(head)),
+        SendResult::NothingSent => {
+            exchange.record_outcome(AttemptOutcome::ConnectFailed);
+            return AttemptResult::Ended;
+        }
+        SendResult::Failed(event) => {
+            return attempt_failed(exchange, client, delivery, event).await
+        }
+    };
+    let head = match early_head {
+        Some(head) => Ok(head),
+        None => await_head(exchange, client, &mut connection).await,
+    };
+    match head {
+        Ok(head) => handle_response(exchange, client, delivery, connection, head).await,
+        Err(event) => {
+            exchange.close(connection);
+            attempt_failed(exchange, client, delivery, event).await
+        }
+    }
+}
+
+/// Ends an attempt without a usable response.
+async fn attempt_failed<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    client: &mut Client,
+    delivery: &Delivery,
+    event: Event,
+) -> AttemptResult {
+    if event == Event::ClientDone {
+        return exchange.client_disconnected();
+    }
+    let result = exchange.worker_failed(event);
+    if exchange.time_left() > 0 || delivery.head_sent {
+        return result;
+    }
+    let keep_alive = client.answer_error(ErrorCode::DeadlinePassed, 0).await;
+    AttemptResult::Finished { keep_alive }
+}
+
+fn response_metadata<D: Dialect>(dialect: &D, head: &Head) -> ResponseMetadata {
+    let mut metadata = ResponseMetadata {
+        misdirected: head.status == MISDIRECTED_REQUEST,
+        ..ResponseMetadata::default()
+    };
+    for (name, value) in head.iter() {
+        dialect.read_response_header(head.status, name, value, &mut metadata);
+    }
+    metadata
+}
+
+/// Decides what a received head means, and acts on it.
+async fn handle_response<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    client: &mut Client,
+    delivery: &mut Delivery,
+    connection: Connection,
+    head: Head,
+) -> AttemptResult {
+    let metadata = response_metadata(&exchange.shared.dialect, &head);
+    let expected = ExpectedRequest {
+        attempt_id: &exchange.request.attempt_id,
+        method: &exchange.request.method,
+    };
+    match classify_response(&head, &metadata, &expected) {
+        ResponseClass::Unusable(event) => {
+            exchange.close(connection);
+            exchange.worker_failed(event)
+        }
+        ResponseClass::Misdirected => {
+            exchange.close(connection);
+            exchange.record_outcome(AttemptOutcome::Misdirected);
+            AttemptResult::Ended
+        }
+        ResponseClass::NotRun(framing) => {
+            let timeout_ms = REJECTION_BODY_TIMEOUT_MS.min(exchange.time_left());
+            let _ =
+                read_response_body(exchange, client, connection, &head, framing, timeout_ms).await;
+            exchange.record_outcome(AttemptOutcome::Rejected(metadata.load));
+            AttemptResult::Ended
+        }
+        ResponseClass::Own(framing) => {
+            exchange.record_event(Event::HeadReceived);
+            let (load, cold_ms) = (metadata.load, metadata.warmup_remaining_ms);
+            exchange.record_outcome(AttemptOutcome::HeadReceived { load, cold_ms });
+            forward_response(exchange, client, delivery, connection, head, framing).await
+        }
+    }
+}
+
+/// Forwards the request's own response to the client.
+async fn forward_response<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    client: &mut Client,
+    delivery: &mut Delivery,
+    connection: Connection,
+    head: Head,
+    framing: Framing,
+) -> AttemptResult {
+    if is_success(&head) && exchange.route.kind == Kind::Stream {
+        return relay_stream(exchange, client, delivery, connection, head, framing).await;
+    }
+    if delivery.head_sent {
+        // only a stream can continue a stream
+        exchange.close(connection);
+        return exchange.worker_failed(Event::Malformed);
+    }
+    let timeout_ms = exchange.time_left();
+    let body = read_response_body(exchange, client, connection, &head, framing, timeout_ms).await;
+    let body = match body {
+        Ok(body) => body,
+        Err(event) => return attempt_failed(exchange, client, delivery, event).await,
+    };
+    let response = complete_response(client, &head, &body);
+    // a worker's error is the response, unless another worker may do better
+    let try_another = head.status >= 500 && exchange.may_fail_over(0);
+    exchange.record_outcome(AttemptOutcome::Completed(head.status));
+    if try_another {
+        delivery.error_response = Some(response);
+        return AttemptResult::Ended;
+    }
+    exchange.record_event(Event::ClientDone);
+    let keep_alive = client.write(&response).await;
+    AttemptResult::Finished { keep_alive }
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/upstream/event_stream.rs
@@ -0,0 +1,73 @@
+//! Server-sent events of a `text/event-stream` body (HTML standard, section
+//! 9.2): where one ends, and which of them the client has already.
+
+/// Events to be forwarded to the client.
+#[derive(Debug, Default)]
+pub struct ForwardedEvents {
+    pub bytes: Vec<u8>,
+    /// The id of the last of them that has one.
+    pub last_event: Option<u64>,
+    /// Another worker can resume after them: each that holds data has an id.
+    pub resumable: bool,
+}
+
+/// The length of the first complete event, with its empty line.
+fn event_length(bytes: &[u8]) -> Option<usize> {
+    let mut start = 0;
+    while let Some(length) = bytes[start..].iter().position(|b| *b == b'\n') {
+        let end = start + length + 1;
+        let line = &bytes[start..end - 1];
+        if line.strip_suffix(b"\r").unwrap_or(line).is_empty() {
+            return Some(end);
+        }
+        start = end;
+    }
+    None
+}
+
+fn event_id(event: &[u8]) -> Option<u64> {
+    event
+        .split(|b| *b == b'\n')
+        .filter_map(|line| line.strip_prefix(b"id:"))
+        .find_map(|id| std::str::from_utf8(id.trim_ascii()).ok()?.parse().ok())
+}
+
+fn has_data(event: &[u8]) -> bool {
+    event
+        .split(|b| *b == b'\n')
+        .any(|line| line.starts_with(b"data"))
+}
+
+/// Removes the complete events at the front of `received`, and returns those
+/// that a client with `last_event` lacks; at the end of the body also the rest.
+pub fn take_events(
+    received: &mut Vec<u8>,
+    last_event: Option<u64>,
+    at_end: bool,
+) -> ForwardedEvents {
+    let mut forwarded = ForwardedEvents {
+        resumable: true,
+        ..ForwardedEvents::default()
+    };
+    let mut delivered = last_event;
+    let mut start = 0;
+    while let Some(length) = event_length(&received[start..]) {
+        let event = &received[start..start + length];
+        let id = event_id(event);
+        start += length;
+        // a worker that resumes from an older event must not repeat one
+        let duplicate = id.is_some_and(|id| delivered.is_some_and(|last| id <= last));
+        if duplicate {
+            continue;
+        }
+        forwarded.bytes.extend_from_slice(event);
+        forwarded.resumable &= id.is_some() || !has_data(event);
+        forwarded.last_event = id.or(forwarded.last_event);
+        delivered = id.or(delivered);
+    }
+    received.drain(..start);
+    if at_end {
+        forwarded.bytes.append(received);
+    }
+    forwarded
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -0,0 +1,168 @@
+//! Sending a request to a worker: the connection, the bytes written to it, and
+//! whether any of them may have left.
+
+use super::connection_pool::{Connection, MAX_IDLE_NON_IDEMPOTENT};
+use super::exchange::Exchange;
+use super::response_head::take_final_head;
+use crate::proxy::attempt::Event;
+use crate::proxy::dialect::{Dialect, ForwardHeaders};
+use crate::proxy::http1::Head;
+use crate::runtime::Clock;
+use crate::types::Millis;
+use async_std::future::timeout;
+use async_std::io::prelude::WriteExt;
+use futures_lite::future::or;
+use std::time::Duration;
+
+/// Milliseconds within which a connection must be established.
+const CONNECT_TIMEOUT_MS: Millis = 400;
+/// Idempotent requests use pooled connections of any age.
+const MAX_IDLE_IDEMPOTENT: Duration = Duration::from_secs(3600);
+/// Bytes reserved for the headers that the dialect adds.
+const ADDED_HEADERS_BYTES: usize = 192;
+
+/// How the sending ended.
+pub enum SendResult {
+    /// The complete request was written.
+    Sent(Connection),
+    /// The head of a response came before that; the connection must not be
+    /// used for another request.
+    EarlyResponse(Connection, Head),
+    /// Nothing can have left: no connection, or it failed before any byte.
+    NothingSent,
+    /// It failed after some bytes may have left.
+    Failed(Event),
+}
+
+/// What one step of writing did.
+enum WriteStep {
+    Wrote(std::io::Result<usize>),
+    Read(std::io::Result<usize>),
+}
+
+/// Sends the request to its worker. A pooled connection that fails before its
+/// first byte is replaced by a new one.
+pub async fn send_request<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    last_event: Option<u64>,
+) -> SendResult {
+    let mut pooled = pooled_connection(exchange);
+    loop {
+        let connection = match pooled.take() {
+            Some(connection) => connection,
+            None => match new_connection(exchange).await {
+                Some(connection) => connection,
+                None => return SendResult::NothingSent,
+            },
+        };
+        exchange.record_event(Event::Connected);
+        let replaceable = connection.reused;
+        match write_request(exchange, connection, last_event).await {
+            SendResult::NothingSent if replaceable => {
+                exchange
+                    .shared
+                    .connections
+                    .acquire_new(exchange.target.worker);
+            }
+            result => return result,
+        }
+    }
+}
+
+fn pooled_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
+    let max_idle = match (exchange.target.fresh, exchange.route.repeatable()) {
+        (true, _) => Duration::ZERO,
+        (false, true) => MAX_IDLE_IDEMPOTENT,
+        // the worker may be closing an older connection right now
+        (false, false) => MAX_IDLE_NON_IDEMPOTENT,
+    };
+    exchange
+        .shared
+        .connections
+        .acquire(exchange.target.worker, max_idle)
+}
+
+async fn new_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
+    let connections = &exchange.shared.connections;
+    let worker = exchange.target.worker;
+    connections.evict_surplus(worker, exchange.target.max_conns);
+    let within = Duration::from_millis(CONNECT_TIMEOUT_MS.min(exchange.time_left().max(1)));
+    let addr = exchange.shared.dial_addr(exchange.target.addr);
+    match timeout(within, Connection::connect(addr)).await {
+        Ok(Ok(connection)) => Some(connection),
+        Ok(Err(_)) | Err(_) => {
+            connections.discard(worker);
+            None
+        }
+    }
+}
+
+fn encode_request<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    last_event: Option<u64>,
+) -> Vec<u8> {
+    let request = exchange.request;
+    let capacity = request.head.len() + request.body.len() + ADDED_HEADERS_BYTES;
+    let mut bytes = Vec::with_capacity(capacity);
+    bytes.extend_from_slice(&request.head);
+    let headers = ForwardHeaders {
+        worker: &exchange.target.name,
+        remaining_ms: exchange.time_left(),
+        priority: exchange.target.priority,
+        last_event,
+    };
+    exchange
+        .shared
+        .dialect
+        .write_forward_headers(&headers, &mut bytes);
+    bytes.extend_from_slice(b"\r\n");
+    bytes.extend_from_slice(&request.body);
+    bytes
+}
+
+async fn write_request<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    mut connection: Connection,
+    last_event: Option<u64>,
+) -> SendResult {
+    let bytes = encode_request(exchange, last_event);
+    let mut written = 0;
+    while written < bytes.len() {
+        let within = Duration::from_millis(exchange.time_left().max(1));
+        let step = timeout(within, write_step(&mut connection, &bytes[written..])).await;
+        let failure = match step {
+            Ok(WriteStep::Wrote(Ok(count))) if count > 0 => {
+                written += count;
+                exchange.record_event(Event::BytesWritten(count as u64));
+                continue;
+            }
+            // bytes received before the first one was sent answer no request
+            Ok(WriteStep::Read(Ok(count))) if count > 0 && written > 0 => {
+                match take_final_head(&mut connection.buffer) {
+                    Ok(None) => continue,
+                    Ok(Some(head)) => return SendResult::EarlyResponse(connection, head),
+                    Err(event) => event,
+                }
+            }
+            Ok(WriteStep::Wrote(_)) => Event::Reset,
+            Ok(WriteStep::Read(_)) => Event::Closed,
+            Err(_) => Event::DeadlinePassed,
+        };
+        exchange.close(connection);
+        return match written {
+            0 => SendResult::NothingSent,
+            _ => SendResult::Failed(failure),
+        };
+    }
+    connection.request_sent = true;
+    exchange.record_event(Event::RequestSent);
+    SendResult::Sent(connection)
+}
+
+/// Writes what can be written, or reads where the worker responds early.
+async fn write_step(connection: &mut Connection, bytes: &[u8]) -> WriteStep {
+    let mut writer = connection.stream.clone();
+    let write = async { WriteStep::Wrote(writer.write(bytes).await) };
+    let read = async { WriteStep::Read(connection.buffer.fill(&mut connection.stream).await) };
+    or(write, read).await
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/upstream/response_body.rs
@@ -0,0 +1,54 @@
+//! Reading a response body completely, before the client gets any of it.
+
+use super::connection_pool::Connection;
+use super::exchange::Exchange;
+use super::worker_wait::{wait_for_worker, Wakeup};
+use crate::proxy::attempt::Event;
+use crate::proxy::client::Client;
+use crate::proxy::dialect::Dialect;
+use crate::proxy::http1::{BodyDecoder, Framing, Head};
+use crate::runtime::Clock;
+use crate::types::Millis;
+
+/// The largest body of a response, in bytes.
+const MAX_BODY_BYTES: usize = 32 << 20;
+
+/// Reads the body within `timeout_ms`, and pools the connection if it can be
+/// used again.
+///
+/// # Errors
+/// The event that ended the reading; the connection is closed then.
+pub async fn read_response_body<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    client: &Client,
+    mut connection: Connection,
+    head: &Head,
+    framing: Framing,
+    timeout_ms: Millis,
+) -> Result<Vec<u8>, Event> {
+    let deadline = exchange.now().saturating_add(timeout_ms);
+    let mut decoder = BodyDecoder::new(framing);
+    let mut body = Vec::new();
+    loop {
+        let failure = match decoder.decode(&mut connection.buffer, &mut body) {
+            Ok(true) => break,
+            Ok(false) if body.len() <= MAX_BODY_BYTES => {
+                let left = deadline.saturating_sub(exchange.now());
+                match wait_for_worker(&mut connection, Some(client), left).await {
+                    Wakeup::BytesRead => continue,
+                    // a reset may have lost bytes, a close has not
+                    Wakeup::WorkerClosed if decoder.is_complete_at_close() => break,
+                    Wakeup::WorkerClosed => Event::Closed,
+                    Wakeup::WorkerReset => Event::Reset,
+                    Wakeup::ClientDisconnected => Event::ClientDone,
+                    Wakeup::TimedOut => Event::DeadlinePassed,
+                }
+            }
+            Ok(false) | Err(_) => Event::Malformed,
+        };
+        exchange.close(connection);
+        return Err(failure);
+    }
+    exchange.release(connection, head, &decoder);
+    Ok(body)
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/upstream/response_head.rs
@@ -0,0 +1,88 @@
+//! Waiting for the head of a worker's response.
+
+use super::connection_pool::Connection;
+use super::exchange::{Exchange, FAILOVER_CHECK_MS};
+use super::worker_wait::{wait_for_worker, Wakeup};
+use crate::configuration::hosted::{Kind, Route};
+use crate::proxy::attempt::Event;
+use crate::proxy::client::Client;
+use crate::proxy::dialect::Dialect;
+use crate::proxy::http1::{parse_response_head, Head, ReadBuffer};
+use crate::runtime::Clock;
+use crate::types::Millis;
+
+/// The shortest time-out for a response head.
+const MIN_HEAD_TIMEOUT_MS: Millis = 400;
+/// The same for idempotent requests, whose responses are small.
+const MIN_IDEMPOTENT_HEAD_TIMEOUT_MS: Millis = 150;
+/// An idempotent request's time-out, in tenths of the route's latency target.
+const IDEMPOTENT_TIMEOUT_TENTHS: Millis = 6;
+/// The time-out without a latency target: far beyond any deadline.
+const NO_TIMEOUT_MS: Millis = Millis::MAX / 4;
+
+/// The next head in the buffer that is no interim (1xx) one.
+///
+/// # Errors
+/// [`Event::Malformed`].
+pub fn take_final_head(buffer: &mut ReadBuffer) -> Result<Option<Head>, Event> {
+    loop {
+        match parse_response_head(buffer) {
+            Ok(Some(head)) if (100..200).contains(&head.status) => {}
+            Ok(head) => return Ok(head),
+            Err(_) => return Err(Event::Malformed),
+        }
+    }
+}
+
+/// How long a worker may send nothing before its head.
+fn head_timeout(route: &Route) -> Millis {
+    if route.aim_ms == 0 {
+        return NO_TIMEOUT_MS;
+    }
+    match route.kind {
+        // a lost small response is best retried while that is in time
+        Kind::Idempotent => {
+            (route.aim_ms * IDEMPOTENT_TIMEOUT_TENTHS / 10).max(MIN_IDEMPOTENT_HEAD_TIMEOUT_MS)
+        }
+        Kind::Once | Kind::Stream => route.aim_ms.max(MIN_HEAD_TIMEOUT_MS),
+    }
+}
+
+/// Waits for the head of the response.
+///
+/// # Errors
+/// The event that ended the wait.
+pub async fn await_head<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    client: &Client,
+    connection: &mut Connection,
+) -> Result<Head, Event> {
+    let idempotent = exchange.route.kind == Kind::Idempotent;
+    let timeout = head_timeout(exchange.route);
+    let started_at = exchange.now();
+    let mut check_at = started_at.saturating_add(timeout);
+    loop {
+        if let Some(head) = take_final_head(&mut connection.buffer)? {
+            return Ok(head);
+        }
+        let now = exchange.now();
+        if now >= exchange.deadline {
+            return Err(Event::DeadlinePassed);
+        }
+        if now >= check_at {
+            // a worker that responds to others is slow, but not for twice as long
+            let overdue = idempotent || now >= started_at.saturating_add(2 * timeout);
+            if exchange.may_fail_over(if overdue { 0 } else { timeout }) {
+                return Err(Event::IdleTimeout);
+            }
+            check_at = now + FAILOVER_CHECK_MS;
+        }
+        let wait_ms = check_at.min(exchange.deadline) - now;
+        match wait_for_worker(connection, Some(client), wait_ms).await {
+            Wakeup::BytesRead | Wakeup::TimedOut => {}
+            Wakeup::WorkerClosed => return Err(Event::Closed),
+            Wakeup::WorkerReset => return Err(Event::Reset),
+            Wakeup::ClientDisconnected => return Err(Event::ClientDone),
+        }
+    }
+}
--- /dev/null
+++ b/sorreldoor/src/proxy/upstream/stream_relay.rs
@@ -0,0 +1,184 @@
+//! Relaying an event stream: events are forwarded as they arrive, the stream is
+//! resumed at another worker where the route allows, and an incomplete stream
+//! never looks complete to the client.
+
+use super::connection_pool::Connection;
+use super::event_stream::{take_events, ForwardedEvents};
+use super::exchange::{AttemptResult, Exchange, FAILOVER_CHECK_MS};
+use super::worker_wait::{wait_for_worker, Wakeup};
+use crate::balancer::AttemptOutcome;
+use crate::error::ErrorCode;
+use crate::proxy::attempt::Event;
+use crate::proxy::client::Client;
+use crate::proxy::delivery::Delivery;
+use crate::proxy::dialect::Dialect;
+use crate::proxy::http1::{BodyDecoder, Framing, Head};
+use crate::proxy::response_writer::{complete_response, stream_head};
+use crate::runtime::Clock;
+use crate::types::Millis;
+
+/// The shortest time-out between events, in milliseconds.
+const MIN_EVENT_TIMEOUT_MS: Millis = 400;
+/// The time-out without a latency target: far beyond any deadline.
+const NO_TIMEOUT_MS: Millis = Millis::MAX / 4;
+const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
+
+fn write_chunk(bytes: &[u8], out: &mut Vec<u8>) {
+    if !bytes.is_empty() {
+        out.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
+        out.extend_from_slice(bytes);
+        out.extend_from_slice(b"\r\n");
+    }
+}
+
+/// A stream between a worker and the client.
+struct StreamRelay<'a, 'b, D, C> {
+    exchange: &'a Exchange<'b, D, C>,
+    client: &'a mut Client,
+    delivery: &'a mut Delivery,
+    head: Head,
+    /// When events were last forwarded.
+    forwarded_at: Millis,
+    first: bool,
+}
+
+/// Forwards a stream until it ends, breaks, or is left for another worker.
+pub async fn relay_stream<D: Dialect, C: Clock>(
+    exchange: &Exchange<'_, D, C>,
+    client: &mut Client,
+    delivery: &mut Delivery,
+    mut connection: Connection,
+    head: Head,
+    framing: Framing,
+) -> AttemptResult {
+    let mut decoder = BodyDecoder::new(framing);
+    let mut received = Vec::new();
+    let timeout = event_timeout(exchange);
+    let mut relay = StreamRelay {
+        exchange,
+        client,
+        delivery,
+        head,
+        forwarded_at: exchange.now(),
+        first: true,
+    };
+    let mut check_at = relay.forwarded_at.saturating_add(timeout);
+    loop {
+        let Ok(complete) = decoder.decode(&mut connection.buffer, &mut received) else {
+            return relay.fail(connection, Event::Malformed);
+        };
+        let events = take_events(&mut received, relay.delivery.last_event, complete);
+        if !events.bytes.is_empty() || complete {
+            if !relay.forward(events, complete).await {
+                exchange.close(connection);
+                return exchange.client_disconnected();
+            }
+            check_at = relay.forwarded_at.saturating_add(timeout);
+        }
+        if complete {
+            exchange.release(connection, &relay.head, &decoder);
+            return relay.finish();
+        }
+        let now = exchange.now();
+        if now >= exchange.deadline {
+            return relay.deadline_passed(connection).await;
+        }
+        if now >= check_at {
+            // a worker that responds to others is slow, but not for twice as long
+            let overdue = now >= relay.forwarded_at.saturating_add(2 * timeout);
+            if exchange.may_fail_over(if overdue { 0 } else { timeout }) {
+                return relay.fail(connection, Event::IdleTimeout);
+            }
+            check_at = now + FAILOVER_CHECK_MS;
+        }
+        let wait_ms = check_at.min(exchange.deadline) - now;
+        match wait_for_worker(&mut connection, None, wait_ms).await {
+            Wakeup::BytesRead => exchange.record_worker_activity(),
+            Wakeup::TimedOut => {}
+            Wakeup::WorkerReset => return relay.fail(connection, Event::Reset),
+            Wakeup::WorkerClosed | Wakeup::ClientDisconnected => {
+                return relay.fail(connection, Event::Closed)
+            }
+        }
+    }
+}
+
+/// How long a worker may send no event: there is no reason to fail over before
+/// the stream misses its latency target.
+fn event_timeout<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Millis {
+    let route = exchange.route;
+    if route.gap_ms == 0 || !route.resume {
+        return NO_TIMEOUT_MS;
+    }
+    route.gap_ms.max(MIN_EVENT_TIMEOUT_MS)
+}
+
+impl<D: Dialect, C: Clock> StreamRelay<'_, '_, D, C> {
+    /// Forwards events to the client; false once it has disconnected.
+    async fn forward(&mut self, events: ForwardedEvents, complete: bool) -> bool {
+        self.delivery.last_event = events.last_event.or(self.delivery.last_event);
+        let written = match self.client.http10 {
+            true => self.forward_buffered(&events, complete).await,
+            false => self.forward_chunk(&events, complete).await,
+        };
+        if std::mem::take(&mut self.first) {
+            self.exchange.record_outcome(AttemptOutcome::FirstEvent);
+        }
+        self.forwarded_at = self.exchange.now();
+        written
+    }
+
+    async fn forward_chunk(&mut self, events: &ForwardedEvents, complete: bool) -> bool {
+        let mut out = Vec::new();
+        if !self.delivery.head_sent {
+            out = stream_head(self.client, &self.head);
+            self.delivery.head_sent = true;
+        }
+        write_chunk(&events.bytes, &mut out);
+        if complete {
+            out.extend_from_slice(LAST_CHUNK);
+        }
+        self.exchange.record_event(Event::PartDelivered {
+            resumable: events.resumable,
+        });
+        self.client.write(&out).await
+    }
+
+    /// Without chunks only a length shows that a stream is complete, so an
+    /// HTTP/1.0 client gets it at its end.
+    async fn forward_buffered(&mut self, events: &ForwardedEvents, complete: bool) -> bool {
+        self.delivery.buffer(&events.bytes);
+        if !complete {
+            return true;
+        }
+        let body = self.delivery.take_buffered();
+        let response = complete_response(self.client, &self.head, &body);
+        self.client.write(&response).await
+    }
+
+    fn finish(self) -> AttemptResult {
+        self.exchange
+            .record_outcome(AttemptOutcome::Completed(self.head.status));
+        self.exchange.record_event(Event::ClientDone);
+        let keep_alive = !self.client.close;
+        AttemptResult::Finished { keep_alive }
+    }
+
+    /// The stream failed at this worker; the balancer decides whether it is
+    /// resumed at another.
+    fn fail(self, connection: Connection, event: Event) -> AttemptResult {
+        self.exchange.close(connection);
+        self.delivery.discard_buffered();
+        self.exchange.worker_failed(event)
+    }
+
+    /// The deadline has passed; that is no failure of the worker.
+    async fn deadline_passed(self, connection: Connection) -> AttemptResult {
+        self.exchange.close(connection);
+        self.exchange.record_event(Event::DeadlinePassed);
+        self.exchange.record_outcome(AttemptOutcome::Canceled);
+        let head_sent = self.delivery.head_sent;
+        let keep_alive = !head_sent && self.client.answer_error(ErrorCode::DeadlinePassed, 0).await;
+        AttemptResult::Finished { keep_alive }
+    }
+}
--- a/sorreldoor/src/proxy/wait.rs
+++ b/sorreldoor/src/proxy/upstream/worker_wait.rs
@@ -1,7 +1,7 @@
 //! Waiting for a worker's bytes, its client and a timer at once.
 
-use super::client::Client;
-use super::pool::Connection;
+use super::connection_pool::Connection;
+use crate::proxy::client::Client;
 use crate::types::Millis;
 use async_std::task::sleep;
 use futures_lite::future::or;
@@ -11,37 +11,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wakeup {
     BytesRead,
-    /// The worker ended the connection in order.
+    /// The worker closed the connection in order.
     WorkerClosed,
     /// The connection failed.
     WorkerReset,
-    ClientGone,
+    ClientDisconnected,
     TimedOut,
 }
 
-/// Waits for bytes of a worker, for the client to hang up, or for the time.
+/// Waits for bytes of a worker, for the client to disconnect, or for the
+/// time-out; bytes take precedence over the client, and it over the timer.
 pub async fn wait_for_worker(
     connection: &mut Connection,
     client: Option<&Client>,
-    most_ms: Millis,
+    timeout_ms: Millis,
 ) -> Wakeup {
     let read = async {
-        match connection.buf.fill(&mut connection.stream).await {
+        match connection.buffer.fill(&mut connection.stream).await {
             Ok(0) => Wakeup::WorkerClosed,
             Ok(_) => Wakeup::BytesRead,
             Err(_) => Wakeup::WorkerReset,
         }
     };
     let timer = async {
-        sleep(Duration::from_millis(most_ms)).await;
+        sleep(Duration::from_millis(timeout_ms)).await;
         Wakeup::TimedOut
     };
     let Some(client) = client else {
         return or(read, timer).await;
     };
-    let gone = async {
-        client.gone().await;
-        Wakeup::ClientGone
+    let disconnected = async {
+        client.disconnected().await;
+        Wakeup::ClientDisconnected
     };
-    or(read, or(gone, timer)).await
+    or(read, or(disconnected, timer)).await
 }
--- a/sorreldoor/tests/http1.rs
+++ b/sorreldoor/tests/http1.rs
@@ -5,7 +5,6 @@
 use async_std::io::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use sorreldoor::proxy::body::*;
 use sorreldoor::proxy::http1::*;
 
 /// Both ends of a connection on this machine.
@@ -102,7 +101,7 @@
         task::block_on(async {
             let (mut a, mut z) = pair().await;
             let mut b = ReadBuffer::default();
-            let mut d = Decoder::new(Framing::Chunked);
+            let mut d = BodyDecoder::new(Framing::Chunked);
             let mut out = Vec::new();
             for part in [&wire[..cut], &wire[cut..]] {
                 if part.is_empty() {
@@ -113,11 +112,11 @@
                 while n < part.len() {
                     n += b.fill(&mut z).await.unwrap();
                 }
-                d.run(&mut b, &mut out).unwrap();
+                d.decode(&mut b, &mut out).unwrap();
             }
-            assert!(d.done(), "cut at {cut}");
+            assert!(d.is_complete(), "cut at {cut}");
             assert_eq!(out, b"hello world12345");
-            assert_eq!(b.rest(), b"NEXT", "what follows is the next request's");
+            assert_eq!(b.unread(), b"NEXT", "what follows is the next request's");
         });
     }
 }
@@ -132,18 +131,18 @@
         "2\r\nabc\r\n",
         "1000000000000000\r\n",
     ] {
-        let mut d = Decoder::new(Framing::Chunked);
-        let got = d.run(&mut buf(bad.as_bytes()), &mut Vec::new());
+        let mut d = BodyDecoder::new(Framing::Chunked);
+        let got = d.decode(&mut buf(bad.as_bytes()), &mut Vec::new());
         assert_eq!(got, Err(ReadError::Malformed), "{bad:?}");
     }
-    let mut d = Decoder::new(Framing::Chunked);
-    assert_eq!(d.run(&mut buf(b"5\r\nhel"), &mut Vec::new()), Ok(false));
-    assert!(!d.ended());
-    let mut d = Decoder::new(Framing::Length(9));
-    assert_eq!(d.run(&mut buf(b"12345678"), &mut Vec::new()), Ok(false));
-    assert!(!d.ended());
-    let mut d = Decoder::new(Framing::Length(0));
-    assert_eq!(d.run(&mut buf(b"x"), &mut Vec::new()), Ok(true));
+    let mut d = BodyDecoder::new(Framing::Chunked);
+    assert_eq!(d.decode(&mut buf(b"5\r\nhel"), &mut Vec::new()), Ok(false));
+    assert!(!d.is_complete_at_close());
+    let mut d = BodyDecoder::new(Framing::Length(9));
+    assert_eq!(d.decode(&mut buf(b"12345678"), &mut Vec::new()), Ok(false));
+    assert!(!d.is_complete_at_close());
+    let mut d = BodyDecoder::new(Framing::Length(0));
+    assert_eq!(d.decode(&mut buf(b"x"), &mut Vec::new()), Ok(true));
 }
 
 #[test]
@@ -151,12 +150,12 @@
     task::block_on(async {
         let (mut a, mut z) = pair().await;
         let mut b = ReadBuffer::default();
-        let got = body(&mut z, &mut b, Framing::Length(11), 10).await;
+        let got = read_body(&mut z, &mut b, Framing::Length(11), 10).await;
         assert_eq!(got, Err(ReadError::BodyTooLarge));
         a.write_all(b"6\r\nabcdef\r\n6\r\nabcdef\r\n0\r\n\r\n")
             .await
             .unwrap();
-        let got = body(&mut z, &mut b, Framing::Chunked, 10).await;
+        let got = read_body(&mut z, &mut b, Framing::Chunked, 10).await;
         assert_eq!(got, Err(ReadError::BodyTooLarge));
     });
 }
--- a/sorreldoor/tests/proxy.rs
+++ b/sorreldoor/tests/proxy.rs
@@ -102,7 +102,7 @@
     // whichever is tried first is in trouble, and the last one is well
     let p = proxy(&[&a, &b, &z]).await;
     let g = Caller::new(&p).await.ask(path, "", "b").await;
-    drop(p.sh.clone());
+    drop(p.shared.clone());
     (g, a.count() + b.count())
 }
 
@@ -248,9 +248,9 @@
         let t = "POST /once/1 HTTP/1.1\r\nHost: a.example\r\nx-request-id: 1\r\ncontent-length: 0\r\n\r\n";
         c.s.write_all(t.as_bytes()).await.unwrap();
         let there = |n: u64| {
-            let sh = p.sh.clone();
+            let shared = p.shared.clone();
             async move {
-                while sh.lock().table.counts().open != n {
+                while shared.lock().balancer.counts().open != n {
                     task::yield_now().await;
                 }
             }
--- a/sorreldoor/tests/proxy/clients.rs
+++ b/sorreldoor/tests/proxy/clients.rs
@@ -92,7 +92,7 @@
     run(async {
         let w = stand(vec![Act::Whole(200, "x")]).await;
         let p = proxy(&[&w]).await;
-        p.sh.close_queue();
+        p.shared.close_queue();
         let mut c = Caller::new(&p).await;
         let got = c.ask("/once/1", "", "").await.unwrap();
         assert_eq!(got.status, 503, "{got:?}");
@@ -109,7 +109,7 @@
             while w.count() == 0 {
                 task::sleep(Duration::from_millis(1)).await;
             }
-            p.sh.close_queue();
+            p.shared.close_queue();
         };
         let (got, ()) = futures_lite::future::zip(running, stop).await;
         assert_eq!((got.status, got.whole), (200, true));
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -7,7 +7,6 @@
 use sorreldoor::balancer::{Balancer, Bounds, Locality};
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
-use sorreldoor::proxy::body::*;
 use sorreldoor::proxy::http1::*;
 use sorreldoor::proxy::{accept, PlainDialect, ProxyController, SharedState};
 use sorreldoor::runtime::{Clock, Now, SystemClock};
@@ -122,7 +121,7 @@
             true => Framing::None,
             false => head.request_framing().unwrap(),
         };
-        let Ok(body) = body(&mut c, &mut b, f, 1 << 24).await else {
+        let Ok(body) = read_body(&mut c, &mut b, f, 1 << 24).await else {
             return;
         };
         let id = head.get("x-request-id").unwrap_or("").to_string();
@@ -206,7 +205,7 @@
 
 pub struct Proxy {
     pub at: SocketAddr,
-    pub sh: Arc<SharedState<PlainDialect, Later>>,
+    pub shared: Arc<SharedState<PlainDialect, Later>>,
 }
 
 pub async fn proxy(stands: &[&Stand]) -> Proxy {
@@ -251,18 +250,17 @@
         1,
     );
     let pull = Pull::new(&[], 1000, 0, 0);
-    let mut front = ProxyController::new(Hello::default(), site, pull, table);
-    front.now = 1;
-    let sh = Arc::new(SharedState::new(
-        front,
+    let controller = ProxyController::new(Hello::default(), site, pull, table);
+    let shared = Arc::new(SharedState::new(
+        controller,
         PlainDialect,
         Later::default(),
         Default::default(),
     ));
     let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = l.local_addr().unwrap();
-    task::spawn(accept(l, sh.clone(), 100));
-    Proxy { at, sh }
+    task::spawn(accept(l, shared.clone(), 100));
+    Proxy { at, shared }
 }
 
 /// What a caller got: status, head, body, and whether it ended as it should.
@@ -304,14 +302,14 @@
                 }
             };
             let f = head.response_framing("POST").unwrap();
-            let mut d = Decoder::new(f);
+            let mut d = BodyDecoder::new(f);
             let mut out = Vec::new();
             let whole = loop {
-                if d.run(&mut self.b, &mut out).unwrap() {
+                if d.decode(&mut self.b, &mut out).unwrap() {
                     break true;
                 }
                 if !matches!(self.b.fill(&mut self.s).await, Ok(n) if n > 0) {
-                    break d.ended();
+                    break d.is_complete_at_close();
                 }
             };
             Some(Got {
--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -3,9 +3,8 @@
 use super::harness::run;
 use proptest::prelude::*;
 use sorreldoor::proxy::attempt::Event;
-use sorreldoor::proxy::body::Decoder;
-use sorreldoor::proxy::http1::{parse_response_head, ReadBuffer, ReadError};
-use sorreldoor::proxy::verdict::{classify_response, Expected, ResponseClass};
+use sorreldoor::proxy::http1::{parse_response_head, BodyDecoder, ReadBuffer, ReadError};
+use sorreldoor::proxy::response_class::{classify_response, ExpectedRequest, ResponseClass};
 use sorreldoor::proxy::{Dialect, PlainDialect, ResponseMetadata};
 
 const OWN_ID: &str = "own";
@@ -87,8 +86,8 @@
     Cut,
 }
 
-const EXPECTED: Expected<'static> = Expected {
-    id: OWN_ID,
+const EXPECTED: ExpectedRequest<'static> = ExpectedRequest {
+    attempt_id: OWN_ID,
     method: "POST",
 };
 
@@ -129,10 +128,10 @@
         ResponseClass::Misdirected => return Read::Misdirected,
         ResponseClass::Unusable(event) => return Read::Unusable(event),
     };
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
     loop {
-        match decoder.run(&mut buf, &mut body) {
+        match decoder.decode(&mut buf, &mut body) {
             Ok(true) => break,
             Ok(false) if feed(&mut buf) => {}
             Ok(false) => return Read::Cut,
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -19,14 +19,14 @@
         Event::RequestSent,
         Event::NotRun,
         Event::HeadReceived,
-        Event::HeadOfOtherRequest,
+        Event::MismatchedHead,
         Event::Malformed,
-        Event::AnswerComplete,
+        Event::ResponseComplete,
         Event::PartDelivered { resumable: true },
         Event::PartDelivered { resumable: false },
         Event::Reset,
         Event::Closed,
-        Event::Silence,
+        Event::IdleTimeout,
         Event::DeadlinePassed,
         Event::ClientDone,
         Event::Shutdown,
@@ -132,7 +132,7 @@
 
 /// What is wrong with one state, if anything.
 fn fault(progress: &RequestProgress, shadow: &Shadow) -> Option<String> {
-    let again = progress.may_send_again();
+    let again = progress.may_send();
     let told = progress.client_answer();
     let ran = shadow.may_have_run();
     let idle = !shadow.attempt_open && !shadow.over && !shadow.late;
@@ -148,7 +148,7 @@
         (_, true, true) => ClientAnswer::GatewayTimeout,
     };
     if again != want {
-        return Some(format!("may_send_again is {again}, not {want}"));
+        return Some(format!("may_send is {again}, not {want}"));
     }
     if told != told_want {
         return Some(format!("client_answer is {told:?}, not {told_want:?}"));
@@ -209,9 +209,9 @@
     let ends = [
         Event::Reset,
         Event::Closed,
-        Event::Silence,
+        Event::IdleTimeout,
         Event::Malformed,
-        Event::HeadOfOtherRequest,
+        Event::MismatchedHead,
         Event::Shutdown,
         Event::ConfigurationChanged(Repeatability::Idempotent),
     ];
@@ -226,14 +226,14 @@
         ] {
             p.on(event);
         }
-        assert!(!p.may_send_again(), "{end:?}");
+        assert!(!p.may_send(), "{end:?}");
         assert_eq!(p.client_answer(), ClientAnswer::BadGateway, "{end:?}");
     }
     for promise in [Event::NotRun, Event::ConnectFailed] {
         let mut p = RequestProgress::new(Repeatability::NonIdempotent);
         p.on(Event::WorkerChosen(Repeatability::NonIdempotent));
         p.on(promise);
-        assert!(p.may_send_again(), "{promise:?}");
+        assert!(p.may_send(), "{promise:?}");
         assert_eq!(p.client_answer(), ClientAnswer::Refused, "{promise:?}");
     }
 }
--- a/testbed/tests/requests/worker.rs
+++ b/testbed/tests/requests/worker.rs
@@ -147,7 +147,7 @@
                 return;
             }
         }
-        buf.eat(length as usize);
+        buf.consume(length as usize);
         let text = std::mem::take(&mut before_next) + &text(fault, &id);
         if stream.write_all(text.as_bytes()).await.is_err() {
             return;
