--- a/sorreldoor/src/proxy/client.rs
+++ b/sorreldoor/src/proxy/client.rs
@@ -54,7 +54,7 @@
         let body = format!(
             "{{\"problem\":\"{}\",\"text\":\"{}\"}}",
             error.code(),
-            error.text()
+            error.message()
         );
         let status = error.status();
         let reason = http_types::StatusCode::try_from(status).map_or("", |s| s.canonical_reason());
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -7,7 +7,7 @@
 use crate::discovery::WorkerRegistry;
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
-use crate::replicated_state::{DocumentChanges, Update, View};
+use crate::replicated_state::{DocumentDelta, StateUpdate, View};
 use crate::runtime::{Now, Reducer};
 use crate::subscription::{Granted, Pull, SubscriptionEffect};
 use crate::types::Millis;
@@ -106,7 +106,7 @@
             ControllerEvent::Net(event) => self.on_net(event),
             ControllerEvent::Stop => {
                 self.draining = true;
-                self.log_event(LogEvent::Leaving, "edge");
+                self.log_event(LogEvent::ShuttingDown, "edge");
             }
         }
         self.report_readiness();
@@ -207,7 +207,7 @@
                 unverified,
             } => self.send_renewal(conn, no, unverified),
             SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(detail) => self.log_event(LogEvent::Woken, detail),
+            SubscriptionEffect::Woken(detail) => self.log_event(LogEvent::ClockJump, detail),
             SubscriptionEffect::LeaseExpired | SubscriptionEffect::LeaseRenewed => {}
         }
     }
@@ -246,7 +246,7 @@
         if let Some(addr) = dialled {
             let effects = self.subscription.up(conn, addr, self.now);
             effects.into_iter().for_each(|e| self.on_subscription(e));
-            self.log_event(LogEvent::SessionUp, addr.to_string());
+            self.log_event(LogEvent::SessionEstablished, addr.to_string());
         }
     }
 
@@ -301,18 +301,18 @@
     }
 
     fn apply_update(&mut self, encoded: &EncodedUpdate) {
-        let applies = |u: &Update| u.from <= self.view.revision;
+        let applies = |u: &StateUpdate| u.from_revision <= self.view.revision;
         let Some(update) = encoded.update().filter(applies) else {
             return self.request_snapshot("an update that does not follow the known revision");
         };
         if let Some(changes) = &update.document {
-            if let Err(faults) = self.apply_document(update.from == 0, changes) {
+            if let Err(faults) = self.apply_document(update.from_revision == 0, changes) {
                 return self.request_snapshot(&faults.join("; "));
             }
         }
         if update.version != self.view.version {
             let detail = format!("serial {}", update.version);
-            self.log_event(LogEvent::ConfigurationAdopted, detail);
+            self.log_event(LogEvent::ConfigurationApplied, detail);
         }
         self.subscription.have.record = update.revision;
         self.balancer
@@ -341,7 +341,7 @@
     fn apply_document(
         &mut self,
         complete: bool,
-        changes: &DocumentChanges,
+        changes: &DocumentDelta,
     ) -> Result<(), Vec<String>> {
         let current = self.balancer.hosted().filter(|_| !complete).cloned();
         let current: Arc<Hosted> = current.unwrap_or_default();
--- a/sorreldoor/src/proxy/dialect.rs
+++ b/sorreldoor/src/proxy/dialect.rs
@@ -1,6 +1,8 @@
 //! Translation between an outside protocol's header names and what they mean
 //! to the proxy.
 
+use crate::balancer::LoadReport;
+
 /// One segment of a prompt, shared with all requests that name the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
@@ -51,8 +53,8 @@
     pub misdirected: bool,
     /// It carries the worker's signature.
     pub signed_by_worker: bool,
-    /// Requests running, requests waiting, and slots of the worker.
-    pub load: Option<(u32, u32, u32)>,
+    /// The worker's load.
+    pub load: Option<LoadReport>,
     /// How much longer the worker warms up, in milliseconds.
     pub warmup_remaining_ms: Option<u64>,
     /// The worker's name, if stated.
--- a/sorreldoor/src/proxy/plain_dialect.rs
+++ b/sorreldoor/src/proxy/plain_dialect.rs
@@ -1,6 +1,7 @@
 //! The product's own header names, all beginning with `x-` (docs/hosted.md).
 
 use super::dialect::{Dialect, ForwardHeaders, PromptSegment, RequestMetadata, ResponseMetadata};
+use crate::balancer::LoadReport;
 
 /// Status 421: the request was directed at another worker.
 const MISDIRECTED_REQUEST: u16 = 421;
@@ -32,13 +33,17 @@
     (counts.next().unwrap_or(0), counts.next().unwrap_or(0))
 }
 
-fn worker_load(value: &str) -> Option<(u32, u32, u32)> {
+fn worker_load(value: &str) -> Option<LoadReport> {
     let numbers: Vec<u32> = value
         .split(',')
         .filter_map(|n| n.trim().parse().ok())
         .collect();
     match numbers[..] {
-        [running, waiting, slots] => Some((running, waiting, slots)),
+        [running, waiting, slots] => Some(LoadReport {
+            running,
+            waiting,
+            slots,
+        }),
         _ => None,
     }
 }
--- a/sorreldoor/src/proxy/request_reader.rs
+++ b/sorreldoor/src/proxy/request_reader.rs
@@ -24,7 +24,7 @@
     fn from(error: ReadError) -> RequestError {
         match error {
             ReadError::Ended | ReadError::Truncated => RequestError::ConnectionEnded,
-            ReadError::Malformed => RequestError::Rejected(ErrorCode::BadRequest),
+            ReadError::Malformed => RequestError::Rejected(ErrorCode::MalformedHttp),
             ReadError::HeadTooLarge => RequestError::Rejected(ErrorCode::HeadTooLarge),
             ReadError::BodyTooLarge => RequestError::Rejected(ErrorCode::BodyTooLarge),
         }
@@ -60,7 +60,7 @@
         limits.body_bytes,
     );
     let body = timeout(body_timeout, body).await;
-    let body = body.map_err(|_| RequestError::Rejected(ErrorCode::SlowSender))??;
+    let body = body.map_err(|_| RequestError::Rejected(ErrorCode::RequestTimeout))??;
     Ok((head, body))
 }
 
@@ -91,7 +91,7 @@
 async fn read_head(client: &mut Client, limits: &Limits) -> Result<Head, RequestError> {
     let head_timeout = Duration::from_millis(limits.header_ms.max(1));
     let head = timeout(head_timeout, read_head_bytes(client, limits.header_bytes)).await;
-    let head = head.map_err(|_| RequestError::Rejected(ErrorCode::SlowSender))??;
+    let head = head.map_err(|_| RequestError::Rejected(ErrorCode::RequestTimeout))??;
     Ok(head)
 }
 
--- a/sorreldoor/src/proxy/serve_connection.rs
+++ b/sorreldoor/src/proxy/serve_connection.rs
@@ -124,7 +124,7 @@
 /// A node that has just started needs a while for its configuration, and
 /// clients wait a third of their deadline at most.
 fn retry_after_ms(error: ErrorCode, client_deadline_ms: Option<Millis>) -> Millis {
-    if !error.again() {
+    if !error.is_retryable() {
         return 0;
     }
     let third = client_deadline_ms.unwrap_or(DEFAULT_CLIENT_DEADLINE_MS) / 3;
--- a/sorreldoor/src/proxy/upstream/attempt_runner.rs
+++ b/sorreldoor/src/proxy/upstream/attempt_runner.rs
@@ -69,7 +69,7 @@
     if exchange.time_left() > 0 || delivery.head_sent {
         return result;
     }
-    let keep_alive = client.answer_error(ErrorCode::DeadlinePassed, 0).await;
+    let keep_alive = client.answer_error(ErrorCode::DeadlineExceeded, 0).await;
     AttemptResult::Finished { keep_alive }
 }
 
@@ -116,8 +116,10 @@
         }
         ResponseClass::Own(framing) => {
             exchange.record_event(Event::HeadReceived);
-            let (load, cold_ms) = (metadata.load, metadata.warmup_remaining_ms);
-            exchange.record_outcome(AttemptOutcome::HeadReceived { load, cold_ms });
+            exchange.record_outcome(AttemptOutcome::HeadReceived {
+                load: metadata.load,
+                slow_start_ms: metadata.warmup_remaining_ms,
+            });
             forward_response(exchange, client, delivery, connection, head, framing).await
         }
     }
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -70,7 +70,7 @@
 }
 
 fn pooled_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
-    let max_idle = match (exchange.target.fresh, exchange.route.repeatable()) {
+    let max_idle = match (exchange.target.new_connection, exchange.route.repeatable()) {
         (true, _) => Duration::ZERO,
         (false, true) => MAX_IDLE_IDEMPOTENT,
         // the worker may be closing an older connection right now
--- a/sorreldoor/src/proxy/upstream/stream_relay.rs
+++ b/sorreldoor/src/proxy/upstream/stream_relay.rs
@@ -178,7 +178,11 @@
         self.exchange.record_event(Event::DeadlinePassed);
         self.exchange.record_outcome(AttemptOutcome::Canceled);
         let head_sent = self.delivery.head_sent;
-        let keep_alive = !head_sent && self.client.answer_error(ErrorCode::DeadlinePassed, 0).await;
+        let keep_alive = !head_sent
+            && self
+                .client
+                .answer_error(ErrorCode::DeadlineExceeded, 0)
+                .await;
         AttemptResult::Finished { keep_alive }
     }
 }
--- a/testbed/src/emul/simple.rs
+++ b/testbed/src/emul/simple.rs
@@ -122,7 +122,7 @@
 
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
         let Some(mut h) = self.held.remove(&request_id) else {
-            return Decision::Reject(ErrorCode::GivenUp, 0);
+            return Decision::Reject(ErrorCode::NotSent, 0);
         };
         let r = self.found(&h.path).cloned();
         let p = match r {
@@ -130,7 +130,7 @@
             Some(r) if h.ran && !r.repeatable() => Decision::Reject(ErrorCode::OutcomeUnknown, 0),
             Some(r) if h.tried.len() as u32 >= r.attempts.max(1) || now + 5 > h.deadline => {
                 let p = if h.ran {
-                    ErrorCode::WorkerBroke
+                    ErrorCode::WorkerDisconnected
                 } else {
                     h.last
                 };
@@ -147,10 +147,10 @@
                         worker: i as u32,
                         name: w.name,
                         addr: w.addr,
-                        left_ms: h.deadline.saturating_sub(now),
+                        time_left_ms: h.deadline.saturating_sub(now),
                         priority: Some(r.priority),
                         max_conns: 64,
-                        fresh: false,
+                        new_connection: false,
                     })
                 }
             },
@@ -169,8 +169,8 @@
             AttemptOutcome::HeadReceived { load, .. } | AttemptOutcome::Rejected(load) => *load,
             _ => None,
         };
-        if let Some((a, b, _)) = load {
-            s.others = (a + b).saturating_sub(s.mine);
+        if let Some(load) = load {
+            s.others = (load.running + load.waiting).saturating_sub(s.mine);
         }
         if matches!(
             h,
