--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -60,10 +60,10 @@
     let shared = Arc::new(SharedState::new(controller, dialect, clock, dial_addrs));
     let (events, received) = bounded(EVENT_QUEUE_LENGTH);
     let net = Net::new(
-        settings.site_mark(),
+        settings.site_fingerprint(),
         events.clone(),
         ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
-        settings.most_connections,
+        settings.max_connections,
     );
     crate::run::on_term(events, || ControllerEvent::Stop)?;
     task::block_on(async move {
@@ -74,7 +74,7 @@
             task::spawn(serve_status_endpoint(listener, handler));
         }
         log_event(LogEvent::Started, format!("edge {}", settings.node));
-        task::spawn(accept(clients, shared.clone(), settings.most_connections));
+        task::spawn(accept(clients, shared.clone(), settings.max_connections));
         run_controller(shared, net, received, grace, &settings).await;
         log_event(LogEvent::Stopped, "edge");
         Ok(())
@@ -188,7 +188,7 @@
             ControllerEffect::Send(conn, payload) => {
                 net.send(conn, &payload);
             }
-            ControllerEffect::Connect(addr) => net.dial(addr, settings.reached(addr)),
+            ControllerEffect::Connect(addr) => net.dial(addr, settings.dial_address(addr)),
             ControllerEffect::Disconnect(addr) => net.undial(addr),
             ControllerEffect::Log(event, detail) => log_event(event, detail),
         }
--- a/sorreldoor/tests/placement.rs
+++ b/sorreldoor/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Placement: few move when a worker comes or goes, and caps hold for all.
 
-use sorreldoor::configuration::{read, Site};
+use sorreldoor::configuration::{parse, Site};
 use sorreldoor::placement::{
     edge_rank, select_worker, share_of_limit, Candidate, PlacementRequest,
 };
@@ -29,7 +29,7 @@
         regions: vec!["a".into()],
         zones: vec![("a1".into(), 0)],
     };
-    let (s, _) = read(DOC.as_bytes(), &site).unwrap();
+    let (s, _) = parse(DOC.as_bytes(), &site).unwrap();
     let all = candidates(10);
     let mut less = candidates(10);
     if let Some(w) = less[3].as_mut() {
--- a/testbed/src/sim/core.rs
+++ b/testbed/src/sim/core.rs
@@ -31,7 +31,9 @@
             members: members.to_vec(),
             image: Arc::new(ReplicatedState::new(site.clone()).image()),
         };
-        n.disk.durable.take(1, &Save::Snap { snap, reset: true });
+        n.disk
+            .durable
+            .apply_save(1, &Save::Snap { snap, reset: true });
         n
     }
 
@@ -54,7 +56,7 @@
     }
 
     pub fn start(&mut self, timing: Timing, mut machine: Watched, seed: u64, now: Millis) -> u64 {
-        let kept = self.disk.durable.kept();
+        let kept = self.disk.durable.to_consensus();
         if let Some(s) = &kept.snap {
             machine.load(&s.image);
         }
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -172,7 +172,7 @@
         timing.keep_log = self.keep_log.unwrap_or(timing.keep_log);
         let state = &mut self.processes[process];
         state.disk.open();
-        let stored = Some(&state.disk.durable).filter(|stored| !stored.blank());
+        let stored = Some(&state.disk.durable).filter(|stored| !stored.has_no_saves());
         let config = ControllerConfig {
             me,
             site: self.site.clone(),
@@ -189,7 +189,7 @@
             pacing: self.pacing.clone(),
             worker_poll_ms: self.singleton_poll_ms,
         };
-        Controller::new(config, stored.map(|stored| stored.kept()), now)
+        Controller::new(config, stored.map(|stored| stored.to_consensus()), now)
     }
 
     fn new_edge_controller(&self, process: usize, me: Hello) -> EdgeController {
--- a/testbed/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -189,10 +189,14 @@
     let core = w.cores()[0];
     w.crash(core);
     let disk = &mut w.processes[core].disk;
-    let mut snap = disk.durable.snap.clone().expect("a founded core has one");
+    let mut snap = disk
+        .durable
+        .snapshot
+        .clone()
+        .expect("a founded core has one");
     snap.image = Arc::new(b"not an image".to_vec());
     let seq = disk.durable.seq + 1;
     let reset = false;
-    disk.durable.take(seq, &Save::Snap { snap, reset });
+    disk.durable.apply_save(seq, &Save::Snap { snap, reset });
     w.start(core);
 }
