--- a/sorreldoor/src/store/log_files.rs
+++ b/sorreldoor/src/store/log_files.rs
@@ -111,7 +111,7 @@
 
     fn checkpoint_due(&self, changes: &[Change]) -> bool {
         let is_snapshot = |change: &Change| match change {
-            Change::Save(_, save) => matches!(**save, Save::Snap { .. }),
+            Change::Save(_, save) => matches!(**save, Save::Snapshot { .. }),
             Change::Put(..) => false,
         };
         let log_length = self.end - self.checkpoint_length;
--- a/testbed/src/site/checker.rs
+++ b/testbed/src/site/checker.rs
@@ -229,7 +229,7 @@
         let newest = newest.unwrap_or(0);
         let behind = self.cores().into_iter().filter_map(|core| {
             let consensus = self.controller(core)?.consensus()?;
-            let version = consensus.machine().version();
+            let version = consensus.state_machine().version();
             let name = &self.processes[core].name;
             (version < newest).then(|| format!("{name} is at {version}, {newest} was acked"))
         });
--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -133,7 +133,7 @@
                         .controller(c)
                         .and_then(|controller| controller.consensus())
                 })
-                .map(|a| a.machine().version())
+                .map(|a| a.state_machine().version())
                 .max()
                 .unwrap_or(0);
             for _ in 0..3 {
@@ -157,7 +157,7 @@
             .filter_map(|c| world.controller(c));
         let top = won
             .filter_map(|controller| controller.consensus())
-            .map(|a| a.machine().version());
+            .map(|a| a.state_machine().version());
         let top = top.max().unwrap_or(0);
         assert!(top > 8, "seed {seed}: operators got on to {top} only");
     }
@@ -179,7 +179,7 @@
                 let version = world
                     .controller(p)
                     .and_then(|controller| controller.consensus());
-                let base = version.map_or(0, |a| a.machine().version());
+                let base = version.map_or(0, |a| a.state_machine().version());
                 let cmd = zone_change(base, 0, false);
                 world.change(p, cmd);
             });
