--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -40,7 +40,7 @@
             AttemptOutcome::Completed(status) => {
                 self.record_completed(request_id, attempt, status, now);
                 self.close_attempt(request_id, true);
-                self.end_attempt(request_id, Event::AnswerComplete, None);
+                self.end_attempt(request_id, Event::ResponseComplete, None);
             }
             AttemptOutcome::Rejected(load) => self.attempt_rejected(request_id, attempt, load, now),
             AttemptOutcome::Misdirected => self.attempt_misdirected(request_id, attempt),
