--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -91,7 +91,7 @@
         // without a route nothing says that it is idempotent
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
         request.progress.on(Event::ConfigurationChanged(kind));
-        if !request.progress.may_send_again() {
+        if !request.progress.may_send() {
             return self.reject(request, ErrorCode::ShuttingDown, now);
         }
         let Some(route) = route else {
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -1,7 +1,9 @@
 //! The state that a sequence of saves adds up to; the same for the disk and
 //! for the simulators.
 
-use crate::consensus::{ClaimRecord, Entry, HardState, Kept, Log, LogPosition, Save, Snapshot};
+use crate::consensus::{
+    ClaimRecord, Entry, HardState, LogPosition, RaftLog, RecoveredState, Save, Snapshot,
+};
 use crate::types::Millis;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -61,7 +63,7 @@
         }
         self.seq = seq;
         match save {
-            Save::Hard(hard) => self.set_hard_state(hard),
+            Save::HardState(hard) => self.set_hard_state(hard),
             Save::Append {
                 from,
                 entries,
@@ -72,23 +74,26 @@
                 let rows = claims.iter().map(|claim| (claim.id.clone(), claim.clone()));
                 self.claims.extend(rows);
             }
-            Save::Forgot(ids) => ids.iter().for_each(|id| self.remove_claim(id)),
-            Save::Snap { snap, reset } => self.install_snapshot(snap, *reset),
+            Save::ReleasedClaims(ids) => ids.iter().for_each(|id| self.remove_claim(id)),
+            Save::Snapshot {
+                snapshot,
+                discard_log,
+            } => self.install_snapshot(snapshot, *discard_log),
         }
     }
 
     fn set_hard_state(&mut self, hard: &HardState) {
-        let commit = self.hard.commit.max(hard.commit);
+        let committed = self.hard.committed.max(hard.committed);
         self.hard = HardState {
-            commit,
+            committed,
             ..hard.clone()
         };
     }
 
     /// Replaces the entries from index `from` on.
     fn append(&mut self, from: u64, entries: &[Entry], commit: u64) {
-        self.hard.commit = self.hard.commit.max(commit);
-        let retained = from.saturating_sub(self.snapshot_position().idx + 1) as usize;
+        self.hard.committed = self.hard.committed.max(commit);
+        let retained = from.saturating_sub(self.snapshot_position().index + 1) as usize;
         self.entries.truncate(retained);
         self.entries.extend(entries.iter().cloned());
     }
@@ -99,11 +104,11 @@
     }
 
     /// Replaces the snapshot and drops the entries that it covers, or all of
-    /// them where the log is `reset`.
-    fn install_snapshot(&mut self, snapshot: &Snapshot, reset: bool) {
-        let base = self.snapshot_position().idx;
-        let covered = snapshot.last.idx.saturating_sub(base) as usize;
-        if reset {
+    /// them with `discard_log`.
+    fn install_snapshot(&mut self, snapshot: &Snapshot, discard_log: bool) {
+        let base = self.snapshot_position().index;
+        let covered = snapshot.last.index.saturating_sub(base) as usize;
+        if discard_log {
             self.entries.clear();
         } else {
             self.entries.drain(..covered.min(self.entries.len()));
@@ -130,19 +135,19 @@
 
     /// The state from which consensus starts.
     #[must_use]
-    pub fn to_consensus(&self) -> Kept {
+    pub fn to_consensus(&self) -> RecoveredState {
         let log = self.snapshot.as_ref().map_or_else(
             || {
-                let mut log = Log::default();
+                let mut log = RaftLog::default();
                 log.push(self.entries.clone());
                 log
             },
-            |snapshot| Log::from_parts(snapshot, self.entries.clone()),
+            |snapshot| RaftLog::from_parts(snapshot, self.entries.clone()),
         );
-        Kept {
-            hard: self.hard.clone(),
+        RecoveredState {
+            hard_state: self.hard.clone(),
             log,
-            snap: self.snapshot.clone(),
+            snapshot: self.snapshot.clone(),
             claims: self.all_claims(),
         }
     }
