--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -1,253 +1,221 @@
-//! The edge's daemon: threads and rings around the edge controller.
+//! The edge daemon: the thread of the controller, and the tasks and
+//! connections that carry out its effects.
 
 use super::api::Api;
+use super::attempt::AttemptTask;
 use super::controller::EdgeController;
 use super::event::{EdgeEffect, EdgeEvent};
-use super::relay::{Brought, Load, Task, Word};
-use crate::error::ErrorCode;
-use crate::gateway::request_table::{ClusterView, RequestEffect, RequestProfile};
+use super::pending_calls::{PendingCalls, Reply};
+use super::worker_exchange::{AttemptCommand, WorkerResponse};
+use crate::gateway::request_table::{AttemptToken, ClusterView, RequestEffect, RequestId};
 use crate::http;
 use crate::log_events::{log_event, LogEvent};
 use crate::net::{Net, NetEvent, Ring};
-use crate::replicated_state::View;
 use crate::runtime::{self, Clock, EffectHandler};
 use crate::settings::Settings;
 use crate::subscription::Pull;
-use crate::wire::{Hello, OpOutcome};
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::net::TcpListener;
 use async_std::task;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const RING: usize = 8192;
+/// Events that may wait for the controller.
+const EVENT_QUEUE: usize = 8192;
 const TICK: Duration = Duration::from_millis(20);
+/// Interval at which attempts that have left the table are dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for the last responses to reach their callers before the exit.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
+/// Commands that may wait for an attempt.
+const COMMAND_QUEUE: usize = 4;
 
-/// What a waiting HTTP task is told.
-pub enum Reply {
-    /// The body may come; what the route asks of it.
-    Come(RequestProfile),
-    Shed(ErrorCode, u64),
-    Elsewhere(String),
-    Brought(Brought),
-    Where(Result<Vec<String>, ErrorCode>),
-    Done(OpOutcome),
-    Looked(bool, Box<View>),
-    Status {
-        text: String,
-        ready: Result<(), ErrorCode>,
-    },
+/// Runs an edge until it has shut down.
+///
+/// # Errors
+/// What could not be started: a listener, or the signal handlers.
+pub fn run(settings: Settings) -> Result<(), String> {
+    run_with(settings, runtime::SystemClock::default())
 }
 
-#[derive(Default)]
-struct Inner {
-    waiting: HashMap<u64, Sender<Reply>>,
-    loads: HashMap<u64, Arc<Load>>,
-}
-
-/// HTTP tasks that wait for the controller, and what they brought.
-#[derive(Clone, Default)]
-pub struct Desk {
-    inner: Arc<Mutex<Inner>>,
-    next: Arc<AtomicU64>,
-}
-
-impl Desk {
-    pub fn open(&self) -> (u64, Receiver<Reply>) {
-        let request_id = self.next.fetch_add(1, Ordering::Relaxed) + 1;
-        let (tx, rx) = bounded(1);
-        self.lock().waiting.insert(request_id, tx);
-        (request_id, rx)
-    }
-    pub fn close(&self, request_id: u64) {
-        let mut d = self.lock();
-        d.waiting.remove(&request_id);
-        d.loads.remove(&request_id);
-    }
-    pub fn bring(&self, request_id: u64, l: Load) {
-        self.lock().loads.insert(request_id, Arc::new(l));
-    }
-    fn load(&self, request_id: u64) -> Option<Arc<Load>> {
-        self.lock().loads.get(&request_id).cloned()
-    }
-    fn give(&self, request_id: u64, r: Reply) {
-        let tx = self.lock().waiting.remove(&request_id);
-        // whoever has stopped waiting needs no result
-        let _ = tx.map(|t| t.try_send(r).is_ok());
-    }
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(|p| p.into_inner())
-    }
-}
-
-pub fn run(set: Settings) -> Result<(), String> {
-    run_with(set, runtime::SystemClock::default())
-}
-
-/// With another clock.
-pub fn run_with<C: Clock>(set: Settings, clock: C) -> Result<(), String> {
-    let set = Arc::new(set);
-    let (ring, rx) = bounded(RING);
-    let web = task::block_on(TcpListener::bind(set.http))
-        .map_err(|e| format!("http: cannot bind {}: {e}", set.http))?;
-    let me = Hello {
-        id: crate::order_id::random_id() >> 1,
-        node: set.node.clone(),
-        core: false,
-        region: set.region,
-        zone: set.zone,
-        addr: String::new(),
-        http: set.http.to_string(),
-        founded: false,
-        incarnation: crate::order_id::random_id(),
-        ..Hello::default()
-    };
-    let cluster = ClusterView::new(set.names.clone(), set.node.clone(), set.zone, set.region);
-    let pull = Pull::new(&set.seeds, set.lease_ms, 0, clock.now().wall)
-        .named(&set.node)
-        .paced(&set.pacing);
-    let desk = Desk::default();
-    let api = Api {
-        set: set.clone(),
-        ring: ring.clone(),
-        desk: desk.clone(),
-    };
+/// Runs an edge with another clock.
+///
+/// # Errors
+/// As for [`run`].
+pub fn run_with<C: Clock>(settings: Settings, clock: C) -> Result<(), String> {
+    let settings = Arc::new(settings);
+    let (events, event_queue) = bounded(EVENT_QUEUE);
+    let listener = task::block_on(TcpListener::bind(settings.http))
+        .map_err(|e| format!("http: cannot bind {}: {e}", settings.http))?;
+    let mut controller = new_controller(&settings, &clock);
+    let calls = PendingCalls::default();
     let net = Net::new(
-        set.site_mark(),
-        ring.clone(),
+        settings.site_mark(),
+        events.clone(),
         EdgeEvent::Net as fn(NetEvent) -> EdgeEvent,
-        set.most_connections,
+        settings.most_connections,
     );
     let gate = http::Gate::default();
-    let most = set.most_connections;
-    task::spawn(http::serve(web, most, gate.clone(), move |r, p| {
-        api.clone().handle(r, p)
-    }));
-    log_event(LogEvent::Started, format!("edge {}", set.node));
-    log_event(LogEvent::Listening, format!("http {}", set.http));
-    crate::run::ticker(ring.clone(), TICK, || EdgeEvent::Tick);
-    crate::run::on_term(ring.clone(), || EdgeEvent::Shutdown)?;
-    let mut controller = EdgeController::new(me, cluster, pull);
-    let mut hand = Daemon {
+    let api = Api {
+        settings: settings.clone(),
+        events: events.clone(),
+        calls: calls.clone(),
+    };
+    let max_connections = settings.most_connections;
+    task::spawn(http::serve(
+        listener,
+        max_connections,
+        gate.clone(),
+        move |request, peer| api.clone().handle(request, peer),
+    ));
+    log_event(LogEvent::Started, format!("edge {}", settings.node));
+    log_event(LogEvent::Listening, format!("http {}", settings.http));
+    crate::run::ticker(events.clone(), TICK, || EdgeEvent::Tick);
+    crate::run::on_term(events.clone(), || EdgeEvent::Shutdown)?;
+    let mut daemon = Daemon {
         net,
-        set,
-        desk,
-        ring,
-        tasks: HashMap::new(),
+        settings,
+        calls,
+        events,
+        attempts: HashMap::new(),
         gate,
-        stop_at: None,
+        shutdown_deadline: None,
         sweep_at: Instant::now(),
     };
-    runtime::run_event_loop(&mut controller, &clock, &mut hand, &rx);
-    // the last results are still on their way to their callers
-    std::thread::sleep(Duration::from_millis(100));
+    runtime::run_event_loop(&mut controller, &clock, &mut daemon, &event_queue);
+    std::thread::sleep(FLUSH_TIME);
     log_event(LogEvent::Stopped, "edge");
     Ok(())
 }
 
-struct Running {
-    words: Sender<Word>,
-    brought: Receiver<Brought>,
+fn new_controller<C: Clock>(settings: &Settings, clock: &C) -> EdgeController {
+    let hello = crate::run::edge_hello(settings);
+    let cluster = ClusterView::new(
+        settings.names.clone(),
+        settings.node.clone(),
+        settings.zone,
+        settings.region,
+    );
+    let pull = Pull::new(&settings.seeds, settings.lease_ms, 0, clock.now().wall)
+        .named(&settings.node)
+        .paced(&settings.pacing);
+    EdgeController::new(hello, cluster, pull)
 }
 
+/// The channels of a running attempt.
+struct Attempt {
+    commands: Sender<AttemptCommand>,
+    response: Receiver<WorkerResponse>,
+}
+
+/// Carries out the controller's effects.
 struct Daemon {
     net: Net<EdgeEvent>,
-    set: Arc<Settings>,
-    desk: Desk,
-    ring: Ring<EdgeEvent>,
-    tasks: HashMap<u64, Running>,
+    settings: Arc<Settings>,
+    calls: PendingCalls,
+    events: Ring<EdgeEvent>,
+    attempts: HashMap<AttemptToken, Attempt>,
     gate: http::Gate,
-    stop_at: Option<Instant>,
+    /// When the daemon ends, whatever still runs; set once it shuts down.
+    shutdown_deadline: Option<Instant>,
     sweep_at: Instant,
 }
 
 impl EffectHandler<EdgeController> for Daemon {
     fn keeps_running(&mut self, controller: &EdgeController) -> bool {
-        // a task may have ended while its last word still waits in the
-        // ring, so only what the table has let go of is forgotten
         if Instant::now() >= self.sweep_at {
-            self.sweep_at = Instant::now() + Duration::from_secs(1);
-            let held: HashSet<u64> = controller
-                .table
-                .requests
-                .values()
-                .map(|e| e.token)
-                .collect();
-            self.tasks.retain(|t, _| held.contains(t));
+            self.sweep_at = Instant::now() + SWEEP_INTERVAL;
+            self.sweep_attempts(controller);
         }
-        if controller.is_leaving() && self.stop_at.is_none() {
-            self.stop_at = Some(Instant::now() + Duration::from_millis(self.set.drain_ms));
+        if controller.is_leaving() && self.shutdown_deadline.is_none() {
+            let drain_time = Duration::from_millis(self.settings.drain_ms);
+            self.shutdown_deadline = Some(Instant::now() + drain_time);
         }
-        // what runs is finished, up to the cutoff the settings give; then
-        // nothing more is let in, and who is in hears a last word
-        let Some(end) = self.stop_at else { return true };
+        let Some(deadline) = self.shutdown_deadline else {
+            return true;
+        };
+        // requests in the table are finished first; then no connection is
+        // accepted any more, and those that are open get their response
         if controller.is_idle() {
             self.gate.shut();
         }
-        let done = controller.is_idle() && self.gate.open() == 0;
-        !done && Instant::now() < end
+        let drained = controller.is_idle() && self.gate.open() == 0;
+        !drained && Instant::now() < deadline
     }
 
     fn handle(&mut self, controller: &mut EdgeController, effect: EdgeEffect) {
         match effect {
-            EdgeEffect::Send(c, p) => {
-                self.net.send(c, &p);
+            EdgeEffect::Send(conn, payload) => {
+                self.net.send(conn, &payload);
             }
-            EdgeEffect::Connect(a) => self.net.dial(a, self.set.reached(a)),
-            EdgeEffect::Disconnect(a) => self.net.undial(a),
-            EdgeEffect::Admitted(request_id, s) => self.desk.give(request_id, Reply::Come(s)),
-            EdgeEffect::EdgesLocated(request_id, r) => self.desk.give(request_id, Reply::Where(r)),
-            EdgeEffect::ProposalResult(request_id, o) => self.desk.give(request_id, Reply::Done(o)),
-            EdgeEffect::ConfigurationRead(request_id, ok) => {
-                let v = Box::new(controller.cluster.snapshot.view.clone());
-                self.desk.give(request_id, Reply::Looked(ok, v));
+            EdgeEffect::Connect(addr) => self.net.dial(addr, self.settings.reached(addr)),
+            EdgeEffect::Disconnect(addr) => self.net.undial(addr),
+            EdgeEffect::Admitted(request_id, profile) => {
+                self.calls.reply(request_id, Reply::Admitted(profile))
             }
-            EdgeEffect::Status(request_id, text) => {
+            EdgeEffect::EdgesLocated(request_id, edges) => {
+                self.calls.reply(request_id, Reply::EdgesLocated(edges))
+            }
+            EdgeEffect::ProposalResult(request_id, outcome) => {
+                self.calls.reply(request_id, Reply::ProposalResult(outcome))
+            }
+            EdgeEffect::ConfigurationRead(request_id, proved) => {
+                let view = Box::new(controller.cluster.snapshot.view.clone());
+                let reply = Reply::ConfigurationRead { proved, view };
+                self.calls.reply(request_id, reply);
+            }
+            EdgeEffect::Status(request_id, json) => {
                 let ready = controller.ready();
-                self.desk.give(request_id, Reply::Status { text, ready });
+                self.calls.reply(request_id, Reply::Status { json, ready });
             }
-            EdgeEffect::Log(ev, about) => log_event(ev, about),
-            EdgeEffect::Request(f) => self.request(f),
+            EdgeEffect::Log(event, about) => log_event(event, about),
+            EdgeEffect::Request(effect) => self.handle_request(effect),
         }
     }
 }
 
 impl Daemon {
-    fn request(&mut self, f: RequestEffect) {
-        match f {
+    /// Drops attempts that have left the table. One that has ended is kept
+    /// while its last event waits for the controller.
+    fn sweep_attempts(&mut self, controller: &EdgeController) {
+        let requests = controller.table.requests.values();
+        let tokens: HashSet<AttemptToken> = requests.map(|request| request.token).collect();
+        self.attempts.retain(|token, _| tokens.contains(token));
+    }
+
+    fn handle_request(&mut self, effect: RequestEffect) {
+        match effect {
             RequestEffect::Connect {
                 request_id,
                 token,
                 addr,
                 ..
-            } => self.open(request_id, token, addr),
-            RequestEffect::Send { token, adapter, .. } => self.word(token, Word::Go(adapter)),
+            } => self.start_attempt(request_id, token, addr),
+            RequestEffect::Send { token, adapter, .. } => {
+                self.command(token, AttemptCommand::Send(adapter))
+            }
             RequestEffect::Abort { token, .. } => {
-                self.word(token, Word::Drop);
-                self.tasks.remove(&token);
+                self.command(token, AttemptCommand::Abort);
+                self.attempts.remove(&token);
             }
             RequestEffect::Reject {
                 request_id,
                 error_code,
                 retry_after_s,
-            } => self
-                .desk
-                .give(request_id, Reply::Shed(error_code, retry_after_s)),
-            RequestEffect::Redirect { request_id, addr } => {
-                self.desk.give(request_id, Reply::Elsewhere(addr))
+            } => {
+                let reply = Reply::Rejected {
+                    error_code,
+                    retry_after_s,
+                };
+                self.calls.reply(request_id, reply)
             }
-            RequestEffect::Respond { request_id, token } => {
-                let got = self
-                    .tasks
-                    .get(&token)
-                    .and_then(|t| t.brought.try_recv().ok());
-                if let Some(b) = got {
-                    self.desk.give(request_id, Reply::Brought(b));
-                }
+            RequestEffect::Redirect { request_id, addr } => {
+                self.calls.reply(request_id, Reply::Redirect(addr))
             }
+            RequestEffect::Respond { request_id, token } => self.respond(request_id, token),
+            // the controller has handled these
             RequestEffect::OutcomeUnknown { .. }
             | RequestEffect::AttemptFailed { .. }
             | RequestEffect::Claim { .. }
@@ -255,26 +223,37 @@
         }
     }
 
-    fn open(&mut self, request_id: u64, token: u64, addr: SocketAddr) {
-        let Some(load) = self.desk.load(request_id) else {
+    fn start_attempt(&mut self, request_id: RequestId, token: AttemptToken, worker: SocketAddr) {
+        let Some(request) = self.calls.request(request_id) else {
             return;
         };
-        let (words, rx) = bounded(4);
-        let (hand, brought) = bounded(1);
-        self.tasks.insert(token, Running { words, brought });
-        let t = Task {
+        let (commands, command_queue) = bounded(COMMAND_QUEUE);
+        let (response_sender, response) = bounded(1);
+        self.attempts.insert(token, Attempt { commands, response });
+        let attempt = AttemptTask {
             request_id,
             token,
-            load,
-            ring: self.ring.clone(),
-            words: rx,
-            hand,
+            request,
+            events: self.events.clone(),
+            commands: command_queue,
+            response: response_sender,
         };
-        task::spawn(t.run(self.set.reached(addr)));
+        task::spawn(attempt.run(self.settings.reached(worker)));
     }
 
-    fn word(&self, token: u64, w: Word) {
-        // a task that has ended needs no word
-        let _ = self.tasks.get(&token).map(|t| t.words.try_send(w).is_ok());
+    fn respond(&mut self, request_id: RequestId, token: AttemptToken) {
+        let attempt = self.attempts.get(&token);
+        let response = attempt.and_then(|attempt| attempt.response.try_recv().ok());
+        if let Some(response) = response {
+            self.calls
+                .reply(request_id, Reply::WorkerResponse(response));
+        }
+    }
+
+    /// Sends a command to an attempt, unless it has ended.
+    fn command(&self, token: AttemptToken, command: AttemptCommand) {
+        if let Some(attempt) = self.attempts.get(&token) {
+            let _ = attempt.commands.try_send(command);
+        }
     }
 }
--- a/sorreldoor/src/proxy/run.rs
+++ b/sorreldoor/src/proxy/run.rs
@@ -11,7 +11,6 @@
 use crate::runtime::{Clock, Reducer};
 use crate::settings::Settings;
 use crate::subscription::Pull;
-use crate::wire::Hello;
 use async_std::channel::{bounded, Receiver};
 use async_std::future::timeout;
 use async_std::net::{TcpListener, TcpStream};
@@ -64,18 +63,7 @@
 ) -> Result<(), String> {
     let set = start.set;
     let now = clock.now();
-    let me = Hello {
-        id: crate::order_id::random_id() >> 1,
-        node: set.node.clone(),
-        core: false,
-        region: set.region,
-        zone: set.zone,
-        addr: String::new(),
-        http: set.http.to_string(),
-        founded: false,
-        incarnation: crate::order_id::random_id(),
-        ..Hello::default()
-    };
+    let me = crate::run::edge_hello(&set);
     let place = Locality {
         node: set.node.clone(),
         zone: set.zone,
--- a/sorreldoor/src/run.rs
+++ b/sorreldoor/src/run.rs
@@ -1,6 +1,9 @@
 //! What both daemons need around their reducers: alarms and signals.
 
 use crate::net::Ring;
+use crate::order_id;
+use crate::settings::Settings;
+use crate::wire::Hello;
 use std::thread;
 use std::time::Duration;
 
@@ -30,3 +33,19 @@
     });
     Ok(())
 }
+
+/// How an edge introduces itself to the control plane, as a new incarnation.
+pub fn edge_hello(settings: &Settings) -> Hello {
+    Hello {
+        id: order_id::random_id() >> 1,
+        node: settings.node.clone(),
+        core: false,
+        region: settings.region,
+        zone: settings.zone,
+        addr: String::new(),
+        http: settings.http.to_string(),
+        founded: false,
+        incarnation: order_id::random_id(),
+        ..Hello::default()
+    }
+}
--- a/testbed/tests/doors/main.rs
+++ b/testbed/tests/doors/main.rs
@@ -1,6 +1,7 @@
 //! Bad input at every door of the real daemons: each has its kind.
 
 mod odd;
+mod request_paths;
 
 use async_std::io::prelude::*;
 use async_std::net::TcpStream;
@@ -342,7 +343,11 @@
 fn every_door_turns_bad_input_away_by_its_kind() {
     let mut f = start("all");
     type Step = fn(&Fleet);
-    let steps: [(&str, Step); 6] = [
+    let steps: [(&str, Step); 7] = [
+        (
+            "request-paths",
+            request_paths::both_request_paths_work_alike,
+        ),
         ("callers", callers),
         ("workers", workers),
         ("streams", streams),
--- /dev/null
+++ b/testbed/tests/doors/request_paths.rs
@@ -0,0 +1,62 @@
+//! The documented path of requests and its deprecated name work alike.
+
+use super::*;
+
+const DOCUMENTED: &str = "/v1/request";
+const DEPRECATED: &str = "/v1/errand";
+
+/// What a caller gets, as far as it does not depend on the worker.
+#[derive(Debug, PartialEq, Eq)]
+struct Answer {
+    status: u16,
+    error_code: String,
+    content_type: String,
+    request_id: Option<String>,
+    /// The path of a redirect, below the prefix that the request was sent to.
+    redirect: Option<String>,
+}
+
+fn answer(f: &Fleet, prefix: &str, method: Method, path: &str, home: &str, body: &[u8]) -> Answer {
+    let headers = [("x-home", home), ("x-prefix-key", "k1")];
+    let path = format!("{prefix}{path}");
+    let called = ask(f, method, &path, &headers, body);
+    let below_prefix = |location: &String| {
+        let (_, path) = location.split_once(prefix).expect("the prefix is kept");
+        path.to_string()
+    };
+    Answer {
+        status: called.status,
+        error_code: error_code(&called),
+        content_type: called.kind.clone(),
+        request_id: called.request.as_ref().map(|id| id.len().to_string()),
+        redirect: called.location.as_ref().map(below_prefix),
+    }
+}
+
+/// Accepted, rejected and redirected requests get the same under both names.
+pub fn both_request_paths_work_alike(f: &Fleet) {
+    let (get, post) = (Method::Get, Method::Post);
+    let table: [(Method, &str, &str, &[u8], u16); 8] = [
+        (post, "/question", "north", b"{}", 200),
+        (post, "/draft", "north", b"{\"events\":2}", 200),
+        (get, "/page/a/b", "north", b"", 200),
+        (post, "/question", "south", b"{}", 307),
+        (post, "/question", "mars", b"{}", 400),
+        (post, "/draft", "north", b"{bad", 400),
+        (post, "/none", "north", b"{}", 404),
+        (post, "/page/a", "north", b"{}", 405),
+    ];
+    for (method, path, home, body, status) in table {
+        let documented = answer(f, DOCUMENTED, method, path, home, body);
+        let deprecated = answer(f, DEPRECATED, method, path, home, body);
+        assert_eq!(documented, deprecated, "{method} {path} {home}");
+        assert_eq!(documented.status, status, "{method} {path} {home}");
+        let redirect = (status == 307).then(|| path.to_string());
+        assert_eq!(documented.redirect, redirect, "{method} {path} {home}");
+    }
+    // neither name is a prefix of other paths
+    for path in ["/v1/requests/draft", "/v1/request", "/v1/errand"] {
+        let called = ask(f, post, path, &[], b"{}");
+        assert_eq!(error_code(&called), "unknown-path", "{path}");
+    }
+}
