--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -1,7 +1,7 @@
 //! Consensus: its events in, its effects carried out.
 
 use super::Controller;
-use crate::consensus::{Effect, Event, Member, Note};
+use crate::consensus::{Effect, Event, Member, StateChange};
 use crate::control_plane::events::ControllerEffect;
 use crate::log_events::LogEvent;
 use crate::types::RegionId;
@@ -16,17 +16,17 @@
     }
 
     /// Run one event through the consensus reducer and carry out its effects.
-    pub(in crate::control_plane) fn agreed(&mut self, event: Event) {
+    pub(in crate::control_plane) fn step_consensus(&mut self, event: Event) {
         let now = self.now;
         let Some(consensus) = self.consensus.as_mut() else {
             return;
         };
         for effect in consensus.step(event, now) {
-            self.effect(effect);
+            self.apply_consensus_effect(effect);
         }
     }
 
-    pub(in crate::control_plane) fn effect(&mut self, effect: Effect) {
+    pub(in crate::control_plane) fn apply_consensus_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Save { seq, save } => self.out.push(ControllerEffect::Save(seq, save)),
             Effect::Send { to, msg } => {
@@ -34,14 +34,14 @@
                     self.send(conn, Payload::Consensus(msg));
                 }
             }
-            Effect::Result {
+            Effect::ProposalResult {
                 proposal_id,
                 outcome,
             } => self.on_proposal_result(proposal_id, outcome),
             Effect::ReadReady { request_id, ok } => self.on_proof(request_id, ok),
             Effect::Applied { .. } => self.on_applied(),
-            Effect::Members(members) => self.on_members(&members),
-            Effect::Note(note) => self.log_note(note),
+            Effect::MembersChanged(members) => self.on_members(&members),
+            Effect::StateChanged(note) => self.log_note(note),
         }
     }
 
@@ -58,25 +58,33 @@
         self.redial();
     }
 
-    fn log_note(&mut self, note: Note) {
+    fn log_note(&mut self, note: StateChange) {
         let name = |region: RegionId| self.site.region_name(region).to_string();
         let (event, about) = match note {
-            Note::GlobalLeader { term, .. } => (LogEvent::GlobalLeader, format!("term {term}")),
-            Note::DomainLeader { dterm, .. } => (LogEvent::DomainLeader, format!("term {dterm}")),
-            Note::SteppedDown { term, why } => {
-                (LogEvent::SteppedDown, format!("term {term}: {why}"))
+            StateChange::GlobalLeader { term, .. } => {
+                (LogEvent::GlobalLeader, format!("term {term}"))
             }
-            Note::RegionDown { region } => (LogEvent::RegionUnavailable, name(region)),
-            Note::RegionUp { region } => (LogEvent::RegionAvailable, name(region)),
-            Note::Moving { to } => (LogEvent::LeadershipTransfer, format!("to {to:x}")),
-            Note::DiskFailed => (LogEvent::DiskFailed, "not participating".to_string()),
+            StateChange::DomainLeader { domain_term, .. } => {
+                (LogEvent::DomainLeader, format!("term {domain_term}"))
+            }
+            StateChange::SteppedDown { term, reason } => {
+                (LogEvent::SteppedDown, format!("term {term}: {reason}"))
+            }
+            StateChange::RegionUnavailable { region } => {
+                (LogEvent::RegionUnavailable, name(region))
+            }
+            StateChange::RegionAvailable { region } => (LogEvent::RegionAvailable, name(region)),
+            StateChange::TransferringLeadership { to } => {
+                (LogEvent::LeadershipTransfer, format!("to {to:x}"))
+            }
+            StateChange::DiskFailed => (LogEvent::DiskFailed, "not participating".to_string()),
         };
         self.log_event(event, about);
     }
 
     fn on_applied(&mut self) {
         let consensus = self.consensus.as_ref();
-        let version = consensus.map_or(0, |consensus| consensus.machine().version());
+        let version = consensus.map_or(0, |consensus| consensus.state_machine().version());
         if version != self.logged_version {
             self.logged_version = version;
             self.log_event(LogEvent::ConfigurationApplied, format!("serial {version}"));
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -6,6 +6,7 @@
 mod consensus;
 mod edges;
 mod frames;
+mod idempotency_keys;
 mod membership;
 mod reads;
 mod singleton;
@@ -16,6 +17,7 @@
 use super::connections::{Connections, LIVE_MS, REACHABLE_MS};
 use super::distribution::Distribution;
 use super::events::{ControllerEffect, ControllerEvent, Requester};
+use super::idempotency::{self, Idempotency};
 use super::load_table::LoadTable;
 use super::membership::Membership;
 use super::proposals::{IdSequence, Proposals};
@@ -61,7 +63,7 @@
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) peer_addresses: BTreeSet<SocketAddr>,
     pub(super) connections: Connections,
-    pub(super) claims: super::claims::Claims,
+    idempotency: Idempotency,
     membership: Membership,
     sessions: Sessions,
     distribution: Distribution,
@@ -167,18 +169,18 @@
     }
 
     fn on_saved(&mut self, seq: u64) {
-        self.agreed(Event::Saved { seq });
-        self.claims_saved(seq);
+        self.step_consensus(Event::Saved { seq });
+        self.idempotency_event(idempotency::Event::Synced { seq });
     }
 
     fn on_save_failed(&mut self, error: String) {
         self.log_event(LogEvent::DiskFailed, error);
-        self.agreed(Event::SaveFailed);
+        self.step_consensus(Event::SaveFailed);
     }
 
     fn on_save_recovered(&mut self) {
         self.log_event(LogEvent::DiskRecovered, "participating again");
-        self.agreed(Event::SaveRecovered);
+        self.step_consensus(Event::SaveRecovered);
     }
 
     pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
@@ -203,7 +205,7 @@
     }
 
     fn tick(&mut self) {
-        self.agreed(Event::Tick);
+        self.step_consensus(Event::Tick);
         self.check_membership();
         self.expire_reads();
         if self.now >= self.slow_tick_at {
@@ -223,7 +225,7 @@
         }
         self.read_first_worker_list();
         self.tick_sessions();
-        self.tick_claims();
+        self.tick_idempotency();
         self.send_heartbeats();
     }
 
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -1,11 +1,11 @@
 //! A controller as it starts: blank, or from what its store has kept.
 
 use super::Controller;
-use crate::consensus::{Consensus, Kept, StateMachine};
-use crate::control_plane::claims::Claims;
+use crate::consensus::{Consensus, RecoveredState, StateMachine};
 use crate::control_plane::connections::Connections;
 use crate::control_plane::distribution::Distribution;
 use crate::control_plane::events::ControllerConfig;
+use crate::control_plane::idempotency::{Idempotency, Options};
 use crate::control_plane::load_table::LoadTable;
 use crate::control_plane::membership::Membership;
 use crate::control_plane::proposals::{IdSequence, Proposals};
@@ -23,15 +23,16 @@
     /// # Panics
     /// If this release cannot read the stored snapshot: to go on with an empty
     /// record would be to lead with old state.
-    pub fn new(config: ControllerConfig, kept: Option<Kept>, now: Millis) -> Controller {
+    pub fn new(config: ControllerConfig, kept: Option<RecoveredState>, now: Millis) -> Controller {
         let promised = config.promise.is_some();
         let sure = config.sure;
-        let most_claims = config.most_claims;
+        let claim_options = Options::from(&config);
         let mut controller = Controller::blank(config, now);
         if let Some(kept) = kept {
-            controller.claims = Claims::new(&kept.claims, most_claims, now);
-            // a founder forgets nothing; who joined later says so itself
-            controller.claims.learn.sure = sure || promised;
+            // a founder has missed no claim; a core that joined later has kept
+            // on disk whether it caught up
+            let caught_up = sure || promised;
+            controller.idempotency = Idempotency::new(claim_options, &kept.claims, caught_up, now);
             controller.restore(kept);
         }
         controller.redial();
@@ -40,6 +41,7 @@
 
     fn blank(config: ControllerConfig, now: Millis) -> Controller {
         Controller {
+            idempotency: Idempotency::new(Options::from(&config), &[], false, now),
             ids: IdSequence::new(&config.me),
             sessions: Sessions::new(&config.me, config.pacing.accounts, now),
             me: config.me,
@@ -68,7 +70,6 @@
             reads: Reads::default(),
             proposals: Proposals::default(),
             singleton: SingletonRole::new(now),
-            claims: Claims::new(&[], config.most_claims, now),
             slow_tick_at: now,
             logged_version: 0,
             leaving: false,
@@ -78,9 +79,9 @@
         }
     }
 
-    fn restore(&mut self, kept: Kept) {
+    fn restore(&mut self, kept: RecoveredState) {
         let mut record = ReplicatedState::new(self.site.clone());
-        if let Some(snapshot) = &kept.snap {
+        if let Some(snapshot) = &kept.snapshot {
             assert!(
                 record.load(&snapshot.image),
                 "this release cannot read the snapshot"
@@ -91,3 +92,13 @@
         self.me.founded = true;
     }
 }
+
+impl From<&ControllerConfig> for Options {
+    fn from(config: &ControllerConfig) -> Options {
+        Options {
+            capacity: config.most_claims,
+            founding_cores: config.cores,
+            reads_peers: config.pacing.claims,
+        }
+    }
+}
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -5,6 +5,7 @@
 use super::controller::Controller;
 use super::events::{ControllerConfig, ControllerEffect, ControllerEvent};
 use super::integration::{bind, HttpWorkerSource, OperatorServer, WorkerSource};
+use super::membership::Policy;
 use super::polling::{poll_loads, read_workers, watch_workers};
 use super::start_error::{NoListenAddressSnafu, StartError};
 use super::storage_driver::{self, StorageDriver};
@@ -16,7 +17,7 @@
 use crate::replicated_state::decode;
 use crate::runtime::{self, EffectHandler};
 use crate::settings::Settings;
-use crate::store::{DurableStore, Folder, Store};
+use crate::store::{Directory, DurableStore, Store};
 use crate::wire::Hello;
 use async_std::channel::bounded;
 use async_std::net::TcpListener;
@@ -51,7 +52,7 @@
 pub fn run_by<C, S>(
     settings: Settings,
     clock: C,
-    wrap_store: impl FnOnce(DurableStore<Folder>) -> S,
+    wrap_store: impl FnOnce(DurableStore<Directory>) -> S,
 ) -> Result<(), StartError>
 where
     C: runtime::Clock,
@@ -74,7 +75,7 @@
 pub fn run_with<C, S>(
     settings: Settings,
     clock: C,
-    wrap_store: impl FnOnce(DurableStore<Folder>) -> S,
+    wrap_store: impl FnOnce(DurableStore<Directory>) -> S,
     source: Option<Arc<dyn WorkerSource>>,
     server: impl OperatorServer,
 ) -> Result<(), StartError>
@@ -89,7 +90,7 @@
     let address = settings.listen.context(NoListenAddressSnafu)?;
     let listener = bind("listen", address)?;
     let config = controller_config(&settings, &store, id, address, source.as_deref());
-    let mut controller = Controller::new(config, store.kept(), 0);
+    let mut controller = Controller::new(config, store.consensus_state(), 0);
     let net = start_net(&settings, listener, &events);
     let client = ControllerClient::new(events.clone(), settings.ack_ms);
     let gate = http::Gate::default();
@@ -121,10 +122,10 @@
     events: &Ring<ControllerEvent>,
 ) -> Net<ControllerEvent> {
     let net = Net::new(
-        settings.site_mark(),
+        settings.site_fingerprint(),
         events.clone(),
         ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
-        settings.most_connections,
+        settings.max_connections,
     );
     task::spawn(net.clone().listen(listener));
     net
@@ -133,7 +134,7 @@
 /// What the controller starts from, by the settings and the store.
 fn controller_config(
     settings: &Settings,
-    store: &DurableStore<Folder>,
+    store: &DurableStore<Directory>,
     id: u64,
     address: SocketAddr,
     source: Option<&dyn WorkerSource>,
@@ -156,14 +157,14 @@
         site: settings.names.clone(),
         seeds: settings.seeds.clone(),
         cores: settings.cores,
-        membership: settings.members(),
+        membership: Policy::from(settings),
         timing: settings.pacing.timing(settings.ack_ms),
         seed: random_id(),
         promise: store.value("promise").and_then(decode::<Vec<Member>>),
         sure: store.value("sure").is_some(),
-        most_claims: settings.most_claims,
+        most_claims: settings.max_claims,
         // a core that lost its state to damage was a member once
-        bootstrap: settings.bootstrap && !store.rejoins(),
+        bootstrap: settings.bootstrap && !store.must_rejoin(),
         grow: settings.grow,
         pacing: settings.pacing.clone(),
         worker_poll_ms: unversioned.map(|source| source.poll_interval_ms()),
@@ -224,7 +225,7 @@
                 self.net.send(conn, &payload);
             }
             ControllerEffect::Connect(address) => {
-                self.net.dial(address, self.settings.reached(address))
+                self.net.dial(address, self.settings.dial_address(address))
             }
             ControllerEffect::Disconnect(address) => self.net.undial(address),
             ControllerEffect::Close(conn) => self.net.close(conn),
@@ -259,7 +260,7 @@
 impl<S> Daemon<S> {
     fn reply_state(&self, controller: &Controller, request_id: u64, proved: bool, status: String) {
         let consensus = controller.consensus();
-        let view = consensus.map(|consensus| consensus.machine().view());
+        let view = consensus.map(|consensus| consensus.state_machine().view());
         let state = StateSnapshot {
             proved,
             disk_ok: consensus.is_none_or(|consensus| !consensus.disk_failed()),
--- a/sorreldoor/src/control_plane/polling.rs
+++ b/sorreldoor/src/control_plane/polling.rs
@@ -42,7 +42,7 @@
     events: Ring<ControllerEvent>,
 ) {
     let poll = |worker: WorkerAddress| {
-        let address = settings.reached(worker.address);
+        let address = settings.dial_address(worker.address);
         task::spawn(poll_load(address, worker.name))
     };
     let polls: Vec<_> = workers.into_iter().map(poll).collect();
--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -7,7 +7,7 @@
 use crate::log_events::{log_event, LogEvent};
 use crate::net::Ring;
 use crate::replicated_state::{decode, encode};
-use crate::store::{DurableStore, Folder, Opened, Store};
+use crate::store::{Directory, DurableStore, OpenedStore, Store};
 use async_std::channel::{bounded, Receiver, Sender};
 use snafu::ResultExt;
 use std::io;
@@ -29,10 +29,10 @@
 ///
 /// # Errors
 /// Where a retry cannot help: the folder is missing or not accessible.
-pub(super) fn open(folder: &Path) -> Result<DurableStore<Folder>, StartError> {
+pub(super) fn open(folder: &Path) -> Result<DurableStore<Directory>, StartError> {
     let mut failed_before = false;
     let opened = loop {
-        match DurableStore::open_folder(folder) {
+        match DurableStore::open_directory(folder) {
             Ok(opened) => break opened,
             Err(source) if !is_transient(&source) => {
                 return Err(source).context(OpenStoreSnafu { folder });
@@ -46,7 +46,7 @@
     if failed_before {
         log_event(LogEvent::DiskRecovered, folder.display());
     }
-    let Opened {
+    let OpenedStore {
         store,
         torn,
         damage,
@@ -77,7 +77,7 @@
 }
 
 /// The core's identity: random, drawn once, synced before it is used.
-pub(super) fn identity(store: &mut DurableStore<Folder>) -> u64 {
+pub(super) fn identity(store: &mut DurableStore<Directory>) -> u64 {
     if let Some(id) = store.value("identity").and_then(decode::<u64>) {
         return id;
     }
--- a/sorreldoor/src/gateway/request_api.rs
+++ b/sorreldoor/src/gateway/request_api.rs
@@ -108,7 +108,7 @@
         if method != expected {
             return Err(ErrorCode::MethodNotAllowed);
         }
-        let max_bytes = self.settings.most_body;
+        let max_bytes = self.settings.max_body;
         let body = http::body(http_request, max_bytes, BODY_TIMEOUT).await?;
         if model && json::parse(&body, max_bytes).is_err() {
             return Err(ErrorCode::InvalidJson);
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -52,10 +52,10 @@
     let mut controller = new_controller(&settings, &clock);
     let calls = PendingCalls::default();
     let net = Net::new(
-        settings.site_mark(),
+        settings.site_fingerprint(),
         events.clone(),
         EdgeEvent::Net as fn(NetEvent) -> EdgeEvent,
-        settings.most_connections,
+        settings.max_connections,
     );
     let gate = http::Gate::default();
     let api = Api {
@@ -63,7 +63,7 @@
         events: events.clone(),
         calls: calls.clone(),
     };
-    let max_connections = settings.most_connections;
+    let max_connections = settings.max_connections;
     task::spawn(http::serve(
         listener,
         max_connections,
@@ -150,7 +150,7 @@
             EdgeEffect::Send(conn, payload) => {
                 self.net.send(conn, &payload);
             }
-            EdgeEffect::Connect(addr) => self.net.dial(addr, self.settings.reached(addr)),
+            EdgeEffect::Connect(addr) => self.net.dial(addr, self.settings.dial_address(addr)),
             EdgeEffect::Disconnect(addr) => self.net.undial(addr),
             EdgeEffect::Admitted(request_id, profile) => {
                 self.calls.reply(request_id, Reply::Admitted(profile))
@@ -238,7 +238,7 @@
             commands: command_queue,
             response: response_sender,
         };
-        task::spawn(attempt.run(self.settings.reached(worker)));
+        task::spawn(attempt.run(self.settings.dial_address(worker)));
     }
 
     fn respond(&mut self, request_id: RequestId, token: AttemptToken) {
--- a/sorreldoor/src/pacing.rs
+++ b/sorreldoor/src/pacing.rs
@@ -66,34 +66,33 @@
     pub fn read(o: &ObjectReader, f: &mut Faults) -> Pacing {
         let d = Pacing::default();
         Pacing {
-            tick_ms: o.num("tick_ms", 1, 250, f).unwrap_or(d.tick_ms),
-            beat_ms: o.num("beat_ms", 20, 2000, f),
-            renew_ms: o.num("renew_ms", 50, 2000, f).unwrap_or(d.renew_ms),
-            hedge_ms: o.num("hedge_ms", 50, 2000, f).unwrap_or(d.hedge_ms),
-            ping_ms: o.num("ping_ms", 50, 1000, f).unwrap_or(d.ping_ms),
-            batch_ms: o.num("batch_ms", 0, 1000, f).unwrap_or(d.batch_ms),
+            tick_ms: o.integer("tick_ms", 1, 250, f).unwrap_or(d.tick_ms),
+            beat_ms: o.integer("beat_ms", 20, 2000, f),
+            renew_ms: o.integer("renew_ms", 50, 2000, f).unwrap_or(d.renew_ms),
+            hedge_ms: o.integer("hedge_ms", 50, 2000, f).unwrap_or(d.hedge_ms),
+            ping_ms: o.integer("ping_ms", 50, 1000, f).unwrap_or(d.ping_ms),
+            batch_ms: o.integer("batch_ms", 0, 1000, f).unwrap_or(d.batch_ms),
             gather: o.flag("gather", f).unwrap_or(d.gather),
             claims: o.flag("claims", f).unwrap_or(d.claims),
             accounts: o.flag("accounts", f).unwrap_or(d.accounts),
-            unverified_after_ms: o.num("unverified_after_ms", 0, 600_000, f),
+            unverified_after_ms: o.integer("unverified_after_ms", 0, 600_000, f),
         }
     }
 
     /// The protocol's waits for answers within `ack_ms`.
     pub fn timing(&self, ack_ms: Millis) -> Timing {
-        let p = Timing::for_ack(ack_ms);
-        let beat = self.beat_ms.unwrap_or(p.beat);
-        // whoever misses three heartbeats may think its leader gone, and
-        // no one sooner
-        let least = beat * 4;
+        let defaults = Timing::for_ack(ack_ms);
+        let heartbeat_interval = self.beat_ms.unwrap_or(defaults.heartbeat_interval);
+        // three missed heartbeats suspect a leader, fewer never do
+        let min_timeout = heartbeat_interval * 4;
         Timing {
-            beat,
-            elect: p.elect.max(least),
-            dead: p.dead.max(least),
-            waive: p.waive.max(least),
-            proof: p.proof.max(least),
-            batch: self.batch_ms,
-            ..p
+            heartbeat_interval,
+            election_timeout: defaults.election_timeout.max(min_timeout),
+            region_timeout: defaults.region_timeout.max(min_timeout),
+            region_rule_timeout: defaults.region_rule_timeout.max(min_timeout),
+            read_timeout: defaults.read_timeout.max(min_timeout),
+            read_batch_interval: self.batch_ms,
+            ..defaults
         }
     }
 }
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -7,8 +7,9 @@
 use sorreldoor::replicated_state::{encode, Command, Outcome, Recovery, ReplicatedState};
 use sorreldoor::store::DurableState;
 use sorreldoor::wire::{
-    EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello, KnownVersions,
-    OpOutcome, Payload, RouteLatency, SessionReport, StateDelta, Unverified, Verdict,
+    ClaimVote, ClaimsPage, EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello,
+    KnownVersions, OpOutcome, Payload, RouteLatency, SentRequest, SessionReport, StateDelta,
+    Unverified,
 };
 use std::sync::Arc;
 
@@ -263,45 +264,48 @@
             claim: claim(),
         },
         Payload::ClaimVoteRequest {
-            no: 1,
+            vote_id: 1,
             claim: claim(),
         },
         Payload::Release {
             request_id: 5,
             id: "abc".into(),
-            by: 9,
+            claimant: 9,
         },
         Payload::Released { request_id: 5 },
-        Payload::Free {
+        Payload::PeerRelease {
             id: "abc".into(),
-            by: 9,
+            claimant: 9,
         },
-        Payload::ReleaseAck { by: 9 },
+        Payload::ReleaseAck { claimant: 9 },
         Payload::Sent {
-            all: vec![("abc".into(), 9)],
+            requests: vec![SentRequest {
+                id: "abc".into(),
+                claimant: 9,
+            }],
         },
-        Payload::ClaimsPageRequest { from: 4 },
-        Payload::ClaimsPage {
-            from: 4,
-            all: claims,
+        Payload::ClaimsPageRequest { start: 4 },
+        Payload::ClaimsPage(ClaimsPage {
+            start: 4,
+            claims,
             next: 5,
-            end: true,
-        },
+            last: true,
+        }),
         Payload::Ping { no: 1 },
     ];
-    let verdicts = [
-        Verdict::Yes,
-        Verdict::Held(9),
-        Verdict::Freed,
-        Verdict::Full,
+    let votes = [
+        ClaimVote::Granted,
+        ClaimVote::HeldBy(9),
+        ClaimVote::Released,
+        ClaimVote::Full,
     ];
-    for said in verdicts {
+    for vote in votes {
         all.push(Payload::ClaimResult {
             request_id: 5,
             id: "abc".into(),
-            said,
+            result: vote,
         });
-        all.push(Payload::ClaimVoteReply { no: 1, said });
+        all.push(Payload::ClaimVoteReply { vote_id: 1, vote });
     }
     let op = |cmd| Payload::Op {
         request_id: 5,
@@ -323,44 +327,44 @@
     let hard = HardState {
         term: 4,
         vote: Some(1),
-        dterm: 2,
-        dvote: Some(3),
-        commit: 1,
+        domain_term: 2,
+        domain_vote: Some(3),
+        committed: 1,
     };
-    let position = LogPosition { term: 4, idx: 1 };
+    let position = LogPosition { term: 4, index: 1 };
     let snapshot = Snapshot {
         last: position,
         members: vec![member(1), member(2)],
         image: Arc::new(vec![5; 20]),
     };
     vec![
-        Save::Hard(hard),
+        Save::HardState(hard),
         Save::Append {
             from: 1,
             entries: entries(),
             commit: 1,
         },
-        Save::Snap {
-            snap: snapshot,
-            reset: false,
+        Save::Snapshot {
+            snapshot,
+            discard_log: false,
         },
         Save::Claims(vec![("old".into(), 7)]),
         Save::ClaimRecord(vec![
             claim(),
             ClaimRecord {
                 id: "gone".into(),
-                by: 1,
-                keep_ms: 5,
+                claimant: 1,
+                retention_ms: 5,
             },
         ]),
-        Save::Forgot(vec!["gone".into()]),
+        Save::ReleasedClaims(vec!["gone".into()]),
     ]
 }
 
 pub(super) fn durable_state() -> DurableState {
     let mut state = DurableState::default();
     for (number, save) in (1..).zip(saves()) {
-        state.take(number, &save);
+        state.apply_save(number, &save);
     }
     state.values.insert("sure".into(), vec![1]);
     state
--- a/sorreldoor/tests/store/work.rs
+++ b/sorreldoor/tests/store/work.rs
@@ -3,13 +3,13 @@
 use super::sim_disk::{Random, SimDisk};
 use sorreldoor::consensus::{Body, ClaimRecord, Entry, HardState, LogPosition, Save, Snapshot};
 use sorreldoor::replicated_state::encode;
-use sorreldoor::store::{Before, Change, DurableState, DurableStore, Opened, Store};
+use sorreldoor::store::{Change, DurableState, DurableStore, LegacyState, OpenedStore, Store};
 use std::borrow::Cow;
 use std::io;
 use std::sync::Arc;
 
-pub fn open(disk: &SimDisk) -> io::Result<Opened<SimDisk>> {
-    DurableStore::open(disk.clone(), || Ok(Before::Nothing))
+pub fn open(disk: &SimDisk) -> io::Result<OpenedStore<SimDisk>> {
+    DurableStore::open(disk.clone(), || Ok(LegacyState::Absent))
 }
 
 pub fn entry(term: u64, length: usize) -> Entry {
@@ -30,15 +30,15 @@
 }
 
 pub fn snapshot(index: u64, length: usize) -> Save {
-    let snap = Snapshot {
-        last: LogPosition {
-            term: index,
-            idx: index,
-        },
+    let snapshot = Snapshot {
+        last: LogPosition { term: index, index },
         members: Vec::new(),
         image: Arc::new(vec![index as u8; length]),
     };
-    Save::Snap { snap, reset: false }
+    Save::Snapshot {
+        snapshot,
+        discard_log: false,
+    }
 }
 
 /// One call of the store.
@@ -106,7 +106,7 @@
                 // a pending batch is the last one given
                 let before = self.given - saves.len() as u64;
                 for (nth, save) in saves.iter().enumerate() {
-                    state.take(self.first_seq + before + nth as u64 + 1, save);
+                    state.apply_save(self.first_seq + before + nth as u64 + 1, save);
                 }
             }
             Call::Put(name, value) => {
@@ -163,7 +163,7 @@
         let saves: Vec<Save> = (0..count)
             .map(|_| {
                 let save = self.any_save(&state);
-                state.take(state.seq + 1, &save);
+                state.apply_save(state.seq + 1, &save);
                 save
             })
             .collect();
@@ -172,19 +172,19 @@
     }
 
     fn any_save(&mut self, state: &DurableState) -> Save {
-        let base = state.snap.as_ref().map_or(0, |s| s.last.idx);
+        let base = state.snapshot.as_ref().map_or(0, |s| s.last.index);
         let last = base + state.entries.len() as u64;
         match self.random.below(12) {
-            0 => Save::Hard(HardState {
+            0 => Save::HardState(HardState {
                 term: state.hard.term + 1,
                 ..state.hard.clone()
             }),
             1 => Save::ClaimRecord(vec![ClaimRecord {
                 id: format!("id{}", self.random.below(5)),
-                by: 1,
-                keep_ms: 9,
+                claimant: 1,
+                retention_ms: 9,
             }]),
-            2 => Save::Forgot(vec![format!("id{}", self.random.below(5))]),
+            2 => Save::ReleasedClaims(vec![format!("id{}", self.random.below(5))]),
             3 if last > base => {
                 let size = if self.random.chance(20) { 150_000 } else { 900 };
                 let at = base + 1 + self.random.below((last - base) as usize) as u64;
