--- a/testbed/src/emul/simple.rs
+++ b/testbed/src/emulator/baseline.rs
@@ -1,6 +1,6 @@
 //! Placement by rules that everybody knows, to compare the table with.
 
-use super::policy::{Invariant, Policy, HOST};
+use super::policy::{Policy, PolicyKind, HOST};
 use crate::rand::Rand;
 use sorreldoor::balancer::{AttemptOutcome, Decision, RequestId, Target};
 use sorreldoor::configuration::hosted::{Hosted, Route};
@@ -19,7 +19,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct BaselineRequest {
     path: String,
     deadline: Millis,
     at: Option<usize>,
@@ -30,28 +30,28 @@
 
 /// The rules that everybody knows, kept within homes, drains and routes.
 #[derive(Debug)]
-pub struct Simple {
-    rule: Invariant,
+pub struct BaselinePolicy {
+    policy_kind: PolicyKind,
     rng: Rand,
     hosted: Arc<Hosted>,
     endpoints: Vec<Endpoint>,
     by_name: HashMap<String, usize>,
     evacuated: Vec<u16>,
-    held: HashMap<RequestId, Held>,
+    pinned: HashMap<RequestId, BaselineRequest>,
     next: RequestId,
     turn: usize,
 }
 
-impl Simple {
-    pub fn new(rule: Invariant, seed: u64, node: &str) -> Simple {
-        Simple {
-            rule,
+impl BaselinePolicy {
+    pub fn new(policy_kind: PolicyKind, seed: u64, node: &str) -> BaselinePolicy {
+        BaselinePolicy {
+            policy_kind,
             rng: Rand::new(seed ^ node.bytes().map(u64::from).sum::<u64>()),
             hosted: Arc::default(),
             endpoints: Vec::new(),
             by_name: HashMap::new(),
             evacuated: Vec::new(),
-            held: HashMap::new(),
+            pinned: HashMap::new(),
             next: 1,
             turn: 0,
         }
@@ -62,16 +62,16 @@
         self.hosted.routes.get(i as usize).map(|r| &**r)
     }
 
-    fn choose(&mut self, h: &Held) -> Option<usize> {
+    fn choose_node(&mut self, h: &BaselineRequest) -> Option<usize> {
         let r = self.found(&h.path)?.clone();
         let all: u32 = r.split.iter().map(|(_, w)| w).sum();
         let mut n = self.rng.below(u64::from(all)) as u32;
-        let svc = r.split.iter().find(|(_, w)| {
+        let service_index = r.split.iter().find(|(_, w)| {
             let hit = n < *w;
             n = n.saturating_sub(*w);
             hit
         })?;
-        let name = &self.hosted.services[svc.0 as usize].name;
+        let name = &self.hosted.services[service_index.0 as usize].name;
         let fits = |i: &usize| {
             let s = &self.endpoints[*i];
             s.w.as_ref().is_some_and(|w| {
@@ -86,8 +86,8 @@
         let n = self.endpoints.len();
         let all: Vec<usize> = (0..n).map(|i| (self.turn + i) % n).filter(fits).collect();
         self.turn = self.turn.wrapping_add(1) % n.max(1);
-        match self.rule {
-            Invariant::LeastLoad => {
+        match self.policy_kind {
+            PolicyKind::LeastLoad => {
                 let load = |i: &usize| self.endpoints[*i].mine + self.endpoints[*i].others;
                 all.into_iter().min_by_key(load)
             }
@@ -96,19 +96,23 @@
     }
 }
 
-impl Policy for Simple {
+impl Policy for BaselinePolicy {
     fn begin(
         &mut self,
         path: &str,
-        asked: RequestMetadata,
+        requested: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
         let r = self.found(path).ok_or(ErrorCode::UnknownRoute)?;
-        let deadline = now + asked.deadline_ms.unwrap_or(u64::MAX / 4).min(r.timeout_ms);
+        let deadline = now
+            + requested
+                .deadline_ms
+                .unwrap_or(u64::MAX / 4)
+                .min(r.timeout_ms);
         self.next += 1;
-        self.held.insert(
+        self.pinned.insert(
             self.next,
-            Held {
+            BaselineRequest {
                 path: path.into(),
                 deadline,
                 at: None,
@@ -121,7 +125,7 @@
     }
 
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
-        let Some(mut h) = self.held.remove(&request_id) else {
+        let Some(mut h) = self.pinned.remove(&request_id) else {
             return Decision::Reject(ErrorCode::NotSent, 0);
         };
         let r = self.found(&h.path).cloned();
@@ -136,7 +140,7 @@
                 };
                 Decision::Reject(p, 200)
             }
-            Some(r) => match self.choose(&h) {
+            Some(r) => match self.choose_node(&h) {
                 None => Decision::Reject(ErrorCode::NoWorker, 200),
                 Some(i) => {
                     h.tried.push(i);
@@ -155,12 +159,12 @@
                 }
             },
         };
-        self.held.insert(request_id, h);
+        self.pinned.insert(request_id, h);
         p
     }
 
     fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, _: Millis) {
-        let Some(r) = self.held.get_mut(&request_id) else {
+        let Some(r) = self.pinned.get_mut(&request_id) else {
             return;
         };
         let Some(i) = r.at else { return };
@@ -194,7 +198,7 @@
 
     fn finish(&mut self, request_id: RequestId, now: Millis) {
         self.record_outcome(request_id, AttemptOutcome::Canceled, now);
-        self.held.remove(&request_id);
+        self.pinned.remove(&request_id);
     }
 
     fn take_ready(&mut self, _: Millis) -> Vec<RequestId> {
@@ -202,11 +206,11 @@
     }
 
     fn deadline(&self, request_id: RequestId) -> Millis {
-        self.held.get(&request_id).map_or(0, |h| h.deadline)
+        self.pinned.get(&request_id).map_or(0, |h| h.deadline)
     }
 
     fn route(&self, request_id: RequestId) -> Option<Route> {
-        self.found(&self.held.get(&request_id)?.path).cloned()
+        self.found(&self.pinned.get(&request_id)?.path).cloned()
     }
 
     fn apply_configuration(&mut self, h: Arc<Hosted>, _: Millis) {
@@ -232,6 +236,6 @@
     fn update_nodes(&mut self, _: Vec<(String, u16)>) {}
 
     fn open(&self) -> (u64, u64) {
-        (self.held.len() as u64, 0)
+        (self.pinned.len() as u64, 0)
     }
 }
--- a/testbed/src/emul/check.rs
+++ b/testbed/src/emulator/check.rs
@@ -5,59 +5,70 @@
 /// Every broken rule of a run that is over; the first case of each kind.
 pub fn check(w: &World) -> Vec<String> {
     let kind = |s: &String| s.split(':').next().map(str::to_string);
-    let mut seen: HashMap<Option<String>, u32> = HashMap::new();
-    let few = |s: &&String| {
-        let n = seen.entry(kind(s)).or_default();
+    let mut found: HashMap<Option<String>, u32> = HashMap::new();
+    let first_cases = |s: &&String| {
+        let n = found.entry(kind(s)).or_default();
         *n += 1;
         *n <= 3
     };
-    let mut out: BTreeSet<String> = w.wrong.iter().filter(few).cloned().collect();
-    let parts: [fn(&World) -> Vec<String>; 7] = [runs, homes, zones, drains, routes, ends, budgets];
+    let mut out: BTreeSet<String> = w.violations.iter().filter(first_cases).cloned().collect();
+    let parts: [fn(&World) -> Vec<String>; 7] = [
+        check_runs,
+        homes,
+        zones,
+        check_drains,
+        routes,
+        check_ends,
+        check_budgets,
+    ];
     for f in parts {
         out.extend(f(w).into_iter().take(3));
     }
-    out.extend(colds(w).into_iter().take(3));
+    out.extend(slow_starts(w).into_iter().take(3));
     out.into_iter().collect()
 }
 
 impl World {
     /// Whether a node was without trouble of its own for long enough.
-    fn in_touch(&self, n: usize, at: Us) -> bool {
-        let span = us(self.mix.bounds.contact_ms as f64);
-        let rough = |(a, b): &(Us, Us)| *a <= at && at < b.saturating_add(span);
-        !self.nodes[n].rough.iter().any(rough)
+    fn in_touch(&self, n: usize, at: Micros) -> bool {
+        let span = micros(self.mix.bounds.contact_ms as f64);
+        let fault_spans = |(a, b): &(Micros, Micros)| *a <= at && at < b.saturating_add(span);
+        !self.nodes[n].fault_spans.iter().any(fault_spans)
     }
 
     fn class(&self, t: usize) -> &ClassMix {
-        &self.mix.classes[self.asks[self.tries[t].ask].class]
+        &self.mix.classes[self.client_requests[self.client_attempts[t].ask].class]
     }
 
     /// A route is there in every configuration that may be in force.
-    pub(super) fn judge_status(&mut self, t: usize, status: u16) {
+    pub(super) fn check_status(&mut self, t: usize, status: u16) {
         if status == 404 {
             let c = self.class(t).name.clone();
-            self.wrong.insert(format!("DENIED: {c} got 404"));
+            self.violations.insert(format!("DENIED: {c} got 404"));
         }
     }
 
     /// The caller's patience is over: by then a node has sent it, or refused it.
-    pub(super) fn judge_held(&mut self, t: usize) {
-        let x = &self.tries[t];
+    pub(super) fn check_never_sent(&mut self, t: usize) {
+        let x = &self.client_attempts[t];
         // one that comes with less time than this may be let go by its caller
-        let least = us(self.class(t).aim_ms as f64 / 4.0 + 50.0);
-        if x.sends == 0 && self.now > x.sent + least && self.in_touch(x.node, self.now) {
+        let preemption_victim = micros(self.class(t).aim_ms as f64 / 4.0 + 50.0);
+        if x.worker_attempts == 0
+            && self.now > x.sent + preemption_victim
+            && self.in_touch(x.node, self.now)
+        {
             let (c, ms) = (&self.class(t).name, x.sent / 1000);
             let s = format!(
                 "END: {c} try of {ms} ms, {} ms long, was held and never sent",
                 (self.now - x.sent) / 1000
             );
-            self.wrong.insert(s);
+            self.violations.insert(s);
         }
     }
 
     /// Services that may run a request sent at `at`, as of `now`.
-    fn allowed(&self, class: usize, at: Us, now: Us) -> Vec<usize> {
-        let span = us(self.mix.bounds.apply_ms as f64);
+    fn allowed(&self, class: usize, at: Micros, now: Micros) -> Vec<usize> {
+        let span = micros(self.mix.bounds.apply_ms as f64);
         let old = |i: &usize| {
             let next = self.versions.get(i + 1);
             self.versions[*i].0 <= now && next.is_none_or(|(t, _)| t + span >= at)
@@ -70,9 +81,9 @@
     }
 }
 
-fn runs(w: &World) -> Vec<String> {
+fn check_runs(w: &World) -> Vec<String> {
     let mut out = Vec::new();
-    for (t, x) in w.tries.iter().enumerate() {
+    for (t, x) in w.client_attempts.iter().enumerate() {
         let c = w.class(t);
         if c.repeatable() {
             continue;
@@ -84,7 +95,7 @@
                 x.ran.len()
             ));
         }
-        if x.refused && !x.ran.is_empty() {
+        if x.rejected && !x.ran.is_empty() {
             out.push(format!("REFUSED: {} try {t} was refused and ran", c.name));
         }
     }
@@ -93,20 +104,24 @@
 
 fn homes(w: &World) -> Vec<String> {
     let bad = |a: &&Arrival| {
-        let h = &w.class(a.attempt).homes;
+        let h = &w.class(a.client_attempt).homes;
         !a.misdirected && !h.is_empty() && !h.contains(&w.workers[a.worker].region)
     };
-    let log_event =
-        |a: &Arrival| format!("HOME: try {} at {}", a.attempt, w.workers[a.worker].name);
+    let log_event = |a: &Arrival| {
+        format!(
+            "HOME: try {} at {}",
+            a.client_attempt, w.workers[a.worker].name
+        )
+    };
     w.arrivals.iter().filter(bad).map(log_event).collect()
 }
 
 fn zones(w: &World) -> Vec<String> {
-    let span = us(w.mix.bounds.evac_ms as f64);
+    let span = micros(w.mix.bounds.evac_ms as f64);
     let bad = |a: &&Arrival| {
         let z = w.workers[a.worker].zone;
-        let hit = |e: &Evac| e.zone == z && a.at > e.from + span && a.at < e.to;
-        !a.misdirected && w.evacs.iter().any(hit) && w.in_touch(a.node, a.sent)
+        let hit = |e: &Evacuation| e.zone == z && a.at > e.from + span && a.at < e.to;
+        !a.misdirected && w.evacuations.iter().any(hit) && w.in_touch(a.node, a.sent)
     };
     let log_event = |a: &Arrival| {
         format!(
@@ -118,10 +133,10 @@
     w.arrivals.iter().filter(bad).map(log_event).collect()
 }
 
-fn drains(w: &World) -> Vec<String> {
+fn check_drains(w: &World) -> Vec<String> {
     let bad = |a: &&Arrival| {
-        let shut = w.workers[a.worker].shut;
-        !a.misdirected && shut.is_some_and(|t| a.at > t) && w.in_touch(a.node, a.sent)
+        let closed_at = w.workers[a.worker].closed_at;
+        !a.misdirected && closed_at.is_some_and(|t| a.at > t) && w.in_touch(a.node, a.sent)
     };
     let log_event = |a: &Arrival| {
         let x = &w.workers[a.worker];
@@ -136,47 +151,47 @@
 fn routes(w: &World) -> Vec<String> {
     let mut out = Vec::new();
     for a in w.arrivals.iter().filter(|a| !a.misdirected) {
-        let t = &w.tries[a.attempt];
-        let class = w.asks[t.ask].class;
-        let svc = w.workers[a.worker].svc;
-        let ever = |(_, h): &(Us, Arc<Hosted>)| {
+        let t = &w.client_attempts[a.client_attempt];
+        let class = w.client_requests[t.ask].class;
+        let service_index = w.workers[a.worker].service_index;
+        let ever = |(_, h): &(Micros, Arc<Hosted>)| {
             h.routes[class]
                 .split
                 .iter()
-                .any(|(s, _)| *s as usize == svc)
+                .any(|(s, _)| *s as usize == service_index)
         };
         if !w.versions.iter().any(ever) {
             out.push(format!(
                 "ROUTE: try {} at a service that never had it",
-                a.attempt
+                a.client_attempt
             ));
         }
-        if !w.allowed(class, t.sent, a.at).contains(&svc) && w.in_touch(a.node, a.sent) {
+        if !w.allowed(class, t.sent, a.at).contains(&service_index) && w.in_touch(a.node, a.sent) {
             out.push(format!(
                 "CONFIG: try {} sent at {} us by an older route",
-                a.attempt, t.sent
+                a.client_attempt, t.sent
             ));
         }
     }
     out
 }
 
-fn ends(w: &World) -> Vec<String> {
+fn check_ends(w: &World) -> Vec<String> {
     let mut out = Vec::new();
-    let open = w.asks.iter().filter(|a| a.end.is_none()).count();
+    let open = w.client_requests.iter().filter(|a| a.end.is_none()).count();
     if open > 0 {
         out.push(format!("END: {open} requests never ended"));
     }
     for (i, x) in w.nodes.iter().enumerate() {
         let (open, waiting) = x.policy.open();
-        if x.up && (open > 0 || waiting > 0 || !x.jobs.is_empty()) {
-            let n = x.jobs.len();
+        if x.up && (open > 0 || waiting > 0 || !x.in_progress.is_empty()) {
+            let n = x.in_progress.len();
             out.push(format!(
                 "END: node {i} holds {open}, {waiting} waiting, {n} jobs"
             ));
         }
     }
-    let left = w.left_over();
+    let left = w.unanswered_tasks();
     if left > 0 {
         out.push(format!("END: engines hold {left}"));
     }
@@ -184,40 +199,49 @@
 }
 
 /// How many of the sorted `v` lie over `a` and up to `b`.
-fn within(v: &[Us], a: Us, b: Us) -> usize {
+fn within(v: &[Micros], a: Micros, b: Micros) -> usize {
     v.partition_point(|t| *t <= b) - v.partition_point(|t| *t <= a)
 }
 
-fn budgets(w: &World) -> Vec<String> {
+fn check_budgets(w: &World) -> Vec<String> {
     let b = &w.mix.bounds;
-    let span = us(b.retry_window_ms as f64);
+    let span = micros(b.retry_window_ms as f64);
     let mut out = Vec::new();
-    for (s, svc) in w.mix.services.iter().enumerate() {
-        let mut seen = HashSet::new();
-        let mut beyond: Vec<Us> = Vec::new();
-        for a in w.arrivals.iter().filter(|a| w.workers[a.worker].svc == s) {
-            if !seen.insert(a.attempt) {
+    for (s, service_index) in w.mix.services.iter().enumerate() {
+        let mut found = HashSet::new();
+        let mut beyond: Vec<Micros> = Vec::new();
+        for a in w
+            .arrivals
+            .iter()
+            .filter(|a| w.workers[a.worker].service_index == s)
+        {
+            if !found.insert(a.client_attempt) {
                 beyond.push(a.at);
             }
         }
-        let on = |t: &&Try| {
-            let c = w.asks[t.ask].class;
+        let on = |t: &&ClientAttempt| {
+            let c = w.client_requests[t.ask].class;
             w.allowed(c, t.sent, t.sent).contains(&s)
         };
-        let mut asked: Vec<Us> = w.tries.iter().filter(on).map(|t| t.sent).collect();
-        asked.sort_unstable();
+        let mut requested: Vec<Micros> = w
+            .client_attempts
+            .iter()
+            .filter(on)
+            .map(|t| t.sent)
+            .collect();
+        requested.sort_unstable();
         beyond.sort_unstable();
         for end in beyond.iter().flat_map(|t| [*t, *t + span - 1]) {
-            let from = |n: Us| end.saturating_sub(n);
-            let base = within(&asked, from(span), end)
-                .max(within(&asked, from(2 * span), from(span)))
-                .max(within(&asked, from(span + span / 2), from(span / 2)));
+            let from = |n: Micros| end.saturating_sub(n);
+            let base = within(&requested, from(span), end)
+                .max(within(&requested, from(2 * span), from(span)))
+                .max(within(&requested, from(span + span / 2), from(span / 2)));
             let n = within(&beyond, from(span), end);
             let most = b.retry_ratio * base as f64 + b.retry_slack;
             if n as f64 > most {
                 out.push(format!(
                     "BUDGET: {} had {n} further arrivals by {} ms, over {most:.0}",
-                    svc.name,
+                    service_index.name,
                     end / 1000
                 ));
                 break;
@@ -227,22 +251,22 @@
     out
 }
 
-fn colds(w: &World) -> Vec<String> {
+fn slow_starts(w: &World) -> Vec<String> {
     let b = &w.mix.bounds;
-    let mut by: HashMap<usize, Vec<(Us, Us)>> = HashMap::new();
+    let mut by: HashMap<usize, Vec<(Micros, Micros)>> = HashMap::new();
     for a in w.arrivals.iter().filter(|a| !a.misdirected) {
-        let cold = w.workers[a.worker].cold.iter();
-        if cold.clone().any(|(f, t)| (*f..*t).contains(&a.at)) {
+        let slow_start = w.workers[a.worker].slow_start.iter();
+        if slow_start.clone().any(|(f, t)| (*f..*t).contains(&a.at)) {
             by.entry(a.worker).or_default().push((a.at, a.sent));
         }
     }
     let mut out = Vec::new();
     for (i, v) in by {
         let x = &w.workers[i];
-        let most = w.mix.services[x.svc].warmup_per_s * b.warmup_excess + b.warmup_slack;
+        let most = w.mix.services[x.service_index].warmup_per_s * b.warmup_excess + b.warmup_slack;
         let worst = v.iter().map(|(end, _)| {
-            let from = end.saturating_sub(us(1000.0));
-            let hit = |(at, sent): &&(Us, Us)| *at <= *end && *sent > from;
+            let from = end.saturating_sub(micros(1000.0));
+            let hit = |(at, sent): &&(Micros, Micros)| *at <= *end && *sent > from;
             v.iter().filter(hit).count()
         });
         let worst = worst.max().unwrap_or(0);
--- a/testbed/src/emul/control.rs
+++ b/testbed/src/emulator/control_plane.rs
@@ -53,7 +53,7 @@
     }
 
     /// A further configuration is acknowledged, and spreads.
-    pub(super) fn adopt(&mut self, f: impl FnOnce(&mut Hosted)) {
+    pub(super) fn change_configuration(&mut self, f: impl FnOnce(&mut Hosted)) {
         let Some((_, last)) = self.versions.last() else {
             return;
         };
@@ -62,21 +62,21 @@
         index(&mut h);
         let h = Arc::new(h);
         self.versions.push((self.now, h.clone()));
-        self.spread(ControlUpdate::Hosted(h));
+        self.broadcast(ControlUpdate::Hosted(h));
     }
 
     /// The platform's list anew, from what it knows of workers.
-    pub(super) fn list(&mut self) {
+    pub(super) fn publish_registry(&mut self) {
         let now = self.now;
-        let row = |w: &Wk| Worker {
+        let row = |w: &EmulatedWorker| Worker {
             name: w.name.clone(),
             addr: w.addr,
-            group: self.mix.services[w.svc].name.clone(),
+            group: self.mix.services[w.service_index].name.clone(),
             zone: w.zone,
             region: w.region,
             leaving: w.leaving.is_some(),
             slots: w.slots,
-            cold_ms: (w.cold.last()).map_or(0, |c| c.1.saturating_sub(now) / 1000),
+            cold_ms: (w.slow_start.last()).map_or(0, |c| c.1.saturating_sub(now) / 1000),
             leaves_ms: w.leaves.map(|t| t.saturating_sub(now) / 1000),
             software_version: String::new(),
         };
@@ -85,10 +85,10 @@
             workers: self.workers.iter().filter(|w| w.listed).map(row).collect(),
         };
         self.registry = Arc::new(r);
-        self.spread(ControlUpdate::WorkerRegistry(self.registry.clone()));
+        self.broadcast(ControlUpdate::WorkerRegistry(self.registry.clone()));
     }
 
-    pub(super) fn lay_nodes(&mut self) {
+    pub(super) fn create_nodes(&mut self) {
         let m = self.mix.clone();
         let zones = m.nodes.iter().enumerate();
         let each: Vec<u16> = zones
@@ -96,28 +96,28 @@
             .collect();
         for (i, z) in each.into_iter().enumerate() {
             let name = format!("n{i}");
-            let policy = self.fresh(&name, z, 0);
+            let policy = self.new_policy(&name, z, 0);
             self.nodes.push(Node {
                 name,
                 zone: z,
                 region: m.zones[z as usize],
                 up: true,
-                life: 0,
-                frozen: 0,
-                rough: Vec::new(),
-                has: (false, false),
+                incarnation: 0,
+                frozen_until: 0,
+                fault_spans: Vec::new(),
+                received: (false, false),
                 last_update: 0,
                 policy,
-                jobs: Default::default(),
-                by_try: HashMap::new(),
+                in_progress: Default::default(),
+                by_attempt: HashMap::new(),
                 pool: HashMap::new(),
             });
         }
-        (0..self.nodes.len()).for_each(|n| self.brief(n));
+        (0..self.nodes.len()).for_each(|n| self.send_snapshot(n));
         self.directory();
     }
 
-    fn fresh(&self, name: &str, zone: u16, life: u32) -> Box<dyn Policy> {
+    fn new_policy(&self, name: &str, zone: u16, incarnation: u32) -> Box<dyn Policy> {
         let m = &self.mix;
         let place = Locality {
             node: name.into(),
@@ -133,104 +133,110 @@
             warmup_excess: b.warmup_excess,
             warmup_slack: b.warmup_slack,
         };
-        let seed = self.seed.wrapping_mul(1000).wrapping_add(u64::from(life));
-        self.rule.make(place, bounds, seed)
+        let seed = self
+            .seed
+            .wrapping_mul(1000)
+            .wrapping_add(u64::from(incarnation));
+        self.policy_kind.make(place, bounds, seed)
     }
 
-    fn spread(&mut self, n: ControlUpdate) {
-        (0..self.nodes.len()).for_each(|i| self.tell(i, n.clone()));
+    fn broadcast(&mut self, n: ControlUpdate) {
+        (0..self.nodes.len()).for_each(|i| self.deliver(i, n.clone()));
     }
 
     /// News reach a node between `news_ms` and twice that later.
-    fn tell(&mut self, i: usize, n: ControlUpdate) {
+    fn deliver(&mut self, i: usize, n: ControlUpdate) {
         let ms = self.mix.news_ms;
-        let at = self.now + us((ms + self.rng.below(ms + 1)) as f64);
+        let at = self.now + micros((ms + self.rng.below(ms + 1)) as f64);
         // a node's session brings news in the order that they were made
         let x = &mut self.nodes[i];
         x.last_update = x.last_update.max(at);
-        let (at, life) = (x.last_update, x.life);
+        let (at, incarnation) = (x.last_update, x.incarnation);
         if x.up {
-            self.push(at, Ev::ControlUpdate(i, life, n));
+            self.push(at, SimEvent::ControlUpdate(i, incarnation, n));
         }
     }
 
     /// All that a blank node must hear.
-    pub(super) fn brief(&mut self, i: usize) {
+    pub(super) fn send_snapshot(&mut self, i: usize) {
         if let Some((_, h)) = self.versions.last().cloned() {
-            self.tell(i, ControlUpdate::Hosted(h));
+            self.deliver(i, ControlUpdate::Hosted(h));
         }
-        self.tell(i, ControlUpdate::WorkerRegistry(self.registry.clone()));
-        self.tell(i, ControlUpdate::Evacuated(self.evacuated.clone()));
-        self.tell(i, ControlUpdate::Nodes(self.named()));
+        self.deliver(i, ControlUpdate::WorkerRegistry(self.registry.clone()));
+        self.deliver(i, ControlUpdate::Evacuated(self.evacuated.clone()));
+        self.deliver(i, ControlUpdate::Nodes(self.ready_nodes()));
     }
 
-    fn named(&self) -> Vec<(String, u16)> {
+    fn ready_nodes(&self) -> Vec<(String, u16)> {
         let of = |n: &usize| (self.nodes[*n].name.clone(), self.nodes[*n].zone);
         self.ready.iter().map(of).collect()
     }
 
     /// A node of a later life, with nothing in memory.
-    pub(super) fn blank(&mut self, i: usize) {
+    pub(super) fn restart_node(&mut self, i: usize) {
         let x = &self.nodes[i];
-        let (name, zone, life) = (x.name.clone(), x.zone, x.life + 1);
-        let policy = self.fresh(&name, zone, life);
+        let (name, zone, incarnation) = (x.name.clone(), x.zone, x.incarnation + 1);
+        let policy = self.new_policy(&name, zone, incarnation);
         let x = &mut self.nodes[i];
-        (x.up, x.life, x.policy, x.has) = (true, life, policy, (false, false));
-        x.jobs.clear();
-        x.by_try.clear();
+        (x.up, x.incarnation, x.policy, x.received) = (true, incarnation, policy, (false, false));
+        x.in_progress.clear();
+        x.by_attempt.clear();
         x.pool.clear();
-        self.brief(i);
+        self.send_snapshot(i);
     }
 
-    pub(super) fn told(&mut self, n: usize, x: ControlUpdate) {
+    pub(super) fn apply_update(&mut self, n: usize, x: ControlUpdate) {
         let now = self.ms();
         let node = &mut self.nodes[n];
         match x {
             ControlUpdate::Hosted(h) => {
-                node.has.0 = true;
+                node.received.0 = true;
                 node.policy.apply_configuration(h, now);
             }
             ControlUpdate::WorkerRegistry(r) => {
-                node.has.1 = true;
+                node.received.1 = true;
                 node.policy.update_registry(&r, now);
             }
             ControlUpdate::Evacuated(z) => node.policy.set_evacuated_zones(z, now),
             ControlUpdate::Nodes(all) => node.policy.update_nodes(all),
         }
-        if !self.ready.contains(&n) && node.has == (true, true) {
-            self.act(self.now + us(500.0), |w| w.directory());
+        if !self.ready.contains(&n) && node.received == (true, true) {
+            self.call_at(self.now + micros(500.0), |w| w.directory());
         }
     }
 
     /// Looks anew which nodes are ready; one that is silent drops out late.
     pub(super) fn directory(&mut self) {
-        let silent = us(2000.0);
+        let silent = micros(2000.0);
         let now = self.now;
-        let fit = |x: &Node| x.up && x.has == (true, true) && x.frozen <= now + silent;
+        let fit = |x: &Node| x.up && x.received == (true, true) && x.frozen_until <= now + silent;
         let all = (0..self.nodes.len()).filter(|n| fit(&self.nodes[*n]));
         let all: Vec<usize> = all.collect();
         if all != self.ready {
             self.ready = all;
-            let n = ControlUpdate::Nodes(self.named());
-            self.spread(n);
+            let n = ControlUpdate::Nodes(self.ready_nodes());
+            self.broadcast(n);
         }
     }
 
-    pub(super) fn empty(&mut self, zone: u16, on: bool) {
+    pub(super) fn set_evacuated(&mut self, zone: u16, on: bool) {
         let now = self.now;
         if on {
             self.evacuated.push(zone);
-            self.evacs.push(Evac {
+            self.evacuations.push(Evacuation {
                 zone,
                 from: now,
-                to: Us::MAX,
+                to: Micros::MAX,
             });
         } else {
             self.evacuated.retain(|z| *z != zone);
-            let open = |e: &&mut Evac| e.zone == zone && e.to == Us::MAX;
-            self.evacs.iter_mut().filter(open).for_each(|e| e.to = now);
+            let open = |e: &&mut Evacuation| e.zone == zone && e.to == Micros::MAX;
+            self.evacuations
+                .iter_mut()
+                .filter(open)
+                .for_each(|e| e.to = now);
         }
-        self.spread(ControlUpdate::Evacuated(self.evacuated.clone()));
+        self.broadcast(ControlUpdate::Evacuated(self.evacuated.clone()));
     }
 }
 
--- a/testbed/src/emul/engine.rs
+++ b/testbed/src/emulator/engine.rs
@@ -9,7 +9,7 @@
 /// A request at an engine.
 #[derive(Clone, Debug)]
 pub struct Task {
-    pub sid: u64,
+    pub attempt_id: u64,
     pub priority: u8,
     pub order: u64,
     pub parts: Vec<PromptSegment>,
@@ -22,20 +22,20 @@
 }
 
 #[derive(Clone, Debug)]
-struct Run {
+struct RunningTask {
     t: Task,
     /// Parts in use.
-    held: Vec<u64>,
+    pinned: Vec<u64>,
     /// Tokens of memory of its own.
     own: u64,
-    unread: u32,
-    piece: u32,
+    prefill_left: u32,
+    planned_tokens: u32,
     /// Parts to be kept once they are read.
     fresh: Vec<PromptSegment>,
 }
 
 #[derive(Clone, Debug)]
-struct Keep {
+struct CachedSegment {
     tokens: u32,
     refs: u32,
     used: u64,
@@ -43,33 +43,33 @@
 
 /// What a step brought, for the request `sid`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Out {
+pub enum EngineEvent {
     /// Let in: it has a place in the batch.
-    In(u64),
+    Admitted(u64),
     /// The first token: it runs.
-    Began(u64),
+    FirstToken(u64),
     /// The event with this number, and whether it is the last.
     Event(u64, u32, bool),
     /// Its time was over; whether it had begun.
-    Over(u64, bool),
+    Expired(u64, bool),
     /// This part was read.
-    Read(u64, PromptSegment),
+    Prefilled(u64, PromptSegment),
 }
 
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub mix: EngineMix,
     pub slots: u32,
-    wait: BTreeMap<(u8, u64), Task>,
-    run: Vec<Run>,
-    kept: HashMap<u64, Keep>,
+    queue: BTreeMap<(u8, u64), Task>,
+    run: Vec<RunningTask>,
+    prefix_cache: HashMap<u64, CachedSegment>,
     idle: BTreeSet<(u64, u64)>,
     used: u64,
     clock: u64,
     pub stepping: bool,
     /// Requests put back for want of memory or a place.
-    pub put_back: u64,
-    out: Vec<Out>,
+    pub preemptions: u64,
+    out: Vec<EngineEvent>,
 }
 
 impl Engine {
@@ -77,14 +77,14 @@
         Engine {
             mix: mix.clone(),
             slots,
-            wait: BTreeMap::new(),
+            queue: BTreeMap::new(),
             run: Vec::new(),
-            kept: HashMap::new(),
+            prefix_cache: HashMap::new(),
             idle: BTreeSet::new(),
             used: 0,
             clock: 0,
             stepping: false,
-            put_back: 0,
+            preemptions: 0,
             out: Vec::new(),
         }
     }
@@ -94,11 +94,11 @@
     }
 
     pub fn waiting(&self) -> u32 {
-        self.wait.len() as u32
+        self.queue.len() as u32
     }
 
     pub fn add(&mut self, t: Task) {
-        self.wait.insert((t.priority, t.order), t);
+        self.queue.insert((t.priority, t.order), t);
     }
 
     /// More than this worker can ever hold.
@@ -108,26 +108,26 @@
     }
 
     /// The caller is gone.
-    pub fn drop_task(&mut self, sid: u64) {
-        self.wait.retain(|_, t| t.sid != sid);
-        if let Some(i) = self.run.iter().position(|r| r.t.sid == sid) {
-            self.leave(i);
+    pub fn drop_task(&mut self, attempt_id: u64) {
+        self.queue.retain(|_, t| t.attempt_id != attempt_id);
+        if let Some(i) = self.run.iter().position(|r| r.t.attempt_id == attempt_id) {
+            self.remove_running(i);
         }
     }
 
-    fn leave(&mut self, i: usize) -> Task {
+    fn remove_running(&mut self, i: usize) -> Task {
         let r = self.run.remove(i);
         self.used -= r.own;
-        for id in &r.held {
-            self.unhold(*id);
+        for id in &r.pinned {
+            self.unpin(*id);
         }
         r.t
     }
 
-    fn hold(&mut self, id: u64) {
+    fn pin(&mut self, id: u64) {
         self.clock += 1;
         let c = self.clock;
-        if let Some(k) = self.kept.get_mut(&id) {
+        if let Some(k) = self.prefix_cache.get_mut(&id) {
             if k.refs == 0 {
                 self.idle.remove(&(k.used, id));
             }
@@ -136,10 +136,10 @@
         }
     }
 
-    fn unhold(&mut self, id: u64) {
+    fn unpin(&mut self, id: u64) {
         self.clock += 1;
         let c = self.clock;
-        if let Some(k) = self.kept.get_mut(&id) {
+        if let Some(k) = self.prefix_cache.get_mut(&id) {
             k.refs -= 1;
             k.used = c;
             if k.refs == 0 {
@@ -149,12 +149,12 @@
     }
 
     /// Lets the parts unused longest give way until `need` more fit.
-    fn make_room(&mut self, need: u64) -> bool {
+    fn evict_for(&mut self, need: u64) -> bool {
         while self.used + need > self.mix.tokens {
             let Some((_, id)) = self.idle.pop_first() else {
                 return false;
             };
-            if let Some(k) = self.kept.remove(&id) {
+            if let Some(k) = self.prefix_cache.remove(&id) {
                 self.used -= u64::from(k.tokens);
             }
         }
@@ -162,54 +162,57 @@
     }
 
     /// The newest among the least urgent, if less urgent than `than`.
-    fn least(&self, than: Option<u8>) -> Option<usize> {
+    fn preemption_victim(&self, than: Option<u8>) -> Option<usize> {
         let all = self.run.iter().enumerate();
         all.filter(|(_, r)| than.is_none_or(|p| r.t.priority > p))
             .max_by_key(|(_, r)| (r.t.priority, r.t.order))
             .map(|(i, _)| i)
     }
 
-    fn back(&mut self, i: usize) {
-        let t = self.leave(i);
-        self.put_back += 1;
+    fn preempt(&mut self, i: usize) {
+        let t = self.remove_running(i);
+        self.preemptions += 1;
         self.add(t);
     }
 
-    fn let_in(&mut self) {
-        while let Some(e) = self.wait.first_entry() {
+    fn admit(&mut self) {
+        while let Some(e) = self.queue.first_entry() {
             let p = e.get().priority;
             if self.run.len() as u32 >= self.slots {
-                match self.least(Some(p)) {
-                    Some(i) => self.back(i),
+                match self.preemption_victim(Some(p)) {
+                    Some(i) => self.preempt(i),
                     None => return,
                 }
                 continue;
             }
             let t = e.remove();
-            let hits = t.parts.iter().take_while(|x| self.kept.contains_key(&x.id));
+            let hits = t
+                .parts
+                .iter()
+                .take_while(|x| self.prefix_cache.contains_key(&x.id));
             let n = hits.count();
-            let held: Vec<u64> = t.parts[..n].iter().map(|x| x.id).collect();
-            held.iter().for_each(|id| self.hold(*id));
+            let pinned: Vec<u64> = t.parts[..n].iter().map(|x| x.id).collect();
+            pinned.iter().for_each(|id| self.pin(*id));
             let rest: u32 = t.parts[n..].iter().map(|x| x.tokens).sum();
             // even a prompt kept whole is read to its last token
-            let unread = (rest + t.from + t.made).max(1);
-            while !self.make_room(u64::from(unread) + 1) {
-                match self.least(Some(p)) {
-                    Some(i) => self.back(i),
+            let prefill_left = (rest + t.from + t.made).max(1);
+            while !self.evict_for(u64::from(prefill_left) + 1) {
+                match self.preemption_victim(Some(p)) {
+                    Some(i) => self.preempt(i),
                     None => {
-                        held.iter().for_each(|id| self.unhold(*id));
+                        pinned.iter().for_each(|id| self.unpin(*id));
                         self.add(t);
                         return;
                     }
                 }
             }
-            self.used += u64::from(unread);
-            self.out.push(Out::In(t.sid));
-            self.run.push(Run {
-                held,
-                own: u64::from(unread),
-                unread,
-                piece: 0,
+            self.used += u64::from(prefill_left);
+            self.out.push(EngineEvent::Admitted(t.attempt_id));
+            self.run.push(RunningTask {
+                pinned,
+                own: u64::from(prefill_left),
+                prefill_left,
+                planned_tokens: 0,
                 fresh: t.parts[n..].to_vec(),
                 t,
             });
@@ -218,70 +221,71 @@
 
     /// Plans the next step; how long it takes, in milliseconds, unless idle.
     pub fn plan(&mut self) -> Option<f64> {
-        self.let_in();
+        self.admit();
         if self.run.is_empty() {
             return None;
         }
         let mut left = self.mix.chunk;
         for r in &mut self.run {
-            r.piece = r.unread.min(left);
-            left -= r.piece;
+            r.planned_tokens = r.prefill_left.min(left);
+            left -= r.planned_tokens;
         }
         let m = &self.mix;
-        let of = |r: &Run| f64::from(r.t.made + r.t.from) + r.own as f64;
-        let context: f64 = self.run.iter().map(of).sum::<f64>() + self.held_tokens();
-        let read = f64::from(m.chunk - left);
+        let of = |r: &RunningTask| f64::from(r.t.made + r.t.from) + r.own as f64;
+        let context: f64 = self.run.iter().map(of).sum::<f64>() + self.pinned_tokens();
+        let prefill_tokens = f64::from(m.chunk - left);
         Some(
             m.step_ms
                 + m.per_slot_ms * self.run.len() as f64
                 + m.per_k_ms * context / 1000.0
-                + read / m.read_per_ms,
+                + prefill_tokens / m.read_per_ms,
         )
     }
 
-    fn held_tokens(&self) -> f64 {
-        let ids = self.run.iter().flat_map(|r| &r.held);
-        ids.filter_map(|id| self.kept.get(id))
+    fn pinned_tokens(&self) -> f64 {
+        let ids = self.run.iter().flat_map(|r| &r.pinned);
+        ids.filter_map(|id| self.prefix_cache.get(id))
             .map(|k| f64::from(k.tokens))
             .sum()
     }
 
     /// The step is over.
-    pub fn finish(&mut self, now: u64) -> Vec<Out> {
+    pub fn finish(&mut self, now: u64) -> Vec<EngineEvent> {
         let mut done = Vec::new();
         for i in 0..self.run.len() {
             let r = &mut self.run[i];
-            let was = r.unread;
-            r.unread -= r.piece;
-            r.piece = 0;
-            if r.unread > 0 {
+            let was = r.prefill_left;
+            r.prefill_left -= r.planned_tokens;
+            r.planned_tokens = 0;
+            if r.prefill_left > 0 {
                 continue;
             }
             if was > 0 {
-                self.settle(i);
+                self.cache_prefilled(i);
             }
             let r = &mut self.run[i];
             r.t.made += 1;
             r.own += 1;
             self.used += 1;
-            let (sid, at) = (r.t.sid, r.t.from + r.t.made);
+            let (attempt_id, at) = (r.t.attempt_id, r.t.from + r.t.made);
             if r.t.made == 1 {
-                self.out.push(Out::Began(sid));
+                self.out.push(EngineEvent::FirstToken(attempt_id));
             }
             let end = at >= r.t.total;
             if end || at % self.mix.stride == 0 {
-                let no = at.div_ceil(self.mix.stride);
-                self.out.push(Out::Event(sid, no, end));
+                let number = at.div_ceil(self.mix.stride);
+                self.out.push(EngineEvent::Event(attempt_id, number, end));
             }
             if end {
-                done.push(sid);
+                done.push(attempt_id);
             }
         }
-        done.iter().for_each(|sid| self.drop_task(*sid));
-        self.overdue(now);
-        while !self.make_room(0) {
-            match self.least(None) {
-                Some(i) => self.back(i),
+        done.iter()
+            .for_each(|attempt_id| self.drop_task(*attempt_id));
+        self.expire_tasks(now);
+        while !self.evict_for(0) {
+            match self.preemption_victim(None) {
+                Some(i) => self.preempt(i),
                 None => break,
             }
         }
@@ -289,16 +293,17 @@
     }
 
     /// What this request read is kept for others.
-    fn settle(&mut self, i: usize) {
+    fn cache_prefilled(&mut self, i: usize) {
         for p in std::mem::take(&mut self.run[i].fresh) {
-            self.out.push(Out::Read(self.run[i].t.sid, p));
+            self.out
+                .push(EngineEvent::Prefilled(self.run[i].t.attempt_id, p));
             let t = u64::from(p.tokens);
             self.run[i].own -= t.min(self.run[i].own);
-            match self.kept.entry(p.id) {
+            match self.prefix_cache.entry(p.id) {
                 // another read the same meanwhile, and one copy is enough
                 Entry::Occupied(_) => self.used -= t,
                 Entry::Vacant(v) => {
-                    v.insert(Keep {
+                    v.insert(CachedSegment {
                         tokens: p.tokens,
                         refs: 0,
                         used: 0,
@@ -306,25 +311,25 @@
                     self.idle.insert((0, p.id));
                 }
             }
-            self.hold(p.id);
-            self.run[i].held.push(p.id);
+            self.pin(p.id);
+            self.run[i].pinned.push(p.id);
         }
     }
 
-    fn overdue(&mut self, now: u64) {
+    fn expire_tasks(&mut self, now: u64) {
         let late = |t: &&Task| t.until <= now;
-        let w = self.wait.values().filter(late);
+        let w = self.queue.values().filter(late);
         let r = self.run.iter().map(|r| &r.t).filter(late);
-        let all: Vec<(u64, bool)> = w.chain(r).map(|t| (t.sid, t.made > 0)).collect();
-        for (sid, began) in all {
-            self.drop_task(sid);
-            self.out.push(Out::Over(sid, began));
+        let all: Vec<(u64, bool)> = w.chain(r).map(|t| (t.attempt_id, t.made > 0)).collect();
+        for (attempt_id, began) in all {
+            self.drop_task(attempt_id);
+            self.out.push(EngineEvent::Expired(attempt_id, began));
         }
     }
 
     /// Everything under way, as at a crash.
     pub fn all(&self) -> Vec<u64> {
-        let w = self.wait.values().map(|t| t.sid);
-        w.chain(self.run.iter().map(|r| r.t.sid)).collect()
+        let w = self.queue.values().map(|t| t.attempt_id);
+        w.chain(self.run.iter().map(|r| r.t.attempt_id)).collect()
     }
 }
--- a/testbed/src/emul/mix.rs
+++ b/testbed/src/emulator/mix.rs
@@ -6,7 +6,7 @@
 /// A lognormal amount with this mean; `tail` of the draws are `tail_x` times it.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Dist {
+pub struct Distribution {
     pub mean: f64,
     pub spread: f64,
     pub tail: f64,
@@ -15,17 +15,17 @@
     pub max: f64,
 }
 
-impl Dist {
-    pub fn of(mean: f64, spread: f64, max: f64) -> Dist {
-        Dist {
+impl Distribution {
+    pub fn of(mean: f64, spread: f64, max: f64) -> Distribution {
+        Distribution {
             mean,
             spread,
             max,
-            ..Dist::default()
+            ..Distribution::default()
         }
     }
 
-    pub fn draw(&self, r: &mut Rand) -> f64 {
+    pub fn sample(&self, r: &mut Rand) -> f64 {
         let s = self.spread;
         let x = self.mean * (s * normal(r) - s * s / 2.0).exp();
         let x = if unit(r) < self.tail {
@@ -87,7 +87,7 @@
 
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct SvcMix {
+pub struct ServiceMix {
     pub name: String,
     /// Workers in each zone.
     pub workers: Vec<u32>,
@@ -104,8 +104,8 @@
 /// A part of the prompt that requests share.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct PartMix {
-    pub tokens: Dist,
+pub struct SegmentMix {
+    pub tokens: Distribution,
     pub things: u32,
     /// 0: all things alike; 1: as the words of a text.
     pub skew: f64,
@@ -128,11 +128,11 @@
     pub priority: u8,
     /// Further tries of the client.
     pub tries: u32,
-    pub parts: Vec<PartMix>,
+    pub parts: Vec<SegmentMix>,
     /// Tokens of its own.
-    pub own: Dist,
-    pub events: Dist,
-    pub work_ms: Dist,
+    pub own: Distribution,
+    pub events: Distribution,
+    pub work_ms: Distribution,
 }
 
 impl ClassMix {
@@ -144,7 +144,7 @@
 /// One trouble; what the fields mean is said where it is played.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Trouble {
+pub struct Fault {
     pub kind: String,
     pub at_s: f64,
     pub for_s: f64,
@@ -207,20 +207,20 @@
     /// News reaches a node after `news_ms` to twice that.
     pub news_ms: u64,
     pub bounds: BoundsMix,
-    pub services: Vec<SvcMix>,
+    pub services: Vec<ServiceMix>,
     pub classes: Vec<ClassMix>,
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 impl Default for Mix {
     fn default() -> Mix {
-        desk()
+        two_region_mix()
     }
 }
 
 fn classes() -> Vec<ClassMix> {
-    let part = |mean, spread, things, skew| PartMix {
-        tokens: Dist::of(mean, spread, mean * 3.0),
+    let part = |mean, spread, things, skew| SegmentMix {
+        tokens: Distribution::of(mean, spread, mean * 3.0),
         things,
         skew,
     };
@@ -236,8 +236,8 @@
             priority: 1,
             tries: 1,
             parts: vec![part(13_300.0, 0.7, 54, 0.3)],
-            own: Dist::of(3720.0, 1.1, 53_200.0),
-            events: Dist::of(23.9, 1.4, 95.0),
+            own: Distribution::of(3720.0, 1.1, 53_200.0),
+            events: Distribution::of(23.9, 1.4, 95.0),
             ..ClassMix::default()
         },
         ClassMix {
@@ -251,8 +251,8 @@
             attempts: 2,
             tries: 1,
             parts: vec![part(55.0, 0.4, 8, 0.0), part(37.0, 0.7, 846, 0.3)],
-            own: Dist::of(291.0, 1.4, 1830.0),
-            events: Dist::of(9.0, 1.4, 36.0),
+            own: Distribution::of(291.0, 1.4, 1830.0),
+            events: Distribution::of(9.0, 1.4, 36.0),
             ..ClassMix::default()
         },
         ClassMix {
@@ -265,7 +265,7 @@
             attempts: 2,
             priority: 2,
             tries: 1,
-            work_ms: Dist {
+            work_ms: Distribution {
                 mean: 60.0,
                 spread: 0.5,
                 tail: 0.01,
@@ -278,7 +278,7 @@
 }
 
 /// Two regions, three zones; 18 model workers of 48 slots, 12 nodes, 298 a second.
-pub fn desk() -> Mix {
+pub fn two_region_mix() -> Mix {
     Mix {
         seconds: 30.0,
         load: 1.0,
@@ -294,7 +294,7 @@
         news_ms: 400,
         bounds: BoundsMix::default(),
         services: vec![
-            SvcMix {
+            ServiceMix {
                 name: "model".into(),
                 workers: vec![5, 5, 8],
                 slots: 48,
@@ -305,14 +305,14 @@
                 warmup_per_s: 31.0,
                 engine: Some(EngineMix::default()),
             },
-            SvcMix {
+            ServiceMix {
                 name: "web".into(),
                 workers: vec![1, 1, 1],
                 slots: 6,
                 queue: 24,
                 max_conns: 130,
                 speeds: vec![1.0],
-                ..SvcMix::default()
+                ..ServiceMix::default()
             },
         ],
         classes: classes(),
@@ -321,8 +321,8 @@
 }
 
 /// Three regions, six zones; 90 model workers of 12 slots, 93 nodes, 900 a second.
-pub fn wide() -> Mix {
-    let mut m = desk();
+pub fn three_region_mix() -> Mix {
+    let mut m = two_region_mix();
     m.zones = vec![0, 0, 1, 1, 2, 2];
     m.nodes = vec![16, 16, 16, 15, 15, 15];
     m.share = vec![1.0 / 6.0; 6];
--- /dev/null
+++ b/testbed/src/emulator/mod.rs
@@ -0,0 +1,308 @@
+//! A site of proxy nodes in virtual time: the product's own tables, one at each
+//! node, before stand-in model workers and plain ones that can all fail. It
+//! plays what the proxy does with sockets, so that placement can be compared
+//! and rules be checked at full size within seconds.
+
+mod baseline;
+mod check;
+mod clients;
+mod control_plane;
+mod engine;
+mod faults;
+mod mix;
+mod node;
+mod policy;
+mod random_faults;
+mod responses;
+mod statistics;
+mod violation;
+mod worker;
+mod worker_lifecycle;
+
+pub use check::check;
+pub use engine::{Engine, EngineEvent, Task};
+pub use mix::*;
+pub use policy::{Policy, PolicyKind, Violation};
+pub use random_faults::random_faults;
+pub use statistics::RunStatistics;
+
+use crate::rand::Rand;
+use clients::{ClientAttempt, ClientMessage, ClientRequest};
+use node::{Node, WorkerAttempt};
+use sorreldoor::balancer::LoadReport;
+use sorreldoor::configuration::hosted::Hosted;
+use sorreldoor::discovery::WorkerRegistry;
+use std::cmp::Reverse;
+use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use worker::EmulatedWorker;
+
+/// Virtual time in microseconds.
+pub type Micros = u64;
+
+pub(crate) fn micros(ms: f64) -> Micros {
+    (ms.max(0.0) * 1000.0) as Micros
+}
+
+/// What comes from a worker on a connection.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum WorkerMessage {
+    Head(LoadReport),
+    Event(u32),
+    /// The whole answer, or the end of the stream.
+    End,
+    Rejected(LoadReport),
+    Misdirected,
+    /// Its own failure, after it ran.
+    TimedOut,
+    Reset,
+    Garbled,
+}
+
+/// What a node hears from the control plane.
+#[derive(Clone)]
+pub(crate) enum ControlUpdate {
+    Hosted(Arc<Hosted>),
+    WorkerRegistry(Arc<WorkerRegistry>),
+    Evacuated(Vec<u16>),
+    Nodes(Vec<(String, u16)>),
+}
+
+pub(crate) enum SimEvent {
+    /// A caller of this zone may ask.
+    NextArrival(usize),
+    RequestArrived(usize, u32, usize),
+    ClientGone(usize, u32, usize),
+    Syn(u64),
+    SynAck(u64, bool),
+    RequestReceived(u64),
+    EngineEnqueue(u64),
+    Close(u64),
+    EngineStep(usize),
+    PlainWorkDone(u64),
+    FromWorker(u64, WorkerMessage),
+    Timer(u64),
+    Wake(usize, u32, u64, u64),
+    ControlUpdate(usize, u32, ControlUpdate),
+    ClientMessage(usize, ClientMessage),
+    ClientTimeout(usize),
+    Call(Box<dyn FnOnce(&mut World)>),
+}
+
+struct ScheduledEvent {
+    at: Micros,
+    number: u64,
+    ev: SimEvent,
+}
+
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, o: &ScheduledEvent) -> bool {
+        self.number == o.number
+    }
+}
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, o: &ScheduledEvent) -> Option<std::cmp::Ordering> {
+        Some(self.cmp(o))
+    }
+}
+impl Ord for ScheduledEvent {
+    fn cmp(&self, o: &ScheduledEvent) -> std::cmp::Ordering {
+        (self.at, self.number).cmp(&(o.at, o.number))
+    }
+}
+
+/// A request as it came to a worker's door.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Arrival {
+    /// When the node sent it, and when it came.
+    pub sent: Micros,
+    pub at: Micros,
+    pub node: usize,
+    pub worker: usize,
+    pub client_attempt: usize,
+    pub misdirected: bool,
+}
+
+/// A zone that was emptied: when that was acknowledged, and taken back.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Evacuation {
+    pub zone: u16,
+    pub from: Micros,
+    pub to: Micros,
+}
+
+pub struct World {
+    pub(crate) now: Micros,
+    pub(crate) rng: Rand,
+    /// For what is asked alone, so that all policies are asked the same.
+    pub(crate) arrival_rng: Rand,
+    pub(crate) mix: Arc<Mix>,
+    pub(crate) policy_kind: PolicyKind,
+    pub(crate) seed: u64,
+    pub(crate) nodes: Vec<Node>,
+    pub(crate) workers: Vec<EmulatedWorker>,
+    pub(crate) by_addr: HashMap<SocketAddr, usize>,
+    pub(crate) by_name: HashMap<String, usize>,
+    pub(crate) client_requests: Vec<ClientRequest>,
+    pub(crate) client_attempts: Vec<ClientAttempt>,
+    pub(crate) worker_attempts: Vec<WorkerAttempt>,
+    pub(crate) registry: Arc<WorkerRegistry>,
+    /// Configurations with the time of their acknowledgement.
+    pub(crate) versions: Vec<(Micros, Arc<Hosted>)>,
+    pub(crate) evacuated: Vec<u16>,
+    pub(crate) evacuations: Vec<Evacuation>,
+    pub(crate) arrivals: Vec<Arrival>,
+    /// Nodes as the directory gives them out.
+    pub(crate) ready: Vec<usize>,
+    /// Shared parts that some worker of a service has read.
+    pub(crate) prefilled_segments: HashSet<(usize, u64)>,
+    pub(crate) statistics: RunStatistics,
+    /// What was seen at once to be wrong.
+    pub(crate) violations: BTreeSet<String>,
+    /// Rates times these, by kind of request; and who moved where.
+    pub(crate) rate_factors: Vec<f64>,
+    pub(crate) zone_redirects: Vec<usize>,
+    /// Addresses that ended workers left, with the time.
+    pub(crate) free_addrs: Vec<(Micros, SocketAddr)>,
+    pub(crate) addrs: u32,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    count: u64,
+}
+
+impl World {
+    pub fn new(seed: u64, mix: Mix, policy_kind: PolicyKind) -> World {
+        let mix = Arc::new(mix);
+        let mut w = World {
+            now: 0,
+            rng: Rand::new(seed),
+            arrival_rng: Rand::new(seed ^ 0xa5_0000),
+            policy_kind,
+            seed,
+            nodes: Vec::new(),
+            workers: Vec::new(),
+            by_addr: HashMap::new(),
+            by_name: HashMap::new(),
+            client_requests: Vec::new(),
+            client_attempts: Vec::new(),
+            worker_attempts: Vec::new(),
+            registry: Arc::default(),
+            versions: Vec::new(),
+            evacuated: Vec::new(),
+            evacuations: Vec::new(),
+            arrivals: Vec::new(),
+            ready: Vec::new(),
+            prefilled_segments: HashSet::new(),
+            statistics: RunStatistics::default(),
+            violations: BTreeSet::new(),
+            rate_factors: vec![1.0; mix.classes.len()],
+            zone_redirects: (0..mix.zones.len()).collect(),
+            free_addrs: Vec::new(),
+            addrs: 0,
+            queue: BinaryHeap::new(),
+            count: 0,
+            mix,
+        };
+        w.create_workers();
+        w.versions.push((0, Arc::new(w.hosted())));
+        w.create_nodes();
+        let at = micros(10_000.0);
+        (0..w.mix.zones.len()).for_each(|z| w.push(at, SimEvent::NextArrival(z)));
+        for t in w.mix.troubles.clone() {
+            w.call_at(at + micros(t.at_s * 1000.0), move |w| w.inject_fault(&t));
+        }
+        w
+    }
+
+    /// Plays the whole mix, and until the last caller has given up.
+    pub fn run(mut self) -> World {
+        while let Some(Reverse(i)) = self.queue.pop() {
+            self.now = i.at;
+            self.step(i.ev);
+        }
+        self.statistics.set_duration(self.now);
+        self
+    }
+
+    pub(crate) fn ms(&self) -> u64 {
+        self.now / 1000
+    }
+
+    /// When callers stop asking.
+    pub(crate) fn end(&self) -> Micros {
+        micros(10_000.0 + self.mix.seconds * 1000.0)
+    }
+
+    pub(crate) fn push(&mut self, at: Micros, ev: SimEvent) {
+        self.count += 1;
+        let (at, number) = (at.max(self.now), self.count);
+        self.queue.push(Reverse(ScheduledEvent { at, number, ev }));
+    }
+
+    pub(crate) fn call_at(&mut self, at: Micros, f: impl FnOnce(&mut World) + 'static) {
+        self.push(at, SimEvent::Call(Box::new(f)));
+    }
+
+    /// One way between two zones, in microseconds.
+    pub(crate) fn delay(&self, a: u16, b: u16) -> Micros {
+        let m = &self.mix;
+        micros(match (a == b, m.zones[a as usize] == m.zones[b as usize]) {
+            (true, _) => m.here_ms,
+            (_, true) => m.zone_ms,
+            _ => m.region_ms,
+        })
+    }
+
+    /// The node that an event is for, and which of its lives.
+    fn target(&self, ev: &SimEvent) -> Option<(usize, u32)> {
+        match ev {
+            SimEvent::RequestArrived(n, l, _)
+            | SimEvent::ClientGone(n, l, _)
+            | SimEvent::Wake(n, l, ..)
+            | SimEvent::ControlUpdate(n, l, _) => Some((*n, *l)),
+            SimEvent::SynAck(s, _) | SimEvent::FromWorker(s, _) | SimEvent::Timer(s) => {
+                let s = &self.worker_attempts[*s as usize];
+                Some((s.node, s.incarnation))
+            }
+            _ => None,
+        }
+    }
+
+    fn step(&mut self, ev: SimEvent) {
+        if let Some((n, incarnation)) = self.target(&ev) {
+            let x = &self.nodes[n];
+            if x.up && x.frozen_until > self.now {
+                // a frozen machine's sockets hold what came meanwhile
+                let at = x.frozen_until;
+                return self.push(at, ev);
+            }
+            if !x.up || x.incarnation != incarnation {
+                if let SimEvent::RequestArrived(_, _, t) = ev {
+                    let at = self.now + micros(self.mix.client_ms);
+                    self.push(at, SimEvent::ClientMessage(t, ClientMessage::Cut));
+                }
+                return;
+            }
+        }
+        match ev {
+            SimEvent::NextArrival(z) => self.next_arrival(z),
+            SimEvent::RequestArrived(n, _, t) => self.request_arrived(n, t),
+            SimEvent::ClientGone(n, _, t) => self.client_gone(n, t),
+            SimEvent::Syn(s) => self.syn(s),
+            SimEvent::SynAck(s, ok) => self.syn_ack(s, ok),
+            SimEvent::RequestReceived(s) => self.request_received(s),
+            SimEvent::EngineEnqueue(s) => self.enqueue_at_engine(s),
+            SimEvent::Close(s) => self.connection_closed(s),
+            SimEvent::EngineStep(w) => self.engine_step_done(w),
+            SimEvent::PlainWorkDone(s) => self.plain_work_done(s),
+            SimEvent::FromWorker(s, a) => self.worker_message(s, a),
+            SimEvent::Timer(s) => self.timer(s),
+            SimEvent::Wake(n, _, request_id, number) => self.woken(n, request_id, number),
+            SimEvent::ControlUpdate(n, _, x) => self.apply_update(n, x),
+            SimEvent::ClientMessage(t, m) => self.client_receives(t, m),
+            SimEvent::ClientTimeout(t) => self.client_timeout(t),
+            SimEvent::Call(f) => f(self),
+        }
+    }
+}
--- a/testbed/src/emul/node.rs
+++ b/testbed/src/emulator/node.rs
@@ -2,7 +2,7 @@
 //! whoever decides.
 
 use super::policy::Policy;
-use super::worker::Spoil;
+use super::worker::AnswerFault;
 use super::*;
 use sorreldoor::balancer::{AttemptOutcome, Decision, RequestId, Target};
 use sorreldoor::error::ErrorCode;
@@ -14,51 +14,51 @@
 const LEAST_PATIENCE: u64 = 400;
 const LEAST_SMALL: u64 = 150;
 /// Connections are kept for so long, and this long for what runs once.
-const KEEP: Us = 4_000_000;
-const FRESH: Us = 1_500_000;
+const KEEP: Micros = 4_000_000;
+const FRESH: Micros = 1_500_000;
 
 /// One sending to a worker.
 #[derive(Clone, Debug)]
-pub(crate) struct Send {
+pub(crate) struct WorkerAttempt {
     pub node: usize,
-    pub life: u32,
+    pub incarnation: u32,
     pub request_id: RequestId,
-    pub attempt: usize,
+    pub client_attempt: usize,
     /// The worker meant, its address and zone, and who is there.
     pub worker: usize,
     pub addr: SocketAddr,
     pub zone: u16,
     pub there: Option<usize>,
     /// The worker will reset it: it has too many connections.
-    pub doomed: bool,
-    pub sent: Us,
+    pub over_limit: bool,
+    pub sent: Micros,
     /// When the worker stops.
-    pub until: Us,
+    pub until: Micros,
     pub priority: u8,
     /// Events that the caller had.
     pub last: u32,
     /// Not closed yet, as the node sees it and as the worker does.
     pub open: bool,
     pub cut: bool,
-    pub headed: bool,
-    pub spoil: Option<Spoil>,
+    pub head_sent: bool,
+    pub answer_fault: Option<AnswerFault>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Phase {
     Connect,
     Head,
-    Relay,
+    Body,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Cur {
-    pub sid: u64,
+pub(crate) struct CurrentAttempt {
+    pub attempt_id: u64,
     pub phase: Phase,
     pub stream: bool,
     pub began: bool,
     /// Milliseconds: patience with this worker, and its renewal; the end.
-    pub pause: u64,
+    pub patience_ms: u64,
     pub until: u64,
     pub deadline: u64,
     pub gap: u64,
@@ -70,9 +70,9 @@
 
 /// A request at a node.
 #[derive(Clone, Debug)]
-pub(crate) struct Job {
-    pub attempt: usize,
-    pub cur: Option<Cur>,
+pub(crate) struct NodeRequest {
+    pub client_attempt: usize,
+    pub current: Option<CurrentAttempt>,
     /// Counts waits, so that older alarms mean nothing.
     pub waits: u64,
     pub waiting: bool,
@@ -86,30 +86,30 @@
     pub zone: u16,
     pub region: u8,
     pub up: bool,
-    pub life: u32,
-    pub frozen: Us,
+    pub incarnation: u32,
+    pub frozen_until: Micros,
     /// Spans of trouble of its own.
-    pub rough: Vec<(Us, Us)>,
-    pub has: (bool, bool),
+    pub fault_spans: Vec<(Micros, Micros)>,
+    pub received: (bool, bool),
     /// When the newest news will have come.
-    pub last_update: Us,
+    pub last_update: Micros,
     pub policy: Box<dyn Policy>,
-    pub jobs: BTreeMap<RequestId, Job>,
-    pub by_try: HashMap<usize, RequestId>,
-    pub pool: HashMap<usize, Vec<Us>>,
+    pub in_progress: BTreeMap<RequestId, NodeRequest>,
+    pub by_attempt: HashMap<usize, RequestId>,
+    pub pool: HashMap<usize, Vec<Micros>>,
 }
 
 impl World {
     /// A request came whole to a node.
-    pub(super) fn asked(&mut self, n: usize, t: usize) {
+    pub(super) fn request_arrived(&mut self, n: usize, t: usize) {
         let now = self.ms();
-        let tr = &self.tries[t];
+        let tr = &self.client_attempts[t];
         if tr.over {
             return;
         }
-        let a = &self.asks[tr.ask];
+        let a = &self.client_requests[tr.ask];
         let c = &self.mix.classes[a.class];
-        let asked = RequestMetadata {
+        let requested = RequestMetadata {
             id: format!("{t:x}"),
             deadline_ms: Some((tr.deadline.saturating_sub(tr.sent)) / 1000),
             model: "m".into(),
@@ -120,15 +120,15 @@
         };
         let path = format!("/{}/x", c.name);
         let (from, x) = (tr.from, &mut self.nodes[n]);
-        match x.policy.begin(&path, asked, now) {
+        match x.policy.begin(&path, requested, now) {
             Err(p) => self.answer(t, p, 200 * u64::from(p.is_retryable())),
             Ok(request_id) => {
-                x.by_try.insert(t, request_id);
-                x.jobs.insert(
+                x.by_attempt.insert(t, request_id);
+                x.in_progress.insert(
                     request_id,
-                    Job {
-                        attempt: t,
-                        cur: None,
+                    NodeRequest {
+                        client_attempt: t,
+                        current: None,
                         waits: 0,
                         waiting: false,
                         last: from,
@@ -141,23 +141,23 @@
         }
     }
 
-    pub(super) fn to(&mut self, t: usize, m: ToClient) {
-        let at = self.now + us(self.mix.client_ms);
-        self.push(at, Ev::Client(t, m));
+    pub(super) fn send_to_client(&mut self, t: usize, m: ClientMessage) {
+        let at = self.now + micros(self.mix.client_ms);
+        self.push(at, SimEvent::ClientMessage(t, m));
     }
 
     pub(super) fn answer(&mut self, t: usize, p: ErrorCode, retry_after_ms: u64) {
-        self.refusal(t, p);
-        self.to(t, ToClient::Answer(p.status(), retry_after_ms));
+        self.record_rejection(t, p);
+        self.send_to_client(t, ClientMessage::Answer(p.status(), retry_after_ms));
     }
 
     /// The request is over at this node.
-    pub(super) fn over(&mut self, n: usize, request_id: RequestId) {
+    pub(super) fn finish_request(&mut self, n: usize, request_id: RequestId) {
         let now = self.ms();
         let x = &mut self.nodes[n];
         x.policy.finish(request_id, now);
-        if let Some(j) = x.jobs.remove(&request_id) {
-            x.by_try.remove(&j.attempt);
+        if let Some(j) = x.in_progress.remove(&request_id) {
+            x.by_attempt.remove(&j.client_attempt);
         }
         self.wake(n);
     }
@@ -165,25 +165,25 @@
     pub(super) fn decide(&mut self, n: usize, request_id: RequestId) {
         let now = self.ms();
         let x = &mut self.nodes[n];
-        let Some(j) = x.jobs.get_mut(&request_id) else {
+        let Some(j) = x.in_progress.get_mut(&request_id) else {
             return;
         };
         j.waiting = false;
         j.waits += 1;
-        let (t, no, life) = (j.attempt, j.waits, x.life);
+        let (t, number, incarnation) = (j.client_attempt, j.waits, x.incarnation);
         match x.policy.pick(request_id, now) {
-            Decision::Send(to) => self.send(n, request_id, &to),
+            Decision::Send(to) => self.send_attempt(n, request_id, &to),
             Decision::Wait(ms) => {
                 j.waiting = true;
-                let at = self.now + us(ms.max(1) as f64);
-                self.push(at, Ev::Wake(n, life, request_id, no));
+                let at = self.now + micros(ms.max(1) as f64);
+                self.push(at, SimEvent::Wake(n, incarnation, request_id, number));
             }
             Decision::Reject(p, retry_after_ms) => {
                 let (head, failed) = (j.head_sent, j.failed);
-                self.over(n, request_id);
+                self.finish_request(n, request_id);
                 match (head, failed) {
-                    (true, _) => self.to(t, ToClient::Cut),
-                    (_, true) => self.to(t, ToClient::Answer(500, 0)),
+                    (true, _) => self.send_to_client(t, ClientMessage::Cut),
+                    (_, true) => self.send_to_client(t, ClientMessage::Answer(500, 0)),
                     _ => self.answer(t, p, retry_after_ms),
                 }
             }
@@ -191,9 +191,9 @@
     }
 
     /// Its wait is over, unless it is another wait by now.
-    pub(super) fn woken(&mut self, n: usize, request_id: RequestId, no: u64) {
-        let j = self.nodes[n].jobs.get(&request_id);
-        if j.is_some_and(|j| j.waiting && j.waits == no) {
+    pub(super) fn woken(&mut self, n: usize, request_id: RequestId, number: u64) {
+        let j = self.nodes[n].in_progress.get(&request_id);
+        if j.is_some_and(|j| j.waiting && j.waits == number) {
             self.decide(n, request_id);
         }
     }
@@ -201,12 +201,17 @@
     fn wake(&mut self, n: usize) {
         let now = self.ms();
         let x = &mut self.nodes[n];
-        let life = x.life;
+        let incarnation = x.incarnation;
         let all = x.policy.take_ready(now);
-        let of = |r: &RequestId| x.jobs.get(r).filter(|j| j.waiting).map(|j| (*r, j.waits));
+        let of = |r: &RequestId| {
+            x.in_progress
+                .get(r)
+                .filter(|j| j.waiting)
+                .map(|j| (*r, j.waits))
+        };
         let all: Vec<(RequestId, u64)> = all.iter().filter_map(of).collect();
-        for (request_id, no) in all {
-            self.push(self.now, Ev::Wake(n, life, request_id, no));
+        for (request_id, number) in all {
+            self.push(self.now, SimEvent::Wake(n, incarnation, request_id, number));
         }
     }
 
@@ -216,18 +221,18 @@
         self.wake(n);
     }
 
-    fn send(&mut self, n: usize, request_id: RequestId, to: &Target) {
+    fn send_attempt(&mut self, n: usize, request_id: RequestId, to: &Target) {
         let now = self.ms();
-        let sid = self.sends.len() as u64;
+        let attempt_id = self.worker_attempts.len() as u64;
         let w = self.by_name.get(&to.name).copied().unwrap_or(0);
         let zone = self.workers[w].zone;
         let x = &mut self.nodes[n];
-        let Some(j) = x.jobs.get_mut(&request_id) else {
+        let Some(j) = x.in_progress.get_mut(&request_id) else {
             return;
         };
         let Some(route) = x.policy.route(request_id) else {
-            let t = j.attempt;
-            self.over(n, request_id);
+            let t = j.client_attempt;
+            self.finish_request(n, request_id);
             return self.answer(t, ErrorCode::UnknownRoute, 0);
         };
         let deadline = x.policy.deadline(request_id);
@@ -238,12 +243,12 @@
             a => a.max(LEAST_PATIENCE),
         };
         let repeatable = route.repeatable();
-        j.cur = Some(Cur {
-            sid,
+        j.current = Some(CurrentAttempt {
+            attempt_id,
             phase: Phase::Connect,
             stream: route.kind == sorreldoor::configuration::hosted::Kind::Stream,
             began: false,
-            pause: patience,
+            patience_ms: patience,
             until: now + CONNECT_MS.min(deadline.saturating_sub(now).max(1)),
             deadline,
             gap: match route.gap_ms {
@@ -253,42 +258,42 @@
             since: now,
             small,
         });
-        let s = Send {
+        let s = WorkerAttempt {
             node: n,
-            life: x.life,
+            incarnation: x.incarnation,
             request_id,
-            attempt: j.attempt,
+            client_attempt: j.client_attempt,
             worker: w,
             addr: to.addr,
             zone,
             there: None,
-            doomed: false,
+            over_limit: false,
             sent: self.now,
             until: 0,
             priority: to.priority.unwrap_or(5),
             last: j.last,
             open: true,
             cut: false,
-            headed: false,
-            spoil: None,
+            head_sent: false,
+            answer_fault: None,
         };
-        self.sends.push(s);
+        self.worker_attempts.push(s);
         let within = if repeatable { KEEP } else { FRESH };
-        if self.pooled(n, w, within) {
-            self.sends[sid as usize].there = Some(w);
-            return self.pass(sid);
+        if self.take_pooled(n, w, within) {
+            self.worker_attempts[attempt_id as usize].there = Some(w);
+            return self.send_request(attempt_id);
         }
-        self.tally.conns += 1;
+        self.statistics.conns += 1;
         let at = self.now + self.delay(self.nodes[n].zone, zone);
-        self.push(at, Ev::Syn(sid));
-        self.tick(sid);
+        self.push(at, SimEvent::Syn(attempt_id));
+        self.tick(attempt_id);
     }
 
-    fn pooled(&mut self, n: usize, w: usize, within: Us) -> bool {
+    fn take_pooled(&mut self, n: usize, w: usize, within: Micros) -> bool {
         let now = self.now;
         let d = self.delay(self.nodes[n].zone, self.workers[w].zone);
         let wk = &mut self.workers[w];
-        let known = wk.dead.is_some_and(|t| t + d <= now);
+        let known = wk.ended_at.is_some_and(|t| t + d <= now);
         let Some(p) = self.nodes[n].pool.get_mut(&w) else {
             return false;
         };
@@ -302,33 +307,35 @@
     }
 
     /// The connection is up: the request goes out.
-    pub(super) fn pass(&mut self, sid: u64) {
+    pub(super) fn send_request(&mut self, attempt_id: u64) {
         let now = self.ms();
-        let s = &self.sends[sid as usize];
+        let s = &self.worker_attempts[attempt_id as usize];
         let (n, zone) = (s.node, s.zone);
         let d = self.delay(self.nodes[n].zone, zone);
-        let Some(c) = self.cur(sid) else { return };
+        let Some(c) = self.current(attempt_id) else {
+            return;
+        };
         c.phase = Phase::Head;
-        c.until = now.saturating_add(c.pause);
+        c.until = now.saturating_add(c.patience_ms);
         let left = c.deadline.saturating_sub(now);
         let at = self.now + d;
-        let s = &mut self.sends[sid as usize];
+        let s = &mut self.worker_attempts[attempt_id as usize];
         (s.sent, s.until) = (self.now, at + left * 1000);
-        self.tries[s.attempt].sends += 1;
-        self.push(at, Ev::Work(sid));
-        self.tick(sid);
+        self.client_attempts[s.client_attempt].worker_attempts += 1;
+        self.push(at, SimEvent::RequestReceived(attempt_id));
+        self.tick(attempt_id);
     }
 
-    pub(super) fn cur(&mut self, sid: u64) -> Option<&mut Cur> {
-        let s = &self.sends[sid as usize];
-        let j = self.nodes[s.node].jobs.get_mut(&s.request_id)?;
-        j.cur.as_mut().filter(|c| c.sid == sid)
+    pub(super) fn current(&mut self, attempt_id: u64) -> Option<&mut CurrentAttempt> {
+        let s = &self.worker_attempts[attempt_id as usize];
+        let j = self.nodes[s.node].in_progress.get_mut(&s.request_id)?;
+        j.current.as_mut().filter(|c| c.attempt_id == attempt_id)
     }
 
-    pub(super) fn tick(&mut self, sid: u64) {
-        if let Some(c) = self.cur(sid) {
+    pub(super) fn tick(&mut self, attempt_id: u64) {
+        if let Some(c) = self.current(attempt_id) {
             let at = c.until.min(c.deadline) * 1000;
-            self.push(at, Ev::Timer(sid));
+            self.push(at, SimEvent::Timer(attempt_id));
         }
     }
 }
--- a/testbed/src/emul/policy.rs
+++ b/testbed/src/emulator/policy.rs
@@ -1,8 +1,8 @@
 //! Who decides at a node where requests go: the product's table, or a simple
 //! rule to compare it with.
 
-use super::breach::Breaker;
-use super::simple::Simple;
+use super::baseline::BaselinePolicy;
+use super::violation::ViolatingBalancer;
 use sorreldoor::balancer::{AttemptOutcome, Balancer, Bounds, Decision, Locality, RequestId};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::discovery::WorkerRegistry;
@@ -16,7 +16,7 @@
     fn begin(
         &mut self,
         path: &str,
-        asked: RequestMetadata,
+        requested: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode>;
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision;
@@ -41,10 +41,10 @@
     fn begin(
         &mut self,
         path: &str,
-        asked: RequestMetadata,
+        requested: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
-        Balancer::begin(self, HOST, path, asked, now, now)
+        Balancer::begin(self, HOST, path, requested, now, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
         Balancer::pick(self, request_id, now)
@@ -90,7 +90,7 @@
 
 /// What decides at all nodes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Invariant {
+pub enum PolicyKind {
     Balancer,
     RoundRobin,
     LeastLoad,
@@ -98,12 +98,12 @@
     Stay,
     StayBegun,
     /// The table, with one of its rules broken.
-    Broken(Breach),
+    Broken(Violation),
 }
 
 /// What is broken, to show that a check can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breach {
+pub enum Violation {
     /// What may have run is begun again as if it were new.
     Twice,
     /// Homes are left out of routes.
@@ -125,39 +125,45 @@
     StayBegun,
 }
 
-impl Invariant {
+impl PolicyKind {
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::Balancer => "table",
-            Invariant::RoundRobin => "round robin",
-            Invariant::LeastLoad => "least load",
-            Invariant::Stay => "table, no moves",
-            Invariant::StayBegun => "table, none midway",
-            Invariant::Broken(_) => "broken table",
+            PolicyKind::Balancer => "table",
+            PolicyKind::RoundRobin => "round robin",
+            PolicyKind::LeastLoad => "least load",
+            PolicyKind::Stay => "table, no moves",
+            PolicyKind::StayBegun => "table, none midway",
+            PolicyKind::Broken(_) => "broken table",
         }
     }
 
     pub fn make(self, place: Locality, mut bounds: Bounds, seed: u64) -> Box<dyn Policy> {
         match self {
-            Invariant::Balancer => Box::new(Balancer::new(place, bounds, seed)),
-            Invariant::RoundRobin | Invariant::LeastLoad => {
-                Box::new(Simple::new(self, seed, &place.node))
+            PolicyKind::Balancer => Box::new(Balancer::new(place, bounds, seed)),
+            PolicyKind::RoundRobin | PolicyKind::LeastLoad => {
+                Box::new(BaselinePolicy::new(self, seed, &place.node))
             }
-            Invariant::Stay | Invariant::StayBegun => {
+            PolicyKind::Stay | PolicyKind::StayBegun => {
                 let b = match self {
-                    Invariant::Stay => Breach::Stay,
-                    _ => Breach::StayBegun,
+                    PolicyKind::Stay => Violation::Stay,
+                    _ => Violation::StayBegun,
                 };
-                Box::new(Breaker::new(Balancer::new(place, bounds, seed), b))
+                Box::new(ViolatingBalancer::new(
+                    Balancer::new(place, bounds, seed),
+                    b,
+                ))
             }
-            Invariant::Broken(b) => {
-                if b == Breach::Budget {
+            PolicyKind::Broken(b) => {
+                if b == Violation::Budget {
                     (bounds.retry_ratio, bounds.retry_slack) = (1e6, 1e6);
                 }
-                if b == Breach::Cold {
+                if b == Violation::Cold {
                     bounds.warmup_excess = 1e6;
                 }
-                Box::new(Breaker::new(Balancer::new(place, bounds, seed), b))
+                Box::new(ViolatingBalancer::new(
+                    Balancer::new(place, bounds, seed),
+                    b,
+                ))
             }
         }
     }
--- a/testbed/src/emul/storm.rs
+++ b/testbed/src/emulator/random_faults.rs
@@ -1,6 +1,6 @@
 //! Troubles drawn from a seed.
 
-use super::mix::{Mix, Trouble};
+use super::mix::{Fault, Mix};
 use crate::rand::Rand;
 
 /// The kinds that may be drawn.
@@ -10,7 +10,7 @@
 ];
 
 /// `n` troubles within the mix's time, with room for recovery behind them.
-pub fn storm(seed: u64, m: &Mix, n: usize) -> Vec<Trouble> {
+pub fn random_faults(seed: u64, m: &Mix, n: usize) -> Vec<Fault> {
     let mut r = Rand::new(seed ^ 0x5702);
     let nodes: u32 = m.nodes.iter().sum();
     let last = (m.seconds - 8.0).max(1.0);
@@ -23,7 +23,7 @@
                 "kill" | "freeze" => nodes,
                 _ => all,
             };
-            Trouble {
+            Fault {
                 kind: kind.into(),
                 at_s: 1.0 + r.below((last * 10.0) as u64) as f64 / 10.0,
                 for_s: 2.0 + r.below(40) as f64 / 10.0,
--- /dev/null
+++ b/testbed/src/emulator/responses.rs
@@ -0,0 +1,211 @@
+//! What comes back from workers to a node, and how sendings end.
+
+use super::node::Phase;
+use super::*;
+use sorreldoor::balancer::AttemptOutcome;
+use sorreldoor::error::ErrorCode;
+
+/// Between looks at whether a silent worker is to be left, in milliseconds.
+const RECHECK_MS: u64 = 100;
+
+impl World {
+    pub(super) fn syn_ack(&mut self, attempt_id: u64, ok: bool) {
+        if self
+            .current(attempt_id)
+            .is_none_or(|c| c.phase != Phase::Connect)
+        {
+            return;
+        }
+        match ok {
+            true => self.send_request(attempt_id),
+            false => self.attempt_failed(attempt_id, AttemptOutcome::ConnectFailed),
+        }
+    }
+
+    /// Closes the connection of a sending.
+    fn close_connection(&mut self, attempt_id: u64) {
+        let s = &mut self.worker_attempts[attempt_id as usize];
+        if !std::mem::replace(&mut s.open, false) {
+            return;
+        }
+        let (n, zone) = (s.node, s.zone);
+        let at = self.now + self.delay(self.nodes[n].zone, zone);
+        self.push(at, SimEvent::Close(attempt_id));
+    }
+
+    fn return_to_pool(&mut self, attempt_id: u64) {
+        let s = &mut self.worker_attempts[attempt_id as usize];
+        s.open = false;
+        let (n, w) = (s.node, s.worker);
+        self.nodes[n].pool.entry(w).or_default().push(self.now);
+    }
+
+    /// The sending ended without an answer that can be used.
+    fn attempt_failed(&mut self, attempt_id: u64, h: AttemptOutcome) {
+        let s = self.worker_attempts[attempt_id as usize].clone();
+        let Some(c) = self.current(attempt_id).cloned() else {
+            return;
+        };
+        match h {
+            AttemptOutcome::Rejected(_) => self.return_to_pool(attempt_id),
+            _ => self.close_connection(attempt_id),
+        }
+        let left = h == AttemptOutcome::Canceled;
+        self.outcome(s.node, s.request_id, h);
+        let late = self.ms() >= c.deadline;
+        let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
+            return;
+        };
+        j.current = None;
+        let head = j.head_sent;
+        if left || (late && c.phase == Phase::Head && !head) {
+            self.finish_request(s.node, s.request_id);
+            return match left {
+                true => self.send_to_client(s.client_attempt, ClientMessage::Cut),
+                false => self.answer(s.client_attempt, ErrorCode::DeadlineExceeded, 0),
+            };
+        }
+        self.decide(s.node, s.request_id);
+    }
+
+    pub(super) fn timer(&mut self, attempt_id: u64) {
+        let (now, s) = (self.ms(), &self.worker_attempts[attempt_id as usize]);
+        let (n, request_id) = (s.node, s.request_id);
+        let Some(c) = self.current(attempt_id).cloned() else {
+            return;
+        };
+        if now < c.until.min(c.deadline) {
+            return self.tick(attempt_id);
+        }
+        match c.phase {
+            Phase::Connect => {
+                return self.attempt_failed(attempt_id, AttemptOutcome::ConnectFailed)
+            }
+            Phase::Head if now >= c.deadline => {
+                return self.attempt_failed(attempt_id, AttemptOutcome::Failed)
+            }
+            Phase::Body if now >= c.deadline => {
+                return self.attempt_failed(attempt_id, AttemptOutcome::Canceled)
+            }
+            _ => {}
+        }
+        let own = match c.phase {
+            Phase::Body => c.gap,
+            _ => c.patience_ms,
+        };
+        // a worker that speaks to others is slow, but not for twice as long
+        let small = c.small && c.phase == Phase::Head;
+        let slow = small || now >= c.since.saturating_add(2 * own);
+        let silent = if slow { 0 } else { own };
+        if c.phase == Phase::Body && !c.stream {
+            // once its head is there a plain answer is waited for to the end
+        } else if self.nodes[n].policy.may_fail_over(request_id, silent, now) {
+            return self.attempt_failed(attempt_id, AttemptOutcome::Failed);
+        }
+        if let Some(c) = self.current(attempt_id) {
+            c.until = now + RECHECK_MS;
+        }
+        self.tick(attempt_id);
+    }
+
+    pub(super) fn worker_message(&mut self, attempt_id: u64, a: WorkerMessage) {
+        let s = self.worker_attempts[attempt_id as usize].clone();
+        let now = self.ms();
+        let Some(c) = self.current(attempt_id) else {
+            return;
+        };
+        match a {
+            WorkerMessage::Reset if c.phase == Phase::Connect => {
+                self.attempt_failed(attempt_id, AttemptOutcome::ConnectFailed)
+            }
+            WorkerMessage::Reset | WorkerMessage::Garbled => {
+                self.attempt_failed(attempt_id, AttemptOutcome::Failed)
+            }
+            WorkerMessage::Misdirected => {
+                self.attempt_failed(attempt_id, AttemptOutcome::Misdirected)
+            }
+            WorkerMessage::Rejected(l) => {
+                self.attempt_failed(attempt_id, AttemptOutcome::Rejected(Some(l)))
+            }
+            WorkerMessage::Head(l) => {
+                c.phase = Phase::Body;
+                (c.since, c.until) = (now, now.saturating_add(c.gap));
+                let h = AttemptOutcome::HeadReceived {
+                    load: Some(l),
+                    slow_start_ms: None,
+                };
+                self.outcome(s.node, s.request_id, h);
+                self.tick(attempt_id);
+            }
+            WorkerMessage::Event(number) => {
+                (c.since, c.until) = (now, now.saturating_add(c.gap));
+                let first = !std::mem::replace(&mut c.began, true);
+                let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
+                    return;
+                };
+                // what a worker repeats the caller has already
+                if number > j.last {
+                    (j.last, j.head_sent) = (number, true);
+                    self.send_to_client(s.client_attempt, ClientMessage::Event(number, s.worker));
+                }
+                self.nodes[s.node].policy.record_activity(s.request_id, now);
+                if first {
+                    self.outcome(s.node, s.request_id, AttemptOutcome::FirstEvent);
+                }
+            }
+            WorkerMessage::End => {
+                self.return_to_pool(attempt_id);
+                self.outcome(s.node, s.request_id, AttemptOutcome::Completed(200));
+                self.finish_request(s.node, s.request_id);
+                self.send_to_client(s.client_attempt, ClientMessage::End);
+            }
+            WorkerMessage::TimedOut if c.phase == Phase::Body => {
+                self.attempt_failed(attempt_id, AttemptOutcome::Failed)
+            }
+            WorkerMessage::TimedOut => self.failed(attempt_id),
+        }
+    }
+
+    /// A worker's own failure is its answer, unless another may do better.
+    fn failed(&mut self, attempt_id: u64) {
+        let s = self.worker_attempts[attempt_id as usize].clone();
+        let now = self.ms();
+        let may_fail_over = self.nodes[s.node]
+            .policy
+            .may_fail_over(s.request_id, 0, now);
+        self.return_to_pool(attempt_id);
+        self.outcome(s.node, s.request_id, AttemptOutcome::Completed(504));
+        let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
+            return;
+        };
+        (j.current, j.failed) = (None, true);
+        if may_fail_over || j.head_sent {
+            return self.decide(s.node, s.request_id);
+        }
+        self.finish_request(s.node, s.request_id);
+        self.send_to_client(s.client_attempt, ClientMessage::Answer(504, 0));
+    }
+
+    /// The caller has gone.
+    pub(super) fn client_gone(&mut self, n: usize, t: usize) {
+        let Some(request_id) = self.nodes[n].by_attempt.get(&t).copied() else {
+            return;
+        };
+        let current = self.nodes[n]
+            .in_progress
+            .get(&request_id)
+            .and_then(|j| j.current.clone());
+        if let Some(c) = current {
+            self.close_connection(c.attempt_id);
+            let h = match c.phase {
+                Phase::Connect => AttemptOutcome::ConnectFailed,
+                _ => AttemptOutcome::Canceled,
+            };
+            // before the request has gone out there is nothing to leave
+            if h == AttemptOutcome::Canceled {
+                self.outcome(n, request_id, h);
+            }
+        }
+        self.finish_request(n, request_id);
+    }
+}
--- a/testbed/src/emul/tally.rs
+++ b/testbed/src/emulator/statistics.rs
@@ -1,62 +1,62 @@
 //! The figures of a run.
 
-use super::client::End;
+use super::clients::End;
 use super::*;
 use sorreldoor::error::ErrorCode;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    pub asked: u64,
+pub struct RunStatistics {
+    pub requested: u64,
     pub served: u64,
     /// Served, but later than the aim or with too long a pause.
     pub late: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
     /// Milliseconds to the first event or the whole answer, sorted.
     pub first: Vec<f64>,
     /// The longest pause within a stream, in milliseconds.
-    pub pause: f64,
+    pub max_gap: f64,
     /// The pauses of streams at their worst, in milliseconds, sorted.
-    pub pauses: Vec<f64>,
+    pub gaps: Vec<f64>,
     /// By kind of request: asked, served, and in time.
     pub by_kind: Vec<(String, [u64; 3])>,
     /// Tokens of prompts read, and of shared parts that some worker had read.
-    pub read: u64,
-    pub reread: u64,
+    pub prefill_tokens: u64,
+    pub recomputed_tokens: u64,
     /// Sendings within a zone, to another zone, to another region.
     pub here: u64,
     pub zones: u64,
     pub regions: u64,
     /// Sendings beyond the first of a try, and refusals of nodes.
     pub retries: u64,
-    pub refusals: u64,
+    pub rejections: u64,
     /// Of them while under half of the places were taken, and later than a
     /// quarter of the aim.
-    pub idle_refusals: u64,
-    pub late_refusals: u64,
+    pub idle_rejections: u64,
+    pub late_rejections: u64,
     /// Nodes' own answers by kind of request and problem: all, and while idle.
-    pub why: BTreeMap<String, (u64, u64)>,
+    pub rejections_by_error: BTreeMap<String, (u64, u64)>,
     pub conns: u64,
-    pub put_back: u64,
+    pub preemptions: u64,
     /// Served in time, of those asked in each second.
     pub seconds: Vec<(u32, u32)>,
     /// Virtual milliseconds until the last event.
-    pub lasted: u64,
+    pub duration_ms: u64,
 }
 
-impl std::fmt::Display for Tally {
+impl std::fmt::Display for RunStatistics {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
             "asked {} served {} late {} refused {} failed {} retries {} refusals {} first {:.0}/{:.0}/{:.0}",
-            self.asked,
+            self.requested,
             self.served,
             self.late,
-            self.refused,
+            self.rejected,
             self.failed,
             self.retries,
-            self.refusals,
+            self.rejections,
             self.first_at(0.5),
             self.first_at(0.95),
             self.first_at(0.99)
@@ -64,9 +64,9 @@
     }
 }
 
-impl Tally {
-    pub(super) fn wall(&mut self, now: Us) {
-        self.lasted = now / 1000;
+impl RunStatistics {
+    pub(super) fn set_duration(&mut self, now: Micros) {
+        self.duration_ms = now / 1000;
     }
 
     pub(super) fn arrived(&mut self, zone: bool, region: bool) {
@@ -82,8 +82,8 @@
         at(&self.first, q)
     }
 
-    pub fn pause_at(&self, q: f64) -> f64 {
-        at(&self.pauses, q)
+    pub fn gap_at(&self, q: f64) -> f64 {
+        at(&self.gaps, q)
     }
 
     /// Percentages by kind of request: served, and in time.
@@ -95,34 +95,34 @@
     }
 
     /// Adds the figures of another run; `sort` once after the last.
-    pub fn add(&mut self, o: Tally) {
+    pub fn add(&mut self, o: RunStatistics) {
         let sums: [(&mut u64, u64); 17] = [
-            (&mut self.asked, o.asked),
+            (&mut self.requested, o.requested),
             (&mut self.served, o.served),
             (&mut self.late, o.late),
-            (&mut self.refused, o.refused),
+            (&mut self.rejected, o.rejected),
             (&mut self.failed, o.failed),
-            (&mut self.read, o.read),
-            (&mut self.reread, o.reread),
+            (&mut self.prefill_tokens, o.prefill_tokens),
+            (&mut self.recomputed_tokens, o.recomputed_tokens),
             (&mut self.here, o.here),
             (&mut self.zones, o.zones),
             (&mut self.regions, o.regions),
             (&mut self.retries, o.retries),
-            (&mut self.refusals, o.refusals),
-            (&mut self.idle_refusals, o.idle_refusals),
-            (&mut self.late_refusals, o.late_refusals),
+            (&mut self.rejections, o.rejections),
+            (&mut self.idle_rejections, o.idle_rejections),
+            (&mut self.late_rejections, o.late_rejections),
             (&mut self.conns, o.conns),
-            (&mut self.put_back, o.put_back),
-            (&mut self.lasted, o.lasted),
+            (&mut self.preemptions, o.preemptions),
+            (&mut self.duration_ms, o.duration_ms),
         ];
         sums.into_iter().for_each(|(a, b)| *a += b);
-        for (k, n) in o.why {
-            let w = self.why.entry(k).or_default();
+        for (k, n) in o.rejections_by_error {
+            let w = self.rejections_by_error.entry(k).or_default();
             *w = (w.0 + n.0, w.1 + n.1);
         }
         self.first.extend(o.first);
-        self.pauses.extend(o.pauses);
-        self.pause = self.pause.max(o.pause);
+        self.gaps.extend(o.gaps);
+        self.max_gap = self.max_gap.max(o.max_gap);
         self.seconds.extend(o.seconds);
         if self.by_kind.is_empty() {
             self.by_kind = o.by_kind;
@@ -135,7 +135,7 @@
 
     pub fn sort(&mut self) {
         self.first.sort_by(f64::total_cmp);
-        self.pauses.sort_by(f64::total_cmp);
+        self.gaps.sort_by(f64::total_cmp);
     }
 
     /// The lowest share in time over `n` seconds in a row.
@@ -155,23 +155,23 @@
 
 impl World {
     /// A node's own refusal of a try.
-    pub(super) fn refusal(&mut self, t: usize, p: ErrorCode) {
-        let class = self.asks[self.tries[t].ask].class;
+    pub(super) fn record_rejection(&mut self, t: usize, p: ErrorCode) {
+        let class = self.client_requests[self.client_attempts[t].ask].class;
         let c = &self.mix.classes[class];
         let key = format!("{} {}", c.name, p.code());
-        let why = self.tally.why.entry(key).or_default();
-        why.0 += 1;
+        let rejections_by_error = self.statistics.rejections_by_error.entry(key).or_default();
+        rejections_by_error.0 += 1;
         if p.status() != 503 {
             return;
         }
-        self.tally.refusals += 1;
-        if self.now - self.tries[t].sent > us(c.aim_ms as f64 / 4.0) + 1000 {
-            self.tally.late_refusals += 1;
+        self.statistics.rejections += 1;
+        if self.now - self.client_attempts[t].sent > micros(c.aim_ms as f64 / 4.0) + 1000 {
+            self.statistics.late_rejections += 1;
         }
-        let svc = c.service;
+        let service_index = c.service;
         let fit = |i: &usize| {
             let w = &self.workers[*i];
-            w.svc == svc && w.dead.is_none() && w.leaving.is_none()
+            w.service_index == service_index && w.ended_at.is_none() && w.leaving.is_none()
         };
         let all = (0..self.workers.len()).filter(fit).map(|i| self.load(i));
         let total = all.fold(LoadReport::default(), |sum, load| LoadReport {
@@ -180,15 +180,19 @@
             slots: sum.slots + load.slots,
         });
         if total.running * 2 < total.slots && total.waiting == 0 {
-            self.tally.idle_refusals += 1;
+            self.statistics.idle_rejections += 1;
             let key = format!("{} {}", c.name, p.code());
-            self.tally.why.entry(key).or_default().1 += 1;
+            self.statistics
+                .rejections_by_error
+                .entry(key)
+                .or_default()
+                .1 += 1;
         }
     }
 
     /// The troubles of this run, and refusals while places were free.
-    pub fn played(&self) -> String {
-        let of = |t: &Trouble| {
+    pub fn describe(&self) -> String {
+        let of = |t: &Fault| {
             let s = &self.mix.services[t.service].name;
             let (k, n, x, z) = (&t.kind, t.count, t.x, t.zone);
             format!(
@@ -197,40 +201,51 @@
             )
         };
         let all: Vec<String> = self.mix.troubles.iter().map(of).collect();
-        format!("{}; own answers {:?}", all.join("; "), self.tally.why)
+        format!(
+            "{}; own answers {:?}",
+            all.join("; "),
+            self.statistics.rejections_by_error
+        )
     }
 
     /// Requests that were not served: kind, when, how they ended, and the
     /// sendings of their tries.
     pub fn unserved(&self) -> Vec<String> {
-        let bad = |a: &&Ask| !matches!(a.end, Some(End::Served(_)));
-        let asks = self.asks.iter().enumerate();
-        let of = |(i, a): (usize, &Ask)| {
-            let tries = self.tries.iter().filter(|t| t.ask == i);
+        let bad = |a: &&ClientRequest| !matches!(a.end, Some(End::Served(_)));
+        let client_requests = self.client_requests.iter().enumerate();
+        let of = |(i, a): (usize, &ClientRequest)| {
+            let tries = self.client_attempts.iter().filter(|t| t.ask == i);
             let tries: Vec<String> = tries
-                .map(|t| format!("{} us, {} sends, {} ran", t.sent, t.sends, t.ran.len()))
+                .map(|t| {
+                    format!(
+                        "{} us, {} sends, {} ran",
+                        t.sent,
+                        t.worker_attempts,
+                        t.ran.len()
+                    )
+                })
                 .collect();
             let tokens: u32 = a.parts.iter().map(|p| p.tokens).sum();
             format!(
                 "{} at {} us, zone {}, {tokens} tokens, {} of {} events, {:?}: {tries:?}",
-                self.mix.classes[a.class].name, a.at, a.zone, a.got, a.events, a.end
+                self.mix.classes[a.class].name, a.at, a.zone, a.events_received, a.events, a.end
             )
         };
-        asks.filter(|(_, a)| bad(a)).map(of).collect()
+        client_requests.filter(|(_, a)| bad(a)).map(of).collect()
     }
 
     /// The figures, once a run is over.
-    pub fn tally(&self) -> Tally {
-        let mut t = self.tally.clone();
+    pub fn statistics(&self) -> RunStatistics {
+        let mut t = self.statistics.clone();
         let m = &self.mix;
-        let ms = |x: Us| x as f64 / 1000.0;
+        let ms = |x: Micros| x as f64 / 1000.0;
         let mut kinds = vec![[0u64; 3]; m.classes.len()];
         t.seconds = vec![(0, 0); m.seconds.ceil() as usize + 1];
-        for a in &self.asks {
+        for a in &self.client_requests {
             let c = &m.classes[a.class];
-            let s = ((a.at.saturating_sub(us(10_000.0))) / 1_000_000) as usize;
+            let s = ((a.at.saturating_sub(micros(10_000.0))) / 1_000_000) as usize;
             let s = s.min(t.seconds.len() - 1);
-            t.asked += 1;
+            t.requested += 1;
             t.seconds[s].1 += 1;
             kinds[a.class][0] += 1;
             match a.end {
@@ -238,26 +253,27 @@
                     t.served += 1;
                     kinds[a.class][1] += 1;
                     let first = ms(a.first.unwrap_or(a.at) - a.at);
-                    let pause = ms(a.pause);
-                    let late = first > c.aim_ms as f64 || (c.gap_ms > 0 && pause > c.gap_ms as f64);
+                    let max_gap = ms(a.max_gap);
+                    let late =
+                        first > c.aim_ms as f64 || (c.gap_ms > 0 && max_gap > c.gap_ms as f64);
                     t.late += u64::from(late);
                     kinds[a.class][2] += u64::from(!late);
                     t.seconds[s].0 += u32::from(!late);
                     t.first.push(first);
                     if c.kind == "stream" {
-                        t.pauses.push(pause);
+                        t.gaps.push(max_gap);
                     }
                 }
-                Some(End::Refused) => t.refused += 1,
+                Some(End::Refused) => t.rejected += 1,
                 _ => t.failed += 1,
             }
         }
         t.sort();
-        t.pause = t.pauses.last().copied().unwrap_or(0.0);
-        let beyond = |x: &Try| u64::from(x.sends.saturating_sub(1));
-        t.retries = self.tries.iter().map(beyond).sum();
-        let named = kinds.into_iter().zip(&m.classes);
-        t.by_kind = named.map(|(k, c)| (c.name.clone(), k)).collect();
+        t.max_gap = t.gaps.last().copied().unwrap_or(0.0);
+        let beyond = |x: &ClientAttempt| u64::from(x.worker_attempts.saturating_sub(1));
+        t.retries = self.client_attempts.iter().map(beyond).sum();
+        let ready_nodes = kinds.into_iter().zip(&m.classes);
+        t.by_kind = ready_nodes.map(|(k, c)| (c.name.clone(), k)).collect();
         t
     }
 }
--- a/testbed/src/emul/breach.rs
+++ b/testbed/src/emulator/violation.rs
@@ -1,6 +1,6 @@
 //! The product's table with one of its rules broken, to show that a check can fail.
 
-use super::policy::{Breach, Policy};
+use super::policy::{Policy, Violation};
 use sorreldoor::balancer::{AttemptOutcome, Balancer, Decision, RequestId};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::discovery::WorkerRegistry;
@@ -10,16 +10,16 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-pub struct Breaker {
+pub struct ViolatingBalancer {
     t: Balancer,
-    b: Breach,
+    b: Violation,
     had: bool,
     begun: HashSet<RequestId>,
 }
 
-impl Breaker {
-    pub fn new(t: Balancer, b: Breach) -> Breaker {
-        Breaker {
+impl ViolatingBalancer {
+    pub fn new(t: Balancer, b: Violation) -> ViolatingBalancer {
+        ViolatingBalancer {
             t,
             b,
             had: false,
@@ -28,24 +28,24 @@
     }
 }
 
-impl Policy for Breaker {
+impl Policy for ViolatingBalancer {
     fn begin(
         &mut self,
         path: &str,
-        asked: RequestMetadata,
+        requested: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
-        Policy::begin(&mut self.t, path, asked, now)
+        Policy::begin(&mut self.t, path, requested, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
-        if self.b == Breach::Mute {
+        if self.b == Violation::Mute {
             return Decision::Wait(20);
         }
         self.t.pick(request_id, now)
     }
     fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
         let h = match h {
-            AttemptOutcome::Failed if self.b == Breach::Twice => AttemptOutcome::Rejected(None),
+            AttemptOutcome::Failed if self.b == Violation::Twice => AttemptOutcome::Rejected(None),
             h => h,
         };
         if h == AttemptOutcome::FirstEvent {
@@ -58,8 +58,8 @@
     }
     fn may_fail_over(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
         let stays = match self.b {
-            Breach::Stay => true,
-            Breach::StayBegun => self.begun.contains(&request_id),
+            Violation::Stay => true,
+            Violation::StayBegun => self.begun.contains(&request_id),
             _ => false,
         };
         !stays && self.t.may_fail_over(request_id, silent, now)
@@ -78,27 +78,27 @@
         self.t.route(request_id).cloned()
     }
     fn apply_configuration(&mut self, h: Arc<Hosted>, now: Millis) {
-        if self.b == Breach::Routes && std::mem::replace(&mut self.had, true) {
+        if self.b == Violation::Routes && std::mem::replace(&mut self.had, true) {
             return;
         }
         let mut own = (*h).clone();
         let each = own.routes.iter_mut().map(Arc::make_mut);
         match self.b {
-            Breach::Homes => each.for_each(|r| r.homes.clear()),
-            Breach::Twice => each.for_each(|r| r.attempts = r.attempts.max(2)),
+            Violation::Homes => each.for_each(|r| r.homes.clear()),
+            Violation::Twice => each.for_each(|r| r.attempts = r.attempts.max(2)),
             _ => {}
         }
         self.t.apply_configuration(Arc::new(own), now);
     }
     fn update_registry(&mut self, r: &WorkerRegistry, now: Millis) {
         let mut own = r.clone();
-        if self.b == Breach::Drains {
+        if self.b == Violation::Drains {
             own.workers.iter_mut().for_each(|w| w.leaving = false);
         }
         self.t.update_registry(&own, now);
     }
     fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
-        if self.b != Breach::Zones {
+        if self.b != Violation::Zones {
             self.t.set_evacuated_zones(zones, now);
         }
     }
--- a/testbed/src/emul/lives.rs
+++ b/testbed/src/emulator/worker_lifecycle.rs
@@ -1,40 +1,42 @@
 //! Lives of workers, from their start to their end, and the platform's list.
 
 use super::engine::Engine;
-use super::mix::SvcMix;
-use super::worker::{Body, Wk};
+use super::mix::ServiceMix;
+use super::worker::{Backend, EmulatedWorker};
 use super::*;
 use std::collections::VecDeque;
 
 impl World {
-    pub(super) fn lay_workers(&mut self) {
+    pub(super) fn create_workers(&mut self) {
         let m = self.mix.clone();
-        for (s, svc) in m.services.iter().enumerate() {
-            let zones = svc.workers.iter().enumerate();
+        for (s, service_index) in m.services.iter().enumerate() {
+            let zones = service_index.workers.iter().enumerate();
             let each = zones.flat_map(|(z, n)| (0..*n).map(move |_| z as u16));
             each.enumerate().for_each(|(i, z)| {
-                let speed = svc.speeds.get(i % svc.speeds.len().max(1));
+                let speed = service_index
+                    .speeds
+                    .get(i % service_index.speeds.len().max(1));
                 self.start_worker(s, z, speed.copied().unwrap_or(1.0), None, false);
             });
         }
-        self.list();
+        self.publish_registry();
     }
 
     /// A new life, at an address that is given or free.
     pub(super) fn start_worker(
         &mut self,
-        svc: usize,
+        service_index: usize,
         zone: u16,
         speed: f64,
         addr: Option<SocketAddr>,
-        cold: bool,
+        slow_start: bool,
     ) -> usize {
         let m = self.mix.clone();
-        let x: &SvcMix = &m.services[svc];
-        let reuse = self.now.saturating_sub(us(2000.0));
-        let spare = self.spare.iter().position(|(t, _)| *t <= reuse);
+        let x: &ServiceMix = &m.services[service_index];
+        let reuse = self.now.saturating_sub(micros(2000.0));
+        let free_addrs = self.free_addrs.iter().position(|(t, _)| *t <= reuse);
         let addr = addr
-            .or_else(|| spare.map(|i| self.spare.remove(i).1))
+            .or_else(|| free_addrs.map(|i| self.free_addrs.remove(i).1))
             .unwrap_or_else(|| {
                 self.addrs += 1;
                 let [_, a, b, c] = self.addrs.to_be_bytes();
@@ -44,57 +46,58 @@
         let name = format!("i-{i:05}");
         self.by_addr.insert(addr, i);
         self.by_name.insert(name.clone(), i);
-        let warm = us(x.warmup_ms as f64);
-        self.workers.push(Wk {
+        let warm = micros(x.warmup_ms as f64);
+        self.workers.push(EmulatedWorker {
             name,
             addr,
-            svc,
+            service_index,
             zone,
             region: m.zones[zone as usize],
             speed,
             slots: x.slots,
-            body: match &x.engine {
-                Some(e) => Body::Model(Box::new(Engine::new(e, x.slots))),
-                None => Body::Plain {
+            backend: match &x.engine {
+                Some(e) => Backend::Engine(Box::new(Engine::new(e, x.slots))),
+                None => Backend::Plain {
                     running: 0,
                     queue: VecDeque::new(),
                 },
             },
-            dead: None,
-            dark: 0,
-            full: 0,
-            spoil: None,
-            cold: (cold && warm > 0)
+            ended_at: None,
+            silent_until: 0,
+            overloaded_until: 0,
+            answer_fault: None,
+            slow_start: (slow_start && warm > 0)
                 .then_some((self.now, self.now + warm))
                 .into_iter()
                 .collect(),
-            lately: VecDeque::new(),
+            recent_arrivals: VecDeque::new(),
             conns: 0,
             listed: true,
             leaving: None,
             leaves: None,
-            shut: None,
+            closed_at: None,
         });
         i
     }
 
     /// The process ends; its connections are reset.
     pub(super) fn end_worker(&mut self, i: usize) {
-        if self.workers[i].dead.is_some() {
+        if self.workers[i].ended_at.is_some() {
             return;
         }
         let (addr, zone) = (self.workers[i].addr, self.workers[i].zone);
-        self.workers[i].dead = Some(self.now);
+        self.workers[i].ended_at = Some(self.now);
         if self.by_addr.get(&addr) == Some(&i) {
             self.by_addr.remove(&addr);
         }
-        let under = |s: &Send| s.open && s.there == Some(i);
-        let all: Vec<u64> = (0..self.sends.len() as u64)
-            .filter(|s| under(&self.sends[*s as usize]))
+        let under = |s: &WorkerAttempt| s.open && s.there == Some(i);
+        let all: Vec<u64> = (0..self.worker_attempts.len() as u64)
+            .filter(|s| under(&self.worker_attempts[*s as usize]))
             .collect();
         for s in all {
-            let at = self.now + self.delay(zone, self.nodes[self.sends[s as usize].node].zone);
-            self.push(at, Ev::Ans(s, Ans::Reset));
+            let at =
+                self.now + self.delay(zone, self.nodes[self.worker_attempts[s as usize].node].zone);
+            self.push(at, SimEvent::FromWorker(s, WorkerMessage::Reset));
         }
     }
 }
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -1,6 +1,8 @@
 //! Policies of placement against each other, on the same mixes and seeds.
 
-use crate::emul::{check, desk, storm, wide, Invariant, Mix, Tally, World};
+use crate::emulator::{
+    check, random_faults, three_region_mix, two_region_mix, Mix, PolicyKind, RunStatistics, World,
+};
 use gumdrop::Options;
 use plotters::prelude::*;
 use std::path::{Path, PathBuf};
@@ -40,15 +42,15 @@
 /// What one policy came to over all seeds.
 struct Row {
     name: &'static str,
-    t: Tally,
-    wrong: Vec<String>,
+    t: RunStatistics,
+    violations: Vec<String>,
     worst: f64,
 }
 
 fn mix(a: &Args) -> Result<Mix, String> {
     let mut m = match a.mix.as_str() {
-        "desk" => desk(),
-        "wide" => wide(),
+        "desk" => two_region_mix(),
+        "wide" => three_region_mix(),
         f => {
             let mut b = std::fs::read(f).map_err(|e| format!("{f}: {e}"))?;
             simd_json::serde::from_slice(&mut b).map_err(|e| format!("{f}: {e}"))?
@@ -59,7 +61,7 @@
         m.seconds = a.seconds;
     }
     if a.burst > 1.0 {
-        m.troubles.push(crate::emul::Trouble {
+        m.troubles.push(crate::emulator::Fault {
             kind: "burst".into(),
             at_s: m.seconds / 3.0,
             for_s: 8.0,
@@ -70,26 +72,26 @@
     Ok(m)
 }
 
-fn play(a: &Args, m: &Mix, rule: Invariant) -> Row {
+fn play(a: &Args, m: &Mix, policy_kind: PolicyKind) -> Row {
     let mut r = Row {
-        name: rule.name(),
-        t: Tally::default(),
-        wrong: Vec::new(),
+        name: policy_kind.name(),
+        t: RunStatistics::default(),
+        violations: Vec::new(),
         worst: 1.0,
     };
     for seed in a.from..a.from + a.n {
         let mut m = m.clone();
-        m.troubles.extend(storm(seed, &m, a.troubles));
-        let w = World::new(seed, m, rule).run();
-        let t = w.tally();
+        m.troubles.extend(random_faults(seed, &m, a.troubles));
+        let w = World::new(seed, m, policy_kind).run();
+        let t = w.statistics();
         if a.unserved {
-            println!("seed {seed}: {}", w.played());
+            println!("seed {seed}: {}", w.describe());
             w.unserved()
                 .iter()
                 .for_each(|u| println!("seed {seed}: {u}"));
         }
         let found = check(&w);
-        r.wrong
+        r.violations
             .extend(found.iter().map(|x| format!("seed {seed}: {x}")));
         r.worst = r.worst.min(t.worst(3));
         r.t.add(t);
@@ -101,13 +103,17 @@
 /// Plays every policy and prints a table; false if the product's table broke a rule.
 pub fn run(a: &Args) -> Result<bool, String> {
     let m = mix(a)?;
-    let invariants: &[Invariant] = match (a.table, a.moves) {
-        (_, true) => &[Invariant::Balancer, Invariant::StayBegun, Invariant::Stay],
-        (true, _) => &[Invariant::Balancer],
+    let invariants: &[PolicyKind] = match (a.table, a.moves) {
+        (_, true) => &[
+            PolicyKind::Balancer,
+            PolicyKind::StayBegun,
+            PolicyKind::Stay,
+        ],
+        (true, _) => &[PolicyKind::Balancer],
         _ => &[
-            Invariant::Balancer,
-            Invariant::RoundRobin,
-            Invariant::LeastLoad,
+            PolicyKind::Balancer,
+            PolicyKind::RoundRobin,
+            PolicyKind::LeastLoad,
         ],
     };
     let rows: Vec<Row> = invariants.iter().map(|r| play(a, &m, *r)).collect();
@@ -155,18 +161,18 @@
                 .map(|(n, s, l)| format!("{n} {s:.2}/{l:.2}"))
                 .collect();
         println!("{}: served/in time % {}", r.name, k.join(", "));
-        let why =
-            r.t.why
+        let rejections_by_error =
+            r.t.rejections_by_error
                 .iter()
                 .map(|(k, n)| format!("{k} {} ({} idle)", n.0, n.1));
         println!(
             "{}: own answers: {}",
             r.name,
-            why.collect::<Vec<_>>().join(", ")
+            rejections_by_error.collect::<Vec<_>>().join(", ")
         );
     }
     for r in &rows {
-        r.wrong
+        r.violations
             .iter()
             .take(12)
             .for_each(|w| println!("{}: {w}", r.name));
@@ -174,34 +180,34 @@
     if let Some(p) = &a.plot {
         plot(p, &rows).map_err(|e| e.to_string())?;
     }
-    Ok(rows[0].wrong.is_empty())
+    Ok(rows[0].violations.is_empty())
 }
 
 fn cells(r: &Row) -> Vec<String> {
     let t = &r.t;
     let of = |a: u64, b: u64| format!("{:.2}", 100.0 * a as f64 / b.max(1) as f64);
-    let sends = t.here + t.zones + t.regions;
+    let worker_attempts = t.here + t.zones + t.regions;
     vec![
         r.name.to_string(),
-        t.asked.to_string(),
-        of(t.served, t.asked),
+        t.requested.to_string(),
+        of(t.served, t.requested),
         of(t.late, t.served),
         format!("{:.1}", 100.0 * r.worst),
         format!("{:.0}", t.first_at(0.5)),
         format!("{:.0}", t.first_at(0.95)),
         format!("{:.0}", t.first_at(0.99)),
-        format!("{:.0}", t.pause_at(0.99)),
-        format!("{:.0}", t.pause),
-        (t.reread / 1000).to_string(),
-        of(t.zones, sends),
-        of(t.regions, sends),
+        format!("{:.0}", t.gap_at(0.99)),
+        format!("{:.0}", t.max_gap),
+        (t.recomputed_tokens / 1000).to_string(),
+        of(t.zones, worker_attempts),
+        of(t.regions, worker_attempts),
         t.retries.to_string(),
-        t.refusals.to_string(),
-        t.idle_refusals.to_string(),
-        t.late_refusals.to_string(),
-        t.put_back.to_string(),
+        t.rejections.to_string(),
+        t.idle_rejections.to_string(),
+        t.late_rejections.to_string(),
+        t.preemptions.to_string(),
         t.conns.to_string(),
-        r.wrong.len().to_string(),
+        r.violations.len().to_string(),
     ]
 }
 
@@ -227,7 +233,7 @@
         .draw()?;
     for (i, r) in rows.iter().enumerate() {
         let color = [BLUE, RED, BLACK][i % 3];
-        let n = r.t.asked.max(1) as f64;
+        let n = r.t.requested.max(1) as f64;
         let each = (1..=200).map(|k| f64::from(k) / 200.0);
         let at: Vec<(f64, f64)> = each
             .map(|q| (r.t.first_at(q * 0.999), q * r.t.served as f64 / n))
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins, fleet runner and simulator for sorreldoor; never shipped.
 
 pub mod disk;
-pub mod emul;
+pub mod emulator;
 pub mod experiment;
 mod feed;
 pub mod fleet;
