--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The table of requests under way: each rule by itself, and nodes together.
+//! The load balancer: each mechanism by itself, and nodes together.
 
 use sorreldoor::balancer::{
     AttemptOutcome, Balancer, Bounds, Decision, LoadReport, Locality, RequestId, Target,
@@ -9,20 +9,22 @@
 use sorreldoor::proxy::{PromptSegment, RequestMetadata};
 use std::sync::Arc;
 
-#[path = "balancer/drive.rs"]
-mod drive;
 #[path = "balancer/endpoints.rs"]
 mod endpoints;
 #[path = "balancer/fuzz.rs"]
 mod fuzz;
 #[path = "balancer/invariants.rs"]
 mod invariants;
-#[path = "balancer/marks.rs"]
-mod marks;
+#[path = "balancer/measures.rs"]
+mod measures;
 #[path = "balancer/nodes.rs"]
 mod nodes;
-#[path = "balancer/silence.rs"]
-mod silence;
+#[path = "balancer/simulation.rs"]
+mod simulation;
+#[path = "balancer/unresponsive.rs"]
+mod unresponsive;
+#[path = "balancer/workload.rs"]
+mod workload;
 
 /// Two regions: zones 0 and 1 in the first, 2 in the second.
 const REGIONS: [u8; 3] = [0, 0, 1];
@@ -37,7 +39,7 @@
     }
 }
 
-fn place(node: &str, zone: u16) -> Locality {
+fn locality(node: &str, zone: u16) -> Locality {
     Locality {
         node: node.into(),
         zone,
@@ -64,7 +66,7 @@
 
 /// Service 0 has engines, service 1 has none.
 fn hosted(routes: Vec<Route>) -> Arc<Hosted> {
-    let mut h = Hosted {
+    let mut hosted = Hosted {
         routes: routes.into_iter().map(Arc::new).collect(),
         services: vec![
             Service {
@@ -87,13 +89,13 @@
         ],
         ..Hosted::default()
     };
-    let mut at: Vec<u32> = (0..h.routes.len() as u32).collect();
-    at.sort_by_key(|i| std::cmp::Reverse(h.routes[*i as usize].prefix.len()));
-    h.by_host.insert("h".into(), at);
-    Arc::new(h)
+    let mut at: Vec<u32> = (0..hosted.routes.len() as u32).collect();
+    at.sort_by_key(|i| std::cmp::Reverse(hosted.routes[*i as usize].prefix.len()));
+    hosted.by_host.insert("h".into(), at);
+    Arc::new(hosted)
 }
 
-fn usual() -> Arc<Hosted> {
+fn default_routes() -> Arc<Hosted> {
     hosted(vec![
         route("once", "/once/", Kind::Once, 0),
         route("idem", "/idem/", Kind::Idempotent, 0),
@@ -117,27 +119,27 @@
     }
 }
 
-fn many(group: &str, slots: u32, zones: &[u16]) -> Vec<Worker> {
-    let w = |(i, z): (usize, &u16)| worker(&format!("{group}{i}"), group, *z, slots);
-    zones.iter().enumerate().map(w).collect()
+fn workers_in(group: &str, slots: u32, zones: &[u16]) -> Vec<Worker> {
+    let worker_row = |(i, z): (usize, &u16)| worker(&format!("{group}{i}"), group, *z, slots);
+    zones.iter().enumerate().map(worker_row).collect()
 }
 
 fn registry(version: u64, workers: Vec<Worker>) -> WorkerRegistry {
     WorkerRegistry { version, workers }
 }
 
-fn table(h: Arc<Hosted>, workers: Vec<Worker>) -> Balancer {
-    let mut t = Balancer::new(place("n0", 0), bounds(), 7);
-    t.apply_configuration(h, 0);
-    t.update_nodes(vec![("n0".into(), 0)]);
-    t.update_registry(&registry(1, workers), 0);
-    t
+fn new_balancer(hosted: Arc<Hosted>, workers: Vec<Worker>) -> Balancer {
+    let mut balancer = Balancer::new(locality("n0", 0), bounds(), 7);
+    balancer.apply_configuration(hosted, 0);
+    balancer.update_nodes(vec![("n0".into(), 0)]);
+    balancer.update_registry(&registry(1, workers), 0);
+    balancer
 }
 
-fn ask(parts: &[(u64, u32)]) -> RequestMetadata {
+fn metadata(parts: &[(u64, u32)]) -> RequestMetadata {
     RequestMetadata {
         deadline_ms: Some(5000),
-        tokens_in: parts.iter().map(|p| p.1).sum(),
+        tokens_in: parts.iter().map(|decision| decision.1).sum(),
         prompt_segments: parts
             .iter()
             .map(|(id, tokens)| PromptSegment {
@@ -149,19 +151,19 @@
     }
 }
 
-fn begin(t: &mut Balancer, path: &str, now: u64) -> RequestId {
-    t.begin("h", path, ask(&[]), now, now).unwrap()
+fn begin(balancer: &mut Balancer, path: &str, now: u64) -> RequestId {
+    balancer.begin("h", path, metadata(&[]), now, now).unwrap()
 }
 
-fn go(p: Decision) -> Target {
-    match p {
-        Decision::Send(t) => t,
-        p => panic!("not sent: {p:?}"),
+fn expect_send(decision: Decision) -> Target {
+    match decision {
+        Decision::Send(balancer) => balancer,
+        decision => panic!("not sent: {decision:?}"),
     }
 }
 
-fn sent(t: &mut Balancer, path: &str, now: u64) -> (RequestId, Target) {
-    let r = begin(t, path, now);
-    let g = go(t.pick(r, now));
-    (r, g)
+fn send(balancer: &mut Balancer, path: &str, now: u64) -> (RequestId, Target) {
+    let request_id = begin(balancer, path, now);
+    let target = expect_send(balancer.pick(request_id, now));
+    (request_id, target)
 }
--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -1,10 +1,10 @@
-//! Which worker is chosen, and which is left alone.
+//! Which endpoint is chosen, and which one is avoided.
 
 use super::*;
 
 #[test]
 fn a_worker_without_connections_is_out_and_comes_back_by_trials() {
-    let mut t = table(usual(), many("web", 6, &[0, 0, 0, 0]));
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 0, 0, 0]));
     let bad = "web1";
     let mut dead = true;
     let (mut hits, mut last) = (Vec::new(), 0);
@@ -43,28 +43,28 @@
 
 #[test]
 fn at_most_a_third_is_out_for_failures_and_all_out_is_still_served() {
-    let mut t = table(usual(), many("web", 6, &[0; 9]));
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0; 9]));
     for now in 0..400u64 {
-        let (r, _) = sent(&mut t, "/webonce/x", now);
+        let (r, _) = send(&mut t, "/webonce/x", now);
         t.record_outcome(r, AttemptOutcome::Failed, now);
         t.finish(r, now);
         assert!(t.counts().ejected <= 3);
     }
     assert_eq!(t.counts().ejected, 3);
-    let mut t = table(usual(), many("web", 6, &[0; 3]));
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0; 3]));
     for now in 0..60u64 {
-        let (r, _) = sent(&mut t, "/webonce/x", now);
+        let (r, _) = send(&mut t, "/webonce/x", now);
         t.record_outcome(r, AttemptOutcome::ConnectFailed, now);
         t.finish(r, now);
     }
     assert_eq!(t.counts().ejected, 3);
-    sent(&mut t, "/webonce/x", 61);
+    send(&mut t, "/webonce/x", 61);
 }
 
 #[test]
 fn a_full_worker_is_left_alone_for_a_while() {
-    let mut t = table(usual(), many("web", 6, &[0, 0]));
-    let (r, a) = sent(&mut t, "/webonce/x", 1000);
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 0]));
+    let (r, a) = send(&mut t, "/webonce/x", 1000);
     t.record_outcome(
         r,
         AttemptOutcome::Rejected(Some(LoadReport {
@@ -74,10 +74,10 @@
         })),
         1001,
     );
-    let b = go(t.pick(r, 1001));
+    let b = expect_send(t.pick(r, 1001));
     assert_ne!(a.name, b.name);
     for now in 1002..1008 {
-        assert_eq!(sent(&mut t, "/webonce/x", now).1.name, b.name);
+        assert_eq!(send(&mut t, "/webonce/x", now).1.name, b.name);
     }
 }
 
@@ -90,13 +90,13 @@
     n.sticky = false;
     let mut z = route("z", "/z/", Kind::Once, 0);
     z.split = vec![(0, 0), (1, 5)];
-    let mut all = many("web", 6000, &[0, 0]);
-    all.extend(many("model", 48, &[0, 0]));
-    let mut t = table(hosted(vec![r, n, z]), all);
+    let mut all = workers_in("web", 6000, &[0, 0]);
+    all.extend(workers_in("model", 48, &[0, 0]));
+    let mut t = new_balancer(hosted(vec![r, n, z]), all);
     let share = |t: &mut Balancer, path: &str, f: &dyn Fn(u64) -> Vec<(u64, u32)>| {
         let hit = (0..2000u64).filter(|i| {
-            let r = t.begin("h", path, ask(&f(*i)), *i, *i).unwrap();
-            let g = go(t.pick(r, *i));
+            let r = t.begin("h", path, metadata(&f(*i)), *i, *i).unwrap();
+            let g = expect_send(t.pick(r, *i));
             t.finish(r, *i);
             g.name.starts_with("web")
         });
@@ -113,13 +113,13 @@
 
 #[test]
 fn two_long_prompts_do_not_meet_at_one_worker() {
-    let mut t = table(usual(), many("model", 48, &[0, 0, 0]));
+    let mut t = new_balancer(default_routes(), workers_in("model", 48, &[0, 0, 0]));
     let mut at: Vec<String> = Vec::new();
     for id in 1..4u64 {
         let r = t
-            .begin("h", "/once/", ask(&[(id, 20_000)]), 10, 10)
+            .begin("h", "/once/", metadata(&[(id, 20_000)]), 10, 10)
             .unwrap();
-        at.push(go(t.pick(r, 10)).name);
+        at.push(expect_send(t.pick(r, 10)).name);
     }
     at.sort();
     at.dedup();
@@ -127,15 +127,15 @@
 }
 
 #[test]
-fn a_session_goes_back_to_what_is_kept() {
-    let mut t = table(usual(), many("model", 48, &[0; 6]));
-    let chain = |own: u32| ask(&[(5, 6000), (77, own)]);
+fn a_session_returns_to_its_prefix_cache() {
+    let mut t = new_balancer(default_routes(), workers_in("model", 48, &[0; 6]));
+    let chain = |own: u32| metadata(&[(5, 6000), (77, own)]);
     let mut at = Vec::new();
     for i in 0..5 {
         let r = t
             .begin("h", "/once/", chain(1000 + i * 500), 10, 10)
             .unwrap();
-        at.push(go(t.pick(r, 10)).name);
+        at.push(expect_send(t.pick(r, 10)).name);
         t.record_outcome(r, AttemptOutcome::FirstEvent, 50);
         t.record_outcome(r, AttemptOutcome::Completed(200), 60);
         t.finish(r, 60);
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_slow_worker_gets_less_and_plain_requests_stay_in_their_zone() {
-    let mut t = table(usual(), many("web", 6, &[0, 0, 1]));
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 0, 1]));
     let mut got = [0; 3];
     let mut ends: Vec<(u64, RequestId)> = Vec::new();
     for now in 0..20_000u64 {
@@ -156,7 +156,7 @@
         }
         ends.retain(|e| e.0 != now);
         if now % 30 == 0 {
-            let (r, g) = sent(&mut t, "/web/x", now);
+            let (r, g) = send(&mut t, "/web/x", now);
             got[g.worker as usize] += 1;
             ends.push((now + if g.worker == 1 { 180 } else { 60 }, r));
         }
@@ -167,10 +167,16 @@
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut t = table(usual(), many("model", 48, &[0, 0]));
+    let mut t = new_balancer(default_routes(), workers_in("model", 48, &[0, 0]));
     for i in 0..60_000u64 {
         let r = t
-            .begin("h", "/once/", ask(&[(i, 300), (i | 1 << 40, 90)]), i, i)
+            .begin(
+                "h",
+                "/once/",
+                metadata(&[(i, 300), (i | 1 << 40, 90)]),
+                i,
+                i,
+            )
             .unwrap();
         let p = t.pick(r, i);
         assert!(matches!(p, Decision::Send(_)));
@@ -186,15 +192,15 @@
 fn connections_and_priority_have_their_bounds() {
     let mut p = route("p", "/p/", Kind::Once, 0);
     p.priority = 200;
-    let mut t = table(hosted(vec![p]), many("model", 48, &[0]));
-    assert_eq!(sent(&mut t, "/p/x", 10).1.priority, Some(9));
+    let mut t = new_balancer(hosted(vec![p]), workers_in("model", 48, &[0]));
+    assert_eq!(send(&mut t, "/p/x", 10).1.priority, Some(9));
     let sum: u32 = (0..93)
         .map(|i| {
-            let mut t = Balancer::new(place(&format!("n{i}"), 0), bounds(), 1);
-            t.apply_configuration(usual(), 0);
+            let mut t = Balancer::new(locality(&format!("n{i}"), 0), bounds(), 1);
+            t.apply_configuration(default_routes(), 0);
             t.update_nodes((0..93).map(|i| (format!("n{i}"), 0)).collect());
-            t.update_registry(&registry(1, many("model", 48, &[0])), 0);
-            sent(&mut t, "/once/x", 10).1.max_conns
+            t.update_registry(&registry(1, workers_in("model", 48, &[0])), 0);
+            send(&mut t, "/once/x", 10).1.max_conns
         })
         .sum();
     assert!((250..=330).contains(&sum), "{sum}");
--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -1,4 +1,4 @@
-//! What may be sent where, how often, and when it is told to come back.
+//! Which attempts may be sent where, how often, and when clients may retry.
 
 use super::*;
 
@@ -6,27 +6,27 @@
 type Case = (&'static str, Vec<Worker>, Vec<u16>, Option<&'static str>);
 
 #[test]
-fn no_setup_and_no_route() {
-    let mut t = Balancer::new(place("n0", 0), bounds(), 7);
+fn no_configuration_and_no_route() {
+    let mut t = Balancer::new(locality("n0", 0), bounds(), 7);
     assert_eq!(
-        t.begin("h", "/web/x", ask(&[]), 0, 0),
+        t.begin("h", "/web/x", metadata(&[]), 0, 0),
         Err(ErrorCode::NoConfiguration)
     );
-    t.apply_configuration(usual(), 0);
+    t.apply_configuration(default_routes(), 0);
     assert_eq!(
-        t.begin("h", "/no/x", ask(&[]), 0, 0),
+        t.begin("h", "/no/x", metadata(&[]), 0, 0),
         Err(ErrorCode::UnknownRoute)
     );
     assert_eq!(
-        t.begin("g", "/web/x", ask(&[]), 0, 0),
+        t.begin("g", "/web/x", metadata(&[]), 0, 0),
         Err(ErrorCode::UnknownRoute)
     );
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again() {
-    let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
-    let (r, _) = sent(&mut t, "/webonce/x", 100);
+fn an_attempt_that_may_have_run_is_not_retried() {
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
+    let (r, _) = send(&mut t, "/webonce/x", 100);
     t.record_outcome(r, AttemptOutcome::Failed, 120);
     assert_eq!(
         t.pick(r, 120),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_did_not_run_goes_on_within_attempts() {
+fn a_rejected_request_is_retried_within_its_attempts() {
     for (h, retried) in [
         (AttemptOutcome::Rejected(None), true),
         (AttemptOutcome::Misdirected, true),
@@ -44,8 +44,8 @@
         (AttemptOutcome::Canceled, false),
         (AttemptOutcome::Completed(500), false),
     ] {
-        let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
-        let (r, a) = sent(&mut t, "/webonce/x", 20_000);
+        let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
+        let (r, a) = send(&mut t, "/webonce/x", 20_000);
         t.record_outcome(r, h.clone(), 20_010);
         match t.pick(r, 20_010) {
             Decision::Send(b) => assert!(retried && a.name != b.name, "{h:?}"),
@@ -64,11 +64,11 @@
 }
 
 #[test]
-fn a_repeatable_one_goes_on_after_a_break_and_ends_unpromised() {
-    let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
-    let (r, a) = sent(&mut t, "/web/x", 20_000);
+fn an_idempotent_request_is_retried_after_a_failure() {
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
+    let (r, a) = send(&mut t, "/web/x", 20_000);
     t.record_outcome(r, AttemptOutcome::Failed, 20_010);
-    let b = go(t.pick(r, 20_010));
+    let b = expect_send(t.pick(r, 20_010));
     assert_ne!(a.name, b.name);
     t.record_outcome(r, AttemptOutcome::Rejected(None), 20_020);
     let p = t.pick(r, 20_020);
@@ -80,8 +80,8 @@
 
 #[test]
 fn a_route_that_turns_repeatable_does_not_free_what_was_sent_once() {
-    let mut t = table(usual(), many("web", 6, &[0, 1, 2]));
-    let (r, _) = sent(&mut t, "/webonce/x", 20_000);
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
+    let (r, _) = send(&mut t, "/webonce/x", 20_000);
     t.apply_configuration(
         hosted(vec![route("x", "/webonce/", Kind::Idempotent, 1)]),
         20_005,
@@ -96,18 +96,18 @@
 #[test]
 fn the_configuration_in_force_decides_at_each_pick() {
     let both = |s| hosted(vec![route("w", "/w/", Kind::Once, s)]);
-    let mut all = many("web", 6, &[0, 1]);
-    all.extend(many("model", 48, &[0, 1]));
-    let mut t = table(both(1), all);
+    let mut all = workers_in("web", 6, &[0, 1]);
+    all.extend(workers_in("model", 48, &[0, 1]));
+    let mut t = new_balancer(both(1), all);
     let (a, b) = (begin(&mut t, "/w/x", 20_010), begin(&mut t, "/w/x", 20_010));
-    let first = go(t.pick(a, 20_010));
+    let first = expect_send(t.pick(a, 20_010));
     assert!(first.name.starts_with("web") && first.priority.is_none());
     t.apply_configuration(both(0), 20_011);
-    let second = go(t.pick(b, 20_011));
+    let second = expect_send(t.pick(b, 20_011));
     assert!(second.name.starts_with("model") && second.priority == Some(1));
     // a refused sending is looked up anew as well
     t.record_outcome(a, AttemptOutcome::Rejected(None), 20_012);
-    assert!(go(t.pick(a, 20_012)).name.starts_with("model"));
+    assert!(expect_send(t.pick(a, 20_012)).name.starts_with("model"));
     let c = begin(&mut t, "/w/x", 20_012);
     t.apply_configuration(hosted(vec![route("v", "/v/", Kind::Once, 1)]), 20_013);
     assert_eq!(
@@ -124,7 +124,7 @@
         route("b", "/a/", Kind::Once, 1),
         route("c", "/a/b/", Kind::Once, 1),
     ]);
-    let mut t = table(h, many("web", 6, &[0]));
+    let mut t = new_balancer(h, workers_in("web", 6, &[0]));
     for (path, name) in [("/x", "a"), ("/a/x", "b"), ("/a/b/x", "c"), ("/a/bx", "b")] {
         let r = begin(&mut t, path, 0);
         assert_eq!(t.route(r).unwrap().name, name);
@@ -168,7 +168,7 @@
         ("/web/", vec![], vec![], None),
     ];
     for (path, ws, evacuated, want) in cases {
-        let mut t = table(h.clone(), ws.clone());
+        let mut t = new_balancer(h.clone(), ws.clone());
         t.set_evacuated_zones(evacuated.clone(), 0);
         for i in 0..20 {
             let r = begin(&mut t, path, i);
@@ -183,14 +183,14 @@
 }
 
 #[test]
-fn what_is_off_the_list_or_misdirected_gets_nothing() {
-    let mut t = table(usual(), many("web", 6, &[0, 1]));
-    let (r, a) = sent(&mut t, "/web/x", 10);
+fn unregistered_or_misdirected_workers_get_nothing() {
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1]));
+    let (r, a) = send(&mut t, "/web/x", 10);
     t.record_outcome(r, AttemptOutcome::Misdirected, 11);
     t.finish(r, 11);
     let names = |t: &mut Balancer, now: u64| -> Vec<String> {
         let one = |_| {
-            let (r, g) = sent(t, "/web/x", now);
+            let (r, g) = send(t, "/web/x", now);
             t.finish(r, now);
             g.name
         };
@@ -200,23 +200,23 @@
         v
     };
     assert!(!names(&mut t, 12).contains(&a.name));
-    t.update_registry(&registry(1, many("web", 6, &[0, 1])), 13);
+    t.update_registry(&registry(1, workers_in("web", 6, &[0, 1])), 13);
     assert!(!names(&mut t, 14).contains(&a.name));
-    t.update_registry(&registry(2, many("web", 6, &[0, 1])), 4000);
+    t.update_registry(&registry(2, workers_in("web", 6, &[0, 1])), 4000);
     assert!(names(&mut t, 4001).contains(&a.name));
     t.update_registry(&registry(3, vec![worker("new", "web", 0, 6)]), 5000);
     assert_eq!(names(&mut t, 5001), ["new"]);
     // an older list that comes late changes nothing
-    t.update_registry(&registry(2, many("web", 6, &[0, 1])), 5002);
+    t.update_registry(&registry(2, workers_in("web", 6, &[0, 1])), 5002);
     assert_eq!(names(&mut t, 5003), ["new"]);
 }
 
 #[test]
-fn deadlines_and_times_to_come_back() {
-    let mut t = table(usual(), vec![]);
-    let r = t.begin("h", "/web/x", ask(&[]), 1000, 1010).unwrap();
+fn deadlines_and_retry_after() {
+    let mut t = new_balancer(default_routes(), vec![]);
+    let r = t.begin("h", "/web/x", metadata(&[]), 1000, 1010).unwrap();
     assert_eq!(t.deadline(r), 6000);
-    let mut a = ask(&[]);
+    let mut a = metadata(&[]);
     a.deadline_ms = None;
     let n = t.begin("h", "/web/x", a, 1000, 1010).unwrap();
     assert_eq!(t.deadline(n), 9000);
@@ -242,11 +242,11 @@
 fn the_first_in_priority_then_arrival_gets_the_free_place() {
     let mut low = route("low", "/low/", Kind::Once, 1);
     low.priority = 3;
-    let mut t = table(
+    let mut t = new_balancer(
         hosted(vec![low, route("high", "/high/", Kind::Once, 1)]),
         vec![worker("w", "web", 0, 2)],
     );
-    let held: Vec<RequestId> = (0..3).map(|_| sent(&mut t, "/high/x", 0).0).collect();
+    let held: Vec<RequestId> = (0..3).map(|_| send(&mut t, "/high/x", 0).0).collect();
     let late = |t: &mut Balancer, path: &str, now| {
         let r = begin(t, path, now);
         assert!(matches!(t.pick(r, now), Decision::Wait(_)));
@@ -260,7 +260,7 @@
     assert_eq!(t.take_ready(5), [h1]);
     // one that comes now stands behind those that wait already
     let h3 = late(&mut t, "/high/x", 5);
-    go(t.pick(h1, 5));
+    expect_send(t.pick(h1, 5));
     assert!(matches!(t.pick(h2, 6), Decision::Wait(_)));
     assert_eq!(t.take_ready(60), [h2, h3, l]);
     t.finish(h2, 61);
@@ -272,7 +272,7 @@
 #[test]
 fn no_refusal_while_half_the_places_are_free() {
     // a worker that turns requests away though it has room is tried again
-    let mut t = table(usual(), many("web", 8, &[0, 0]));
+    let mut t = new_balancer(default_routes(), workers_in("web", 8, &[0, 0]));
     let mut draw = 5u64;
     let mut open: Vec<RequestId> = Vec::new();
     let mut refused = 0;
@@ -286,7 +286,7 @@
         }
         if x % 5 < if now % 8000 < 4000 { 3 } else { 1 } {
             let r = t
-                .begin("h", "/webonce/x", ask(&[]), now - now.min(300), now)
+                .begin("h", "/webonce/x", metadata(&[]), now - now.min(300), now)
                 .unwrap();
             match t.pick(r, now) {
                 Decision::Send(_) => open.push(r),
--- /dev/null
+++ b/sorreldoor/tests/balancer/measures.rs
@@ -0,0 +1,60 @@
+//! A random generator, and measures over the attempts of a simulation.
+
+use super::*;
+
+pub struct Rand(pub u64);
+
+impl Rand {
+    pub fn next(&mut self) -> u64 {
+        self.0 ^= self.0 << 13;
+        self.0 ^= self.0 >> 7;
+        self.0 ^= self.0 << 17;
+        self.0.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 16
+    }
+    pub fn below(&mut self, limit: u64) -> u64 {
+        self.next() % limit.max(1)
+    }
+    pub fn chance(&mut self, chance: f64) -> bool {
+        (self.below(1 << 30) as f64) < chance * (1u64 << 30) as f64
+    }
+}
+
+/// The most of the sorted `times` within any `span`.
+pub fn peak_within(times: &[u64], span: u64) -> usize {
+    let mut start = 0;
+    (0..times.len())
+        .map(|end| {
+            while times[end] - times[start] >= span {
+                start += 1;
+            }
+            end + 1 - start
+        })
+        .max()
+        .unwrap_or(0)
+}
+
+/// The least room left under the budget in any window that ends at a further
+/// arrival: over the requests of the window, the one before it, or half before.
+pub fn budget_headroom(requests: &[u64], retries: &[u64], bounds: &Bounds) -> f64 {
+    let window = bounds.retry_window_ms;
+    let count = |times: &[u64], start: i64, end: i64| {
+        let position = |x: i64| times.partition_point(|t| (*t as i64) < x);
+        position(end) - position(start)
+    };
+    let window_ends = retries.iter().map(|t| *t as i64 + 1);
+    let window_starts = retries.iter().map(|t| *t as i64 + window as i64);
+    window_ends
+        .chain(window_starts)
+        .map(|end| {
+            let start = end - window as i64;
+            let half = window as i64 / 2;
+            let requests_counted = [0, half, window as i64]
+                .iter()
+                .map(|shift| count(requests, start - shift, end - shift))
+                .max()
+                .unwrap_or(0);
+            bounds.retry_ratio * requests_counted as f64 + bounds.retry_slack
+                - count(retries, start, end) as f64
+        })
+        .fold(f64::MAX, f64::min)
+}
--- a/sorreldoor/tests/balancer/silence.rs
+++ b/sorreldoor/tests/balancer/unresponsive.rs
@@ -1,12 +1,12 @@
-//! Workers that owe a word: asked on new connections only, avoided, and left
-//! by what may move.
+//! Workers that have not answered: they get attempts on new connections only, are
+//! avoided, and are left by requests that may fail over.
 
 use super::*;
 
 /// Two workers; a request is at the first of them since 20,000 ms.
 fn waiting(path: &str) -> (Balancer, u64, Target) {
-    let mut t = table(usual(), many("web", 6, &[0, 0]));
-    let (r, a) = sent(&mut t, path, 20_000);
+    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 0]));
+    let (r, a) = send(&mut t, path, 20_000);
     (t, r, a)
 }
 
@@ -18,7 +18,7 @@
     t.finish(r, 20_050);
     let at = |t: &mut Balancer, now: u64| {
         let (r, g) = (0..9)
-            .map(|_| sent(t, "/webonce/b", now))
+            .map(|_| send(t, "/webonce/b", now))
             .find(|(_, g)| g.name == a.name)
             .expect("it gets some of nine");
         t.finish(r, now);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_worker_that_owes_a_word_is_suspect_until_it_speaks() {
+fn an_unresponsive_worker_is_suspect_until_it_answers() {
     let (mut t, r, a) = waiting("/web/a");
     assert!(
         !a.new_connection,
@@ -37,7 +37,7 @@
     );
     let hits = |t: &Balancer, now: u64| {
         let mut t = t.clone();
-        let all = (0..10).map(|_| sent(&mut t, "/web/b", now).1);
+        let all = (0..10).map(|_| send(&mut t, "/web/b", now).1);
         let at: Vec<Target> = all.filter(|g| g.name == a.name).collect();
         (at.len(), at.iter().all(|g| g.new_connection))
     };
@@ -62,8 +62,8 @@
     );
     let (mut t, r, _) = waiting("/webonce/a");
     assert!(!t.may_fail_over(r, 0, 25_000), "what runs once never moves");
-    let mut t2 = table(usual(), many("web", 6, &[0]));
-    let (r2, _) = sent(&mut t2, "/web/a", 20_000);
+    let mut t2 = new_balancer(default_routes(), workers_in("web", 6, &[0]));
+    let (r2, _) = send(&mut t2, "/web/a", 20_000);
     assert!(!t2.may_fail_over(r2, 0, 22_000), "there is no other");
     t.finish(r, 25_000);
 }
--- a/testbed/src/emulator/baseline.rs
+++ b/testbed/src/emulator/baseline.rs
@@ -1,4 +1,4 @@
-//! Placement by rules that everybody knows, to compare the table with.
+//! Baseline policies, round robin and least load, to compare the balancer with.
 
 use super::policy::{Policy, PolicyKind, HOST};
 use crate::rand::Rand;
@@ -28,7 +28,7 @@
     last: ErrorCode,
 }
 
-/// The rules that everybody knows, kept within homes, drains and routes.
+/// Round robin or least load, within homes, drains and routes.
 #[derive(Debug)]
 pub struct BaselinePolicy {
     policy_kind: PolicyKind,
--- a/testbed/src/emulator/check.rs
+++ b/testbed/src/emulator/check.rs
@@ -1,8 +1,8 @@
-//! The rules, over all that a run's workers and callers saw.
+//! Checks of the invariants over the recorded events of a run.
 
 use super::*;
 
-/// Every broken rule of a run that is over; the first case of each kind.
+/// All violated invariants of a finished run; at most three cases of each.
 pub fn check(w: &World) -> Vec<String> {
     let kind = |s: &String| s.split(':').next().map(str::to_string);
     let mut found: HashMap<Option<String>, u32> = HashMap::new();
@@ -29,7 +29,7 @@
 }
 
 impl World {
-    /// Whether a node was without trouble of its own for long enough.
+    /// Whether a node was without faults of its own for long enough.
     fn in_touch(&self, n: usize, at: Micros) -> bool {
         let span = micros(self.mix.bounds.contact_ms as f64);
         let fault_spans = |(a, b): &(Micros, Micros)| *a <= at && at < b.saturating_add(span);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The caller's patience is over: by then a node has sent it, or refused it.
+    /// The client timed out: by then the node has sent the request or rejected it.
     pub(super) fn check_never_sent(&mut self, t: usize) {
         let x = &self.client_attempts[t];
         // one that comes with less time than this may be let go by its caller
--- a/testbed/src/emulator/clients.rs
+++ b/testbed/src/emulator/clients.rs
@@ -1,10 +1,10 @@
-//! Callers: what they ask, how long they wait, and when they come back.
+//! Clients: the requests they send, their time-outs and their retries.
 
 use super::mix::{unit, ClassMix};
 use super::*;
 use sorreldoor::proxy::PromptSegment;
 
-/// What one caller wants, over all its tries.
+/// A request of a client, over all its attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub class: usize,
@@ -12,7 +12,7 @@
     pub at: Micros,
     pub parts: Vec<PromptSegment>,
     pub events: u32,
-    /// Events it has, when the first came, the last, and the longest pause.
+    /// Events received, when the first and the last came, and the longest gap.
     pub events_received: u32,
     pub first: Option<Micros>,
     pub last: Micros,
@@ -28,7 +28,7 @@
     Failed,
 }
 
-/// One try, under an id of its own.
+/// One attempt of a client, under an id of its own.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientAttempt {
     pub ask: usize,
@@ -36,20 +36,20 @@
     pub incarnation: u32,
     pub sent: Micros,
     pub deadline: Micros,
-    /// It goes on behind this event.
+    /// The attempt resumes the stream behind this event.
     pub from: u32,
     pub events_received: u32,
     pub last_heard: Micros,
     pub over: bool,
     pub rejected: bool,
     pub worker_attempts: u32,
-    /// The sendings that ran, and those that arrived.
+    /// The worker attempts that ran.
     pub ran: Vec<u64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ClientMessage {
-    /// An event, and the worker it is of.
+    /// An event, and the worker that sent it.
     Event(u32, usize),
     End,
     Answer(u16, u64),
@@ -57,7 +57,7 @@
 }
 
 impl World {
-    /// Requests a second in a zone, now and at most.
+    /// Arrivals a second in a zone: now, and at most.
     fn rate(&self, z: usize) -> (f64, f64) {
         let m = &self.mix;
         let all = |f: &dyn Fn(usize) -> f64| -> f64 {
@@ -142,7 +142,7 @@
         out
     }
 
-    /// A node for a caller of this zone, as the directory has them.
+    /// A random node of the directory, as near to the zone as possible.
     fn choose_node(&mut self, z: usize, but: &[usize]) -> Option<usize> {
         let m = &self.mix;
         let fit = |near: u8| {
@@ -175,7 +175,7 @@
             if self.nodes[n].up {
                 break n;
             }
-            // nothing listens there, and the caller knows at once
+            // nothing listens there, so the connection is refused at once
             failed.push(n);
             at += 2 * micros(self.mix.client_ms);
         };
@@ -202,7 +202,7 @@
         self.push(after, SimEvent::ClientTimeout(t));
     }
 
-    /// When a caller takes silence for the end.
+    /// When the client times out without another event.
     fn silence(&self, t: usize) -> Micros {
         let tr = &self.client_attempts[t];
         let c = &self.mix.classes[self.client_requests[tr.ask].class];
@@ -230,7 +230,7 @@
         self.retry_later(t, false, 0);
     }
 
-    /// Comes back if it may and has the time.
+    /// Retries after a backoff if that is safe and in time.
     fn retry_later(&mut self, t: usize, promised: bool, retry_after_ms: u64) {
         let i = self.client_attempts[t].ask;
         let c = &self.mix.classes[self.client_requests[i].class];
--- a/testbed/src/emulator/control_plane.rs
+++ b/testbed/src/emulator/control_plane.rs
@@ -1,5 +1,5 @@
-//! What nodes hear of configurations, workers, zones and one another, each
-//! after a while of its own.
+//! The control plane: updates of configurations, workers, zones and nodes, each
+//! delivered after a random delay.
 
 use super::node::Node;
 use super::policy::HOST;
@@ -52,7 +52,7 @@
         h
     }
 
-    /// A further configuration is acknowledged, and spreads.
+    /// Changes the configuration: it is acknowledged now and then broadcast.
     pub(super) fn change_configuration(&mut self, f: impl FnOnce(&mut Hosted)) {
         let Some((_, last)) = self.versions.last() else {
             return;
@@ -65,7 +65,7 @@
         self.broadcast(ControlUpdate::Hosted(h));
     }
 
-    /// The platform's list anew, from what it knows of workers.
+    /// Publishes a new version of the platform's worker registry.
     pub(super) fn publish_registry(&mut self) {
         let now = self.now;
         let row = |w: &EmulatedWorker| Worker {
@@ -144,11 +144,11 @@
         (0..self.nodes.len()).for_each(|i| self.deliver(i, n.clone()));
     }
 
-    /// News reach a node between `news_ms` and twice that later.
+    /// An update reaches a node between `news_ms` and twice that later.
     fn deliver(&mut self, i: usize, n: ControlUpdate) {
         let ms = self.mix.news_ms;
         let at = self.now + micros((ms + self.rng.below(ms + 1)) as f64);
-        // a node's session brings news in the order that they were made
+        // a node's session delivers updates in order
         let x = &mut self.nodes[i];
         x.last_update = x.last_update.max(at);
         let (at, incarnation) = (x.last_update, x.incarnation);
@@ -157,7 +157,7 @@
         }
     }
 
-    /// All that a blank node must hear.
+    /// Sends a node all that it needs after a start.
     pub(super) fn send_snapshot(&mut self, i: usize) {
         if let Some((_, h)) = self.versions.last().cloned() {
             self.deliver(i, ControlUpdate::Hosted(h));
@@ -172,7 +172,7 @@
         self.ready.iter().map(of).collect()
     }
 
-    /// A node of a later life, with nothing in memory.
+    /// Starts a new incarnation of a node, with an empty memory.
     pub(super) fn restart_node(&mut self, i: usize) {
         let x = &self.nodes[i];
         let (name, zone, incarnation) = (x.name.clone(), x.zone, x.incarnation + 1);
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Looks anew which nodes are ready; one that is silent drops out late.
+    /// Updates the list of ready nodes; a frozen node drops out after a time-out.
     pub(super) fn directory(&mut self) {
         let silent = micros(2000.0);
         let now = self.now;
--- a/testbed/src/emulator/engine.rs
+++ b/testbed/src/emulator/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in model worker: batches, prompts read in pieces, and memory that
-//! running requests share with kept parts of prompts.
+//! An emulated inference engine: continuous batching, chunked prefill, and a KV
+//! memory that running requests share with the prefix cache.
 
 use super::mix::EngineMix;
 use sorreldoor::proxy::PromptSegment;
@@ -13,10 +13,10 @@
     pub priority: u8,
     pub order: u64,
     pub parts: Vec<PromptSegment>,
-    /// Tokens that the caller has already, and all that there are.
+    /// Tokens that the client has already, and the total.
     pub from: u32,
     pub total: u32,
-    /// Tokens made here so far, and whether any was.
+    /// Tokens generated here so far.
     pub made: u32,
     pub until: u64,
 }
@@ -24,13 +24,13 @@
 #[derive(Clone, Debug)]
 struct RunningTask {
     t: Task,
-    /// Parts in use.
+    /// Cached segments that it uses.
     pinned: Vec<u64>,
     /// Tokens of memory of its own.
     own: u64,
     prefill_left: u32,
     planned_tokens: u32,
-    /// Parts to be kept once they are read.
+    /// Segments to be cached after prefill.
     fresh: Vec<PromptSegment>,
 }
 
@@ -41,18 +41,18 @@
     used: u64,
 }
 
-/// What a step brought, for the request `sid`.
+/// A result of a step, for the task `attempt_id`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineEvent {
-    /// Let in: it has a place in the batch.
+    /// It was admitted to the batch.
     Admitted(u64),
-    /// The first token: it runs.
+    /// The first token was generated.
     FirstToken(u64),
     /// The event with this number, and whether it is the last.
     Event(u64, u32, bool),
-    /// Its time was over; whether it had begun.
+    /// Its deadline passed; whether it had generated a token.
     Expired(u64, bool),
-    /// This part was read.
+    /// Prefill of this segment is done.
     Prefilled(u64, PromptSegment),
 }
 
@@ -67,7 +67,7 @@
     used: u64,
     clock: u64,
     pub stepping: bool,
-    /// Requests put back for want of memory or a place.
+    /// Tasks preempted for want of memory or a slot.
     pub preemptions: u64,
     out: Vec<EngineEvent>,
 }
@@ -101,13 +101,13 @@
         self.queue.insert((t.priority, t.order), t);
     }
 
-    /// More than this worker can ever hold.
+    /// Whether a task needs more memory than the engine has.
     pub fn too_large(&self, parts: &[PromptSegment], tokens: u32) -> bool {
         let sum: u64 = parts.iter().map(|p| u64::from(p.tokens)).sum();
         sum + u64::from(tokens) > self.mix.tokens
     }
 
-    /// The caller is gone.
+    /// Removes a task, as its client is gone.
     pub fn drop_task(&mut self, attempt_id: u64) {
         self.queue.retain(|_, t| t.attempt_id != attempt_id);
         if let Some(i) = self.run.iter().position(|r| r.t.attempt_id == attempt_id) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Lets the parts unused longest give way until `need` more fit.
+    /// Evicts least recently used segments until `need` more tokens fit.
     fn evict_for(&mut self, need: u64) -> bool {
         while self.used + need > self.mix.tokens {
             let Some((_, id)) = self.idle.pop_first() else {
@@ -194,7 +194,7 @@
             let pinned: Vec<u64> = t.parts[..n].iter().map(|x| x.id).collect();
             pinned.iter().for_each(|id| self.pin(*id));
             let rest: u32 = t.parts[n..].iter().map(|x| x.tokens).sum();
-            // even a prompt kept whole is read to its last token
+            // even for a fully cached prompt the last token is computed
             let prefill_left = (rest + t.from + t.made).max(1);
             while !self.evict_for(u64::from(prefill_left) + 1) {
                 match self.preemption_victim(Some(p)) {
@@ -292,7 +292,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// What this request read is kept for others.
+    /// Adds the segments that a task read to the prefix cache.
     fn cache_prefilled(&mut self, i: usize) {
         for p in std::mem::take(&mut self.run[i].fresh) {
             self.out
@@ -300,7 +300,7 @@
             let t = u64::from(p.tokens);
             self.run[i].own -= t.min(self.run[i].own);
             match self.prefix_cache.entry(p.id) {
-                // another read the same meanwhile, and one copy is enough
+                // another task read the same segment meanwhile
                 Entry::Occupied(_) => self.used -= t,
                 Entry::Vacant(v) => {
                     v.insert(CachedSegment {
--- a/testbed/src/emulator/faults.rs
+++ b/testbed/src/emulator/faults.rs
@@ -1,15 +1,15 @@
-//! What goes wrong, or is planned, at set times.
+//! Injection of faults and of planned changes at set times.
 
 use super::worker::{AnswerFault, Backend};
 use super::*;
 
-/// A worker that crashed stays on the list for so long, in milliseconds.
+/// A crashed worker stays registered for so long, in milliseconds.
 const CRASH_LISTED: f64 = 3000.0;
-/// A start shows on the list after so long, in milliseconds.
+/// A started worker is registered after so long, in milliseconds.
 const START_LISTED: f64 = 500.0;
 
 impl World {
-    /// Workers of a service that are up and stay, `n` of them in turn.
+    /// Picks `n` random workers of a service that are up and not draining.
     fn pick_workers(&mut self, service_index: usize, n: u32) -> Vec<usize> {
         let fit = |w: &EmulatedWorker| {
             w.service_index == service_index && w.ended_at.is_none() && w.leaving.is_none()
@@ -170,7 +170,8 @@
         }
     }
 
-    /// Ends at once; starts anew `back` seconds later, or at another address.
+    /// Ends a worker at once and restarts it `back` seconds later, at another
+    /// address if its own is taken.
     pub(super) fn crash_worker(&mut self, i: usize, back: Option<f64>, _own: bool) {
         self.end_worker(i);
         let w = &self.workers[i];
@@ -216,7 +217,7 @@
         });
     }
 
-    /// The node's process ends with all that it holds.
+    /// Ends the process of a node with all its connections.
     fn kill_node(&mut self, n: usize, back: Micros) {
         let from = self.now;
         self.nodes[n].up = false;
@@ -247,7 +248,7 @@
         self.call_at(back, move |w| w.restart_node(n));
     }
 
-    /// Requests at engines that were never answered, for the end of a run.
+    /// Tasks at engines that were never answered, for the end of a run.
     pub(super) fn unanswered_tasks(&self) -> usize {
         let of = |w: &EmulatedWorker| match &w.backend {
             Backend::Engine(e) if w.ended_at.is_none() => e.all().len(),
--- a/testbed/src/emulator/mix.rs
+++ b/testbed/src/emulator/mix.rs
@@ -1,4 +1,4 @@
-//! What one run plays: places, services, kinds of request and troubles.
+//! The settings of one run: zones, services, kinds of request and faults.
 
 use crate::rand::Rand;
 use serde::Deserialize;
@@ -51,7 +51,7 @@
     (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos()
 }
 
-/// How a model worker works; times in milliseconds, memory in tokens.
+/// Speed and memory of an engine; times in milliseconds, memory in tokens.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct EngineMix {
@@ -65,7 +65,7 @@
     pub stride: u32,
     pub chunk: u32,
     pub tokens: u64,
-    /// The head comes when the request is let in, not with its first token.
+    /// The head comes on admission, not with the first token.
     pub early_head: bool,
 }
 
@@ -94,14 +94,14 @@
     pub slots: u32,
     pub queue: u32,
     pub max_conns: u32,
-    /// Time a worker needs over the usual; dealt out in turn.
+    /// Slowness factors of workers, assigned in turn.
     pub speeds: Vec<f64>,
     pub warmup_ms: u64,
     pub warmup_per_s: f64,
     pub engine: Option<EngineMix>,
 }
 
-/// A part of the prompt that requests share.
+/// A prompt segment that requests share.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct SegmentMix {
@@ -126,7 +126,7 @@
     pub deadline_ms: u64,
     pub attempts: u32,
     pub priority: u8,
-    /// Further tries of the client.
+    /// Retries of the client, at most.
     pub tries: u32,
     pub parts: Vec<SegmentMix>,
     /// Tokens of its own.
@@ -141,7 +141,7 @@
     }
 }
 
-/// One trouble; what the fields mean is said where it is played.
+/// One fault; `World::inject_fault` documents the fields for each kind.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Fault {
@@ -154,7 +154,7 @@
     pub zone: u16,
 }
 
-/// Bounds that are judged; the product gets those it must know.
+/// Limits that are checked; the product gets those that it needs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct BoundsMix {
@@ -195,7 +195,7 @@
     pub zones: Vec<u8>,
     /// Nodes in each zone.
     pub nodes: Vec<u32>,
-    /// Share of the callers in each zone.
+    /// Share of the clients in each zone.
     pub share: Vec<f64>,
     /// The rate swings by so much around its mean, within `period_s`.
     pub swing: f64,
@@ -204,7 +204,7 @@
     pub zone_ms: f64,
     pub region_ms: f64,
     pub client_ms: f64,
-    /// News reaches a node after `news_ms` to twice that.
+    /// Control-plane updates reach a node after `news_ms` to twice that.
     pub news_ms: u64,
     pub bounds: BoundsMix,
     pub services: Vec<ServiceMix>,
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -1,7 +1,7 @@
-//! A site of proxy nodes in virtual time: the product's own tables, one at each
-//! node, before stand-in model workers and plain ones that can all fail. It
-//! plays what the proxy does with sockets, so that placement can be compared
-//! and rules be checked at full size within seconds.
+//! A discrete-event emulation of a site: proxy nodes with the product's own load
+//! balancer, emulated workers with and without engines, clients, and faults.
+//! It replaces the proxy's sockets by events in virtual time, so that policies
+//! can be compared and invariants checked at full size within seconds.
 
 mod baseline;
 mod check;
@@ -41,11 +41,12 @@
 /// Virtual time in microseconds.
 pub type Micros = u64;
 
+/// Converts milliseconds to virtual time.
 pub(crate) fn micros(ms: f64) -> Micros {
     (ms.max(0.0) * 1000.0) as Micros
 }
 
-/// What comes from a worker on a connection.
+/// A message from a worker on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum WorkerMessage {
     Head(LoadReport),
@@ -54,13 +55,13 @@
     End,
     Rejected(LoadReport),
     Misdirected,
-    /// Its own failure, after it ran.
+    /// A 504: the deadline passed after it started to run.
     TimedOut,
     Reset,
     Garbled,
 }
 
-/// What a node hears from the control plane.
+/// An update from the control plane to a node.
 #[derive(Clone)]
 pub(crate) enum ControlUpdate {
     Hosted(Arc<Hosted>),
@@ -70,7 +71,7 @@
 }
 
 pub(crate) enum SimEvent {
-    /// A caller of this zone may ask.
+    /// The next possible arrival of a request in this zone.
     NextArrival(usize),
     RequestArrived(usize, u32, usize),
     ClientGone(usize, u32, usize),
@@ -113,10 +114,10 @@
     }
 }
 
-/// A request as it came to a worker's door.
+/// The arrival of an attempt at a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
-    /// When the node sent it, and when it came.
+    /// When the node sent it, and when it arrived.
     pub sent: Micros,
     pub at: Micros,
     pub node: usize,
@@ -125,7 +126,7 @@
     pub misdirected: bool,
 }
 
-/// A zone that was emptied: when that was acknowledged, and taken back.
+/// An evacuation of a zone: when it was acknowledged, and when it ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Evacuation {
     pub zone: u16,
@@ -136,7 +137,7 @@
 pub struct World {
     pub(crate) now: Micros,
     pub(crate) rng: Rand,
-    /// For what is asked alone, so that all policies are asked the same.
+    /// For arrivals alone, so that all policies get the same requests.
     pub(crate) arrival_rng: Rand,
     pub(crate) mix: Arc<Mix>,
     pub(crate) policy_kind: PolicyKind,
@@ -154,17 +155,18 @@
     pub(crate) evacuated: Vec<u16>,
     pub(crate) evacuations: Vec<Evacuation>,
     pub(crate) arrivals: Vec<Arrival>,
-    /// Nodes as the directory gives them out.
+    /// Ready nodes, as the directory lists them.
     pub(crate) ready: Vec<usize>,
-    /// Shared parts that some worker of a service has read.
+    /// Shared segments that some worker of a service has read.
     pub(crate) prefilled_segments: HashSet<(usize, u64)>,
     pub(crate) statistics: RunStatistics,
-    /// What was seen at once to be wrong.
+    /// Violations of invariants found during the run.
     pub(crate) violations: BTreeSet<String>,
-    /// Rates times these, by kind of request; and who moved where.
+    /// Factors on the arrival rates by kind of request; and the zone that
+    /// clients of each zone use.
     pub(crate) rate_factors: Vec<f64>,
     pub(crate) zone_redirects: Vec<usize>,
-    /// Addresses that ended workers left, with the time.
+    /// Addresses of ended workers, with the time they became free.
     pub(crate) free_addrs: Vec<(Micros, SocketAddr)>,
     pub(crate) addrs: u32,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -215,7 +217,7 @@
         w
     }
 
-    /// Plays the whole mix, and until the last caller has given up.
+    /// Runs the whole mix, until the last client has ended.
     pub fn run(mut self) -> World {
         while let Some(Reverse(i)) = self.queue.pop() {
             self.now = i.at;
@@ -229,7 +231,7 @@
         self.now / 1000
     }
 
-    /// When callers stop asking.
+    /// When the last request may arrive.
     pub(crate) fn end(&self) -> Micros {
         micros(10_000.0 + self.mix.seconds * 1000.0)
     }
@@ -244,7 +246,7 @@
         self.push(at, SimEvent::Call(Box::new(f)));
     }
 
-    /// One way between two zones, in microseconds.
+    /// One-way network delay between two zones.
     pub(crate) fn delay(&self, a: u16, b: u16) -> Micros {
         let m = &self.mix;
         micros(match (a == b, m.zones[a as usize] == m.zones[b as usize]) {
@@ -254,7 +256,7 @@
         })
     }
 
-    /// The node that an event is for, and which of its lives.
+    /// The node that an event is for, and its incarnation.
     fn target(&self, ev: &SimEvent) -> Option<(usize, u32)> {
         match ev {
             SimEvent::RequestArrived(n, l, _)
--- a/testbed/src/emulator/node.rs
+++ b/testbed/src/emulator/node.rs
@@ -1,5 +1,5 @@
-//! A proxy node: what the proxy does with sockets, here with events, around
-//! whoever decides.
+//! A proxy node: what the proxy does with sockets, here with events, driven by a
+//! load balancing policy.
 
 use super::policy::Policy;
 use super::worker::AnswerFault;
@@ -13,18 +13,19 @@
 const CONNECT_MS: u64 = 400;
 const LEAST_PATIENCE: u64 = 400;
 const LEAST_SMALL: u64 = 150;
-/// Connections are kept for so long, and this long for what runs once.
+/// Idle connections are reused for so long; the shorter time is for requests
+/// that are not idempotent.
 const KEEP: Micros = 4_000_000;
 const FRESH: Micros = 1_500_000;
 
-/// One sending to a worker.
+/// One attempt of a node at a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerAttempt {
     pub node: usize,
     pub incarnation: u32,
     pub request_id: RequestId,
     pub client_attempt: usize,
-    /// The worker meant, its address and zone, and who is there.
+    /// The intended worker, its address and zone, and the worker that is there.
     pub worker: usize,
     pub addr: SocketAddr,
     pub zone: u16,
@@ -35,7 +36,7 @@
     /// When the worker stops.
     pub until: Micros,
     pub priority: u8,
-    /// Events that the caller had.
+    /// Events that the client had received.
     pub last: u32,
     /// Not closed yet, as the node sees it and as the worker does.
     pub open: bool,
@@ -57,14 +58,14 @@
     pub phase: Phase,
     pub stream: bool,
     pub began: bool,
-    /// Milliseconds: patience with this worker, and its renewal; the end.
+    /// Times in milliseconds: head time-out, its current end, and the deadline.
     pub patience_ms: u64,
     pub until: u64,
     pub deadline: u64,
     pub gap: u64,
-    /// When it last spoke, or was sent to.
+    /// When it last sent something, or the attempt was sent.
     pub since: u64,
-    /// A small answer, asked for again soon.
+    /// An idempotent request without a stream, hedged early.
     pub small: bool,
 }
 
@@ -73,7 +74,7 @@
 pub(crate) struct NodeRequest {
     pub client_attempt: usize,
     pub current: Option<CurrentAttempt>,
-    /// Counts waits, so that older alarms mean nothing.
+    /// Number of waits, so that outdated timers are ignored.
     pub waits: u64,
     pub waiting: bool,
     pub last: u32,
@@ -88,10 +89,10 @@
     pub up: bool,
     pub incarnation: u32,
     pub frozen_until: Micros,
-    /// Spans of trouble of its own.
+    /// Spans of faults of its own.
     pub fault_spans: Vec<(Micros, Micros)>,
     pub received: (bool, bool),
-    /// When the newest news will have come.
+    /// When the newest update will have arrived.
     pub last_update: Micros,
     pub policy: Box<dyn Policy>,
     pub in_progress: BTreeMap<RequestId, NodeRequest>,
@@ -100,7 +101,7 @@
 }
 
 impl World {
-    /// A request came whole to a node.
+    /// A request arrived at a node.
     pub(super) fn request_arrived(&mut self, n: usize, t: usize) {
         let now = self.ms();
         let tr = &self.client_attempts[t];
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Its wait is over, unless it is another wait by now.
+    /// A wait is over, unless the request waits anew by now.
     pub(super) fn woken(&mut self, n: usize, request_id: RequestId, number: u64) {
         let j = self.nodes[n].in_progress.get(&request_id);
         if j.is_some_and(|j| j.waiting && j.waits == number) {
--- a/testbed/src/emulator/policy.rs
+++ b/testbed/src/emulator/policy.rs
@@ -1,5 +1,5 @@
-//! Who decides at a node where requests go: the product's table, or a simple
-//! rule to compare it with.
+//! Load balancing policies: the product's balancer, or a baseline to compare it
+//! with.
 
 use super::baseline::BaselinePolicy;
 use super::violation::ViolatingBalancer;
@@ -11,7 +11,7 @@
 use sorreldoor::types::Millis;
 use std::sync::Arc;
 
-/// What a node asks of whoever decides; the table's own calls.
+/// The interface of a policy; the calls of the product's balancer.
 pub trait Policy {
     fn begin(
         &mut self,
@@ -88,39 +88,39 @@
     }
 }
 
-/// What decides at all nodes of a run.
+/// The policy of all nodes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
     Balancer,
     RoundRobin,
     LeastLoad,
-    /// The table, whose requests stay where they are; or where they have begun.
+    /// The balancer without fail-over; or without fail-over of begun requests.
     Stay,
     StayBegun,
-    /// The table, with one of its rules broken.
+    /// The balancer, violating one of its invariants.
     Broken(Violation),
 }
 
-/// What is broken, to show that a check can fail.
+/// An invariant to violate, to show that its check can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// What may have run is begun again as if it were new.
+    /// Attempts that may have run are retried as if they had not.
     Twice,
-    /// Homes are left out of routes.
+    /// Homes of routes are ignored.
     Homes,
-    /// Emptied zones are not heard of.
+    /// Evacuations are ignored.
     Zones,
-    /// Draining workers look open.
+    /// Draining workers get requests.
     Drains,
-    /// Further sendings know no budget.
+    /// Retries have no budget.
     Budget,
-    /// Cold workers look warm.
+    /// Slow start is ignored.
     Cold,
-    /// Later configurations are not heard of.
+    /// Later configurations are ignored.
     Routes,
     /// A request is never decided on.
     Mute,
-    /// Not a breach: requests do not move, or do not once they have begun.
+    /// No violation: requests do not fail over, or not once they have begun.
     Stay,
     StayBegun,
 }
--- a/testbed/src/emulator/random_faults.rs
+++ b/testbed/src/emulator/random_faults.rs
@@ -1,4 +1,4 @@
-//! Troubles drawn from a seed.
+//! Faults drawn from a seed.
 
 use super::mix::{Fault, Mix};
 use crate::rand::Rand;
@@ -9,7 +9,7 @@
     "kill", "freeze", "evacuate", "burst", "long", "shift",
 ];
 
-/// `n` troubles within the mix's time, with room for recovery behind them.
+/// Draws `n` faults within the time of the mix, with time for recovery after them.
 pub fn random_faults(seed: u64, m: &Mix, n: usize) -> Vec<Fault> {
     let mut r = Rand::new(seed ^ 0x5702);
     let nodes: u32 = m.nodes.iter().sum();
--- a/testbed/src/emulator/responses.rs
+++ b/testbed/src/emulator/responses.rs
@@ -1,11 +1,11 @@
-//! What comes back from workers to a node, and how sendings end.
+//! Messages from workers to nodes, and the ends of attempts.
 
 use super::node::Phase;
 use super::*;
 use sorreldoor::balancer::AttemptOutcome;
 use sorreldoor::error::ErrorCode;
 
-/// Between looks at whether a silent worker is to be left, in milliseconds.
+/// Interval of checks for fail-over from a silent worker, in milliseconds.
 const RECHECK_MS: u64 = 100;
 
 impl World {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Closes the connection of a sending.
+    /// Closes the connection of an attempt.
     fn close_connection(&mut self, attempt_id: u64) {
         let s = &mut self.worker_attempts[attempt_id as usize];
         if !std::mem::replace(&mut s.open, false) {
@@ -40,7 +40,7 @@
         self.nodes[n].pool.entry(w).or_default().push(self.now);
     }
 
-    /// The sending ended without an answer that can be used.
+    /// The attempt ended without a usable answer.
     fn attempt_failed(&mut self, attempt_id: u64, h: AttemptOutcome) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let Some(c) = self.current(attempt_id).cloned() else {
@@ -93,7 +93,7 @@
             Phase::Body => c.gap,
             _ => c.patience_ms,
         };
-        // a worker that speaks to others is slow, but not for twice as long
+        // a worker that answers others is slow, but not for twice as long
         let small = c.small && c.phase == Phase::Head;
         let slow = small || now >= c.since.saturating_add(2 * own);
         let silent = if slow { 0 } else { own };
@@ -143,7 +143,7 @@
                 let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
                     return;
                 };
-                // what a worker repeats the caller has already
+                // the client already has events that are repeated
                 if number > j.last {
                     (j.last, j.head_sent) = (number, true);
                     self.send_to_client(s.client_attempt, ClientMessage::Event(number, s.worker));
@@ -166,7 +166,7 @@
         }
     }
 
-    /// A worker's own failure is its answer, unless another may do better.
+    /// A worker's own failure is the answer, unless another may do better.
     fn failed(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let now = self.ms();
@@ -186,7 +186,7 @@
         self.send_to_client(s.client_attempt, ClientMessage::Answer(504, 0));
     }
 
-    /// The caller has gone.
+    /// The client is gone.
     pub(super) fn client_gone(&mut self, n: usize, t: usize) {
         let Some(request_id) = self.nodes[n].by_attempt.get(&t).copied() else {
             return;
@@ -201,7 +201,7 @@
                 Phase::Connect => AttemptOutcome::ConnectFailed,
                 _ => AttemptOutcome::Canceled,
             };
-            // before the request has gone out there is nothing to leave
+            // before the request was sent there is nothing to cancel
             if h == AttemptOutcome::Canceled {
                 self.outcome(n, request_id, h);
             }
--- a/testbed/src/emulator/statistics.rs
+++ b/testbed/src/emulator/statistics.rs
@@ -1,4 +1,4 @@
-//! The figures of a run.
+//! Statistics of a run.
 
 use super::clients::End;
 use super::*;
@@ -9,37 +9,37 @@
 pub struct RunStatistics {
     pub requested: u64,
     pub served: u64,
-    /// Served, but later than the aim or with too long a pause.
+    /// Served, but later than the latency target or with too long a gap.
     pub late: u64,
     pub rejected: u64,
     pub failed: u64,
     /// Milliseconds to the first event or the whole answer, sorted.
     pub first: Vec<f64>,
-    /// The longest pause within a stream, in milliseconds.
+    /// The longest gap within a stream, in milliseconds.
     pub max_gap: f64,
-    /// The pauses of streams at their worst, in milliseconds, sorted.
+    /// The longest gap of each stream, in milliseconds, sorted.
     pub gaps: Vec<f64>,
-    /// By kind of request: asked, served, and in time.
+    /// By kind of request: requested, served, and in time.
     pub by_kind: Vec<(String, [u64; 3])>,
-    /// Tokens of prompts read, and of shared parts that some worker had read.
+    /// Prompt tokens read, and tokens of shared segments read more than once.
     pub prefill_tokens: u64,
     pub recomputed_tokens: u64,
-    /// Sendings within a zone, to another zone, to another region.
+    /// Attempts within a zone, to another zone, to another region.
     pub here: u64,
     pub zones: u64,
     pub regions: u64,
-    /// Sendings beyond the first of a try, and refusals of nodes.
+    /// Worker attempts beyond the first of a client attempt, and rejections.
     pub retries: u64,
     pub rejections: u64,
-    /// Of them while under half of the places were taken, and later than a
-    /// quarter of the aim.
+    /// Rejections while under half of the slots were in use, and later than a
+    /// quarter of the latency target.
     pub idle_rejections: u64,
     pub late_rejections: u64,
-    /// Nodes' own answers by kind of request and problem: all, and while idle.
+    /// Rejections by kind of request and error: all, and while idle.
     pub rejections_by_error: BTreeMap<String, (u64, u64)>,
     pub conns: u64,
     pub preemptions: u64,
-    /// Served in time, of those asked in each second.
+    /// Served in time, of the requests of each second.
     pub seconds: Vec<(u32, u32)>,
     /// Virtual milliseconds until the last event.
     pub duration_ms: u64,
@@ -94,7 +94,7 @@
             .collect()
     }
 
-    /// Adds the figures of another run; `sort` once after the last.
+    /// Adds the statistics of another run; call `sort` once after the last.
     pub fn add(&mut self, o: RunStatistics) {
         let sums: [(&mut u64, u64); 17] = [
             (&mut self.requested, o.requested),
@@ -154,7 +154,7 @@
 }
 
 impl World {
-    /// A node's own refusal of a try.
+    /// Counts a rejection of a client attempt by a node.
     pub(super) fn record_rejection(&mut self, t: usize, p: ErrorCode) {
         let class = self.client_requests[self.client_attempts[t].ask].class;
         let c = &self.mix.classes[class];
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The troubles of this run, and refusals while places were free.
+    /// The faults of this run, and the rejections.
     pub fn describe(&self) -> String {
         let of = |t: &Fault| {
             let s = &self.mix.services[t.service].name;
@@ -208,8 +208,7 @@
         )
     }
 
-    /// Requests that were not served: kind, when, how they ended, and the
-    /// sendings of their tries.
+    /// Requests that were not served: kind, time, end, and their attempts.
     pub fn unserved(&self) -> Vec<String> {
         let bad = |a: &&ClientRequest| !matches!(a.end, Some(End::Served(_)));
         let client_requests = self.client_requests.iter().enumerate();
@@ -234,7 +233,7 @@
         client_requests.filter(|(_, a)| bad(a)).map(of).collect()
     }
 
-    /// The figures, once a run is over.
+    /// The statistics, once a run is over.
     pub fn statistics(&self) -> RunStatistics {
         let mut t = self.statistics.clone();
         let m = &self.mix;
--- a/testbed/src/emulator/worker.rs
+++ b/testbed/src/emulator/worker.rs
@@ -1,4 +1,4 @@
-//! Workers' processes: connections, queues and answers, and their lives.
+//! Emulated workers: connections, queues and answers.
 
 use super::engine::{Engine, EngineEvent, Task};
 use super::*;
@@ -9,14 +9,14 @@
     Plain { running: u32, queue: VecDeque<u64> },
 }
 
-/// How a worker spoils some answers.
+/// How a worker corrupts some answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AnswerFault {
     Lost,
     Garbled,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 pub(crate) struct EmulatedWorker {
     pub name: String,
     pub addr: SocketAddr,
@@ -27,19 +27,19 @@
     pub slots: u32,
     pub backend: Backend,
     pub ended_at: Option<Micros>,
-    /// Says nothing until then.
+    /// Sends nothing until then.
     pub silent_until: Micros,
     pub overloaded_until: Micros,
     pub answer_fault: Option<(AnswerFault, f64, Micros)>,
-    /// Spans in which it was cold.
+    /// Spans of slow start.
     pub slow_start: Vec<(Micros, Micros)>,
     pub recent_arrivals: VecDeque<Micros>,
     pub conns: u32,
-    /// On the platform's list, as leaving, and gone at.
+    /// Registered; draining since; announced end.
     pub listed: bool,
     pub leaving: Option<Micros>,
     pub leaves: Option<Micros>,
-    /// From then on nothing may reach it.
+    /// From then on no request may reach it.
     pub closed_at: Option<Micros>,
 }
 
@@ -79,7 +79,7 @@
         self.push(at, SimEvent::SynAck(attempt_id, true));
     }
 
-    /// The bytes of a request come to a worker.
+    /// A request arrives at a worker.
     pub(super) fn request_received(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let Some(i) = s.there else { return };
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Whether a cold worker takes more than it can bear.
+    /// Whether a worker in slow start gets more than it can bear, and crashes.
     fn overloads_slow_start(&mut self, i: usize) -> bool {
         let now = self.now;
         let w = &mut self.workers[i];
@@ -169,14 +169,14 @@
         self.push(at, SimEvent::PlainWorkDone(attempt_id));
     }
 
-    /// A worker began work on it.
+    /// Records that a worker began to run an attempt.
     fn record_run(&mut self, t: usize, attempt_id: u64) {
         if !self.client_attempts[t].ran.contains(&attempt_id) {
             self.client_attempts[t].ran.push(attempt_id);
         }
     }
 
-    /// Plain work is done.
+    /// A worker without engine is done with a request.
     pub(super) fn plain_work_done(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let i = s.worker;
@@ -217,7 +217,7 @@
         self.reply(attempt_id, WorkerMessage::End);
     }
 
-    /// A prompt is ready for the batch.
+    /// A prompt joins the queue of the engine.
     pub(super) fn enqueue_at_engine(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let i = s.worker;
@@ -323,7 +323,7 @@
         self.statistics.prefill_tokens += u64::from(p.tokens);
     }
 
-    /// Sends something back on the request's connection.
+    /// Sends a message back on the request's connection.
     fn reply(&mut self, attempt_id: u64, a: WorkerMessage) {
         let s = &self.worker_attempts[attempt_id as usize];
         let node = s.node;
--- a/testbed/src/emulator/worker_lifecycle.rs
+++ b/testbed/src/emulator/worker_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Lives of workers, from their start to their end, and the platform's list.
+//! Start and end of emulated workers.
 
 use super::engine::Engine;
 use super::mix::ServiceMix;
@@ -22,7 +22,7 @@
         self.publish_registry();
     }
 
-    /// A new life, at an address that is given or free.
+    /// Starts a worker at the given address or a free one; returns its index.
     pub(super) fn start_worker(
         &mut self,
         service_index: usize,
--- a/testbed/tests/emulator.rs
+++ b/testbed/tests/emulator.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_quiet_day_is_served_whole() {
+fn a_day_without_faults_is_served_completely() {
     for seed in 0..3 {
         let w = World::new(seed, small(), PolicyKind::Balancer).run();
         let (violations, t) = (check(&w), w.statistics());
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn storms_keep_the_rules() {
+fn random_faults_violate_no_invariant() {
     let mut bad = Vec::new();
     for seed in seeds(24) {
         let mut m = small();
