--- a/sorreldoor/src/doctor/look.rs
+++ b/sorreldoor/src/doctor/look.rs
@@ -4,7 +4,7 @@
 use crate::http::{self, Call};
 use crate::json::{self, Value};
 use crate::settings::Settings;
-use crate::store::probe_folder;
+use crate::store::probe_directory;
 use crate::wire::{self, Hello, Payload, Refused};
 use async_std::future::timeout;
 use async_std::io::ReadExt;
@@ -47,8 +47,8 @@
         ..Seen::default()
     };
     for a in &s.seeds {
-        let to = s.reached(*a);
-        let found = task::block_on(seed(to, &s.site_mark()));
+        let to = s.dial_address(*a);
+        let found = task::block_on(seed(to, &s.site_fingerprint()));
         seen.seeds.push((a.to_string(), found));
     }
     let cores: Vec<Hello> = seen
@@ -96,14 +96,19 @@
 fn status(s: &Settings, h: &Hello) -> Option<Value> {
     let at: SocketAddr = h.http.parse().ok()?;
     let within = WITHIN + Duration::from_millis(s.ack_ms * 3);
-    let c = http::call(s.reached(at), Call::get("/v1/status"), 16 << 20, within);
+    let c = http::call(
+        s.dial_address(at),
+        Call::get("/v1/status"),
+        16 << 20,
+        within,
+    );
     let c = task::block_on(c).ok().filter(|c| c.status == 200)?;
     json::parse(&c.body, usize::MAX).ok()
 }
 
 fn disk(dir: &Path) -> Disk {
     let began = Instant::now();
-    let tried = probe_folder(dir);
+    let tried = probe_directory(dir);
     let sync_ms = tried
         .map(|()| began.elapsed().as_millis() as u64)
         .map_err(|e| e.to_string());
--- a/testbed/src/disk.rs
+++ b/testbed/src/disk.rs
@@ -80,7 +80,7 @@
     pub fn synced(&mut self, up_to: u64) {
         while self.unsynced.front().is_some_and(|(s, _)| *s <= up_to) {
             if let Some((s, save)) = self.unsynced.pop_front() {
-                self.durable.take(s + self.first_seq, &save);
+                self.durable.apply_save(s + self.first_seq, &save);
             }
         }
     }
@@ -94,7 +94,7 @@
     pub fn crash(&mut self, survive: usize) {
         let survivors: Vec<(u64, Save)> = self.unsynced.drain(..).take(survive).collect();
         for (seq, save) in survivors {
-            self.durable.take(seq + self.first_seq, &save);
+            self.durable.apply_save(seq + self.first_seq, &save);
         }
         (self.busy_until, self.next_until) = (0, 0);
     }
