--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -30,7 +30,7 @@
             own_id: self.me.id,
             voters: self.voter_ids(),
             joined: consensus.is_some(),
-            has_unsynced_saves: consensus.is_some_and(|c| c.unsaved().is_some()),
+            has_unsynced_saves: consensus.is_some_and(|c| c.last_unsynced_save().is_some()),
         };
         for effect in self.idempotency.step(event, &context) {
             self.idempotency_effect(effect);
@@ -51,7 +51,7 @@
             }
             Effect::SaveThen(claims, action) => {
                 let seq = if claims.is_empty() {
-                    self.consensus.as_ref().and_then(|c| c.unsaved())
+                    self.consensus.as_ref().and_then(|c| c.last_unsynced_save())
                 } else {
                     self.save_claims(Save::ClaimRecord(claims))
                 };
@@ -69,7 +69,7 @@
 
     /// Saves with the log's own saves; the sequence number of the save.
     fn save_claims(&mut self, save: Save) -> Option<u64> {
-        let (seq, effects) = self.consensus.as_mut()?.keep(save);
+        let (seq, effects) = self.consensus.as_mut()?.save_beside_log(save);
         for effect in effects {
             self.apply_consensus_effect(effect);
         }
--- a/sorreldoor/src/store/durable_store.rs
+++ b/sorreldoor/src/store/durable_store.rs
@@ -7,7 +7,7 @@
 use super::log_files::LogFiles;
 use super::recovery::{recover, Recovery};
 use super::{Store, FILES};
-use crate::consensus::{Kept, Save};
+use crate::consensus::{RecoveredState, Save};
 use std::borrow::Cow;
 use std::io;
 use std::path::Path;
@@ -95,7 +95,7 @@
     }
 
     /// The state from which consensus starts, if any was saved.
-    pub fn consensus_state(&self) -> Option<Kept> {
+    pub fn consensus_state(&self) -> Option<RecoveredState> {
         (!self.state.has_no_saves()).then(|| self.state.to_consensus())
     }
 
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -122,7 +122,7 @@
     }
 
     fn save(&mut self, process: usize, seq: u64, save: Save) {
-        if matches!(save, Save::ClaimRecord(_) | Save::Forgot(_)) {
+        if matches!(save, Save::ClaimRecord(_) | Save::ReleasedClaims(_)) {
             self.claims_traffic.disk_bytes += encode(&save).len() as u64;
         }
         let incarnation = self.processes[process].incarnation;
