--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stub workers, fleet runner, emulator and simulators for sorreldoor; never shipped.
 
 pub mod disk;
-pub mod emul;
+pub mod emulator;
 pub mod experiment;
 pub mod faulty_node;
 pub mod fleet;
