--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -15,7 +15,6 @@
 use crate::runtime::{Clock, Reducer};
 use crate::settings::Settings;
 use crate::subscription::Pull;
-use crate::wire::Hello;
 use async_std::channel::{bounded, Receiver};
 use async_std::future::timeout;
 use async_std::net::TcpListener;
@@ -83,18 +82,7 @@
 
 fn new_controller<C: Clock>(settings: &Settings, bounds: Bounds, clock: &C) -> ProxyController {
     let now = clock.now();
-    let identity = Hello {
-        id: random_id() >> 1,
-        node: settings.node.clone(),
-        core: false,
-        region: settings.region,
-        zone: settings.zone,
-        addr: String::new(),
-        http: settings.http.to_string(),
-        founded: false,
-        incarnation: random_id(),
-        ..Hello::default()
-    };
+    let identity = crate::run::edge_hello(settings);
     let locality = Locality {
         node: settings.node.clone(),
         zone: settings.zone,
--- a/testbed/src/emul/policy.rs
+++ b/testbed/src/emulator/policy.rs
@@ -1,8 +1,8 @@
-//! Who decides at a node where requests go: the product's table, or a simple
-//! rule to compare it with.
+//! Load balancing policies: the product's balancer, or a baseline to compare it
+//! with.
 
-use super::breach::Breaker;
-use super::simple::Simple;
+use super::baseline::BaselinePolicy;
+use super::violation::ViolatingBalancer;
 use sorreldoor::balancer::{AttemptOutcome, Balancer, Bounds, Decision, Locality, RequestId};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::discovery::WorkerRegistry;
@@ -11,12 +11,12 @@
 use sorreldoor::types::Millis;
 use std::sync::Arc;
 
-/// What a node asks of whoever decides; the table's own calls.
+/// The interface of a policy; the calls of the product's balancer.
 pub trait Policy {
     fn begin(
         &mut self,
         path: &str,
-        asked: RequestMetadata,
+        requested: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode>;
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision;
@@ -41,10 +41,10 @@
     fn begin(
         &mut self,
         path: &str,
-        asked: RequestMetadata,
+        requested: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
-        Balancer::begin(self, HOST, path, asked, now, now)
+        Balancer::begin(self, HOST, path, requested, now, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
         Balancer::pick(self, request_id, now)
@@ -88,76 +88,82 @@
     }
 }
 
-/// What decides at all nodes of a run.
+/// The policy of all nodes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Invariant {
+pub enum PolicyKind {
     Balancer,
     RoundRobin,
     LeastLoad,
-    /// The table, whose requests stay where they are; or where they have begun.
+    /// The balancer without fail-over; or without fail-over of begun requests.
     Stay,
     StayBegun,
-    /// The table, with one of its rules broken.
-    Broken(Breach),
+    /// The balancer, violating one of its invariants.
+    Broken(Violation),
 }
 
-/// What is broken, to show that a check can fail.
+/// An invariant to violate, to show that its check can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breach {
-    /// What may have run is begun again as if it were new.
+pub enum Violation {
+    /// Attempts that may have run are retried as if they had not.
     Twice,
-    /// Homes are left out of routes.
+    /// Homes of routes are ignored.
     Homes,
-    /// Emptied zones are not heard of.
+    /// Evacuations are ignored.
     Zones,
-    /// Draining workers look open.
+    /// Draining workers get requests.
     Drains,
-    /// Further sendings know no budget.
+    /// Retries have no budget.
     Budget,
-    /// Cold workers look warm.
+    /// Slow start is ignored.
     Cold,
-    /// Later configurations are not heard of.
+    /// Later configurations are ignored.
     Routes,
     /// A request is never decided on.
     Mute,
-    /// Not a breach: requests do not move, or do not once they have begun.
+    /// No violation: requests do not fail over, or not once they have begun.
     Stay,
     StayBegun,
 }
 
-impl Invariant {
+impl PolicyKind {
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::Balancer => "table",
-            Invariant::RoundRobin => "round robin",
-            Invariant::LeastLoad => "least load",
-            Invariant::Stay => "table, no moves",
-            Invariant::StayBegun => "table, none midway",
-            Invariant::Broken(_) => "broken table",
+            PolicyKind::Balancer => "table",
+            PolicyKind::RoundRobin => "round robin",
+            PolicyKind::LeastLoad => "least load",
+            PolicyKind::Stay => "table, no moves",
+            PolicyKind::StayBegun => "table, none midway",
+            PolicyKind::Broken(_) => "broken table",
         }
     }
 
     pub fn make(self, place: Locality, mut bounds: Bounds, seed: u64) -> Box<dyn Policy> {
         match self {
-            Invariant::Balancer => Box::new(Balancer::new(place, bounds, seed)),
-            Invariant::RoundRobin | Invariant::LeastLoad => {
-                Box::new(Simple::new(self, seed, &place.node))
+            PolicyKind::Balancer => Box::new(Balancer::new(place, bounds, seed)),
+            PolicyKind::RoundRobin | PolicyKind::LeastLoad => {
+                Box::new(BaselinePolicy::new(self, seed, &place.node))
             }
-            Invariant::Stay | Invariant::StayBegun => {
+            PolicyKind::Stay | PolicyKind::StayBegun => {
                 let b = match self {
-                    Invariant::Stay => Breach::Stay,
-                    _ => Breach::StayBegun,
+                    PolicyKind::Stay => Violation::Stay,
+                    _ => Violation::StayBegun,
                 };
-                Box::new(Breaker::new(Balancer::new(place, bounds, seed), b))
+                Box::new(ViolatingBalancer::new(
+                    Balancer::new(place, bounds, seed),
+                    b,
+                ))
             }
-            Invariant::Broken(b) => {
-                if b == Breach::Budget {
+            PolicyKind::Broken(b) => {
+                if b == Violation::Budget {
                     (bounds.retry_ratio, bounds.retry_slack) = (1e6, 1e6);
                 }
-                if b == Breach::Cold {
+                if b == Violation::Cold {
                     bounds.warmup_excess = 1e6;
                 }
-                Box::new(Breaker::new(Balancer::new(place, bounds, seed), b))
+                Box::new(ViolatingBalancer::new(
+                    Balancer::new(place, bounds, seed),
+                    b,
+                ))
             }
         }
     }
