--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -53,7 +53,7 @@
         let names: Vec<String> = members.iter().map(name).collect();
         self.log_event(LogEvent::MembershipChanged, names.join(" "));
         if !self.me.founded && members.iter().any(|member| member.voter) {
-            self.greet();
+            self.announce_membership();
         }
         self.redial();
     }
--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -62,8 +62,7 @@
     /// A connection to oneself, through a seed address, is of no use.
     fn on_own_hello(&mut self, conn: Conn) {
         if let Some(own) = self.connections.dialled(conn) {
-            self.seeds.retain(|seed| *seed != own);
-            self.peer_addresses.remove(&own);
+            self.peer_addresses.remove_own(own);
             self.out.push(ControllerEffect::Disconnect(own));
         }
         self.out.push(ControllerEffect::Close(conn));
@@ -73,7 +72,7 @@
     fn on_core_frame(&mut self, conn: Conn, from: Hello, payload: Payload) {
         match payload {
             Payload::Consensus(msg) => self.agreed(Event::Heard { from: from.id, msg }),
-            Payload::Founding(founding) => self.on_founding(conn, from, founding),
+            Payload::Bootstrap(message) => self.on_bootstrap_message(conn, &from, message),
             Payload::SessionReport(report) => self.on_session_report(from.id, report),
             Payload::WorkerRegistry(registry) => self.adopt_worker_list(registry),
             Payload::Loads(loads) => self.adopt_loads(loads),
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -2,6 +2,7 @@
 //! concerns and turns what the part returns into effects; see the sibling
 //! modules of this folder's parent for the parts.
 
+mod bootstrap;
 mod changes;
 mod consensus;
 mod edges;
@@ -14,7 +15,8 @@
 mod status;
 mod workers;
 
-use super::connections::{Connections, LIVE_MS, REACHABLE_MS};
+use super::bootstrap::{Bootstrap, PeerAddresses};
+use super::connections::{Connections, REACHABLE_MS};
 use super::distribution::Distribution;
 use super::events::{ControllerEffect, ControllerEvent, Requester};
 use super::idempotency::{self, Idempotency};
@@ -26,7 +28,7 @@
 use super::singleton::SingletonRole;
 use super::worker_list::WorkerList;
 use crate::configuration::Site;
-use crate::consensus::{Consensus, Event, Member, Timing};
+use crate::consensus::{Consensus, Event, Timing};
 use crate::discovery::Loads;
 use crate::log_events::LogEvent;
 use crate::net::Conn;
@@ -35,8 +37,7 @@
 use crate::runtime::{Now, Reducer};
 use crate::types::{Millis, NodeId};
 use crate::wire::{EdgeSession, Hello, Payload};
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Interval of the work that need not be done at each tick.
@@ -46,22 +47,13 @@
 pub struct Controller {
     pub(super) me: Hello,
     pub(super) site: Arc<Site>,
-    pub(super) cores: usize,
-    pub(super) bootstrap: bool,
-    pub(super) grow: bool,
-    /// The addresses that found the site, where it grows.
-    pub(super) founders: BTreeSet<SocketAddr>,
-    /// Where a founded core said that the members are.
-    pub(super) known: BTreeSet<SocketAddr>,
     pub(super) pacing: Pacing,
     pub(super) timing: Timing,
     pub(super) seed: u64,
     /// None while this core is part of no site.
     pub(super) consensus: Option<Consensus<ReplicatedState>>,
-    pub(super) promise: Option<Vec<Member>>,
-    pub(super) promises: BTreeMap<NodeId, Vec<Member>>,
-    pub(super) seeds: Vec<SocketAddr>,
-    pub(super) peer_addresses: BTreeSet<SocketAddr>,
+    bootstrap: Bootstrap,
+    peer_addresses: PeerAddresses,
     pub(super) connections: Connections,
     idempotency: Idempotency,
     membership: Membership,
@@ -216,10 +208,9 @@
 
     fn slow_tick(&mut self) {
         match &self.consensus {
-            None => self.founding_alarm(),
+            None => self.tick_bootstrap(),
             Some(consensus) if consensus.members().is_empty() => {
-                let live = self.live_cores(LIVE_MS);
-                self.ask_founded(&live);
+                self.query_founded();
             }
             Some(_) => self.tick_singleton(),
         }
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -2,6 +2,7 @@
 
 use super::Controller;
 use crate::consensus::{Consensus, Kept, StateMachine};
+use crate::control_plane::bootstrap::{self, Bootstrap, PeerAddresses};
 use crate::control_plane::connections::Connections;
 use crate::control_plane::distribution::Distribution;
 use crate::control_plane::events::ControllerConfig;
@@ -15,7 +16,6 @@
 use crate::control_plane::worker_list::WorkerList;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
-use std::collections::{BTreeMap, BTreeSet};
 
 impl Controller {
     /// A core with the state `kept` by its store; blank without any.
@@ -42,27 +42,17 @@
     fn blank(config: ControllerConfig, now: Millis) -> Controller {
         Controller {
             idempotency: Idempotency::new(Options::from(&config), &[], false, now),
+            bootstrap: Bootstrap::new(bootstrap_options(&config)),
             ids: IdSequence::new(&config.me),
             sessions: Sessions::new(&config.me, config.pacing.accounts, now),
             me: config.me,
             site: config.site,
-            cores: config.cores,
             membership: Membership::new(config.membership),
-            bootstrap: config.bootstrap,
-            grow: config.grow,
-            founders: (config.seeds.iter().copied())
-                .filter(|_| config.grow)
-                .collect(),
-            known: BTreeSet::new(),
             pacing: config.pacing,
             timing: config.timing,
             seed: config.seed,
             consensus: None,
-            // whoever may not found must not use what it once promised
-            promise: config.promise.filter(|_| config.bootstrap),
-            promises: BTreeMap::new(),
-            seeds: config.seeds,
-            peer_addresses: BTreeSet::new(),
+            peer_addresses: PeerAddresses::new(config.seeds),
             connections: Connections::default(),
             distribution: Distribution::default(),
             worker_list: WorkerList::new(config.worker_poll_ms, now),
@@ -93,6 +83,16 @@
     }
 }
 
+fn bootstrap_options(config: &ControllerConfig) -> bootstrap::Options {
+    let seeds = config.seeds.iter().copied();
+    bootstrap::Options {
+        enabled: config.bootstrap,
+        seeds_only: config.grow.then(|| seeds.collect()),
+        cores: config.cores,
+        promise: config.promise.clone(),
+    }
+}
+
 impl From<&ControllerConfig> for Options {
     fn from(config: &ControllerConfig) -> Options {
         Options {
--- a/sorreldoor/src/control_plane/mod.rs
+++ b/sorreldoor/src/control_plane/mod.rs
@@ -11,6 +11,7 @@
 //! | `distribution`, `updates` | deltas to edges, and large updates in flight |
 //! | `reads` | linearizable reads that wait for a proof of leadership |
 //! | `proposals` | who waits for the outcome of a change; ids |
+//! | `bootstrap` | the promised founders; addresses of the other cores |
 //! | `idempotency` | claims on request ids: the claim table, votes, catch-up |
 //! | `membership` | the policy of voters, and which cores are stopping |
 //! | `singleton` | the singleton role: polls, regions, weight tuning |
@@ -21,13 +22,13 @@
 //! handle of other tasks, and `api` serves operators over HTTP.
 
 mod api;
+mod bootstrap;
 mod client;
 mod connections;
 mod controller;
 mod daemon;
 mod distribution;
 mod events;
-mod founding;
 pub mod idempotency;
 mod integration;
 mod load_table;
--- a/sorreldoor/src/wire.rs
+++ b/sorreldoor/src/wire.rs
@@ -192,16 +192,22 @@
     FromAny,
 }
 
+/// Messages between cores until each of them is part of the site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Founding {
-    /// Sent by a blank core: the set it has promised to found with.
-    Promise { set: Vec<Member> },
-    /// Sent by a founded core to a blank one.
+pub enum BootstrapMessage {
+    /// From a blank core: the founders that it has promised.
+    Promise {
+        #[serde(rename = "set")]
+        founders: Vec<Member>,
+    },
+    /// From a founded core to a blank one.
     Founded {
-        set: Vec<Member>,
-        /// Where the members are.
-        #[serde(default)]
-        at: Vec<String>,
+        /// The promised founders, if the receiver is one of the voters.
+        #[serde(rename = "set")]
+        founders: Vec<Member>,
+        /// Addresses of all members.
+        #[serde(default, rename = "at")]
+        addresses: Vec<String>,
     },
 }
 
@@ -209,7 +215,8 @@
 pub enum Payload {
     Hello(Hello),
     Consensus(Msg),
-    Founding(Founding),
+    #[serde(rename = "Founding")]
+    Bootstrap(BootstrapMessage),
     SessionReport(SessionReport),
     WorkerRegistry(Arc<WorkerRegistry>),
     Loads(Arc<Loads>),
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -7,8 +7,8 @@
 use sorreldoor::replicated_state::{encode, Command, Outcome, Recovery, ReplicatedState};
 use sorreldoor::store::DurableState;
 use sorreldoor::wire::{
-    ClaimVote, ClaimsPage, EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate, Founding, Hello,
-    KnownVersions, OpOutcome, Payload, RouteLatency, SentRequest, SessionReport, StateDelta,
+    BootstrapMessage, ClaimVote, ClaimsPage, EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate,
+    Hello, KnownVersions, OpOutcome, Payload, RouteLatency, SentRequest, SessionReport, StateDelta,
     Unverified,
 };
 use std::sync::Arc;
@@ -223,12 +223,12 @@
     let mut all = vec![
         Payload::Hello(hello(true)),
         Payload::Hello(hello(false)),
-        Payload::Founding(Founding::Promise {
-            set: vec![member(1)],
+        Payload::Bootstrap(BootstrapMessage::Promise {
+            founders: vec![member(1)],
         }),
-        Payload::Founding(Founding::Founded {
-            set: vec![member(1)],
-            at: vec!["h:1".into()],
+        Payload::Bootstrap(BootstrapMessage::Founded {
+            founders: vec![member(1)],
+            addresses: vec!["h:1".into()],
         }),
         Payload::SessionReport(report),
         Payload::WorkerRegistry(registry()),
--- a/testbed/src/hollow/meter.rs
+++ b/testbed/src/hollow/meter.rs
@@ -76,7 +76,7 @@
         Payload::WorkerRegistry(_) => "registry",
         Payload::Loads(_) => "loads",
         Payload::Ping { .. } => "ping",
-        Payload::Hello(_) | Payload::Founding(_) => "hello",
+        Payload::Hello(_) | Payload::Bootstrap(_) => "hello",
         Payload::Op { .. } | Payload::OpFind { .. } | Payload::OpDone { .. } => "op",
         // what another branch adds must be counted as well, not break this
         _ => "claims",
