--- a/sorreldoor/src/control_plane/controller/bootstrap.rs
+++ b/sorreldoor/src/control_plane/controller/bootstrap.rs
@@ -76,13 +76,13 @@
         self.consensus = Some(consensus);
         self.idempotency_event(idempotency::Event::Founded);
         self.announce_membership();
-        self.agreed(Event::Tick);
+        self.step_consensus(Event::Tick);
     }
 
     fn join(&mut self) {
         let record = ReplicatedState::new(self.site.clone());
         let (id, timing, seed, now) = (self.me.id, self.timing.clone(), self.seed, self.now);
-        let blank = DurableState::default().kept();
+        let blank = DurableState::default().to_consensus();
         self.consensus = Some(Consensus::new(id, timing, blank, record, seed, now));
     }
 
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -2,6 +2,7 @@
 //! leader observes.
 
 mod change;
+mod from_settings;
 mod observed;
 mod policy;
 mod reducer;
--- a/testbed/src/emul/client.rs
+++ b/testbed/src/emul/client.rs
@@ -230,12 +230,12 @@
     }
 
     /// Comes back if it may and has the time.
-    fn next_try(&mut self, t: usize, promised: bool, again: u64) {
+    fn next_try(&mut self, t: usize, promised: bool, retry_after_ms: u64) {
         let i = self.tries[t].ask;
         let c = &self.mix.classes[self.asks[i].class];
         let deadline = self.tries[t].deadline;
         let left = deadline.saturating_sub(self.now);
-        let pause = (again * 1000).min(left / 3).max(1000);
+        let pause = (retry_after_ms * 1000).min(left / 3).max(1000);
         let may = promised || c.repeatable();
         if may && self.asks[i].tries <= c.tries && left > 2 * pause {
             return self.act(self.now + pause, move |w| w.attempt(i));
@@ -278,7 +278,7 @@
                 a.first.get_or_insert(now);
                 a.end = Some(End::Served(now));
             }
-            ToClient::Answer(status, again) => {
+            ToClient::Answer(status, retry_after_ms) => {
                 self.tries[t].over = true;
                 let promised = matches!(status, 503 | 429);
                 self.tries[t].refused = promised;
@@ -287,7 +287,7 @@
                     self.asks[i].end = Some(End::Failed);
                     return;
                 }
-                self.next_try(t, promised, again);
+                self.next_try(t, promised, retry_after_ms);
             }
             ToClient::Cut => {
                 self.tries[t].over = true;
