--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -1,7 +1,6 @@
 //! Edges: their sessions, and the leases and state they are granted.
 
 use super::Controller;
-use crate::control_plane::connections::REACHABLE_MS;
 use crate::control_plane::distribution::Sources;
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::reads::Read;
@@ -53,7 +52,7 @@
     fn merge_sessions(&mut self) {
         // an edge next to a dead core must not be listed longer than others
         let live = self.live_cores(SESSION_TIMEOUT_MS);
-        let record = self.consensus.as_ref().map(|c| c.machine());
+        let record = self.consensus.as_ref().map(|c| c.state_machine());
         let is_evacuated = |zone| record.is_some_and(|record| record.evacuated(zone));
         self.sessions
             .merge(|id| live.contains_key(&id), is_evacuated);
@@ -108,7 +107,7 @@
             SessionChange::Status => {}
         }
         let consensus = self.consensus.as_ref();
-        let led = consensus.is_some_and(|c| c.led()) || broken(Invariant::Proof);
+        let led = consensus.is_some_and(|c| c.has_leader()) || broken(Invariant::Proof);
         let offered = match renewal.unverified {
             Unverified::None => false,
             Unverified::FromStarting => !self.reads.ever_proved() || broken(Invariant::Unverified),
@@ -143,7 +142,7 @@
     pub(super) fn delta(&mut self, conn: Conn, known: &KnownVersions) -> StateDelta {
         let consensus = self.consensus.as_ref();
         let sources = Sources {
-            record: consensus.map(|c| c.machine()),
+            record: consensus.map(|c| c.state_machine()),
             members: consensus.map_or(&[], |c| c.members()),
             registry: self.worker_list.at(self.now),
             loads: self.loads.loads(),
@@ -155,8 +154,8 @@
     /// Connections to which a newer list of workers goes: the reachable cores
     /// and then this core's edges.
     pub(super) fn subscribers(&self) -> Vec<Conn> {
-        let cores = self.live_cores(REACHABLE_MS).into_values();
-        let edges = self.sessions.local_connections();
-        cores.map(|(conn, _)| conn).chain(edges).collect()
+        let mut subscribers = self.reachable_cores();
+        subscribers.extend(self.sessions.local_connections());
+        subscribers
     }
 }
--- a/testbed/src/site/proposals.rs
+++ b/testbed/src/site/proposals.rs
@@ -346,7 +346,10 @@
         let record = self
             .controller(process)
             .and_then(|controller| controller.consensus());
-        let Some(record) = record.map(|consensus| consensus.machine()).filter(|_| ok) else {
+        let Some(record) = record
+            .map(|consensus| consensus.state_machine())
+            .filter(|_| ok)
+        else {
             return;
         };
         let view = record.view();
