--- a/testbed/src/hollow/cli.rs
+++ b/testbed/src/capacity/cli.rs
@@ -1,6 +1,7 @@
-//! The command line of hollow sites: runs as lines of JSON, slopes from them.
+//! The command line of capacity measurements: runs as lines of JSON, and the
+//! cost models fitted to them.
 
-use super::{fit, read_rows, run, Fault, Found, Row, Size};
+use super::{fit, read_rows, run, Fault, FittedModel, Row, Size};
 use gumdrop::Options;
 use std::path::Path;
 
@@ -67,12 +68,12 @@
             zones: self.zones,
             workers: self.workers,
             routes: self.routes,
-            changes: self.changes_per_s,
-            claims: self.claims_per_s,
+            changes_per_s: self.changes_per_s,
+            claims_per_s: self.claims_per_s,
             seconds: self.seconds.max(1),
             full: self.full.min(self.nodes),
-            told: self.told,
-            far: self.far_ms,
+            reported_percent: self.told,
+            cross_region_ms: self.far_ms,
             most_claims: self.most_claims,
             seed: self.seed,
             fault,
@@ -111,7 +112,7 @@
     all.sort();
     all.dedup();
     let wanted = |k: &str| keys.split(',').any(|p| k.starts_with(p));
-    let at = super::dims(at);
+    let at = super::dimensions(at);
     println!("| what | slopes | rms | worst | runs | at the size given |");
     println!("| --- | --- | --- | --- | --- | --- |");
     all.into_iter()
@@ -132,7 +133,7 @@
     }
 }
 
-fn told(f: &Found, at: &Row) -> String {
+fn told(f: &FittedModel, at: &Row) -> String {
     let terms: Vec<String> = f
         .terms
         .iter()
--- a/testbed/src/hollow/node.rs
+++ b/testbed/src/capacity/hollow_node.rs
@@ -1,5 +1,5 @@
-//! An edge without its errands: the session's own half (`Pull`), hollow, or
-//! the whole reducer where its processor time and memory are to be measured.
+//! Hollow nodes: edges without requests that run only the subscription
+//! (`Pull`), or the complete reducer where host time and memory are measured.
 
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::ClaimRecord;
@@ -13,41 +13,46 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a node asks of its surroundings.
-pub enum Out {
+/// An effect of a node on the simulated network.
+pub enum NodeEffect {
     Send(Conn, Payload),
     Connect(SocketAddr),
     Disconnect(SocketAddr),
 }
 
-pub struct Hollow {
+pub struct HollowNode {
     me: Hello,
     pull: Pull,
     version: u64,
     running: u32,
-    took: Vec<RouteLatency>,
-    claims: u64,
-    out: Vec<Out>,
+    route_latencies: Vec<RouteLatency>,
+    claims_sent: u64,
+    out: Vec<NodeEffect>,
 }
 
 pub enum Node {
-    Hollow(Box<Hollow>),
+    HollowNode(Box<HollowNode>),
     Full(Box<EdgeController>),
 }
 
 /// How long a node serves on one renewal, in milliseconds, as the daemon has it.
-const LEASE: Millis = 2000;
+const LEASE_MS: Millis = 2000;
 
 impl Node {
-    pub fn new(me: Hello, seeds: &[SocketAddr], took: Vec<RouteLatency>, now: Now) -> Node {
-        let pull = Pull::new(seeds, LEASE, now.monotonic_ms, now.wall).named(&me.node);
-        Node::Hollow(Box::new(Hollow {
+    pub fn new(
+        me: Hello,
+        seeds: &[SocketAddr],
+        route_latencies: Vec<RouteLatency>,
+        now: Now,
+    ) -> Node {
+        let pull = Pull::new(seeds, LEASE_MS, now.monotonic_ms, now.wall).named(&me.node);
+        Node::HollowNode(Box::new(HollowNode {
             me,
             pull,
             version: 0,
             running: 0,
-            took,
-            claims: 0,
+            route_latencies,
+            claims_sent: 0,
             out: Vec::new(),
         }))
     }
@@ -55,14 +60,14 @@
     pub fn full(
         me: Hello,
         seeds: &[SocketAddr],
-        took: Vec<RouteLatency>,
+        route_latencies: Vec<RouteLatency>,
         now: Now,
         site: Arc<Site>,
     ) -> Node {
-        let pull = Pull::new(seeds, LEASE, now.monotonic_ms, now.wall).named(&me.node);
+        let pull = Pull::new(seeds, LEASE_MS, now.monotonic_ms, now.wall).named(&me.node);
         let cluster = ClusterView::new(site, me.node.clone(), me.zone, me.region);
         let mut h = EdgeController::new(me, cluster, pull);
-        let rows = took
+        let rows = route_latencies
             .into_iter()
             .map(|t| ((t.route, t.service), (t.n, t.ms)));
         h.table.latency_totals = rows.collect();
@@ -71,7 +76,7 @@
 
     fn pull(&self) -> &Pull {
         match self {
-            Node::Hollow(h) => &h.pull,
+            Node::HollowNode(h) => &h.pull,
             Node::Full(h) => &h.pull,
         }
     }
@@ -83,7 +88,7 @@
     /// The operators' serial this node acts on.
     pub fn version(&self) -> u64 {
         match self {
-            Node::Hollow(h) => h.version,
+            Node::HollowNode(h) => h.version,
             Node::Full(h) => h.cluster.snapshot.view.version,
         }
     }
@@ -94,10 +99,12 @@
     }
 
     /// Ask for an errand id, as an errand that may not be repeated does.
-    pub fn claim(&mut self) -> Option<Out> {
-        let Node::Hollow(h) = self else { return None };
-        h.claims += 1;
-        let request_id = h.claims;
+    pub fn claim(&mut self) -> Option<NodeEffect> {
+        let Node::HollowNode(h) = self else {
+            return None;
+        };
+        h.claims_sent += 1;
+        let request_id = h.claims_sent;
         let id = format!("{:016x}{request_id:016x}", h.me.incarnation);
         let (claimant, retention_ms) = (
             (u128::from(h.me.incarnation) << 64) | u128::from(request_id),
@@ -110,62 +117,67 @@
         };
         h.pull
             .conn
-            .map(|c| Out::Send(c, Payload::Claim { request_id, claim }))
+            .map(|c| NodeEffect::Send(c, Payload::Claim { request_id, claim }))
     }
 
     /// Nothing but time has come.
-    pub fn tick(&mut self, now: Now) -> Vec<Out> {
+    pub fn tick(&mut self, now: Now) -> Vec<NodeEffect> {
         match self {
-            Node::Hollow(h) => h.tick(now),
-            Node::Full(h) => outs(h.step(EdgeEvent::Tick, now)),
+            Node::HollowNode(h) => h.tick(now),
+            Node::Full(h) => node_effects(h.step(EdgeEvent::Tick, now)),
         }
     }
 
-    pub fn net(&mut self, n: NetEvent, now: Now) -> Vec<Out> {
+    pub fn net(&mut self, n: NetEvent, now: Now) -> Vec<NodeEffect> {
         match self {
-            Node::Hollow(h) => h.net(n, now),
-            Node::Full(h) => outs(h.step(EdgeEvent::Net(n), now)),
+            Node::HollowNode(h) => h.net(n, now),
+            Node::Full(h) => node_effects(h.step(EdgeEvent::Net(n), now)),
         }
     }
 }
 
-fn outs(fx: Vec<EdgeEffect>) -> Vec<Out> {
-    fx.into_iter()
+fn node_effects(effects: Vec<EdgeEffect>) -> Vec<NodeEffect> {
+    effects
+        .into_iter()
         .filter_map(|f| match f {
-            EdgeEffect::Send(c, p) => Some(Out::Send(c, p)),
-            EdgeEffect::Connect(a) => Some(Out::Connect(a)),
-            EdgeEffect::Disconnect(a) => Some(Out::Disconnect(a)),
+            EdgeEffect::Send(c, p) => Some(NodeEffect::Send(c, p)),
+            EdgeEffect::Connect(a) => Some(NodeEffect::Connect(a)),
+            EdgeEffect::Disconnect(a) => Some(NodeEffect::Disconnect(a)),
             _ => None,
         })
         .collect()
 }
 
-impl Hollow {
-    fn tick(&mut self, now: Now) -> Vec<Out> {
-        self.woken(now);
-        let fx = self.pull.tick(now.monotonic_ms);
-        fx.into_iter().for_each(|f| self.pulled(f));
+impl HollowNode {
+    fn tick(&mut self, now: Now) -> Vec<NodeEffect> {
+        self.check_suspend(now);
+        let effects = self.pull.tick(now.monotonic_ms);
+        effects.into_iter().for_each(|f| self.apply_effect(f));
         std::mem::take(&mut self.out)
     }
 
-    fn woken(&mut self, now: Now) {
+    fn check_suspend(&mut self, now: Now) {
         let f = self.pull.awake(now.monotonic_ms, now.wall);
-        f.into_iter().for_each(|f| self.pulled(f));
+        f.into_iter().for_each(|f| self.apply_effect(f));
     }
 
-    fn net(&mut self, n: NetEvent, now: Now) -> Vec<Out> {
-        self.woken(now);
+    fn net(&mut self, n: NetEvent, now: Now) -> Vec<NodeEffect> {
+        self.check_suspend(now);
         match n {
             NetEvent::Up { conn, dialled } => {
                 let h = self.me.clone();
-                self.out.push(Out::Send(conn, Payload::Hello(h)));
-                let fx = dialled.map(|a| self.pull.up(conn, a, now.monotonic_ms));
-                fx.into_iter().flatten().for_each(|f| self.pulled(f));
+                self.out.push(NodeEffect::Send(conn, Payload::Hello(h)));
+                let effects = dialled.map(|a| self.pull.up(conn, a, now.monotonic_ms));
+                effects
+                    .into_iter()
+                    .flatten()
+                    .for_each(|f| self.apply_effect(f));
             }
             NetEvent::Down { conn } => self.pull.down(conn),
             NetEvent::Frame { conn, payload } => match *payload {
                 Payload::Ping { .. } => {
-                    self.out.push(Out::Send(conn, Payload::Ping { no: 0 }));
+                    self.out
+                        .push(NodeEffect::Send(conn, Payload::Ping { no: 0 }));
                 }
                 Payload::Grant { no, ok, delta } => {
                     let some = delta.record.as_ref().is_some_and(|r| r.has_document);
@@ -181,10 +193,10 @@
         std::mem::take(&mut self.out)
     }
 
-    fn pulled(&mut self, f: SubscriptionEffect) {
+    fn apply_effect(&mut self, f: SubscriptionEffect) {
         match f {
-            SubscriptionEffect::Connect(a) => self.out.push(Out::Connect(a)),
-            SubscriptionEffect::Disconnect(a) => self.out.push(Out::Disconnect(a)),
+            SubscriptionEffect::Connect(a) => self.out.push(NodeEffect::Connect(a)),
+            SubscriptionEffect::Disconnect(a) => self.out.push(NodeEffect::Disconnect(a)),
             SubscriptionEffect::Renew {
                 conn,
                 no,
@@ -192,14 +204,14 @@
             } => {
                 // at a few dozen errands a second no two renewals tell the same
                 self.running = (self.running + 7) % 97;
-                self.took.iter_mut().for_each(|t| t.n += 1);
+                self.route_latencies.iter_mut().for_each(|t| t.n += 1);
                 let have = self.pull.have.clone();
                 let edge_status = EdgeStatus {
                     version: self.version,
                     lease: self.version > 0,
                     running: self.running,
-                    first: self.claims,
-                    took: self.took.clone(),
+                    first: self.claims_sent,
+                    took: self.route_latencies.clone(),
                     ..EdgeStatus::default()
                 };
                 let p = Payload::Renew {
@@ -208,7 +220,7 @@
                     edge_status,
                     unverified,
                 };
-                self.out.push(Out::Send(conn, p));
+                self.out.push(NodeEffect::Send(conn, p));
             }
             _ => {}
         }
--- a/testbed/src/hollow/meter.rs
+++ b/testbed/src/capacity/meter.rs
@@ -1,5 +1,5 @@
-//! What a run cost: frames and bytes by kind, and host time by what it went
-//! into, kept for each process apart.
+//! Metering: frames and bytes by kind, and host time by activity, for each
+//! process.
 
 use sorreldoor::consensus::Msg;
 use sorreldoor::wire::{Payload, StateDelta};
@@ -15,7 +15,7 @@
 
 /// How often something ran, how long in all, and the longest.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
+pub struct HostTime {
     pub n: u64,
     pub all: Duration,
     pub most: Duration,
@@ -26,7 +26,7 @@
 pub struct Meter {
     /// By direction, the other end's role, and kind.
     pub flows: BTreeMap<(&'static str, &'static str, &'static str), Flow>,
-    pub spent: BTreeMap<&'static str, Spent>,
+    pub host_time: BTreeMap<&'static str, HostTime>,
 }
 
 impl Meter {
@@ -45,7 +45,7 @@
         let began = Instant::now();
         let t = f();
         let d = began.elapsed();
-        let s = self.spent.entry(what).or_default();
+        let s = self.host_time.entry(what).or_default();
         s.n += 1;
         s.all += d;
         s.most = s.most.max(d);
@@ -61,7 +61,7 @@
     }
 
     pub fn busy(&self) -> Duration {
-        self.spent.values().map(|s| s.all).sum()
+        self.host_time.values().map(|s| s.all).sum()
     }
 }
 
--- a/testbed/src/hollow/mod.rs
+++ b/testbed/src/capacity/mod.rs
@@ -1,27 +1,28 @@
-//! A site of any size in one process and in virtual time: the cores' real
-//! reducers, before them many hollow nodes, and every frame packed as it would
-//! be sent, so that what control costs can be counted and its slopes fitted.
+//! Capacity measurement: a site of any size in one process and in virtual time,
+//! with the cores' real reducers, many hollow nodes (edges without requests), and
+//! every frame encoded as it would be sent, so that the cost of the control plane
+//! can be counted and fitted to the size.
 
 mod cli;
-mod core;
-mod fault;
-mod fit;
-mod given;
-mod lines;
+mod cores;
+mod fault_injection;
+mod hollow_node;
 mod meter;
-mod node;
+mod network;
+mod regression;
 mod report;
+mod workload;
 
 pub use cli::{hollow, HollowArgs};
-pub use fit::{fit, read_rows, solve, Found, Row};
-pub use given::configuration;
-pub use report::{dims, run, Heap, Report};
+pub use regression::{fit, read_rows, solve, FittedModel, Row};
+pub use report::{dimensions, run, Heap, Report};
+pub use workload::configuration;
 
-use self::core::Core;
+use self::cores::Core;
 use crate::rand::Rand;
-use lines::{Body, Line};
+use hollow_node::Node;
 use meter::{Meter, Parts};
-use node::Node;
+use network::{Connection, FrameBody};
 use sorreldoor::configuration::Site;
 use sorreldoor::runtime::Now;
 use sorreldoor::types::Millis;
@@ -29,18 +30,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What befalls the site after the measured window.
+/// The fault injected after the measured window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// The leader's machine stops without a word.
+    /// The leader's machine fails silently.
     Core,
     /// One node in ten is restarted at once.
     Restart,
-    /// A zone's nodes and cores stop without a word.
+    /// A zone's nodes and cores fail silently.
     Zone,
-    /// The first region and the rest lose each other for 20 s.
+    /// The first region is partitioned from the rest for 20 s.
     Part,
 }
 
@@ -54,17 +55,17 @@
     pub workers: usize,
     pub routes: usize,
     /// Operators' changes a second over the whole site.
-    pub changes: f64,
-    /// Errand ids claimed a second over the whole site.
-    pub claims: f64,
+    pub changes_per_s: f64,
+    /// Request ids claimed a second over the whole site.
+    pub claims_per_s: f64,
     /// Virtual seconds that are measured, after the site has settled.
     pub seconds: u64,
     /// Nodes that run the edge's whole reducer; their host time is measured.
     pub full: usize,
-    /// Routes, in percent, of which a node tells what its errands took.
-    pub told: usize,
+    /// Routes, in percent, for which a node reports latencies.
+    pub reported_percent: usize,
     /// One way between regions, in milliseconds.
-    pub far: Millis,
+    pub cross_region_ms: Millis,
     /// Ids a core remembers at most, as the setting of that name.
     pub most_claims: usize,
     pub seed: u64,
@@ -80,12 +81,12 @@
             zones: 6,
             workers: 18,
             routes: 8,
-            changes: 0.0,
-            claims: 0.0,
+            changes_per_s: 0.0,
+            claims_per_s: 0.0,
             seconds: 10,
             full: 2,
-            told: 100,
-            far: 30,
+            reported_percent: 100,
+            cross_region_ms: 30,
             most_claims: 200_000,
             seed: 1,
             fault: Fault::None,
@@ -99,7 +100,7 @@
     Node(Box<Node>),
 }
 
-struct Proc {
+struct Process {
     name: String,
     id: u64,
     zone: u16,
@@ -109,18 +110,18 @@
     incarnation: u64,
     peer_addresses: BTreeSet<SocketAddr>,
     meter: Meter,
-    /// When it last held a permit, and how long it had to do without.
-    lit: Millis,
-    dark: Millis,
+    /// When it last held a lease, and the longest that it had none.
+    last_leased_at: Millis,
+    without_lease_ms: Millis,
 }
 
-/// What is due at a time.
-enum Act {
+/// What happens at a point of virtual time.
+enum Event {
     Tick(usize, u64),
     Connect(usize, u64, SocketAddr),
     Up(usize, u64, u64, Option<SocketAddr>),
     Down(usize, u64, u64),
-    Frame(u64, usize, Body),
+    Frame(u64, usize, FrameBody),
     Saved(usize, u64, u64),
     Poll(usize, u64),
     Rows(usize, u64, u64),
@@ -144,63 +145,63 @@
     size: Size,
     site: Arc<Site>,
     rng: Rand,
-    procs: Vec<Proc>,
-    lines: BTreeMap<u64, Line>,
+    processes: Vec<Process>,
+    connections: BTreeMap<u64, Connection>,
     parts: Parts,
-    queue: BTreeMap<(Millis, u64), Act>,
+    queue: BTreeMap<(Millis, u64), Event>,
     count: u64,
     registry: String,
     pending: Vec<Pending>,
-    /// How long each change took to be acked, and to be everywhere.
-    acked: Vec<Millis>,
-    spread: Vec<Millis>,
-    /// Frames that a receiver would not take for their length.
+    /// How long each change took to be committed, and to be applied by all nodes.
+    commit_ms: Vec<Millis>,
+    propagation_ms: Vec<Millis>,
+    /// Frames that a receiver rejected for their length.
     refused: u64,
-    parted: bool,
+    partitioned: bool,
     /// Bytes by second of virtual time, over all cores.
     by_second: BTreeMap<Millis, u64>,
 }
 
 impl World {
     pub fn new(size: Size) -> World {
-        let site = given::site(&size);
-        let mut w = World {
+        let site = workload::site(&size);
+        let mut world = World {
             now: 0,
-            registry: given::registry(&size, 1),
+            registry: workload::registry(&size, 1),
             rng: Rand::new(size.seed),
             site,
             size,
-            procs: Vec::new(),
-            lines: BTreeMap::new(),
+            processes: Vec::new(),
+            connections: BTreeMap::new(),
             parts: Parts::default(),
             queue: BTreeMap::new(),
             count: 0,
             pending: Vec::new(),
-            acked: Vec::new(),
-            spread: Vec::new(),
+            commit_ms: Vec::new(),
+            propagation_ms: Vec::new(),
             refused: 0,
-            parted: false,
+            partitioned: false,
             by_second: BTreeMap::new(),
         };
-        for i in 0..w.size.cores {
+        for i in 0..world.size.cores {
             let addr = ([10, 0, 0, i as u8 + 1], 7000).into();
-            w.lay(format!("core-{i}"), i, Some(addr));
+            world.add_process(format!("core-{i}"), i, Some(addr));
         }
-        for i in 0..w.size.nodes {
-            w.lay(format!("node-{i:03}"), i, None);
+        for i in 0..world.size.nodes {
+            world.add_process(format!("node-{i:03}"), i, None);
         }
-        for p in 0..w.procs.len() {
-            let at = w.rng.below(400);
-            w.at(at, Act::Start(p));
+        for p in 0..world.processes.len() {
+            let at = world.rng.below(400);
+            world.at(at, Event::Start(p));
         }
-        w.at(500, Act::Watch);
-        w
+        world.at(500, Event::Watch);
+        world
     }
 
-    fn lay(&mut self, name: String, i: usize, addr: Option<SocketAddr>) {
+    fn add_process(&mut self, name: String, i: usize, addr: Option<SocketAddr>) {
         let zone = (i % self.size.zones) as u16;
         let region = self.site.region_of_zone(zone).unwrap_or(0);
-        self.procs.push(Proc {
+        self.processes.push(Process {
             name,
             id: self.rng.draw() >> 1,
             zone,
@@ -210,8 +211,8 @@
             incarnation: 0,
             peer_addresses: BTreeSet::new(),
             meter: Meter::default(),
-            lit: 0,
-            dark: 0,
+            last_leased_at: 0,
+            without_lease_ms: 0,
         });
     }
 
@@ -220,7 +221,7 @@
     }
 
     fn nodes(&self) -> std::ops::Range<usize> {
-        self.size.cores..self.procs.len()
+        self.size.cores..self.processes.len()
     }
 
     fn clock(&self) -> Now {
@@ -230,17 +231,17 @@
         }
     }
 
-    fn at(&mut self, at: Millis, a: Act) {
+    fn at(&mut self, at: Millis, a: Event) {
         self.count += 1;
         self.queue.insert((at.max(self.now), self.count), a);
     }
 
-    fn after(&mut self, ms: Millis, a: Act) {
+    fn after(&mut self, ms: Millis, a: Event) {
         self.at(self.now + ms, a);
     }
 
     /// Run until `end`, or until `f` holds at a whole tenth of a second.
-    fn until(&mut self, end: Millis, f: impl Fn(&World) -> bool) -> bool {
+    fn run_until(&mut self, end: Millis, f: impl Fn(&World) -> bool) -> bool {
         let mut look = self.now;
         while let Some((&(at, _), _)) = self.queue.first_key_value() {
             if at > end {
@@ -254,83 +255,84 @@
             }
             self.now = self.now.max(at);
             if let Some((_, a)) = self.queue.pop_first() {
-                self.act(a);
+                self.handle(a);
             }
         }
         self.now = self.now.max(end);
         f(self)
     }
 
-    fn same(&self, p: usize, incarnation: u64) -> bool {
-        self.procs[p].incarnation == incarnation && !matches!(self.procs[p].role, Role::Down)
+    fn runs(&self, p: usize, incarnation: u64) -> bool {
+        self.processes[p].incarnation == incarnation
+            && !matches!(self.processes[p].role, Role::Down)
     }
 
-    fn act(&mut self, a: Act) {
+    fn handle(&mut self, a: Event) {
         match a {
-            Act::Start(p) => self.start(p),
-            Act::Tick(p, b) if self.same(p, b) => self.tick(p, b),
-            Act::Connect(p, b, a) if self.same(p, b) => self.dial(p, b, a),
-            Act::Up(p, b, conn, dialled) if self.same(p, b) => self.up(p, conn, dialled),
-            Act::Down(p, b, conn) if self.same(p, b) => self.down(p, conn),
-            Act::Frame(conn, half, body) => self.frame(conn, half, body),
-            Act::Saved(p, b, seq) if self.same(p, b) => self.saved(p, seq),
-            Act::Poll(p, b) if self.same(p, b) => self.poll(p, b),
-            Act::Rows(p, b, epoch) if self.same(p, b) => self.rows(p, epoch),
-            Act::Change => self.change(),
-            Act::Again(c) => self.propose(c),
-            Act::Claim => self.claim(),
-            Act::Watch => self.watch(),
+            Event::Start(p) => self.start(p),
+            Event::Tick(p, b) if self.runs(p, b) => self.tick(p, b),
+            Event::Connect(p, b, a) if self.runs(p, b) => self.dial(p, b, a),
+            Event::Up(p, b, conn, dialled) if self.runs(p, b) => self.up(p, conn, dialled),
+            Event::Down(p, b, conn) if self.runs(p, b) => self.down(p, conn),
+            Event::Frame(conn, half, body) => self.frame(conn, half, body),
+            Event::Saved(p, b, seq) if self.runs(p, b) => self.saved(p, seq),
+            Event::Poll(p, b) if self.runs(p, b) => self.poll(p, b),
+            Event::Rows(p, b, epoch) if self.runs(p, b) => self.rows(p, epoch),
+            Event::Change => self.change(),
+            Event::Again(c) => self.propose(c),
+            Event::Claim => self.claim(),
+            Event::Watch => self.poll_connections(),
             _ => {}
         }
     }
 
     fn start(&mut self, p: usize) {
         let incarnation = self.rng.draw() >> 1;
-        self.procs[p].incarnation = incarnation;
-        self.procs[p].peer_addresses.clear();
+        self.processes[p].incarnation = incarnation;
+        self.processes[p].peer_addresses.clear();
         if p < self.size.cores {
             self.start_core(p, incarnation);
         } else {
             self.start_node(p, incarnation);
         }
         let wait = self.rng.below(20);
-        self.after(wait, Act::Tick(p, incarnation));
+        self.after(wait, Event::Tick(p, incarnation));
     }
 
     fn start_node(&mut self, p: usize, incarnation: u64) {
         let seeds = self.seeds();
-        let took = given::took(&self.size, &mut self.rng);
+        let route_latencies = workload::route_latencies(&self.size, &mut self.rng);
         let (me, now) = (self.hello(p, incarnation), self.clock());
         let whole = p - self.size.cores < self.size.full;
         let node = if whole {
-            Node::full(me, &seeds, took, now, self.site.clone())
+            Node::full(me, &seeds, route_latencies, now, self.site.clone())
         } else {
-            Node::new(me, &seeds, took, now)
+            Node::new(me, &seeds, route_latencies, now)
         };
-        self.procs[p].lit = self.now;
-        self.procs[p].role = Role::Node(Box::new(node));
+        self.processes[p].last_leased_at = self.now;
+        self.processes[p].role = Role::Node(Box::new(node));
     }
 
     fn tick(&mut self, p: usize, incarnation: u64) {
         let now = self.clock();
         let at = self.now;
-        let q = &mut self.procs[p];
-        let outs = match &mut q.role {
+        let q = &mut self.processes[p];
+        let node_effects = match &mut q.role {
             Role::Node(n) => {
-                let outs = q.meter.time("alarm", || n.tick(now));
+                let node_effects = q.meter.time("alarm", || n.tick(now));
                 if n.lease(at) {
-                    q.lit = at;
+                    q.last_leased_at = at;
                 }
-                q.dark = q.dark.max(at.saturating_sub(q.lit));
-                outs
+                q.without_lease_ms = q.without_lease_ms.max(at.saturating_sub(q.last_leased_at));
+                node_effects
             }
             _ => Vec::new(),
         };
         let every = if p < self.size.cores { 10 } else { 20 };
-        self.after(every, Act::Tick(p, incarnation));
+        self.after(every, Event::Tick(p, incarnation));
         if p < self.size.cores {
             return self.controller(p, "alarm", sorreldoor::control_plane::ControllerEvent::Tick);
         }
-        self.outs(p, outs);
+        self.node_effects(p, node_effects);
     }
 }
--- a/testbed/src/hollow/fit.rs
+++ b/testbed/src/capacity/regression.rs
@@ -8,7 +8,7 @@
 
 /// How a number grows.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct FittedModel {
     pub key: String,
     /// A product of sizes, and what one of it costs.
     pub terms: Vec<(&'static str, f64)>,
@@ -20,8 +20,8 @@
 
 const MOST_TERMS: usize = 5;
 /// A term must take off this part of the error to be kept.
-const GAIN: f64 = 0.12;
-const GOOD: f64 = 0.004;
+const MIN_GAIN: f64 = 0.12;
+const GOOD_RMS: f64 = 0.004;
 
 /// The products that a number may grow with.
 fn products(r: &Row) -> Vec<(&'static str, f64)> {
@@ -98,13 +98,13 @@
     Some((0..n).map(|i| m[i][n] / m[i][i] / scale[i]).collect())
 }
 
-struct Try {
+struct Fit {
     slopes: Vec<f64>,
     rms: f64,
     worst: f64,
 }
 
-fn attempt(cols: &[usize], all: &[Vec<f64>], y: &[f64]) -> Option<Try> {
+fn attempt(cols: &[usize], all: &[Vec<f64>], y: &[f64]) -> Option<Fit> {
     let top = y.iter().fold(0.0, |a: f64, b| a.max(b.abs()));
     // small sites must count as much as large ones, or their share of a
     // product would be lost in its noise
@@ -127,12 +127,17 @@
     let offs: Vec<f64> = a.iter().zip(&ys).map(off).collect();
     let rms = (offs.iter().map(|o| o * o).sum::<f64>() / offs.len() as f64).sqrt();
     let worst = offs.iter().copied().fold(0.0, f64::max);
-    Some(Try { slopes, rms, worst })
+    Some(Fit { slopes, rms, worst })
 }
 
 /// A term that may go again at next to no cost.
-fn spare(cols: &[usize], all: &[Vec<f64>], y: &[f64], now: Option<&Try>) -> Option<(usize, Try)> {
-    let most = now?.rms * (1.0 + GAIN / 4.0) + GOOD / 4.0;
+fn removable_term(
+    cols: &[usize],
+    all: &[Vec<f64>],
+    y: &[f64],
+    now: Option<&Fit>,
+) -> Option<(usize, Fit)> {
+    let most = now?.rms * (1.0 + MIN_GAIN / 4.0) + GOOD_RMS / 4.0;
     (0..cols.len().saturating_sub(1))
         .filter_map(|i| {
             let mut without = cols.to_vec();
@@ -144,7 +149,7 @@
 }
 
 /// Term by term, the one that takes off most of the error, while one helps.
-pub fn fit(key: &str, rows: &[Row]) -> Option<Found> {
+pub fn fit(key: &str, rows: &[Row]) -> Option<FittedModel> {
     let rows: Vec<&Row> = rows.iter().filter(|r| r.contains_key(key)).collect();
     let y: Vec<f64> = rows.iter().map(|r| r[key]).collect();
     let all: Vec<Vec<f64>> = rows
@@ -153,7 +158,7 @@
         .collect();
     let names: Vec<&'static str> = products(rows.first()?).into_iter().map(|p| p.0).collect();
     let mut cols: Vec<usize> = Vec::new();
-    let mut best: Option<Try> = None;
+    let mut best: Option<Fit> = None;
     let most = MOST_TERMS.min(rows.len().saturating_sub(1));
     // a term may go and come again, but not for ever
     for _ in 0..3 * MOST_TERMS {
@@ -161,7 +166,7 @@
             break;
         }
         let was = best.as_ref().map_or(f64::MAX, |b| b.rms);
-        if was < GOOD {
+        if was < GOOD_RMS {
             break;
         }
         let next = (0..names.len())
@@ -171,7 +176,7 @@
                 attempt(&with, &all, &y).map(|t| (c, t))
             })
             .min_by(|a, b| a.1.rms.total_cmp(&b.1.rms));
-        match next.filter(|(_, t)| t.rms < was * (1.0 - GAIN)) {
+        match next.filter(|(_, t)| t.rms < was * (1.0 - MIN_GAIN)) {
             None => break,
             Some((c, t)) => {
                 cols.push(c);
@@ -179,13 +184,13 @@
             }
         }
         // what stood in for a product before it came in explains nothing now
-        while let Some((i, t)) = spare(&cols, &all, &y, best.as_ref()) {
+        while let Some((i, t)) = removable_term(&cols, &all, &y, best.as_ref()) {
             cols.remove(i);
             best = Some(t);
         }
     }
     let t = best?;
-    Some(Found {
+    Some(FittedModel {
         key: key.to_string(),
         terms: cols.iter().map(|c| names[*c]).zip(t.slopes).collect(),
         rms: t.rms,
@@ -194,7 +199,7 @@
     })
 }
 
-impl Found {
+impl FittedModel {
     /// What the number comes to at other sizes.
     pub fn at(&self, size: &Row) -> f64 {
         let all = products(size);
--- a/testbed/src/hollow/report.rs
+++ b/testbed/src/capacity/report.rs
@@ -1,9 +1,9 @@
-//! A run from founding to fault, and what it came to: one flat row of numbers
-//! for a machine, a short page for a reader.
+//! One run from bootstrap to fault, and its report: a flat row of numbers that
+//! prints as JSON or as a table.
 
-use super::fault::Back;
+use super::fault_injection::Recovery;
 use super::meter::Meter;
-use super::{Act, Fault, Pending, Role, Row, Size, World};
+use super::{Event, Fault, Pending, Role, Row, Size, World};
 use sorreldoor::replicated_state::encode;
 use sorreldoor::types::Millis;
 use std::ops::Range;
@@ -20,46 +20,46 @@
 
 /// Found a site of that size, let it settle, measure, break it, take it down.
 pub fn run(size: &Size, heap: Heap) -> Report {
-    let mut w = World::new(size.clone());
-    let mut row = dims(size);
-    let founded = w.until(30_000, |w| w.leader().is_some());
-    let (request_id, since) = (u64::MAX, w.now);
+    let mut world = World::new(size.clone());
+    let mut row = dimensions(size);
+    let founded = world.run_until(30_000, |world| world.leader().is_some());
+    let (request_id, since) = (u64::MAX, world.now);
     let first = Pending {
         request_id,
         since,
         version: None,
     };
-    w.after(0, Act::Again(first));
-    let end = w.now + 30_000;
-    let ready = founded && w.until(end, |w| w.all_ready());
+    world.after(0, Event::Again(first));
+    let end = world.now + 30_000;
+    let ready = founded && world.run_until(end, |world| world.all_ready());
     put(&mut row, "ready", f64::from(u8::from(ready)));
-    let end = w.now + 3000;
-    w.until(end, |_| false);
-    w.begin_window();
-    let (host, start) = (Instant::now(), w.now);
+    let end = world.now + 3000;
+    world.run_until(end, |_| false);
+    world.begin_window();
+    let (host, start) = (Instant::now(), world.now);
     let end = start + size.seconds * 1000;
-    w.until(end, |_| false);
+    world.run_until(end, |_| false);
     put(
         &mut row,
         "host.s_per_s",
         host.elapsed().as_secs_f64() / size.seconds as f64,
     );
-    w.account(&mut row);
-    w.sizes(&mut row);
+    world.account(&mut row);
+    world.sizes(&mut row);
     // a change asked for at the window's end still has its time
-    let claims = std::mem::take(&mut w.size.claims);
-    w.size.changes = 0.0;
-    let end = w.now + 15_000;
-    w.until(end, |w| w.pending.is_empty());
-    w.changes(&mut row);
+    let claims_per_s = std::mem::take(&mut world.size.claims_per_s);
+    world.size.changes_per_s = 0.0;
+    let end = world.now + 15_000;
+    world.run_until(end, |world| world.pending.is_empty());
+    world.changes_per_s(&mut row);
     if size.fault != Fault::None {
-        w.size.claims = claims;
-        let b = w.befall();
-        fault(&mut row, &b);
+        world.size.claims_per_s = claims_per_s;
+        let recovery = world.inject_fault();
+        put_recovery(&mut row, &recovery);
     }
     // after a fault the heap tells of the fault, not of the size
     if size.fault == Fault::None {
-        w.memory(&mut row, heap);
+        world.memory(&mut row, heap);
     }
     Report { row }
 }
@@ -68,7 +68,7 @@
     row.insert(k.into(), v);
 }
 
-pub fn dims(s: &Size) -> Row {
+pub fn dimensions(s: &Size) -> Row {
     let all = [
         ("nodes", s.nodes as f64),
         ("cores", s.cores as f64),
@@ -76,21 +76,37 @@
         ("zones", s.zones as f64),
         ("workers", s.workers as f64),
         ("routes", s.routes as f64),
-        ("told", s.told as f64),
-        ("changes", s.changes),
-        ("claims", s.claims),
+        ("told", s.reported_percent as f64),
+        ("changes", s.changes_per_s),
+        ("claims", s.claims_per_s),
         ("seconds", s.seconds as f64),
         ("seed", s.seed as f64),
     ];
     all.into_iter().map(|(k, v)| (k.to_string(), v)).collect()
 }
 
-fn fault(row: &mut Row, b: &Back) {
-    put(row, "fault.dark_nodes", b.dark as f64);
-    put(row, "fault.longest_dark_ms", b.longest as f64);
-    put(row, "fault.back_ms", b.back.map_or(-1.0, |b| b as f64));
-    put(row, "fault.peak_bytes_per_s", b.peak as f64);
-    put(row, "fault.bytes_per_s_before", b.before as f64);
+fn put_recovery(row: &mut Row, recovery: &Recovery) {
+    put(row, "fault.dark_nodes", recovery.nodes_without_lease as f64);
+    put(
+        row,
+        "fault.longest_dark_ms",
+        recovery.max_without_lease_ms as f64,
+    );
+    put(
+        row,
+        "fault.back_ms",
+        recovery.ready_after_ms.map_or(-1.0, |ms| ms as f64),
+    );
+    put(
+        row,
+        "fault.peak_bytes_per_s",
+        recovery.peak_bytes_per_s as f64,
+    );
+    put(
+        row,
+        "fault.bytes_per_s_before",
+        recovery.bytes_per_s_before as f64,
+    );
 }
 
 /// The mean over some processes, a second of virtual time.
@@ -110,10 +126,10 @@
     }
 }
 
-fn spent(row: &mut Row, role: &str, ms: &[&Meter], seconds: f64) {
+fn host_time(row: &mut Row, role: &str, ms: &[&Meter], seconds: f64) {
     let per = seconds * ms.len().max(1) as f64;
     for m in ms {
-        for (what, s) in &m.spent {
+        for (what, s) in &m.host_time {
             let t = s.all.as_secs_f64() * 1000.0;
             *row.entry(format!("{role}.cpu.{what}.ms")).or_default() += t / per;
             *row.entry(format!("{role}.cpu.ms")).or_default() += t / per;
@@ -125,26 +141,26 @@
 
 impl World {
     fn begin_window(&mut self) {
-        self.procs
+        self.processes
             .iter_mut()
             .for_each(|q| q.meter = Meter::default());
         self.refused = 0;
         self.pending.clear();
-        self.acked.clear();
-        self.spread.clear();
-        self.after(0, Act::Change);
-        self.after(0, Act::Claim);
+        self.commit_ms.clear();
+        self.propagation_ms.clear();
+        self.after(0, Event::Change);
+        self.after(0, Event::Claim);
     }
 
     fn meters(&self, of: Range<usize>) -> Vec<&Meter> {
-        self.procs[of].iter().map(|q| &q.meter).collect()
+        self.processes[of].iter().map(|q| &q.meter).collect()
     }
 
     fn account(&self, row: &mut Row) {
         let s = self.size.seconds as f64;
         let cores = self.meters(self.cores());
         flows(row, "core", &cores, s);
-        spent(row, "core", &cores, s);
+        host_time(row, "core", &cores, s);
         let most = |f: &dyn Fn(&Meter) -> f64| cores.iter().map(|m| f(m)).fold(0.0, f64::max);
         let out = most(&|m| m.bytes("out") as f64 / s);
         put(row, "worst.out.bytes", out);
@@ -152,11 +168,11 @@
         put(row, "worst.cpu.ms", busy);
         flows(row, "edge", &self.meters(self.nodes()), s);
         let whole = self.size.cores..self.size.cores + self.size.full;
-        spent(row, "edge", &self.meters(whole), s);
-        if let Some(p) = self.on_duty() {
+        host_time(row, "edge", &self.meters(whole), s);
+        if let Some(p) = self.singleton_holder() {
             let m = self.meters(p..p + 1);
             flows(row, "duty", &m, s);
-            spent(row, "duty", &m, s);
+            host_time(row, "duty", &m, s);
         }
         put(row, "refused", self.refused as f64);
     }
@@ -184,14 +200,14 @@
         put(row, "seats", edge_sessions.len() as f64);
     }
 
-    fn changes(&self, row: &mut Row) {
+    fn changes_per_s(&self, row: &mut Row) {
         let most = |v: &[Millis]| v.iter().max().copied().unwrap_or(0) as f64;
         let mean = |v: &[Millis]| v.iter().sum::<Millis>() as f64 / v.len().max(1) as f64;
-        put(row, "change.taken", self.acked.len() as f64);
-        put(row, "change.acked_mean_ms", mean(&self.acked));
-        put(row, "change.acked_most_ms", most(&self.acked));
-        put(row, "change.everywhere_mean_ms", mean(&self.spread));
-        put(row, "change.everywhere_most_ms", most(&self.spread));
+        put(row, "change.taken", self.commit_ms.len() as f64);
+        put(row, "change.acked_mean_ms", mean(&self.commit_ms));
+        put(row, "change.acked_most_ms", most(&self.commit_ms));
+        put(row, "change.everywhere_mean_ms", mean(&self.propagation_ms));
+        put(row, "change.everywhere_most_ms", most(&self.propagation_ms));
         put(row, "change.missing", self.pending.len() as f64);
     }
 
@@ -202,9 +218,10 @@
             let mut all = Vec::new();
             for p in ps {
                 // the disk is the harness' own, and no part of a core
-                let (role, _disk) = match std::mem::replace(&mut self.procs[p].role, Role::Down) {
+                let (role, _disk) = match std::mem::replace(&mut self.processes[p].role, Role::Down)
+                {
                     Role::Core(c) => {
-                        let super::core::Core {
+                        let super::cores::Core {
                             controller, disk, ..
                         } = *c;
                         (
--- a/testbed/src/hollow/given.rs
+++ b/testbed/src/capacity/workload.rs
@@ -1,5 +1,5 @@
-//! What the site is given: a setup, a worker list, load reports, changes; as
-//! many rows as the size says, each of them like a real one.
+//! Generated inputs of realistic size: configuration, worker list, load reports
+//! and changes.
 
 use super::Size;
 use crate::rand::Rand;
@@ -55,9 +55,9 @@
 /// One route's weight moves: the commonest change there is.
 pub fn edit(s: &Size, base: u64, r: &mut Rand) -> Command {
     let i = r.below(s.routes as u64) as usize;
-    let w = 40 + r.below(60);
+    let world = 40 + r.below(60);
     let patch = format!(
-        r#"{{"routes":{{{:?}:{{"shares":{{{:?}:{{"weight":{w}}}}}}}}}}}"#,
+        r#"{{"routes":{{{:?}:{{"shares":{{{:?}:{{"weight":{world}}}}}}}}}}}"#,
         route(i),
         model(i)
     );
@@ -98,12 +98,12 @@
 }
 
 /// What a node that has served for hours has to tell: every route.
-pub fn took(s: &Size, r: &mut Rand) -> Vec<RouteLatency> {
+pub fn route_latencies(s: &Size, r: &mut Rand) -> Vec<RouteLatency> {
     let one = |i| RouteLatency {
         route: route(i),
         service: model(i),
         n: 1000 + r.below(9000),
         ms: 1_000_000 + r.below(9_000_000),
     };
-    (0..s.routes * s.told / 100).map(one).collect()
+    (0..s.routes * s.reported_percent / 100).map(one).collect()
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,12 +1,12 @@
 //! Stub workers, fleet runner, emulator and simulators for sorreldoor; never shipped.
 
+pub mod capacity;
 pub mod disk;
 pub mod emul;
 pub mod experiment;
 pub mod faulty_node;
 pub mod fleet;
 mod fleet_faults;
-pub mod hollow;
 pub mod link;
 pub mod presets;
 pub mod rand;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -5,14 +5,15 @@
 use std::alloc::System;
 use std::path::PathBuf;
 use std::time::Duration;
+use testbed::capacity::{hollow, HollowArgs};
 use testbed::fleet::{archive, configuration, press, Fleet, SitePreset};
-use testbed::hollow::{hollow, HollowArgs};
 
-/// Counts what is held, for runs that measure memory.
+/// Counts allocations, for runs that measure memory.
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-fn ports() -> usize {
+/// Bytes that are allocated now.
+fn heap_in_use() -> usize {
     let s = HEAP.stats();
     s.bytes_allocated.saturating_sub(s.bytes_deallocated)
 }
@@ -95,7 +96,7 @@
             }
         }
         Some(What::Hollow(h)) => {
-            if let Err(e) = hollow(&h, ports) {
+            if let Err(e) = hollow(&h, heap_in_use) {
                 eprintln!("testbed: {e}");
                 std::process::exit(2);
             }
--- a/testbed/tests/hollow.rs
+++ b/testbed/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! Hollow sites: what control costs by size, and that slopes are read rightly.
 
-use testbed::hollow::{fit, run, Fault, Row, Size};
+use testbed::capacity::{fit, run, Fault, Row, Size};
 
 /// Heap is counted by the program's own allocator only.
 fn none() -> usize {
@@ -28,7 +28,7 @@
 fn a_change_is_in_force_everywhere_within_nine_seconds() {
     let size = Size {
         routes: 60,
-        changes: 1.0,
+        changes_per_s: 1.0,
         ..wide()
     };
     let r = run(&size, none).row;
@@ -65,8 +65,8 @@
 #[test]
 fn a_seed_gives_the_same_counts_twice() {
     let size = Size {
-        changes: 1.0,
-        claims: 50.0,
+        changes_per_s: 1.0,
+        claims_per_s: 50.0,
         seconds: 3,
         ..Size::default()
     };
@@ -110,7 +110,7 @@
 #[test]
 fn kinds_add_up_to_the_whole() {
     let size = Size {
-        claims: 50.0,
+        claims_per_s: 50.0,
         seconds: 3,
         ..Size::default()
     };
@@ -191,5 +191,5 @@
 
 #[test]
 fn what_cannot_be_told_apart_has_no_slope() {
-    assert!(testbed::hollow::solve(&[vec![1.0, 2.0], vec![2.0, 4.0]], &[1.0, 2.0]).is_none());
+    assert!(testbed::capacity::solve(&[vec![1.0, 2.0], vec![2.0, 4.0]], &[1.0, 2.0]).is_none());
 }
