--- a/testbed/src/capacity/workload.rs
+++ b/testbed/src/capacity/workload.rs
@@ -55,9 +55,9 @@
 /// One route's weight moves: the commonest change there is.
 pub fn edit(s: &Size, base: u64, r: &mut Rand) -> Command {
     let i = r.below(s.routes as u64) as usize;
-    let world = 40 + r.below(60);
+    let weight = 40 + r.below(60);
     let patch = format!(
-        r#"{{"routes":{{{:?}:{{"shares":{{{:?}:{{"weight":{world}}}}}}}}}}}"#,
+        r#"{{"routes":{{{:?}:{{"shares":{{{:?}:{{"weight":{weight}}}}}}}}}}}"#,
         route(i),
         model(i)
     );
