--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod capacity;
 pub mod disk;
-pub mod emul;
+pub mod emulator;
 pub mod experiment;
 pub mod faulty_node;
 pub mod fleet;
