--- a/testbed/tests/site/linearizability.rs
+++ b/testbed/tests/site/linearizability.rs
@@ -252,7 +252,7 @@
         start,
         end,
         call: Call::CompareAndSet { id, base, version },
-        answer: answer,
+        answer,
     }
 }
 
