--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -1,10 +1,10 @@
 //! The commit index of the Global Leader.
 //!
 //! An entry of the current term is committed once a majority of all voters has
-//! it, as in Raft (thesis, section 3.6.2). The CD-Raft paper's region rules come
-//! on top: the leader's region and one other must have a majority each. They
-//! add disaster tolerance, not safety, so they are waived for a region that is
-//! unavailable and for entries that have waited too long.
+//! it, as in Raft (thesis, section 3.6.2). The CD-Raft paper's region rules
+//! (section III-C) come on top: the leader's region and one other must have a
+//! majority each. They add disaster tolerance, not safety, so they are waived
+//! for a region that is unavailable and for entries that have waited too long.
 
 use super::event::StateChange;
 use super::node::Consensus;
@@ -53,8 +53,9 @@
         }
     }
 
-    /// The in-domain commit index of the CD-Raft paper: the highest index of
-    /// this term that a majority of the Global Leader's region has.
+    /// The in-domain commit index of the CD-Raft paper, section III-B: the
+    /// highest index of this term that a majority of the Global Leader's region
+    /// has.
     pub(super) fn in_domain_commit_index(&self) -> u64 {
         let region = self.region();
         let index = self.region_index(region);
--- a/sorreldoor/src/consensus/domain_election.rs
+++ b/sorreldoor/src/consensus/domain_election.rs
@@ -1,6 +1,6 @@
 //! Election of a region's Domain Leader by the region's voters, and the
-//! heartbeats by which it stays in office (CD-Raft paper, section on leader
-//! election).
+//! heartbeats by which it stays in office (CD-Raft paper, sections III-B and
+//! III-C).
 
 use super::entry::LogPosition;
 use super::event::StateChange;
--- a/sorreldoor/src/consensus/election.rs
+++ b/sorreldoor/src/consensus/election.rs
@@ -1,7 +1,8 @@
 //! Election of the Global Leader, with pre-vote (thesis, sections 3.4 and 9.6).
 //!
-//! On top of Raft's majority of all voters, the CD-Raft paper wants N-1 of N
-//! Domain Leaders to take part; that rule is waived after a time-out.
+//! On top of Raft's majority of all voters, the CD-Raft paper (section III-C)
+//! wants N-1 of N Domain Leaders to take part; that rule is waived after a
+//! time-out.
 
 use super::entry::LogPosition;
 use super::messages::{Msg, VoteReply};
--- a/sorreldoor/src/consensus/fast_return.rs
+++ b/sorreldoor/src/consensus/fast_return.rs
@@ -1,4 +1,4 @@
-//! Fast Return (CD-Raft paper): the Domain Leader of a proposer's region
+//! Fast Return (CD-Raft paper, section III-B): the Domain Leader of a proposer's region
 //! commits and answers after one round trip between regions.
 
 use super::messages::Msg;
--- a/sorreldoor/src/consensus/messages.rs
+++ b/sorreldoor/src/consensus/messages.rs
@@ -1,8 +1,8 @@
 //! Messages between cores. Variants and fields are on the wire; those renamed
 //! since keep their old wire name by a serde rename.
 //!
-//! Message numbers in the comments are those of figure 2 of the CD-Raft paper
-//! (Wang, Cheng, Dong and Xu, arXiv 2603.10555).
+//! Message numbers in the comments are those of the CD-Raft paper, figure 6(a)
+//! and section III-D2 (Wang, Cheng, Dong and Xu, arXiv 2603.10555).
 
 use super::entry::{shared_bytes, Body, Entry, LogPosition, Member};
 use crate::types::{Millis, NodeId, ProposalId, RegionId};
@@ -166,7 +166,7 @@
     VoteReply(VoteReply),
     /// Messages 2, 3 and 5 of the paper.
     Append(AppendRequest),
-    /// Message 6 of the paper.
+    /// Message 6 of the paper; also a replica's reply to messages 3 and 5.
     AppendReply(AppendReply),
     /// Message 4 of the paper: a majority of the Global Leader's region, its
     /// cores `holders`, has the log up to `index`.
@@ -184,7 +184,8 @@
         #[serde(rename = "held")]
         received: u64,
     },
-    /// Message 1 of the paper: a proposal forwarded to the Global Leader.
+    /// Message 1 of the paper, sent by the core that the client reached: a
+    /// proposal forwarded to the Global Leader.
     Propose {
         #[serde(rename = "pid")]
         proposal_id: ProposalId,
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -77,7 +77,7 @@
     // Fast Return
     /// The newest confirmation received.
     pub(super) confirmation: Option<Confirmation>,
-    /// Index up to which this Global Leader has sent_at confirmations.
+    /// Index up to which this Global Leader has sent confirmations.
     pub(super) confirmed_index: u64,
     /// Index up to which each region's Domain Leader has answered proposals.
     pub(super) fast_returned: BTreeMap<RegionId, u64>,
--- a/sorreldoor/src/consensus/pending.rs
+++ b/sorreldoor/src/consensus/pending.rs
@@ -33,7 +33,7 @@
 }
 
 /// An outcome that the proposer's Domain Leader should send. The Global Leader
-/// sends it if that is overdue.
+/// sends it if that is overdue (CD-Raft paper, section III-D).
 #[derive(Clone, Debug)]
 pub(super) struct DeferredResult {
     pub since: Millis,
--- a/sorreldoor/src/consensus/position.rs
+++ b/sorreldoor/src/consensus/position.rs
@@ -1,7 +1,7 @@
 //! The region of the Global Leader: the one with the least total latency Ls.
 //!
-//! The model is that of the CD-Raft paper (section on the position of the
-//! Global Leader), whose symbols the comments give.
+//! The model is that of the CD-Raft paper, section III-E, whose symbols the
+//! comments give.
 
 use crate::types::{Millis, RegionId};
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
     }
 
     /// Total latency of a region's clients with the leader in `leader`: Li of
-    /// the paper, in its three cases. None while the delay is unknown.
+    /// the paper, equations 1 to 3. None while the delay is unknown.
     pub fn region_latency(&self, region: RegionId, leader: RegionId) -> Option<Millis> {
         let load = self.load.get(&region).copied().unwrap_or_default();
         let commit_delay = self.nearest_delay(leader).unwrap_or(0);
@@ -62,7 +62,7 @@
     }
 
     /// Total latency of all clients with the leader in `leader`: Ls of the
-    /// paper. None while a delay is unknown.
+    /// paper, equation 4. None while a delay is unknown.
     pub fn total_latency(&self, leader: RegionId) -> Option<Millis> {
         let regions = self.regions.iter();
         regions
--- a/sorreldoor/src/consensus/quorum.rs
+++ b/sorreldoor/src/consensus/quorum.rs
@@ -37,7 +37,7 @@
     members.iter().filter(|m| m.voter).map(|m| m.id).collect()
 }
 
-/// The joint configuration that is_domain_leader from the voters of `now` to those of
+/// The joint configuration that leads from the voters of `now` to those of
 /// `next`. Removed members stay until the change has ended.
 pub fn enter_joint(now: &[Member], next: &[Member]) -> Vec<Member> {
     let previous = newest_voters(now);
--- a/sorreldoor/src/consensus/replication.rs
+++ b/sorreldoor/src/consensus/replication.rs
@@ -1,5 +1,5 @@
 //! Log replication on the sending side: Global Leader to Domain Leaders and
-//! its own region, Domain Leaders to theirs (CD-Raft paper).
+//! its own region, Domain Leaders to theirs (CD-Raft paper, section III-B).
 
 use super::entry::{Entry, LogPosition};
 use super::event::Effect;
--- a/sorreldoor/src/consensus/timing.rs
+++ b/sorreldoor/src/consensus/timing.rs
@@ -19,7 +19,8 @@
     pub read_timeout: Millis,
     /// Age of an unsynced save after which the disk counts as stalled.
     pub disk_stall_timeout: Millis,
-    /// How often the leader's region is reconsidered: Tp of the CD-Raft paper.
+    /// How often the leader's region is reconsidered: Tp of the CD-Raft paper,
+    /// section III-E.
     pub placement_interval: Millis,
     /// Reads within this time share a heartbeat; zero: each sends its own.
     pub read_batch_interval: Millis,
@@ -29,7 +30,8 @@
     pub snapshot_entries: u64,
     /// Proposals, reads and uncommitted entries at most, each.
     pub max_pending: usize,
-    /// Fast Return of the CD-Raft paper; off only to measure its effect.
+    /// Fast Return of the CD-Raft paper, section III-B; off only to measure its
+    /// effect.
     pub fast_return: bool,
     /// A rule broken on purpose, by tests that show that a checker can fail.
     pub injected_fault: InjectedFault,
