--- a/test.sh
+++ b/test.sh
@@ -11,6 +11,7 @@
 cargo build --workspace --all-targets --locked
 cargo fmt --all --check
 cargo clippy --workspace --all-targets --locked -- -D warnings
+RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 # What is known to be red is passed over by its whole name, and printed.
 skip=()
 if [ -s KNOWN-RED.txt ]; then
