--- a/sorreldoor/src/doctor/rules.rs
+++ b/sorreldoor/src/doctor/rules.rs
@@ -198,7 +198,7 @@
         24,
         Warn,
         "the room for claims on errand ids is nearly used up",
-        "raise most_claims on every core, or find who sends so many ids",
+        "raise max_claims on every core, or find who sends so many ids",
     ),
     rule(
         25,
--- a/sorreldoor/src/error.rs
+++ b/sorreldoor/src/error.rs
@@ -94,7 +94,7 @@
     NoLease "no-permit" 503 true "this node cannot prove that its configuration is current"
         "look for the Global Leader and for the path between this edge and the cores";
     NoWorker "no-worker" 503 true "no worker can serve this request now"
-        "look at worker load, slow start and ejections (`ctl placement`)";
+        "look at worker load and slow start (`ctl placement` for the own routes of a gateway)";
     QueueFull "queue-full" 503 true "the queue is as long as can be served in time"
         "add workers, or find where the load comes from";
     ClaimTableFull "claims-full" 503 true "the cores store as many request ids as they may; this request was not sent"
@@ -114,7 +114,7 @@
     OutcomeUnknown "outcome-unknown" 502 false "the request was sent to a worker; whether it ran is not known"
         "check at the service behind before sending it again";
     WorkerDisconnected "worker-broke" 502 true "every attempted worker closed the connection; the request may be repeated"
-        "look at the workers named in E272 and E271";
+        "look at the logs of the workers (a gateway names them in E271 and E272)";
     TruncatedResponse "worker-short" 502 true "a response of a worker ended before its stated length"
         "look at that worker";
     InvalidWorkerResponse "worker-garbage" 502 true "a response of a worker violated its protocol"
