--- a/sorreldoor/src/wire/codec.rs
+++ b/sorreldoor/src/wire/codec.rs
@@ -1,18 +1,27 @@
 //! The encoding of a frame: a length, a protocol number, and in CBOR a hash of
-//! the site's name with one payload.
+//! the site's fingerprint with one payload.
 
 use super::Payload;
 
-/// Raised when a frame changes in a way that an older node cannot read.
+/// Version of the protocol, raised when a frame changes in a way that an older
+/// node cannot read. Nodes of different versions refuse each other.
 pub const PROTO: u16 = 4;
-/// The largest setup fits in, with the outcomes a snapshot keeps beside it.
+/// Bytes of a frame without its length prefix, at most. The largest
+/// configuration fits, with the outcomes that a snapshot keeps beside it.
 pub const MOST_FRAME: usize = 16 << 20;
 
+/// Why a frame is rejected. The connection is closed; a retry of the same
+/// frame cannot succeed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Refused {
+    /// The length prefix, in bytes, is below 2 or above `MOST_FRAME`.
     TooLong(usize),
+    /// The sender speaks this version of the protocol.
     Protocol(u16),
+    /// The sender belongs to another site or has another layout of it: the
+    /// hash of its fingerprint.
     Site(u64),
+    /// The content is not valid CBOR or has an unknown variant or field type.
     Unreadable,
 }
 
@@ -27,6 +36,9 @@
     }
 }
 
+/// Encodes a payload as a frame: a little-endian `u32` with the number of
+/// bytes that follow, `PROTO` as a little-endian `u16`, and in CBOR the hash
+/// of `site` (the fingerprint in the settings) with the payload.
 pub fn pack(site: &str, p: &Payload) -> Vec<u8> {
     let mut b = vec![0; 6];
     // writing to memory fails only where serde itself is misused
@@ -37,7 +49,10 @@
     b
 }
 
-/// Length of what follows the first four bytes, if it may be taken at all.
+/// Number of bytes that follow the length prefix `head`.
+///
+/// # Errors
+/// `Refused::TooLong` if no frame has that length.
 pub fn length(head: [u8; 4]) -> Result<usize, Refused> {
     let n = u32::from_le_bytes(head) as usize;
     Some(n)
@@ -45,6 +60,11 @@
         .ok_or(Refused::TooLong(n))
 }
 
+/// Decodes the bytes `b` that follow the length prefix.
+///
+/// # Errors
+/// The frame has another protocol, comes from another site, or cannot be
+/// decoded.
 pub fn unpack(site: &str, b: &[u8]) -> Result<Payload, Refused> {
     let p = b
         .get(..2)
@@ -61,7 +81,8 @@
     Some(p).filter(|_| ours).ok_or(Refused::Site(s))
 }
 
-/// A mark of some bytes that is the same on every node (FNV-1a).
+/// Hash of bytes that is the same on every node and in every release (64-bit
+/// FNV-1a). Serves as a version of lists; it is not cryptographic.
 pub fn mark(b: &[u8]) -> u64 {
     let step = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
     b.iter().fold(0xcbf2_9ce4_8422_2325, step)
--- /dev/null
+++ b/sorreldoor/src/wire/payload.rs
@@ -0,0 +1,192 @@
+//! The content of a frame, and the outcomes of proposals.
+
+use super::{zero, BootstrapMessage, ClaimVote, ClaimsPage, EdgeStatus, Hello, KnownVersions};
+use super::{SentRequest, SessionReport, StateDelta, Unverified, VoteId};
+use crate::consensus::{ClaimRecord, Msg};
+use crate::discovery::{Loads, WorkerRegistry};
+use crate::replicated_state::{Command, Outcome};
+use crate::types::ProposalId;
+use serde::{Deserialize, Serialize};
+use std::sync::Arc;
+
+/// The content of a frame. Variant and field names are part of the protocol.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Payload {
+    /// Both sides: the first frame on a connection; a core sends it again when
+    /// it joins the site or stops.
+    Hello(Hello),
+    /// Between cores: a message of the consensus protocol.
+    Consensus(Msg),
+    /// Between cores: cluster bootstrap.
+    #[serde(rename = "Founding")]
+    Bootstrap(BootstrapMessage),
+    /// Between cores: sessions of the sender.
+    SessionReport(SessionReport),
+    /// The platform's list of workers, between cores and from a core to its
+    /// edges.
+    WorkerRegistry(Arc<WorkerRegistry>),
+    /// Between cores: load reports, from the holder of the singleton role.
+    Loads(Arc<Loads>),
+    /// An edge renews its lease, and asks for the state that it lacks.
+    Renew {
+        /// Number of the renewal; the grant carries it back.
+        no: u64,
+        /// What the edge has.
+        #[serde(default, skip_serializing_if = "zero")]
+        have: KnownVersions,
+        /// How the edge does.
+        #[serde(default, skip_serializing_if = "zero")]
+        #[serde(rename = "doing")]
+        edge_status: EdgeStatus,
+        /// Whether it accepts state that no leader has confirmed.
+        #[serde(default, skip_serializing_if = "zero")]
+        unverified: Unverified,
+    },
+    /// A core's answer to a renewal. One that is not proved may be followed by
+    /// a proved one under the same number.
+    Grant {
+        /// Number of the renewal.
+        no: u64,
+        /// Whether the core's state was proved current after the renewal
+        /// arrived: only then is the lease granted.
+        ok: bool,
+        /// What the edge lacks.
+        #[serde(default, skip_serializing_if = "zero")]
+        #[serde(rename = "news")]
+        delta: StateDelta,
+    },
+    /// An edge passes on a proposal.
+    Op {
+        /// The edge's number for it; the result carries it back.
+        #[serde(rename = "rid")]
+        request_id: u64,
+        /// Identifies the proposal, also when it is sent twice.
+        #[serde(rename = "pid")]
+        proposal_id: ProposalId,
+        /// The change that is proposed.
+        cmd: Command,
+    },
+    /// An edge asks for the outcome of an earlier proposal.
+    OpFind {
+        /// The edge's number for the query.
+        #[serde(rename = "rid")]
+        request_id: u64,
+        /// The proposal asked about.
+        #[serde(rename = "pid")]
+        proposal_id: ProposalId,
+    },
+    /// Answer to `Op` and `OpFind`.
+    OpDone {
+        /// Number of the proposal or query.
+        #[serde(rename = "rid")]
+        request_id: u64,
+        /// What is known of the outcome.
+        outcome: OpOutcome,
+    },
+    /// An edge claims the id of a request.
+    Claim {
+        /// The edge's number for the claim.
+        #[serde(rename = "rid")]
+        request_id: u64,
+        /// The id, the claimant and the retention.
+        claim: ClaimRecord,
+    },
+    /// Answer to `Claim`, after the votes of the cores.
+    #[serde(rename = "ClaimDone")]
+    ClaimResult {
+        /// Number of the claim.
+        #[serde(rename = "rid")]
+        request_id: u64,
+        /// The id that was claimed.
+        id: String,
+        /// Result of all votes.
+        #[serde(rename = "said")]
+        result: ClaimVote,
+    },
+    /// A core asks a peer for its vote on a claim.
+    #[serde(rename = "ClaimAsk")]
+    ClaimVoteRequest {
+        /// Number of the vote; the reply carries it back.
+        #[serde(rename = "no")]
+        vote_id: VoteId,
+        /// The claim to vote on.
+        claim: ClaimRecord,
+    },
+    /// Answer to `ClaimVoteRequest`.
+    #[serde(rename = "ClaimAns")]
+    ClaimVoteReply {
+        /// Number of the vote.
+        #[serde(rename = "no")]
+        vote_id: VoteId,
+        /// Vote of the peer.
+        #[serde(rename = "said")]
+        vote: ClaimVote,
+    },
+    /// An edge releases its claim on a request that it never sent.
+    Release {
+        /// The edge's number for the release.
+        #[serde(rename = "rid")]
+        request_id: u64,
+        /// The id that was claimed.
+        id: String,
+        /// The attempt that claimed it.
+        #[serde(rename = "by")]
+        claimant: u128,
+    },
+    /// Answer to `Release`: the release is recorded.
+    Released {
+        /// Number of the release.
+        #[serde(rename = "rid")]
+        request_id: u64,
+    },
+    /// A core passes a release on to its peers.
+    #[serde(rename = "Free")]
+    PeerRelease {
+        /// The id that was claimed.
+        id: String,
+        /// The attempt that claimed it.
+        #[serde(rename = "by")]
+        claimant: u128,
+    },
+    /// Answer to `PeerRelease`.
+    #[serde(rename = "FreeDone")]
+    ReleaseAck {
+        /// The attempt whose release is acknowledged.
+        #[serde(rename = "by")]
+        claimant: u128,
+    },
+    /// Requests that an edge has sent recently, for a core that may have lost
+    /// their claims.
+    Sent {
+        /// The requests, each with its claimant.
+        #[serde(rename = "all")]
+        requests: Vec<SentRequest>,
+    },
+    /// A core asks a peer for a page of its claim table.
+    #[serde(rename = "ClaimsPull")]
+    ClaimsPageRequest {
+        /// Offset of the first claim.
+        #[serde(rename = "from")]
+        start: u64,
+    },
+    /// Answer to `ClaimsPageRequest`.
+    ClaimsPage(ClaimsPage),
+    /// Keeps an idle connection alive.
+    Ping {
+        /// Always 0; receivers ignore it.
+        no: u64,
+    },
+}
+
+/// What a core answers on a proposal or on a query for one.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum OpOutcome {
+    /// The proposal was committed, with this outcome.
+    Got(Outcome),
+    /// Not known: the proposal may have been committed or may yet be.
+    Unknown,
+    /// The proposal was not accepted and has no effect.
+    NotTaken,
+    /// No outcome is recorded under the id that was asked for.
+    Nothing,
+}
