--- a/sorreldoor/src/discovery.rs
+++ b/sorreldoor/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers, and what workers report of their load.
+//! The platform's list of workers, and the load that workers report.
 
 use crate::configuration::Site;
 use crate::json::{self, Faults, Value};
@@ -6,31 +6,39 @@
 use simd_json::prelude::*;
 use std::net::SocketAddr;
 
+/// A worker as the platform's list has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
+    /// Name of the worker, by which it also reports its load.
     pub name: String,
+    /// Address at which it serves HTTP.
     pub addr: SocketAddr,
+    /// Name of its group, as configurations use it.
     pub group: String,
+    /// Index of its zone in the settings of the site.
     pub zone: u16,
+    /// Index of its region in the settings of the site.
     pub region: u8,
+    /// Whether it is draining: it finishes its requests and gets no new ones.
     pub leaving: bool,
-    /// Requests it works on at once, where the list says so; else 0.
+    /// Requests that it works on at once, where the list says so; else 0.
     #[serde(default)]
     pub slots: u32,
-    /// How much longer it stays cold as of now, in milliseconds.
+    /// Milliseconds for which its slow start goes on, counted from now.
     #[serde(default)]
     pub cold_ms: u64,
-    /// In how many milliseconds it is gone, where that is known.
+    /// Milliseconds after which it is removed, counted from now, where that is
+    /// known.
     #[serde(default)]
     pub leaves_ms: Option<u64>,
-    /// Of its software; empty where the list does not say.
+    /// Version of its software; empty where the list does not say.
     #[serde(default)]
     #[serde(rename = "version")]
     pub software_version: String,
 }
 
 impl Worker {
-    /// A worker of which nothing is known yet; for stand-ins.
+    /// A worker with nothing set, for sources that fill in a part.
     pub fn blank() -> Worker {
         Worker {
             name: String::new(),
@@ -46,7 +54,8 @@
         }
     }
 
-    /// The same, so many milliseconds later.
+    /// The same worker after `ms` milliseconds: its times are that much
+    /// shorter.
     fn aged(&self, ms: u64) -> Worker {
         Worker {
             cold_ms: self.cold_ms.saturating_sub(ms),
@@ -55,8 +64,8 @@
         }
     }
 
-    /// Whether another listing says the same of it, apart from time gone by:
-    /// what was to end in `ms` now ends so much sooner.
+    /// Whether a listing `ms` milliseconds later says the same of it, apart
+    /// from the time that has passed.
     fn same(&self, later: &Worker, ms: u64) -> bool {
         let a = self.aged(ms);
         let sooner = |x: u64, y: u64| x <= y + SLACK_MS;
@@ -73,51 +82,67 @@
     }
 }
 
-/// Times told by two listings may differ by so much and still mean the same.
+/// Milliseconds by which the times of two listings may differ and still mean
+/// the same.
 const SLACK_MS: u64 = 1000;
 
-/// The list as of one of the platform's own serials, which only grow.
+/// The platform's list of workers under its version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRegistry {
+    /// The platform's own serial number of the list, which only grows.
     #[serde(rename = "serial")]
     pub version: u64,
+    /// All workers.
     pub workers: Vec<Worker>,
 }
 
+/// What a worker reports of its load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
+    /// Name of the worker, as in the registry.
     pub name: String,
+    /// Requests that it works on.
     pub running: u32,
+    /// Requests that wait in it.
     pub queued: u32,
+    /// Requests that it can work on at once; 0 if it does not say.
     pub slots: u32,
-    /// Errands finished since the worker's cache was cold.
+    /// Requests that it has finished since its cache was cold.
     pub finished: u64,
+    /// Names of the adapters that it has loaded.
     pub adapters: Vec<String>,
+    /// Name of the model weights that it has loaded; empty if it does not say.
     pub weights: String,
-    /// It answered the last time it was asked.
+    /// Whether it answered the last poll; if not, the rest is its last report.
     pub live: bool,
 }
 
-/// Load reports, gathered by the duty's holder under its epoch.
+/// Load reports of all workers, gathered by the holder of the singleton role
+/// under its epoch.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Loads {
+    /// Epoch of the singleton role: the fencing token of its holder.
     pub epoch: u64,
+    /// Version of the reports within the epoch.
     #[serde(rename = "serial")]
     pub version: u64,
+    /// One report for each worker that was polled.
     pub rows: Vec<Load>,
 }
 
 impl Loads {
+    /// Epoch and version, by which newer reports compare greater.
     pub fn mark(&self) -> (u64, u64) {
         (self.epoch, self.version)
     }
+    /// The report of a worker, if there is one.
     pub fn of(&self, name: &str) -> Option<&Load> {
         self.rows.iter().find(|l| l.name == name)
     }
 }
 
 impl WorkerRegistry {
-    /// The same, so many milliseconds later.
+    /// The same list after `ms` milliseconds.
     pub fn aged(&self, ms: u64) -> WorkerRegistry {
         WorkerRegistry {
             version: self.version,
@@ -125,15 +150,21 @@
         }
     }
 
-    /// Whether another list, read `ms` later, says nothing new.
+    /// Whether another list, read `ms` milliseconds later, says nothing new.
     pub fn same(&self, later: &[Worker], ms: u64) -> bool {
         let pairs = || self.workers.iter().zip(later);
         self.workers.len() == later.len() && pairs().all(|(a, b)| a.same(b, ms))
     }
 }
 
+/// Bytes of a list or report, at most.
 const MOST: usize = 1 << 20;
 
+/// Parses the platform's list of workers, in JSON.
+///
+/// # Errors
+/// All faults of the list in one text: a partial list would look as if workers
+/// had been removed.
 pub fn read_registry(text: &[u8], site: &Site) -> Result<WorkerRegistry, String> {
     let v = json::parse(text, MOST).map_err(|error| error.to_string())?;
     let mut f = Faults::default();
@@ -192,7 +223,10 @@
     })
 }
 
-/// A worker's own report; it must name itself as the registry does.
+/// Parses the load report, in JSON, of the worker called `name`.
+///
+/// # Errors
+/// All faults of the report in one text, also if it names another worker.
 pub fn read_load(text: &[u8], name: &str) -> Result<Load, String> {
     let v = json::parse(text, MOST).map_err(|error| error.to_string())?;
     let mut f = Faults::default();
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -1,5 +1,5 @@
-//! The caller's side of HTTP: one errand on a connection of its own, and a
-//! result read to its stated end.
+//! The HTTP client: a connection for each request, and responses read to their
+//! stated end.
 
 use crate::invariants::{broken, Invariant};
 use async_std::future::timeout;
@@ -9,40 +9,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a call out failed, and whether bytes may have left before.
+/// How a call failed, which tells whether the request may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broke {
-    /// No connection: nothing was sent.
+    /// No connection: nothing was sent, so that a retry is safe.
     Unsent,
-    /// Sent, and then no whole head came back.
+    /// The request may have been sent, and no complete response head came
+    /// back.
     Sent,
-    /// A result that ended before its length.
+    /// The body ended before its stated length.
     Short,
-    /// A result that is not what the protocol says.
+    /// The response breaks the protocol or is longer than the caller accepts.
     Garbage,
-    /// The time was up.
+    /// The time limit was reached; the request may have been sent.
     Late,
 }
 
+/// A complete response.
 pub struct Called {
+    /// Status code.
     pub status: u16,
+    /// Header `content-type`; empty if absent.
     pub kind: String,
+    /// Header `x-errand-id`: the id of the request that was answered.
     pub request: Option<String>,
-    /// Where a redirect leads.
+    /// Header `location`: where a redirect leads.
     pub location: Option<String>,
-    /// Seconds after which to come back, if it says so.
+    /// Header `retry-after` in seconds; `None` if absent or not a number.
     pub retry_after_s: Option<u64>,
+    /// The whole body; empty for 204 and 304.
     pub body: Vec<u8>,
 }
 
+/// A request to send.
 pub struct Call {
+    /// Method.
     pub method: Method,
+    /// Path with the query.
     pub path: String,
+    /// Further headers, by name and value.
     pub heads: Vec<(&'static str, String)>,
+    /// Body, sent as JSON; for GET an empty one is left out.
     pub body: Vec<u8>,
 }
 
 impl Call {
+    /// A GET request without headers or body.
     pub fn get(path: &str) -> Call {
         Call {
             method: Method::Get,
@@ -53,6 +65,10 @@
     }
 }
 
+/// Opens a connection.
+///
+/// # Errors
+/// `Broke::Unsent` if there is none after `within`.
 pub async fn open(addr: SocketAddr, within: Duration) -> Result<TcpStream, Broke> {
     // a fresh connection each time, so no reset of a reused one can leave
     // it unknown whether an errand ran
@@ -65,7 +81,11 @@
     Ok(s)
 }
 
-/// Send on an open connection; the head of the result comes back.
+/// Sends a request on an open connection, and waits for the head of the
+/// response. The body is still to be read.
+///
+/// # Errors
+/// `Broke::Unsent` if the request could not be formed, else `Broke::Sent`.
 pub async fn send(s: TcpStream, c: Call) -> Result<Response, Broke> {
     let at = s.peer_addr().map_err(|_| Broke::Unsent)?;
     let url = Url::parse(&format!("http://{at}{}", c.path)).map_err(|_| Broke::Unsent)?;
@@ -81,8 +101,8 @@
     async_h1::connect(s, req).await.map_err(|_| Broke::Sent)
 }
 
-/// Whether a result says how long it is, in one way only, so that a short
-/// one can be told.
+/// Whether a response states its length in exactly one way (RFC 9112, section
+/// 6.3), so that a truncated one is recognized.
 pub fn framed(r: &Response) -> bool {
     let status = u16::from(r.status());
     let bare = status == 204 || status == 304;
@@ -110,7 +130,11 @@
     r.header(name).map(|h| h.last().as_str().to_string())
 }
 
-/// Read a result to its stated end.
+/// Reads a response to its stated end, with at most `most` bytes of body.
+///
+/// # Errors
+/// `Broke::Short` if it is truncated, `Broke::Garbage` if its length is too
+/// large or not stated properly.
 pub async fn whole(mut r: Response, most: usize) -> Result<Called, Broke> {
     use async_std::io::ReadExt;
     if !framed(&r) {
@@ -147,7 +171,11 @@
     })
 }
 
-/// Connect, send, and read a whole result, all within `within`.
+/// Connects, sends, and reads the whole response, of which the body has at
+/// most `most` bytes. `within` bounds connecting, and then once more the rest.
+///
+/// # Errors
+/// `Broke`, which tells whether the request may have been sent.
 pub async fn call(
     addr: SocketAddr,
     c: Call,
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 with JSON, through async-h1: serving with bounds, and calling out
-//! with results verified whole.
+//! HTTP/1.1 with JSON, through async-h1: a server with bounds, and a client that
+//! checks that responses are complete.
 
 mod call;
 
@@ -19,12 +19,17 @@
 use std::task::Poll;
 use std::time::Duration;
 
+/// Time limit for the head of a request to arrive.
 pub const HEAD: Duration = Duration::from_secs(10);
+/// Time for the client to read the response to a body that was too slow or too
+/// large, before the connection is closed.
 const LINGER: Duration = Duration::from_millis(500);
-/// Between looks at the gate while a connection is idle.
+/// Interval at which an idle connection checks the gate.
 const LOOK: Duration = Duration::from_millis(100);
+/// Time after which an idle connection is closed.
 pub const IDLE: Duration = Duration::from_secs(60);
 
+/// A response with a JSON body. A status that is not valid becomes 500.
 pub fn json(status: u16, text: String) -> Response {
     let code = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut r = Response::new(code);
@@ -33,11 +38,14 @@
     r
 }
 
+/// A response with status 200 and a JSON body.
 pub fn ok(v: Value) -> Response {
     json(200, v.encode())
 }
 
-/// The result for a problem, straight from the table.
+/// The response for an error, with its status and message. `more` is the field
+/// `about` unless it is empty; `again` is the `retry-after` of a retryable
+/// error, in seconds and at least 1.
 pub fn shed(p: ErrorCode, more: &str, again: u64) -> Response {
     let mut v = Value::object();
     let _ = v.insert("problem", p.code());
@@ -52,11 +60,11 @@
     r
 }
 
-/// The far end of the connection that an errand came on.
+/// The connection that a request came on.
 pub struct Peer(TcpStream);
 
 impl Peer {
-    /// Run `f` if the caller hangs up while the watch stands.
+    /// Runs `f` if the client disconnects while the watch exists.
     pub fn watch<F, Fut>(self, f: F) -> Watch
     where
         F: FnOnce() -> Fut + Send + 'static,
@@ -72,10 +80,11 @@
     }
 }
 
-/// A standing watch; it ends when dropped.
+/// A watch for the end of a connection; it stops when dropped.
 pub struct Watch(Option<task::JoinHandle<()>>);
 
 impl Watch {
+    /// Stops the watch.
     pub fn stop(self) {}
 }
 
@@ -89,7 +98,8 @@
     }
 }
 
-/// A door that can be shut: what came in is served, nothing more comes.
+/// Shuts a server down gracefully: accepted connections finish their request,
+/// and no more are accepted. Clones share the state.
 #[derive(Clone)]
 pub struct Gate {
     shut: Arc<AtomicBool>,
@@ -111,6 +121,7 @@
 }
 
 impl Gate {
+    /// Shuts the gate for good.
     pub fn shut(&self) {
         self.shut.store(true, Ordering::SeqCst);
         self.bell.close();
@@ -120,12 +131,12 @@
         self.shut.load(Ordering::SeqCst)
     }
 
-    /// Connections that are still served.
+    /// Number of connections that are open.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// The next connection, or none once the gate is shut.
+    /// The next connection; `None` once the gate is shut.
     async fn next(&self, l: &TcpListener) -> Option<TcpStream> {
         let mut shut = std::pin::pin!(self.hear.recv());
         loop {
@@ -145,7 +156,8 @@
     }
 }
 
-/// Serve connections until the gate is shut; `most` at once.
+/// Serves connections until the gate is shut, `most` at once; others are
+/// answered with `ErrorCode::TooManyConnections`.
 pub async fn serve<F, Fut>(l: TcpListener, most: usize, gate: Gate, f: F)
 where
     F: Fn(Request, Peer) -> Fut + Clone + Send + Sync + 'static,
@@ -167,7 +179,7 @@
     }
 }
 
-/// Wait for the first byte of what comes next; false when there is none.
+/// Waits for the first byte of the next request; false if there is none.
 async fn comes(s: &TcpStream, gate: &Gate) -> bool {
     let mut first = [0; 1];
     let mut waited = Duration::ZERO;
@@ -238,7 +250,7 @@
     }
 }
 
-/// End a connection whose head does not arrive whole in time.
+/// Ends a connection if the head of its request does not arrive in time.
 async fn cut_late(mut s: TcpStream, begun: Arc<AtomicBool>) {
     task::sleep(HEAD).await;
     if !begun.load(Ordering::SeqCst) {
@@ -247,7 +259,11 @@
     }
 }
 
-/// A body of at most `most` bytes that arrives within the time.
+/// Reads the body of a request.
+///
+/// # Errors
+/// `BodyTooLarge` above `most` bytes, `RequestTimeout` if it is not complete
+/// after `within` or is truncated, `InvalidRequestField` if it cannot be read.
 pub async fn body(req: &mut Request, most: usize, within: Duration) -> Result<Vec<u8>, ErrorCode> {
     use async_std::io::ReadExt;
     if req.len().is_some_and(|n| n > most) {
@@ -268,7 +284,7 @@
     }
 }
 
-/// One value of a query string, percent-decoded by the URL library.
+/// The first value of a query parameter, percent-decoded.
 pub fn query(req: &Request, k: &str) -> Option<String> {
     req.url()
         .query_pairs()
--- a/sorreldoor/src/net.rs
+++ b/sorreldoor/src/net.rs
@@ -1,4 +1,4 @@
-//! Connections that carry frames: dialled again when lost, bounded both ways.
+//! Connections that carry frames: redialled when lost, with bounded queues.
 
 use crate::log_events::{log_event, LogEvent};
 use crate::wire::{self, Payload};
@@ -14,30 +14,44 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
+/// Number of a connection, unique within the process.
 pub type Conn = u64;
 
-/// A bounded ring into a duty's thread.
+/// Sending end of a bounded queue to a thread's event loop.
 pub type Ring<T> = Sender<T>;
 
+/// Frames that may wait for one connection.
 const OUT: usize = 1024;
 /// Bytes that may wait for one connection, beside a single frame of any size.
 const MAX_QUEUED: usize = 4 << 20;
+/// A connection on which nothing arrives for so long is closed.
 const IDLE: Duration = Duration::from_secs(3);
-/// Bytes that must come within `IDLE`, or the connection counts as dead.
+/// Bytes of a frame that must arrive within `IDLE`, or the connection counts
+/// as dead.
 const PIECE: usize = 16 * 1024;
+/// Timeout of connecting.
 const DIAL: Duration = Duration::from_millis(800);
 
+/// What happens on the connections of a `Net`, in order for each of them.
 #[derive(Debug)]
 pub enum NetEvent {
+    /// A connection is established, and frames may be sent on it.
     Up {
+        /// The new connection.
         conn: Conn,
+        /// The address given to `Net::dial`; `None` if the peer connected.
         dialled: Option<SocketAddr>,
     },
+    /// A frame was received.
     Frame {
+        /// The connection it came on.
         conn: Conn,
+        /// Its content.
         payload: Box<Payload>,
     },
+    /// A connection is closed. A dialled address is dialled again.
     Down {
+        /// The connection that is closed.
         conn: Conn,
     },
 }
@@ -49,7 +63,7 @@
     conn: AtomicU64,
 }
 
-/// Frames that wait for a connection, bounded in number and bytes.
+/// Queue of frames to be written to a connection, bounded in number and bytes.
 #[derive(Clone)]
 pub struct Outgoing {
     frames: Sender<Vec<u8>>,
@@ -62,7 +76,7 @@
     queued: Arc<AtomicUsize>,
 }
 
-/// A queue of frames of one connection.
+/// Creates the queue of a connection.
 pub fn queue() -> (Outgoing, Queued) {
     let (tx, rx) = bounded(OUT);
     let queued = Arc::new(AtomicUsize::new(0));
@@ -74,8 +88,8 @@
 }
 
 impl Outgoing {
-    /// Queues a frame unless too much waits already; whether it fitted, or
-    /// none where the connection is gone.
+    /// Queues a frame: `Some(false)` if too much waits already and the frame
+    /// is dropped, `None` if the connection is closed.
     pub fn push(&self, frame: Vec<u8>) -> Option<bool> {
         let bytes = frame.len();
         let waiting = self.queued.fetch_add(bytes, Ordering::Relaxed);
@@ -100,12 +114,13 @@
 }
 
 impl Queued {
-    /// Waits for the next frame; none once the connection is given up. It
-    /// counts as waiting until it is `done`.
+    /// Waits for the next frame; `None` once the connection is closed. The
+    /// frame counts as waiting until `done`.
     pub async fn next(&self) -> Option<Vec<u8>> {
         self.frames.recv().await.ok()
     }
 
+    /// Marks a frame as written, which makes room for others.
     pub fn done(&self, frame: &[u8]) {
         self.queued.fetch_sub(frame.len(), Ordering::Relaxed);
     }
@@ -113,7 +128,8 @@
 
 type Outs = Arc<Mutex<HashMap<Conn, Outgoing>>>;
 
-/// All frame connections of one process.
+/// All frame connections of a process. Events go to one queue, as the type `E`
+/// of its receiver.
 pub struct Net<E> {
     mark: Arc<String>,
     into: Ring<E>,
@@ -141,6 +157,9 @@
 }
 
 impl<E: Send + 'static> Net<E> {
+    /// Starts without connections. `mark` is the fingerprint of the site that
+    /// frames carry, `wrap` converts an event for the queue `into`, and `most`
+    /// bounds the connections at which `listen` accepts more.
     pub fn new(mark: String, into: Ring<E>, wrap: fn(NetEvent) -> E, most: usize) -> Net<E> {
         Net {
             mark: Arc::new(mark),
@@ -154,7 +173,8 @@
         }
     }
 
-    /// Queue a frame; false if the connection is gone or too far behind.
+    /// Queues a frame; false if it was dropped since the connection is closed
+    /// or too far behind.
     pub fn send(&self, conn: Conn, p: &Payload) -> bool {
         let out = locked(&self.outs).get(&conn).cloned();
         let sent = out.and_then(|o| o.push(wire::pack(&self.mark, p)));
@@ -171,12 +191,14 @@
         sent == Some(true)
     }
 
+    /// Closes a connection; `NetEvent::Down` follows.
     pub fn close(&self, conn: Conn) {
         if let Some(out) = locked(&self.outs).remove(&conn) {
             out.close();
         }
     }
 
+    /// Accepts connections for ever. Beyond the bound they are closed at once.
     pub async fn listen(self, l: TcpListener) {
         loop {
             let Ok((s, _)) = l.accept().await else {
@@ -192,7 +214,9 @@
         }
     }
 
-    /// Keep a connection to `addr` until told otherwise; `to` is where to dial.
+    /// Keeps a connection to `addr` until `undial`, with retries after 50 to
+    /// 200 ms. `to` is the address to connect to, which differs from `addr`
+    /// where the settings map it.
     pub fn dial(&self, addr: SocketAddr, to: SocketAddr) {
         let d = Arc::new(Connect::default());
         if locked(&self.peer_addresses).contains_key(&addr) {
@@ -214,6 +238,7 @@
         });
     }
 
+    /// Stops dialling `addr`, and closes its connection.
     pub fn undial(&self, addr: SocketAddr) {
         let d = locked(&self.peer_addresses).remove(&addr);
         if let Some(d) = d {
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -17,19 +17,32 @@
 /// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
+    /// Propose a change of the configuration or of the evacuated zones.
     Change {
+        /// Given by the operator, so that a retry is applied once, or else
+        /// random.
         proposal_id: ProposalId,
+        /// The change.
         cmd: Command,
     },
+    /// Check a configuration without applying it; it has been checked already.
     Check {
+        /// The faults found; none if it is valid.
         faults: Vec<String>,
     },
+    /// Show the configuration in force.
     Configuration,
+    /// Show the status of the node.
     Status,
+    /// Show the status as flat metrics.
     Metrics,
+    /// Show the outcome of a proposal.
     Proposal(ProposalId),
+    /// Remove a core from the members; only cores accept it.
     DropCore {
+        /// As for a change.
         proposal_id: ProposalId,
+        /// Identity of the core.
         id: u64,
     },
 }
--- a/sorreldoor/src/subscription/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -1,5 +1,5 @@
-//! Cores that an edge tries beside its session's: one near by, or one more
-//! where a renewal has had no proof for too long.
+//! Candidates for the session: a core of the edge's region, or one more core
+//! where a renewal is not granted in time.
 
 use super::{Pull, SubscriptionEffect};
 use crate::invariants::{broken, Invariant};
@@ -7,25 +7,26 @@
 use crate::types::Millis;
 use std::net::SocketAddr;
 
-/// Between tries to come to a core of one's own region.
+/// Milliseconds between attempts to move the session to a core of the edge's
+/// region.
 const HOME_MS: Millis = 10_000;
-/// A core that is tried and proves nothing for so long is let go.
+/// Milliseconds after which a candidate that has granted nothing is dropped.
 const TRY_MS: Millis = 1300;
 
-/// A core that is tried beside the session's.
+/// A core that is tried beside that of the session.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub addr: SocketAddr,
     pub conn: Option<Conn>,
     since: Millis,
     pub renew_at: Millis,
-    /// Tried for being near, not for want of an answer.
+    /// Tried because it is in the region of the edge, and not as a hedge.
     home: bool,
 }
 
 impl Pull {
-    /// Try a core of one's own region: what is asked of one far off costs its
-    /// way twice, and a claim twice that.
+    /// Tries a core of the edge's region if the session is with one elsewhere:
+    /// each request to a remote core costs a round trip, and a claim two.
     pub(super) fn go_home(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         let near = |a: &SocketAddr| self.cores.iter().any(|(c, n)| *n && c == a);
         let away = self.dialled.as_ref().is_some_and(|a| !near(a));
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Try one core more where a renewal has had no proof for too long.
+    /// Hedges: tries one more core if no renewal was granted in time.
     pub(super) fn hedge_alarm(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         if now < self.hedge_at || broken(Invariant::Hedge) {
             return;
@@ -82,7 +83,7 @@
         out.push(SubscriptionEffect::Connect(addr));
     }
 
-    /// Let go of those that proved nothing in their time.
+    /// Drops candidates that have granted nothing in their time.
     pub(super) fn drop_candidates(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         let late = |c: &Candidate| now.saturating_sub(c.since) > TRY_MS;
         for c in self.candidates.iter().filter(|c| late(c)) {
@@ -106,8 +107,9 @@
         }
     }
 
-    /// The first core that proves itself has the session, a near one also
-    /// where the old one is well; the rest are let go.
+    /// Moves the session to the first core that grants a renewal: a hedge, or
+    /// a core of the region also while the old session is well. Drops the
+    /// other candidates.
     pub(super) fn take_session(&mut self, conn: Conn) {
         let won = self.candidates.iter().find(|c| c.conn == Some(conn));
         let won = won.copied();
--- a/sorreldoor/src/subscription/lease.rs
+++ b/sorreldoor/src/subscription/lease.rs
@@ -1,4 +1,4 @@
-//! An edge's freshness lease, and the renewals on their way that extend it.
+//! An edge's lease, and the renewals in flight that extend it.
 
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
@@ -45,7 +45,7 @@
         self.last_no
     }
 
-    /// Note a renewal as sent; its number.
+    /// Records a renewal as sent, and returns its number.
     pub fn ask(&mut self, conn: Conn, now: Millis) -> u64 {
         self.last_no += 1;
         self.sent.push(Renewal {
@@ -63,18 +63,18 @@
         self.sent.iter().find(|r| r.no == no).copied()
     }
 
-    /// Its answer makes the earlier ones on the same connection needless.
+    /// Removes a renewal and the earlier ones on its connection.
     pub fn answered(&mut self, renewal: Renewal) {
         self.sent
             .retain(|r| r.conn != renewal.conn || r.no > renewal.no);
     }
 
-    /// What is granted counts from when it was asked for.
+    /// Extends the lease; it counts from when the renewal was sent.
     pub fn extend(&mut self, sent_at: Millis) {
         self.until = self.until.max(sent_at + self.length);
     }
 
-    /// Nothing that was granted or asked for so far counts.
+    /// Ends the lease, and ignores grants of renewals sent before.
     pub fn void(&mut self) {
         self.until = 0;
         self.sent.clear();
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -1,7 +1,7 @@
-//! An edge's session with a core: it pulls what it lacks, and holds a lease
-//! while a core has proved to it, a moment ago, that it is up to date. A
-//! renewal that is not answered in time is hedged: sent to one core more, and
-//! the first core that proves itself has the session.
+//! An edge's session with a core: it fetches the state that it lacks, and has a
+//! valid lease while a core has recently confirmed that this state is current. A
+//! renewal that is not granted in time is hedged: sent to one more core, and the
+//! first core that grants one takes over the session.
 
 mod candidates;
 mod lease;
@@ -15,35 +15,45 @@
 use lease::{Lease, Renewal};
 use std::net::SocketAddr;
 
-/// Alarms farther apart than this mean that the process did not run.
+/// Milliseconds between two events above which the process counts as
+/// suspended.
 const GAP: Millis = 400;
-/// A wall clock that runs ahead of the monotonic one by so much was suspended.
+/// Milliseconds by which the wall clock runs ahead of the monotonic one where
+/// the machine was suspended.
 const JUMP: i64 = 1000;
-/// Between renewals while the lease runs out.
+/// Milliseconds between renewals while the lease is about to expire.
 const AGAIN_MS: Millis = 120;
-/// Between renewals, and until one is hedged, while nothing is proved yet.
+/// Milliseconds between renewals while nothing is confirmed yet.
 const SOON_MS: Millis = 100;
+/// Milliseconds until a renewal is hedged while nothing is confirmed yet.
 const SOON_HEDGE_MS: Millis = 200;
-/// A node is young, and has much to learn, for so long after its start.
+/// Milliseconds after the start of a node in which it renews often.
 const YOUNG_MS: Millis = 1500;
-/// After so long without a proof from any core an edge without a record
-/// takes one from a core that has lost its majority.
+/// Milliseconds, beyond `unverified_after_ms`, until an edge without confirmed
+/// state accepts it from a core that knows no leader.
 const SEARCH_MS: Millis = 1000;
 
+/// An edge's subscription to the state of the cores, and its lease. It does no
+/// I/O: events go in, and `SubscriptionEffect`s come out. Times are of the
+/// monotonic clock, in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Pull {
     /// The cores, and whether each is in the edge's own region.
     cores: Vec<(SocketAddr, bool)>,
-    /// Which core is tried next.
+    /// Index of the core that is tried next.
     next: usize,
     /// Spreads edges over the cores of their region.
     salt: String,
     home_at: Millis,
     candidates: Vec<Candidate>,
-    /// When one core more is tried, unless there is a proof before.
+    /// When a renewal is hedged, unless one is granted before.
     hedge_at: Millis,
+    /// Address of the core of the session, connected or not.
     pub dialled: Option<SocketAddr>,
+    /// Connection of the session, while it is established.
     pub conn: Option<Conn>,
+    /// Versions of the state that the edge has. Its owner updates them as it
+    /// applies a delta.
     pub have: KnownVersions,
     lease: Lease,
     renew_at: Millis,
@@ -54,38 +64,54 @@
     hedge_ms: Millis,
     began: Millis,
     unverified_after: Option<Millis>,
-    /// A core has proved itself in this life.
+    /// Whether any core has granted a renewal since the start.
     proved: bool,
-    /// What follows from a grant, carried out at the next alarm.
+    /// Effects of a grant, returned by the next `tick`.
     due: Vec<SubscriptionEffect>,
 }
 
-/// What came of a grant.
+/// What a grant means for the edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Granted {
+    /// The state is confirmed and the lease extended: apply the delta.
     Proved,
-    /// Not proved, and taken for want of any record.
+    /// Not confirmed, but accepted for want of any confirmed state: the lease
+    /// is extended, apply the delta.
     Unverified,
+    /// Not granted: ignore the delta.
     No,
 }
 
-/// What the edge should do about its session now.
+/// What the edge should do for its subscription.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubscriptionEffect {
+    /// Keep a connection to this core.
     Connect(SocketAddr),
+    /// Stop connecting to this core.
     Disconnect(SocketAddr),
+    /// Send a renewal of the lease.
     Renew {
+        /// Connection to send it on.
         conn: Conn,
+        /// Number of the renewal, which its grant carries back.
         no: u64,
+        /// State that is accepted without confirmation.
         unverified: Unverified,
     },
+    /// Log that the session was lost: another core answered first.
     Lost,
+    /// Log that the process or machine was suspended, with the cause; the
+    /// lease is void.
     Woken(String),
+    /// Log that the lease has expired.
     LeaseExpired,
+    /// Log that the lease is valid again.
     LeaseRenewed,
 }
 
 impl Pull {
+    /// A subscription without a session. `seeds` are the cores to try first,
+    /// `now` is the monotonic and `wall` the wall clock, in milliseconds.
     pub fn new(seeds: &[SocketAddr], lease_ms: Millis, now: Millis, wall: i64) -> Pull {
         let pacing = Pacing::default();
         Pull {
@@ -112,6 +138,7 @@
         }
     }
 
+    /// Sets the name of the node, which spreads nodes over the cores.
     pub fn named(self, node: &str) -> Pull {
         // not all need find the first seed dead when they start at once
         let next = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
@@ -122,8 +149,8 @@
         }
     }
 
-    /// Renewed and hedged so often, and content with an unverified record
-    /// after so long without any.
+    /// Sets the intervals of renewals and hedges, and after how long
+    /// unverified state is accepted.
     pub fn paced(self, t: &Pacing) -> Pull {
         Pull {
             renew_ms: t.renew_ms,
@@ -133,7 +160,7 @@
         }
     }
 
-    /// Between renewals: a node that has just started asks often.
+    /// Milliseconds between renewals; less for a node that has just started.
     fn every(&self, now: Millis) -> Millis {
         let age = now.saturating_sub(self.began);
         let soon = age < YOUNG_MS || (!self.proved && age < YOUNG_MS * 4);
@@ -144,7 +171,7 @@
         }
     }
 
-    /// Until one core more is tried.
+    /// Milliseconds until a renewal is hedged.
     fn hedge(&self) -> Millis {
         if self.proved {
             self.hedge_ms
@@ -153,7 +180,7 @@
         }
     }
 
-    /// Which record that is not proved current will do.
+    /// Which state is accepted without confirmation.
     fn unverified(&self, now: Millis) -> Unverified {
         let Some(after) = self.unverified_after.filter(|_| !self.proved) else {
             // once anything was proved, nothing unverified is taken any more
@@ -169,16 +196,18 @@
         }
     }
 
+    /// Whether the lease is valid.
     pub fn lease(&self, now: Millis) -> bool {
         self.lease.holds(now)
     }
 
+    /// Milliseconds until the lease expires; 0 if it has.
     pub fn left(&self, now: Millis) -> Millis {
         self.lease.left(now)
     }
 
-    /// To be called before anything else at every event: while the process
-    /// or its machine slept, whatever it held may have become old.
+    /// To be called first at every event: if the process or its machine was
+    /// suspended, the lease is void, since what the edge has may be old.
     pub fn awake(&mut self, now: Millis, wall: i64) -> Option<SubscriptionEffect> {
         let gap = now.saturating_sub(self.last_event);
         let jump = (wall - self.last_wall) - gap as i64;
@@ -197,6 +226,7 @@
         None
     }
 
+    /// Advances time: connects, renews, hedges, and reports a changed lease.
     pub fn tick(&mut self, now: Millis) -> Vec<SubscriptionEffect> {
         let mut out = std::mem::take(&mut self.due);
         self.drop_candidates(now, &mut out);
@@ -218,7 +248,7 @@
         out
     }
 
-    /// Ask for a renewal now; what is granted counts from this moment.
+    /// Renews the lease now; what is granted counts from this moment.
     pub fn renew(&mut self, conn: Conn, now: Millis) -> SubscriptionEffect {
         let no = self.lease.ask(conn, now);
         let soon = self.left(now) < self.lease.length / 2;
@@ -232,11 +262,12 @@
         }
     }
 
+    /// Number of the last renewal; 0 before the first.
     pub fn last_no(&self) -> u64 {
         self.lease.last_no()
     }
 
-    /// Have a session with some core, proved or not.
+    /// Connects to the next core if there is no session.
     fn session(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         if self.dialled.is_some() || self.cores.is_empty() {
             return;
@@ -248,7 +279,7 @@
         out.push(SubscriptionEffect::Connect(addr));
     }
 
-    /// A connection stands; what is asked on it at once.
+    /// A dialled connection is established; renews on it at once.
     pub fn up(&mut self, conn: Conn, addr: SocketAddr, now: Millis) -> Vec<SubscriptionEffect> {
         // what it lacks comes within one round trip
         if self.dialled == Some(addr) {
@@ -264,6 +295,7 @@
         out
     }
 
+    /// A connection is closed. Its core stays dialled.
     pub fn down(&mut self, conn: Conn) {
         if self.conn == Some(conn) {
             self.conn = None;
@@ -273,8 +305,9 @@
         }
     }
 
-    /// A grant came: it counts from when its renewal was sent. `some` tells
-    /// that it brings a record.
+    /// Takes a grant for renewal `no`; `ok` if its state is confirmed, `some`
+    /// if its delta brings an update of the state. The lease counts from when
+    /// the renewal was sent.
     pub fn granted(&mut self, no: u64, ok: bool, some: bool, now: Millis) -> Granted {
         let Some(renewal) = self.lease.find(no) else {
             return Granted::No;
@@ -308,8 +341,9 @@
         self.renew_at = self.renew_at.max(renewal.sent_at + every);
     }
 
-    /// A core answered that it has a newer record and could not send it yet:
-    /// it is alive, but what this node has is not proved current.
+    /// Takes a grant without a newer state that its core has and could not
+    /// send yet: the core is alive, but the state of this edge is not
+    /// confirmed.
     pub fn withheld(&mut self, no: u64, now: Millis) {
         let Some(renewal) = self.lease.find(no) else {
             return;
@@ -321,7 +355,8 @@
         }
     }
 
-    /// The cores as the site has them now; those of one's own region first.
+    /// Takes the cores as the site has them now, with whether each is in the
+    /// region of the edge; those are tried first.
     pub fn take_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
         let salt = &self.salt;
         cores.sort_by_key(|(a, near)| (!near, crate::placement::mix(salt, &a.to_string())));
