--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -20,8 +20,11 @@
 /// cluster and its requests.
 pub struct EdgeController {
     pub(super) hello: Hello,
+    /// What this edge has received from the control plane.
     pub cluster: ClusterView,
+    /// The requests in progress.
     pub table: RequestTable,
+    /// The subscription to a core, with the lease.
     pub pull: Pull,
     /// Replica of the replicated state, advanced by updates.
     pub(super) replica: replicated_state::StateReplica,
--- a/sorreldoor/src/gateway/request_table/admission.rs
+++ b/sorreldoor/src/gateway/request_table/admission.rs
@@ -14,6 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Admission {
+    /// Nothing speaks against the request so far; its body may be read.
     Accepted,
     /// Redirected to its home region; the effect has been pushed.
     Redirected,
--- a/sorreldoor/src/gateway/request_table/budgets.rs
+++ b/sorreldoor/src/gateway/request_table/budgets.rs
@@ -12,7 +12,7 @@
 const MAX_SPILL_BALANCE: u64 = 2 * ONE_REQUEST;
 
 /// Retry budget: retries as a share of first attempts, as in Finagle. Unused
-/// balance is kept up to [`MAX_RETRY_BALANCE`].
+/// balance is kept up to `MAX_RETRY_BALANCE`.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     /// In hundredths of a retry.
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -31,7 +31,9 @@
 /// An id to claim, and how long the control plane is to remember it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
+    /// The id to claim, as the client chose it.
     pub id: String,
+    /// How long the claim is remembered at least, in milliseconds.
     pub retention_ms: Millis,
 }
 
@@ -48,8 +50,11 @@
 /// The control plane's answer to a claim.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimResult<'a> {
+    /// The request that the claim was made for.
     pub request_id: RequestId,
+    /// The id that was claimed.
     pub id: &'a str,
+    /// Whether this edge has the claim, or why not.
     pub vote: ClaimVote,
 }
 
--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -17,8 +17,11 @@
 /// The latest state received from each source.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterSnapshot {
+    /// The replicated state, without what only cores need.
     pub view: View,
+    /// The workers of the platform.
     pub registry: Arc<WorkerRegistry>,
+    /// The latest load report of each worker.
     pub loads: Arc<Loads>,
     /// Version and contents of the list of edges.
     pub edge_sessions: (u64, Vec<EdgeEndpoint>),
@@ -28,11 +31,18 @@
 /// indices that stay the same for as long as the edge runs.
 #[derive(Default)]
 pub struct ClusterView {
+    /// Names of the site's regions and zones.
     pub site: Arc<Site>,
+    /// Name of this edge.
     pub node: String,
+    /// Index of this edge's zone.
     pub zone: u16,
+    /// Index of this edge's region.
     pub region: u8,
+    /// What the candidates are derived from.
     pub snapshot: ClusterSnapshot,
+    /// The configuration in force; none before the first, or while the latest
+    /// one cannot be read.
     pub configuration: Option<Arc<Configuration>>,
     /// Index of each worker that was ever in the registry, by name.
     index: HashMap<String, usize>,
--- a/sorreldoor/src/gateway/request_table/mod.rs
+++ b/sorreldoor/src/gateway/request_table/mod.rs
@@ -39,7 +39,9 @@
     pub accepted: u64,
     /// Further attempts that were charged to the retry budget.
     pub retries: u64,
+    /// Requests answered with a complete response or stream of a worker.
     pub served: u64,
+    /// Requests answered with an error of this edge.
     pub rejected: u64,
     /// Requests that may or may not have run.
     pub outcome_unknown: u64,
@@ -54,7 +56,9 @@
 /// The requests of an edge, with its budgets and counters.
 #[derive(Default)]
 pub struct RequestTable {
+    /// The requests that have no final answer yet.
     pub requests: BTreeMap<RequestId, Request>,
+    /// Counters since the start of the edge.
     pub counters: RequestCounters,
     retry_budget: RetryBudget,
     spill_budget: SpillBudget,
