--- a/sorreldoor/src/proxy/attempt/event.rs
+++ b/sorreldoor/src/proxy/attempt/event.rs
@@ -27,7 +27,10 @@
     ResponseComplete,
     /// The head and perhaps part of the body was forwarded to the client.
     /// `resumable` is false if the part ends where no other worker can resume.
-    PartDelivered { resumable: bool },
+    PartDelivered {
+        /// Whether another worker can resume after this part.
+        resumable: bool,
+    },
     /// The connection to the worker failed.
     Reset,
     /// The worker closed the connection.
--- a/sorreldoor/src/proxy/attempt/progress.rs
+++ b/sorreldoor/src/proxy/attempt/progress.rs
@@ -10,7 +10,10 @@
     /// A worker is chosen; no connection to it is known to be established.
     Connecting,
     /// The connection is established; `bytes_written` bytes may have left.
-    Sending { bytes_written: u64 },
+    Sending {
+        /// Bytes that the operating system accepted.
+        bytes_written: u64,
+    },
     /// The complete request was written.
     AwaitingHead,
     /// The head of its own response was received.
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -22,7 +22,9 @@
 /// An input of [`ProxyController`].
 #[derive(Debug)]
 pub enum ControllerEvent {
+    /// The periodic timer.
     Tick,
+    /// A connection to a core was opened or closed, or a frame arrived.
     Net(NetEvent),
     /// The node was told to shut down.
     Stop,
@@ -31,19 +33,26 @@
 /// An output of [`ProxyController`], carried out by the daemon in order.
 #[derive(Debug)]
 pub enum ControllerEffect {
+    /// Send a frame to a core.
     Send(Conn, Payload),
+    /// Keep a connection to this core open, and reconnect when it is lost.
     Connect(SocketAddr),
+    /// Stop connecting to this core.
     Disconnect(SocketAddr),
+    /// Write a line to the event log: the event and its details.
     Log(LogEvent, String),
 }
 
 /// A ready edge as clients are sent to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadyEdge {
+    /// Name of the node.
     pub node: String,
     /// `IP:PORT` of its clients' listener.
     pub addr: String,
+    /// Index of its zone.
     pub zone: u16,
+    /// Index of its region.
     pub region: u8,
 }
 
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -33,7 +33,9 @@
 
 /// What a proxy node needs beside the settings that all nodes have.
 pub struct ProxyOptions {
+    /// The settings that all nodes have.
     pub settings: Settings,
+    /// Limits on retries and slow start, for all nodes together.
     pub bounds: Bounds,
     /// From the signal to stop until the process must have ended.
     pub grace: Duration,
--- a/sorreldoor/src/proxy/dialect.rs
+++ b/sorreldoor/src/proxy/dialect.rs
@@ -6,7 +6,9 @@
 /// One segment of a prompt, shared with all requests that name the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
+    /// Id of the segment; equal ids mean equal text.
     pub id: u64,
+    /// Length of the segment.
     pub tokens: u32,
 }
 
@@ -18,6 +20,7 @@
     /// How long the client will wait, in milliseconds, from when it sent the
     /// request.
     pub deadline_ms: Option<u64>,
+    /// Name of the model asked for; empty: not stated.
     pub model: String,
     /// Tokens of the prompt; 0: not stated.
     pub tokens_in: u32,
--- a/sorreldoor/src/proxy/status_endpoint.rs
+++ b/sorreldoor/src/proxy/status_endpoint.rs
@@ -21,6 +21,7 @@
 /// What endpoints may show of the node.
 #[derive(Clone, Debug, Default)]
 pub struct NodeStatus {
+    /// Whether it has a configuration and workers, and is not shutting down.
     pub ready: bool,
     /// The edges that clients are sent to.
     pub ready_edges: Vec<ReadyEdge>,
@@ -29,7 +30,9 @@
 /// Status code and JSON text of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusResponse {
+    /// HTTP status code; a 503 is sent with `Retry-After: 1`.
     pub status: u16,
+    /// The JSON document.
     pub body: String,
 }
 
@@ -38,7 +41,9 @@
 
 /// A small endpoint: its address, and how it answers.
 pub struct StatusEndpoint {
+    /// Where it listens.
     pub addr: SocketAddr,
+    /// Computes the answer to each request.
     pub handler: StatusHandler,
 }
 
--- a/sorreldoor/src/proxy/upstream/response_class.rs
+++ b/sorreldoor/src/proxy/upstream/response_class.rs
@@ -10,6 +10,7 @@
 pub struct ExpectedRequest<'a> {
     /// The client's id of the attempt; empty if it gave none.
     pub attempt_id: &'a str,
+    /// The request's method; it decides whether a response has a body.
     pub method: &'a str,
 }
 
