--- a/sorreldoor/src/control_plane/bootstrap/mod.rs
+++ b/sorreldoor/src/control_plane/bootstrap/mod.rs
@@ -20,18 +20,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Milliseconds for which the same founded core is asked.
+/// Milliseconds after which the next bootstrapped core is asked.
 const QUERY_INTERVAL_MS: Millis = 250;
 
-/// Cores that were heard from of late, each with a connection and its hello.
+/// Cores that are reachable, each with a connection and its hello.
 pub type LiveCores = BTreeMap<NodeId, (Conn, Hello)>;
 
-/// What the part starts from.
+/// How a core bootstraps a site.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Whether this core may found a site; else it only joins one.
+    /// Whether this core may bootstrap a site; otherwise it only joins one.
     pub enabled: bool,
-    /// Addresses of the only cores that found the site; without any, the first
+    /// Addresses of the only cores that bootstrap the site; without any, the first
     /// `cores` cores do.
     pub seeds_only: Option<BTreeSet<SocketAddr>>,
     /// Number of founders where any core may be one.
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Take loads that the holder of the role has polled.
+    /// Applies loads that the holder of the role has polled.
     pub(super) fn adopt_loads(&mut self, loads: Arc<Loads>) {
         self.loads.adopt(loads, self.epoch());
     }
--- a/sorreldoor/src/control_plane/controller/workers.rs
+++ b/sorreldoor/src/control_plane/controller/workers.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Take a newer list, from the platform or from another core.
+    /// Applies a newer list, from the platform or from another core.
     pub(super) fn adopt_worker_list(&mut self, list: Arc<WorkerRegistry>) {
         if !self.worker_list.adopt(list.clone(), self.now) {
             return;
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -56,30 +56,49 @@
     SaveRecovered,
     /// Propose a change of the configuration, for a local request.
     Change {
+        /// Id that `ChangeDone` carries.
         request_id: u64,
+        /// Id of the proposal; repeats of it are applied once.
         proposal_id: ProposalId,
+        /// The change.
         cmd: Command,
     },
     /// Remove a core from the membership; from `ctl`.
     RemoveCore {
+        /// Id that `ChangeDone` carries.
         request_id: u64,
+        /// Id of the proposal; repeats of it are applied once.
         proposal_id: ProposalId,
+        /// The core to remove.
         core: NodeId,
     },
-    /// Read the status and the record.
-    ReadStatus { request_id: u64 },
-    /// Read the record alone; the status document is expensive.
-    ReadView { request_id: u64 },
+    /// Read the status and the replicated state.
+    ReadStatus {
+        /// Id that `StatusReady` carries.
+        request_id: u64,
+    },
+    /// Read the replicated state alone; the status document is expensive.
+    ReadView {
+        /// Id that `ViewReady` carries.
+        request_id: u64,
+    },
     /// Read the outcome of a proposal, once this core is proved current.
     ReadOutcome {
+        /// Id that `ChangeDone` carries.
         request_id: u64,
+        /// Id of the proposal asked for.
         proposal_id: ProposalId,
     },
     /// A read of the worker list has ended.
     WorkerRegistry(Result<WorkerRegistry, String>),
     /// A poll of the workers' loads has ended.
-    Loads { epoch: u64, rows: Vec<Load> },
-    /// The process was told to stop.
+    Loads {
+        /// Epoch of the singleton role that the poll was started under.
+        epoch: u64,
+        /// The load of each worker polled.
+        rows: Vec<Load>,
+    },
+    /// The process received a signal to stop.
     Stop,
 }
 
@@ -99,17 +118,34 @@
     /// Close one connection.
     Close(Conn),
     /// The outcome of a change that was requested locally.
-    ChangeDone { request_id: u64, outcome: OpOutcome },
+    ChangeDone {
+        /// Id of the event that requested it.
+        request_id: u64,
+        /// The result, or that it is not known.
+        outcome: OpOutcome,
+    },
     /// The status may be read now; `proved` if the state is proved current.
-    StatusReady { request_id: u64, proved: bool },
-    /// Like `StatusReady`, for a read of the record alone.
-    ViewReady { request_id: u64, proved: bool },
+    StatusReady {
+        /// Id of the event that requested it.
+        request_id: u64,
+        /// Whether a majority confirmed that the state is current.
+        proved: bool,
+    },
+    /// Like `StatusReady`, for a read of the replicated state alone.
+    ViewReady {
+        /// Id of the event that requested it.
+        request_id: u64,
+        /// Whether a majority confirmed that the state is current.
+        proved: bool,
+    },
     /// Read the list of workers; it comes as `ControllerEvent::WorkerRegistry`.
     ReadWorkerList,
     /// Poll these workers' loads; they come as `ControllerEvent::Loads` under
     /// the same epoch.
     PollLoads {
+        /// Epoch of the singleton role that the poll runs under.
         epoch: u64,
+        /// The workers to poll.
         workers: Vec<WorkerAddress>,
     },
     /// Write a line to the event log.
@@ -124,7 +160,7 @@
     pub site: Arc<Site>,
     /// Addresses to connect to before the members are known.
     pub seeds: Vec<SocketAddr>,
-    /// How many cores found the site.
+    /// Number of cores that bootstrap the site.
     pub cores: usize,
     /// How many voters there should be, and how they are spread.
     pub membership: Policy,
@@ -132,15 +168,15 @@
     pub timing: Timing,
     /// Seed of the random election time-outs.
     pub seed: u64,
-    /// The founding set that an earlier incarnation has promised to join.
+    /// The bootstrap members that an earlier incarnation promised to join.
     pub promise: Option<Vec<Member>>,
     /// An earlier incarnation has caught up on the idempotency claims.
     pub sure: bool,
     /// Idempotency keys remembered at most.
     pub most_claims: usize,
-    /// Whether a blank core may found a site; otherwise it only joins one.
+    /// Whether a blank core may bootstrap a site; otherwise it only joins one.
     pub bootstrap: bool,
-    /// Whether the seeds found the site and further cores join it.
+    /// Whether the seeds bootstrap the site and further cores join it.
     pub grow: bool,
     /// Intervals of periodic work.
     pub pacing: Pacing,
--- a/sorreldoor/src/control_plane/idempotency/catch_up.rs
+++ b/sorreldoor/src/control_plane/idempotency/catch_up.rs
@@ -10,7 +10,7 @@
 /// Milliseconds between two reads of a peer's table by a core that is caught up.
 const ANTI_ENTROPY_INTERVAL_MS: Millis = 2000;
 
-/// A voter that was heard from of late.
+/// A voter from which a frame arrived recently.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer {
     /// Its identity.
--- a/sorreldoor/src/control_plane/idempotency/event.rs
+++ b/sorreldoor/src/control_plane/idempotency/event.rs
@@ -13,7 +13,7 @@
 /// What the idempotency part reacts to.
 #[derive(Debug)]
 pub enum Event {
-    /// The periodic timer, with the voters that were heard from of late.
+    /// The periodic timer, with the voters that are reachable.
     Tick {
         /// Voters whose tables may be read now.
         peers: Vec<Peer>,
--- a/sorreldoor/src/control_plane/idempotency/mod.rs
+++ b/sorreldoor/src/control_plane/idempotency/mod.rs
@@ -36,7 +36,7 @@
 pub struct Options {
     /// Number of keys that may be claimed at a time.
     pub capacity: usize,
-    /// Number of cores that found the site.
+    /// Number of cores that bootstrap the site.
     pub founding_cores: usize,
     /// Whether peers' tables are read.
     pub reads_peers: bool,
--- a/sorreldoor/src/control_plane/load_table.rs
+++ b/sorreldoor/src/control_plane/load_table.rs
@@ -22,7 +22,7 @@
         &self.loads
     }
 
-    /// Take loads that another core has gathered, if they are newer. Those of
+    /// Applies loads that another core has polled, if they are newer. Those of
     /// an epoch before `epoch` come from a deposed holder.
     pub fn adopt(&mut self, loads: Arc<Loads>, epoch: u64) {
         if loads.epoch >= epoch && loads.mark() > self.loads.mark() {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Take the result of a poll of this core's own under its epoch.
+    /// Applies the result of a poll of this core's own under its epoch.
     pub fn polled(&mut self, epoch: u64, rows: Vec<Load>) -> Vec<LivenessChange> {
         let changes = rows.iter().filter_map(|row| self.liveness_change(row));
         let changes = changes.collect();
--- a/sorreldoor/src/control_plane/reads.rs
+++ b/sorreldoor/src/control_plane/reads.rs
@@ -17,7 +17,7 @@
 pub(super) enum Read {
     /// The status and the record, for a local HTTP request.
     Status { request_id: u64 },
-    /// The record alone.
+    /// The replicated state alone.
     View { request_id: u64 },
     /// The outcome of a proposal.
     Outcome {
@@ -84,12 +84,12 @@
         reads(self.in_flight.remove(&request_id).unwrap_or_default())
     }
 
-    /// Take out all queued reads.
+    /// Removes and returns all queued reads.
     pub fn take_queued(&mut self) -> Vec<Read> {
         reads(std::mem::take(&mut self.queued))
     }
 
-    /// Take out the reads that were requested at `limit` or before.
+    /// Removes and returns the reads that were requested at `limit` or before.
     pub fn expire(&mut self, limit: Millis) -> Vec<Read> {
         let in_flight = self.in_flight.values_mut();
         let all = std::iter::once(&mut self.queued).chain(in_flight);
--- a/sorreldoor/src/control_plane/sessions.rs
+++ b/sorreldoor/src/control_plane/sessions.rs
@@ -119,7 +119,7 @@
         self.local.remove(&conn)
     }
 
-    /// Take the status that came with a renewal.
+    /// Applies the status that came with a renewal.
     pub fn update(&mut self, conn: Conn, status: EdgeStatus) -> SessionChange {
         let Some(session) = self.local.get_mut(&conn) else {
             return SessionChange::NoSession;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Take another core's report; true if it is news.
+    /// Applies another core's report; true if it changed anything.
     pub fn on_report(&mut self, from: NodeId, report: SessionReport) -> bool {
         let old = self.reports.get(&from);
         // frames may overtake each other on two connections
--- a/sorreldoor/src/control_plane/singleton/mod.rs
+++ b/sorreldoor/src/control_plane/singleton/mod.rs
@@ -174,7 +174,7 @@
         due
     }
 
-    /// Take the latencies that edges report, and give the weights that should
+    /// Adds the latencies that edges report, and returns the weights that should
     /// change.
     pub fn tune(
         &mut self,
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -58,7 +58,7 @@
 }
 
 impl StatusSources<'_> {
-    /// The whole document.
+    /// The complete document.
     pub fn to_json(&self) -> Value {
         let mut doc = Value::object();
         let _ = doc.insert("node", self.me.node.as_str());
--- a/sorreldoor/src/control_plane/worker_list.rs
+++ b/sorreldoor/src/control_plane/worker_list.rs
@@ -136,7 +136,7 @@
         Some((epoch << 32) | self.numbered)
     }
 
-    /// Take a list if it is newer than the current one; true if so.
+    /// Applies a list if it is newer than the current one; true if so.
     pub fn adopt(&mut self, list: Arc<WorkerRegistry>, now: Millis) -> bool {
         let newer = self
             .current
