--- a/sorreldoor/src/balancer/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -43,6 +43,7 @@
     pub worker: u32,
     /// Name of the endpoint in the platform's registry.
     pub name: String,
+    /// Where the endpoint takes requests.
     pub addr: SocketAddr,
     /// Time until the client's deadline, in milliseconds.
     pub time_left_ms: u64,
@@ -84,7 +85,9 @@
     /// The head of the answer came, with the endpoint's load and the rest of
     /// its slow start in milliseconds, where it reports them.
     HeadReceived {
+        /// Load of the endpoint; none: not reported.
         load: Option<LoadReport>,
+        /// Rest of its slow start, in milliseconds; none: not reported.
         slow_start_ms: Option<u64>,
     },
     /// The first event of a stream, or the complete answer, came.
@@ -106,8 +109,11 @@
 /// The position of this node in the site.
 #[derive(Clone, Debug, Default)]
 pub struct Locality {
+    /// Name of this node.
     pub node: String,
+    /// Index of this node's zone.
     pub zone: u16,
+    /// Index of this node's region.
     pub region: u8,
     /// The region of each zone.
     pub regions: Vec<u8>,
@@ -125,5 +131,6 @@
     /// In slow start an endpoint takes `warmup_per_s * warmup_excess +
     /// warmup_slack` requests a second.
     pub warmup_excess: f64,
+    /// Requests a second beside the share; see `warmup_excess`.
     pub warmup_slack: f64,
 }
--- a/sorreldoor/src/balancer/state.rs
+++ b/sorreldoor/src/balancer/state.rs
@@ -18,22 +18,27 @@
 pub struct Counts {
     /// Requests begun, and those in progress now.
     pub begun: u64,
+    /// Requests in progress now.
     pub open: u64,
     /// Attempts answered completely.
     pub served: u64,
+    /// Decisions to send no (further) attempt.
     pub rejected: u64,
     /// Attempts beyond the first that reached an endpoint.
     pub retried: u64,
     /// Requests that waited, and those that wait now.
     pub waited: u64,
+    /// Requests that wait now.
     pub waiting: u64,
     /// Ejections, and endpoints that are ejected now.
     pub ejections: u64,
+    /// Endpoints that are ejected now.
     pub ejected: u64,
     /// Endpoints in the registry.
     pub workers: u64,
     /// Prompt tokens expected in prefix caches, and those left for prefill.
     pub cached_tokens: u64,
+    /// Prompt tokens left for prefill, over all attempts.
     pub prefill_tokens: u64,
 }
 
