--- a/sorreldoor/src/doctor/mod.rs
+++ b/sorreldoor/src/doctor/mod.rs
@@ -31,8 +31,8 @@
     list: bool,
 }
 
-/// Prints the findings. Exit codes: 0 sound, 1 something to look at, 2
-/// something is broken.
+/// Prints the findings. Exit codes: 0 no fault, 1 a warning, 2 something is
+/// broken.
 pub fn run(args: Args) -> i32 {
     if args.list {
         print_rules();
--- a/sorreldoor/src/doctor/observe.rs
+++ b/sorreldoor/src/doctor/observe.rs
@@ -24,9 +24,13 @@
 /// What was found at a seed address.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SeedStatus {
+    /// No connection, or no frame that can be read, within the time-out.
     Unreached,
+    /// A core of another site; the fingerprint of that site as text.
     OtherSite(String),
+    /// A core of another version of the protocol, with that version.
     OtherProtocol(u16),
+    /// A core of this site, as it introduces itself.
     Core(Box<Hello>),
 }
 
@@ -35,6 +39,7 @@
 pub struct DiskStatus {
     /// How long a sync of one file took, in milliseconds, or why it failed.
     pub sync_ms: Result<u64, String>,
+    /// Free space that unprivileged processes may use; none: unknown.
     pub free_percent: Option<u64>,
 }
 
--- a/sorreldoor/src/doctor/rules.rs
+++ b/sorreldoor/src/doctor/rules.rs
@@ -5,8 +5,11 @@
 /// How bad a finding is; the variants rise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
+    /// To be known; nothing is wrong.
     Note,
+    /// Degraded, or about to fail.
     Warn,
+    /// Something does not work.
     Broken,
 }
 
@@ -37,8 +40,11 @@
 pub struct Rule {
     /// Never reused; printed as `D01` and so on.
     pub number: u8,
+    /// How bad a finding of this rule is.
     pub severity: Severity,
+    /// The fault, as it is printed.
     pub text: &'static str,
+    /// What an operator should do, as it is printed.
     pub remedy: &'static str,
 }
 
@@ -223,6 +229,7 @@
 /// A rule that applies, and to what.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
+    /// The rule that applies.
     pub rule: Rule,
     /// The node, address or value concerned.
     pub subject: String,
