--- a/sorreldoor/src/freshness.rs
+++ b/sorreldoor/src/freshness.rs
@@ -1,31 +1,33 @@
-//! The time budget of delivery: how an edge that reaches a majority's cores
-//! goes by an acknowledged change within one bound, in the worst allowed case.
+//! The time budget of delivery: an edge that can reach a core of the majority
+//! applies an acknowledged change within one bound, also in the worst case
+//! allowed.
 
 use crate::types::Millis;
 
-/// What one bound, `apply_ms`, is divided into.
+/// The bound `apply_ms` and the timers derived from it, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessBudget {
-    /// From an acknowledgement until every edge in touch goes by it.
+    /// Bound from the acknowledgement of a change until every connected edge
+    /// applies it.
     pub apply_ms: Millis,
-    /// How long a proof of freshness holds, from the sending of its renewal.
+    /// Length of a lease, counted from the sending of its renewal.
     pub lease_ms: Millis,
-    /// Between an edge's renewals.
+    /// Interval of an edge's renewals.
     pub renew_ms: Millis,
-    /// A renewal that is not answered for so long is sent to one more core.
+    /// A renewal without an answer for this long is sent to one more core.
     pub hedge_ms: Millis,
 }
 
-/// Between looks at the timers of an edge.
+/// Interval of an edge's ticks, in milliseconds.
 pub const TICK_MS: Millis = 50;
-/// Connecting to a core of another region, the renewal's way there and back,
-/// and the core's proof of its leader: six ways of 35 ms, and a process that
-/// waits for its processor.
+/// Allowed for the answer to a renewal, in milliseconds: connecting to a core of
+/// another region, the renewal's round trip and the core's confirmation by its
+/// leader are six one-way delays of 35 ms; the rest is for scheduling delays.
 pub const ANSWER_MS: Millis = 300;
 
 impl FreshnessBudget {
-    /// The parts of a bound; beyond three seconds none grows, since a longer
-    /// bound is no reason to learn of changes later.
+    /// The timers for a bound in milliseconds. Beyond three seconds none grows:
+    /// a longer bound is no reason to learn of changes later.
     pub fn for_apply(apply_ms: Millis) -> FreshnessBudget {
         FreshnessBudget {
             apply_ms,
@@ -35,9 +37,9 @@
         }
     }
 
-    /// The longest that an edge goes by something older, where its own core
-    /// and `useless` others that it tries first answer nothing: the change is
-    /// acknowledged just after a renewal was sent.
+    /// The longest time in milliseconds that an edge uses superseded state when
+    /// its own core and the `useless` others that it tries next do not answer,
+    /// and the change is acknowledged just after a renewal was sent.
     pub fn worst_ms(&self, useless: u64) -> Millis {
         let first = self.renew_ms + self.hedge_ms + TICK_MS;
         let others = useless * (self.hedge_ms + TICK_MS);
--- a/sorreldoor/src/invariants.rs
+++ b/sorreldoor/src/invariants.rs
@@ -6,7 +6,12 @@
     ($($rule:ident $name:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         /// A property that the code upholds, and that a mutant can give up.
-        pub enum Invariant { $($rule),* }
+        pub enum Invariant {
+            $(
+                /// Described by the comment on its name in `invariants!`.
+                $rule
+            ),*
+        }
 
         impl Invariant {
             /// All invariants.
@@ -20,42 +25,79 @@
 }
 
 invariants! {
+    // An edge serves only while it holds a lease.
     Lease "permit";
+    // The lease is void after the process was suspended or the clock jumped.
     Woken "woken";
+    // A core answers reads as current only once a majority has confirmed it.
     Proof "proof";
+    // A renewal without an answer goes to one more core.
     Hedge "hedge";
+    // A leader without a live quorum steps down.
     StepDown "step-down";
+    // Once a core has confirmed its state, it offers none unconfirmed to edges that start.
     Unverified "unverified";
+    // A request goes only to workers that the current configuration allows.
     Allowed "allowed";
+    // A home-bound request stays in its home region.
     Home "home";
+    // Requests go to another region only where a spill limit allows it.
     Spill "spill";
+    // A draining worker takes no new requests.
     Leaving "leaving";
+    // An evacuated zone takes no new requests.
     Evacuated "emptied";
+    // A worker in slow start takes a growing number of requests.
     Warm "warm";
+    // Retries stay within the retry budget.
     Budget "budget";
+    // A request that may have run is retried only if it is idempotent.
     Repeat "repeat";
+    // A request that may have run is not reported as rejected.
     Unknown "unknown";
+    // An attempt that was given up before sending is not sent.
     Refusal "refusal";
+    // A request with a claim pending is not sent.
     Claim "claim";
+    // A claim is answered only once it is synced to disk.
     ClaimSynced "claim-synced";
+    // A core votes on claims only once it has read those of its peers.
     Learned "learned";
+    // Of two changes based on one version, only the first is applied.
     Base "base";
+    // A change that is rejected leaves no trace in the state.
     Loser "loser";
+    // A change based on a future version is undecided, not rejected for good.
     NotYet "not-yet";
+    // A proposal is applied at most once.
     AppliedOnce "applied-once";
+    // A rejected proposal is not recorded as applied, so it may be decided anew.
     RefusalKept "refusal-kept";
+    // Snapshots contain the ids of applied proposals.
     TakenInImage "taken-in-image";
+    // A conditional evacuation that was superseded is not applied.
     EvacuateOnce "evacuate-once";
+    // A body shorter than its Content-Length is not a complete response.
     ResultLength "result-length";
+    // A response that names another request is not forwarded.
     ResultOwner "result-owner";
+    // Events of a stream are relayed in sequence, and only this request's.
     Sequence "sequence";
+    // An attempt that may have run is followed by another only if that is harmless.
     SendOnce "send-once";
+    // A client is told that its request did not run only if that is certain.
     HonestRefusal "honest-refusal";
+    // A proxied response must name the attempt that it belongs to.
     AnswerId "answer-id";
+    // A connection with unexpected bytes on it is not reused.
     CleanConnection "clean-connection";
+    // A successful response ended only by the close of its connection is not trusted.
     WholeAnswer "whole-answer";
+    // Replicas get updates as deltas, unless they are empty or too far behind.
     Differences "differences";
+    // Updates of item lists contain the deletions.
     Deletions "deletions";
+    // The bytes of large updates in flight are bounded.
     CopiesBounded "copies-bounded";
 }
 
--- a/sorreldoor/src/order_id.rs
+++ b/sorreldoor/src/order_id.rs
@@ -1,4 +1,5 @@
-//! Ids of nodes, starts and orders: how they are made, written and read.
+//! Random ids of nodes, incarnations and proposals, and the text form of
+//! proposal ids.
 
 use crate::types::ProposalId;
 use std::hash::{BuildHasher, Hasher};
@@ -6,8 +7,8 @@
 /// The most hexadecimal digits of a proposal's id.
 const MAX_DIGITS: usize = 32;
 
-/// A random number above 0, from the system's randomness through the standard
-/// library.
+/// A random number above 0, from the randomly keyed hasher of the standard
+/// library. Not for secrets.
 pub fn random_id() -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -16,17 +17,18 @@
     hasher.finish().max(1)
 }
 
-/// An id for a proposal that is no repeat of another.
+/// A random id for a new proposal.
 pub fn random_proposal_id() -> ProposalId {
     (ProposalId::from(random_id()) << 64) | ProposalId::from(random_id())
 }
 
-/// A proposal's id as operators write and read it.
+/// The text form of a proposal's id: 32 hexadecimal digits.
 pub fn format_proposal_id(id: ProposalId) -> String {
     format!("{id:032x}")
 }
 
-/// Reads what `format_proposal_id` writes; leading zeros may be left out.
+/// Parses the text form of a proposal's id; leading zeros may be left out. None
+/// for 0, for other characters and for more than 32 digits.
 pub fn parse_proposal_id(text: &str) -> Option<ProposalId> {
     if !(1..=MAX_DIGITS).contains(&text.len()) {
         return None;
--- a/sorreldoor/src/pacing.rs
+++ b/sorreldoor/src/pacing.rs
@@ -1,5 +1,6 @@
-//! How often a node speaks, and what it leaves unsaid: settings for sites
-//! where bytes, wake-ups and calls are dear.
+//! Settings that trade latency for cost: intervals of periodic work, and which
+//! optional exchanges between nodes take place. For sites where bandwidth,
+//! wake-ups or requests are expensive.
 
 use crate::consensus::Timing;
 use crate::json::{Faults, ObjectReader};
@@ -19,29 +20,32 @@
     "unverified_after_ms",
 ];
 
-/// Defaults are those of a site where none of it is dear. Times are in
-/// milliseconds.
+/// The settings of [`KEYS`]. The defaults suit a site where bandwidth and
+/// wake-ups are cheap. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pacing {
-    /// Between alarms of a core.
+    /// Interval of a core's ticks.
     pub tick_ms: Millis,
-    /// Between a leader's heartbeats; none: a fortieth of `ack_ms`.
+    /// Interval of a leader's heartbeats; none: a fortieth of `ack_ms`.
     pub beat_ms: Option<Millis>,
-    /// Between an edge's renewals.
+    /// Interval of an edge's lease renewals.
     pub renew_ms: Millis,
-    /// An edge's renewal without an answer for so long goes to one core more.
+    /// After this without an answer, an edge sends a renewal to one more core.
     pub hedge_ms: Millis,
-    /// A line on which nothing was said for so long is given a sign of life.
+    /// A connection on which nothing was sent for this long gets a heartbeat.
     pub ping_ms: Millis,
-    /// Reads that come within so long are proved together; 0: each at once.
+    /// Linearizable reads that arrive within this time are confirmed together;
+    /// 0: each is confirmed at once.
     pub batch_ms: Millis,
-    /// The duty's holder asks workers for their load.
+    /// Whether the holder of the singleton role polls workers for their load.
     pub gather: bool,
-    /// Cores read each other's claims on errand ids.
+    /// Whether cores read each other's claims on request ids.
     pub claims: bool,
-    /// Cores tell each other what edges are doing, not only that they serve.
+    /// Whether cores forward the latency and load reports of edges to each
+    /// other, for status and weight tuning; if not, only their readiness.
     pub accounts: bool,
-    /// An edge without any record takes an unverified one after so long.
+    /// How long after its start an edge without state accepts unverified state;
+    /// none: never.
     pub unverified_after_ms: Option<Millis>,
 }
 
@@ -63,6 +67,8 @@
 }
 
 impl Pacing {
+    /// Reads the settings of [`KEYS`] from a settings file; those that are
+    /// absent have their defaults, those out of range are added to `f`.
     pub fn read(o: &ObjectReader, f: &mut Faults) -> Pacing {
         let d = Pacing::default();
         Pacing {
@@ -79,7 +85,8 @@
         }
     }
 
-    /// The protocol's waits for answers within `ack_ms`.
+    /// The time-outs of consensus for acknowledgements within `ack_ms`
+    /// milliseconds.
     pub fn timing(&self, ack_ms: Millis) -> Timing {
         let defaults = Timing::for_ack(ack_ms);
         let heartbeat_interval = self.beat_ms.unwrap_or(defaults.heartbeat_interval);
--- a/sorreldoor/src/placement.rs
+++ b/sorreldoor/src/placement.rs
@@ -11,13 +11,18 @@
 /// A worker as placement sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Candidate {
+    /// Name of the worker in the registry.
     pub name: String,
+    /// Index of its group in the configuration.
     pub group: u16,
+    /// Index of its zone.
     pub zone: u16,
+    /// Index of its region.
     pub region: u8,
     /// Takes new requests: registered, live, neither draining nor in an
     /// evacuated zone.
     pub available: bool,
+    /// Requests that it runs at once.
     pub slots: u32,
     /// Requests running or queued there, as reported and sent since.
     pub in_flight: u32,
@@ -27,6 +32,7 @@
     pub own_limit: u32,
     /// Most requests of all edges that may be there at once.
     pub total_limit: u32,
+    /// Names of the adapters loaded there; empty: it takes any.
     pub adapters: Vec<String>,
 }
 
@@ -59,9 +65,12 @@
     pub route: u16,
     /// Prefix key; empty if there is none.
     pub key: &'a str,
+    /// Id of the request; breaks ties between workers, and draws the service on
+    /// routes of any kind but [`Kind::Prefix`].
     pub id: &'a str,
     /// The only region whose workers may take it.
     pub home: Option<u8>,
+    /// The adapter that it asks for; none: that of the service, if any.
     pub adapter: Option<&'a str>,
 }
 
--- a/sorreldoor/src/run.rs
+++ b/sorreldoor/src/run.rs
@@ -1,4 +1,5 @@
-//! What both daemons need around their reducers: alarms and signals.
+//! What daemons need around their reducers: ticks, termination signals and an
+//! edge's introduction.
 
 use crate::net::Ring;
 use crate::order_id;
@@ -7,7 +8,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// A thread that puts an alarm into the ring, unless it is full.
+/// Starts a thread that sends the event made by `f` to the queue at a fixed
+/// interval. A tick is skipped while the queue is full; the thread ends when the
+/// queue is closed.
 pub fn ticker<E: Send + 'static>(ring: Ring<E>, every: Duration, f: fn() -> E) {
     thread::spawn(move || loop {
         thread::sleep(every);
@@ -18,7 +21,11 @@
     });
 }
 
-/// Turn SIGTERM and SIGINT into an event; a second one ends at once.
+/// Sends the event made by `f` to the queue at the first SIGTERM or SIGINT; a
+/// second one ends the process at once, with exit code 1.
+///
+/// # Errors
+/// The signal handlers could not be installed.
 pub fn on_term<E: Send + 'static>(ring: Ring<E>, f: fn() -> E) -> Result<(), String> {
     use signal_hook::consts::{SIGINT, SIGTERM};
     let mut s = signal_hook::iterator::Signals::new([SIGTERM, SIGINT])
@@ -34,7 +41,8 @@
     Ok(())
 }
 
-/// How an edge introduces itself to the control plane, as a new incarnation.
+/// The introduction of an edge to the control plane. Each call makes a new
+/// random id and incarnation.
 pub fn edge_hello(settings: &Settings) -> Hello {
     Hello {
         id: order_id::random_id() >> 1,
--- a/sorreldoor/src/weight_tuning.rs
+++ b/sorreldoor/src/weight_tuning.rs
@@ -1,26 +1,32 @@
-//! Moving weights by what workers report, never beyond the operator's bounds.
+//! Weight tuning: moves the weights of a route's services towards the cheaper
+//! ones, by reported latency or load, within the operator's bounds. Runs at the
+//! holder of the singleton role.
 
 use crate::configuration::{Configuration, Route, Share};
 use crate::discovery::{Loads, WorkerRegistry};
 use crate::wire::EdgeSession;
 use std::collections::BTreeMap;
 
-/// Differences of pressure below this, in percent, move nothing.
+/// Dead band: a cost that differs from the mean by less, in percent, moves no
+/// weight.
 const BAND: i64 = 8;
-/// A step moves a weight by this part of its room at most.
+/// A step moves a weight by at most the range between its bounds divided by
+/// this.
 const PART: i64 = 8;
 
-/// Errands at each worker, in hundredths, smoothed over its last reports.
+/// Requests running or queued at each worker, in hundredths: an exponentially
+/// weighted moving average over its load reports.
 #[derive(Clone, Debug, Default)]
 pub struct Smooth(BTreeMap<String, i64>);
 
 impl Smooth {
-    /// Take in a round of reports; a dark worker's past counts no more.
+    /// Adds a load report of all workers. The average of a worker that reports
+    /// no load starts anew; workers that are not listed are forgotten.
     pub fn take(&mut self, loads: &Loads) {
         for l in &loads.rows {
             let now = i64::from(l.running + l.queued) * 100;
             let s = self.0.entry(l.name.clone()).or_insert(now);
-            // one look at a worker is mostly noise; about eight are not
+            // a single report is mostly noise; an average over about eight is not
             *s = if l.live { (*s * 7 + now) / 8 } else { now };
         }
         self.0.retain(|n, _| loads.of(n).is_some());
@@ -31,7 +37,8 @@
     }
 }
 
-/// How full a service's live workers are, in percent; none if it has none.
+/// Utilization of a service's live workers, in percent of their slots; none if
+/// it has no live worker.
 fn pressure(
     s: &Configuration,
     service: u16,
@@ -53,22 +60,27 @@
     (room > 0).then(|| used / room)
 }
 
-/// What errands of a route took through a service, smoothed.
+/// Latency of requests by route and service: a moving average over the reports
+/// of all edges.
 #[derive(Clone, Debug, Default)]
 pub struct Times {
-    /// Each life of each edge: what it had told last.
+    /// The totals last reported, by node, incarnation, route and service:
+    /// number of requests, and their total latency in milliseconds.
     seen: BTreeMap<(String, u64, String, String), (u64, u64)>,
-    /// Mean in tenths of ms, and how many looks ago it was last fed.
+    /// By route and service: the average in tenths of milliseconds, and the
+    /// number of rounds since it was last updated.
     mean: BTreeMap<(String, String), (i64, u32)>,
 }
 
-/// Looks without any errand after which a service's time is not known any more.
+/// Rounds without an update after which the latency of a service counts as
+/// unknown.
 const STALE: u32 = 15;
-/// Errands that a look must have seen for their mean to count.
+/// Requests that a round must have for their mean latency to count.
 const FEW: u64 = 4;
 
 impl Times {
-    /// Take in what edges told since the last look.
+    /// Adds what edges have reported since the last round. A session that was
+    /// not in the last round only sets the base for the next one.
     pub fn take(&mut self, edge_sessions: &[&EdgeSession]) {
         let mut new: BTreeMap<(String, String), (u64, u64)> = BTreeMap::new();
         let mut seen = BTreeMap::new();
@@ -93,15 +105,17 @@
         self.mean.retain(|_, (_, age)| *age < STALE);
     }
 
-    /// Tenths of milliseconds, if enough errands went that way of late.
+    /// The average latency in tenths of milliseconds; none if the service had
+    /// too few requests of this route lately.
     pub fn of(&self, route: &str, service: &str) -> Option<i64> {
         let k = (route.to_string(), service.to_string());
         self.mean.get(&k).map(|(m, _)| *m)
     }
 }
 
-/// What a share costs an errand: its measured time where all shares have one,
-/// else how full its workers are. A service without live workers has none.
+/// Cost of each of the route's services: the latency if at least two services
+/// have one, else the utilization of their workers. None where unknown, and for
+/// a service without live workers.
 fn costs(s: &Configuration, r: &Route, now: &Now) -> Vec<Option<i64>> {
     let full = |h: &Share| pressure(s, h.service, now.ro, now.loads, now.smooth);
     let name = |h: &Share| s.services[h.service as usize].name.as_str();
@@ -116,11 +130,15 @@
     r.shares.iter().map(full).collect()
 }
 
-/// All that weights are tuned by at one moment.
+/// Inputs of one tuning step.
 pub struct Now<'a> {
+    /// The workers of the platform.
     pub ro: &'a WorkerRegistry,
+    /// Their latest loads, for slots and liveness.
     pub loads: &'a Loads,
+    /// Their load, smoothed.
     pub smooth: &'a Smooth,
+    /// Latency by route and service.
     pub times: &'a Times,
 }
 
@@ -135,10 +153,10 @@
         .iter()
         .zip(cs.iter().zip(is))
         .map(|(h, (c, w))| {
-            // one that is not known may have recovered, so it is tried
+            // a service of unknown cost may have recovered, so it gets more
             let off = c.map_or(BAND, |c| (mean - c) * 100 / mean.max(1));
             let room = i64::from(h.most) - i64::from(h.least);
-            // small differences are noise, and chasing them would swing
+            // small differences are noise; following them would oscillate
             if off.abs() < BAND || room == 0 {
                 return *w;
             }
@@ -149,7 +167,9 @@
         .collect()
 }
 
-/// The weights that should change, by route and service.
+/// One tuning step: the weights that change, as index of the route, index of
+/// the service, and new weight. `tuned` has the weights tuned so far; a share
+/// that is not in it has its configured weight.
 pub fn step(s: &Configuration, tuned: &[(u16, u16, u32)], by: &Now) -> Vec<(u16, u16, u32)> {
     let mut out = Vec::new();
     for (i, r) in s.routes.iter().enumerate() {
@@ -159,7 +179,7 @@
             .map(|h| weight(tuned, i as u16, h.service).unwrap_or(h.weight))
             .collect();
         let next = route(s, r, &now, by);
-        // a route on which every share fell to nothing could not be served
+        // a route whose weights are all 0 could not be served
         if next.iter().all(|w| *w == 0) {
             continue;
         }
@@ -172,6 +192,8 @@
     out
 }
 
+/// The tuned weight of a service on a route, both by index; none if it was
+/// never tuned, so that the configured weight applies.
 pub fn weight(tuned: &[(u16, u16, u32)], route: u16, service: u16) -> Option<u32> {
     tuned
         .iter()
