--- a/sorreldoor/src/discovery.rs
+++ b/sorreldoor/src/discovery.rs
@@ -111,9 +111,11 @@
     pub finished: u64,
     /// Names of the adapters that it has loaded.
     pub adapters: Vec<String>,
-    /// Name of the model weights that it has loaded; empty if it does not say.
+    /// Version of the model weights that it has loaded; empty if it does not
+    /// say.
     pub weights: String,
-    /// Whether it answered the last poll; if not, the rest is its last report.
+    /// Whether it answered the last poll with a valid report; if not, the other
+    /// fields are empty.
     pub live: bool,
 }
 
@@ -123,7 +125,7 @@
 pub struct Loads {
     /// Epoch of the singleton role: the fencing token of its holder.
     pub epoch: u64,
-    /// Version of the reports within the epoch.
+    /// Rises with each poll.
     #[serde(rename = "serial")]
     pub version: u64,
     /// One report for each worker that was polled.
