--- a/sorreldoor/src/consensus/entry.rs
+++ b/sorreldoor/src/consensus/entry.rs
@@ -20,10 +20,14 @@
 /// A core that replicates the log, as a voter or as a learner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
+    /// Random identity of the core, never reused by another one.
     pub id: NodeId,
+    /// Index into the site's regions. The voters of one region elect its Domain
+    /// Leader.
     pub region: RegionId,
     /// Failure domain within the region, as an index into the site's zones.
     pub zone: u16,
+    /// `IP:PORT` where the core listens for frames of other nodes.
     pub addr: String,
     /// Votes in the newest set of voters.
     pub voter: bool,
@@ -71,6 +75,7 @@
     pub proposal_id: ProposalId,
     /// The core that received the proposal from its client.
     pub origin: NodeId,
+    /// What the entry replicates.
     pub body: Body,
 }
 
@@ -90,7 +95,10 @@
 /// logs: the last term first, then the length (thesis, section 3.6.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
+    /// Term of the entry; zero before the first entry.
     pub term: u64,
+    /// Index of the entry. The first one has index 1; zero stands for the empty
+    /// log.
     #[serde(rename = "idx")]
     pub index: u64,
 }
@@ -98,11 +106,14 @@
 /// What a node must sync before it answers: terms and votes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
+    /// The latest term that this node has seen (`currentTerm` of Raft).
     pub term: u64,
+    /// The node that got this node's vote in `term`; `None` if none did.
     pub vote: Option<NodeId>,
     /// Term of the elections of Domain Leaders in the own region.
     #[serde(rename = "dterm")]
     pub domain_term: u64,
+    /// The node that got this node's vote in `domain_term`; `None` if none did.
     #[serde(rename = "dvote")]
     pub domain_vote: Option<NodeId>,
     /// Commit index known when this was saved. Raft doesn't need it; a
@@ -119,6 +130,7 @@
     pub last: LogPosition,
     /// The configuration at that position.
     pub members: Vec<Member>,
+    /// The state machine's state, in its own encoding.
     #[serde(serialize_with = "shared_bytes")]
     pub image: Arc<Vec<u8>>,
 }
--- a/sorreldoor/src/consensus/event.rs
+++ b/sorreldoor/src/consensus/event.rs
@@ -16,41 +16,84 @@
     /// Time has passed; due every few milliseconds.
     Tick,
     /// A message has arrived.
-    Received { from: NodeId, msg: Msg },
+    Received {
+        /// The core that sent the message.
+        from: NodeId,
+        /// The decoded message.
+        msg: Msg,
+    },
     /// All saves up to number `seq` are synced.
-    Saved { seq: u64 },
+    Saved {
+        /// Number of the last [`Effect::Save`] that is synced.
+        seq: u64,
+    },
     /// The last connection to a core was closed by its other end.
-    Disconnected { id: NodeId },
+    Disconnected {
+        /// The core at the other end.
+        id: NodeId,
+    },
     /// The disk failed a save, which the store retries.
     SaveFailed,
     /// The save that had failed is durable now.
     SaveRecovered,
     /// A client of this node proposes an entry.
-    Propose { proposal_id: ProposalId, body: Body },
+    Propose {
+        /// Drawn by the client. A retry carries the same id, so that the
+        /// proposal is applied once.
+        proposal_id: ProposalId,
+        /// The payload of the entry to append.
+        body: Body,
+    },
     /// Change the configuration to these members, if this node is the leader
     /// and no change is under way.
     Reconfigure(Vec<Member>),
     /// A client of this node asks for a linearizable read.
-    Read { request_id: u64 },
+    Read {
+        /// Chosen by the driver; echoed by [`Effect::ReadReady`].
+        request_id: u64,
+    },
 }
 
 /// An output of the reducer, for its driver to carry out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Write durably; answer with [`Event::Saved`] once synced.
-    Save { seq: u64, save: Save },
+    Save {
+        /// Number of the save; each is one above the number before.
+        seq: u64,
+        /// What to write.
+        save: Save,
+    },
     /// Send a message; it may get lost.
-    Send { to: NodeId, msg: Msg },
+    Send {
+        /// The core that gets the message.
+        to: NodeId,
+        /// The message; the driver encodes it.
+        msg: Msg,
+    },
     /// A proposal of this node's client has ended.
     ProposalResult {
+        /// The id from [`Event::Propose`].
         proposal_id: ProposalId,
+        /// The state machine's output for the entry in its own encoding, or why
+        /// there is none.
         outcome: Result<Arc<Vec<u8>>, ProposalError>,
     },
     /// The state machine may serve the read; if not `ok`, it timed out or this
     /// node could not take it.
-    ReadReady { request_id: u64, ok: bool },
+    ReadReady {
+        /// The id from [`Event::Read`].
+        request_id: u64,
+        /// Whether the state machine now includes all writes that were answered
+        /// before the read began.
+        ok: bool,
+    },
     /// Entries up to `index` are applied to the state machine.
-    Applied { index: u64 },
+    Applied {
+        /// Index of the last entry applied, or included in an installed
+        /// snapshot.
+        index: u64,
+    },
     /// The configuration has changed, not necessarily committed yet.
     MembersChanged(Vec<Member>),
     /// Something that operators want in the log.
@@ -62,26 +105,43 @@
 pub enum StateChange {
     /// This node became the Global Leader.
     GlobalLeader {
+        /// The term that this node was elected for.
         term: u64,
+        /// This node.
         id: NodeId,
     },
     /// This node became the Domain Leader of its region.
     DomainLeader {
+        /// The domain term that this node was elected for.
         domain_term: u64,
+        /// This node.
         id: NodeId,
     },
+    /// This node gave up being the Global Leader.
     SteppedDown {
+        /// The term that it led.
         term: u64,
+        /// Why, in a few words for the operator.
         reason: &'static str,
     },
+    /// As Global Leader, this node no longer hears from a majority of a
+    /// region's voters, so commits stop waiting for that region.
     RegionUnavailable {
+        /// The silent region.
         region: RegionId,
     },
+    /// A majority of the region's voters answers again.
     RegionAvailable {
+        /// The region that answers.
         region: RegionId,
     },
+    /// This node, the Global Leader, began to hand over its leadership. It
+    /// accepts no proposals until that succeeds or times out.
     TransferringLeadership {
+        /// The core that is to campaign next.
         to: NodeId,
     },
+    /// A save failed, so this node takes no part until the store's retry
+    /// succeeds.
     DiskFailed,
 }
--- a/sorreldoor/src/consensus/position.rs
+++ b/sorreldoor/src/consensus/position.rs
@@ -6,22 +6,28 @@
 use crate::types::{Millis, RegionId};
 use std::collections::BTreeMap;
 
-/// Reads and writes of one region's clients in the last period.
+/// Recent reads and writes of one region's clients; both counts are halved every
+/// placement interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
+    /// Requests for a read index by the cores of the region.
     pub reads: u64,
+    /// Proposals that the Global Leader appended for the region's cores.
     pub writes: u64,
 }
 
 /// Predicts the latency that clients see, by the region of the leader.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyModel<'a> {
+    /// Reads and writes by the region that they came from; a region that is
+    /// absent has none.
     pub load: &'a BTreeMap<RegionId, Load>,
     /// One-way delay between two regions, where known, in one direction or
     /// both.
     pub latencies: &'a BTreeMap<(RegionId, RegionId), Millis>,
     /// Regions whose majority answers.
     pub available: &'a [RegionId],
+    /// All regions with members, available or not.
     pub regions: &'a [RegionId],
 }
 
--- a/sorreldoor/src/consensus/raft_log.rs
+++ b/sorreldoor/src/consensus/raft_log.rs
@@ -169,6 +169,7 @@
         self.entries.len()
     }
 
+    /// Whether there are no entries after the base, whatever was compacted.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/sorreldoor/src/consensus/save.rs
+++ b/sorreldoor/src/consensus/save.rs
@@ -9,11 +9,14 @@
 /// under the names of these variants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Save {
+    /// Replace the terms, the votes and the stored commit index.
     #[serde(rename = "Hard")]
     HardState(HardState),
     /// Truncate the log from index `from` on, then append.
     Append {
+        /// Index of the first of `entries`.
         from: u64,
+        /// Entries in the order of the log, without gaps.
         entries: Vec<Entry>,
         /// Commit index known before these entries.
         #[serde(default)]
@@ -22,14 +25,17 @@
     /// Replace the log up to the snapshot; `discard_log` drops the rest too.
     #[serde(rename = "Snap")]
     Snapshot {
+        /// The newest snapshot, taken here or received.
         #[serde(rename = "snap")]
         snapshot: Snapshot,
+        /// Drop the entries after the snapshot, which don't follow on it.
         #[serde(rename = "reset")]
         discard_log: bool,
     },
     /// Claims on request ids, which aren't part of the log but stored beside
     /// it. Written by the release before; still read.
     Claims(Vec<(String, u128)>),
+    /// Claims on request ids; each replaces an earlier one on the same id.
     #[serde(rename = "Noted")]
     ClaimRecord(Vec<ClaimRecord>),
     /// The claims on these request ids have ended.
@@ -41,6 +47,7 @@
 /// for how many milliseconds the claim is retained.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
+    /// The request id that the client chose.
     pub id: String,
     /// One request attempt of one incarnation of an edge.
     #[serde(rename = "by")]
@@ -53,8 +60,12 @@
 /// The state that a store recovers when the process starts.
 #[derive(Clone, Debug)]
 pub struct RecoveredState {
+    /// Terms, votes and the commit index known when they were saved.
     pub hard_state: HardState,
+    /// The entries after the snapshot, or after the start of the log.
     pub log: RaftLog,
+    /// `None` if none has been taken or received yet.
     pub snapshot: Option<Snapshot>,
+    /// Claims that have not ended, each with its full retention.
     pub claims: Vec<ClaimRecord>,
 }
--- a/sorreldoor/src/consensus/status.rs
+++ b/sorreldoor/src/consensus/status.rs
@@ -15,30 +15,40 @@
 const CAUGHT_UP_ENTRIES: u64 = 8;
 
 impl<M: StateMachine> Consensus<M> {
+    /// Identity of this node.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
+    /// The state machine as of the last applied entry.
     pub fn state_machine(&self) -> &M {
         &self.state_machine
     }
 
+    /// Mutable access to the state machine. A change that is not part of a
+    /// committed entry makes replicas diverge.
     pub fn state_machine_mut(&mut self) -> &mut M {
         &mut self.state_machine
     }
 
+    /// The latest term that this node has seen.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
+    /// Whether this node is the Global Leader of its term. A newer one may
+    /// exist already, so this alone doesn't allow a read.
     pub fn leads_globally(&self) -> bool {
         self.role == Role::Leader
     }
 
+    /// Whether this node is the Domain Leader of its region.
     pub fn leads_domain(&self) -> bool {
         self.domain_role == Role::Leader
     }
 
+    /// The Global Leader of the current term, if this node knows it; it may be
+    /// gone.
     pub fn global_leader(&self) -> Option<NodeId> {
         self.global_leader
     }
@@ -53,6 +63,7 @@
         self.applied
     }
 
+    /// The log in memory, committed or not.
     pub fn log(&self) -> &RaftLog {
         &self.log
     }
@@ -62,6 +73,7 @@
         self.snapshot.as_ref().map_or(0, |s| s.image.len())
     }
 
+    /// The members of the newest configuration, committed or not.
     pub fn members(&self) -> &[Member] {
         self.log.members()
     }
@@ -71,6 +83,7 @@
         self.unavailable_regions.iter().copied().collect()
     }
 
+    /// The last known Domain Leader of each region; it may be gone.
     pub fn domain_leaders(&self) -> BTreeMap<RegionId, NodeId> {
         let leaders = self.domain_leaders.iter();
         leaders.map(|(region, l)| (*region, l.id)).collect()
--- a/sorreldoor/src/consensus/timing.rs
+++ b/sorreldoor/src/consensus/timing.rs
@@ -5,6 +5,7 @@
 /// Time-outs, intervals and limits; all follow from `ack_ms` by default.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timing {
+    /// Time between two heartbeats of a leader.
     pub heartbeat_interval: Millis,
     /// The least election time-out; a random part is added.
     pub election_timeout: Millis,
@@ -14,6 +15,8 @@
     pub region_timeout: Millis,
     /// Time after which a region rule that cannot be met is waived.
     pub region_rule_timeout: Millis,
+    /// Time without an answer after which a proposal, a read, an append or a
+    /// result is sent again.
     pub resend_interval: Millis,
     /// A read without a proven read index after this long fails.
     pub read_timeout: Millis,
@@ -40,6 +43,7 @@
 /// A rule of the protocol to break, for tests of the tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
+    /// The protocol is followed.
     #[default]
     None,
     /// Commit without a majority of all voters.
