--- a/sorreldoor/src/replicated_state/command.rs
+++ b/sorreldoor/src/replicated_state/command.rs
@@ -13,20 +13,31 @@
     /// Replaces the configuration document. `new_version` must be above the
     /// current version; without it the version rises by one.
     Put {
+        /// The version that the operator's change builds on.
         base: Version,
+        /// The version to give the result; `None`: the next one.
         #[serde(default, rename = "to")]
         new_version: Option<Version>,
+        /// The complete configuration document as JSON.
         #[serde(rename = "doc")]
         document: String,
     },
     /// Applies an RFC 7396 merge patch to the document.
     #[serde(rename = "Edit")]
-    MergePatch { base: Version, patch: String },
+    MergePatch {
+        /// The version that the patch applies to.
+        base: Version,
+        /// The patch as JSON text.
+        patch: String,
+    },
     /// Evacuates a zone or takes it back into service, as a new version.
     #[serde(rename = "Zone")]
     EvacuateZone {
+        /// The version that the operator's change builds on.
         base: Version,
+        /// The zone to change.
         zone: ZoneIndex,
+        /// True: evacuate the zone. False: take it back into service.
         #[serde(rename = "emptied")]
         evacuated: bool,
     },
@@ -34,23 +45,34 @@
     /// raises the epoch, which is the fencing token of the role.
     #[serde(rename = "Duty")]
     AcquireRole {
+        /// Identity of the core that acquires the role.
         holder: u64,
+        /// The epoch that the core knows. If it is outdated, another core won
+        /// the race and the outcome is [`Outcome::StaleEpoch`].
         #[serde(rename = "above")]
         previous_epoch: Epoch,
     },
     /// Sets tuned weights; fenced by the epoch of the role holder.
     #[serde(rename = "Tune")]
     SetWeights {
+        /// The proposer's epoch.
         epoch: Epoch,
+        /// The version that the weights were computed for. On any other they
+        /// are rejected, since their indices may have moved.
         #[serde(rename = "serial")]
         version: Version,
+        /// Weights to replace; the others stay. Each is clamped to the
+        /// operator's bounds.
         weights: Vec<TunedWeight>,
     },
     /// Sets the recovery state of a region; fenced by the epoch.
     #[serde(rename = "Region")]
     SetRegion {
+        /// The proposer's epoch.
         epoch: Epoch,
+        /// The region to change.
         region: RegionIndex,
+        /// Its new state.
         state: Recovery,
     },
     /// Changes items of the `hosted` section by name. Both texts are JSON
@@ -58,16 +80,22 @@
     /// `services` and any other keys to replace, `drop` holds lists of names.
     #[serde(rename = "Items")]
     ChangeItems {
+        /// The version that the operator's change builds on.
         base: Version,
+        /// The version to give the result; `None`: the next one.
         #[serde(default, rename = "to")]
         new_version: Option<Version>,
+        /// Items to add or to replace by name, and other keys of the section.
         set: String,
+        /// Names of items to delete; one that `set` holds too is set.
         drop: String,
     },
     /// Like `EvacuateZone`, but on any version and without a new one.
     #[serde(rename = "Evacuate")]
     EvacuateUnversioned {
+        /// The zone to change.
         zone: ZoneIndex,
+        /// As in `EvacuateZone`.
         #[serde(rename = "emptied")]
         evacuated: bool,
     },
@@ -76,9 +104,12 @@
     /// came. A delayed duplicate has no effect after later changes.
     #[serde(rename = "EvacuateOnce")]
     EvacuateIfUnchanged {
+        /// The zone to change.
         zone: ZoneIndex,
+        /// As in `EvacuateZone`.
         #[serde(rename = "emptied")]
         evacuated: bool,
+        /// How often the zone had been changed, as the proposing core knew.
         changes: u64,
     },
 }
@@ -103,24 +134,34 @@
     /// The command took effect; `version` is in force after it.
     #[serde(rename = "Taken")]
     Applied {
+        /// The version in force. Changes that make no new version leave it as
+        /// it was.
         #[serde(rename = "serial")]
         version: Version,
     },
     /// Rejected for good: the base version has been superseded.
     Stale {
+        /// The version in force.
         #[serde(rename = "serial")]
         version: Version,
     },
     /// Rejected for good: the content is invalid on its base version.
     #[serde(rename = "Bad")]
-    Invalid { faults: Vec<String> },
+    Invalid {
+        /// Every fault found, as `PATH: what is wrong`.
+        faults: Vec<String>,
+    },
     /// Rejected for good: another holder has acquired the role since.
     #[serde(rename = "OldEpoch")]
-    StaleEpoch { epoch: Epoch },
+    StaleEpoch {
+        /// The current epoch.
+        epoch: Epoch,
+    },
     /// Undecided: the base version does not exist yet, so the same request
     /// may be applied when it is retried.
     #[serde(rename = "NotYet")]
     BaseAhead {
+        /// The version in force, which is below the base.
         #[serde(rename = "serial")]
         version: Version,
     },
@@ -129,6 +170,7 @@
     /// Nothing was changed.
     #[serde(rename = "Unsure")]
     Unknown {
+        /// The version in force.
         #[serde(rename = "serial")]
         version: Version,
     },
--- a/sorreldoor/src/replicated_state/document.rs
+++ b/sorreldoor/src/replicated_state/document.rs
@@ -49,7 +49,9 @@
 pub struct DocumentDelta {
     /// `None` where it has not changed.
     pub rest: Option<DocumentRest>,
+    /// Changes of the list `hosted.services`.
     pub services: ListDelta,
+    /// Changes of the list `hosted.routes`.
     pub routes: ListDelta,
 }
 
--- a/sorreldoor/src/replicated_state/item_list.rs
+++ b/sorreldoor/src/replicated_state/item_list.rs
@@ -47,7 +47,9 @@
 /// An item that was added or changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ItemDelta {
+    /// The item's `name`, unique in its list.
     pub name: Arc<str>,
+    /// The complete item as canonical JSON.
     pub text: Arc<str>,
     /// It moves to the end, also if an older one of its name stands elsewhere.
     #[serde(rename = "last")]
@@ -57,9 +59,12 @@
 /// The difference between two revisions of a list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ListDelta {
+    /// Whether the document has the list after the change.
     #[serde(rename = "given")]
     pub present: bool,
+    /// Items added or replaced, in the order of the list.
     pub set: Vec<ItemDelta>,
+    /// Names of items that are no longer in the list.
     pub deleted: Vec<Arc<str>>,
 }
 
