--- a/sorreldoor/src/configuration/hosted.rs
+++ b/sorreldoor/src/configuration/hosted.rs
@@ -19,10 +19,13 @@
 /// How requests of one host and path prefix are served.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
+    /// Unique in the section; changes and faults name the route by it.
     pub name: String,
+    /// The host that the route serves, in lower case.
     pub host: String,
     /// Begins and ends with a slash.
     pub prefix: String,
+    /// Whether its requests may run more than once.
     pub kind: Kind,
     /// The request timeout in milliseconds.
     pub timeout_ms: u64,
@@ -65,6 +68,7 @@
 /// A set of workers that serve the same requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
+    /// Unique in the section; the name by which routes refer to it.
     pub name: String,
     /// The path of its workers' health check.
     pub health: String,
@@ -74,15 +78,22 @@
     pub warmup_ms: u64,
     /// Requests per second that a worker takes during slow start; 0: no limit.
     pub warmup_per_s: f64,
+    /// `None`: plain web workers, which serve no model.
     pub engine: Option<Engine>,
 }
 
 /// Limits on what clients send; times in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
+    /// The largest head of a request; beyond it the answer is 431.
     pub header_bytes: usize,
+    /// The largest request body; beyond it the answer is 413.
     pub body_bytes: usize,
+    /// Time from the first byte of a request to the end of its head; after it
+    /// the answer is 408.
     pub header_ms: u64,
+    /// Time after which an idle connection is closed. A body may take this or
+    /// `header_ms`, whichever is longer.
     pub idle_ms: u64,
 }
 
@@ -103,8 +114,11 @@
 /// The `hosted` section of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hosted {
+    /// All routes in the operator's order.
     pub routes: Vec<Arc<Route>>,
+    /// All services in the operator's order.
     pub services: Vec<Service>,
+    /// Limits that hold for all routes.
     pub limits: Limits,
     /// Indices of the routes of each host (in lower case): longer prefixes
     /// first, then by prefix.
--- a/sorreldoor/src/configuration/hosted_change.rs
+++ b/sorreldoor/src/configuration/hosted_change.rs
@@ -13,7 +13,9 @@
 /// that are deleted. A name in both is set.
 #[derive(Default)]
 pub struct ListChange<'v> {
+    /// Complete items; each replaces the one of its name or is added.
     pub set: Vec<&'v Value>,
+    /// Names of items to delete.
     pub deleted: HashSet<&'v str>,
 }
 
@@ -44,7 +46,9 @@
 pub struct HostedChange<'v> {
     /// The section without its lists; `None` if that does not change.
     pub rest: Option<&'v Value>,
+    /// Changes of the section's list of services.
     pub services: ListChange<'v>,
+    /// Changes of the section's list of routes.
     pub routes: ListChange<'v>,
 }
 
--- a/sorreldoor/src/configuration/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -15,6 +15,7 @@
 /// them by index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Site {
+    /// Names of the regions.
     pub regions: Vec<String>,
     /// Each zone with the index of its region.
     pub zones: Vec<(String, u8)>,
@@ -64,6 +65,7 @@
 /// A group of workers of one kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
+    /// The name by which services refer to the group.
     pub name: String,
     /// Whether its workers serve a model; else they are plain web workers.
     pub model: bool,
@@ -71,6 +73,7 @@
     pub slots: u32,
     /// Requests that may be queued at one gateway for this group.
     pub queue: u32,
+    /// How a cold worker's share of the slots grows.
     pub warm: Warm,
 }
 
@@ -78,16 +81,21 @@
 /// each time `after` have finished, up to the group's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Warm {
+    /// Requests that a cold worker runs at once.
     pub first: u32,
+    /// Requests that must finish before the limit rises by one.
     pub after: u32,
 }
 
 /// Groups of workers that serve the same requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
+    /// The name by which routes refer to the service.
     pub name: String,
     /// Indices of its groups, the preferred ones first.
     pub groups: Vec<u16>,
+    /// The model adapter that workers are told to use, unless the request names
+    /// its own; `None`: the base model.
     pub adapter: Option<String>,
 }
 
@@ -96,6 +104,7 @@
 pub struct Share {
     /// Index of the service.
     pub service: u16,
+    /// Relative to the weights of the route's other shares.
     pub weight: u32,
     /// The lowest weight that may be tuned.
     pub least: u32,
@@ -106,7 +115,9 @@
 /// How requests of one name are served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
+    /// The name that clients give in the path of a request.
     pub name: String,
+    /// The shape of its requests, by which workers are chosen.
     pub kind: Kind,
     /// Requests are idempotent, so that they may be retried.
     pub repeatable: bool,
@@ -116,14 +127,18 @@
     pub home: bool,
     /// The request timeout in milliseconds.
     pub cutoff_ms: u64,
+    /// The services that share the route's requests.
     pub shares: Vec<Share>,
 }
 
 /// A valid configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
+    /// All groups of workers; elsewhere they are referred to by index.
     pub groups: Vec<Group>,
+    /// All services; elsewhere they are referred to by index.
     pub services: Vec<Service>,
+    /// The gateway's routes by name; tuned weights refer to them by index.
     pub routes: Vec<Route>,
     /// The highest percentage of a region's requests that may spill over to
     /// another, by both regions.
