--- a/sorreldoor/src/store/damage.rs
+++ b/sorreldoor/src/store/damage.rs
@@ -9,7 +9,12 @@
 pub enum Damage {
     /// A later record exists, so a synced one before it was lost.
     #[snafu(display("record {highest} is there but not {missing}"))]
-    MissingRecord { highest: u64, missing: u64 },
+    MissingRecord {
+        /// The highest record number found.
+        highest: u64,
+        /// The number of the first record that is lost.
+        missing: u64,
+    },
     /// Both files hold data, but neither starts with a checkpoint.
     #[snafu(display("no checkpoint can be read"))]
     MissingCheckpoint,
@@ -18,11 +23,22 @@
     LegacyImage,
     /// The log of the previous release skips a batch.
     #[snafu(display("batch {batch} follows batch {previous}"))]
-    LegacyGap { batch: u64, previous: u64 },
+    LegacyGap {
+        /// Number of the batch after the gap.
+        batch: u64,
+        /// Number of the last batch before the gap.
+        previous: u64,
+    },
     /// A batch in the log of the previous release is lost.
     #[snafu(display("batch {batch} cannot be read"))]
-    LegacyBatch { batch: u64 },
+    LegacyBatch {
+        /// Number of the lost batch.
+        batch: u64,
+    },
     /// `okaywal` refuses the log of the previous release.
     #[snafu(display("{reason}"))]
-    LegacyLog { reason: String },
+    LegacyLog {
+        /// The error of `okaywal` as text.
+        reason: String,
+    },
 }
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -27,6 +27,7 @@
 pub struct DurableState {
     /// The term, the vote and the commit index.
     pub hard: HardState,
+    /// The newest snapshot; `None` until the first one is saved.
     #[serde(rename = "snap")]
     pub snapshot: Option<Snapshot>,
     /// The log entries after the snapshot.
--- a/sorreldoor/src/store/durable_store.rs
+++ b/sorreldoor/src/store/durable_store.rs
@@ -26,6 +26,7 @@
 
 /// A store, and what its recovery found.
 pub struct OpenedStore<D> {
+    /// The store, ready for changes.
     pub store: DurableStore<D>,
     /// An unfinished record at the end was dropped.
     pub torn: bool,
