--- a/sorreldoor/src/json/parse.rs
+++ b/sorreldoor/src/json/parse.rs
@@ -11,14 +11,27 @@
 /// Why a text is rejected. Messages continue the name of the document.
 #[derive(Debug, Snafu)]
 pub enum JsonError {
+    /// The text exceeds the caller's limit; nothing of it was parsed.
     #[snafu(display("is larger than {max} bytes"))]
-    TooLarge { max: usize },
+    TooLarge {
+        /// The limit in bytes.
+        max: usize,
+    },
+    /// The text does not follow RFC 8259.
     #[snafu(display("is not JSON: {source}"))]
-    Syntax { source: simd_json::Error },
+    Syntax {
+        /// What the parser met, and where.
+        source: simd_json::Error,
+    },
+    /// Objects and lists are nested deeper than [`MAX_DEPTH`].
     #[snafu(display("is nested deeper than {MAX_DEPTH}"))]
     TooDeep,
+    /// An object repeats a key, so that it has no single meaning.
     #[snafu(display("has the key {key:?} twice"))]
-    DuplicateKey { key: String },
+    DuplicateKey {
+        /// The repeated key.
+        key: String,
+    },
 }
 
 /// Parses a document of at most `max` bytes.
