--- a/sorreldoor/src/settings/mod.rs
+++ b/sorreldoor/src/settings/mod.rs
@@ -73,18 +73,26 @@
 /// What a process runs as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// Runs the control plane: replicates the state and serves operators.
     Core,
+    /// Runs the gateway or the proxy, which serve clients.
     Edge,
 }
 
 /// Values given as flags; each replaces that of the file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
+    /// Name of the node.
     pub node: Option<String>,
+    /// Name of the node's zone.
     pub zone: Option<String>,
+    /// `IP:PORT` for frames of other nodes.
     pub listen: Option<String>,
+    /// `IP:PORT` for HTTP.
     pub http: Option<String>,
+    /// Path of the data folder.
     pub data: Option<String>,
+    /// `IP:PORT` from which the worker list is read.
     pub platform: Option<String>,
     /// Replace the file's where there are any.
     pub seeds: Vec<String>,
