--- a/sorreldoor/src/consensus/event.rs
+++ b/sorreldoor/src/consensus/event.rs
@@ -124,8 +124,9 @@
         /// Why, in a few words for the operator.
         reason: &'static str,
     },
-    /// As Global Leader, this node no longer hears from a majority of a
-    /// region's voters, so commits stop waiting for that region.
+    /// As Global Leader, this node has not heard from a majority of a region's
+    /// voters for `region_timeout`. Commits depend on that region only where
+    /// no majority of all voters exists without it.
     RegionUnavailable {
         /// The silent region.
         region: RegionId,
