--- a/testbed/src/sim/faults.rs
+++ b/testbed/src/sim/faults.rs
@@ -1,80 +1,81 @@
-//! A seeded storm of faults over a run with racing operators.
+//! Random faults, drawn from the seed, with concurrent operators.
 
 use super::Sim;
 use sorreldoor::types::Millis;
 
-/// One random fault, or an end to one.
-fn fault(s: &mut Sim) {
-    let n = s.nodes.len() as u64;
-    let i = s.rng.below(n) as usize;
-    let j = s.rng.below(n) as usize;
-    match s.rng.below(14) {
+/// Starts or ends one random fault.
+fn inject_random_fault(sim: &mut Sim) {
+    let node_count = sim.nodes.len() as u64;
+    let node = sim.rng.below(node_count) as usize;
+    let other = sim.rng.below(node_count) as usize;
+    match sim.rng.below(14) {
         0 | 1 => {
-            if s.nodes[i].up() {
-                s.crash(i);
+            if sim.nodes[node].is_running() {
+                sim.crash(node);
             }
         }
         2..=4 => {
-            for i in 0..s.nodes.len() {
-                if !s.nodes[i].up() {
-                    s.start(i);
+            for node in 0..sim.nodes.len() {
+                if !sim.nodes[node].is_running() {
+                    sim.start(node);
                 }
             }
         }
-        5 => s.cut_both(i, j),
+        5 => sim.block_both_ways(node, other),
         6 => {
-            s.cuts.insert((i, j));
+            sim.blocked_links.insert((node, other));
         }
-        7 => s.isolate(i),
-        8 | 9 => s.cuts.clear(),
+        7 => sim.isolate(node),
+        8 | 9 => sim.blocked_links.clear(),
         10 => {
-            let ms = 100 + s.rng.below(2500);
-            s.freeze(i, ms);
+            let duration_ms = 100 + sim.rng.below(2500);
+            sim.freeze(node, duration_ms);
         }
-        11 => s.nodes[i].clock += s.rng.below(3000),
-        12 => s.nodes[i].disk.sync_ms = 1 + s.rng.below(80),
-        _ => s.nodes[i].disk.stuck = !s.nodes[i].disk.stuck,
+        11 => sim.nodes[node].clock_offset += sim.rng.below(3000),
+        12 => sim.nodes[node].disk.sync_ms = 1 + sim.rng.below(80),
+        _ => sim.nodes[node].disk.stuck = !sim.nodes[node].disk.stuck,
     }
 }
 
-/// Operators ask and faults strike for `ms`; then all heals and settles.
-pub fn storm(s: &mut Sim, ms: Millis) {
-    let end = s.now + ms;
-    let mut next_fault = s.now + 500;
-    while s.now < end {
-        let step = 5 + s.rng.below(60);
-        s.run_for(step);
-        if s.now >= next_fault {
-            fault(s);
-            next_fault = s.now + 50 + s.rng.below(700);
+/// Runs operators and faults for `duration_ms`, then heals all faults and waits
+/// until the group is stable.
+pub fn run_with_faults(sim: &mut Sim, duration_ms: Millis) {
+    let end = sim.now + duration_ms;
+    let mut next_fault = sim.now + 500;
+    while sim.now < end {
+        let step = 5 + sim.rng.below(60);
+        sim.run_for(step);
+        if sim.now >= next_fault {
+            inject_random_fault(sim);
+            next_fault = sim.now + 50 + sim.rng.below(700);
         }
-        ask(s);
+        start_random_operation(sim);
     }
-    s.heal();
-    for i in 0..s.nodes.len() {
-        if !s.nodes[i].up() {
-            s.start(i);
+    sim.heal();
+    for node in 0..sim.nodes.len() {
+        if !sim.nodes[node].is_running() {
+            sim.start(node);
         }
     }
-    s.run_for(6000);
+    sim.run_for(6000);
 }
 
-/// A change that builds on what some node shows, a read, or a retry.
-pub fn ask(s: &mut Sim) {
-    let at = s.rng.below(s.nodes.len() as u64) as usize;
-    let Some(version) = s.nodes[at].record().map(|r| r.version()) else {
+/// Starts a change based on some node's version, a read, or a retry.
+pub fn start_random_operation(sim: &mut Sim) {
+    let node = sim.rng.below(sim.nodes.len() as u64) as usize;
+    let Some(version) = sim.nodes[node].replicated_state().map(|r| r.version()) else {
         return;
     };
-    match s.rng.below(5) {
+    match sim.rng.below(5) {
         0 | 1 => {
-            s.change(at, version);
+            sim.propose_change(node, version);
         }
-        2 if !s.ops.is_empty() => {
-            let k = s.rng.below(s.ops.len() as u64) as u128 + 1;
-            s.again(at, k);
+        2 if !sim.operations.is_empty() => {
+            let proposal_id = sim.rng.below(sim.operations.len() as u64) as u128 + 1;
+            sim.retry(node, proposal_id);
         }
         _ => {
-            s.read(at);
+            sim.read(node);
         }
     }
 }
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -1,18 +1,18 @@
-//! Cores in virtual time: the very reducers of the product, with a network,
-//! disks and clocks that fail on purpose.
+//! A deterministic simulation of the cores in virtual time: the product's own
+//! consensus code over a network, disks and clocks with injected faults.
 
-mod askers;
-mod check;
-mod core;
 mod faults;
+mod history;
 mod network;
+mod node;
+mod operations;
 mod queries;
 mod uplink;
 
-pub use askers::{Act, Done, Op};
-pub use check::{check, same, Trail};
-pub use core::{Node, Watched};
-pub use faults::{ask, storm};
+pub use faults::{run_with_faults, start_random_operation};
+pub use history::{check_convergence, check_history, History};
+pub use node::{Node, RecordingStateMachine};
+pub use operations::{Operation, OperationKind, OperationResult};
 pub use uplink::{Bandwidth, Uplink};
 
 use crate::rand::Rand;
@@ -25,17 +25,22 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+/// The interval of a node's ticks.
 pub const TICK: Millis = 10;
 
+/// How often a stuck disk is tried again.
+const STUCK_DISK_POLL_MS: Millis = 50;
+
+/// A scheduled event of the simulation.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum What {
+pub(crate) enum SimEvent {
     Tick(usize, u64),
-    Arrive {
+    Deliver {
         to: usize,
         from: NodeId,
         msg: Msg,
-        /// The life of the receiver that the connection was to; without a
-        /// bandwidth there are no connections.
+        /// The incarnation of the receiver that the connection was to; `None`
+        /// without a bandwidth, as there are no connections then.
         incarnation: Option<u64>,
     },
     Synced {
@@ -43,11 +48,12 @@
         incarnation: u64,
         seq: u64,
     },
-    Thaw(usize, u64),
+    Unfreeze(usize, u64),
 }
 
 type Filter = Box<dyn Fn(usize, usize, &Msg) -> bool>;
 
+/// A group of simulated cores, with the queue of events to come.
 pub struct Sim {
     pub now: Millis,
     pub rng: Rand,
@@ -55,141 +61,155 @@
     pub timing: Timing,
     pub site: Arc<Site>,
     /// One-way delay within a region and between two.
-    pub near: Millis,
-    pub far: Millis,
-    pub jitter: Millis,
-    pub loss: u64,
-    pub twice: u64,
-    /// What each node can send; none: as much as it likes, in any order.
+    pub intra_region_delay_ms: Millis,
+    pub inter_region_delay_ms: Millis,
+    pub jitter_ms: Millis,
+    pub loss_percent: u64,
+    pub duplicate_percent: u64,
+    /// Bandwidth of each node's uplink; `None` is unlimited and unordered.
     pub bandwidth: Option<Bandwidth>,
-    /// Pairs (from, to) whose messages are lost.
-    pub cuts: BTreeSet<(usize, usize)>,
-    /// Messages that the filter names, by sender and receiver, are lost.
-    pub drop_if: Option<Filter>,
-    pub sent: BTreeMap<&'static str, u64>,
-    /// Messages that went between regions, by kind.
-    pub far_sent: BTreeMap<&'static str, u64>,
-    pub trail: Rc<RefCell<Trail>>,
-    pub ops: Vec<Op>,
-    pub notes: Vec<(Millis, NodeId, StateChange)>,
-    queue: BTreeMap<(Millis, u64), What>,
-    count: u64,
-    events: u64,
-    pub most_events: u64,
+    /// Pairs (from, to) whose messages are lost, by index of the node.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    /// Messages for which the filter (sender, receiver, message) holds are lost.
+    pub drop_filter: Option<Filter>,
+    pub sent_by_kind: BTreeMap<&'static str, u64>,
+    /// Messages sent between regions, by kind.
+    pub sent_between_regions: BTreeMap<&'static str, u64>,
+    pub history: Rc<RefCell<History>>,
+    pub operations: Vec<Operation>,
+    pub state_changes: Vec<(Millis, NodeId, StateChange)>,
+    queue: BTreeMap<(Millis, u64), SimEvent>,
+    scheduled_events: u64,
+    processed_events: u64,
+    pub max_events: u64,
 }
 
+/// A site of up to four regions with three zones each.
 pub fn site(regions: usize) -> Arc<Site> {
-    let names = ["a", "b", "c", "d"];
+    let region_names = ["a", "b", "c", "d"];
     Arc::new(Site {
-        regions: names[..regions].iter().map(|s| s.to_string()).collect(),
+        regions: region_names[..regions]
+            .iter()
+            .map(|name| name.to_string())
+            .collect(),
         zones: (0..regions as u8)
-            .flat_map(|r| (0..3).map(move |z| (format!("{}{z}", names[r as usize]), r)))
+            .flat_map(|region| {
+                (0..3).map(move |z| (format!("{}{z}", region_names[region as usize]), region))
+            })
             .collect(),
     })
 }
 
 impl Sim {
-    /// `shape[i]` is the region of core i.
-    pub fn new(seed: u64, shape: &[RegionId], timing: Timing) -> Sim {
-        let regions = shape.iter().max().map_or(1, |m| *m as usize + 1);
-        let members: Vec<Member> = shape
+    /// `core_regions[i]` is the region of core `i`.
+    pub fn new(seed: u64, core_regions: &[RegionId], timing: Timing) -> Sim {
+        let regions = core_regions
+            .iter()
+            .max()
+            .map_or(1, |highest| *highest as usize + 1);
+        let members: Vec<Member> = core_regions
             .iter()
             .enumerate()
-            .map(|(i, r)| member(i, *r, true))
+            .map(|(i, region)| member(i, *region, true))
             .collect();
-        let mut s = Sim {
+        let mut sim = Sim {
             now: 0,
             rng: Rand::new(seed),
             nodes: Vec::new(),
             timing,
             site: site(regions),
-            near: 1,
-            far: 30,
-            jitter: 2,
-            loss: 0,
-            twice: 0,
+            intra_region_delay_ms: 1,
+            inter_region_delay_ms: 30,
+            jitter_ms: 2,
+            loss_percent: 0,
+            duplicate_percent: 0,
             bandwidth: None,
-            cuts: BTreeSet::new(),
-            drop_if: None,
-            sent: BTreeMap::new(),
-            far_sent: BTreeMap::new(),
-            trail: Rc::default(),
-            ops: Vec::new(),
-            notes: Vec::new(),
+            blocked_links: BTreeSet::new(),
+            drop_filter: None,
+            sent_by_kind: BTreeMap::new(),
+            sent_between_regions: BTreeMap::new(),
+            history: Rc::default(),
+            operations: Vec::new(),
+            state_changes: Vec::new(),
             queue: BTreeMap::new(),
-            count: 0,
-            events: 0,
-            most_events: 1_000_000,
+            scheduled_events: 0,
+            processed_events: 0,
+            max_events: 1_000_000,
         };
-        for (i, r) in shape.iter().enumerate() {
-            let n = Node::founded(i, *r, &members, &s.site);
-            s.nodes.push(n);
-            s.start(i);
+        for (i, region) in core_regions.iter().enumerate() {
+            let node = Node::bootstrapped(i, *region, &members, &sim.site);
+            sim.nodes.push(node);
+            sim.start(i);
         }
-        s
+        sim
     }
 
-    /// A blank core at a new address, not yet a member of anything.
-    pub fn add_blank(&mut self, region: RegionId) -> usize {
+    /// Adds a core with an empty disk at a new address, not yet a member.
+    pub fn add_node(&mut self, region: RegionId) -> usize {
         let i = self.nodes.len();
-        self.nodes.push(Node::blank(i, region));
+        self.nodes.push(Node::uninitialized(i, region));
         self.start(i);
         i
     }
 
-    pub(crate) fn plan(&mut self, at: Millis, w: What) {
-        self.count += 1;
-        self.queue.insert((at, self.count), w);
+    pub(crate) fn schedule(&mut self, at: Millis, event: SimEvent) {
+        self.scheduled_events += 1;
+        self.queue.insert((at, self.scheduled_events), event);
     }
 
+    /// Starts a node from its disk.
     pub fn start(&mut self, i: usize) {
         let seed = self.rng.draw();
-        let machine = Watched::new(
+        let machine = RecordingStateMachine::new(
             ReplicatedState::new(self.site.clone()),
-            self.trail.clone(),
+            self.history.clone(),
             i,
         );
         let (timing, now) = (self.timing.clone(), self.now);
         let incarnation = self.nodes[i].start(timing, machine, seed, now);
         let at = now + 1 + self.rng.below(TICK);
-        self.plan(at, What::Tick(i, incarnation));
+        self.schedule(at, SimEvent::Tick(i, incarnation));
     }
 
-    /// Kill a node; of the saves not yet synced, some first few may survive.
+    /// Crashes a node; a random prefix of the saves not yet synced survives.
     pub fn crash(&mut self, i: usize) {
-        let n = self.nodes[i].disk.unsynced() as u64;
-        let survive = self.rng.below(n + 1) as usize;
+        let unsynced = self.nodes[i].disk.unsynced() as u64;
+        let survive = self.rng.below(unsynced + 1) as usize;
         self.nodes[i].crash(survive);
-        self.lose_asks(i);
+        self.fail_pending_operations(i);
     }
 
+    /// Stops a node's process for `for_ms`, as by SIGSTOP.
     pub fn freeze(&mut self, i: usize, for_ms: Millis) {
         let until = self.now + for_ms;
         self.nodes[i].frozen_until = until;
         let incarnation = self.nodes[i].incarnation;
-        self.plan(until, What::Thaw(i, incarnation));
+        self.schedule(until, SimEvent::Unfreeze(i, incarnation));
     }
 
-    pub fn cut_both(&mut self, a: usize, b: usize) {
-        self.cuts.insert((a, b));
-        self.cuts.insert((b, a));
+    /// Blocks the link between two nodes in both directions.
+    pub fn block_both_ways(&mut self, first: usize, second: usize) {
+        self.blocked_links.insert((first, second));
+        self.blocked_links.insert((second, first));
     }
 
-    pub fn isolate(&mut self, a: usize) {
-        for b in 0..self.nodes.len() {
-            if a != b {
-                self.cut_both(a, b);
+    /// Blocks all links from and to a node.
+    pub fn isolate(&mut self, node: usize) {
+        for peer in 0..self.nodes.len() {
+            if node != peer {
+                self.block_both_ways(node, peer);
             }
         }
     }
 
+    /// Ends faults of the network and the disks; crashed nodes stay down.
     pub fn heal(&mut self) {
-        self.cuts.clear();
-        self.loss = 0;
-        self.twice = 0;
-        for n in &mut self.nodes {
-            n.disk.sync_ms = 1;
-            n.disk.stuck = false;
+        self.blocked_links.clear();
+        self.loss_percent = 0;
+        self.duplicate_percent = 0;
+        for node in &mut self.nodes {
+            node.disk.sync_ms = 1;
+            node.disk.stuck = false;
         }
     }
 
@@ -198,130 +218,139 @@
         self.run_until(end, |_| false);
     }
 
-    /// Run until `f` holds or time is up; true if it held.
-    pub fn run_until(&mut self, end: Millis, f: impl Fn(&Sim) -> bool) -> bool {
-        while let Some(at) = self.queue.keys().next().map(|k| k.0) {
-            if f(self) {
+    /// Runs until `predicate` holds or `end` has passed; whether it held.
+    pub fn run_until(&mut self, end: Millis, predicate: impl Fn(&Sim) -> bool) -> bool {
+        while let Some(at) = self.queue.keys().next().map(|key| key.0) {
+            if predicate(self) {
                 return true;
             }
             if at > end {
                 break;
             }
             self.now = self.now.max(at);
-            self.events += 1;
-            // reducers that only chatter at each other would never end
-            assert!(self.events < self.most_events, "too many events: chatter");
-            if let Some((_, w)) = self.queue.pop_first() {
-                self.happen(w);
+            self.processed_events += 1;
+            // a message loop between the nodes would never end
+            assert!(
+                self.processed_events < self.max_events,
+                "too many events: a message loop"
+            );
+            if let Some((_, event)) = self.queue.pop_first() {
+                self.dispatch(event);
             }
         }
         self.now = self.now.max(end);
-        f(self)
+        predicate(self)
     }
 
-    fn happen(&mut self, w: What) {
-        match w {
-            What::Tick(i, incarnation) => {
-                if self.nodes[i].incarnation != incarnation || !self.nodes[i].up() {
+    fn dispatch(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Tick(i, incarnation) => {
+                if self.nodes[i].incarnation != incarnation || !self.nodes[i].is_running() {
                     return;
                 }
                 let at = self.now + TICK;
-                self.plan(at, What::Tick(i, incarnation));
-                self.give(i, Event::Tick);
+                self.schedule(at, SimEvent::Tick(i, incarnation));
+                self.deliver(i, Event::Tick);
             }
-            What::Arrive {
+            SimEvent::Deliver {
                 to,
                 from,
                 msg,
                 incarnation,
             } => {
-                // a connection ends with the process that it was to
-                if incarnation.is_none_or(|b| b == self.nodes[to].incarnation) {
-                    self.give(to, Event::Received { from, msg });
+                // a connection ends with the receiving process
+                if incarnation.is_none_or(|connected| connected == self.nodes[to].incarnation) {
+                    self.deliver(to, Event::Received { from, msg });
                 }
             }
-            What::Synced {
+            SimEvent::Synced {
                 node,
                 incarnation,
                 seq,
-            } => {
-                if self.nodes[node].incarnation == incarnation && self.nodes[node].up() {
-                    if self.nodes[node].disk.stuck {
-                        let at = self.now + 50;
-                        self.plan(
-                            at,
-                            What::Synced {
-                                node,
-                                incarnation,
-                                seq,
-                            },
-                        );
-                        return;
-                    }
-                    self.nodes[node].disk.synced(seq);
-                    self.give(node, Event::Saved { seq });
-                }
-            }
-            What::Thaw(i, incarnation) => {
+            } => self.disk_synced(node, incarnation, seq),
+            SimEvent::Unfreeze(i, incarnation) => {
                 if self.nodes[i].incarnation == incarnation {
-                    for ev in std::mem::take(&mut self.nodes[i].waiting) {
-                        self.give(i, ev);
+                    for event in std::mem::take(&mut self.nodes[i].buffered_events) {
+                        self.deliver(i, event);
                     }
                 }
             }
         }
     }
 
-    pub fn give(&mut self, i: usize, ev: Event) {
+    /// A save has reached the disk, unless the disk is stuck.
+    fn disk_synced(&mut self, node: usize, incarnation: u64, seq: u64) {
+        if self.nodes[node].incarnation != incarnation || !self.nodes[node].is_running() {
+            return;
+        }
+        if self.nodes[node].disk.stuck {
+            let at = self.now + STUCK_DISK_POLL_MS;
+            self.schedule(
+                at,
+                SimEvent::Synced {
+                    node,
+                    incarnation,
+                    seq,
+                },
+            );
+            return;
+        }
+        self.nodes[node].disk.synced(seq);
+        self.deliver(node, Event::Saved { seq });
+    }
+
+    /// Hands an event to a node; a frozen node buffers all but ticks.
+    pub fn deliver(&mut self, i: usize, event: Event) {
         let now = self.now;
-        if !self.nodes[i].up() {
+        if !self.nodes[i].is_running() {
             return;
         }
         if self.nodes[i].frozen_until > now {
-            // a frozen process finds its full buffers when it wakes
-            if ev != Event::Tick && self.nodes[i].waiting.len() < 1000 {
-                self.nodes[i].waiting.push(ev);
+            // a frozen process reads its socket buffers when it resumes
+            if event != Event::Tick && self.nodes[i].buffered_events.len() < 1000 {
+                self.nodes[i].buffered_events.push(event);
             }
             return;
         }
-        let fx = self.nodes[i].step(ev, now);
-        for e in fx {
-            self.effect(i, e);
+        let effects = self.nodes[i].step(event, now);
+        for effect in effects {
+            self.execute(i, effect);
         }
     }
 
-    fn effect(&mut self, i: usize, e: Effect) {
-        match e {
+    fn execute(&mut self, i: usize, effect: Effect) {
+        match effect {
             Effect::Save { seq, save } => {
                 let incarnation = self.nodes[i].incarnation;
                 let at = self.nodes[i].disk.queue(seq, save, self.now);
-                self.plan(
+                self.schedule(
                     at,
-                    What::Synced {
+                    SimEvent::Synced {
                         node: i,
                         incarnation,
                         seq,
                     },
                 );
             }
-            Effect::Send { to, msg } => self.carry(i, to, msg),
+            Effect::Send { to, msg } => self.send_message(i, to, msg),
             Effect::ProposalResult {
                 proposal_id,
                 outcome,
-            } => self.resulted(i, proposal_id, outcome),
-            Effect::ReadReady { request_id, ok } => self.read_ready(i, request_id, ok),
-            Effect::StateChanged(n) => {
+            } => self.proposal_completed(proposal_id, outcome),
+            Effect::ReadReady { request_id, ok } => self.read_completed(i, request_id, ok),
+            Effect::StateChanged(change) => {
                 let id = self.nodes[i].id;
-                if let StateChange::GlobalLeader { term, id } = &n {
-                    self.trail.borrow_mut().led(*term, *id);
+                if let StateChange::GlobalLeader { term, id } = &change {
+                    self.history.borrow_mut().record_leader(*term, *id);
                 }
-                self.notes.push((self.now, id, n));
+                self.state_changes.push((self.now, id, change));
             }
             Effect::Applied { .. } | Effect::MembersChanged(_) => {}
         }
     }
 }
 
+/// The membership entry of core `i`.
 pub fn member(i: usize, region: RegionId, voter: bool) -> Member {
     Member {
         id: i as NodeId + 1,
@@ -333,8 +362,9 @@
     }
 }
 
-pub fn kind(m: &Msg) -> &'static str {
-    match m {
+/// The kind under which a message is counted.
+pub fn message_kind(message: &Msg) -> &'static str {
+    match message {
         Msg::DomainVoteRequest { .. } | Msg::DomainVoteReply { .. } => "domain-vote",
         Msg::DomainHeartbeat { .. } | Msg::DomainHeartbeatReply { .. } => "domain-beat",
         Msg::VoteRequest { .. } | Msg::VoteReply { .. } => "vote",
--- a/testbed/src/sim/network.rs
+++ b/testbed/src/sim/network.rs
@@ -1,37 +1,47 @@
-//! The simulated network: delay, loss, cuts, and links of limited bandwidth.
+//! The simulated network: delay, loss, partitions, and links of limited bandwidth.
 
 use super::*;
 
 impl Sim {
-    pub(super) fn carry(&mut self, i: usize, to: NodeId, msg: Msg) {
-        *self.sent.entry(kind(&msg)).or_default() += 1;
-        let Some(t) = self.nodes.iter().position(|n| n.id == to) else {
+    pub(super) fn send_message(&mut self, sender: usize, to: NodeId, msg: Msg) {
+        *self.sent_by_kind.entry(message_kind(&msg)).or_default() += 1;
+        let Some(receiver) = self.nodes.iter().position(|n| n.id == to) else {
             return;
         };
-        let away = self.nodes[i].region != self.nodes[t].region;
-        if away {
-            *self.far_sent.entry(kind(&msg)).or_default() += 1;
+        let crosses_regions = self.nodes[sender].region != self.nodes[receiver].region;
+        if crosses_regions {
+            *self
+                .sent_between_regions
+                .entry(message_kind(&msg))
+                .or_default() += 1;
         }
-        let lost = self.cuts.contains(&(i, t))
-            || self.rng.chance(self.loss)
-            || self.drop_if.as_ref().is_some_and(|f| f(i, t, &msg));
+        let lost = self.blocked_links.contains(&(sender, receiver))
+            || self.rng.chance(self.loss_percent)
+            || self
+                .drop_filter
+                .as_ref()
+                .is_some_and(|drop| drop(sender, receiver, &msg));
         if lost {
             return;
         }
         if let Some(bandwidth) = self.bandwidth {
-            self.carry_in_order(bandwidth, i, t, msg);
+            self.send_in_order(bandwidth, sender, receiver, msg);
             return;
         }
-        let copies = 1 + u64::from(self.rng.chance(self.twice));
+        let copies = 1 + u64::from(self.rng.chance(self.duplicate_percent));
         for _ in 0..copies {
-            let base = if away { self.far } else { self.near };
-            let at = self.now + base + self.rng.below(self.jitter + 1);
-            let (from, msg) = (self.nodes[i].id, msg.clone());
+            let delay = if crosses_regions {
+                self.inter_region_delay_ms
+            } else {
+                self.intra_region_delay_ms
+            };
+            let at = self.now + delay + self.rng.below(self.jitter_ms + 1);
+            let (from, msg) = (self.nodes[sender].id, msg.clone());
             let incarnation = None;
-            self.plan(
+            self.schedule(
                 at,
-                What::Arrive {
-                    to: t,
+                SimEvent::Deliver {
+                    to: receiver,
                     from,
                     msg,
                     incarnation,
@@ -40,22 +50,26 @@
         }
     }
 
-    /// As one connection between two nodes does it: in order, behind all else
-    /// that the sender has not got rid of yet.
-    fn carry_in_order(&mut self, bandwidth: Bandwidth, i: usize, t: usize, msg: Msg) {
-        if !self.nodes[t].up() {
+    /// Sends as one connection between two nodes does: in order, behind all
+    /// frames that the sender's uplink has queued.
+    fn send_in_order(&mut self, bandwidth: Bandwidth, sender: usize, receiver: usize, msg: Msg) {
+        if !self.nodes[receiver].is_running() {
             return;
         }
-        let away = self.nodes[i].region != self.nodes[t].region;
-        let delay = if away { self.far } else { self.near };
+        let crosses_regions = self.nodes[sender].region != self.nodes[receiver].region;
+        let delay = if crosses_regions {
+            self.inter_region_delay_ms
+        } else {
+            self.intra_region_delay_ms
+        };
         let bytes = uplink::frame_bytes(&msg);
-        let left = self.nodes[i].uplink.send(bandwidth, self.now, bytes);
-        let from = self.nodes[i].id;
-        let incarnation = Some(self.nodes[t].incarnation);
-        self.plan(
-            left + delay,
-            What::Arrive {
-                to: t,
+        let sent_at = self.nodes[sender].uplink.send(bandwidth, self.now, bytes);
+        let from = self.nodes[sender].id;
+        let incarnation = Some(self.nodes[receiver].incarnation);
+        self.schedule(
+            sent_at + delay,
+            SimEvent::Deliver {
+                to: receiver,
                 from,
                 msg,
                 incarnation,
--- a/testbed/src/sim/uplink.rs
+++ b/testbed/src/sim/uplink.rs
@@ -1,11 +1,11 @@
-//! The sending side of a node's network interface: one queue, so many bytes a
-//! millisecond.
+//! The sending side of a node's network interface: one queue drained at a fixed
+//! bandwidth.
 
 use sorreldoor::consensus::Msg;
 use sorreldoor::types::Millis;
 use sorreldoor::wire::{self, Payload};
 
-/// Bytes that one node can send in a millisecond, to all others together.
+/// Bytes per millisecond that one node can send, to all peers together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bandwidth {
     bytes_per_ms: u64,
@@ -19,20 +19,20 @@
     }
 }
 
-/// The queue of one node.
+/// The send queue of one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Uplink {
     /// When the last byte queued so far has left, in microseconds.
     busy_until_us: u64,
     /// Bytes sent since the start of the process.
     pub sent_bytes: u64,
-    /// The longest that anything waited behind what was queued before it.
+    /// The longest time a frame waited in the queue.
     pub longest_wait: Millis,
     pub largest_frame: u64,
 }
 
 impl Uplink {
-    /// Queue a frame; when its last byte has left.
+    /// Queues a frame; returns the time at which its last byte has been sent.
     pub fn send(&mut self, bandwidth: Bandwidth, now: Millis, bytes: u64) -> Millis {
         let now_us = now * 1000;
         let begins_us = self.busy_until_us.max(now_us);
@@ -45,7 +45,7 @@
     }
 }
 
-/// What a message takes on the wire.
+/// The encoded size of a message.
 pub fn frame_bytes(msg: &Msg) -> u64 {
     wire::pack("", &Payload::Consensus(msg.clone())).len() as u64
 }
--- a/testbed/tests/catch_up/bounds.rs
+++ b/testbed/tests/catch_up/bounds.rs
@@ -12,9 +12,9 @@
             ..timing(broken)
         },
     );
-    s.most_events = 20_000_000;
+    s.max_events = 20_000_000;
     s.bandwidth = Some(Bandwidth::megabits_per_second(10));
-    let leader = s.settle();
+    let leader = s.wait_for_leader();
     put(&mut s, leader, 3500, 0);
     let away = follower(&s, leader);
     s.crash(away);
@@ -25,7 +25,7 @@
     while took.is_none() && s.now < began + 10_000 {
         // whether they are taken or not, the log grows by them
         let base = s.highest_version();
-        s.change(leader, base);
+        s.propose_change(leader, base);
         s.run_for(CHANGE_EVERY);
         took = (applied(&s, away) + 3 >= applied(&s, leader)).then_some(s.now - began);
     }
@@ -52,23 +52,23 @@
             ..timing(broken)
         },
     );
-    s.most_events = 300_000;
-    let old = s.settle();
+    s.max_events = 300_000;
+    let old = s.wait_for_leader();
     s.isolate(old);
     for _ in 0..60 {
         let base = s.highest_version();
-        s.change(old, base);
+        s.propose_change(old, base);
     }
     s.run_for(3000);
     let next = s.leader().expect("the others have a leader");
     changes(&mut s, next, 40);
-    s.cuts.clear();
+    s.blocked_links.clear();
     s.run_for(3000);
     changes(&mut s, next, 3);
     s.heal();
     s.run_for(6000);
-    let mut wrong = check(&s);
-    wrong.extend(same(&s));
+    let mut wrong = check_history(&s);
+    wrong.extend(check_convergence(&s));
     wrong
 }
 
@@ -90,9 +90,9 @@
     for round in 1..=10 {
         for _ in 0..500 {
             let base = s.highest_version();
-            let p = s.change(leader, base);
+            let p = s.propose_change(leader, base);
             let end = s.now + 1000;
-            s.run_until(end, |s| s.op(p).done != Done::Open);
+            s.run_until(end, |s| s.operation(p).result != OperationResult::Pending);
         }
         let c = consensus(&s, leader);
         let log_bytes = c.log().bytes_after(c.log().base().index);
@@ -139,17 +139,17 @@
             ..timing(InjectedFault::None)
         },
     );
-    s.most_events = 2_000_000;
+    s.max_events = 2_000_000;
     s.bandwidth = bandwidth;
-    s.settle();
+    s.wait_for_leader();
     for mark in 0..4 {
-        s.loss = seed % 7;
-        s.twice = seed % 5;
-        s.jitter = 1 + seed % 40;
+        s.loss_percent = seed % 7;
+        s.duplicate_percent = seed % 5;
+        s.jitter_ms = 1 + seed % 40;
         let at = s.rng.below(preset.len() as u64) as usize;
         let base = s.highest_version();
         let doc = configuration(400 + 100 * mark, mark);
-        s.order(
+        s.propose_command(
             at,
             base,
             &Command::Put {
@@ -158,12 +158,12 @@
                 document: doc,
             },
         );
-        storm(&mut s, 3000);
-        let mut wrong = check(&s);
-        wrong.extend(same(&s));
+        run_with_faults(&mut s, 3000);
+        let mut wrong = check_history(&s);
+        wrong.extend(check_convergence(&s));
         assert!(wrong.is_empty(), "seed {seed}, {preset:?}: {wrong:#?}");
     }
-    let leader = s.settle();
+    let leader = s.wait_for_leader();
     changes(&mut s, leader, 3);
 }
 
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -9,7 +9,9 @@
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::Command;
 use sorreldoor::types::{Millis, RegionId};
-use testbed::sim::{check, same, storm, Bandwidth, Done, Sim};
+use testbed::sim::{
+    check_convergence, check_history, run_with_faults, Bandwidth, OperationResult, Sim,
+};
 
 /// Between two changes of the configuration.
 const CHANGE_EVERY: Millis = 100;
@@ -43,10 +45,10 @@
 /// A settled group on links of 10 Mbit/s, with a configuration of `routes`.
 fn group(seed: u64, preset: &[RegionId], routes: usize, broken: InjectedFault) -> (Sim, usize) {
     let mut s = Sim::new(seed, preset, timing(broken));
-    s.far = 35;
-    s.most_events = 20_000_000;
+    s.inter_region_delay_ms = 35;
+    s.max_events = 20_000_000;
     s.bandwidth = Some(Bandwidth::megabits_per_second(10));
-    let leader = s.settle();
+    let leader = s.wait_for_leader();
     put(&mut s, leader, routes, 0);
     (s, leader)
 }
@@ -54,7 +56,7 @@
 fn put(s: &mut Sim, at: usize, routes: usize, mark: usize) {
     let base = s.highest_version();
     let doc = configuration(routes, mark);
-    let p = s.order(
+    let p = s.propose_command(
         at,
         base,
         &Command::Put {
@@ -64,18 +66,25 @@
         },
     );
     let end = s.now + 20_000;
-    s.run_until(end, |s| s.op(p).done != Done::Open);
-    assert!(s.op(p).took(), "{:?}", s.op(p).done);
+    s.run_until(end, |s| s.operation(p).result != OperationResult::Pending);
+    assert!(s.operation(p).was_applied(), "{:?}", s.operation(p).result);
 }
 
 /// Changes one after the other; each must be acknowledged.
 fn changes(s: &mut Sim, at: usize, count: usize) {
     for _ in 0..count {
         let base = s.highest_version();
-        let p = s.change(at, base);
+        let p = s.propose_change(at, base);
         let next = s.now + CHANGE_EVERY;
-        s.run_until(next + 4000, |s| s.op(p).done != Done::Open);
-        assert!(s.op(p).took(), "at {}: {:?}", s.now, s.op(p).done);
+        s.run_until(next + 4000, |s| {
+            s.operation(p).result != OperationResult::Pending
+        });
+        assert!(
+            s.operation(p).was_applied(),
+            "at {}: {:?}",
+            s.now,
+            s.operation(p).result
+        );
         let rest = next.saturating_sub(s.now);
         s.run_for(rest);
     }
@@ -100,7 +109,7 @@
 }
 
 fn leaders_since(s: &Sim, at: Millis) -> usize {
-    s.notes
+    s.state_changes
         .iter()
         .filter(|(t, _, n)| *t >= at && matches!(n, StateChange::GlobalLeader { .. }))
         .count()
@@ -109,8 +118,8 @@
 fn sound(s: &mut Sim) {
     s.heal();
     s.run_for(6000);
-    let mut wrong = check(s);
-    wrong.extend(same(s));
+    let mut wrong = check_history(s);
+    wrong.extend(check_convergence(s));
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
 
@@ -167,14 +176,16 @@
 /// All that are up start again with a rule broken; who leads then.
 fn restart_with(s: &mut Sim, broken: InjectedFault) -> usize {
     s.timing.injected_fault = broken;
-    let up: Vec<usize> = (0..s.nodes.len()).filter(|i| s.nodes[*i].up()).collect();
+    let up: Vec<usize> = (0..s.nodes.len())
+        .filter(|i| s.nodes[*i].is_running())
+        .collect();
     for i in &up {
         s.crash(*i);
     }
     for i in up {
         s.start(i);
     }
-    let leader = s.settle();
+    let leader = s.wait_for_leader();
     s.run_for(3000);
     leader
 }
@@ -249,7 +260,7 @@
 }
 
 fn propose_members(s: &mut Sim, at: usize, members: Vec<Member>) {
-    s.give(at, Event::Reconfigure(members));
+    s.deliver(at, Event::Reconfigure(members));
 }
 
 /// A blank member comes in for a wiped one, as a non-voter first.
@@ -261,7 +272,7 @@
         s.crash(lost);
         changes(&mut s, leader, 300);
         let region = s.nodes[lost].region;
-        let blank = s.add_blank(region);
+        let blank = s.add_node(region);
         let mut members = consensus(&s, leader).members().to_vec();
         members.push(testbed::sim::member(blank, region, false));
         propose_members(&mut s, leader, members.clone());
@@ -283,7 +294,7 @@
     }
 }
 
-fn consensus(s: &Sim, i: usize) -> &Consensus<testbed::sim::Watched> {
+fn consensus(s: &Sim, i: usize) -> &Consensus<testbed::sim::RecordingStateMachine> {
     s.nodes[i].consensus.as_ref().expect("the node is up")
 }
 
@@ -364,9 +375,9 @@
     let image = consensus(&s, leader).snapshot_bytes() as u64;
     for _ in 0..3 {
         s.run_for(150);
-        s.cut_both(leader, away);
+        s.block_both_ways(leader, away);
         s.run_for(1500);
-        s.cuts.clear();
+        s.blocked_links.clear();
     }
     let took = time_to_catch_up(&mut s, leader, away, 20_000);
     let sent = s.nodes[leader].uplink.sent_bytes;
--- a/testbed/tests/conformance/answers.rs
+++ b/testbed/tests/conformance/answers.rs
@@ -2,28 +2,28 @@
 
 use super::*;
 use sorreldoor::consensus::Msg;
-use testbed::sim::{kind, same, Done};
+use testbed::sim::{check_convergence, message_kind, OperationResult};
 
 pub fn entries_cross_once_to_each_other_domain_leader() {
     let (mut s, l) = led_from(&[0, 0, 0, 1, 1, 1], 0);
-    let before = s.sent.get("append").copied().unwrap_or(0);
-    let far = s.far_sent.get("append").copied().unwrap_or(0);
-    s.timed(l, 500).expect("taken");
+    let before = s.sent_by_kind.get("append").copied().unwrap_or(0);
+    let far = s.sent_between_regions.get("append").copied().unwrap_or(0);
+    s.commit_latency(l, 500).expect("taken");
     // one append to the other Domain Leader, two in the own region, and two
     // more that the other Domain Leader passes on
-    assert_eq!(s.sent["append"] - before, 5);
-    assert_eq!(s.far_sent["append"] - far, 1);
+    assert_eq!(s.sent_by_kind["append"] - before, 5);
+    assert_eq!(s.sent_between_regions["append"] - far, 1);
 }
 
 pub fn the_domain_leader_answers_after_one_round_trip() {
     let (mut s, _) = led_from(&[0, 0, 1], 0);
-    s.jitter = 0;
-    let took = s.timed(2, 500).expect("taken");
+    s.jitter_ms = 0;
+    let took = s.commit_latency(2, 500).expect("taken");
     assert!(
         (60..=66).contains(&took),
         "{took} ms for a round trip of 60"
     );
-    assert!(s.sent["confirm"] > 0);
+    assert!(s.sent_by_kind["confirm"] > 0);
 }
 
 pub fn without_fast_return_it_takes_two() {
@@ -32,13 +32,13 @@
         timing.fast_return = fast;
         for seed in 0..200 {
             let mut s = Sim::new(seed, &[0, 0, 1], timing.clone());
-            s.jitter = 0;
-            let l = s.settle();
+            s.jitter_ms = 0;
+            let l = s.wait_for_leader();
             if s.nodes[l].region == 1 {
                 continue;
             }
-            let away = s.timed(2, 900).expect("taken");
-            let home = s.timed(l, 900).expect("taken");
+            let away = s.commit_latency(2, 900).expect("taken");
+            let home = s.commit_latency(l, 900).expect("taken");
             println!("fast return {fast}: other region {away} ms, own {home} ms");
             let bound = if fast { 55..=70 } else { 115..=140 };
             assert!(bound.contains(&away), "{away}");
@@ -53,12 +53,12 @@
     let before = s.nodes[l].consensus.as_ref().map_or(0, |a| a.committed());
     for i in 3..6 {
         for j in 0..3 {
-            s.cut_both(i, j);
+            s.block_both_ways(i, j);
         }
     }
-    let p = s.change(l, s.highest_version());
+    let p = s.propose_change(l, s.highest_version());
     s.run_for(200);
-    assert_eq!(s.op(p).done, Done::Open);
+    assert_eq!(s.operation(p).result, OperationResult::Pending);
     let after = s.nodes[l].consensus.as_ref().map_or(0, |a| a.committed());
     assert_eq!(before, after);
 }
@@ -66,14 +66,14 @@
 pub fn a_read_sees_what_a_domain_leader_has_answered() {
     let (mut s, l) = led_from(&[0, 0, 1], 0);
     // message 6 is lost: the Global Leader does not hear that it is held
-    s.drop_if = Some(Box::new(|from, _, m| {
+    s.drop_filter = Some(Box::new(|from, _, m| {
         from == 2 && matches!(m, Msg::AppendReply { .. })
     }));
-    s.timed(2, 500).expect("the Domain Leader answers");
+    s.commit_latency(2, 500).expect("the Domain Leader answers");
     let top = s.highest_version();
     let r = s.read(l);
     s.run_for(1000);
-    assert_eq!(s.op(r).done, Done::Saw(top));
+    assert_eq!(s.operation(r).result, OperationResult::ReadVersion(top));
     sound(&s);
 }
 
@@ -82,7 +82,9 @@
     s.crash(4);
     s.crash(5);
     s.run_for(1500);
-    let took = s.timed(3, ACK).expect("answered by the Global Leader");
+    let took = s
+        .commit_latency(3, ACK)
+        .expect("answered by the Global Leader");
     assert!(took <= ACK / 2, "{took}");
 }
 
@@ -107,26 +109,30 @@
     ];
     for (name, f) in table {
         let (mut s, _) = led_from(&[0, 0, 0, 1, 1, 1], 0);
-        s.drop_if = Some(Box::new(f));
-        let p = s.change(4, s.highest_version());
+        s.drop_filter = Some(Box::new(f));
+        let p = s.propose_change(4, s.highest_version());
         s.run_for(300);
-        s.drop_if = None;
+        s.drop_filter = None;
         s.run_for(ACK);
-        assert!(s.op(p).took(), "{name}: {:?}", s.op(p).done);
+        assert!(
+            s.operation(p).was_applied(),
+            "{name}: {:?}",
+            s.operation(p).result
+        );
         s.run_for(2000);
         sound(&s);
-        assert!(same(&s).is_empty(), "{name}");
+        assert!(check_convergence(&s).is_empty(), "{name}");
     }
 }
 
 pub fn a_lost_confirmation_is_made_good_by_the_global_leader() {
     let (mut s, _) = led_from(&[0, 0, 1], 0);
-    s.drop_if = Some(Box::new(|_, _, m| {
-        matches!(m, Msg::Confirm { .. }) || kind(m) == "beat"
+    s.drop_filter = Some(Box::new(|_, _, m| {
+        matches!(m, Msg::Confirm { .. }) || message_kind(m) == "beat"
     }));
-    let took = s.timed(2, 1000).expect("answered");
+    let took = s.commit_latency(2, 1000).expect("answered");
     assert!(took > 60, "{took}");
-    assert!(s.sent["answered"] > 0);
+    assert!(s.sent_by_kind["answered"] > 0);
 }
 
 pub fn any_one_core_lost_is_acked_within_ack_ms() {
@@ -135,10 +141,10 @@
             let mut worst = 0;
             for seed in 0..10 {
                 let mut s = sim(seed, &preset);
-                s.settle();
+                s.wait_for_leader();
                 s.crash(lost);
                 let at = (lost + 1) % 3;
-                let took = s.timed(at, ACK * 2);
+                let took = s.commit_latency(at, ACK * 2);
                 let ok = took.is_some_and(|t| t <= ACK);
                 assert!(ok, "{preset:?} lost {lost} seed {seed}: {took:?}");
                 worst = worst.max(took.unwrap_or(0));
@@ -162,19 +168,19 @@
         holders: vec![old, 2],
     };
     let ev = sorreldoor::consensus::Event::Received { from: old, msg };
-    s.give(2, ev);
+    s.deliver(2, ev);
     let after = s.nodes[2].consensus.as_ref().map_or(0, |a| a.committed());
     assert_eq!(commit, after);
 }
 
 pub fn a_retry_gets_the_first_answer() {
     let (mut s, _) = led_from(&[0, 0, 1], 0);
-    let p = s.change(2, s.highest_version());
+    let p = s.propose_change(2, s.highest_version());
     s.run_for(500);
-    assert!(s.op(p).took());
+    assert!(s.operation(p).was_applied());
     let top = s.highest_version();
     for at in 0..3 {
-        s.again(at, p);
+        s.retry(at, p);
         s.run_for(300);
     }
     s.run_for(500);
@@ -186,12 +192,12 @@
 pub fn a_healed_disk_takes_part_again() {
     use sorreldoor::consensus::Event;
     let (mut s, l) = led_from(&[0, 0, 1], 0);
-    s.give(l, Event::SaveFailed);
+    s.deliver(l, Event::SaveFailed);
     s.run_for(3000);
     assert!(s.leader().is_some_and(|n| n != l));
-    let top = s.timed((l + 1) % 3, ACK);
+    let top = s.commit_latency((l + 1) % 3, ACK);
     assert!(top.is_some(), "the others go on");
-    s.give(l, Event::SaveRecovered);
+    s.deliver(l, Event::SaveRecovered);
     s.run_for(3000);
     let holds = |s: &Sim, i: usize| s.nodes[i].consensus.as_ref().map(|a| a.applied());
     assert_eq!(holds(&s, l), holds(&s, (l + 1) % 3));
@@ -200,29 +206,29 @@
     s.crash(other);
     s.run_for(5000);
     assert!(s.leader().is_some(), "it counts for a majority again");
-    assert!(s.timed(l, ACK).is_some());
+    assert!(s.commit_latency(l, ACK).is_some());
     sound(&s);
 }
 
 /// A disk that fails, and one that is stuck, take their core out of the way.
 pub fn a_bad_disk_steps_aside() {
     let (mut s, l) = led_from(&[0, 0, 1], 0);
-    let p = s.change(l, s.highest_version());
-    s.give(l, sorreldoor::consensus::Event::SaveFailed);
+    let p = s.propose_change(l, s.highest_version());
+    s.deliver(l, sorreldoor::consensus::Event::SaveFailed);
     s.run_for(20);
-    assert_eq!(s.op(p).done, Done::Unknown);
+    assert_eq!(s.operation(p).result, OperationResult::Unknown);
     assert!(s.nodes[l]
         .consensus
         .as_ref()
         .is_some_and(|a| a.disk_failed()));
-    let q = s.change(l, s.highest_version());
-    assert_eq!(s.op(q).done, Done::NotTaken);
+    let q = s.propose_change(l, s.highest_version());
+    assert_eq!(s.operation(q).result, OperationResult::Dropped);
     s.run_for(3000);
     assert!(s.leader().is_some_and(|n| n != l));
-    assert!(s.timed((l + 1) % 3, ACK).is_some());
+    assert!(s.commit_latency((l + 1) % 3, ACK).is_some());
     let (mut s, l) = led_from(&[0, 0, 1], 0);
     s.nodes[l].disk.stuck = true;
-    s.change(l, s.highest_version());
+    s.propose_change(l, s.highest_version());
     let end = s.now + ACK;
     let noticed = s.run_until(end, |s| s.leader().is_some_and(|n| n != l));
     assert!(noticed, "a stuck disk is noticed within ackMs");
--- a/testbed/tests/conformance/losses.rs
+++ b/testbed/tests/conformance/losses.rs
@@ -22,10 +22,10 @@
         ..Pacing::default()
     };
     let mut s = Sim::new(seed, preset, pacing.timing(2000));
-    s.far = far;
-    let l = s.settle();
+    s.inter_region_delay_ms = far;
+    let l = s.wait_for_leader();
     let version = s.highest_version();
-    s.change(l, version);
+    s.propose_change(l, version);
     s.run_for(2000);
     s
 }
@@ -66,7 +66,7 @@
 fn end(s: &mut Sim, l: usize) {
     s.crash(l);
     let id = s.nodes[l].id;
-    (0..s.nodes.len()).for_each(|i| s.give(i, Event::Disconnected { id }));
+    (0..s.nodes.len()).for_each(|i| s.deliver(i, Event::Disconnected { id }));
 }
 
 #[test]
@@ -82,7 +82,7 @@
 fn a_leader_whose_process_ends_is_soon_replaced() {
     for (preset, far) in SITES {
         let (mid, most) = spread(preset, far, |s| {
-            let l = s.settle();
+            let l = s.wait_for_leader();
             end(s, l);
             till_led(s)
         });
@@ -95,7 +95,7 @@
 fn a_leader_that_is_silent_is_replaced() {
     for (preset, far) in SITES {
         let (mid, most) = spread(preset, far, |s| {
-            let l = s.settle();
+            let l = s.wait_for_leader();
             s.isolate(l);
             let from = s.now;
             let other = |s: &Sim| {
@@ -117,11 +117,11 @@
 fn a_closed_line_alone_unseats_no_leader() {
     for (seed, (preset, far)) in (0..).zip(SITES) {
         let mut s = site(seed, preset, far);
-        let l = s.settle();
+        let l = s.wait_for_leader();
         let id = s.nodes[l].id;
         let other = (l + 1) % preset.len();
         for _ in 0..20 {
-            s.give(other, Event::Disconnected { id });
+            s.deliver(other, Event::Disconnected { id });
             s.run_for(100);
             assert_eq!(s.leader(), Some(l), "{preset:?} {far}");
         }
--- a/testbed/tests/conformance/main.rs
+++ b/testbed/tests/conformance/main.rs
@@ -6,7 +6,7 @@
 
 use sorreldoor::consensus::Timing;
 use sorreldoor::types::RegionId;
-use testbed::sim::{check, Sim};
+use testbed::sim::{check_history, Sim};
 
 pub const ACK: u64 = 2000;
 
@@ -17,7 +17,7 @@
 pub fn led_from(preset: &[RegionId], region: RegionId) -> (Sim, usize) {
     for seed in 0..200 {
         let mut s = sim(seed, preset);
-        let l = s.settle();
+        let l = s.wait_for_leader();
         if s.nodes[l].region == region {
             return (s, l);
         }
@@ -41,7 +41,7 @@
 }
 
 pub fn sound(s: &Sim) {
-    let w = check(s);
+    let w = check_history(s);
     assert!(w.is_empty(), "{w:#?}");
 }
 
--- a/testbed/tests/consensus_sim.rs
+++ b/testbed/tests/consensus_sim.rs
@@ -2,7 +2,7 @@
 
 use sorreldoor::consensus::{InjectedFault, Timing};
 use sorreldoor::types::RegionId;
-use testbed::sim::{check, same, storm, Sim};
+use testbed::sim::{check_convergence, check_history, run_with_faults, Sim};
 
 fn run(seed: u64, preset: &[RegionId], broken: InjectedFault) -> Vec<String> {
     let mut timing = Timing::for_ack(2000);
@@ -11,22 +11,22 @@
     // lacks more is sent a snapshot
     timing.snapshot_entries = 5;
     let mut s = Sim::new(seed, preset, timing);
-    s.most_events = 400_000;
-    s.loss = seed % 7;
-    s.twice = seed % 5;
-    s.jitter = 1 + seed % 40;
-    storm(&mut s, 12_000);
-    let mut w = check(&s);
-    w.extend(same(&s));
+    s.max_events = 400_000;
+    s.loss_percent = seed % 7;
+    s.duplicate_percent = seed % 5;
+    s.jitter_ms = 1 + seed % 40;
+    run_with_faults(&mut s, 12_000);
+    let mut w = check_history(&s);
+    w.extend(check_convergence(&s));
     // after healing the core must serve again
     let at = (seed % preset.len() as u64) as usize;
-    let version = s.nodes[at].record().map_or(0, |r| r.version());
-    let p = s.change(at, version);
+    let version = s.nodes[at].replicated_state().map_or(0, |r| r.version());
+    let p = s.propose_change(at, version);
     s.run_for(4000);
-    if !s.op(p).took() {
+    if !s.operation(p).was_applied() {
         w.push(format!(
             "after healing a change ended as {:?}",
-            s.op(p).done
+            s.operation(p).result
         ));
     }
     w
@@ -65,7 +65,7 @@
     let mut timing = Timing::for_ack(2000);
     timing.injected_fault = broken;
     let mut s = Sim::new(seed, &[0, 0, 0], timing);
-    let old = s.settle();
+    let old = s.wait_for_leader();
     s.isolate(old);
     let end = s.now + 3000;
     if frozen {
@@ -76,14 +76,14 @@
         let next = s.leader().filter(|l| *l != old);
         if let Some(next) = next {
             let base = s.highest_version();
-            s.change(next, base);
+            s.propose_change(next, base);
         }
         s.run_for(20);
         s.read(old);
     }
     s.heal();
     s.run_for(6000);
-    check(&s)
+    check_history(&s)
 }
 
 #[test]
--- a/testbed/tests/membership/main.rs
+++ b/testbed/tests/membership/main.rs
@@ -13,7 +13,7 @@
 use sorreldoor::types::{Millis, RegionId};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
-use testbed::sim::check;
+use testbed::sim::check_history;
 
 /// Two troubles, how far apart, and where the voters are.
 #[derive(Clone, Copy, Debug)]
@@ -55,9 +55,9 @@
     // asked while all this happens, whatever comes of it
     for at in 0..3 {
         let at = play.slots[at];
-        if play.sim.nodes[at].up() {
+        if play.sim.nodes[at].is_running() {
             let base = play.sim.highest_version();
-            play.sim.change(at, base);
+            play.sim.propose_change(at, base);
         }
         play.run_for(200);
     }
@@ -78,7 +78,7 @@
         play.sim.start(node);
         play.run_for(SYNC_MS);
     }
-    let wrong = check(&play.sim);
+    let wrong = check_history(&play.sim);
     if wrong.is_empty() {
         return None;
     }
--- a/testbed/tests/membership/play.rs
+++ b/testbed/tests/membership/play.rs
@@ -80,7 +80,7 @@
         let mut timing = Timing::for_ack(2000);
         timing.injected_fault = broken;
         let mut sim = Sim::new(seed, &regions, timing);
-        sim.most_events = 4_000_000;
+        sim.max_events = 4_000_000;
         let names = (0..3).map(|i| (i, format!("address-{i}"))).collect();
         let mut play = Play {
             sim,
@@ -157,30 +157,32 @@
 
     fn act(&mut self, act: Act) {
         match act {
-            Act::Crash(node) if self.sim.nodes[node].up() => {
+            Act::Crash(node) if self.sim.nodes[node].is_running() => {
                 self.sim.crash(node);
                 let replaced = !self.slots.contains(&node);
                 if self.stopping.contains(&node) || replaced {
                     self.gone.insert(node);
                 }
             }
-            Act::Start(node) if !self.sim.nodes[node].up() && !self.gone.contains(&node) => {
+            Act::Start(node)
+                if !self.sim.nodes[node].is_running() && !self.gone.contains(&node) =>
+            {
                 self.sim.start(node);
             }
             Act::Newcomer { slot, addr } => {
                 let old = self.slots[slot];
                 // what was lost for good does not come back
-                if !self.sim.nodes[old].up() {
+                if !self.sim.nodes[old].is_running() {
                     self.gone.insert(old);
                 }
-                let node = self.sim.add_blank(self.regions[slot]);
+                let node = self.sim.add_node(self.regions[slot]);
                 self.names.insert(node, addr);
                 self.slots[slot] = node;
                 self.recut();
             }
             Act::Stop(node) => {
                 self.stopping.insert(node);
-                self.sim.give(node, Event::Stop);
+                self.sim.deliver(node, Event::Stop);
             }
             Act::Cut(node) => {
                 self.cut.insert(node);
@@ -190,13 +192,13 @@
                 self.cut.remove(&node);
                 self.recut();
             }
-            Act::Freeze(node, ms) if self.sim.nodes[node].up() => self.sim.freeze(node, ms),
+            Act::Freeze(node, ms) if self.sim.nodes[node].is_running() => self.sim.freeze(node, ms),
             _ => {}
         }
     }
 
     fn recut(&mut self) {
-        self.sim.cuts.clear();
+        self.sim.blocked_links.clear();
         for node in self.cut.clone() {
             self.sim.isolate(node);
         }
@@ -261,8 +263,8 @@
         let health = others.map(|m| (m.id, health(m.id))).collect();
         let heard = |other: &usize| {
             let frozen = self.sim.nodes[*other].frozen_until > self.sim.now;
-            let cut = self.sim.cuts.contains(&(*other, node));
-            *other == node || (self.sim.nodes[*other].up() && !frozen && !cut)
+            let cut = self.sim.blocked_links.contains(&(*other, node));
+            *other == node || (self.sim.nodes[*other].is_running() && !frozen && !cut)
         };
         let all: Vec<usize> = (0..self.sim.nodes.len()).collect();
         let live: Vec<Hello> = all
@@ -295,19 +297,19 @@
         };
         if let Some(change) = state.decide(&seen) {
             let next = change.applied(&members);
-            self.sim.give(node, Event::Reconfigure(next));
+            self.sim.deliver(node, Event::Reconfigure(next));
         }
     }
 
     /// Whether a change is acknowledged in time, asked of this node.
     pub fn commits(&mut self, at: usize) -> bool {
         let base = self.sim.highest_version();
-        let op = self.sim.change(at, base);
+        let op = self.sim.propose_change(at, base);
         let end = self.sim.now + ACK_MS;
-        while self.sim.now < end && !self.sim.op(op).took() {
+        while self.sim.now < end && !self.sim.operation(op).was_applied() {
             self.run_for(STEP_MS);
         }
-        self.sim.op(op).took()
+        self.sim.operation(op).was_applied()
     }
 
     pub fn members_now(&self) -> String {
--- a/testbed/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -4,7 +4,7 @@
 use sorreldoor::consensus::{InjectedFault, Save, Timing};
 use sorreldoor::types::{NodeId, RegionId};
 use std::sync::Arc;
-use testbed::sim::{check, Done, Sim};
+use testbed::sim::{check_history, OperationResult, Sim};
 use testbed::site::World;
 
 fn timing(broken: InjectedFault) -> Timing {
@@ -15,7 +15,7 @@
 }
 
 fn change(s: &mut Sim, at: usize) -> bool {
-    s.timed(at, 4000).is_some()
+    s.commit_latency(at, 4000).is_some()
 }
 
 /// The highest index that any node knows to be committed.
@@ -34,7 +34,7 @@
 /// back as the leader dies, so it is needed for the majority.
 fn returns_as_the_leader_dies(seed: u64, preset: &[RegionId], broken: InjectedFault) -> bool {
     let mut s = Sim::new(seed, preset, timing(broken));
-    let leader = s.settle();
+    let leader = s.wait_for_leader();
     let away = (leader + 1 + seed as usize % 2) % 3;
     s.crash(away);
     s.run_for(1000);
@@ -53,7 +53,7 @@
         s.leader().is_some() || broken != InjectedFault::None,
         "seed {seed}"
     );
-    old || !check(&s).is_empty()
+    old || !check_history(&s).is_empty()
 }
 
 #[test]
@@ -74,7 +74,7 @@
 /// Whether the third then leads without them.
 fn wiped_as(identity: Option<NodeId>) -> bool {
     let mut s = Sim::new(3, &[0, 0, 0], timing(InjectedFault::None));
-    let leader = s.settle();
+    let leader = s.wait_for_leader();
     let (wiped, behind) = ((leader + 1) % 3, (leader + 2) % 3);
     s.isolate(behind);
     for _ in 0..10 {
@@ -84,7 +84,7 @@
     s.crash(leader);
     let identity = identity.unwrap_or(s.nodes[wiped].id);
     s.nodes[wiped].wipe(identity);
-    s.cuts.clear();
+    s.blocked_links.clear();
     s.start(wiped);
     s.run_for(8000);
     leads_with_old_state(&s, committed)
@@ -103,7 +103,7 @@
 fn replayed_state_is_not_read_as_current() {
     for seed in 0..10 {
         let mut s = Sim::new(seed, &[0, 0, 1], timing(InjectedFault::None));
-        let leader = s.settle();
+        let leader = s.wait_for_leader();
         for _ in 0..20 {
             assert!(change(&mut s, leader));
         }
@@ -115,17 +115,27 @@
         }
         s.isolate(restarted);
         s.start(restarted);
-        let replayed = s.nodes[restarted].record().map_or(0, |r| r.version());
+        let replayed = s.nodes[restarted]
+            .replicated_state()
+            .map_or(0, |r| r.version());
         assert!((10..=20).contains(&replayed), "seed {seed}: {replayed}");
         let behind_the_cut = s.read(restarted);
         s.run_for(6000);
-        assert_eq!(s.op(behind_the_cut).done, Done::Unknown, "seed {seed}");
-        s.cuts.clear();
+        assert_eq!(
+            s.operation(behind_the_cut).result,
+            OperationResult::Unknown,
+            "seed {seed}"
+        );
+        s.blocked_links.clear();
         s.run_for(2000);
         let healed = s.read(restarted);
         s.run_for(1000);
-        assert_eq!(s.op(healed).done, Done::Saw(40), "seed {seed}");
-        let violations = check(&s);
+        assert_eq!(
+            s.operation(healed).result,
+            OperationResult::ReadVersion(40),
+            "seed {seed}"
+        );
+        let violations = check_history(&s);
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
@@ -138,8 +148,8 @@
         ..Default::default()
     };
     let mut s = Sim::new(seed, preset, pacing.timing(2000));
-    s.far = 55;
-    let leader = s.settle();
+    s.inter_region_delay_ms = 55;
+    let leader = s.wait_for_leader();
     for _ in 0..5 {
         assert!(change(&mut s, leader));
     }
@@ -156,7 +166,9 @@
     let led = s.now - back;
     let at = s.leader().expect("a leader");
     let read = s.read(at);
-    s.run_until(back + 20_000, |s| s.op(read).done != Done::Open);
+    s.run_until(back + 20_000, |s| {
+        s.operation(read).result != OperationResult::Pending
+    });
     (led, s.now - back)
 }
 
