--- a/testbed/src/capacity/cli.rs
+++ b/testbed/src/capacity/cli.rs
@@ -59,9 +59,9 @@
             "restart" => Fault::Restart,
             "zone" => Fault::Zone,
             "part" => Fault::Part,
-            f => return Err(format!("fault: there is no {f:?}")),
+            other => return Err(format!("fault: there is no {other:?}")),
         };
-        let s = Size {
+        let size = Size {
             nodes: self.nodes,
             cores: self.cores,
             regions: self.regions,
@@ -78,52 +78,54 @@
             seed: self.seed,
             fault,
         };
-        let fits = s.regions > 0 && s.zones >= s.regions && s.zones >= s.cores;
-        Some(s)
-            .filter(|s| fits && s.cores > 0 && s.cores < 200 && s.routes > 0)
+        let enough_zones =
+            size.regions > 0 && size.zones >= size.regions && size.zones >= size.cores;
+        Some(size)
+            .filter(|size| enough_zones && size.cores > 0 && size.cores < 200 && size.routes > 0)
             .ok_or("zones: at least as many as regions and as cores, of these one or more".into())
     }
 }
 
-pub fn hollow(a: &HollowArgs, heap: super::Heap) -> Result<(), String> {
-    let size = a.size()?;
-    if let Some(f) = &a.fit {
-        return slopes(Path::new(f), a.keys.as_deref().unwrap_or(""), &size);
+pub fn hollow(args: &HollowArgs, heap: super::Heap) -> Result<(), String> {
+    let size = args.size()?;
+    if let Some(file) = &args.fit {
+        return print_slopes(Path::new(file), args.keys.as_deref().unwrap_or(""), &size);
     }
-    let r = run(&size, heap);
-    if a.json {
-        println!("{}", line(&r.row)?);
+    let report = run(&size, heap);
+    if args.json {
+        println!("{}", to_json(&report.row)?);
     } else {
-        print!("{r}");
+        print!("{report}");
     }
     Ok(())
 }
 
-fn line(r: &Row) -> Result<String, String> {
-    simd_json::serde::to_string(r).map_err(|e| e.to_string())
+fn to_json(row: &Row) -> Result<String, String> {
+    simd_json::serde::to_string(row).map_err(|e| e.to_string())
 }
 
-fn slopes(file: &Path, keys: &str, at: &Size) -> Result<(), String> {
+fn print_slopes(file: &Path, keys: &str, at: &Size) -> Result<(), String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    // a site whose frames are refused or which never stands has no slope
-    let fine = |r: &Row| r.get("ready") == Some(&1.0) && r.get("refused") == Some(&0.0);
-    let rows: Vec<Row> = read_rows(&text)?.into_iter().filter(fine).collect();
-    let mut all: Vec<&String> = rows.iter().flat_map(|r| r.keys()).collect();
-    all.sort();
-    all.dedup();
+    // a site that rejects frames or never gets ready has no slope
+    let is_usable = |row: &Row| row.get("ready") == Some(&1.0) && row.get("refused") == Some(&0.0);
+    let rows: Vec<Row> = read_rows(&text)?.into_iter().filter(is_usable).collect();
+    let mut keys_found: Vec<&String> = rows.iter().flat_map(|row| row.keys()).collect();
+    keys_found.sort();
+    keys_found.dedup();
     let wanted = |k: &str| keys.split(',').any(|p| k.starts_with(p));
     let at = super::dimensions(at);
     println!("| what | slopes | rms | worst | runs | at the size given |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    all.into_iter()
+    keys_found
+        .into_iter()
         .filter(|k| wanted(k))
         .filter_map(|k| fit(k, &rows))
-        .for_each(|f| println!("{}", told(&f, &at)));
+        .for_each(|model| println!("{}", table_row(&model, &at)));
     Ok(())
 }
 
-/// Three figures that count, whatever its size.
-fn short(x: f64) -> String {
+/// A number with about three significant digits.
+fn format_significant(x: f64) -> String {
     if x.abs() >= 100.0 {
         format!("{x:.0}")
     } else if x.abs() >= 0.01 {
@@ -133,19 +135,19 @@
     }
 }
 
-fn told(f: &FittedModel, at: &Row) -> String {
-    let terms: Vec<String> = f
+fn table_row(model: &FittedModel, at: &Row) -> String {
+    let terms: Vec<String> = model
         .terms
         .iter()
-        .map(|(n, s)| format!("{} per {n}", short(*s)))
+        .map(|(name, slope)| format!("{} per {name}", format_significant(*slope)))
         .collect();
     format!(
         "| {} | {} | {:.1} % | {:.1} % | {} | {} |",
-        f.key,
+        model.key,
         terms.join(" + "),
-        f.rms * 100.0,
-        f.worst * 100.0,
-        f.rows,
-        short(f.at(at))
+        model.rms * 100.0,
+        model.worst * 100.0,
+        model.rows,
+        format_significant(model.at(at))
     )
 }
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -1,7 +1,7 @@
 //! The cores: the real `Controller` with a simulated disk, worker list, load
 //! reports and operators' changes.
 
-use super::{workload, Event, Pending, Process, Role, World};
+use super::{workload, Pending, Process, Role, SimEvent, World};
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Timing};
 use sorreldoor::control_plane::membership::Policy;
@@ -13,6 +13,7 @@
 use sorreldoor::wire::{Hello, OpOutcome};
 use std::net::SocketAddr;
 
+/// A core: its controller, disk, and the values that it stores.
 pub struct Core {
     pub controller: Controller,
     pub disk: Disk,
@@ -21,10 +22,10 @@
 }
 
 impl World {
-    /// The one place where a core's reducer is made.
-    fn new_controller(&mut self, p: usize, incarnation: u64) -> Controller {
+    /// The only constructor of a core's controller.
+    fn new_controller(&mut self, process: usize, incarnation: u64) -> Controller {
         let start = ControllerConfig {
-            me: self.hello(p, incarnation),
+            me: self.hello(process, incarnation),
             site: self.site.clone(),
             seeds: self.seeds(),
             cores: self.size.cores,
@@ -46,16 +47,18 @@
         Controller::new(start, None, self.now)
     }
 
-    pub(super) fn hello(&self, p: usize, incarnation: u64) -> Hello {
-        let q = &self.processes[p];
+    pub(super) fn hello(&self, process: usize, incarnation: u64) -> Hello {
+        let process_state = &self.processes[process];
         Hello {
-            id: q.id,
-            node: q.name.clone(),
-            core: q.addr.is_some(),
-            region: q.region,
-            zone: q.zone,
-            addr: q.addr.map_or(String::new(), |a| a.to_string()),
-            http: format!("10.2.{}.{}:8443", p / 250, p % 250 + 1),
+            id: process_state.id,
+            node: process_state.name.clone(),
+            core: process_state.addr.is_some(),
+            region: process_state.region,
+            zone: process_state.zone,
+            addr: process_state
+                .addr
+                .map_or(String::new(), |addr| addr.to_string()),
+            http: format!("10.2.{}.{}:8443", process / 250, process % 250 + 1),
             founded: false,
             incarnation,
             ..Hello::default()
@@ -63,132 +66,147 @@
     }
 
     pub(super) fn seeds(&self) -> Vec<SocketAddr> {
-        self.processes.iter().filter_map(|q| q.addr).collect()
+        self.processes.iter().filter_map(|peer| peer.addr).collect()
     }
 
-    pub(super) fn start_core(&mut self, p: usize, incarnation: u64) {
-        let controller = self.new_controller(p, incarnation);
-        self.processes[p].role = Role::Core(Box::new(Core {
+    pub(super) fn start_core(&mut self, process: usize, incarnation: u64) {
+        let controller = self.new_controller(process, incarnation);
+        self.processes[process].role = Role::Core(Box::new(Core {
             controller,
             disk: Disk::default(),
             promise: None,
             sure: false,
         }));
-        self.after(0, Event::Poll(p, incarnation));
+        self.after(0, SimEvent::PollRegistry(process, incarnation));
     }
 
-    pub(super) fn controller_at(&self, p: usize) -> Option<&Controller> {
-        match &self.processes[p].role {
-            Role::Core(c) => Some(&c.controller),
+    pub(super) fn controller_at(&self, process: usize) -> Option<&Controller> {
+        match &self.processes[process].role {
+            Role::Core(core) => Some(&core.controller),
             _ => None,
         }
     }
 
     pub(super) fn leader(&self) -> Option<usize> {
-        let leads = |p: &usize| {
-            let a = self.controller_at(*p).and_then(|h| h.consensus());
-            a.is_some_and(|a| a.leads_globally())
+        let leads = |process: &usize| {
+            let consensus = self
+                .controller_at(*process)
+                .and_then(|controller| controller.consensus());
+            consensus.is_some_and(|consensus| consensus.leads_globally())
         };
         self.cores().find(leads)
     }
 
     pub(super) fn singleton_holder(&self) -> Option<usize> {
-        self.cores().find(|p| {
-            self.controller_at(*p)
-                .is_some_and(|h| h.holds_singleton_role())
+        self.cores().find(|process| {
+            self.controller_at(*process)
+                .is_some_and(|controller| controller.holds_singleton_role())
         })
     }
 
-    /// One event through a core's reducer, its host time under `what`.
-    pub(super) fn controller(&mut self, p: usize, what: &'static str, ev: ControllerEvent) {
+    /// Hands an event to a core's controller; its host time counts under `what`.
+    pub(super) fn controller(
+        &mut self,
+        process: usize,
+        what: &'static str,
+        event: ControllerEvent,
+    ) {
         let now = self.clock();
-        let Process { role, meter, .. } = &mut self.processes[p];
-        let Role::Core(c) = role else { return };
-        let effects = meter.time(what, || c.controller.step(ev, now));
-        for f in effects {
-            self.core_effect(p, f);
+        let Process { role, meter, .. } = &mut self.processes[process];
+        let Role::Core(core) = role else { return };
+        let effects = meter.time(what, || core.controller.step(event, now));
+        for effect in effects {
+            self.core_effect(process, effect);
         }
     }
 
-    fn core_effect(&mut self, p: usize, f: ControllerEffect) {
-        let incarnation = self.processes[p].incarnation;
+    fn core_effect(&mut self, process: usize, effect: ControllerEffect) {
+        let incarnation = self.processes[process].incarnation;
         let now = self.now;
-        match f {
+        match effect {
             ControllerEffect::Save(seq, save) => {
-                let Role::Core(c) = &mut self.processes[p].role else {
+                let Role::Core(core) = &mut self.processes[process].role else {
                     return;
                 };
-                let n = sorreldoor::replicated_state::encode(&save).len();
-                let at = c.disk.queue(seq, save, now);
-                self.processes[p].meter.flow("disk", "own", "save", n);
-                self.at(at, Event::Saved(p, incarnation, seq));
+                let bytes = sorreldoor::replicated_state::encode(&save).len();
+                let at = core.disk.queue(seq, save, now);
+                self.processes[process]
+                    .meter
+                    .flow("disk", "own", "save", bytes);
+                self.at(at, SimEvent::Saved(process, incarnation, seq));
             }
-            ControllerEffect::Keep(what, b) => {
-                if let Role::Core(c) = &mut self.processes[p].role {
+            ControllerEffect::Keep(what, bytes) => {
+                if let Role::Core(core) = &mut self.processes[process].role {
                     match what {
-                        "sure" => c.sure = true,
-                        _ => c.promise = sorreldoor::replicated_state::decode(&b),
+                        "sure" => core.sure = true,
+                        _ => core.promise = sorreldoor::replicated_state::decode(&bytes),
                     }
                 }
             }
-            ControllerEffect::Send(conn, m) => self.send(p, conn, m),
-            ControllerEffect::Connect(a) => self.peer_addresses(p, a),
-            ControllerEffect::Disconnect(a) => self.disconnect(p, a),
-            ControllerEffect::Close(c) => self.close(c),
+            ControllerEffect::Send(conn, payload) => self.send(process, conn, payload),
+            ControllerEffect::Connect(addr) => self.peer_addresses(process, addr),
+            ControllerEffect::Disconnect(addr) => self.disconnect(process, addr),
+            ControllerEffect::Close(conn) => self.close(conn),
             ControllerEffect::ChangeDone {
                 request_id,
                 outcome,
-            } => self.done(request_id, outcome),
-            // all of a round's answers come within the time one may take
+            } => self.change_done(request_id, outcome),
+            // all answers of a round arrive within the time-out of one
             ControllerEffect::PollLoads { epoch, .. } => {
-                self.after(200, Event::Rows(p, incarnation, epoch))
+                self.after(200, SimEvent::LoadReports(process, incarnation, epoch))
             }
             _ => {}
         }
     }
 
-    pub(super) fn saved(&mut self, p: usize, seq: u64) {
-        if let Role::Core(c) = &mut self.processes[p].role {
-            c.disk.synced(seq);
+    pub(super) fn save_synced(&mut self, process: usize, seq: u64) {
+        if let Role::Core(core) = &mut self.processes[process].role {
+            core.disk.synced(seq);
         }
-        self.controller(p, "saved", ControllerEvent::Saved(seq));
+        self.controller(process, "saved", ControllerEvent::Saved(seq));
     }
 
-    /// The platform's list as the daemon polls and reads it.
-    pub(super) fn poll(&mut self, p: usize, incarnation: u64) {
+    /// The platform's worker list, as the daemon polls and parses it.
+    pub(super) fn poll_registry(&mut self, process: usize, incarnation: u64) {
         let (text, site) = (&self.registry, &self.site);
-        let m = &mut self.processes[p].meter;
-        let r = m.time("parse", || discovery::read_registry(text.as_bytes(), site));
-        m.flow("in", "platform", "workers", text.len());
-        self.controller(p, "registry", ControllerEvent::WorkerRegistry(r));
-        self.after(500, Event::Poll(p, incarnation));
+        let meter = &mut self.processes[process].meter;
+        let registry = meter.time("parse", || discovery::read_registry(text.as_bytes(), site));
+        meter.flow("in", "platform", "workers", text.len());
+        self.controller(
+            process,
+            "registry",
+            ControllerEvent::WorkerRegistry(registry),
+        );
+        self.after(500, SimEvent::PollRegistry(process, incarnation));
     }
 
-    /// A round of load reports, each read from a worker's own text.
-    pub(super) fn rows(&mut self, p: usize, epoch: u64) {
+    /// A round of load reports, each parsed from a worker's own text.
+    pub(super) fn receive_load_reports(&mut self, process: usize, epoch: u64) {
         let mut texts = Vec::with_capacity(self.size.workers);
         for i in 0..self.size.workers {
             texts.push(workload::load(i, &mut self.rng));
         }
-        let m = &mut self.processes[p].meter;
-        for t in &texts {
-            m.flow("in", "worker", "load", t.len());
+        let meter = &mut self.processes[process].meter;
+        for text in &texts {
+            meter.flow("in", "worker", "load", text.len());
         }
-        let rows = m.time("parse", || {
+        let rows = meter.time("parse", || {
             let all = texts.iter().enumerate();
-            all.filter_map(|(i, t)| discovery::read_load(t.as_bytes(), &workload::worker(i)).ok())
-                .collect()
+            all.filter_map(|(i, text)| {
+                discovery::read_load(text.as_bytes(), &workload::worker(i)).ok()
+            })
+            .collect()
         });
-        self.controller(p, "loads", ControllerEvent::Loads { epoch, rows });
+        self.controller(process, "loads", ControllerEvent::Loads { epoch, rows });
     }
 
-    /// An operator's change every so often, through any core.
-    pub(super) fn change(&mut self) {
+    /// Proposes an operator's change at a random core, and schedules the next.
+    pub(super) fn operator_change(&mut self) {
         if self.size.changes_per_s <= 0.0 {
             return;
         }
         let gap = (1000.0 / self.size.changes_per_s) as u64;
-        self.after(gap.max(1), Event::Change);
+        self.after(gap.max(1), SimEvent::Change);
         self.count += 1;
         let (request_id, since) = (self.count, self.now);
         self.propose(Pending {
@@ -198,66 +216,72 @@
         });
     }
 
-    pub(super) fn propose(&mut self, c: Pending) {
-        let p = self.rng.below(self.size.cores as u64) as usize;
-        let a = self.controller_at(p).and_then(|h| h.consensus());
-        let base = a.map_or(0, |a| a.state_machine().version());
-        let cmd = if base == 0 {
-            let doc = workload::configuration(&self.size);
+    pub(super) fn propose(&mut self, change: Pending) {
+        let process = self.rng.below(self.size.cores as u64) as usize;
+        let consensus = self
+            .controller_at(process)
+            .and_then(|controller| controller.consensus());
+        let base = consensus.map_or(0, |consensus| consensus.state_machine().version());
+        let command = if base == 0 {
+            let document = workload::configuration(&self.size);
             Command::Put {
                 base,
-                document: doc,
+                document,
                 new_version: None,
             }
         } else {
             workload::edit(&self.size, base, &mut self.rng)
         };
-        let (request_id, proposal_id) = (c.request_id, u128::from(self.rng.draw()));
-        self.pending.push(c);
+        let (request_id, proposal_id) = (change.request_id, u128::from(self.rng.draw()));
+        self.pending.push(change);
         self.controller(
-            p,
+            process,
             "change",
             ControllerEvent::Change {
                 request_id,
                 proposal_id,
-                cmd,
+                cmd: command,
             },
         );
     }
 
-    fn done(&mut self, request_id: u64, o: OpOutcome) {
-        let Some(i) = self.pending.iter().position(|c| c.request_id == request_id) else {
+    fn change_done(&mut self, request_id: u64, outcome: OpOutcome) {
+        let Some(i) = self
+            .pending
+            .iter()
+            .position(|change| change.request_id == request_id)
+        else {
             return;
         };
-        match o {
+        match outcome {
             OpOutcome::Got(Outcome::Applied { version }) => {
                 self.commit_ms.push(self.now - self.pending[i].since);
                 self.pending[i].version = Some(version);
                 self.record_applied_changes();
             }
-            // a faulty setup stays faulty; the report shows it as missing
+            // an invalid configuration stays invalid; the report shows it as missing
             OpOutcome::Got(Outcome::Invalid { .. }) => {
                 self.pending.remove(i);
             }
             _ => {
-                let c = self.pending.remove(i);
-                self.after(100, Event::Again(c));
+                let change = self.pending.remove(i);
+                self.after(100, SimEvent::RetryChange(change));
             }
         }
     }
 
-    /// Changes that every node which is up now acts on.
+    /// Records the changes that every running node has applied.
     pub(super) fn record_applied_changes(&mut self) {
-        let version = |q: &Process| match &q.role {
-            Role::Node(n) => Some(n.version()),
+        let version = |process: &Process| match &process.role {
+            Role::Node(node) => Some(node.version()),
             _ => None,
         };
-        let least = self.processes.iter().filter_map(version).min().unwrap_or(0);
+        let lowest_applied = self.processes.iter().filter_map(version).min().unwrap_or(0);
         let now = self.now;
-        let done = |c: &Pending| c.version.is_some_and(|s| s <= least);
-        let route_latencies = self.pending.iter().filter(|c| done(c));
+        let is_applied = |change: &Pending| change.version.is_some_and(|v| v <= lowest_applied);
+        let applied = self.pending.iter().filter(|change| is_applied(change));
         self.propagation_ms
-            .extend(route_latencies.map(|c| now - c.since));
-        self.pending.retain(|c| !done(c));
+            .extend(applied.map(|change| now - change.since));
+        self.pending.retain(|change| !is_applied(change));
     }
 }
--- a/testbed/src/capacity/fault_injection.rs
+++ b/testbed/src/capacity/fault_injection.rs
@@ -1,11 +1,11 @@
 //! Fault injection, and how long the site takes to recover.
 
-use super::{Event, Fault, Process, Role, World};
+use super::{Fault, Process, Role, SimEvent, World};
 use sorreldoor::types::Millis;
 
 /// How long regions stay partitioned.
 const PARTITION_MS: Millis = 20_000;
-/// The longest that a recovery is waited for.
+/// The longest time to wait for a recovery.
 const MAX_RECOVERY_MS: Millis = 60_000;
 
 /// How a fault went, in virtual milliseconds from when it began or ended.
@@ -13,9 +13,9 @@
 pub struct Recovery {
     /// Nodes that lost their lease for some time.
     pub nodes_without_lease: usize,
-    /// The longest that any node that was up had none.
+    /// The longest time that any running node had none.
     pub max_without_lease_ms: Millis,
-    /// Until every node was ready again; none if it never was.
+    /// Time until every node was ready again; `None` if that never happened.
     pub ready_after_ms: Option<Millis>,
     /// Most bytes in one second over all cores, and in one before the fault.
     pub peak_bytes_per_s: u64,
@@ -27,7 +27,7 @@
         if self.size.claims_per_s <= 0.0 {
             return;
         }
-        self.after(10, Event::Claim);
+        self.after(10, SimEvent::Claim);
         let due = |t: Millis| (self.size.claims_per_s * t as f64 / 1000.0) as u64;
         for _ in due(self.now)..due(self.now + 10) {
             let p = self.size.cores + self.rng.below(self.size.nodes as u64) as usize;
@@ -58,7 +58,7 @@
                     let p = self.size.cores + i;
                     self.close_all(p);
                     self.stop(p);
-                    self.after(1000, Event::Start(p));
+                    self.after(1000, SimEvent::Start(p));
                 }
             }
             Fault::Zone => {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether every node that is up serves with all it should have.
+    /// Whether every running node is ready, and after a restart all are running.
     pub(super) fn all_ready(&self) -> bool {
         let now = self.now;
         let fine = |q: &Process| match &q.role {
--- a/testbed/src/capacity/hollow_node.rs
+++ b/testbed/src/capacity/hollow_node.rs
@@ -20,6 +20,7 @@
     Disconnect(SocketAddr),
 }
 
+/// An edge reduced to its subscription, with made-up load figures.
 pub struct HollowNode {
     me: Hello,
     pull: Pull,
@@ -30,12 +31,13 @@
     out: Vec<NodeEffect>,
 }
 
+/// A simulated edge.
 pub enum Node {
     HollowNode(Box<HollowNode>),
     Full(Box<EdgeController>),
 }
 
-/// How long a node serves on one renewal, in milliseconds, as the daemon has it.
+/// The lease of a renewal in milliseconds, as the daemon has it.
 const LEASE_MS: Millis = 2000;
 
 impl Node {
@@ -85,7 +87,7 @@
         self.pull().lease(now)
     }
 
-    /// The operators' serial this node acts on.
+    /// The configuration version that this node has applied.
     pub fn version(&self) -> u64 {
         match self {
             Node::HollowNode(h) => h.version,
@@ -98,7 +100,7 @@
         self.lease(now) && self.version() > 0 && have.registry > 0
     }
 
-    /// Ask for an errand id, as an errand that may not be repeated does.
+    /// Claims a request id, as a request that is not idempotent does.
     pub fn claim(&mut self) -> Option<NodeEffect> {
         let Node::HollowNode(h) = self else {
             return None;
@@ -120,7 +122,7 @@
             .map(|c| NodeEffect::Send(c, Payload::Claim { request_id, claim }))
     }
 
-    /// Nothing but time has come.
+    /// Handles the passing of time.
     pub fn tick(&mut self, now: Now) -> Vec<NodeEffect> {
         match self {
             Node::HollowNode(h) => h.tick(now),
@@ -202,7 +204,7 @@
                 no,
                 unverified,
             } => {
-                // at a few dozen errands a second no two renewals tell the same
+                // at a few dozen requests per second all renewals differ
                 self.running = (self.running + 7) % 97;
                 self.route_latencies.iter_mut().for_each(|t| t.n += 1);
                 let have = self.pull.have.clone();
--- a/testbed/src/capacity/meter.rs
+++ b/testbed/src/capacity/meter.rs
@@ -13,32 +13,38 @@
     pub bytes: u64,
 }
 
-/// How often something ran, how long in all, and the longest.
+/// Number, total time and longest time of an activity's runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostTime {
-    pub n: u64,
-    pub all: Duration,
-    pub most: Duration,
+    pub count: u64,
+    pub total: Duration,
+    pub longest: Duration,
 }
 
-/// One process' account since the window began.
+/// The counters of one process since the window began.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
-    /// By direction, the other end's role, and kind.
+    /// By direction, role of the peer, and kind.
     pub flows: BTreeMap<(&'static str, &'static str, &'static str), Flow>,
     pub host_time: BTreeMap<&'static str, HostTime>,
 }
 
 impl Meter {
-    pub fn flow(&mut self, dir: &'static str, peer: &'static str, kind: &'static str, n: usize) {
+    pub fn flow(
+        &mut self,
+        dir: &'static str,
+        peer: &'static str,
+        kind: &'static str,
+        bytes: usize,
+    ) {
         let f = self.flows.entry((dir, peer, kind)).or_default();
         f.frames += 1;
-        f.bytes += n as u64;
+        f.bytes += bytes as u64;
     }
 
     /// Bytes that are part of a frame already counted.
-    pub fn part(&mut self, dir: &'static str, kind: &'static str, n: usize) {
-        self.flows.entry((dir, "part", kind)).or_default().bytes += n as u64;
+    pub fn part(&mut self, dir: &'static str, kind: &'static str, bytes: usize) {
+        self.flows.entry((dir, "part", kind)).or_default().bytes += bytes as u64;
     }
 
     pub fn time<T>(&mut self, what: &'static str, f: impl FnOnce() -> T) -> T {
@@ -46,22 +52,22 @@
         let t = f();
         let d = began.elapsed();
         let s = self.host_time.entry(what).or_default();
-        s.n += 1;
-        s.all += d;
-        s.most = s.most.max(d);
+        s.count += 1;
+        s.total += d;
+        s.longest = s.longest.max(d);
         t
     }
 
     pub fn bytes(&self, dir: &str) -> u64 {
-        let whole = self.flows.iter();
-        whole
+        let flows_by_kind = self.flows.iter();
+        flows_by_kind
             .filter(|((d, p, _), _)| *d == dir && *p != "part")
             .map(|(_, f)| f.bytes)
             .sum()
     }
 
     pub fn busy(&self) -> Duration {
-        self.host_time.values().map(|s| s.all).sum()
+        self.host_time.values().map(|s| s.total).sum()
     }
 }
 
@@ -78,28 +84,28 @@
         Payload::Ping { .. } => "ping",
         Payload::Hello(_) | Payload::Bootstrap(_) => "hello",
         Payload::Op { .. } | Payload::OpFind { .. } | Payload::OpDone { .. } => "op",
-        // what another branch adds must be counted as well, not break this
+        // new kinds of payload are counted here until they have a kind of their own
         _ => "claims",
     }
 }
 
-/// Sizes of the parts of a grant, each encoded once for each of its serials.
+/// Sizes of the parts of a grant, each encoded once per version.
 #[derive(Default)]
 pub struct Parts(BTreeMap<(&'static str, usize, (u64, u64)), usize>);
 
 impl Parts {
-    pub fn of(&mut self, core: usize, n: &StateDelta) -> Vec<(&'static str, usize)> {
+    pub fn of(&mut self, core: usize, delta: &StateDelta) -> Vec<(&'static str, usize)> {
         let mut out = Vec::new();
-        if let Some(v) = &n.record {
+        if let Some(v) = &delta.record {
             out.push(("record", v.bytes.len()));
         }
-        if let Some(r) = &n.registry {
+        if let Some(r) = &delta.registry {
             out.push(("registry", self.size("registry", 0, (r.version, 0), r)));
         }
-        if let Some(l) = &n.loads {
+        if let Some(l) = &delta.loads {
             out.push(("loads", self.size("loads", 0, l.mark(), l)));
         }
-        if let Some(s) = &n.edge_sessions {
+        if let Some(s) = &delta.edge_sessions {
             out.push(("seats", self.size("seats", core, (s.0, 0), &s.1)));
         }
         out
@@ -112,7 +118,7 @@
         mark: (u64, u64),
         t: &T,
     ) -> usize {
-        // only the newest of each is asked for again
+        // only the newest version of each part is looked up again
         if self.0.len() > 256 {
             self.0.clear();
         }
--- a/testbed/src/capacity/mod.rs
+++ b/testbed/src/capacity/mod.rs
@@ -1,5 +1,5 @@
 //! Capacity measurement: a site of any size in one process and in virtual time,
-//! with the cores' real reducers, many hollow nodes (edges without requests), and
+//! with the cores' real controllers, many hollow nodes (edges without requests), and
 //! every frame encoded as it would be sent, so that the cost of the control plane
 //! can be counted and fitted to the size.
 
@@ -45,7 +45,7 @@
     Part,
 }
 
-/// How large a site is, and what happens in it.
+/// The size of a site, its workload and its fault.
 #[derive(Clone, Debug)]
 pub struct Size {
     pub nodes: usize,
@@ -54,19 +54,19 @@
     pub zones: usize,
     pub workers: usize,
     pub routes: usize,
-    /// Operators' changes a second over the whole site.
+    /// Operators' changes per second, in total.
     pub changes_per_s: f64,
-    /// Request ids claimed a second over the whole site.
+    /// Request ids claimed per second, in total.
     pub claims_per_s: f64,
-    /// Virtual seconds that are measured, after the site has settled.
+    /// Virtual seconds that are measured, once the site is stable.
     pub seconds: u64,
-    /// Nodes that run the edge's whole reducer; their host time is measured.
+    /// Nodes that run the complete edge controller; their host time is measured.
     pub full: usize,
     /// Routes, in percent, for which a node reports latencies.
     pub reported_percent: usize,
     /// One way between regions, in milliseconds.
     pub cross_region_ms: Millis,
-    /// Ids a core remembers at most, as the setting of that name.
+    /// The most claimed ids that a core stores, as the setting `max_claims`.
     pub most_claims: usize,
     pub seed: u64,
     pub fault: Fault,
@@ -110,29 +110,29 @@
     incarnation: u64,
     peer_addresses: BTreeSet<SocketAddr>,
     meter: Meter,
-    /// When it last held a lease, and the longest that it had none.
+    /// When it last had a lease, and its longest time without one.
     last_leased_at: Millis,
     without_lease_ms: Millis,
 }
 
-/// What happens at a point of virtual time.
-enum Event {
+/// A scheduled event; the numbers are a process and its incarnation.
+enum SimEvent {
     Tick(usize, u64),
     Connect(usize, u64, SocketAddr),
     Up(usize, u64, u64, Option<SocketAddr>),
     Down(usize, u64, u64),
     Frame(u64, usize, FrameBody),
     Saved(usize, u64, u64),
-    Poll(usize, u64),
-    Rows(usize, u64, u64),
+    PollRegistry(usize, u64),
+    LoadReports(usize, u64, u64),
     Change,
-    Again(Pending),
+    RetryChange(Pending),
     Claim,
-    Watch,
+    CloseIdle,
     Start(usize),
 }
 
-/// An operator's change that is not in force everywhere yet.
+/// An operator's change that not all nodes have applied yet.
 #[derive(Clone, Debug)]
 struct Pending {
     request_id: u64,
@@ -140,6 +140,7 @@
     version: Option<u64>,
 }
 
+/// The simulated site.
 pub struct World {
     now: Millis,
     size: Size,
@@ -148,15 +149,16 @@
     processes: Vec<Process>,
     connections: BTreeMap<u64, Connection>,
     parts: Parts,
-    queue: BTreeMap<(Millis, u64), Event>,
+    queue: BTreeMap<(Millis, u64), SimEvent>,
     count: u64,
     registry: String,
     pending: Vec<Pending>,
-    /// How long each change took to be committed, and to be applied by all nodes.
+    /// The latency of each change until it was committed, and until all nodes
+    /// had applied it.
     commit_ms: Vec<Millis>,
     propagation_ms: Vec<Millis>,
     /// Frames that a receiver rejected for their length.
-    refused: u64,
+    rejected_frames: u64,
     partitioned: bool,
     /// Bytes by second of virtual time, over all cores.
     by_second: BTreeMap<Millis, u64>,
@@ -179,7 +181,7 @@
             pending: Vec::new(),
             commit_ms: Vec::new(),
             propagation_ms: Vec::new(),
-            refused: 0,
+            rejected_frames: 0,
             partitioned: false,
             by_second: BTreeMap::new(),
         };
@@ -192,9 +194,9 @@
         }
         for p in 0..world.processes.len() {
             let at = world.rng.below(400);
-            world.at(at, Event::Start(p));
+            world.at(at, SimEvent::Start(p));
         }
-        world.at(500, Event::Watch);
+        world.at(500, SimEvent::CloseIdle);
         world
     }
 
@@ -231,24 +233,24 @@
         }
     }
 
-    fn at(&mut self, at: Millis, a: Event) {
+    fn at(&mut self, at: Millis, a: SimEvent) {
         self.count += 1;
         self.queue.insert((at.max(self.now), self.count), a);
     }
 
-    fn after(&mut self, ms: Millis, a: Event) {
+    fn after(&mut self, ms: Millis, a: SimEvent) {
         self.at(self.now + ms, a);
     }
 
-    /// Run until `end`, or until `f` holds at a whole tenth of a second.
+    /// Runs until `end`, or until `f` holds; checks `f` every 100 ms.
     fn run_until(&mut self, end: Millis, f: impl Fn(&World) -> bool) -> bool {
-        let mut look = self.now;
+        let mut next_check = self.now;
         while let Some((&(at, _), _)) = self.queue.first_key_value() {
             if at > end {
                 break;
             }
-            if at >= look {
-                look = at + 100;
+            if at >= next_check {
+                next_check = at + 100;
                 if f(self) {
                     return true;
                 }
@@ -267,21 +269,23 @@
             && !matches!(self.processes[p].role, Role::Down)
     }
 
-    fn handle(&mut self, a: Event) {
+    fn handle(&mut self, a: SimEvent) {
         match a {
-            Event::Start(p) => self.start(p),
-            Event::Tick(p, b) if self.runs(p, b) => self.tick(p, b),
-            Event::Connect(p, b, a) if self.runs(p, b) => self.dial(p, b, a),
-            Event::Up(p, b, conn, dialled) if self.runs(p, b) => self.up(p, conn, dialled),
-            Event::Down(p, b, conn) if self.runs(p, b) => self.down(p, conn),
-            Event::Frame(conn, half, body) => self.frame(conn, half, body),
-            Event::Saved(p, b, seq) if self.runs(p, b) => self.saved(p, seq),
-            Event::Poll(p, b) if self.runs(p, b) => self.poll(p, b),
-            Event::Rows(p, b, epoch) if self.runs(p, b) => self.rows(p, epoch),
-            Event::Change => self.change(),
-            Event::Again(c) => self.propose(c),
-            Event::Claim => self.claim(),
-            Event::Watch => self.poll_connections(),
+            SimEvent::Start(p) => self.start(p),
+            SimEvent::Tick(p, b) if self.runs(p, b) => self.tick(p, b),
+            SimEvent::Connect(p, b, a) if self.runs(p, b) => self.connect(p, b, a),
+            SimEvent::Up(p, b, conn, dialled) if self.runs(p, b) => self.up(p, conn, dialled),
+            SimEvent::Down(p, b, conn) if self.runs(p, b) => self.down(p, conn),
+            SimEvent::Frame(conn, half, body) => self.frame(conn, half, body),
+            SimEvent::Saved(p, b, seq) if self.runs(p, b) => self.save_synced(p, seq),
+            SimEvent::PollRegistry(p, b) if self.runs(p, b) => self.poll_registry(p, b),
+            SimEvent::LoadReports(p, b, epoch) if self.runs(p, b) => {
+                self.receive_load_reports(p, epoch)
+            }
+            SimEvent::Change => self.operator_change(),
+            SimEvent::RetryChange(c) => self.propose(c),
+            SimEvent::Claim => self.claim(),
+            SimEvent::CloseIdle => self.close_idle_connections(),
             _ => {}
         }
     }
@@ -296,15 +300,15 @@
             self.start_node(p, incarnation);
         }
         let wait = self.rng.below(20);
-        self.after(wait, Event::Tick(p, incarnation));
+        self.after(wait, SimEvent::Tick(p, incarnation));
     }
 
     fn start_node(&mut self, p: usize, incarnation: u64) {
         let seeds = self.seeds();
         let route_latencies = workload::route_latencies(&self.size, &mut self.rng);
         let (me, now) = (self.hello(p, incarnation), self.clock());
-        let whole = p - self.size.cores < self.size.full;
-        let node = if whole {
+        let runs_full_edge = p - self.size.cores < self.size.full;
+        let node = if runs_full_edge {
             Node::full(me, &seeds, route_latencies, now, self.site.clone())
         } else {
             Node::new(me, &seeds, route_latencies, now)
@@ -329,7 +333,7 @@
             _ => Vec::new(),
         };
         let every = if p < self.size.cores { 10 } else { 20 };
-        self.after(every, Event::Tick(p, incarnation));
+        self.after(every, SimEvent::Tick(p, incarnation));
         if p < self.size.cores {
             return self.controller(p, "alarm", sorreldoor::control_plane::ControllerEvent::Tick);
         }
--- a/testbed/src/capacity/network.rs
+++ b/testbed/src/capacity/network.rs
@@ -3,7 +3,7 @@
 
 use super::hollow_node::{Node, NodeEffect};
 use super::meter::kind;
-use super::{Event, Process, Role, World};
+use super::{Process, Role, SimEvent, World};
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::net::NetEvent;
 use sorreldoor::types::Millis;
@@ -15,12 +15,12 @@
 const SITE_MARK: &str = "press";
 
 pub struct Connection {
-    /// The one that dialled comes first.
+    /// Process and incarnation of both ends, the client first.
     endpoints: [(usize, u64); 2],
     last_received_at: [Millis; 2],
 }
 
-/// A frame on its way; what a hollow node reads need not be decoded again.
+/// A frame in flight; for a hollow node it is not decoded.
 pub enum FrameBody {
     Packed(Vec<u8>, &'static str),
     Plain(Box<Payload>),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether nothing passes between the two now.
+    /// Whether the two are partitioned.
     fn is_blocked(&self, a: usize, b: usize) -> bool {
         self.partitioned && (self.processes[a].region == 0) != (self.processes[b].region == 0)
     }
@@ -62,19 +62,19 @@
     pub(super) fn peer_addresses(&mut self, p: usize, a: SocketAddr) {
         let incarnation = self.processes[p].incarnation;
         if self.processes[p].peer_addresses.insert(a) {
-            self.dial(p, incarnation, a);
+            self.connect(p, incarnation, a);
         }
     }
 
-    /// Keep trying to connect for as long as the process wants the address.
-    pub(super) fn dial(&mut self, p: usize, incarnation: u64, addr: SocketAddr) {
+    /// Connects, or retries for as long as the process wants the address.
+    pub(super) fn connect(&mut self, p: usize, incarnation: u64, addr: SocketAddr) {
         if !self.processes[p].peer_addresses.contains(&addr) {
             return;
         }
         let up = |q: &Process| q.addr == Some(addr) && !matches!(q.role, Role::Down);
         let to = self.processes.iter().position(up);
         let Some(t) = to.filter(|t| !self.is_blocked(p, *t)) else {
-            self.after(300, Event::Connect(p, incarnation, addr));
+            self.after(300, SimEvent::Connect(p, incarnation, addr));
             return;
         };
         self.count += 1;
@@ -90,8 +90,8 @@
                 last_received_at,
             },
         );
-        self.after(d, Event::Up(t, tb, conn, None));
-        self.after(2 * d, Event::Up(p, incarnation, conn, Some(addr)));
+        self.after(d, SimEvent::Up(t, tb, conn, None));
+        self.after(2 * d, SimEvent::Up(p, incarnation, conn, Some(addr)));
     }
 
     pub(super) fn disconnect(&mut self, p: usize, a: SocketAddr) {
@@ -118,14 +118,14 @@
         } else {
             2
         };
-        self.after(wait, Event::Down(a, ab, conn));
-        self.after(wait, Event::Down(b, bb, conn));
+        self.after(wait, SimEvent::Down(a, ab, conn));
+        self.after(wait, SimEvent::Down(b, bb, conn));
         if let Some(addr) = self.processes[b].addr {
-            self.after(wait + 50, Event::Connect(a, ab, addr));
+            self.after(wait + 50, SimEvent::Connect(a, ab, addr));
         }
     }
 
-    /// Every line of a process that ended, as its system would close them.
+    /// Closes all connections of an ended process, as its system would.
     pub(super) fn close_all(&mut self, p: usize) {
         let mine = |l: &Connection| l.endpoints.iter().any(|(q, _)| *q == p);
         let all: Vec<u64> = self
@@ -138,7 +138,7 @@
     }
 
     /// Closes connections that are idle for too long or whose peer is down.
-    pub(super) fn poll_connections(&mut self) {
+    pub(super) fn close_idle_connections(&mut self) {
         let now = self.now;
         let old = |l: &Connection| {
             l.last_received_at
@@ -152,7 +152,7 @@
             .map(|(c, _)| *c)
             .collect();
         all.into_iter().for_each(|c| self.close(c));
-        self.after(100, Event::Watch);
+        self.after(100, SimEvent::CloseIdle);
     }
 
     pub(super) fn send(&mut self, p: usize, conn: u64, payload: Payload) {
@@ -181,14 +181,14 @@
         }
         let hollow = matches!(&self.processes[t].role,
             Role::Node(n) if matches!(**n, Node::HollowNode(_)));
-        // what a receiver would not take for its length must end here too
+        // a frame too long for a receiver must be rejected here too
         let body = if hollow && b.len() - 4 <= wire::MOST_FRAME {
             FrameBody::Plain(Box::new(payload))
         } else {
             FrameBody::Packed(b, k)
         };
         let d = self.delay(p, t);
-        self.after(d, Event::Frame(conn, half, body));
+        self.after(d, SimEvent::Frame(conn, half, body));
     }
 
     pub(super) fn frame(&mut self, conn: u64, half: usize, body: FrameBody) {
@@ -213,7 +213,7 @@
         match payload {
             Some(payload) => self.net(p, k, NetEvent::Frame { conn, payload }),
             None => {
-                self.refused += 1;
+                self.rejected_frames += 1;
                 self.close(conn);
             }
         }
--- a/testbed/src/capacity/regression.rs
+++ b/testbed/src/capacity/regression.rs
@@ -29,7 +29,7 @@
     let (n, c, w, t) = (v("nodes"), v("cores").max(1.0), v("workers"), v("routes"));
     let (x, k) = (v("changes"), v("claims"));
     // routes that no node tells of cost their setup only
-    let told = t * v("told") / 100.0;
+    let reported = t * v("told") / 100.0;
     vec![
         ("1", 1.0),
         ("node", n),
@@ -43,12 +43,12 @@
         ("claim/s x core", k * c),
         ("claim/s/node", k / n.max(1.0)),
         ("worker/core", w / c),
-        ("route told", told),
+        ("route told", reported),
         ("node x core", n * c),
         ("node x worker", n * w),
         ("node/core x worker", n * w / c),
-        ("node x route told", n * told),
-        ("node/core x route told", n * told / c),
+        ("node x route told", n * reported),
+        ("node/core x route told", n * reported / c),
         ("node/core x node", n * n / c),
         ("node x change/s", n * x),
         ("node/core x change/s", n * x / c),
@@ -130,7 +130,7 @@
     Some(Fit { slopes, rms, worst })
 }
 
-/// A term that may go again at next to no cost.
+/// A term whose removal costs next to no accuracy.
 fn removable_term(
     cols: &[usize],
     all: &[Vec<f64>],
@@ -160,7 +160,7 @@
     let mut cols: Vec<usize> = Vec::new();
     let mut best: Option<Fit> = None;
     let most = MOST_TERMS.min(rows.len().saturating_sub(1));
-    // a term may go and come again, but not for ever
+    // a term may be removed and added again, but not without end
     for _ in 0..3 * MOST_TERMS {
         if cols.len() >= most {
             break;
--- a/testbed/src/capacity/report.rs
+++ b/testbed/src/capacity/report.rs
@@ -3,22 +3,23 @@
 
 use super::fault_injection::Recovery;
 use super::meter::Meter;
-use super::{Event, Fault, Pending, Role, Row, Size, World};
+use super::{Fault, Pending, Role, Row, SimEvent, Size, World};
 use sorreldoor::replicated_state::encode;
 use sorreldoor::types::Millis;
 use std::ops::Range;
 use std::time::Instant;
 
-/// Bytes that this process holds now, as its allocator counts them.
+/// Returns the bytes that this process has allocated now.
 pub type Heap = fn() -> usize;
 
 pub struct Report {
-    /// Bytes and frames are a second and a process; host time is in ms a
-    /// second and a process; sizes are bytes; the rest is named by its unit.
+    /// Bytes and frames are per second and process; host time is in ms per
+    /// second and process; sizes are in bytes; other keys name their unit.
     pub row: Row,
 }
 
-/// Found a site of that size, let it settle, measure, break it, take it down.
+/// Bootstraps a site of that size, waits until it is stable, measures, injects
+/// the fault, and measures memory by dropping the site.
 pub fn run(size: &Size, heap: Heap) -> Report {
     let mut world = World::new(size.clone());
     let mut row = dimensions(size);
@@ -29,7 +30,7 @@
         since,
         version: None,
     };
-    world.after(0, Event::Again(first));
+    world.after(0, SimEvent::RetryChange(first));
     let end = world.now + 30_000;
     let ready = founded && world.run_until(end, |world| world.all_ready());
     put(&mut row, "ready", f64::from(u8::from(ready)));
@@ -46,7 +47,7 @@
     );
     world.account(&mut row);
     world.sizes(&mut row);
-    // a change asked for at the window's end still has its time
+    // a change proposed at the window's end still gets its time
     let claims_per_s = std::mem::take(&mut world.size.claims_per_s);
     world.size.changes_per_s = 0.0;
     let end = world.now + 15_000;
@@ -57,7 +58,7 @@
         let recovery = world.inject_fault();
         put_recovery(&mut row, &recovery);
     }
-    // after a fault the heap tells of the fault, not of the size
+    // after a fault the heap depends on the fault, not on the size
     if size.fault == Fault::None {
         world.memory(&mut row, heap);
     }
@@ -109,7 +110,7 @@
     );
 }
 
-/// The mean over some processes, a second of virtual time.
+/// The mean over some processes, per second of virtual time.
 fn flows(row: &mut Row, role: &str, ms: &[&Meter], seconds: f64) {
     let per = seconds * ms.len().max(1) as f64;
     let mut add = |k: String, v: f64| *row.entry(k).or_default() += v / per;
@@ -130,11 +131,11 @@
     let per = seconds * ms.len().max(1) as f64;
     for m in ms {
         for (what, s) in &m.host_time {
-            let t = s.all.as_secs_f64() * 1000.0;
+            let t = s.total.as_secs_f64() * 1000.0;
             *row.entry(format!("{role}.cpu.{what}.ms")).or_default() += t / per;
             *row.entry(format!("{role}.cpu.ms")).or_default() += t / per;
-            let most = row.entry(format!("{role}.longest.ms")).or_default();
-            *most = most.max(s.most.as_secs_f64() * 1000.0);
+            let longest = row.entry(format!("{role}.longest.ms")).or_default();
+            *longest = longest.max(s.longest.as_secs_f64() * 1000.0);
         }
     }
 }
@@ -144,12 +145,12 @@
         self.processes
             .iter_mut()
             .for_each(|q| q.meter = Meter::default());
-        self.refused = 0;
+        self.rejected_frames = 0;
         self.pending.clear();
         self.commit_ms.clear();
         self.propagation_ms.clear();
-        self.after(0, Event::Change);
-        self.after(0, Event::Claim);
+        self.after(0, SimEvent::Change);
+        self.after(0, SimEvent::Claim);
     }
 
     fn meters(&self, of: Range<usize>) -> Vec<&Meter> {
@@ -161,23 +162,23 @@
         let cores = self.meters(self.cores());
         flows(row, "core", &cores, s);
         host_time(row, "core", &cores, s);
-        let most = |f: &dyn Fn(&Meter) -> f64| cores.iter().map(|m| f(m)).fold(0.0, f64::max);
-        let out = most(&|m| m.bytes("out") as f64 / s);
+        let highest = |f: &dyn Fn(&Meter) -> f64| cores.iter().map(|m| f(m)).fold(0.0, f64::max);
+        let out = highest(&|m| m.bytes("out") as f64 / s);
         put(row, "worst.out.bytes", out);
-        let busy = most(&|m| m.busy().as_secs_f64() * 1000.0 / s);
+        let busy = highest(&|m| m.busy().as_secs_f64() * 1000.0 / s);
         put(row, "worst.cpu.ms", busy);
         flows(row, "edge", &self.meters(self.nodes()), s);
-        let whole = self.size.cores..self.size.cores + self.size.full;
-        host_time(row, "edge", &self.meters(whole), s);
+        let full_edges = self.size.cores..self.size.cores + self.size.full;
+        host_time(row, "edge", &self.meters(full_edges), s);
         if let Some(p) = self.singleton_holder() {
             let m = self.meters(p..p + 1);
             flows(row, "duty", &m, s);
             host_time(row, "duty", &m, s);
         }
-        put(row, "refused", self.refused as f64);
+        put(row, "refused", self.rejected_frames as f64);
     }
 
-    /// State as it is encoded, in bytes.
+    /// Sizes of the encoded state, in bytes.
     fn sizes(&self, row: &mut Row) {
         let Some(h) = self.cores().find_map(|p| self.controller_at(p)) else {
             return;
@@ -201,23 +202,27 @@
     }
 
     fn changes_per_s(&self, row: &mut Row) {
-        let most = |v: &[Millis]| v.iter().max().copied().unwrap_or(0) as f64;
+        let highest = |v: &[Millis]| v.iter().max().copied().unwrap_or(0) as f64;
         let mean = |v: &[Millis]| v.iter().sum::<Millis>() as f64 / v.len().max(1) as f64;
         put(row, "change.taken", self.commit_ms.len() as f64);
         put(row, "change.acked_mean_ms", mean(&self.commit_ms));
-        put(row, "change.acked_most_ms", most(&self.commit_ms));
+        put(row, "change.acked_most_ms", highest(&self.commit_ms));
         put(row, "change.everywhere_mean_ms", mean(&self.propagation_ms));
-        put(row, "change.everywhere_most_ms", most(&self.propagation_ms));
+        put(
+            row,
+            "change.everywhere_most_ms",
+            highest(&self.propagation_ms),
+        );
         put(row, "change.missing", self.pending.len() as f64);
     }
 
-    /// What each role's own heap comes to: what is freed when it is dropped.
+    /// The heap of each role: the bytes freed when it is dropped.
     fn memory(&mut self, row: &mut Row, heap: Heap) {
         self.queue.clear();
         let mut of = |role: &str, ps: Range<usize>| {
             let mut all = Vec::new();
             for p in ps {
-                // the disk is the harness' own, and no part of a core
+                // the disk belongs to the simulation, not to the core
                 let (role, _disk) = match std::mem::replace(&mut self.processes[p].role, Role::Down)
                 {
                     Role::Core(c) => {
@@ -240,8 +245,8 @@
             }
             let mean = all.iter().sum::<f64>() / all.len().max(1) as f64;
             put(row, format!("{role}.heap.bytes"), mean);
-            let most = all.into_iter().fold(0.0, f64::max);
-            put(row, format!("{role}.heap_most.bytes"), most);
+            let highest = all.into_iter().fold(0.0, f64::max);
+            put(row, format!("{role}.heap_most.bytes"), highest);
         };
         of("core", 0..self.size.cores);
         of("edge", self.size.cores..self.size.cores + self.size.full);
