--- a/testbed/tests/conformance/answers.rs
+++ b/testbed/tests/conformance/answers.rs
@@ -1,44 +1,44 @@
-//! When entries are held, committed, answered and read.
+//! When entries are replicated, committed, acknowledged and read.
 
 use super::*;
 use sorreldoor::consensus::Msg;
 use testbed::sim::{check_convergence, message_kind, OperationResult};
 
 pub fn entries_cross_once_to_each_other_domain_leader() {
-    let (mut s, l) = led_from(&[0, 0, 0, 1, 1, 1], 0);
-    let before = s.sent_by_kind.get("append").copied().unwrap_or(0);
-    let far = s.sent_between_regions.get("append").copied().unwrap_or(0);
-    s.commit_latency(l, 500).expect("taken");
+    let (mut sim, leader) = settled_with_leader_in(&[0, 0, 0, 1, 1, 1], 0);
+    let before = sim.sent_by_kind.get("append").copied().unwrap_or(0);
+    let far_before = sim.sent_between_regions.get("append").copied().unwrap_or(0);
+    sim.commit_latency(leader, 500).expect("taken");
     // one append to the other Domain Leader, two in the own region, and two
-    // more that the other Domain Leader passes on
-    assert_eq!(s.sent_by_kind["append"] - before, 5);
-    assert_eq!(s.sent_between_regions["append"] - far, 1);
+    // more that the other Domain Leader forwards
+    assert_eq!(sim.sent_by_kind["append"] - before, 5);
+    assert_eq!(sim.sent_between_regions["append"] - far_before, 1);
 }
 
 pub fn the_domain_leader_answers_after_one_round_trip() {
-    let (mut s, _) = led_from(&[0, 0, 1], 0);
-    s.jitter_ms = 0;
-    let took = s.commit_latency(2, 500).expect("taken");
+    let (mut sim, _) = settled_with_leader_in(&[0, 0, 1], 0);
+    sim.jitter_ms = 0;
+    let elapsed = sim.commit_latency(2, 500).expect("taken");
     assert!(
-        (60..=66).contains(&took),
-        "{took} ms for a round trip of 60"
+        (60..=66).contains(&elapsed),
+        "{elapsed} ms for a round trip of 60"
     );
-    assert!(s.sent_by_kind["confirm"] > 0);
+    assert!(sim.sent_by_kind["confirm"] > 0);
 }
 
 pub fn without_fast_return_it_takes_two() {
     for fast in [true, false] {
-        let mut timing = Timing::for_ack(ACK);
+        let mut timing = Timing::for_ack(ACK_MS);
         timing.fast_return = fast;
         for seed in 0..200 {
-            let mut s = Sim::new(seed, &[0, 0, 1], timing.clone());
-            s.jitter_ms = 0;
-            let l = s.wait_for_leader();
-            if s.nodes[l].region == 1 {
+            let mut sim = Sim::new(seed, &[0, 0, 1], timing.clone());
+            sim.jitter_ms = 0;
+            let leader = sim.wait_for_leader();
+            if sim.nodes[leader].region == 1 {
                 continue;
             }
-            let away = s.commit_latency(2, 900).expect("taken");
-            let home = s.commit_latency(l, 900).expect("taken");
+            let away = sim.commit_latency(2, 900).expect("taken");
+            let home = sim.commit_latency(leader, 900).expect("taken");
             println!("fast return {fast}: other region {away} ms, own {home} ms");
             let bound = if fast { 55..=70 } else { 115..=140 };
             assert!(bound.contains(&away), "{away}");
@@ -49,49 +49,59 @@
 }
 
 pub fn the_commit_index_needs_another_region() {
-    let (mut s, l) = led_from(&[0, 0, 0, 1, 1, 1], 0);
-    let before = s.nodes[l].consensus.as_ref().map_or(0, |a| a.committed());
+    let (mut sim, leader) = settled_with_leader_in(&[0, 0, 0, 1, 1, 1], 0);
+    let before = sim.nodes[leader]
+        .consensus
+        .as_ref()
+        .map_or(0, |a| a.committed());
     for i in 3..6 {
         for j in 0..3 {
-            s.block_both_ways(i, j);
+            sim.block_both_ways(i, j);
         }
     }
-    let p = s.propose_change(l, s.highest_version());
-    s.run_for(200);
-    assert_eq!(s.operation(p).result, OperationResult::Pending);
-    let after = s.nodes[l].consensus.as_ref().map_or(0, |a| a.committed());
+    let op_id = sim.propose_change(leader, sim.highest_version());
+    sim.run_for(200);
+    assert_eq!(sim.operation(op_id).result, OperationResult::Pending);
+    let after = sim.nodes[leader]
+        .consensus
+        .as_ref()
+        .map_or(0, |a| a.committed());
     assert_eq!(before, after);
 }
 
 pub fn a_read_sees_what_a_domain_leader_has_answered() {
-    let (mut s, l) = led_from(&[0, 0, 1], 0);
-    // message 6 is lost: the Global Leader does not hear that it is held
-    s.drop_filter = Some(Box::new(|from, _, m| {
+    let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
+    // message 6 is lost: the Global Leader gets no acknowledgement of the entry
+    sim.drop_filter = Some(Box::new(|from, _, m| {
         from == 2 && matches!(m, Msg::AppendReply { .. })
     }));
-    s.commit_latency(2, 500).expect("the Domain Leader answers");
-    let top = s.highest_version();
-    let r = s.read(l);
-    s.run_for(1000);
-    assert_eq!(s.operation(r).result, OperationResult::ReadVersion(top));
-    sound(&s);
+    sim.commit_latency(2, 500)
+        .expect("the Domain Leader answers");
+    let top = sim.highest_version();
+    let read_id = sim.read(leader);
+    sim.run_for(1000);
+    assert_eq!(
+        sim.operation(read_id).result,
+        OperationResult::ReadVersion(top)
+    );
+    assert_invariants(&sim);
 }
 
 pub fn the_global_leader_answers_a_region_without_majority() {
-    let (mut s, _) = led_from(&[0, 0, 0, 1, 1, 1], 0);
-    s.crash(4);
-    s.crash(5);
-    s.run_for(1500);
-    let took = s
-        .commit_latency(3, ACK)
+    let (mut sim, _) = settled_with_leader_in(&[0, 0, 0, 1, 1, 1], 0);
+    sim.crash(4);
+    sim.crash(5);
+    sim.run_for(1500);
+    let elapsed = sim
+        .commit_latency(3, ACK_MS)
         .expect("answered by the Global Leader");
-    assert!(took <= ACK / 2, "{took}");
+    assert!(elapsed <= ACK_MS / 2, "{elapsed}");
 }
 
-/// The paper's messages 1 to 6, each lost for a while.
-pub fn a_lost_message_of_the_paper_is_survived() {
-    type F = fn(usize, usize, &Msg) -> bool;
-    let table: [(&str, F); 6] = [
+/// Messages 1 to 6 of the paper, each lost for a while.
+pub fn each_message_of_the_paper_may_be_lost() {
+    type MessageFilter = fn(usize, usize, &Msg) -> bool;
+    let table: [(&str, MessageFilter); 6] = [
         ("1 proposal", |_, _, m| matches!(m, Msg::Propose { .. })),
         ("2 entry to the other region", |_, t, m| {
             t >= 3 && matches!(m, Msg::Append { .. })
@@ -107,130 +117,136 @@
             f >= 3 && t < 3 && matches!(m, Msg::AppendReply { .. })
         }),
     ];
-    for (name, f) in table {
-        let (mut s, _) = led_from(&[0, 0, 0, 1, 1, 1], 0);
-        s.drop_filter = Some(Box::new(f));
-        let p = s.propose_change(4, s.highest_version());
-        s.run_for(300);
-        s.drop_filter = None;
-        s.run_for(ACK);
+    for (name, filter) in table {
+        let (mut sim, _) = settled_with_leader_in(&[0, 0, 0, 1, 1, 1], 0);
+        sim.drop_filter = Some(Box::new(filter));
+        let op_id = sim.propose_change(4, sim.highest_version());
+        sim.run_for(300);
+        sim.drop_filter = None;
+        sim.run_for(ACK_MS);
         assert!(
-            s.operation(p).was_applied(),
+            sim.operation(op_id).was_applied(),
             "{name}: {:?}",
-            s.operation(p).result
+            sim.operation(op_id).result
         );
-        s.run_for(2000);
-        sound(&s);
-        assert!(check_convergence(&s).is_empty(), "{name}");
+        sim.run_for(2000);
+        assert_invariants(&sim);
+        assert!(check_convergence(&sim).is_empty(), "{name}");
     }
 }
 
-pub fn a_lost_confirmation_is_made_good_by_the_global_leader() {
-    let (mut s, _) = led_from(&[0, 0, 1], 0);
-    s.drop_filter = Some(Box::new(|_, _, m| {
+pub fn the_global_leader_answers_after_a_lost_confirmation() {
+    let (mut sim, _) = settled_with_leader_in(&[0, 0, 1], 0);
+    sim.drop_filter = Some(Box::new(|_, _, m| {
         matches!(m, Msg::Confirm { .. }) || message_kind(m) == "beat"
     }));
-    let took = s.commit_latency(2, 1000).expect("answered");
-    assert!(took > 60, "{took}");
-    assert!(s.sent_by_kind["answered"] > 0);
+    let elapsed = sim.commit_latency(2, 1000).expect("answered");
+    assert!(elapsed > 60, "{elapsed}");
+    assert!(sim.sent_by_kind["answered"] > 0);
 }
 
 pub fn any_one_core_lost_is_acked_within_ack_ms() {
-    for preset in [[0, 0, 1], [0, 1, 1], [0, 0, 0]] {
+    for regions in [[0, 0, 1], [0, 1, 1], [0, 0, 0]] {
         for lost in 0..3 {
             let mut worst = 0;
             for seed in 0..10 {
-                let mut s = sim(seed, &preset);
-                s.wait_for_leader();
-                s.crash(lost);
+                let mut sim = new_sim(seed, &regions);
+                sim.wait_for_leader();
+                sim.crash(lost);
                 let at = (lost + 1) % 3;
-                let took = s.commit_latency(at, ACK * 2);
-                let ok = took.is_some_and(|t| t <= ACK);
-                assert!(ok, "{preset:?} lost {lost} seed {seed}: {took:?}");
-                worst = worst.max(took.unwrap_or(0));
-                sound(&s);
+                let elapsed = sim.commit_latency(at, ACK_MS * 2);
+                let ok = elapsed.is_some_and(|t| t <= ACK_MS);
+                assert!(ok, "{regions:?} lost {lost} seed {seed}: {elapsed:?}");
+                worst = worst.max(elapsed.unwrap_or(0));
+                assert_invariants(&sim);
             }
-            println!("cores {preset:?}, core {lost} lost: acked within {worst} ms of {ACK}");
+            println!("cores {regions:?}, core {lost} lost: acked within {worst} ms of {ACK_MS}");
         }
     }
 }
 
 pub fn a_deposed_leaders_late_confirmation_is_ignored() {
-    let (mut s, l) = led_from(&[0, 0, 1], 0);
-    let term = s.nodes[l].consensus.as_ref().map_or(0, |a| a.term());
-    let old = s.nodes[l].id;
-    s.isolate(l);
-    s.run_for(3000);
-    let commit = s.nodes[2].consensus.as_ref().map_or(0, |a| a.committed());
-    let msg = Msg::Confirm {
+    let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
+    let term = sim.nodes[leader].consensus.as_ref().map_or(0, |a| a.term());
+    let old = sim.nodes[leader].id;
+    sim.isolate(leader);
+    sim.run_for(3000);
+    let commit = sim.nodes[2].consensus.as_ref().map_or(0, |a| a.committed());
+    let message = Msg::Confirm {
         term,
         index: commit + 50,
         holders: vec![old, 2],
     };
-    let ev = sorreldoor::consensus::Event::Received { from: old, msg };
-    s.deliver(2, ev);
-    let after = s.nodes[2].consensus.as_ref().map_or(0, |a| a.committed());
+    let event = sorreldoor::consensus::Event::Received {
+        from: old,
+        msg: message,
+    };
+    sim.deliver(2, event);
+    let after = sim.nodes[2].consensus.as_ref().map_or(0, |a| a.committed());
     assert_eq!(commit, after);
 }
 
 pub fn a_retry_gets_the_first_answer() {
-    let (mut s, _) = led_from(&[0, 0, 1], 0);
-    let p = s.propose_change(2, s.highest_version());
-    s.run_for(500);
-    assert!(s.operation(p).was_applied());
-    let top = s.highest_version();
+    let (mut sim, _) = settled_with_leader_in(&[0, 0, 1], 0);
+    let op_id = sim.propose_change(2, sim.highest_version());
+    sim.run_for(500);
+    assert!(sim.operation(op_id).was_applied());
+    let top = sim.highest_version();
     for at in 0..3 {
-        s.retry(at, p);
-        s.run_for(300);
+        sim.retry(at, op_id);
+        sim.run_for(300);
     }
-    s.run_for(500);
-    assert_eq!(s.highest_version(), top);
+    sim.run_for(500);
+    assert_eq!(sim.highest_version(), top);
 }
 
-/// A disk that takes writes again brings its core back without a restart: it
-/// follows, and can lead once the others need it.
+/// A core whose disk accepts writes again rejoins without a restart: it
+/// follows, and can lead when its vote is needed.
 pub fn a_healed_disk_takes_part_again() {
     use sorreldoor::consensus::Event;
-    let (mut s, l) = led_from(&[0, 0, 1], 0);
-    s.deliver(l, Event::SaveFailed);
-    s.run_for(3000);
-    assert!(s.leader().is_some_and(|n| n != l));
-    let top = s.commit_latency((l + 1) % 3, ACK);
+    let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
+    sim.deliver(leader, Event::SaveFailed);
+    sim.run_for(3000);
+    assert!(sim.leader().is_some_and(|n| n != leader));
+    let top = sim.commit_latency((leader + 1) % 3, ACK_MS);
     assert!(top.is_some(), "the others go on");
-    s.deliver(l, Event::SaveRecovered);
-    s.run_for(3000);
-    let holds = |s: &Sim, i: usize| s.nodes[i].consensus.as_ref().map(|a| a.applied());
-    assert_eq!(holds(&s, l), holds(&s, (l + 1) % 3));
-    // with another core gone, its vote and its disk are needed
-    let other = s.leader().unwrap();
-    s.crash(other);
-    s.run_for(5000);
-    assert!(s.leader().is_some(), "it counts for a majority again");
-    assert!(s.commit_latency(l, ACK).is_some());
-    sound(&s);
+    sim.deliver(leader, Event::SaveRecovered);
+    sim.run_for(3000);
+    let applied_index = |sim: &Sim, i: usize| sim.nodes[i].consensus.as_ref().map(|a| a.applied());
+    assert_eq!(
+        applied_index(&sim, leader),
+        applied_index(&sim, (leader + 1) % 3)
+    );
+    // with another core lost, its vote and its disk are needed
+    let other = sim.leader().unwrap();
+    sim.crash(other);
+    sim.run_for(5000);
+    assert!(sim.leader().is_some(), "it counts for a majority again");
+    assert!(sim.commit_latency(leader, ACK_MS).is_some());
+    assert_invariants(&sim);
 }
 
-/// A disk that fails, and one that is stuck, take their core out of the way.
+/// A core whose disk fails or is stuck gives up leadership.
 pub fn a_bad_disk_steps_aside() {
-    let (mut s, l) = led_from(&[0, 0, 1], 0);
-    let p = s.propose_change(l, s.highest_version());
-    s.deliver(l, sorreldoor::consensus::Event::SaveFailed);
-    s.run_for(20);
-    assert_eq!(s.operation(p).result, OperationResult::Unknown);
-    assert!(s.nodes[l]
+    let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
+    let op_id = sim.propose_change(leader, sim.highest_version());
+    sim.deliver(leader, sorreldoor::consensus::Event::SaveFailed);
+    sim.run_for(20);
+    assert_eq!(sim.operation(op_id).result, OperationResult::Unknown);
+    assert!(sim.nodes[leader]
         .consensus
         .as_ref()
         .is_some_and(|a| a.disk_failed()));
-    let q = s.propose_change(l, s.highest_version());
-    assert_eq!(s.operation(q).result, OperationResult::Dropped);
-    s.run_for(3000);
-    assert!(s.leader().is_some_and(|n| n != l));
-    assert!(s.commit_latency((l + 1) % 3, ACK).is_some());
-    let (mut s, l) = led_from(&[0, 0, 1], 0);
-    s.nodes[l].disk.stuck = true;
-    s.propose_change(l, s.highest_version());
-    let end = s.now + ACK;
-    let noticed = s.run_until(end, |s| s.leader().is_some_and(|n| n != l));
+    let second_op_id = sim.propose_change(leader, sim.highest_version());
+    assert_eq!(sim.operation(second_op_id).result, OperationResult::Dropped);
+    sim.run_for(3000);
+    assert!(sim.leader().is_some_and(|n| n != leader));
+    assert!(sim.commit_latency((leader + 1) % 3, ACK_MS).is_some());
+    let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
+    sim.nodes[leader].disk.stuck = true;
+    sim.propose_change(leader, sim.highest_version());
+    let end = sim.now + ACK_MS;
+    let noticed = sim.run_until(end, |sim| sim.leader().is_some_and(|n| n != leader));
     assert!(noticed, "a stuck disk is noticed within ackMs");
-    sound(&s);
+    assert_invariants(&sim);
 }
