--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers, a proxy before them, and callers.
+//! Stub workers, a proxy in front of them, and clients.
 
 use async_std::future::timeout;
 use async_std::io::WriteExt;
@@ -16,125 +16,139 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-pub const LONG: Duration = Duration::from_secs(10);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A node that has been up for a while: its share of retries is earned by time.
+/// The clock of a node that has been up for a while: retry budget accrues with time.
 #[derive(Default)]
-pub struct Later(SystemClock);
+pub struct OffsetClock(SystemClock);
 
-impl Clock for Later {
+impl Clock for OffsetClock {
     fn now(&self) -> Now {
-        let n = self.0.now();
-        let monotonic_ms = n.monotonic_ms + 100_000;
-        Now { monotonic_ms, ..n }
+        let now = self.0.now();
+        let monotonic_ms = now.monotonic_ms + 100_000;
+        Now {
+            monotonic_ms,
+            ..now
+        }
     }
 }
 
-/// What a stand-in does with its n-th request.
+/// What a stub worker does with its n-th request.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Answer whole with this status and body, and keep the connection.
-    Whole(u16, &'static str),
-    /// The same, but the connection closes with it.
-    Last(&'static str),
-    /// An answer that belongs to another request.
-    Other,
-    /// A success without a stamp.
-    Bare,
-    /// A second answer behind the first.
-    Twice(&'static str),
+pub enum Behavior {
+    /// Respond completely with this status and body, and keep the connection.
+    Complete(u16, &'static str),
+    /// Respond completely, then close the connection.
+    CompleteThenClose(&'static str),
+    /// A response with the id of another request.
+    WrongRequestId,
+    /// A success without the `x-stamp` header.
+    Unstamped,
+    /// A response followed by a surplus one.
+    CompleteWithSurplus(&'static str),
     NotRun,
     Misdirected,
     /// Read the request, then reset.
     Reset,
-    /// Half a counted body, then close.
-    Short,
-    /// Bytes that are no HTTP.
+    /// Half of a body with a content length, then close.
+    Truncated,
+    /// Bytes that are not HTTP.
     Garbage,
-    /// Never answer.
+    /// Never respond.
     Silent,
-    /// Lose the answer of this request, and serve others on.
-    Lost,
-    /// Events from `from` to `to`; whole, or broken off behind the last.
+    /// Never respond to this request, but keep serving others.
+    LostResponse,
+    /// Events from the first number to the second; complete, or broken off after the last.
     Events(u64, u64, bool),
-    /// Events from `from` to `to`, then silence.
+    /// Events from the first number to the second, then silence.
     Stall(u64, u64),
-    /// So many events without ids, broken off behind the last.
-    Unnumbered(u64),
-    /// A whole answer before the body is read, which it never is.
-    Early(&'static str),
+    /// This many events without ids, broken off after the last.
+    EventsWithoutIds(u64),
+    /// A complete response without ever reading the request body.
+    EarlyResponse(&'static str),
 }
 
-/// A head as text, and a body.
-pub type Came = (String, Vec<u8>);
+/// The head of a request as text, and its body.
+pub type ReceivedRequest = (String, Vec<u8>);
 
 #[derive(Clone)]
-pub struct Stand {
+pub struct StubWorker {
     pub addr: SocketAddr,
-    /// The requests that came, as their whole heads and bodies.
-    pub got: Arc<Mutex<Vec<Came>>>,
+    /// The requests received so far, in order.
+    pub received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Stand {
+impl StubWorker {
     pub fn count(&self) -> usize {
-        self.got.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
     pub fn head(&self, i: usize) -> String {
-        self.got.lock().unwrap()[i].0.clone()
+        self.received.lock().unwrap()[i].0.clone()
     }
 }
 
-pub async fn stand(acts: Vec<Act>) -> Stand {
-    let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let s = Stand {
-        addr: l.local_addr().unwrap(),
-        got: Arc::default(),
+pub async fn start_stub_worker(behaviors: Vec<Behavior>) -> StubWorker {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let stub = StubWorker {
+        addr: listener.local_addr().unwrap(),
+        received: Arc::default(),
     };
-    let me = s.clone();
-    let acts = Arc::new(acts);
+    let served = stub.clone();
+    let behaviors = Arc::new(behaviors);
     task::spawn(async move {
-        while let Ok((c, _)) = l.accept().await {
-            task::spawn(worker(me.clone(), acts.clone(), c));
+        while let Ok((connection, _)) = listener.accept().await {
+            task::spawn(serve_connection(
+                served.clone(),
+                behaviors.clone(),
+                connection,
+            ));
         }
     });
-    s
+    stub
 }
 
-pub async fn worker(me: Stand, acts: Arc<Vec<Act>>, mut c: TcpStream) {
-    let mut b = ReadBuffer::default();
+pub async fn serve_connection(
+    stub: StubWorker,
+    behaviors: Arc<Vec<Behavior>>,
+    mut connection: TcpStream,
+) {
+    let mut buffer = ReadBuffer::default();
     loop {
         let head = loop {
-            match parse_request_head(&mut b, 1 << 16) {
-                Ok(Some(h)) => break h,
+            match parse_request_head(&mut buffer, 1 << 16) {
+                Ok(Some(head)) => break head,
                 Ok(None) => {}
                 Err(_) => return,
             }
-            if !matches!(b.fill(&mut c).await, Ok(n) if n > 0) {
+            if !matches!(buffer.fill(&mut connection).await, Ok(n) if n > 0) {
                 return;
             }
         };
         let early = {
-            let n = me.got.lock().unwrap().len();
-            matches!(acts.get(n).or(acts.last()), Some(Act::Early(_)))
+            let index = stub.received.lock().unwrap().len();
+            matches!(
+                behaviors.get(index).or(behaviors.last()),
+                Some(Behavior::EarlyResponse(_))
+            )
         };
-        let f = match early {
+        let framing = match early {
             true => Framing::None,
             false => head.request_framing().unwrap(),
         };
-        let Ok(body) = read_body(&mut c, &mut b, f, 1 << 24).await else {
+        let Ok(body) = read_body(&mut connection, &mut buffer, framing, 1 << 24).await else {
             return;
         };
         let id = head.get("x-request-id").unwrap_or("").to_string();
         let text = String::from_utf8_lossy(&head.raw).into_owned();
-        let n = {
-            let mut g = me.got.lock().unwrap();
-            g.push((text, body));
-            g.len() - 1
+        let index = {
+            let mut received = stub.received.lock().unwrap();
+            received.push((text, body));
+            received.len() - 1
         };
-        let act = acts.get(n).or(acts.last()).unwrap().clone();
-        if !act_out(&mut c, &id, act).await {
+        let behavior = behaviors.get(index).or(behaviors.last()).unwrap().clone();
+        if !perform(&mut connection, &id, behavior).await {
             if early {
-                // its end must not be a reset that takes the answer with it
+                // closing at once would send a reset that discards the response
                 task::sleep(Duration::from_millis(300)).await;
             }
             return;
@@ -142,40 +156,48 @@
     }
 }
 
-pub async fn act_out(c: &mut TcpStream, id: &str, act: Act) -> bool {
-    let whole = |s: u16, b: &str, more: &str| {
+pub async fn perform(connection: &mut TcpStream, id: &str, behavior: Behavior) -> bool {
+    let complete = |s: u16, b: &str, more: &str| {
         let n = b.len();
         format!("HTTP/1.1 {s} Fine\r\nx-request-id: {id}\r\nx-stamp: s1\r\nX-Mine: a b\r\n{more}content-length: {n}\r\n\r\n{b}")
     };
-    let (text, go_on) = match act {
-        Act::Whole(s, b) => (whole(s, b, ""), true),
-        Act::Last(b) => (whole(200, b, "connection: close\r\n"), false),
-        Act::Other => (whole(200, "theirs", "").replace(id, "another"), true),
-        Act::Bare => (whole(200, "bare", "").replace("x-stamp: s1\r\n", ""), true),
-        Act::Twice(b) => (whole(200, b, "") + &whole(200, "surplus", ""), true),
-        Act::NotRun => (whole(503, "", "x-not-run: 1\r\n"), true),
-        Act::Misdirected => (whole(421, "", ""), true),
-        Act::Reset => return false,
-        Act::Short => (
-            whole(200, "half of it", "").replace("half of it", "half"),
+    let (text, keep_alive) = match behavior {
+        Behavior::Complete(s, b) => (complete(s, b, ""), true),
+        Behavior::CompleteThenClose(b) => (complete(200, b, "connection: close\r\n"), false),
+        Behavior::WrongRequestId => (complete(200, "theirs", "").replace(id, "another"), true),
+        Behavior::Unstamped => (
+            complete(200, "bare", "").replace("x-stamp: s1\r\n", ""),
+            true,
+        ),
+        Behavior::CompleteWithSurplus(b) => {
+            (complete(200, b, "") + &complete(200, "surplus", ""), true)
+        }
+        Behavior::NotRun => (complete(503, "", "x-not-run: 1\r\n"), true),
+        Behavior::Misdirected => (complete(421, "", ""), true),
+        Behavior::Reset => return false,
+        Behavior::Truncated => (
+            complete(200, "half of it", "").replace("half of it", "half"),
             false,
         ),
-        Act::Garbage => ("\u{1}\u{2} no http at all\r\n\r\n".into(), false),
-        Act::Silent | Act::Lost => return std::future::pending().await,
-        Act::Events(a, z, true) => (events(id, a, z) + "0\r\n\r\n", true),
-        Act::Events(a, z, false) => (events(id, a, z), false),
-        Act::Unnumbered(n) => {
+        Behavior::Garbage => ("\u{1}\u{2} no http at all\r\n\r\n".into(), false),
+        Behavior::Silent | Behavior::LostResponse => return std::future::pending().await,
+        Behavior::Events(a, z, true) => (events(id, a, z) + "0\r\n\r\n", true),
+        Behavior::Events(a, z, false) => (events(id, a, z), false),
+        Behavior::EventsWithoutIds(n) => {
             let text = events(id, 1, n);
             let bare = (1..=n).fold(text, |t, i| t.replace(&format!("id: {i}\n"), ":    \n"));
             (bare, false)
         }
-        Act::Early(b) => (whole(200, b, ""), false),
-        Act::Stall(a, z) => {
-            c.write_all(events(id, a, z).as_bytes()).await.unwrap();
+        Behavior::EarlyResponse(b) => (complete(200, b, ""), false),
+        Behavior::Stall(a, z) => {
+            connection
+                .write_all(events(id, a, z).as_bytes())
+                .await
+                .unwrap();
             return std::future::pending().await;
         }
     };
-    c.write_all(text.as_bytes()).await.is_ok() && go_on
+    connection.write_all(text.as_bytes()).await.is_ok() && keep_alive
 }
 
 pub fn events(id: &str, a: u64, z: u64) -> String {
@@ -191,7 +213,7 @@
     format!("id: {i}\ndata: piece {i}\n\n")
 }
 
-pub fn series(a: u64, z: u64) -> String {
+pub fn event_series(a: u64, z: u64) -> String {
     (a..=z).map(event).collect()
 }
 
@@ -204,21 +226,21 @@
  "limits":{"header_bytes":2000,"body_bytes":100000,"header_ms":300,"idle_ms":2000}}}"#;
 
 pub struct Proxy {
-    pub at: SocketAddr,
-    pub shared: Arc<SharedState<PlainDialect, Later>>,
+    pub addr: SocketAddr,
+    pub shared: Arc<SharedState<PlainDialect, OffsetClock>>,
 }
 
-pub async fn proxy(stands: &[&Stand]) -> Proxy {
-    proxy_with(CONFIGURATION, stands).await
+pub async fn start_proxy(stubs: &[&StubWorker]) -> Proxy {
+    start_proxy_with(CONFIGURATION, stubs).await
 }
 
-/// A proxy under another configuration.
-pub async fn proxy_with(configuration_text: &str, stands: &[&Stand]) -> Proxy {
+/// A proxy with the given configuration.
+pub async fn start_proxy_with(configuration_text: &str, stubs: &[&StubWorker]) -> Proxy {
     let site = Arc::new(Site {
         regions: vec!["r".into()],
         zones: vec![("z".into(), 0)],
     });
-    let place = Locality {
+    let locality = Locality {
         node: "n1".into(),
         regions: vec![0],
         ..Locality::default()
@@ -230,19 +252,19 @@
         warmup_excess: 1.5,
         warmup_slack: 5.0,
     };
-    let mut table = Balancer::new(place, bounds, 7);
-    let (s, _) = configuration::parse(configuration_text.as_bytes(), &site).unwrap();
-    table.update_nodes(vec![("n1".into(), 0)]);
-    table.apply_configuration(s.hosted.unwrap(), 1);
-    let row = |(i, s): (usize, &&Stand)| Worker {
-        name: format!("w{i}"),
-        addr: s.addr,
+    let mut balancer = Balancer::new(locality, bounds, 7);
+    let (configuration, _) = configuration::parse(configuration_text.as_bytes(), &site).unwrap();
+    balancer.update_nodes(vec![("n1".into(), 0)]);
+    balancer.apply_configuration(configuration.hosted.unwrap(), 1);
+    let row = |(index, stub): (usize, &&StubWorker)| Worker {
+        name: format!("w{index}"),
+        addr: stub.addr,
         group: "web".into(),
         slots: 8,
         ..Worker::blank()
     };
-    let workers = stands.iter().enumerate().map(row).collect();
-    table.update_registry(
+    let workers = stubs.iter().enumerate().map(row).collect();
+    balancer.update_registry(
         &WorkerRegistry {
             version: 1,
             workers,
@@ -250,73 +272,78 @@
         1,
     );
     let pull = Pull::new(&[], 1000, 0, 0);
-    let controller = ProxyController::new(Hello::default(), site, pull, table);
+    let controller = ProxyController::new(Hello::default(), site, pull, balancer);
     let shared = Arc::new(SharedState::new(
         controller,
         PlainDialect,
-        Later::default(),
+        OffsetClock::default(),
         Default::default(),
     ));
-    let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let at = l.local_addr().unwrap();
-    task::spawn(accept(l, shared.clone(), 100));
-    Proxy { at, shared }
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let addr = listener.local_addr().unwrap();
+    task::spawn(accept(listener, shared.clone(), 100));
+    Proxy { addr, shared }
 }
 
-/// What a caller got: status, head, body, and whether it ended as it should.
+/// What a client received; `complete` says whether the body ended properly.
 #[derive(Debug)]
-pub struct Got {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
-    pub whole: bool,
+    pub complete: bool,
 }
 
-pub struct Caller {
-    pub s: TcpStream,
-    pub b: ReadBuffer,
+pub struct Client {
+    pub stream: TcpStream,
+    pub buffer: ReadBuffer,
 }
 
-impl Caller {
-    pub async fn new(p: &Proxy) -> Caller {
-        let s = TcpStream::connect(p.at).await.unwrap();
-        let b = ReadBuffer::default();
-        Caller { s, b }
+impl Client {
+    pub async fn new(proxy: &Proxy) -> Client {
+        let stream = TcpStream::connect(proxy.addr).await.unwrap();
+        let buffer = ReadBuffer::default();
+        Client { stream, buffer }
     }
 
-    pub async fn ask(&mut self, path: &str, more: &str, body: &str) -> Option<Got> {
-        let n = body.len();
-        let t = format!("POST {path} HTTP/1.1\r\nHost: a.example\r\nx-request-id: q{path}\r\n{more}content-length: {n}\r\n\r\n{body}");
-        self.s.write_all(t.as_bytes()).await.unwrap();
-        self.got().await
+    pub async fn send_request(
+        &mut self,
+        path: &str,
+        headers: &str,
+        body: &str,
+    ) -> Option<Response> {
+        let length = body.len();
+        let request = format!("POST {path} HTTP/1.1\r\nHost: a.example\r\nx-request-id: q{path}\r\n{headers}content-length: {length}\r\n\r\n{body}");
+        self.stream.write_all(request.as_bytes()).await.unwrap();
+        self.read_response().await
     }
 
-    pub async fn got(&mut self) -> Option<Got> {
-        timeout(LONG, async {
+    pub async fn read_response(&mut self) -> Option<Response> {
+        timeout(TEST_TIMEOUT, async {
             let head = loop {
-                if let Some(h) = parse_response_head(&mut self.b).unwrap() {
-                    break h;
+                if let Some(head) = parse_response_head(&mut self.buffer).unwrap() {
+                    break head;
                 }
-                if !matches!(self.b.fill(&mut self.s).await, Ok(n) if n > 0) {
+                if !matches!(self.buffer.fill(&mut self.stream).await, Ok(n) if n > 0) {
                     return None;
                 }
             };
-            let f = head.response_framing("POST").unwrap();
-            let mut d = BodyDecoder::new(f);
-            let mut out = Vec::new();
-            let whole = loop {
-                if d.decode(&mut self.b, &mut out).unwrap() {
+            let framing = head.response_framing("POST").unwrap();
+            let mut decoder = BodyDecoder::new(framing);
+            let mut body = Vec::new();
+            let complete = loop {
+                if decoder.decode(&mut self.buffer, &mut body).unwrap() {
                     break true;
                 }
-                if !matches!(self.b.fill(&mut self.s).await, Ok(n) if n > 0) {
-                    break d.is_complete_at_close();
+                if !matches!(self.buffer.fill(&mut self.stream).await, Ok(n) if n > 0) {
+                    break decoder.is_complete_at_close();
                 }
             };
-            Some(Got {
+            Some(Response {
                 status: head.status,
                 head: String::from_utf8_lossy(&head.raw).into_owned(),
-                body: String::from_utf8_lossy(&out).into_owned(),
-                whole,
+                body: String::from_utf8_lossy(&body).into_owned(),
+                complete,
             })
         })
         .await
@@ -324,6 +351,6 @@
     }
 }
 
-pub fn run<F: std::future::Future<Output = ()>>(f: F) {
+pub fn block_on_test<F: std::future::Future<Output = ()>>(f: F) {
     task::block_on(f);
 }
--- a/sorreldoor/tests/proxy/streams.rs
+++ b/sorreldoor/tests/proxy/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events through the proxy.
+//! Event streams through the proxy.
 
 use super::harness::*;
 use async_std::future::timeout;
@@ -7,64 +7,80 @@
 use std::time::Duration;
 
 #[test]
-fn a_stream_passes_event_by_event() {
-    run(async {
-        let w = stand(vec![Act::Events(1, 5, true)]).await;
-        let p = proxy(&[&w]).await;
-        let mut c = Caller::new(&p).await;
+fn a_stream_is_forwarded_event_by_event() {
+    block_on_test(async {
+        let worker = start_stub_worker(vec![Behavior::Events(1, 5, true)]).await;
+        let proxy = start_proxy(&[&worker]).await;
+        let mut client = Client::new(&proxy).await;
         for path in ["/say/1", "/ask/2"] {
-            let g = c.ask(path, "", "p").await.unwrap();
-            assert_eq!((g.status, g.body, g.whole), (200, series(1, 5), true));
+            let response = client.send_request(path, "", "p").await.unwrap();
+            assert_eq!(
+                (response.status, response.body, response.complete),
+                (200, event_series(1, 5), true)
+            );
         }
     });
 }
 
 #[test]
-fn a_stream_that_breaks_goes_on_at_another_worker_or_is_seen_to_break() {
-    for first in [Act::Events(1, 3, false), Act::Stall(1, 3)] {
-        run(async {
-            let a = stand(vec![first.clone()]).await;
-            let p = proxy(&[&a]).await;
-            let g = Caller::new(&p)
+fn a_broken_stream_is_resumed_at_another_worker_or_ends_incomplete() {
+    for first_behavior in [Behavior::Events(1, 3, false), Behavior::Stall(1, 3)] {
+        block_on_test(async {
+            let first_worker = start_stub_worker(vec![first_behavior.clone()]).await;
+            let proxy = start_proxy(&[&first_worker]).await;
+            let response = Client::new(&proxy)
                 .await
-                .ask("/say/1", "x-deadline-ms: 700\r\n", "p")
+                .send_request("/say/1", "x-deadline-ms: 700\r\n", "p")
                 .await
                 .unwrap();
             assert_eq!(
-                (g.body.as_str(), g.whole),
-                (series(1, 3).as_str(), false),
-                "{first:?}"
+                (response.body.as_str(), response.complete),
+                (event_series(1, 3).as_str(), false),
+                "{first_behavior:?}"
             );
         });
-        run(async {
-            // each breaks at first; whoever goes on repeats what the caller has
-            let acts = |n| {
+        block_on_test(async {
+            // each breaks at first; whichever resumes repeats events the client has
+            let behaviors = |n| {
                 vec![
-                    first.clone(),
-                    Act::Events(2, 6, true),
-                    Act::Events(n, 6, true),
+                    first_behavior.clone(),
+                    Behavior::Events(2, 6, true),
+                    Behavior::Events(n, 6, true),
                 ]
             };
-            let (a, b) = (stand(acts(4)).await, stand(acts(4)).await);
-            let p = proxy(&[&a, &b]).await;
+            let (first_worker, second_worker) = (
+                start_stub_worker(behaviors(4)).await,
+                start_stub_worker(behaviors(4)).await,
+            );
+            let proxy = start_proxy(&[&first_worker, &second_worker]).await;
             {
-                // the second stand-in has its first act behind it
-                let mut s = TcpStream::connect(b.addr).await.unwrap();
-                s.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
+                // consume the first behavior of the second worker
+                let mut connection = TcpStream::connect(second_worker.addr).await.unwrap();
+                connection
+                    .write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
                     .await
                     .unwrap();
-                let _ = timeout(Duration::from_millis(300), s.read(&mut [0; 16])).await;
+                let _ = timeout(Duration::from_millis(300), connection.read(&mut [0; 16])).await;
             }
-            let g = Caller::new(&p).await.ask("/ask/1", "", "p").await.unwrap();
-            assert!(g.whole, "{first:?}: {g:?}");
+            let response = Client::new(&proxy)
+                .await
+                .send_request("/ask/1", "", "p")
+                .await
+                .unwrap();
+            assert!(response.complete, "{first_behavior:?}: {response:?}");
             assert!(
-                g.body == series(1, 6) || g.body == series(2, 6),
-                "{first:?}: {g:?}"
+                response.body == event_series(1, 6) || response.body == event_series(2, 6),
+                "{first_behavior:?}: {response:?}"
             );
-            let all = [a.got.lock().unwrap().clone(), b.got.lock().unwrap().clone()].concat();
-            if g.body == series(1, 6) {
+            let all = [
+                first_worker.received.lock().unwrap().clone(),
+                second_worker.received.lock().unwrap().clone(),
+            ]
+            .concat();
+            if response.body == event_series(1, 6) {
                 assert!(
-                    all.iter().any(|(h, _)| h.contains("last-event-id: 3\r\n")),
+                    all.iter()
+                        .any(|(head, _)| head.contains("last-event-id: 3\r\n")),
                     "{all:?}"
                 );
             }
@@ -74,13 +90,28 @@
 
 #[test]
 fn a_stream_whose_events_have_no_ids_is_not_continued() {
-    run(async {
-        let acts = || vec![Act::Unnumbered(3)];
-        let (a, b) = (stand(acts()).await, stand(acts()).await);
-        let p = proxy(&[&a, &b]).await;
-        let g = Caller::new(&p).await.ask("/ask/1", "", "p").await.unwrap();
-        assert!(!g.whole, "{g:?}");
-        assert_eq!(g.body.matches("piece 1\n").count(), 1, "{g:?}");
-        assert_eq!(a.count() + b.count(), 1, "no second run");
+    block_on_test(async {
+        let behaviors = || vec![Behavior::EventsWithoutIds(3)];
+        let (first_worker, second_worker) = (
+            start_stub_worker(behaviors()).await,
+            start_stub_worker(behaviors()).await,
+        );
+        let proxy = start_proxy(&[&first_worker, &second_worker]).await;
+        let response = Client::new(&proxy)
+            .await
+            .send_request("/ask/1", "", "p")
+            .await
+            .unwrap();
+        assert!(!response.complete, "{response:?}");
+        assert_eq!(
+            response.body.matches("piece 1\n").count(),
+            1,
+            "{response:?}"
+        );
+        assert_eq!(
+            first_worker.count() + second_worker.count(),
+            1,
+            "no second run"
+        );
     });
 }
--- a/sorreldoor/tests/store/damage.rs
+++ b/sorreldoor/tests/store/damage.rs
@@ -1,11 +1,11 @@
-//! Synced bytes that change are told from writes that were never finished.
+//! Corruption of synced bytes is distinguished from torn writes.
 
 use super::sim_disk::SimDisk;
-use super::work::{append, open, snapshot};
+use super::workload::{append, open, snapshot};
 use sorreldoor::store::{DurableStore, Store, FILES};
 
-/// A store with a checkpoint and some records behind it; its active file.
-fn filled(seed: u64) -> (SimDisk, &'static str) {
+/// A disk with a checkpoint and some records after it, and its active file.
+fn populated_disk(seed: u64) -> (SimDisk, &'static str) {
     let disk = SimDisk::new(seed);
     let mut store = open(&disk).unwrap().store;
     store.put("identity", &[7]).unwrap();
@@ -23,13 +23,13 @@
     (disk, file)
 }
 
-/// Where the last record starts.
+/// Offset at which the last record starts.
 fn last_record(disk: &SimDisk, file: &str) -> usize {
     let find = |bytes: &mut Vec<u8>| bytes.windows(8).rposition(|w| w == b"SDstore1");
     disk.with_bytes(file, find).unwrap()
 }
 
-fn assert_given_up(store: &DurableStore<SimDisk>) {
+fn assert_state_discarded(store: &DurableStore<SimDisk>) {
     assert!(store.must_rejoin());
     assert!(
         store.consensus_state().is_none(),
@@ -39,57 +39,57 @@
 }
 
 #[test]
-fn any_changed_byte_before_the_last_record_is_damage() {
-    let (disk, file) = filled(1);
-    for at in 0..last_record(&disk, file) {
-        let (disk, file) = filled(1);
-        disk.with_bytes(file, |bytes| bytes[at] ^= 1 << (at % 8));
+fn any_changed_byte_before_the_last_record_is_corruption() {
+    let (disk, file) = populated_disk(1);
+    for offset in 0..last_record(&disk, file) {
+        let (disk, file) = populated_disk(1);
+        disk.with_bytes(file, |bytes| bytes[offset] ^= 1 << (offset % 8));
         let opened = open(&disk).unwrap();
-        assert!(opened.damage.is_some(), "byte {at}");
-        assert_given_up(&opened.store);
+        assert!(opened.damage.is_some(), "byte {offset}");
+        assert_state_discarded(&opened.store);
         drop(opened);
         disk.lose_power();
         let opened = open(&disk).unwrap();
         assert_eq!(opened.damage, None, "it is said once");
-        assert_given_up(&opened.store);
+        assert_state_discarded(&opened.store);
     }
 }
 
 #[test]
-fn a_cut_or_changed_last_record_is_an_unfinished_one() {
-    let (disk, file) = filled(2);
+fn a_truncated_or_changed_last_record_is_a_torn_write() {
+    let (disk, file) = populated_disk(2);
     let start = last_record(&disk, file);
     let length = disk.with_bytes(file, |bytes| bytes.len());
-    for at in start..length {
-        for cut in [true, false] {
-            let (disk, file) = filled(2);
-            disk.with_bytes(file, |bytes| match cut {
-                true => bytes.truncate(at),
-                false => bytes[at] ^= 0x10,
+    for offset in start..length {
+        for truncate in [true, false] {
+            let (disk, file) = populated_disk(2);
+            disk.with_bytes(file, |bytes| match truncate {
+                true => bytes.truncate(offset),
+                false => bytes[offset] ^= 0x10,
             });
             let opened = open(&disk).unwrap();
-            assert_eq!(opened.damage, None, "byte {at}");
-            assert_eq!(opened.torn, at > start || !cut, "byte {at}");
-            assert_eq!(opened.store.state().entries.len(), 6, "byte {at}");
+            assert_eq!(opened.damage, None, "byte {offset}");
+            assert_eq!(opened.torn, offset > start || !truncate, "byte {offset}");
+            assert_eq!(opened.store.state().entries.len(), 6, "byte {offset}");
             drop(opened);
-            assert!(!open(&disk).unwrap().torn, "byte {at}: it is cut");
+            assert!(!open(&disk).unwrap().torn, "byte {offset}: it is cut");
         }
     }
 }
 
-/// The old state never comes back, wherever giving it up is cut short.
+/// The old state is never recovered, wherever discarding it is interrupted.
 #[test]
-fn giving_up_a_damaged_state_is_one_step() {
+fn discarding_a_corrupt_state_is_atomic() {
     for point in 0..20 {
         for seed in 0..50 {
-            let (disk, file) = filled(seed);
+            let (disk, file) = populated_disk(seed);
             disk.with_bytes(file, |bytes| bytes[50] ^= 4);
-            disk.die_after(point);
+            disk.kill_after(point);
             drop(open(&disk));
             disk.revive();
             disk.lose_power();
             let opened = open(&disk).unwrap();
-            assert_given_up(&opened.store);
+            assert_state_discarded(&opened.store);
         }
     }
 }
--- a/sorreldoor/tests/store/trouble.rs
+++ b/sorreldoor/tests/store/disk_faults.rs
@@ -1,7 +1,7 @@
-//! Disks that are full or fail for a while, with crashes meanwhile.
+//! Disks that are full or fail for a while, with crashes in between.
 
 use super::sim_disk::{Random, SimDisk};
-use super::work::{append, open, snapshot, Work};
+use super::workload::{append, open, snapshot, Workload};
 use sorreldoor::store::{Store, FILES};
 
 #[test]
@@ -9,19 +9,19 @@
     for seed in 0..2000 {
         let disk = SimDisk::new(seed);
         let mut random = Random::new(seed);
-        let mut work = Work::new(seed);
+        let mut workload = Workload::new(seed);
         for _ in 0..8 {
             disk.state().fails_one_in = 0;
             let opened = open(&disk).expect("a healed disk lets the store start");
             assert_eq!(opened.damage, None, "seed {seed}");
             let mut store = opened.store;
-            work.restart(store.state());
+            workload.restart(store.state());
             for _ in 0..random.below(60) {
                 disk.state().fails_one_in = [0, 3, 6][random.below(3)];
-                work.step(&mut store);
+                workload.step(&mut store);
             }
             drop(store);
-            // starts on a failing disk, each cut short by an error or a crash
+            // starts on a failing disk, each interrupted by an error or a crash
             for _ in 0..random.below(4) {
                 disk.state().fails_one_in = 2;
                 if let Ok(opened) = open(&disk) {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_save_that_a_full_disk_refused_succeeds_once_there_is_room() {
+fn a_save_rejected_by_a_full_disk_succeeds_after_space_is_freed() {
     let disk = SimDisk::new(1);
     let mut store = open(&disk).unwrap().store;
     store.save(&[(1, append(1, 100))]).unwrap();
@@ -64,8 +64,8 @@
     let before = bytes(&disk);
     disk.state().full = true;
     for _ in 0..3 {
-        let refused = open(&disk).err().expect("a full disk");
-        assert_eq!(refused.kind(), std::io::ErrorKind::StorageFull);
+        let error = open(&disk).err().expect("a full disk");
+        assert_eq!(error.kind(), std::io::ErrorKind::StorageFull);
         disk.lose_power();
     }
     assert!(before == bytes(&disk));
@@ -73,8 +73,8 @@
     assert_eq!(open(&disk).unwrap().store.state().entries.len(), 9);
 }
 
-/// A checkpoint that could not be synced was emptied, but that was not synced
-/// either: after a loss of power it may be whole again, and must not count.
+/// A checkpoint whose sync failed was truncated, but the truncation was not
+/// synced either: after a power loss it may be complete, and must be ignored.
 #[test]
 fn a_failed_checkpoint_does_not_come_back() {
     for seed in 0..500 {
@@ -94,10 +94,10 @@
     }
 }
 
-/// What a refused write leaves is cut, so that the next start does not take
-/// it for an unfinished one.
+/// The remains of a failed write are truncated, so that the next start does
+/// not take them for a torn write.
 #[test]
-fn a_refused_append_leaves_nothing_behind_a_shorter_one() {
+fn a_failed_append_leaves_no_bytes_after_a_shorter_record() {
     for seed in 0..50 {
         let disk = SimDisk::new(seed);
         let mut store = open(&disk).unwrap().store;
--- a/sorreldoor/tests/store/legacy.rs
+++ b/sorreldoor/tests/store/legacy.rs
@@ -1,6 +1,6 @@
-//! A folder of the release before: an image, a log of okaywal, small files.
+//! Migration of a data folder of the previous release: an image, an okaywal log and small files.
 
-use super::work::{append, snapshot};
+use super::workload::{append, snapshot};
 use okaywal::{Configuration, LogManager, WriteAheadLog};
 use sorreldoor::consensus::Save;
 use sorreldoor::replicated_state::encode;
@@ -10,9 +10,9 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Debug)]
-struct Keep;
+struct CheckpointsDisabled;
 
-impl LogManager for Keep {
+impl LogManager for CheckpointsDisabled {
     fn recover(&mut self, _: &mut okaywal::Entry<'_>) -> io::Result<()> {
         Ok(())
     }
@@ -34,10 +34,10 @@
     path
 }
 
-/// Batches as that release wrote them, numbered from `first` on.
+/// Writes batches in that release's format, numbered from `first` on.
 fn write_log(path: &Path, first: u64, saves: &[Save]) {
     let log = Configuration::default_for(path.join("log"))
-        .open(Keep)
+        .open(CheckpointsDisabled)
         .unwrap();
     for (number, save) in (first..).zip(saves) {
         let mut bytes = b"SDbatch1".to_vec();
@@ -49,8 +49,8 @@
     }
 }
 
-/// An image up to save 4, saves 5 to 8 behind it, and all small files.
-fn whole(name: &str) -> PathBuf {
+/// A folder with an image up to save 4, saves 5 to 8 in the log, and all small files.
+fn complete_folder(name: &str) -> PathBuf {
     let path = folder(name);
     let mut state = DurableState::default();
     for index in 1..=3 {
@@ -69,13 +69,13 @@
     DurableStore::open_directory(path).unwrap()
 }
 
-fn names(path: &Path) -> Vec<String> {
-    let mut names: Vec<String> = fs::read_dir(path)
+fn file_names(path: &Path) -> Vec<String> {
+    let mut file_names: Vec<String> = fs::read_dir(path)
         .unwrap()
         .map(|file| file.unwrap().file_name().into_string().unwrap())
         .collect();
-    names.sort();
-    names
+    file_names.sort();
+    file_names
 }
 
 fn log_segment(path: &Path) -> PathBuf {
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn a_folder_of_the_release_before_is_taken_over_once() {
-    let path = whole("whole");
+fn a_folder_of_the_previous_release_is_migrated_once() {
+    let path = complete_folder("whole");
     let opened = open(&path);
     assert_eq!(opened.damage, None);
     let mut store = opened.store;
@@ -93,18 +93,18 @@
     assert_eq!(store.state().seq, 8);
     assert_eq!(store.value("identity"), Some(&encode(&77u64)[..]));
     assert_eq!(store.value("sure"), Some(&[1][..]));
-    assert_eq!(names(&path), ["state-a", "state-b"]);
+    assert_eq!(file_names(&path), ["state-a", "state-b"]);
     store.save(&[(1, append(8, 50))]).unwrap();
     drop(store);
     assert_eq!(open(&path).store.state().entries.len(), 6);
 }
 
-/// What kept cores from starting for good: a segment that was made but never
-/// synced, short or without its first bytes after a loss of power.
+/// Regression: a segment that was created but never synced, and is short or
+/// lacks its first bytes after a power loss, once kept cores from starting.
 #[test]
-fn a_segment_without_its_header_is_no_damage() {
+fn a_segment_without_its_header_is_not_corruption() {
     for length in [0, 1, 4] {
-        let path = whole("short");
+        let path = complete_folder("short");
         fs::write(path.join("log").join("wal-9"), vec![0; length]).unwrap();
         let opened = open(&path);
         assert_eq!(opened.damage, None, "{length} bytes");
@@ -113,59 +113,59 @@
 }
 
 #[test]
-fn a_torn_last_batch_is_dropped_and_a_damaged_one_before_it_is_told() {
-    let batch = |bytes: &[u8], number: u64| {
+fn a_torn_last_batch_is_dropped_and_an_earlier_corrupt_one_is_reported() {
+    let batch_offset = |bytes: &[u8], number: u64| {
         let pattern = [&b"SDbatch1"[..], &number.to_le_bytes()].concat();
         bytes.windows(pattern.len()).position(|w| w == pattern)
     };
-    let change = |path: &Path, number: u64, act: &dyn Fn(&mut Vec<u8>, usize)| {
+    let corrupt_batch = |path: &Path, number: u64, damage: &dyn Fn(&mut Vec<u8>, usize)| {
         let segment = log_segment(path);
         let mut bytes = fs::read(&segment).unwrap();
-        let at = batch(&bytes, number).unwrap();
-        act(&mut bytes, at);
+        let offset = batch_offset(&bytes, number).unwrap();
+        damage(&mut bytes, offset);
         fs::write(&segment, bytes).unwrap();
     };
-    let path = whole("torn");
-    change(&path, 8, &|bytes, at| bytes[at + 40..].fill(0));
+    let path = complete_folder("torn");
+    corrupt_batch(&path, 8, &|bytes, offset| bytes[offset + 40..].fill(0));
     let opened = open(&path);
     assert_eq!(
         (opened.damage, opened.store.state().entries.len()),
         (None, 4)
     );
     // the checksum of a batch, and the length of one
-    for (name, offset) in [("flipped", 60isize), ("length", -14)] {
-        let path = whole(name);
-        change(&path, 6, &|bytes, at| {
-            let at = at.checked_add_signed(offset).unwrap();
-            bytes[at] ^= 0xff;
+    for (name, relative_offset) in [("flipped", 60isize), ("length", -14)] {
+        let path = complete_folder(name);
+        corrupt_batch(&path, 6, &|bytes, offset| {
+            let offset = offset.checked_add_signed(relative_offset).unwrap();
+            bytes[offset] ^= 0xff;
         });
         let opened = open(&path);
         assert!(opened.damage.is_some(), "{name}");
         assert!(opened.store.must_rejoin() && opened.store.consensus_state().is_none());
-        assert_eq!(names(&path), ["state-a", "state-b"]);
+        assert_eq!(file_names(&path), ["state-a", "state-b"]);
     }
 }
 
 #[test]
-fn an_image_that_cannot_be_read_is_damage() {
-    let path = whole("image");
+fn an_unreadable_image_is_corruption() {
+    let path = complete_folder("image");
     fs::write(path.join("image"), b"not an image").unwrap();
     let opened = open(&path);
     assert!(opened.damage.is_some() && opened.store.must_rejoin());
 }
 
 #[test]
-fn files_of_the_release_before_that_come_back_are_not_read_again() {
-    let path = whole("again");
+fn legacy_files_that_reappear_are_ignored() {
+    let path = complete_folder("again");
     drop(open(&path));
     fs::write(path.join("identity"), encode(&1u64)).unwrap();
     let opened = open(&path);
     assert_eq!(opened.store.value("identity"), Some(&encode(&77u64)[..]));
-    assert_eq!(names(&path), ["state-a", "state-b"]);
+    assert_eq!(file_names(&path), ["state-a", "state-b"]);
 }
 
 #[test]
-fn saves_on_a_real_folder_are_there_again() {
+fn saves_to_a_real_directory_are_recovered() {
     let path = folder("real");
     let mut store = open(&path).store;
     for index in 1..=4000 {
--- a/sorreldoor/tests/store/main.rs
+++ b/sorreldoor/tests/store/main.rs
@@ -1,10 +1,10 @@
-//! The store on disks that lose power, tear writes, fill, fail and rot.
+//! The store on disks with power loss, torn writes, no space, I/O errors and corruption.
 
 mod cost;
 mod crash;
 mod damage;
+mod disk_faults;
 mod legacy;
 mod sim_disk;
 mod state;
-mod trouble;
-mod work;
+mod workload;
--- a/sorreldoor/tests/store/sim_disk.rs
+++ b/sorreldoor/tests/store/sim_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets, tears, fills and fails as real ones do.
+//! An in-memory disk that loses unsynced writes, tears writes, fills up and fails as real ones do.
 
 use sorreldoor::store::Disk;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
     Write {
         offset: usize,
         bytes: Vec<u8>,
-        /// A sync failed over it: no later one writes it.
+        /// Set when a sync of it failed: no later sync writes it.
         dropped: bool,
     },
     Length(usize),
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default)]
 struct SimFile {
     durable: Vec<u8>,
-    /// As processes read it while the machine has power.
+    /// The content that processes read while the machine has power.
     visible: Vec<u8>,
     unsynced: Vec<Unsynced>,
     name_synced: bool,
@@ -72,7 +72,7 @@
             let fate = match loss {
                 Loss::All => 0,
                 Loss::Nothing => 1,
-                Loss::EachByItself => random.below(4),
+                Loss::Independent => random.below(4),
             };
             match (change, fate) {
                 (_, 0) => {}
@@ -97,21 +97,21 @@
     }
 }
 
-/// How much of what was not synced a loss of power takes.
+/// How much of the unsynced data a power loss discards.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     All,
     Nothing,
-    EachByItself,
+    Independent,
 }
 
 #[derive(Debug)]
 pub struct State {
     files: BTreeMap<String, SimFile>,
     random: Random,
-    /// Operations that succeed from now on; then the process is dead.
-    left: usize,
-    /// The disk refuses every change.
+    /// Operations that still succeed before the process is dead.
+    operations_left: usize,
+    /// The disk rejects every change as out of space.
     pub full: bool,
     /// One in so many changes or syncs fails; 0: none.
     pub fails_one_in: usize,
@@ -132,7 +132,7 @@
         SimDisk(Arc::new(Mutex::new(State {
             files: BTreeMap::new(),
             random: Random::new(seed),
-            left: usize::MAX,
+            operations_left: usize::MAX,
             full: false,
             fails_one_in: 0,
             syncs_fail: false,
@@ -147,13 +147,13 @@
         self.0.lock().unwrap()
     }
 
-    /// The process dies after so many more operations.
-    pub fn die_after(&self, operations: usize) {
-        self.state().left = operations;
+    /// Kills the process after `operations` more operations.
+    pub fn kill_after(&self, operations: usize) {
+        self.state().operations_left = operations;
     }
 
     pub fn revive(&self) {
-        self.state().left = usize::MAX;
+        self.state().operations_left = usize::MAX;
     }
 
     pub fn lose_power(&self) {
@@ -162,8 +162,8 @@
         let loss = [
             Loss::All,
             Loss::Nothing,
-            Loss::EachByItself,
-            Loss::EachByItself,
+            Loss::Independent,
+            Loss::Independent,
         ];
         let loss = loss[random.below(loss.len())];
         files.retain(|_, f| f.name_synced || random.chance(2));
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The bytes of a file, to look at or to damage.
+    /// Gives `act` the bytes of a file, to inspect or corrupt.
     pub fn with_bytes<T>(&self, name: &str, act: impl FnOnce(&mut Vec<u8>) -> T) -> T {
         let mut state = self.state();
         let file = state.files.entry(name.to_string()).or_default();
@@ -185,10 +185,10 @@
 
 impl State {
     fn step(&mut self) -> io::Result<()> {
-        if self.left == 0 {
+        if self.operations_left == 0 {
             return Err(io::Error::other("the process is dead"));
         }
-        self.left = self.left.saturating_sub(1);
+        self.operations_left = self.operations_left.saturating_sub(1);
         self.operations += 1;
         Ok(())
     }
--- a/sorreldoor/tests/store/state.rs
+++ b/sorreldoor/tests/store/state.rs
@@ -1,4 +1,4 @@
-//! What saves add up to.
+//! Folding saves into the durable state.
 
 use serde::Serialize;
 use sorreldoor::consensus::{ClaimRecord, Entry, HardState, Save, Snapshot};
@@ -6,9 +6,9 @@
 use sorreldoor::store::DurableState;
 use std::collections::VecDeque;
 
-/// What an early release kept on disk, as it wrote it.
+/// The durable state as an early release stored it.
 #[derive(Serialize)]
-struct Before {
+struct LegacyImage {
     hard: HardState,
     snap: Option<Snapshot>,
     entries: Vec<Entry>,
@@ -17,16 +17,16 @@
 }
 
 #[test]
-fn what_the_release_before_kept_is_read() {
-    let before = Before {
+fn claims_of_the_previous_release_are_read() {
+    let legacy = LegacyImage {
         hard: HardState::default(),
         snap: None,
         entries: Vec::new(),
         claims: VecDeque::from([("old".to_string(), 7)]),
         seq: 3,
     };
-    let mut state: DurableState = decode(&encode(&before)).expect("an image of that release");
-    // its saves still stand in the log behind the image
+    let mut state: DurableState = decode(&encode(&legacy)).expect("an image of that release");
+    // its saves are still in the log after the image
     state.apply_save(4, &Save::Claims(vec![("later".into(), 8)]));
     let (id, claimant, retention_ms) = ("old".to_string(), 9, 5);
     state.apply_save(
@@ -37,7 +37,10 @@
             retention_ms,
         }]),
     );
-    let kept = state.to_consensus().claims;
-    let by = |id: &str| kept.iter().find(|n| n.id == id).map(|n| n.claimant);
-    assert_eq!((kept.len(), by("old"), by("later")), (2, Some(9), Some(8)));
+    let claims = state.to_consensus().claims;
+    let claimant_of = |id: &str| claims.iter().find(|n| n.id == id).map(|n| n.claimant);
+    assert_eq!(
+        (claims.len(), claimant_of("old"), claimant_of("later")),
+        (2, Some(9), Some(8))
+    );
 }
--- a/sorreldoor/tests/store/work.rs
+++ b/sorreldoor/tests/store/workload.rs
@@ -1,4 +1,4 @@
-//! Random work on a store, and what may be found of it after a crash.
+//! A random workload on a store, and the states that a restart may recover.
 
 use super::sim_disk::{Random, SimDisk};
 use sorreldoor::consensus::{Body, ClaimRecord, Entry, HardState, LogPosition, Save, Snapshot};
@@ -48,50 +48,51 @@
     Put(&'static str, Vec<u8>),
 }
 
-/// Makes calls, and knows what the store must hold after each.
-pub struct Work {
+/// Generates calls, and models the state that the store must hold after each.
+pub struct Workload {
     random: Random,
-    /// What was acknowledged.
-    pub kept: DurableState,
-    /// Calls that failed and were not made again yet.
+    /// The state after all acknowledged calls.
+    pub acknowledged: DurableState,
+    /// Calls that failed and have not been retried yet.
     pending: Vec<Call>,
-    /// The number that the consensus of this life gave last.
-    given: u64,
+    /// Last save number issued since the restart.
+    issued: u64,
     first_seq: u64,
 }
 
-impl Work {
-    pub fn new(seed: u64) -> Work {
-        Work {
+impl Workload {
+    pub fn new(seed: u64) -> Workload {
+        Workload {
             random: Random::new(seed ^ 0xABCD),
-            kept: DurableState::default(),
+            acknowledged: DurableState::default(),
             pending: Vec::new(),
-            given: 0,
+            issued: 0,
             first_seq: 0,
         }
     }
 
-    /// A process starts on what was found, which must be what was
-    /// acknowledged, with any of the calls that were not.
+    /// Restarts on the recovered state, which must be the acknowledged state
+    /// plus any subset of the pending calls.
     pub fn restart(&mut self, found: &DurableState) {
         let choices = 1 << self.pending.len();
-        let fits = (0..choices).any(|choice| encode(&self.possible(choice)) == encode(found));
+        let possible_outcome =
+            (0..choices).any(|choice| encode(&self.possible(choice)) == encode(found));
         assert!(
-            fits,
+            possible_outcome,
             "found up to save {}, kept up to {}, {} calls pending",
             found.seq,
-            self.kept.seq,
+            self.acknowledged.seq,
             self.pending.len()
         );
-        self.kept = found.clone();
+        self.acknowledged = found.clone();
         self.pending.clear();
-        self.given = 0;
+        self.issued = 0;
         self.first_seq = found.seq;
     }
 
-    /// What is kept if the pending calls of this choice are in.
+    /// The state if the pending calls in the bit set `choice` were applied.
     fn possible(&self, choice: usize) -> DurableState {
-        let mut state = self.kept.clone();
+        let mut state = self.acknowledged.clone();
         for (index, call) in self.pending.iter().enumerate() {
             if choice & (1 << index) != 0 {
                 self.apply(&mut state, call);
@@ -103,8 +104,8 @@
     fn apply(&self, state: &mut DurableState, call: &Call) {
         match call {
             Call::Save(saves) => {
-                // a pending batch is the last one given
-                let before = self.given - saves.len() as u64;
+                // a pending batch is the last one issued
+                let before = self.issued - saves.len() as u64;
                 for (nth, save) in saves.iter().enumerate() {
                     state.apply_save(self.first_seq + before + nth as u64 + 1, save);
                 }
@@ -116,62 +117,62 @@
         }
     }
 
-    /// Makes one call, at times a put beside a save that has failed; false
-    /// where the store refuses it.
+    /// Makes one call, at times a put while a failed save is pending; returns
+    /// false if the store rejects it.
     pub fn step(&mut self, store: &mut impl Store) -> bool {
-        let beside = self.pending.len() == 1 && matches!(self.pending[0], Call::Save(_));
+        let put_allowed = self.pending.len() == 1 && matches!(self.pending[0], Call::Save(_));
         let call = match self.pending.last() {
-            None => self.next(),
-            Some(_) if beside && self.random.chance(3) => self.put(),
+            None => self.next_call(),
+            Some(_) if put_allowed && self.random.chance(3) => self.random_put(),
             Some(_) => self.pending.pop().unwrap(),
         };
-        let done = match &call {
+        let result = match &call {
             Call::Save(saves) => {
-                let before = self.given - saves.len() as u64;
+                let before = self.issued - saves.len() as u64;
                 let batch: Vec<(u64, Save)> = (before + 1..).zip(saves.iter().cloned()).collect();
                 store.save(&batch)
             }
             Call::Put(name, value) => store.put(name, value),
         };
-        if done.is_err() {
+        if result.is_err() {
             self.pending.push(call);
             return false;
         }
-        let mut kept = std::mem::take(&mut self.kept);
-        self.apply(&mut kept, &call);
-        self.kept = kept;
-        // a checkpoint holds the save that failed before as well, and the
-        // next life may find it: it stays pending until it is acknowledged
+        let mut acknowledged = std::mem::take(&mut self.acknowledged);
+        self.apply(&mut acknowledged, &call);
+        self.acknowledged = acknowledged;
+        // a checkpoint includes an earlier failed save, which the next restart
+        // may recover: it stays pending until it is acknowledged
         true
     }
 
-    fn put(&mut self) -> Call {
-        let names = ["identity", "promise", "sure"];
-        let name = names[self.random.below(3)];
+    fn random_put(&mut self) -> Call {
+        let value_names = ["identity", "promise", "sure"];
+        let name = value_names[self.random.below(3)];
         Call::Put(
             name,
             vec![self.random.below(256) as u8; self.random.below(40)],
         )
     }
 
-    fn next(&mut self) -> Call {
+    fn next_call(&mut self) -> Call {
         if self.random.chance(8) {
-            return self.put();
+            return self.random_put();
         }
         let count = 1 + self.random.below(3);
-        let mut state = self.kept.clone();
+        let mut state = self.acknowledged.clone();
         let saves: Vec<Save> = (0..count)
             .map(|_| {
-                let save = self.any_save(&state);
+                let save = self.random_save(&state);
                 state.apply_save(state.seq + 1, &save);
                 save
             })
             .collect();
-        self.given += count as u64;
+        self.issued += count as u64;
         Call::Save(saves)
     }
 
-    fn any_save(&mut self, state: &DurableState) -> Save {
+    fn random_save(&mut self, state: &DurableState) -> Save {
         let base = state.snapshot.as_ref().map_or(0, |s| s.last.index);
         let last = base + state.entries.len() as u64;
         match self.random.below(12) {
@@ -187,11 +188,11 @@
             2 => Save::ReleasedClaims(vec![format!("id{}", self.random.below(5))]),
             3 if last > base => {
                 let size = if self.random.chance(20) { 150_000 } else { 900 };
-                let at = base + 1 + self.random.below((last - base) as usize) as u64;
-                snapshot(at, self.random.below(size))
+                let index = base + 1 + self.random.below((last - base) as usize) as u64;
+                snapshot(index, self.random.below(size))
             }
             4 if last > base => {
-                // another leader's log replaces the end
+                // another leader's log overwrites the tail
                 let from = base + 1 + self.random.below((last - base) as usize) as u64;
                 append(from, self.random.below(300))
             }
