--- a/sorreldoor/tests/claim_table.rs
+++ b/sorreldoor/tests/claim_table.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_claim_stands_until_its_time_and_no_shorter() {
+fn a_claim_is_held_until_its_expiry() {
     let mut table = ClaimTable::new(3);
     assert_eq!(table.claim(&claim("a", 1), 0), ClaimOutcome::Granted);
     assert_eq!(table.claim(&claim("a", 2), 500), ClaimOutcome::Conflict(1));
@@ -26,7 +26,7 @@
 
 /// A key that is released and claimed again keeps the expiry of its new claim.
 #[test]
-fn an_id_claimed_again_is_not_dropped_by_its_old_place() {
+fn a_reclaimed_key_keeps_the_expiry_of_its_new_claim() {
     let mut table = ClaimTable::new(10);
     assert_eq!(table.claim(&claim("a", 1), 0), ClaimOutcome::Granted);
     assert!(table.release("a", 1, 400));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_claim_overtaken_by_its_own_end_is_not_noted() {
+fn a_claim_after_its_release_is_not_recorded() {
     let mut table = ClaimTable::new(10);
     assert!(!table.release("a", 1, 0));
     assert_eq!(table.claim(&claim("a", 1), 5), ClaimOutcome::Released);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn pages_lead_through_all_that_was_noted() {
+fn paging_returns_all_recorded_claims() {
     let mut table = ClaimTable::new(100);
     for i in 0..25 {
         let outcome = table.claim(&claim(&format!("x{i}"), i), 0);
--- a/sorreldoor/tests/cli.rs
+++ b/sorreldoor/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program from its outside: exit codes, exact messages, a damaged disk.
+//! The command line of the binary: exit codes, exact messages, a corrupt data folder.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -10,104 +10,129 @@
         .unwrap()
 }
 
-fn text(o: &Output) -> (i32, String, String) {
-    let t = |b: &[u8]| String::from_utf8_lossy(b).into_owned();
-    (o.status.code().unwrap_or(-1), t(&o.stdout), t(&o.stderr))
+fn exit_and_output(output: &Output) -> (i32, String, String) {
+    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+    (
+        output.status.code().unwrap_or(-1),
+        text(&output.stdout),
+        text(&output.stderr),
+    )
 }
 
-fn dir(name: &str) -> PathBuf {
-    let d = std::env::temp_dir().join(format!("sorreldoor-cli-{}-{name}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&d);
-    std::fs::create_dir_all(&d).unwrap();
-    d
+fn temp_dir(name: &str) -> PathBuf {
+    let directory =
+        std::env::temp_dir().join(format!("sorreldoor-cli-{}-{name}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&directory);
+    std::fs::create_dir_all(&directory).unwrap();
+    directory
 }
 
-fn settings(d: &std::path::Path, http: &str, listen: &str) -> String {
-    let f = d.join("s.json");
-    let data = d.join("data");
-    let t = format!(
+fn settings(directory: &std::path::Path, http: &str, listen: &str) -> String {
+    let settings_file = directory.join("s.json");
+    let data = directory.join("data");
+    let text = format!(
         r#"{{"site":"s","regions":{{"a":["a1"]}},"node":"n","zone":"a1","http":"{http}",
            "listen":"{listen}","seeds":["{listen}"],"data":"{}"}}"#,
         data.display()
     );
-    std::fs::write(&f, t).unwrap();
-    f.display().to_string()
+    std::fs::write(&settings_file, text).unwrap();
+    settings_file.display().to_string()
 }
 
 #[test]
-fn wrong_use_and_bad_settings_end_with_two() {
-    let d = dir("bad");
-    let f = settings(&d, "127.0.0.1:1", "127.0.0.1:2");
-    let (c, out, _) = text(&run(&["core", "--settings", &f, "--check"]));
-    assert_eq!((c, &out[..]), (0, "settings are good\n"));
-    let (c, _, err) = text(&run(&["core", "--settings", &f, "--check", "--zone", "x"]));
+fn usage_and_settings_errors_exit_with_2() {
+    let directory = temp_dir("bad");
+    let settings_file = settings(&directory, "127.0.0.1:1", "127.0.0.1:2");
+    let (code, stdout, _) =
+        exit_and_output(&run(&["core", "--settings", &settings_file, "--check"]));
+    assert_eq!((code, &stdout[..]), (0, "settings are good\n"));
+    let (code, _, stderr) = exit_and_output(&run(&[
+        "core",
+        "--settings",
+        &settings_file,
+        "--check",
+        "--zone",
+        "x",
+    ]));
     assert_eq!(
-        (c, &err[..]),
+        (code, &stderr[..]),
         (2, "settings: zone: \"x\" is in no region\n")
     );
-    let (c, _, err) = text(&run(&["core", "--settings", "/nowhere"]));
-    assert!(c == 2 && err.contains("cannot read /nowhere"), "{err}");
-    assert_eq!(text(&run(&[])).0, 2);
-    assert_eq!(text(&run(&["baker"])).0, 2);
-    let (c, _, err) = text(&run(&["ctl", "get"]));
-    assert_eq!((c, &err[..]), (2, "ctl: --at: name at least one node\n"));
-    let (c, _, err) = text(&run(&["ctl", "--at", "127.0.0.1:1", "get"]));
-    assert!(c == 3 && err.contains("nothing was sent"), "{err}");
+    let (code, _, stderr) = exit_and_output(&run(&["core", "--settings", "/nowhere"]));
+    assert!(
+        code == 2 && stderr.contains("cannot read /nowhere"),
+        "{stderr}"
+    );
+    assert_eq!(exit_and_output(&run(&[])).0, 2);
+    assert_eq!(exit_and_output(&run(&["baker"])).0, 2);
+    let (code, _, stderr) = exit_and_output(&run(&["ctl", "get"]));
+    assert_eq!(
+        (code, &stderr[..]),
+        (2, "ctl: --at: name at least one node\n")
+    );
+    let (code, _, stderr) = exit_and_output(&run(&["ctl", "--at", "127.0.0.1:1", "get"]));
+    assert!(code == 3 && stderr.contains("nothing was sent"), "{stderr}");
 }
 
 #[test]
-fn a_taken_port_and_a_folder_that_is_none_end_with_one() {
-    let d = dir("port");
-    let l = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = l.local_addr().unwrap().to_string();
-    let f = settings(&d, "127.0.0.1:1", &taken);
-    let (c, _, err) = text(&run(&["core", "--settings", &f]));
+fn an_occupied_port_or_a_bad_data_folder_exits_with_1() {
+    let directory = temp_dir("port");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupied = listener.local_addr().unwrap().to_string();
+    let settings_file = settings(&directory, "127.0.0.1:1", &occupied);
+    let (code, _, stderr) = exit_and_output(&run(&["core", "--settings", &settings_file]));
     assert!(
-        c == 1 && err.contains(&format!("listen: cannot bind {taken}")),
-        "{err}"
+        code == 1 && stderr.contains(&format!("listen: cannot bind {occupied}")),
+        "{stderr}"
     );
-    assert!(err.contains("E200") && !err.contains("E222"), "{err}");
-    std::fs::remove_dir_all(d.join("data")).unwrap();
-    std::fs::write(d.join("data"), b"a file").unwrap();
-    let (c, _, err) = text(&run(&["core", "--settings", &f]));
-    assert!(c != 0 && err.contains("data"), "{err}");
+    assert!(
+        stderr.contains("E200") && !stderr.contains("E222"),
+        "{stderr}"
+    );
+    std::fs::remove_dir_all(directory.join("data")).unwrap();
+    std::fs::write(directory.join("data"), b"a file").unwrap();
+    let (code, _, stderr) = exit_and_output(&run(&["core", "--settings", &settings_file]));
+    assert!(code != 0 && stderr.contains("data"), "{stderr}");
 }
 
-/// The core goes on as a blank one, under a new name, and says so once; it
-/// ends here only because its port is taken.
+/// The core continues as a blank one, under a new identity, and logs that once; it
+/// exits here only because its port is occupied.
 #[test]
-fn a_damaged_state_is_given_up_once() {
-    let d = dir("damaged");
-    let l = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = l.local_addr().unwrap().to_string();
-    let f = settings(&d, "127.0.0.1:1", &taken);
-    let start = || text(&run(&["core", "--settings", &f])).2;
-    let state = d.join("data").join("state-a");
-    assert!(start().contains("E200"));
+fn a_corrupt_state_is_discarded_once() {
+    let directory = temp_dir("damaged");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupied = listener.local_addr().unwrap().to_string();
+    let settings_file = settings(&directory, "127.0.0.1:1", &occupied);
+    let start_core = || exit_and_output(&run(&["core", "--settings", &settings_file])).2;
+    let state = directory.join("data").join("state-a");
+    assert!(start_core().contains("E200"));
     let mut bytes = std::fs::read(&state).unwrap();
     bytes[50] ^= 1;
     std::fs::write(&state, bytes).unwrap();
-    let damaged = start();
+    let damaged = start_core();
     assert!(damaged.contains("E222"), "{damaged}");
     assert!(damaged.contains("E200"), "{damaged}");
-    let after = start();
+    let later_start = start_core();
     assert!(
-        !after.contains("E222") && !after.contains("E200"),
-        "{after}"
+        !later_start.contains("E222") && !later_start.contains("E200"),
+        "{later_start}"
     );
 }
 
-/// A folder of the release before with an image that cannot be read.
+/// A data folder of the previous release with an unreadable image.
 #[test]
-fn a_damaged_image_of_the_release_before_is_given_up() {
-    let d = dir("image");
-    let l = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = l.local_addr().unwrap().to_string();
-    let f = settings(&d, "127.0.0.1:1", &taken);
-    let data = d.join("data");
+fn a_corrupt_image_of_the_previous_release_is_discarded() {
+    let directory = temp_dir("image");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupied = listener.local_addr().unwrap().to_string();
+    let settings_file = settings(&directory, "127.0.0.1:1", &occupied);
+    let data = directory.join("data");
     std::fs::create_dir_all(&data).unwrap();
     std::fs::write(data.join("image"), b"not an image").unwrap();
-    let (_, _, err) = text(&run(&["core", "--settings", &f]));
-    assert!(err.contains("E222") && err.contains("E200"), "{err}");
+    let (_, _, stderr) = exit_and_output(&run(&["core", "--settings", &settings_file]));
+    assert!(
+        stderr.contains("E222") && stderr.contains("E200"),
+        "{stderr}"
+    );
     assert!(!data.join("image").exists());
 }
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Seeded damage to everything that is read from outside: whatever comes of
-//! it is a value or a named fault, never a panic, and what is read is in bounds.
+//! Seeded fuzzing of everything that is parsed from outside: the result is a
+//! value within bounds or an error with a message, never a panic.
 
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::consensus::StateMachine;
@@ -11,40 +11,40 @@
 use std::path::Path;
 use std::sync::Arc;
 
-struct Dice(u64);
+struct Random(u64);
 
-impl Dice {
-    fn new(seed: u64) -> Dice {
-        Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+impl Random {
+    fn new(seed: u64) -> Random {
+        Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
-    fn draw(&mut self) -> u64 {
+    fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
         self.0 >> 8
     }
     fn below(&mut self, n: usize) -> usize {
-        (self.draw() % n.max(1) as u64) as usize
+        (self.next() % n.max(1) as u64) as usize
     }
 }
 
-/// A few bytes changed, dropped, doubled or moved.
-fn damaged(d: &mut Dice, from: &[u8]) -> Vec<u8> {
-    let mut b = from.to_vec();
-    for _ in 0..1 + d.below(4) {
-        let (i, j) = (d.below(b.len()), d.below(b.len()));
-        let (lo, hi) = (i.min(j), i.max(j).min(i.min(j) + 40));
-        match d.below(6) {
-            0 if !b.is_empty() => b[i] = d.draw() as u8,
-            1 if !b.is_empty() => b[i] ^= 1 << d.below(8),
-            2 => drop(b.drain(lo..hi)),
+/// A copy of `from` with a few bytes changed, dropped, duplicated or replaced.
+fn mutate(random: &mut Random, from: &[u8]) -> Vec<u8> {
+    let mut bytes = from.to_vec();
+    for _ in 0..1 + random.below(4) {
+        let (i, j) = (random.below(bytes.len()), random.below(bytes.len()));
+        let (start, end) = (i.min(j), i.max(j).min(i.min(j) + 40));
+        match random.below(6) {
+            0 if !bytes.is_empty() => bytes[i] = random.next() as u8,
+            1 if !bytes.is_empty() => bytes[i] ^= 1 << random.below(8),
+            2 => drop(bytes.drain(start..end)),
             3 => {
-                let part = b[lo..hi].to_vec();
-                b.splice(lo..lo, part);
+                let fragment = bytes[start..end].to_vec();
+                bytes.splice(start..start, fragment);
             }
-            4 => b.truncate(i),
+            4 => bytes.truncate(i),
             _ => {
-                let odd: [&[u8]; 8] = [
+                let fragments: [&[u8]; 8] = [
                     b"null",
                     b"-1",
                     b"1e999",
@@ -54,12 +54,12 @@
                     b"{}",
                     b"\xff\xfe",
                 ];
-                let part = odd[d.below(odd.len())];
-                b.splice(lo..hi, part.iter().copied());
+                let fragment = fragments[random.below(fragments.len())];
+                bytes.splice(start..end, fragment.iter().copied());
             }
         }
     }
-    b
+    bytes
 }
 
 fn site() -> Site {
@@ -80,7 +80,7 @@
         http: "127.0.0.1:1".into(),
         ..Hello::default()
     };
-    let cmd = Command::Put {
+    let command = Command::Put {
         base: 1,
         new_version: None,
         document: "{}".into(),
@@ -98,7 +98,7 @@
         Payload::Op {
             request_id: 1,
             proposal_id: 2,
-            cmd,
+            cmd: command,
         },
         Payload::Sent { requests },
         Payload::Ping { no: 0 },
@@ -106,50 +106,55 @@
 }
 
 #[test]
-fn damaged_frames_are_refused_or_read() {
-    let (mut read, mut refused) = (0, 0);
+fn damaged_frames_are_rejected_or_decoded() {
+    let (mut decoded, mut rejected) = (0, 0);
     for seed in 1..4000 {
-        let mut d = Dice::new(seed);
+        let mut random = Random::new(seed);
         let all = frames();
-        let one = pack("site", &all[d.below(all.len())]);
-        let b = damaged(&mut d, &one[4..]);
-        match unpack("site", &b) {
-            Ok(_) => read += 1,
-            Err(e) => {
-                refused += 1;
-                assert!(!e.to_string().is_empty());
+        let frame = pack("site", &all[random.below(all.len())]);
+        let damaged_bytes = mutate(&mut random, &frame[4..]);
+        match unpack("site", &damaged_bytes) {
+            Ok(_) => decoded += 1,
+            Err(error) => {
+                rejected += 1;
+                assert!(!error.to_string().is_empty());
             }
         }
-        let head = [
-            d.draw() as u8,
-            d.draw() as u8,
-            d.draw() as u8,
-            d.draw() as u8,
+        let length_prefix = [
+            random.next() as u8,
+            random.next() as u8,
+            random.next() as u8,
+            random.next() as u8,
         ];
-        assert!(length(head).map_or(true, |n| n <= sorreldoor::wire::MOST_FRAME));
+        assert!(length(length_prefix).map_or(true, |n| n <= sorreldoor::wire::MOST_FRAME));
     }
-    println!("{read} read, {refused} refused");
-    assert!(refused > 2000 && read > 20);
+    println!("{decoded} read, {rejected} refused");
+    assert!(rejected > 2000 && decoded > 20);
 }
 
 #[test]
-fn damaged_setups_and_patches_have_faults_or_are_whole() {
+fn damaged_configurations_and_patches_are_rejected_or_valid() {
     let site = site();
-    let doc = example("press-setup.json");
-    let (good, _) = configuration::parse(&doc, &site).expect("the example is good");
-    let (mut ok, mut bad) = (0, 0);
+    let document = example("press-setup.json");
+    let (valid, _) = configuration::parse(&document, &site).expect("the example is good");
+    let (mut parsed, mut rejected) = (0, 0);
     for seed in 1..2500 {
-        let mut d = Dice::new(seed);
-        let b = damaged(&mut d, &doc);
-        match configuration::parse(&b, &site) {
-            Ok((s, _)) => {
-                ok += 1;
-                assert!(s.retry_percent <= 20 && !s.routes.is_empty());
-                let fits = |h: &configuration::Share| h.least <= h.weight && h.weight <= h.most;
-                assert!(s.routes.iter().all(|r| r.shares.iter().all(fits)));
+        let mut random = Random::new(seed);
+        let damaged_bytes = mutate(&mut random, &document);
+        match configuration::parse(&damaged_bytes, &site) {
+            Ok((configuration, _)) => {
+                parsed += 1;
+                assert!(configuration.retry_percent <= 20 && !configuration.routes.is_empty());
+                let weight_in_bounds = |share: &configuration::Share| {
+                    share.least <= share.weight && share.weight <= share.most
+                };
+                assert!(configuration
+                    .routes
+                    .iter()
+                    .all(|route| route.shares.iter().all(weight_in_bounds)));
             }
             Err(faults) => {
-                bad += 1;
+                rejected += 1;
                 assert!(
                     !faults.is_empty() && faults.iter().all(|f| f.contains(':')),
                     "{faults:?}"
@@ -158,58 +163,62 @@
         }
     }
     println!(
-        "{ok} read, {bad} faulty; {} routes in the good one",
-        good.routes.len()
+        "{parsed} read, {rejected} faulty; {} routes in the good one",
+        valid.routes.len()
     );
-    assert!(bad > 1000 && ok > 5);
-    // patches on a record: taken whole or not at all
-    let mut r = ReplicatedState::new(Arc::new(site));
-    let text = String::from_utf8(doc).unwrap();
+    assert!(rejected > 1000 && parsed > 5);
+    // patches of a state: applied completely or not at all
+    let mut state = ReplicatedState::new(Arc::new(site));
+    let text = String::from_utf8(document).unwrap();
     let put = Command::Put {
         base: 0,
         new_version: None,
         document: text,
     };
-    r.apply(1, 1, &encode(&put));
+    state.apply(1, 1, &encode(&put));
     let patch =
         br#"{"routes":{"draft":{"cutoff_ms":4000,"home":true}},"spill":{"north":{"south":5}}}"#;
     for seed in 1..1500u64 {
-        let mut d = Dice::new(seed);
-        let b = damaged(&mut d, patch);
-        let patch = String::from_utf8_lossy(&b).into_owned();
-        let before = r.view();
+        let mut random = Random::new(seed);
+        let damaged_bytes = mutate(&mut random, patch);
+        let patch = String::from_utf8_lossy(&damaged_bytes).into_owned();
+        let before = state.view();
         let base = before.version;
-        let out = r.apply(
+        let outcome = state.apply(
             2,
             u128::from(seed) + 10,
             &encode(&Command::MergePatch { base, patch }),
         );
-        let out: Outcome = sorreldoor::replicated_state::decode(&out).expect("an outcome");
-        match out {
+        let outcome: Outcome = sorreldoor::replicated_state::decode(&outcome).expect("an outcome");
+        match outcome {
             Outcome::Applied { version } => {
-                assert_eq!((version, r.view().version), (base + 1, base + 1))
+                assert_eq!((version, state.view().version), (base + 1, base + 1))
             }
-            _ => assert_eq!(r.view(), before),
+            _ => assert_eq!(state.view(), before),
         }
     }
 }
 
 #[test]
-fn damaged_settings_lists_and_reports_are_named() {
+fn damaged_settings_registries_and_load_reports_are_rejected() {
     let site = site();
     let list = br#"{"serial":7,"workers":[{"name":"gpu0","addr":"10.0.0.5:9000","group":"gpu","zone":"n1","state":"up"},{"name":"w","addr":"10.0.0.6:9000","group":"web","zone":"s1","state":"leaving"}]}"#;
     let load = br#"{"worker":"gpu0","running":1,"queued":0,"slots":4,"finished":120,"adapters":["a"],"weights":"v1"}"#;
-    let set = example("press-edge.json");
+    let settings = example("press-edge.json");
     let mut faults = 0;
     for seed in 1..2500 {
-        let mut d = Dice::new(seed);
-        let a = read_registry(&damaged(&mut d, list), &site);
-        faults += usize::from(a.is_err_and(|e| !e.is_empty()));
-        let b = read_load(&damaged(&mut d, load), "gpu0");
-        faults += usize::from(b.is_err_and(|e| !e.is_empty()));
-        let c = Settings::parse(&damaged(&mut d, &set), &Overrides::default(), Role::Edge);
-        faults += usize::from(c.is_err_and(|e| !e.is_empty()));
-        let _ = json::parse(&damaged(&mut d, &set), 1 << 16);
+        let mut random = Random::new(seed);
+        let registry = read_registry(&mutate(&mut random, list), &site);
+        faults += usize::from(registry.is_err_and(|error| !error.is_empty()));
+        let load_report = read_load(&mutate(&mut random, load), "gpu0");
+        faults += usize::from(load_report.is_err_and(|error| !error.is_empty()));
+        let parsed_settings = Settings::parse(
+            &mutate(&mut random, &settings),
+            &Overrides::default(),
+            Role::Edge,
+        );
+        faults += usize::from(parsed_settings.is_err_and(|error| !error.is_empty()));
+        let _ = json::parse(&mutate(&mut random, &settings), 1 << 16);
     }
     println!("{faults} faults named");
     assert!(faults > 3500);
--- a/sorreldoor/tests/membership.rs
+++ b/sorreldoor/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which change of the members is due, observation by observation.
+//! Which membership change is due for each observation.
 
 use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::{
@@ -11,7 +11,7 @@
 const SILENT_MS: Millis = 1500;
 const LEADER: NodeId = 1;
 
-struct Site {
+struct TestSite {
     members: Vec<Member>,
     health: BTreeMap<NodeId, Health>,
     live: Vec<Hello>,
@@ -31,26 +31,26 @@
 }
 
 /// Cores 1 to `cores`, each in a zone of its own; the first `voters` vote.
-fn site(cores: u64, voters: u64, losses: usize) -> Site {
+fn healthy_site(cores: u64, voters: u64, losses: usize) -> TestSite {
     let live: Vec<Hello> = (1..=cores).map(|id| hello(id, id as u16)).collect();
-    let member = |h: &Hello| Member {
-        voter: h.id <= voters,
-        ..learner(h)
+    let member = |hello: &Hello| Member {
+        voter: hello.id <= voters,
+        ..learner(hello)
     };
-    let sound = Health {
+    let healthy = Health {
         silent_ms: 0,
         caught_up: true,
     };
-    Site {
+    TestSite {
         members: live.iter().map(member).collect(),
-        health: (2..=cores).map(|id| (id, sound)).collect(),
+        health: (2..=cores).map(|id| (id, healthy)).collect(),
         live,
         state: Membership::new(Policy::tolerating(losses, 1, SILENT_MS)),
     }
 }
 
-impl Site {
-    fn due(&mut self) -> Option<MembershipChange> {
+impl TestSite {
+    fn due_change(&mut self) -> Option<MembershipChange> {
         self.state.decide(&Observed {
             leader: LEADER,
             members: &self.members,
@@ -59,10 +59,10 @@
         })
     }
 
-    fn silent(&mut self, id: NodeId, silent_ms: Millis) {
+    fn silence(&mut self, id: NodeId, silent_ms: Millis) {
         let health = self.health.entry(id).or_default();
         health.silent_ms = silent_ms;
-        self.live.retain(|h| h.id != id);
+        self.live.retain(|hello| hello.id != id);
     }
 }
 
@@ -71,90 +71,104 @@
 }
 
 #[test]
-fn a_sound_site_changes_nothing() {
-    assert_eq!(site(3, 3, 1).due(), None);
-    assert_eq!(site(4, 3, 1).due(), None, "a standby only stands by");
-    assert_eq!(site(6, 5, 2).due(), None);
+fn a_healthy_site_needs_no_change() {
+    assert_eq!(healthy_site(3, 3, 1).due_change(), None);
+    assert_eq!(
+        healthy_site(4, 3, 1).due_change(),
+        None,
+        "a standby only stands by"
+    );
+    assert_eq!(healthy_site(6, 5, 2).due_change(), None);
 }
 
 #[test]
 fn a_newcomer_joins_as_a_learner() {
-    let mut s = site(3, 3, 1);
-    s.live.push(hello(9, 2));
-    let change = s.due().expect("it joins");
-    let next = change.applied(&s.members);
+    let mut site = healthy_site(3, 3, 1);
+    site.live.push(hello(9, 2));
+    let change = site.due_change().expect("it joins");
+    let next = change.applied(&site.members);
     assert_eq!(next.len(), 4);
     assert!(next.iter().any(|m| m.id == 9 && !m.voter));
 }
 
 #[test]
 fn a_silent_voter_is_replaced_by_a_standby_in_one_change() {
-    let mut s = site(4, 3, 1);
-    s.silent(2, SILENT_MS - 1);
-    assert_eq!(s.due(), None);
-    s.silent(2, SILENT_MS);
-    assert_eq!(s.due(), swap(2, 4, Reason::Silent));
-    s.health.entry(4).or_default().caught_up = false;
-    assert_eq!(s.due(), None, "one that lags behind gets no vote");
+    let mut site = healthy_site(4, 3, 1);
+    site.silence(2, SILENT_MS - 1);
+    assert_eq!(site.due_change(), None);
+    site.silence(2, SILENT_MS);
+    assert_eq!(site.due_change(), swap(2, 4, Reason::Silent));
+    site.health.entry(4).or_default().caught_up = false;
+    assert_eq!(site.due_change(), None, "one that lags behind gets no vote");
 }
 
 #[test]
-fn one_that_stops_is_replaced_at_once_or_not_at_all() {
-    let mut s = site(4, 3, 1);
-    let mut last_word = hello(3, 3);
-    last_word.stopping = true;
-    s.state.on_hello(&last_word);
-    assert_eq!(s.due(), swap(3, 4, Reason::Stopping));
-    s.state.on_hello(&hello(3, 3));
-    assert_eq!(s.due(), None, "it has started again");
-    let mut s = site(3, 3, 1);
-    s.state.on_hello(&last_word);
-    assert_eq!(s.due(), None, "with no standby its vote stays its own");
+fn a_stopping_voter_is_replaced_at_once_if_a_standby_exists() {
+    let mut site = healthy_site(4, 3, 1);
+    let mut last_hello = hello(3, 3);
+    last_hello.stopping = true;
+    site.state.on_hello(&last_hello);
+    assert_eq!(site.due_change(), swap(3, 4, Reason::Stopping));
+    site.state.on_hello(&hello(3, 3));
+    assert_eq!(site.due_change(), None, "it has started again");
+    let mut site = healthy_site(3, 3, 1);
+    site.state.on_hello(&last_hello);
+    assert_eq!(
+        site.due_change(),
+        None,
+        "with no standby its vote stays its own"
+    );
 }
 
 #[test]
-fn the_vote_of_a_wiped_core_goes_to_its_successor() {
-    let mut s = site(4, 3, 1);
-    s.silent(2, 0);
-    let address = s.members[1].addr.clone();
-    s.live[2].addr = address;
-    assert_eq!(s.due(), swap(2, 4, Reason::Wiped));
+fn a_wiped_voter_is_replaced_by_its_successor() {
+    let mut site = healthy_site(4, 3, 1);
+    site.silence(2, 0);
+    let address = site.members[1].addr.clone();
+    site.live[2].addr = address;
+    assert_eq!(site.due_change(), swap(2, 4, Reason::Wiped));
 }
 
 #[test]
-fn a_lost_voter_without_a_standby_keeps_its_vote_where_that_bears_as_much() {
-    let long = SILENT_MS * 20;
-    let mut three = site(3, 3, 1);
-    three.silent(2, long);
-    assert_eq!(three.due(), None);
-    let mut five = site(5, 5, 2);
-    five.silent(2, long);
-    assert_eq!(five.due(), None);
-    five.silent(3, long);
+fn a_lost_voter_without_a_standby_is_demoted_only_if_the_quorum_shrinks() {
+    let long_silence = SILENT_MS * 20;
+    let mut three = healthy_site(3, 3, 1);
+    three.silence(2, long_silence);
+    assert_eq!(three.due_change(), None);
+    let mut five = healthy_site(5, 5, 2);
+    five.silence(2, long_silence);
+    assert_eq!(five.due_change(), None);
+    five.silence(3, long_silence);
     let (ids, reason) = (vec![2, 3], Reason::Silent);
-    assert_eq!(five.due(), Some(MembershipChange::Demote { ids, reason }));
-    let mut four = site(4, 4, 1);
-    four.silent(2, SILENT_MS);
+    assert_eq!(
+        five.due_change(),
+        Some(MembershipChange::Demote { ids, reason })
+    );
+    let mut four = healthy_site(4, 4, 1);
+    four.silence(2, SILENT_MS);
     let (ids, reason) = (vec![2], Reason::Silent);
-    assert_eq!(four.due(), Some(MembershipChange::Demote { ids, reason }));
+    assert_eq!(
+        four.due_change(),
+        Some(MembershipChange::Demote { ids, reason })
+    );
 }
 
 #[test]
-fn a_leader_never_takes_its_own_vote() {
-    let mut s = site(6, 6, 2);
-    let change = s.due().expect("one voter too many");
-    let next = change.applied(&s.members);
+fn a_leader_never_demotes_itself() {
+    let mut site = healthy_site(6, 6, 2);
+    let change = site.due_change().expect("one voter too many");
+    let next = change.applied(&site.members);
     assert!(next.iter().any(|m| m.id == LEADER && m.voter));
     assert_eq!(next.iter().filter(|m| m.voter).count(), 5);
 }
 
 #[test]
-fn no_zone_keeps_a_majority_where_another_can_bear_it() {
-    let mut s = site(4, 3, 1);
+fn no_zone_keeps_a_majority_if_another_zone_has_a_standby() {
+    let mut site = healthy_site(4, 3, 1);
     for id in [1, 2] {
-        s.members[id].zone = 2;
+        site.members[id].zone = 2;
     }
-    let change = s.due().expect("two of three stand in one zone");
+    let change = site.due_change().expect("two of three stand in one zone");
     assert!(matches!(
         change,
         MembershipChange::Swap {
@@ -166,11 +180,11 @@
 }
 
 #[test]
-fn a_core_that_may_not_vote_gets_no_vote() {
-    let mut s = site(4, 2, 1);
-    s.live[2].learner_only = true;
+fn a_learner_only_core_is_never_promoted() {
+    let mut site = healthy_site(4, 2, 1);
+    site.live[2].learner_only = true;
     let id = 4;
-    assert_eq!(s.due(), Some(MembershipChange::Promote { id }));
-    s.live[3].learner_only = true;
-    assert_eq!(s.due(), None);
+    assert_eq!(site.due_change(), Some(MembershipChange::Promote { id }));
+    site.live[3].learner_only = true;
+    assert_eq!(site.due_change(), None);
 }
--- a/sorreldoor/tests/placement.rs
+++ b/sorreldoor/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: few move when a worker comes or goes, and caps hold for all.
+//! Placement: few prefixes move when a worker joins or leaves, and limits hold
+//! over all edges.
 
 use sorreldoor::configuration::{parse, Site};
 use sorreldoor::placement::{
@@ -29,63 +30,64 @@
         regions: vec!["a".into()],
         zones: vec![("a1".into(), 0)],
     };
-    let (s, _) = parse(DOC.as_bytes(), &site).unwrap();
+    let (configuration, _) = parse(DOC.as_bytes(), &site).unwrap();
     let all = candidates(10);
-    let mut less = candidates(10);
-    if let Some(w) = less[3].as_mut() {
-        w.available = false;
+    let mut without_one = candidates(10);
+    if let Some(candidate) = without_one[3].as_mut() {
+        candidate.available = false;
     }
-    let at = |candidates: &[Option<Candidate>], key: &str| {
-        let a = PlacementRequest {
+    let select = |candidates: &[Option<Candidate>], key: &str| {
+        let request = PlacementRequest {
             key,
             id: "e",
             ..PlacementRequest::default()
         };
-        select_worker(&s, &[], candidates, &|_| false, &a, 0).map(|placement| placement.worker)
+        select_worker(&configuration, &[], candidates, &|_| false, &request, 0)
+            .map(|placement| placement.worker)
     };
-    let (mut moved, mut its) = (0, 0);
-    for k in 0..1000 {
-        let key = format!("prefix{k}");
-        let (a, b) = (at(&all, &key), at(&less, &key));
-        assert_ne!(b, Some(3));
-        its += usize::from(a == Some(3));
-        moved += usize::from(a != b);
+    let (mut moved, mut owned_by_worker) = (0, 0);
+    for prefix in 0..1000 {
+        let key = format!("prefix{prefix}");
+        let (original, moved_to) = (select(&all, &key), select(&without_one, &key));
+        assert_ne!(moved_to, Some(3));
+        owned_by_worker += usize::from(original == Some(3));
+        moved += usize::from(original != moved_to);
     }
     println!("{moved} of 1000 prefixes moved");
-    assert_eq!(moved, its);
-    assert!((50..200).contains(&its), "{its}");
+    assert_eq!(moved, owned_by_worker);
+    assert!((50..200).contains(&owned_by_worker), "{owned_by_worker}");
 }
 
 #[test]
-fn parts_of_a_cap_add_up_to_it_on_all_edges() {
+fn shares_of_a_limit_add_up_to_it_over_all_edges() {
     let edges: Vec<String> = (0..9).map(|i| format!("edge{i}")).collect();
-    for cap in 0..30 {
+    for limit in 0..30 {
         for start in 0..20 {
             let sum: u32 = edges
                 .iter()
-                .map(|e| share_of_limit(cap, edges.len(), edge_rank(&edges, e, start)))
+                .map(|edge| share_of_limit(limit, edges.len(), edge_rank(&edges, edge, start)))
                 .sum();
-            assert_eq!(sum, cap);
+            assert_eq!(sum, limit);
         }
     }
 }
 
-/// Cold workers that together have a place for each edge leave none without.
+/// Warming workers that together have a slot for each edge leave no edge without.
 #[test]
-fn no_edge_goes_without_a_place_at_all_cold_workers() {
+fn every_edge_gets_a_slot_at_some_warming_worker() {
     for count in 1..40u64 {
         let edges: Vec<String> = (0..count).map(|i| format!("edge{i}")).collect();
-        for first in 1..5u64 {
-            let workers = count.div_ceil(first);
-            for turn in 0..count {
+        for first_limit in 1..5u64 {
+            let workers = count.div_ceil(first_limit);
+            for rotation in 0..count {
                 for edge in &edges {
-                    let places: u32 = (0..workers)
-                        .map(|worker| edge_rank(&edges, edge, worker * first + turn))
-                        .map(|rank| share_of_limit(first as u32, edges.len(), rank))
+                    let slots: u32 = (0..workers)
+                        .map(|worker| edge_rank(&edges, edge, worker * first_limit + rotation))
+                        .map(|rank| share_of_limit(first_limit as u32, edges.len(), rank))
                         .sum();
                     assert!(
-                        places > 0,
-                        "{count} edges, {first} first, turn {turn}, {edge}"
+                        slots > 0,
+                        "{count} edges, {first_limit} first, turn {rotation}, {edge}"
                     );
                 }
             }
--- a/sorreldoor/tests/position.rs
+++ b/sorreldoor/tests/position.rs
@@ -10,25 +10,25 @@
 fn load(rows: &[(u64, u64)]) -> BTreeMap<u8, Load> {
     rows.iter()
         .enumerate()
-        .map(|(i, (reads, writes))| {
-            let l = Load {
+        .map(|(region, (reads, writes))| {
+            let load_of_region = Load {
                 reads: *reads,
                 writes: *writes,
             };
-            (i as u8, l)
+            (region as u8, load_of_region)
         })
         .collect()
 }
 
 #[test]
-fn li_in_its_three_cases() {
+fn region_latency_in_its_three_cases() {
     let (latencies, load) = (latencies(), load(&[(5, 7), (11, 13), (17, 19)]));
     let all = [0, 1, 2];
-    let up = [0, 1];
+    let available = [0, 1];
     let model = LatencyModel {
         load: &load,
         latencies: &latencies,
-        available: &up,
+        available: &available,
         regions: &all,
     };
     let table = [
@@ -42,17 +42,21 @@
         ((2, 0), 2 * (30 + 10) * 19 + 2 * 30 * 17),
         ((2, 1), 2 * (25 + 10) * 19 + 2 * 25 * 17),
     ];
-    for ((i, z), want) in table {
-        assert_eq!(model.region_latency(i, z), Some(want), "i {i}, z {z}");
+    for ((region, leader_region), expected) in table {
+        assert_eq!(
+            model.region_latency(region, leader_region),
+            Some(expected),
+            "i {region}, z {leader_region}"
+        );
     }
     let sum = (0..3)
-        .map(|i| model.region_latency(i, 0).unwrap())
+        .map(|region| model.region_latency(region, 0).unwrap())
         .sum::<u64>();
     assert_eq!(model.total_latency(0), Some(sum));
 }
 
 #[test]
-fn the_least_ls_wins_only_by_a_clear_margin() {
+fn the_lowest_total_latency_wins_only_by_a_clear_margin() {
     let latencies = latencies();
     let all = [0, 1, 2];
     type Row<'a> = (&'a str, &'a [(u64, u64)], u8, &'a [u8], Option<u8>);
@@ -75,25 +79,25 @@
         ),
         ("nowhere to go", &[(0, 1), (50, 50), (0, 0)], 0, &[0], None),
     ];
-    for (name, rows, now, up, want) in table {
+    for (name, rows, now, available, expected) in table {
         let load = load(rows);
         let model = LatencyModel {
             load: &load,
             latencies: &latencies,
-            available: up,
+            available,
             regions: &all,
         };
-        assert_eq!(best_region(&model, now, 15), want, "{name}");
+        assert_eq!(best_region(&model, now, 15), expected, "{name}");
     }
 }
 
 #[test]
-fn an_unknown_delay_moves_nothing() {
+fn an_unknown_latency_moves_no_leader() {
     let load = load(&[(0, 1), (50, 50)]);
-    let none = BTreeMap::new();
+    let no_latencies = BTreeMap::new();
     let model = LatencyModel {
         load: &load,
-        latencies: &none,
+        latencies: &no_latencies,
         available: &[0, 1],
         regions: &[0, 1],
     };
