--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The load balancer: each mechanism by itself, and nodes together.
+//! The load balancer: each mechanism on its own, and many nodes together.
 
 use sorreldoor::balancer::{
     AttemptOutcome, Balancer, Bounds, Decision, LoadReport, Locality, RequestId, Target,
@@ -48,7 +48,7 @@
     }
 }
 
-fn route(name: &str, prefix: &str, kind: Kind, svc: u16) -> Route {
+fn route(name: &str, prefix: &str, kind: Kind, service: u16) -> Route {
     Route {
         name: name.into(),
         host: "h".into(),
@@ -57,9 +57,9 @@
         timeout_ms: 8000,
         aim_ms: 800,
         priority: 1,
-        split: vec![(svc, 1)],
+        split: vec![(service, 1)],
         attempts: 2,
-        sticky: svc == 0,
+        sticky: service == 0,
         ..Route::default()
     }
 }
@@ -89,9 +89,9 @@
         ],
         ..Hosted::default()
     };
-    let mut at: Vec<u32> = (0..hosted.routes.len() as u32).collect();
-    at.sort_by_key(|i| std::cmp::Reverse(hosted.routes[*i as usize].prefix.len()));
-    hosted.by_host.insert("h".into(), at);
+    let mut by_prefix_length: Vec<u32> = (0..hosted.routes.len() as u32).collect();
+    by_prefix_length.sort_by_key(|i| std::cmp::Reverse(hosted.routes[*i as usize].prefix.len()));
+    hosted.by_host.insert("h".into(), by_prefix_length);
     Arc::new(hosted)
 }
 
@@ -139,7 +139,7 @@
 fn metadata(parts: &[(u64, u32)]) -> RequestMetadata {
     RequestMetadata {
         deadline_ms: Some(5000),
-        tokens_in: parts.iter().map(|decision| decision.1).sum(),
+        tokens_in: parts.iter().map(|part| part.1).sum(),
         prompt_segments: parts
             .iter()
             .map(|(id, tokens)| PromptSegment {
@@ -157,7 +157,7 @@
 
 fn expect_send(decision: Decision) -> Target {
     match decision {
-        Decision::Send(balancer) => balancer,
+        Decision::Send(target) => target,
         decision => panic!("not sent: {decision:?}"),
     }
 }
--- a/sorreldoor/tests/balancer/fuzz.rs
+++ b/sorreldoor/tests/balancer/fuzz.rs
@@ -1,4 +1,4 @@
-//! Any order of calls: no invariant is violated, and no state is left over.
+//! Random sequences of calls: no invariant is violated, and no state is left over.
 
 use super::measures::Rand;
 use super::*;
@@ -11,7 +11,7 @@
     attempts: u32,
     attempts_sent: u32,
     ran: bool,
-    at: Option<String>,
+    current_worker: Option<String>,
     tried: Vec<String>,
     deadline: u64,
 }
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn any_order_of_calls() {
+fn invariants_hold_for_random_call_sequences() {
     for seed in 1..=60 {
         run_seed(seed);
     }
@@ -46,39 +46,41 @@
     let mut rng = Rand(seed.wrapping_mul(0x9e37_79b9) | 1);
     let configurations = configurations();
     let mut hosted_now = configurations[0].clone();
-    let mut t = Balancer::new(locality("n0", 0), bounds(), seed);
-    t.apply_configuration(hosted_now.clone(), 0);
-    t.update_nodes(vec![("n0".into(), 0), ("n1".into(), 2)]);
-    let mut list: Vec<Worker> = Vec::new();
+    let mut balancer = Balancer::new(locality("n0", 0), bounds(), seed);
+    balancer.apply_configuration(hosted_now.clone(), 0);
+    balancer.update_nodes(vec![("n0".into(), 0), ("n1".into(), 2)]);
+    let mut workers: Vec<Worker> = Vec::new();
     let (mut version, mut evacuated, mut created, mut now) = (0, vec![], 0, 0u64);
     let mut open: BTreeMap<RequestId, RequestModel> = BTreeMap::new();
     let mut stale: BTreeMap<String, u64> = BTreeMap::new();
     for _ in 0..4000 {
         now += rng.below(12);
-        let some = |rng: &mut Rand, o: &BTreeMap<RequestId, RequestModel>| {
-            let i = rng.below(o.len().max(1) as u64) as usize;
-            o.keys().nth(i).copied()
+        let random_request = |rng: &mut Rand, open_requests: &BTreeMap<RequestId, RequestModel>| {
+            let i = rng.below(open_requests.len().max(1) as u64) as usize;
+            open_requests.keys().nth(i).copied()
         };
         match rng.below(100) {
             0 => {
                 hosted_now = configurations[rng.below(2) as usize].clone();
-                t.apply_configuration(hosted_now.clone(), now);
+                balancer.apply_configuration(hosted_now.clone(), now);
             }
             1 => {
                 evacuated = (0..3u16).filter(|_| rng.chance(0.2)).collect();
-                t.set_evacuated_zones(evacuated.clone(), now);
+                balancer.set_evacuated_zones(evacuated.clone(), now);
             }
             2..=4 => {
-                list.retain(|_| rng.chance(0.85));
-                for w in &mut list {
-                    w.leaving |= rng.chance(0.1);
-                    w.leaves_ms = w.leaves_ms.or(Some(500).filter(|_| rng.chance(0.05)));
-                    w.cold_ms = if rng.chance(0.2) { 1500 } else { 0 };
+                workers.retain(|_| rng.chance(0.85));
+                for registered in &mut workers {
+                    registered.leaving |= rng.chance(0.1);
+                    registered.leaves_ms = registered
+                        .leaves_ms
+                        .or(Some(500).filter(|_| rng.chance(0.05)));
+                    registered.cold_ms = if rng.chance(0.2) { 1500 } else { 0 };
                 }
-                while list.len() < 6 {
+                while workers.len() < 6 {
                     created += 1;
                     let target = if rng.chance(0.5) { "web" } else { "model" };
-                    list.push(worker(
+                    workers.push(worker(
                         &format!("w{created}"),
                         target,
                         rng.below(3) as u16,
@@ -86,16 +88,18 @@
                     ));
                 }
                 version += rng.below(2);
-                t.update_registry(&registry(version, list.clone()), now);
-                stale.retain(|_, model| *model >= version);
+                balancer.update_registry(&registry(version, workers.clone()), now);
+                stale.retain(|_, registry_version| *registry_version >= version);
             }
             5..=34 => {
                 let path = PATHS[rng.below(4) as usize];
-                let a = metadata(&[(rng.below(20), 400), (rng.next(), 50)]);
-                let r = t.begin("h", path, a, now, now).unwrap();
+                let request_metadata = metadata(&[(rng.below(20), 400), (rng.next(), 50)]);
+                let request = balancer
+                    .begin("h", path, request_metadata, now, now)
+                    .unwrap();
                 assert!(open
                     .insert(
-                        r,
+                        request,
                         RequestModel {
                             path,
                             ..RequestModel::default()
@@ -104,50 +108,53 @@
                     .is_none());
             }
             35..=59 => {
-                let Some(r) = some(&mut rng, &open) else {
+                let Some(request) = random_request(&mut rng, &open) else {
                     continue;
                 };
-                let model = open.get_mut(&r).unwrap();
-                model.ran |= model.at.take().is_some();
-                let p = t.pick(r, now);
-                let route_now = t.route(r).unwrap();
+                let model = open.get_mut(&request).unwrap();
+                model.ran |= model.current_worker.take().is_some();
+                let decision = balancer.pick(request, now);
+                let route_now = balancer.route(request).unwrap();
                 (model.homes, model.attempts) = (route_now.homes.clone(), route_now.attempts);
-                model.deadline = t.deadline(r);
-                match p {
+                model.deadline = balancer.deadline(request);
+                match decision {
                     Decision::Send(target) => {
-                        let w = list.iter().find(|w| w.name == target.name).unwrap();
-                        assert!(!w.leaving && w.leaves_ms.is_none());
-                        assert!(!evacuated.contains(&w.zone));
-                        assert!(model.homes.is_empty() || model.homes.contains(&w.region));
-                        assert!(!stale.contains_key(&w.name));
+                        let registered = workers
+                            .iter()
+                            .find(|registered| registered.name == target.name)
+                            .unwrap();
+                        assert!(!registered.leaving && registered.leaves_ms.is_none());
+                        assert!(!evacuated.contains(&registered.zone));
+                        assert!(model.homes.is_empty() || model.homes.contains(&registered.region));
+                        assert!(!stale.contains_key(&registered.name));
                         assert!(
-                            !model.tried.contains(&w.name) && model.attempts_sent < model.attempts
+                            !model.tried.contains(&registered.name)
+                                && model.attempts_sent < model.attempts
                         );
                         assert!(!model.ran || route_now.repeatable(), "{} again", model.path);
-                        assert!(route_now
-                            .split
-                            .iter()
-                            .any(|(v, _)| { hosted_now.services[*v as usize].name == w.group }));
+                        assert!(route_now.split.iter().any(|(service, _)| {
+                            hosted_now.services[*service as usize].name == registered.group
+                        }));
                         assert_eq!(target.time_left_ms, model.deadline - now);
                         model.attempts_sent += 1;
                         model.tried.push(target.name.clone());
-                        model.at = Some(target.name);
+                        model.current_worker = Some(target.name);
                     }
-                    Decision::Wait(ms) => assert!((1..=20).contains(&ms)),
-                    Decision::Reject(p, ms) => {
-                        assert!(ms * 3 <= model.deadline.saturating_sub(now));
-                        // 429 and 503 promise that it did not run
-                        assert!(!model.ran || p.status() != 503, "{p}");
-                        t.finish(r, now);
-                        open.remove(&r);
+                    Decision::Wait(delay_ms) => assert!((1..=20).contains(&delay_ms)),
+                    Decision::Reject(error, delay_ms) => {
+                        assert!(delay_ms * 3 <= model.deadline.saturating_sub(now));
+                        // 429 and 503 guarantee that it did not run
+                        assert!(!model.ran || error.status() != 503, "{error}");
+                        balancer.finish(request, now);
+                        open.remove(&request);
                     }
                 }
             }
             60..=89 => {
-                let Some(r) = some(&mut rng, &open) else {
+                let Some(request) = random_request(&mut rng, &open) else {
                     continue;
                 };
-                let model = open.get_mut(&r).unwrap();
+                let model = open.get_mut(&request).unwrap();
                 let kind = rng.below(9);
                 let outcome = match kind {
                     0 => AttemptOutcome::HeadReceived {
@@ -171,32 +178,38 @@
                     7 => AttemptOutcome::Canceled,
                     _ => AttemptOutcome::Completed(200),
                 };
-                t.record_outcome(r, outcome, now);
+                balancer.record_outcome(request, outcome, now);
                 if kind > 1 {
-                    let at = model.at.take();
-                    model.ran |= at.is_some() && ![3, 4, 5].contains(&kind);
-                    // the worker that was meant is gone, or none was reached
-                    model.attempts_sent -= u32::from(at.is_some() && (kind == 4 || kind == 5));
-                    at.filter(|_| kind == 4).map(|n| stale.insert(n, version));
+                    let current_worker = model.current_worker.take();
+                    model.ran |= current_worker.is_some() && ![3, 4, 5].contains(&kind);
+                    // the intended worker was deregistered, or none was reached
+                    model.attempts_sent -=
+                        u32::from(current_worker.is_some() && (kind == 4 || kind == 5));
+                    current_worker
+                        .filter(|_| kind == 4)
+                        .map(|n| stale.insert(n, version));
                 }
             }
             90..=95 => {
-                let Some(r) = some(&mut rng, &open) else {
+                let Some(request) = random_request(&mut rng, &open) else {
                     continue;
                 };
-                t.finish(r, now);
-                t.finish(r, now);
-                t.record_outcome(r, AttemptOutcome::Failed, now);
-                open.remove(&r);
+                balancer.finish(request, now);
+                balancer.finish(request, now);
+                balancer.record_outcome(request, AttemptOutcome::Failed, now);
+                open.remove(&request);
             }
-            _ => assert!(t.take_ready(now).iter().all(|r| open.contains_key(r))),
+            _ => assert!(balancer
+                .take_ready(now)
+                .iter()
+                .all(|request| open.contains_key(request))),
         }
     }
-    for r in open.keys() {
-        t.finish(*r, now);
+    for request in open.keys() {
+        balancer.finish(*request, now);
     }
-    t.update_registry(&registry(version + 1, vec![]), now);
-    let counts = t.counts();
+    balancer.update_registry(&registry(version + 1, vec![]), now);
+    let counts = balancer.counts();
     assert_eq!((counts.open, counts.waiting, counts.workers), (0, 0, 0));
-    assert!(!format!("{t:?}").contains("Endpoint {"));
+    assert!(!format!("{balancer:?}").contains("Endpoint {"));
 }
--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -2,41 +2,41 @@
 
 use super::*;
 
-/// What is tried, the list, the emptied zones, and the worker that must take it.
+/// Path, registered workers, evacuated zones, and the worker that must be chosen.
 type Case = (&'static str, Vec<Worker>, Vec<u16>, Option<&'static str>);
 
 #[test]
 fn no_configuration_and_no_route() {
-    let mut t = Balancer::new(locality("n0", 0), bounds(), 7);
+    let mut balancer = Balancer::new(locality("n0", 0), bounds(), 7);
     assert_eq!(
-        t.begin("h", "/web/x", metadata(&[]), 0, 0),
+        balancer.begin("h", "/web/x", metadata(&[]), 0, 0),
         Err(ErrorCode::NoConfiguration)
     );
-    t.apply_configuration(default_routes(), 0);
+    balancer.apply_configuration(default_routes(), 0);
     assert_eq!(
-        t.begin("h", "/no/x", metadata(&[]), 0, 0),
+        balancer.begin("h", "/no/x", metadata(&[]), 0, 0),
         Err(ErrorCode::UnknownRoute)
     );
     assert_eq!(
-        t.begin("g", "/web/x", metadata(&[]), 0, 0),
+        balancer.begin("g", "/web/x", metadata(&[]), 0, 0),
         Err(ErrorCode::UnknownRoute)
     );
 }
 
 #[test]
 fn an_attempt_that_may_have_run_is_not_retried() {
-    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
-    let (r, _) = send(&mut t, "/webonce/x", 100);
-    t.record_outcome(r, AttemptOutcome::Failed, 120);
+    let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
+    let (request, _) = send(&mut balancer, "/webonce/x", 100);
+    balancer.record_outcome(request, AttemptOutcome::Failed, 120);
     assert_eq!(
-        t.pick(r, 120),
+        balancer.pick(request, 120),
         Decision::Reject(ErrorCode::OutcomeUnknown, 0)
     );
 }
 
 #[test]
 fn a_rejected_request_is_retried_within_its_attempts() {
-    for (h, retried) in [
+    for (outcome, retried) in [
         (AttemptOutcome::Rejected(None), true),
         (AttemptOutcome::Misdirected, true),
         (AttemptOutcome::ConnectFailed, true),
@@ -44,261 +44,304 @@
         (AttemptOutcome::Canceled, false),
         (AttemptOutcome::Completed(500), false),
     ] {
-        let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
-        let (r, a) = send(&mut t, "/webonce/x", 20_000);
-        t.record_outcome(r, h.clone(), 20_010);
-        match t.pick(r, 20_010) {
-            Decision::Send(b) => assert!(retried && a.name != b.name, "{h:?}"),
-            p => assert!(!retried, "{h:?}: {p:?}"),
+        let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
+        let (request, first) = send(&mut balancer, "/webonce/x", 20_000);
+        balancer.record_outcome(request, outcome.clone(), 20_010);
+        match balancer.pick(request, 20_010) {
+            Decision::Send(second) => assert!(retried && first.name != second.name, "{outcome:?}"),
+            decision => assert!(!retried, "{outcome:?}: {decision:?}"),
         }
         if !retried {
             continue;
         }
-        t.record_outcome(r, h.clone(), 20_020);
-        // no connection means not sent, and a worker that is gone was not
-        // sent to either, so a third worker is no third sending
-        let third = matches!(t.pick(r, 20_020), Decision::Send(_));
-        let unsent = [AttemptOutcome::ConnectFailed, AttemptOutcome::Misdirected].contains(&h);
-        assert_eq!(third, unsent, "{h:?}");
+        balancer.record_outcome(request, outcome.clone(), 20_020);
+        // an attempt without a connection or to a deregistered worker was not
+        // sent, so a third worker is not a third attempt
+        let third = matches!(balancer.pick(request, 20_020), Decision::Send(_));
+        let unsent =
+            [AttemptOutcome::ConnectFailed, AttemptOutcome::Misdirected].contains(&outcome);
+        assert_eq!(third, unsent, "{outcome:?}");
     }
 }
 
 #[test]
 fn an_idempotent_request_is_retried_after_a_failure() {
-    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
-    let (r, a) = send(&mut t, "/web/x", 20_000);
-    t.record_outcome(r, AttemptOutcome::Failed, 20_010);
-    let b = expect_send(t.pick(r, 20_010));
-    assert_ne!(a.name, b.name);
-    t.record_outcome(r, AttemptOutcome::Rejected(None), 20_020);
-    let p = t.pick(r, 20_020);
+    let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
+    let (request, first) = send(&mut balancer, "/web/x", 20_000);
+    balancer.record_outcome(request, AttemptOutcome::Failed, 20_010);
+    let second = expect_send(balancer.pick(request, 20_010));
+    assert_ne!(first.name, second.name);
+    balancer.record_outcome(request, AttemptOutcome::Rejected(None), 20_020);
+    let decision = balancer.pick(request, 20_020);
     assert!(
-        matches!(p, Decision::Reject(ErrorCode::WorkerDisconnected, _)),
-        "{p:?}"
+        matches!(decision, Decision::Reject(ErrorCode::WorkerDisconnected, _)),
+        "{decision:?}"
     );
 }
 
 #[test]
-fn a_route_that_turns_repeatable_does_not_free_what_was_sent_once() {
-    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
-    let (r, _) = send(&mut t, "/webonce/x", 20_000);
-    t.apply_configuration(
+fn a_route_made_idempotent_does_not_allow_retrying_earlier_attempts() {
+    let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
+    let (request, _) = send(&mut balancer, "/webonce/x", 20_000);
+    balancer.apply_configuration(
         hosted(vec![route("x", "/webonce/", Kind::Idempotent, 1)]),
         20_005,
     );
-    t.record_outcome(r, AttemptOutcome::Failed, 20_010);
+    balancer.record_outcome(request, AttemptOutcome::Failed, 20_010);
     assert_eq!(
-        t.pick(r, 20_010),
+        balancer.pick(request, 20_010),
         Decision::Reject(ErrorCode::OutcomeUnknown, 0)
     );
 }
 
 #[test]
 fn the_configuration_in_force_decides_at_each_pick() {
-    let both = |s| hosted(vec![route("w", "/w/", Kind::Once, s)]);
-    let mut all = workers_in("web", 6, &[0, 1]);
-    all.extend(workers_in("model", 48, &[0, 1]));
-    let mut t = new_balancer(both(1), all);
-    let (a, b) = (begin(&mut t, "/w/x", 20_010), begin(&mut t, "/w/x", 20_010));
-    let first = expect_send(t.pick(a, 20_010));
+    let routed_to = |service| hosted(vec![route("w", "/w/", Kind::Once, service)]);
+    let mut workers = workers_in("web", 6, &[0, 1]);
+    workers.extend(workers_in("model", 48, &[0, 1]));
+    let mut balancer = new_balancer(routed_to(1), workers);
+    let (first_request, second_request) = (
+        begin(&mut balancer, "/w/x", 20_010),
+        begin(&mut balancer, "/w/x", 20_010),
+    );
+    let first = expect_send(balancer.pick(first_request, 20_010));
     assert!(first.name.starts_with("web") && first.priority.is_none());
-    t.apply_configuration(both(0), 20_011);
-    let second = expect_send(t.pick(b, 20_011));
+    balancer.apply_configuration(routed_to(0), 20_011);
+    let second = expect_send(balancer.pick(second_request, 20_011));
     assert!(second.name.starts_with("model") && second.priority == Some(1));
-    // a refused sending is looked up anew as well
-    t.record_outcome(a, AttemptOutcome::Rejected(None), 20_012);
-    assert!(expect_send(t.pick(a, 20_012)).name.starts_with("model"));
-    let c = begin(&mut t, "/w/x", 20_012);
-    t.apply_configuration(hosted(vec![route("v", "/v/", Kind::Once, 1)]), 20_013);
+    // a rejected attempt is routed anew as well
+    balancer.record_outcome(first_request, AttemptOutcome::Rejected(None), 20_012);
+    assert!(expect_send(balancer.pick(first_request, 20_012))
+        .name
+        .starts_with("model"));
+    let unrouted = begin(&mut balancer, "/w/x", 20_012);
+    balancer.apply_configuration(hosted(vec![route("v", "/v/", Kind::Once, 1)]), 20_013);
     assert_eq!(
-        t.pick(c, 20_013),
+        balancer.pick(unrouted, 20_013),
         Decision::Reject(ErrorCode::UnknownRoute, 0)
     );
-    assert!(t.route(c).is_none());
+    assert!(balancer.route(unrouted).is_none());
 }
 
 #[test]
 fn the_longest_prefix_wins() {
-    let h = hosted(vec![
+    let configuration = hosted(vec![
         route("a", "/", Kind::Once, 1),
         route("b", "/a/", Kind::Once, 1),
         route("c", "/a/b/", Kind::Once, 1),
     ]);
-    let mut t = new_balancer(h, workers_in("web", 6, &[0]));
+    let mut balancer = new_balancer(configuration, workers_in("web", 6, &[0]));
     for (path, name) in [("/x", "a"), ("/a/x", "b"), ("/a/b/x", "c"), ("/a/bx", "b")] {
-        let r = begin(&mut t, path, 0);
-        assert_eq!(t.route(r).unwrap().name, name);
+        let request = begin(&mut balancer, path, 0);
+        assert_eq!(balancer.route(request).unwrap().name, name);
     }
 }
 
 #[test]
-fn only_open_workers_in_allowed_places() {
-    let leaving = |mut w: Worker| {
-        w.leaving = true;
-        w
+fn only_active_workers_in_allowed_zones_are_chosen() {
+    let leaving = |mut new_worker: Worker| {
+        new_worker.leaving = true;
+        new_worker
     };
-    let going = |mut w: Worker| {
-        w.leaves_ms = Some(900);
-        w
+    let departing = |mut new_worker: Worker| {
+        new_worker.leaves_ms = Some(900);
+        new_worker
     };
-    let w = |n: &str, z| worker(n, "web", z, 6);
+    let new_worker = |name: &str, zone| worker(name, "web", zone, 6);
     let mut home = route("home", "/home/", Kind::Idempotent, 1);
     home.homes = vec![1];
-    let h = hosted(vec![home, route("web", "/web/", Kind::Idempotent, 1)]);
+    let configuration = hosted(vec![home, route("web", "/web/", Kind::Idempotent, 1)]);
     let cases: Vec<Case> = vec![
         (
             "/web/",
-            vec![leaving(w("a", 0)), w("b", 0)],
+            vec![leaving(new_worker("a", 0)), new_worker("b", 0)],
             vec![],
             Some("b"),
         ),
         (
             "/web/",
-            vec![going(w("a", 0)), w("b", 0)],
+            vec![departing(new_worker("a", 0)), new_worker("b", 0)],
             vec![],
             Some("b"),
         ),
-        ("/web/", vec![w("a", 0), w("b", 1)], vec![0], Some("b")),
-        ("/web/", vec![w("a", 0), w("b", 2)], vec![0], Some("b")),
-        ("/web/", vec![w("a", 0)], vec![0], None),
-        ("/web/", vec![w("a", 2), w("b", 1)], vec![], Some("b")),
-        ("/home/", vec![w("a", 0), w("b", 2)], vec![], Some("b")),
-        ("/home/", vec![w("a", 0), w("b", 1)], vec![], None),
+        (
+            "/web/",
+            vec![new_worker("a", 0), new_worker("b", 1)],
+            vec![0],
+            Some("b"),
+        ),
+        (
+            "/web/",
+            vec![new_worker("a", 0), new_worker("b", 2)],
+            vec![0],
+            Some("b"),
+        ),
+        ("/web/", vec![new_worker("a", 0)], vec![0], None),
+        (
+            "/web/",
+            vec![new_worker("a", 2), new_worker("b", 1)],
+            vec![],
+            Some("b"),
+        ),
+        (
+            "/home/",
+            vec![new_worker("a", 0), new_worker("b", 2)],
+            vec![],
+            Some("b"),
+        ),
+        (
+            "/home/",
+            vec![new_worker("a", 0), new_worker("b", 1)],
+            vec![],
+            None,
+        ),
         ("/web/", vec![worker("a", "model", 0, 6)], vec![], None),
         ("/web/", vec![], vec![], None),
     ];
-    for (path, ws, evacuated, want) in cases {
-        let mut t = new_balancer(h.clone(), ws.clone());
-        t.set_evacuated_zones(evacuated.clone(), 0);
+    for (path, workers, evacuated, expected) in cases {
+        let mut balancer = new_balancer(configuration.clone(), workers.clone());
+        balancer.set_evacuated_zones(evacuated.clone(), 0);
         for i in 0..20 {
-            let r = begin(&mut t, path, i);
-            let got = match t.pick(r, i) {
-                Decision::Send(g) => Some(g.name),
+            let request = begin(&mut balancer, path, i);
+            let chosen = match balancer.pick(request, i) {
+                Decision::Send(target) => Some(target.name),
                 _ => None,
             };
-            assert_eq!(got.as_deref(), want, "{path} {ws:?} {evacuated:?}");
-            t.finish(r, i);
+            assert_eq!(
+                chosen.as_deref(),
+                expected,
+                "{path} {workers:?} {evacuated:?}"
+            );
+            balancer.finish(request, i);
         }
     }
 }
 
 #[test]
 fn unregistered_or_misdirected_workers_get_nothing() {
-    let mut t = new_balancer(default_routes(), workers_in("web", 6, &[0, 1]));
-    let (r, a) = send(&mut t, "/web/x", 10);
-    t.record_outcome(r, AttemptOutcome::Misdirected, 11);
-    t.finish(r, 11);
-    let names = |t: &mut Balancer, now: u64| -> Vec<String> {
-        let one = |_| {
-            let (r, g) = send(t, "/web/x", now);
-            t.finish(r, now);
-            g.name
+    let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1]));
+    let (request, first) = send(&mut balancer, "/web/x", 10);
+    balancer.record_outcome(request, AttemptOutcome::Misdirected, 11);
+    balancer.finish(request, 11);
+    let targets = |balancer: &mut Balancer, now: u64| -> Vec<String> {
+        let target_of = |_| {
+            let (request, target) = send(balancer, "/web/x", now);
+            balancer.finish(request, now);
+            target.name
         };
-        let mut v: Vec<String> = (0..12).map(one).collect();
-        v.sort();
-        v.dedup();
-        v
+        let mut names: Vec<String> = (0..12).map(target_of).collect();
+        names.sort();
+        names.dedup();
+        names
     };
-    assert!(!names(&mut t, 12).contains(&a.name));
-    t.update_registry(&registry(1, workers_in("web", 6, &[0, 1])), 13);
-    assert!(!names(&mut t, 14).contains(&a.name));
-    t.update_registry(&registry(2, workers_in("web", 6, &[0, 1])), 4000);
-    assert!(names(&mut t, 4001).contains(&a.name));
-    t.update_registry(&registry(3, vec![worker("new", "web", 0, 6)]), 5000);
-    assert_eq!(names(&mut t, 5001), ["new"]);
-    // an older list that comes late changes nothing
-    t.update_registry(&registry(2, workers_in("web", 6, &[0, 1])), 5002);
-    assert_eq!(names(&mut t, 5003), ["new"]);
+    assert!(!targets(&mut balancer, 12).contains(&first.name));
+    balancer.update_registry(&registry(1, workers_in("web", 6, &[0, 1])), 13);
+    assert!(!targets(&mut balancer, 14).contains(&first.name));
+    balancer.update_registry(&registry(2, workers_in("web", 6, &[0, 1])), 4000);
+    assert!(targets(&mut balancer, 4001).contains(&first.name));
+    balancer.update_registry(&registry(3, vec![worker("new", "web", 0, 6)]), 5000);
+    assert_eq!(targets(&mut balancer, 5001), ["new"]);
+    // an older list that arrives late changes nothing
+    balancer.update_registry(&registry(2, workers_in("web", 6, &[0, 1])), 5002);
+    assert_eq!(targets(&mut balancer, 5003), ["new"]);
 }
 
 #[test]
 fn deadlines_and_retry_after() {
-    let mut t = new_balancer(default_routes(), vec![]);
-    let r = t.begin("h", "/web/x", metadata(&[]), 1000, 1010).unwrap();
-    assert_eq!(t.deadline(r), 6000);
-    let mut a = metadata(&[]);
-    a.deadline_ms = None;
-    let n = t.begin("h", "/web/x", a, 1000, 1010).unwrap();
-    assert_eq!(t.deadline(n), 9000);
-    assert!(matches!(t.pick(r, 1010), Decision::Wait(w) if w > 0));
-    // within a quarter of the aim it is told to come back
-    let at = 1200;
-    match t.pick(r, at) {
+    let mut balancer = new_balancer(default_routes(), vec![]);
+    let request = balancer
+        .begin("h", "/web/x", metadata(&[]), 1000, 1010)
+        .unwrap();
+    assert_eq!(balancer.deadline(request), 6000);
+    let mut request_metadata = metadata(&[]);
+    request_metadata.deadline_ms = None;
+    let without_deadline = balancer
+        .begin("h", "/web/x", request_metadata, 1000, 1010)
+        .unwrap();
+    assert_eq!(balancer.deadline(without_deadline), 9000);
+    assert!(matches!(balancer.pick(request, 1010), Decision::Wait(delay_ms) if delay_ms > 0));
+    // it is rejected with a retry time within a quarter of the latency target
+    let now = 1200;
+    match balancer.pick(request, now) {
         Decision::Reject(ErrorCode::NoWorker, ms) => assert!((100..=400).contains(&ms)),
-        p => panic!("{p:?}"),
+        decision => panic!("{decision:?}"),
     }
-    match t.pick(r, 5700) {
+    match balancer.pick(request, 5700) {
         Decision::Reject(ErrorCode::NoWorker, ms) => assert!(ms <= 100),
-        p => panic!("{p:?}"),
+        decision => panic!("{decision:?}"),
     }
-    let p = t.pick(r, 5998);
+    let decision = balancer.pick(request, 5998);
     assert!(
-        matches!(p, Decision::Reject(ErrorCode::NotSent, _)),
-        "{p:?}"
+        matches!(decision, Decision::Reject(ErrorCode::NotSent, _)),
+        "{decision:?}"
     );
 }
 
 #[test]
-fn the_first_in_priority_then_arrival_gets_the_free_place() {
+fn a_free_slot_goes_by_priority_then_arrival() {
     let mut low = route("low", "/low/", Kind::Once, 1);
     low.priority = 3;
-    let mut t = new_balancer(
+    let mut balancer = new_balancer(
         hosted(vec![low, route("high", "/high/", Kind::Once, 1)]),
         vec![worker("w", "web", 0, 2)],
     );
-    let held: Vec<RequestId> = (0..3).map(|_| send(&mut t, "/high/x", 0).0).collect();
-    let late = |t: &mut Balancer, path: &str, now| {
-        let r = begin(t, path, now);
-        assert!(matches!(t.pick(r, now), Decision::Wait(_)));
-        r
+    let running: Vec<RequestId> = (0..3)
+        .map(|_| send(&mut balancer, "/high/x", 0).0)
+        .collect();
+    let queued = |balancer: &mut Balancer, path: &str, now| {
+        let request = begin(balancer, path, now);
+        assert!(matches!(balancer.pick(request, now), Decision::Wait(_)));
+        request
     };
-    let l = late(&mut t, "/low/x", 1);
-    let h2 = late(&mut t, "/high/x", 3);
-    let h1 = late(&mut t, "/high/x", 2);
-    assert!(t.take_ready(4).is_empty());
-    t.record_outcome(held[0], AttemptOutcome::Completed(200), 5);
-    assert_eq!(t.take_ready(5), [h1]);
-    // one that comes now stands behind those that wait already
-    let h3 = late(&mut t, "/high/x", 5);
-    expect_send(t.pick(h1, 5));
-    assert!(matches!(t.pick(h2, 6), Decision::Wait(_)));
-    assert_eq!(t.take_ready(60), [h2, h3, l]);
-    t.finish(h2, 61);
-    t.record_outcome(held[1], AttemptOutcome::Completed(200), 61);
-    assert_eq!(t.take_ready(61), [h3]);
-    assert_eq!(t.counts().waiting, 2);
+    let low = queued(&mut balancer, "/low/x", 1);
+    let high_late = queued(&mut balancer, "/high/x", 3);
+    let high_early = queued(&mut balancer, "/high/x", 2);
+    assert!(balancer.take_ready(4).is_empty());
+    balancer.record_outcome(running[0], AttemptOutcome::Completed(200), 5);
+    assert_eq!(balancer.take_ready(5), [high_early]);
+    // a new arrival queues after those already waiting
+    let high_newest = queued(&mut balancer, "/high/x", 5);
+    expect_send(balancer.pick(high_early, 5));
+    assert!(matches!(balancer.pick(high_late, 6), Decision::Wait(_)));
+    assert_eq!(balancer.take_ready(60), [high_late, high_newest, low]);
+    balancer.finish(high_late, 61);
+    balancer.record_outcome(running[1], AttemptOutcome::Completed(200), 61);
+    assert_eq!(balancer.take_ready(61), [high_newest]);
+    assert_eq!(balancer.counts().waiting, 2);
 }
 
 #[test]
-fn no_refusal_while_half_the_places_are_free() {
-    // a worker that turns requests away though it has room is tried again
-    let mut t = new_balancer(default_routes(), workers_in("web", 8, &[0, 0]));
-    let mut draw = 5u64;
+fn no_rejection_while_half_the_slots_are_free() {
+    // a worker that rejects requests despite free slots is tried again
+    let mut balancer = new_balancer(default_routes(), workers_in("web", 8, &[0, 0]));
+    let mut random_state = 5u64;
     let mut open: Vec<RequestId> = Vec::new();
-    let mut refused = 0;
+    let mut rejected = 0;
     for now in (0..60_000).step_by(3) {
-        draw = draw.wrapping_mul(6364136223846793005).wrapping_add(99);
-        let x = draw >> 33;
-        if x.is_multiple_of(3) && !open.is_empty() {
-            let r = open.swap_remove((x / 3) as usize % open.len());
-            t.record_outcome(r, AttemptOutcome::Completed(200), now);
-            t.finish(r, now);
+        random_state = random_state
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(99);
+        let random = random_state >> 33;
+        if random.is_multiple_of(3) && !open.is_empty() {
+            let request = open.swap_remove((random / 3) as usize % open.len());
+            balancer.record_outcome(request, AttemptOutcome::Completed(200), now);
+            balancer.finish(request, now);
         }
-        if x % 5 < if now % 8000 < 4000 { 3 } else { 1 } {
-            let r = t
+        if random % 5 < if now % 8000 < 4000 { 3 } else { 1 } {
+            let request = balancer
                 .begin("h", "/webonce/x", metadata(&[]), now - now.min(300), now)
                 .unwrap();
-            match t.pick(r, now) {
-                Decision::Send(_) => open.push(r),
-                Decision::Reject(p, _) => {
-                    assert_eq!(p, ErrorCode::NoWorker);
+            match balancer.pick(request, now) {
+                Decision::Send(_) => open.push(request),
+                Decision::Reject(error, _) => {
+                    assert_eq!(error, ErrorCode::NoWorker);
                     assert!(open.len() * 2 >= 16, "{} of 16 taken", open.len());
-                    refused += 1;
-                    t.finish(r, now);
+                    rejected += 1;
+                    balancer.finish(request, now);
                 }
-                p => panic!("{p:?}"),
+                decision => panic!("{decision:?}"),
             }
         }
     }
-    assert!(refused > 0);
+    assert!(rejected > 0);
 }
--- a/sorreldoor/tests/balancer/measures.rs
+++ b/sorreldoor/tests/balancer/measures.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// The most of the sorted `times` within any `span`.
+/// The largest number of the sorted `times` within any `span`.
 pub fn peak_within(times: &[u64], span: u64) -> usize {
     let mut start = 0;
     (0..times.len())
@@ -33,8 +33,9 @@
         .unwrap_or(0)
 }
 
-/// The least room left under the budget in any window that ends at a further
-/// arrival: over the requests of the window, the one before it, or half before.
+/// The smallest headroom under the retry budget in any window that starts or ends
+/// at a retry, given the requests of the window, of the one before it, or of half
+/// a window before.
 pub fn budget_headroom(requests: &[u64], retries: &[u64], bounds: &Bounds) -> f64 {
     let window = bounds.retry_window_ms;
     let count = |times: &[u64], start: i64, end: i64| {
--- a/sorreldoor/tests/balancer/simulation.rs
+++ b/sorreldoor/tests/balancer/simulation.rs
@@ -21,7 +21,7 @@
 
 pub struct Simulation {
     pub nodes: Vec<Balancer>,
-    /// Each node has a clock of its own.
+    /// Offset of each node's clock from simulated time, in ms.
     pub clock_offsets: Vec<u64>,
     pub region: Vec<u8>,
     pub registered: Vec<Worker>,
@@ -31,13 +31,13 @@
     pub now: u64,
     events: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
     sequence: u64,
-    /// By node and request: attempts that arrived, prompt segments, stream_ms.
+    /// By node and request: attempts received, prompt segments, stream duration in ms.
     in_progress: BTreeMap<(usize, RequestId), (u32, Vec<PromptSegment>, u64)>,
     pub requests: Vec<u64>,
     pub retries: Vec<u64>,
     pub served: u64,
-    pub refused: u64,
-    /// Tokens of shared segments sent, those that were read, and those read again.
+    pub rejected: u64,
+    /// Tokens of shared segments sent, those prefilled, and those prefilled more than once.
     pub shared_tokens: u64,
     pub prefill_tokens: u64,
     pub recomputed_tokens: u64,
@@ -87,7 +87,7 @@
             requests: Vec::new(),
             retries: Vec::new(),
             served: 0,
-            refused: 0,
+            rejected: 0,
             shared_tokens: 0,
             prefill_tokens: 0,
             recomputed_tokens: 0,
@@ -104,8 +104,8 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    /// Runs until `end`; `on_list` runs at `WorkerRegistry` events.
-    pub fn run(&mut self, end: u64, mut on_list: impl FnMut(&mut Simulation)) {
+    /// Runs until `end`; calls `on_registry_event` at `WorkerRegistry` events.
+    pub fn run(&mut self, end: u64, mut on_registry_event: impl FnMut(&mut Simulation)) {
         for flow in 0..self.flows.len() {
             let at = self.flows[flow].from + self.rand.below(20);
             self.schedule(at, SimEvent::Arrival(flow));
@@ -156,7 +156,7 @@
                 SimEvent::Recheck(n, r) if self.waiting.contains(&(n, r)) => self.pick(n, r),
                 SimEvent::Recheck(..) => {}
                 SimEvent::SlotFreed(w) => self.free_slot(w),
-                SimEvent::WorkerRegistry => on_list(self),
+                SimEvent::WorkerRegistry => on_registry_event(self),
             }
         }
     }
@@ -213,29 +213,29 @@
     fn arrive(&mut self, flow: usize) {
         let flow_settings = self.flows[flow].clone();
         let n = self.rand.below(self.nodes.len() as u64) as usize;
-        let mut parts = Vec::new();
+        let mut segments = Vec::new();
         if flow_settings.shared_tokens > 0 {
             let id = self.rand.below(flow_settings.prefixes) + 1 + (flow as u64) * 1_000_000;
-            // parts differ in size, but a part is always the same
+            // segments differ in size, but a segment always has the same size
             let tokens = flow_settings.shared_tokens / 2
                 + (id * 7919 % u64::from(flow_settings.shared_tokens)) as u32;
-            parts.push((id, tokens));
+            segments.push((id, tokens));
         }
         if flow_settings.own_tokens > 0 {
-            parts.push((self.rand.next() | 1 << 40, flow_settings.own_tokens));
+            segments.push((self.rand.next() | 1 << 40, flow_settings.own_tokens));
         }
         let t = self.clock(n);
         self.requests.push(self.now);
-        let a = metadata(&parts);
-        let segments = a.prompt_segments.clone();
+        let request_metadata = metadata(&segments);
+        let segments = request_metadata.prompt_segments.clone();
         let r = self.nodes[n]
-            .begin("h", flow_settings.path, a, t, t)
+            .begin("h", flow_settings.path, request_metadata, t, t)
             .unwrap();
         self.in_progress
             .insert((n, r), (0, segments, flow_settings.stream_ms));
         self.pick(n, r);
-        let gap = 1000.0 / flow_settings.per_s;
-        let next = self.now as f64 + gap * (self.rand.below(2000) as f64 / 1000.0);
+        let mean_gap_ms = 1000.0 / flow_settings.per_s;
+        let next = self.now as f64 + mean_gap_ms * (self.rand.below(2000) as f64 / 1000.0);
         if next < flow_settings.to as f64 {
             let at = (next + self.rand.below(1000) as f64 / 1000.0) as u64;
             self.schedule(at, SimEvent::Arrival(flow));
@@ -264,16 +264,16 @@
                     self.record_outcome(n, r, AttemptOutcome::ConnectFailed);
                     return self.pick(n, r);
                 }
-                let far = self.registered[w as usize].region != self.region[n];
-                let lag = 1 + self.rand.below(3) + if far { 35 } else { 0 };
-                self.schedule(self.now + lag, SimEvent::Received(n, r, w));
+                let cross_region = self.registered[w as usize].region != self.region[n];
+                let latency_ms = 1 + self.rand.below(3) + if cross_region { 35 } else { 0 };
+                self.schedule(self.now + latency_ms, SimEvent::Received(n, r, w));
             }
             Decision::Wait(ms) => {
                 self.waiting.insert((n, r));
                 self.schedule(self.now + ms, SimEvent::Recheck(n, r));
             }
             Decision::Reject(..) => {
-                self.refused += 1;
+                self.rejected += 1;
                 self.finish_request(n, r);
             }
         }
@@ -288,7 +288,7 @@
         if entry.0 > 1 {
             self.retries.push(now);
         }
-        let (parts, out) = (entry.1.clone(), entry.2);
+        let (segments, stream_ms) = (entry.1.clone(), entry.2);
         let backend = &mut self.backends[w as usize];
         backend.arrivals.push(now);
         if self.rand.chance(backend.reject_chance) || backend.queue.len() as u32 > 2 * backend.slots
@@ -303,8 +303,8 @@
         }
         let mut tokens = 0;
         let mut cached = true;
-        for (i, p) in parts.iter().enumerate() {
-            let shared_tokens = i + 1 < parts.len();
+        for (i, p) in segments.iter().enumerate() {
+            let shared_tokens = i + 1 < segments.len();
             cached &= backend.cached_segments.contains(&p.id);
             if shared_tokens {
                 self.shared_tokens += u64::from(p.tokens);
@@ -322,8 +322,8 @@
         }
         let prefill_tokens = (f64::from(tokens) * STEP_MS) as u64;
         match backend.running < backend.slots {
-            true => self.start(n, r, w, prefill_tokens, out, now),
-            false => backend.queue.push_back((n, r, prefill_tokens, out)),
+            true => self.start(n, r, w, prefill_tokens, stream_ms, now),
+            false => backend.queue.push_back((n, r, prefill_tokens, stream_ms)),
         }
     }
 
@@ -333,25 +333,25 @@
         r: RequestId,
         w: u32,
         prefill_tokens: u64,
-        out: u64,
-        arrivals: u64,
+        stream_ms: u64,
+        arrived_at: u64,
     ) {
         let now = self.now;
         let backend = &mut self.backends[w as usize];
         backend.running += 1;
         backend.reader_free = backend.reader_free.max(now) + prefill_tokens;
-        let first = backend.reader_free + 20;
-        self.first_event_ms.push(first - arrivals);
-        self.schedule(first, SimEvent::Head(n, r, w));
-        self.schedule(first + out, SimEvent::End(n, r, w));
+        let first_event_at = backend.reader_free + 20;
+        self.first_event_ms.push(first_event_at - arrived_at);
+        self.schedule(first_event_at, SimEvent::Head(n, r, w));
+        self.schedule(first_event_at + stream_ms, SimEvent::End(n, r, w));
     }
 
     fn free_slot(&mut self, w: u32) {
         let backend = &mut self.backends[w as usize];
         backend.running -= 1;
-        if let Some((n, r, prefill_tokens, out)) = backend.queue.pop_front() {
+        if let Some((n, r, prefill_tokens, stream_ms)) = backend.queue.pop_front() {
             let now = self.now;
-            self.start(n, r, w, prefill_tokens, out, now);
+            self.start(n, r, w, prefill_tokens, stream_ms, now);
         }
     }
 
--- a/sorreldoor/tests/balancer/workload.rs
+++ b/sorreldoor/tests/balancer/workload.rs
@@ -1,4 +1,4 @@
-//! What a simulation runs: flows of requests, and the workers that serve them.
+//! The workload of a simulation: request flows, and the workers that serve them.
 
 use super::*;
 use std::collections::{HashSet, VecDeque};
@@ -27,7 +27,7 @@
     pub reader_free: u64,
     /// Arrival times.
     pub arrivals: Vec<u64>,
-    /// Chances that an attempt fails, is rejected, or finds no connection.
+    /// Probabilities that an attempt fails, is rejected, or cannot connect.
     pub failure_chance: f64,
     pub reject_chance: f64,
     pub connect_failure_chance: f64,
