--- a/sorreldoor/tests/doctor.rs
+++ b/sorreldoor/tests/doctor.rs
@@ -1,4 +1,4 @@
-//! The doctor's checks on what cannot be brought about safely in a test.
+//! The doctor's rules, on observations that a test cannot safely bring about.
 
 use simd_json::prelude::*;
 use sorreldoor::doctor::{check, DiskStatus, Observations, SeedStatus, RULES};
@@ -12,23 +12,26 @@
  "weights":[{"route":"r","service":"s","weight":20,"set":50,"least":10,"most":90}],
  "workers":[{"name":"w","live":true,"leaving":false}]}"#;
 
-fn seen(status: &str) -> Observations {
-    let v: Value = json::parse(status.as_bytes(), 1 << 20).unwrap();
-    assert!(v.is_object());
+fn observations_of(status: &str) -> Observations {
+    let status: Value = json::parse(status.as_bytes(), 1 << 20).unwrap();
+    assert!(status.is_object());
     Observations {
-        cores: vec![("c1".into(), v)],
+        cores: vec![("c1".into(), status)],
         wall_ms: 1_000_100,
         ..Observations::default()
     }
 }
 
-fn numbers(s: &Observations) -> Vec<u8> {
-    check(s).iter().map(|f| f.rule.number).collect()
+fn rule_numbers(observations: &Observations) -> Vec<u8> {
+    check(observations)
+        .iter()
+        .map(|finding| finding.rule.number)
+        .collect()
 }
 
 #[test]
-fn each_sign_has_its_finding() {
-    assert_eq!(numbers(&seen(SOUND)), Vec::<u8>::new());
+fn each_condition_has_its_finding() {
+    assert_eq!(rule_numbers(&observations_of(SOUND)), Vec::<u8>::new());
     let table: [(&str, &str, u8); 16] = [
         (
             "\"voters_differ\":null",
@@ -75,14 +78,18 @@
         ),
         ("\"a\":\"served\"", "\"a\":\"lost\"", 22),
     ];
-    for (from, to, no) in table {
+    for (from, to, number) in table {
         assert!(SOUND.contains(from), "{from}");
-        assert_eq!(numbers(&seen(&SOUND.replace(from, to))), vec![no], "{to}");
+        assert_eq!(
+            rule_numbers(&observations_of(&SOUND.replace(from, to))),
+            vec![number],
+            "{to}"
+        );
     }
 }
 
 #[test]
-fn disks_and_seeds_have_theirs() {
+fn disk_and_seed_conditions_have_their_findings() {
     let with = |sync_ms: Result<u64, String>, free: u64| Observations {
         disk: Some(DiskStatus {
             sync_ms,
@@ -90,29 +97,32 @@
         }),
         ..Observations::default()
     };
-    assert_eq!(numbers(&with(Ok(5), 60)), Vec::<u8>::new());
-    assert_eq!(numbers(&with(Err("I/O error".into()), 60)), vec![7]);
-    assert_eq!(numbers(&with(Ok(900), 60)), vec![8]);
-    assert_eq!(numbers(&with(Ok(5), 3)), vec![9]);
-    let seeds = |v: Vec<SeedStatus>| Observations {
-        seeds: v.into_iter().map(|s| ("a".to_string(), s)).collect(),
+    assert_eq!(rule_numbers(&with(Ok(5), 60)), Vec::<u8>::new());
+    assert_eq!(rule_numbers(&with(Err("I/O error".into()), 60)), vec![7]);
+    assert_eq!(rule_numbers(&with(Ok(900), 60)), vec![8]);
+    assert_eq!(rule_numbers(&with(Ok(5), 3)), vec![9]);
+    let seeds = |statuses: Vec<SeedStatus>| Observations {
+        seeds: statuses
+            .into_iter()
+            .map(|status| ("a".to_string(), status))
+            .collect(),
         ..Observations::default()
     };
     assert_eq!(
-        numbers(&seeds(vec![
+        rule_numbers(&seeds(vec![
             SeedStatus::Unreached,
             SeedStatus::OtherProtocol(9)
         ])),
         vec![5, 2]
     );
     assert_eq!(
-        numbers(&seeds(vec![SeedStatus::Unreached, SeedStatus::Unreached])),
+        rule_numbers(&seeds(vec![SeedStatus::Unreached, SeedStatus::Unreached])),
         vec![3]
     );
     assert_eq!(
-        numbers(&seeds(vec![SeedStatus::OtherSite("x".into())])),
+        rule_numbers(&seeds(vec![SeedStatus::OtherSite("x".into())])),
         vec![4]
     );
-    let all: std::collections::BTreeSet<u8> = RULES.iter().map(|rule| rule.number).collect();
-    assert_eq!(all.len(), RULES.len());
+    let distinct: std::collections::BTreeSet<u8> = RULES.iter().map(|rule| rule.number).collect();
+    assert_eq!(distinct.len(), RULES.len());
 }
--- a/sorreldoor/tests/formats/main.rs
+++ b/sorreldoor/tests/formats/main.rs
@@ -28,16 +28,16 @@
     })
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn parse_hex(hex: &str) -> Vec<u8> {
     let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-fn path() -> PathBuf {
+fn samples_path() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/formats/samples.txt")
 }
 
-/// Every sample, by a name of its own.
+/// The encoding of every sample, by name.
 fn samples() -> BTreeMap<String, Vec<u8>> {
     let mut all = BTreeMap::new();
     for (index, payload) in payloads().iter().enumerate() {
@@ -54,45 +54,47 @@
     all
 }
 
-fn stored() -> BTreeMap<String, Vec<u8>> {
-    let text = std::fs::read_to_string(path()).expect("the samples are kept beside the test");
+fn stored_samples() -> BTreeMap<String, Vec<u8>> {
+    let text =
+        std::fs::read_to_string(samples_path()).expect("the samples are kept beside the test");
     let lines = text.lines().filter_map(|line| line.split_once(' '));
     lines
-        .map(|(name, hex)| (name.to_string(), bytes(hex)))
+        .map(|(name, hex)| (name.to_string(), parse_hex(hex)))
         .collect()
 }
 
 #[test]
-fn every_sample_keeps_its_bytes() {
-    let fresh = samples();
+fn every_sample_has_its_stored_encoding() {
+    let current = samples();
     if std::env::var_os("SORRELDOOR_WRITE_SAMPLES").is_some() {
-        let lines = fresh
+        let lines = current
             .iter()
             .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
-        std::fs::write(path(), lines.collect::<String>()).expect("the samples can be written");
+        std::fs::write(samples_path(), lines.collect::<String>())
+            .expect("the samples can be written");
     }
-    let stored = stored();
-    let names: Vec<_> = stored.keys().collect();
-    assert_eq!(names, fresh.keys().collect::<Vec<_>>());
-    for (name, bytes) in &fresh {
-        assert_eq!(hex(&stored[name]), hex(bytes), "{name}");
+    let stored_samples = stored_samples();
+    let stored_names: Vec<_> = stored_samples.keys().collect();
+    assert_eq!(stored_names, current.keys().collect::<Vec<_>>());
+    for (name, bytes) in &current {
+        assert_eq!(hex(&stored_samples[name]), hex(bytes), "{name}");
     }
 }
 
 #[test]
-fn every_stored_sample_is_read_as_what_it_was_made_of() {
-    let stored = stored();
+fn every_stored_sample_decodes_to_its_value() {
+    let stored_samples = stored_samples();
     for (index, payload) in payloads().iter().enumerate() {
-        let body = &stored[&format!("frame-{index:02}")][4..];
+        let body = &stored_samples[&format!("frame-{index:02}")][4..];
         assert_eq!(unpack(SITE_NAME, body).as_ref(), Ok(payload));
     }
     for (index, save) in saves().iter().enumerate() {
-        let read: Option<Save> = decode(&stored[&format!("save-{index:02}")]);
-        assert_eq!(read.as_ref(), Some(save));
+        let decoded: Option<Save> = decode(&stored_samples[&format!("save-{index:02}")]);
+        assert_eq!(decoded.as_ref(), Some(save));
     }
-    let state: DurableState = decode(&stored["state"]).expect("a state");
+    let state: DurableState = decode(&stored_samples["state"]).expect("a state");
     assert_eq!(encode(&state), encode(&durable_state()));
     let mut record = ReplicatedState::new(site());
-    assert!(record.load(&stored["record"]));
+    assert!(record.load(&stored_samples["record"]));
     assert_eq!(record.view(), records().0.view());
 }
--- a/sorreldoor/tests/formats/messages.rs
+++ b/sorreldoor/tests/formats/messages.rs
@@ -1,4 +1,4 @@
-//! Samples of what consensus sends and of what it is made of.
+//! Samples of consensus messages and their parts.
 
 use sorreldoor::consensus::{
     AppendReply, AppendRequest, Body, Chunk, ClaimRecord, ContentHeader, Entry, LogPosition,
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -1,4 +1,4 @@
-//! Samples of frames between nodes, of saves and of records.
+//! Samples of frames between nodes, of saves and of replicated state.
 
 use super::messages::{claim, entries, member, messages};
 use sorreldoor::configuration::Site;
@@ -31,7 +31,7 @@
     }
 }
 
-pub(super) fn took() -> Vec<RouteLatency> {
+pub(super) fn route_latencies() -> Vec<RouteLatency> {
     vec![RouteLatency {
         route: "r".into(),
         service: "s".into(),
@@ -46,7 +46,7 @@
         version: 5,
         lease: true,
         running: 3,
-        took: took(),
+        took: route_latencies(),
     }
 }
 
@@ -165,7 +165,7 @@
     ]
 }
 
-/// A record to which all the commands were applied, with a step before the last.
+/// The state after all commands, and its revision before the ninth of them.
 pub(super) fn records() -> (ReplicatedState, u64) {
     let mut record = ReplicatedState::new(site());
     let mut revision = 0;
@@ -188,7 +188,7 @@
         first: 90,
         again: 8,
         shed: 7,
-        took: took(),
+        took: route_latencies(),
     };
     let have = KnownVersions {
         record: 4,
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -1,5 +1,5 @@
-//! The `hosted` part of a setup: what is read, what is refused, and how
-//! operators' changes of whole documents and of single items go.
+//! The `hosted` section of a configuration: parsing, validation, and operators'
+//! changes of complete documents and of single items.
 
 use sorreldoor::configuration::hosted::Kind;
 use sorreldoor::configuration::{self, Configuration, Site};
@@ -26,39 +26,51 @@
   "engine":{"slots":48,"kv_tokens":318206,"stride":5,"models":[{"name":"m"}]}},
  {"name":"t"}],"limits":{"header_bytes":1000,"body_bytes":2000,"header_ms":30,"idle_ms":40}}}"#;
 
-fn read(doc: &str) -> Result<Configuration, Vec<String>> {
-    configuration::parse(doc.as_bytes(), &site()).map(|(s, _)| s)
+fn parse_document(doc: &str) -> Result<Configuration, Vec<String>> {
+    configuration::parse(doc.as_bytes(), &site()).map(|(configuration, _)| configuration)
 }
 
 #[test]
-fn a_hosted_part_is_read_whole() {
-    let s = read(DOC).expect("it is good");
-    let h = s.hosted.expect("it is there");
-    let r = &h.routes[0];
-    assert_eq!((r.kind, r.timeout_ms, r.aim_ms), (Kind::Stream, 8001, 1000));
-    assert_eq!((&r.split[..], r.attempts), (&[(0, 90), (1, 10)][..], 2));
-    assert_eq!((r.sticky, r.resume, r.gap_ms), (true, true, 400));
-    assert_eq!(r.homes, [1]);
-    // a home that is not here is no leave to serve everywhere
-    assert_eq!(h.routes[2].homes, [u8::MAX]);
-    assert_eq!(h.routes[1].split, [(1, 1)]);
-    let v = &h.services[0];
+fn the_hosted_section_is_parsed_completely() {
+    let configuration = parse_document(DOC).expect("it is good");
+    let hosted_routes = configuration.hosted.expect("it is there");
+    let route = &hosted_routes.routes[0];
     assert_eq!(
-        (v.warmup_ms, v.warmup_per_s, v.max_conns),
+        (route.kind, route.timeout_ms, route.aim_ms),
+        (Kind::Stream, 8001, 1000)
+    );
+    assert_eq!(
+        (&route.split[..], route.attempts),
+        (&[(0, 90), (1, 10)][..], 2)
+    );
+    assert_eq!(
+        (route.sticky, route.resume, route.gap_ms),
+        (true, true, 400)
+    );
+    assert_eq!(route.homes, [1]);
+    // an unknown home region does not allow serving in every region
+    assert_eq!(hosted_routes.routes[2].homes, [u8::MAX]);
+    assert_eq!(hosted_routes.routes[1].split, [(1, 1)]);
+    let service = &hosted_routes.services[0];
+    assert_eq!(
+        (service.warmup_ms, service.warmup_per_s, service.max_conns),
         (2500, 45.5, 330)
     );
-    let e = v.engine.expect("it has an engine");
-    assert_eq!((e.slots, e.kv_tokens, e.stride), (48, 318_206, 5));
-    assert_eq!(h.limits.body_bytes, 2000);
-    assert_eq!(h.find("a.example", "/x/y/z"), Some(1));
-    assert_eq!(h.find("A.EXAMPLE", "/x/z"), Some(0));
-    assert_eq!(h.find("a.example", "/x"), None);
-    assert_eq!(h.find("b.example", "/any"), Some(2));
-    assert_eq!(h.service("t"), Some(1));
+    let engine = service.engine.expect("it has an engine");
+    assert_eq!(
+        (engine.slots, engine.kv_tokens, engine.stride),
+        (48, 318_206, 5)
+    );
+    assert_eq!(hosted_routes.limits.body_bytes, 2000);
+    assert_eq!(hosted_routes.find("a.example", "/x/y/z"), Some(1));
+    assert_eq!(hosted_routes.find("A.EXAMPLE", "/x/z"), Some(0));
+    assert_eq!(hosted_routes.find("a.example", "/x"), None);
+    assert_eq!(hosted_routes.find("b.example", "/any"), Some(2));
+    assert_eq!(hosted_routes.service("t"), Some(1));
 }
 
 #[test]
-fn what_may_not_come_into_force_is_refused() {
+fn invalid_hosted_sections_are_rejected() {
     let bad = [
         (r#""service":"t""#, r#""service":"u""#),
         (r#""prefix":"/x/y/""#, r#""prefix":"/x/""#),
@@ -77,21 +89,21 @@
         (r#""limits":{"#, r#""limits":{"x":1},"limits":{"#),
         ("}}}", "}}"),
     ];
-    for (a, b) in bad {
-        let doc = DOC.replacen(a, b, 1);
-        assert_ne!(doc, DOC, "{a}");
-        assert!(read(&doc).is_err(), "{a} to {b}");
+    for (from, to) in bad {
+        let doc = DOC.replacen(from, to, 1);
+        assert_ne!(doc, DOC, "{from}");
+        assert!(parse_document(&doc).is_err(), "{from} to {to}");
     }
-    let none = DOC.replace(":90}", ":0}").replace(":10}", ":0}");
-    let faults = read(&none).expect_err("weights sum to 0");
+    let zero_weights = DOC.replace(":90}", ":0}").replace(":10}", ":0}");
+    let faults = parse_document(&zero_weights).expect_err("weights sum to 0");
     assert!(faults[0].contains("split"), "{faults:?}");
-    // without a hosted part a setup is held to all it was held to before
-    assert!(read("{}").is_err());
-    assert!(read(r#"{"hosted":{}}"#).is_ok());
+    // without a hosted section all other sections are validated as before
+    assert!(parse_document("{}").is_err());
+    assert!(parse_document(r#"{"hosted":{}}"#).is_ok());
 }
 
-fn many(n: usize) -> String {
-    let rs: Vec<String> = (0..n)
+fn document_with_routes(n: usize) -> String {
+    let rows: Vec<String> = (0..n)
         .map(|i| {
             format!(
                 r#"{{"name":"r{i}","host":"h{}.example","prefix":"/p{i}/","timeout_ms":50,"service":"s"}}"#,
@@ -99,89 +111,103 @@
             )
         })
         .collect();
-    let rs = rs.join(",");
-    format!(r#"{{"hosted":{{"routes":[{rs}],"services":[{{"name":"s"}}]}}}}"#)
+    let rows = rows.join(",");
+    format!(r#"{{"hosted":{{"routes":[{rows}],"services":[{{"name":"s"}}]}}}}"#)
 }
 
 #[test]
 fn thousands_of_routes_are_read_and_found() {
-    let h = read(&many(6000)).expect("good").hosted.expect("there");
+    let hosted_routes = parse_document(&document_with_routes(6000))
+        .expect("good")
+        .hosted
+        .expect("there");
     for i in [0, 1, 17, 5999] {
         let host = format!("h{}.example", i % 3);
-        assert_eq!(h.find(&host, &format!("/p{i}/x/y")), Some(i as u32));
-        assert_eq!(h.find("h9.example", &format!("/p{i}/x")), None);
+        assert_eq!(
+            hosted_routes.find(&host, &format!("/p{i}/x/y")),
+            Some(i as u32)
+        );
+        assert_eq!(hosted_routes.find("h9.example", &format!("/p{i}/x")), None);
     }
-    assert_eq!(h.find("h0.example", "/p1/"), None);
+    assert_eq!(hosted_routes.find("h0.example", "/p1/"), None);
 }
 
-struct Run(ReplicatedState, u128);
+struct TestState(ReplicatedState, u128);
 
-impl Run {
-    fn new() -> Run {
-        Run(ReplicatedState::new(Arc::new(site())), 0)
+impl TestState {
+    fn new() -> TestState {
+        TestState(ReplicatedState::new(Arc::new(site())), 0)
     }
-    fn act(&mut self, c: Command) -> Outcome {
+    fn apply_next(&mut self, command: Command) -> Outcome {
         self.1 += 1;
-        let b = self.0.apply(self.1 as u64, self.1, &encode(&c));
-        decode(&b).expect("an outcome")
+        let bytes = self.0.apply(self.1 as u64, self.1, &encode(&command));
+        decode(&bytes).expect("an outcome")
     }
-    fn put(&mut self, base: u64, to: u64) -> Outcome {
-        let (to, doc) = (Some(to), DOC.to_string());
-        self.act(Command::Put {
+    fn put(&mut self, base: u64, new_version: u64) -> Outcome {
+        let (new_version, doc) = (Some(new_version), DOC.to_string());
+        self.apply_next(Command::Put {
             base,
-            new_version: to,
+            new_version,
             document: doc,
         })
     }
-    fn items(&mut self, base: u64, to: u64, set: &str, drop: &str) -> Outcome {
-        let (to, set, drop) = (Some(to), set.to_string(), drop.to_string());
-        self.act(Command::ChangeItems {
+    fn change_items(&mut self, base: u64, new_version: u64, set: &str, drop: &str) -> Outcome {
+        let (new_version, set, drop) = (Some(new_version), set.to_string(), drop.to_string());
+        self.apply_next(Command::ChangeItems {
             base,
-            new_version: to,
+            new_version,
             set,
             drop,
         })
     }
     fn hosted(&self) -> Value {
         use simd_json::prelude::*;
-        let d = self.0.view().doc.expect("there is a document");
-        let v = json::parse(d.as_bytes(), usize::MAX).expect("it is JSON");
-        v.get("hosted").cloned().unwrap_or_default()
+        let document = self.0.view().doc.expect("there is a document");
+        let value = json::parse(document.as_bytes(), usize::MAX).expect("it is JSON");
+        value.get("hosted").cloned().unwrap_or_default()
     }
-    fn names(&self, k: &str) -> Vec<String> {
+    fn item_names(&self, section: &str) -> Vec<String> {
         use simd_json::prelude::*;
-        let h = self.hosted();
-        let all = h.get(k).and_then(|v| v.as_array()).expect("a list");
+        let hosted = self.hosted();
+        let all = hosted
+            .get(section)
+            .and_then(|items| items.as_array())
+            .expect("a list");
         all.iter()
-            .map(|v| v.get("name").and_then(|n| n.as_str()).unwrap_or("").into())
+            .map(|item| {
+                item.get("name")
+                    .and_then(|name| name.as_str())
+                    .unwrap_or("")
+                    .into()
+            })
             .collect()
     }
 }
 
 #[test]
-fn a_given_serial_rises_by_what_was_given() {
-    let mut r = Run::new();
-    assert_eq!(r.put(0, 7), Outcome::Applied { version: 7 });
-    assert_eq!(r.put(0, 9), Outcome::Stale { version: 7 });
-    assert!(matches!(r.put(7, 7), Outcome::Invalid { .. }));
-    assert!(matches!(r.put(7, 6), Outcome::Invalid { .. }));
-    assert_eq!(r.0.version(), 7);
-    let (base, to, doc) = (7, None, DOC.to_string());
-    let o = r.act(Command::Put {
+fn a_requested_version_must_be_above_its_base() {
+    let mut state = TestState::new();
+    assert_eq!(state.put(0, 7), Outcome::Applied { version: 7 });
+    assert_eq!(state.put(0, 9), Outcome::Stale { version: 7 });
+    assert!(matches!(state.put(7, 7), Outcome::Invalid { .. }));
+    assert!(matches!(state.put(7, 6), Outcome::Invalid { .. }));
+    assert_eq!(state.0.version(), 7);
+    let (base, new_version, doc) = (7, None, DOC.to_string());
+    let outcome = state.apply_next(Command::Put {
         base,
-        new_version: to,
+        new_version,
         document: doc,
     });
-    assert_eq!(o, Outcome::Applied { version: 8 });
-    // a proposal without the field, as an older core wrote it, is read
+    assert_eq!(outcome, Outcome::Applied { version: 8 });
+    // a proposal of an older core, without the field, is decoded
     #[derive(serde::Serialize)]
-    enum Old {
+    enum Legacy {
         Put { base: u64, doc: String },
     }
     let doc = DOC.to_string();
-    let b = encode(&Old::Put { base: 8, doc });
+    let bytes = encode(&Legacy::Put { base: 8, doc });
     assert!(matches!(
-        decode(&b),
+        decode(&bytes),
         Some(Command::Put {
             new_version: None,
             ..
@@ -189,48 +215,55 @@
     ));
 }
 
-/// All that was put comes back: fields not known here, the order of lists,
-/// numbers, and the image of the record too.
+/// A document is returned as it was put, with unknown fields, the order of lists and
+/// numbers; the image of the state preserves it too.
 #[test]
-fn what_was_put_comes_back_field_for_field() {
+fn a_stored_document_is_returned_field_for_field() {
     use simd_json::prelude::*;
-    let mut r = Run::new();
-    r.put(0, 7);
+    let mut state = TestState::new();
+    state.put(0, 7);
     let put = json::parse(DOC.as_bytes(), usize::MAX).expect("JSON");
-    assert_eq!(Some(&r.hosted()), put.get("hosted"));
+    assert_eq!(Some(&state.hosted()), put.get("hosted"));
     let mut other = ReplicatedState::new(Arc::new(site()));
-    assert!(other.load(&r.0.image()));
-    assert_eq!(other.view(), r.0.view());
-    assert_eq!(other.configuration(), r.0.configuration());
+    assert!(other.load(&state.0.image()));
+    assert_eq!(other.view(), state.0.view());
+    assert_eq!(other.configuration(), state.0.configuration());
 }
 
 #[test]
-fn items_are_set_and_dropped_by_name() {
+fn items_are_set_and_deleted_by_name() {
     use simd_json::prelude::*;
-    let mut r = Run::new();
-    r.put(0, 7);
+    let mut state = TestState::new();
+    state.put(0, 7);
     let set = r#"{"routes":[
       {"name":"new","host":"c","prefix":"/","timeout_ms":1,"service":"t","x":[1,2.5]},
       {"name":"r2","host":"a.example","prefix":"/z/","timeout_ms":30,"service":"t"}],
       "limits":{"idle_ms":99}}"#;
     let drop = r#"{"routes":["r1","none"]}"#;
-    assert_eq!(r.items(6, 9, set, drop), Outcome::Stale { version: 7 });
-    assert_eq!(r.items(7, 9, set, drop), Outcome::Applied { version: 9 });
-    assert_eq!(r.names("routes"), ["r2", "r3", "new"]);
-    assert_eq!(r.names("services"), ["s", "t"]);
-    let s =
-        r.0.configuration()
-            .and_then(|s| s.hosted.clone())
-            .expect("hosted");
-    assert_eq!(s.find("a.example", "/x/y/"), None);
-    assert_eq!(s.find("a.example", "/z/"), Some(0));
-    assert_eq!(s.limits.idle_ms, 99);
     assert_eq!(
-        r.hosted().get("note").and_then(|n| n.as_str()),
+        state.change_items(6, 9, set, drop),
+        Outcome::Stale { version: 7 }
+    );
+    assert_eq!(
+        state.change_items(7, 9, set, drop),
+        Outcome::Applied { version: 9 }
+    );
+    assert_eq!(state.item_names("routes"), ["r2", "r3", "new"]);
+    assert_eq!(state.item_names("services"), ["s", "t"]);
+    let hosted_routes = state
+        .0
+        .configuration()
+        .and_then(|configuration| configuration.hosted.clone())
+        .expect("hosted");
+    assert_eq!(hosted_routes.find("a.example", "/x/y/"), None);
+    assert_eq!(hosted_routes.find("a.example", "/z/"), Some(0));
+    assert_eq!(hosted_routes.limits.idle_ms, 99);
+    assert_eq!(
+        state.hosted().get("note").and_then(|n| n.as_str()),
         Some("kept")
     );
-    // the whole result is checked, and nothing of a bad change stays
-    let was = r.0.view();
+    // the complete result is validated, and an invalid change leaves no trace
+    let before = state.0.view();
     for (set, drop) in [
         ("{}", r#"{"services":["t"]}"#),
         (r#"{"routes":[{"name":"bad"}]}"#, "{}"),
@@ -238,43 +271,55 @@
         ("{", "{}"),
         ("[]", "{}"),
     ] {
-        let o = r.items(9, 10, set, drop);
-        assert!(matches!(o, Outcome::Invalid { .. }), "{set} {drop}: {o:?}");
+        let outcome = state.change_items(9, 10, set, drop);
+        assert!(
+            matches!(outcome, Outcome::Invalid { .. }),
+            "{set} {drop}: {outcome:?}"
+        );
     }
-    assert_eq!(r.0.view(), was);
+    assert_eq!(state.0.view(), before);
 }
 
 #[test]
-fn a_zone_is_evacuated_without_a_new_serial() {
-    let mut r = Run::new();
-    r.put(0, 7);
-    let revision = r.0.revision();
-    let go = |zone, evacuated| Command::EvacuateUnversioned { zone, evacuated };
-    assert_eq!(r.act(go(1, true)), Outcome::Applied { version: 7 });
+fn an_evacuation_does_not_raise_the_version() {
+    let mut state = TestState::new();
+    state.put(0, 7);
+    let revision = state.0.revision();
+    let set_evacuated = |zone, evacuated| Command::EvacuateUnversioned { zone, evacuated };
+    assert_eq!(
+        state.apply_next(set_evacuated(1, true)),
+        Outcome::Applied { version: 7 }
+    );
     assert_eq!(
-        (r.0.view().evacuated, r.0.revision()),
+        (state.0.view().evacuated, state.0.revision()),
         (vec![1], revision + 1)
     );
-    assert!(matches!(r.act(go(9, true)), Outcome::Invalid { .. }));
-    assert_eq!(r.put(7, 8), Outcome::Applied { version: 8 });
-    assert_eq!(r.0.view().evacuated, [1]);
-    assert_eq!(r.act(go(1, false)), Outcome::Applied { version: 8 });
-    assert_eq!(r.0.view().evacuated, Vec::<u16>::new());
+    assert!(matches!(
+        state.apply_next(set_evacuated(9, true)),
+        Outcome::Invalid { .. }
+    ));
+    assert_eq!(state.put(7, 8), Outcome::Applied { version: 8 });
+    assert_eq!(state.0.view().evacuated, [1]);
+    assert_eq!(
+        state.apply_next(set_evacuated(1, false)),
+        Outcome::Applied { version: 8 }
+    );
+    assert_eq!(state.0.view().evacuated, Vec::<u16>::new());
 }
 
-/// Bytes take about as much room as they are long, and what an older core
-/// wrote, as a list of numbers, is read as well.
+/// The encoding of a byte string has about its length, and the list of numbers
+/// that an older core wrote is decoded as well.
 #[test]
-fn bytes_are_kept_as_bytes() {
-    let b = Body::Data(Arc::new(vec![200; 10_000]));
-    let now = encode(&b);
-    assert!(now.len() < 10_100, "{}", now.len());
-    assert_eq!(decode::<Body>(&now), Some(b.clone()));
+fn byte_strings_are_encoded_compactly() {
+    let body = Body::Data(Arc::new(vec![200; 10_000]));
+    let encoded = encode(&body);
+    assert!(encoded.len() < 10_100, "{}", encoded.len());
+    assert_eq!(decode::<Body>(&encoded), Some(body.clone()));
     #[derive(serde::Serialize)]
-    enum Old {
+    enum Legacy {
         Data(Vec<u8>),
     }
-    let old = encode(&Old::Data(vec![200; 10_000]));
-    assert!(old.len() > 19_000);
-    assert_eq!(decode::<Body>(&old), Some(b));
+    let legacy = encode(&Legacy::Data(vec![200; 10_000]));
+    assert!(legacy.len() > 19_000);
+    assert_eq!(decode::<Body>(&legacy), Some(body));
 }
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages and examples held against the code.
+//! The documentation and examples checked against the code.
 
 use sorreldoor::configuration;
 use sorreldoor::error::ErrorCode;
@@ -11,26 +11,26 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-fn page(name: &str) -> String {
+fn read_page(name: &str) -> String {
     std::fs::read_to_string(root().join(name)).unwrap()
 }
 
 const GENERATED_BEGIN: &str = "<!-- generated from the code; see CONTRIBUTING.md -->\n";
 const GENERATED_END: &str = "<!-- end of the generated part -->\n";
 
-/// Holds the generated part of a page against the code, to the letter. With
+/// Asserts that the generated part of a page equals `table`. With
 /// `SORRELDOOR_WRITE_DOCS=1` it writes that part instead.
 fn assert_generated(name: &str, table: &str) {
-    let text = page(name);
-    let (before, rest) = text.split_once(GENERATED_BEGIN).expect("a generated part");
-    let (stands, after) = rest.split_once(GENERATED_END).expect("its end");
+    let text = read_page(name);
+    let (prefix, rest) = text.split_once(GENERATED_BEGIN).expect("a generated part");
+    let (current, suffix) = rest.split_once(GENERATED_END).expect("its end");
     if std::env::var_os("SORRELDOOR_WRITE_DOCS").is_some() {
-        let fresh = format!("{before}{GENERATED_BEGIN}{table}{GENERATED_END}{after}");
-        std::fs::write(root().join(name), fresh).expect("the page can be written");
+        let updated = format!("{prefix}{GENERATED_BEGIN}{table}{GENERATED_END}{suffix}");
+        std::fs::write(root().join(name), updated).expect("the page can be written");
         return;
     }
     assert_eq!(
-        stands, table,
+        current, table,
         "{name}: write it with SORRELDOOR_WRITE_DOCS=1"
     );
 }
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn the_doctors_page_is_the_codes() {
-    let text = page("docs/doctor.md");
+fn the_doctors_page_lists_every_rule() {
+    let text = read_page("docs/doctor.md");
     for rule in sorreldoor::doctor::RULES {
         let (number, severity) = (rule.number, rule.severity.name());
         let row = format!(
@@ -82,22 +82,22 @@
 }
 
 #[test]
-fn the_examples_are_good() {
+fn the_examples_are_valid() {
     for site in ["press", "archive"] {
         let mut names = None;
         for (role, file) in [(Role::Core, "core"), (Role::Edge, "edge")] {
             let data = std::env::temp_dir().join(format!("sorreldoor-ex-{}", std::process::id()));
-            let over = Overrides {
+            let overrides = Overrides {
                 data: Some(data.display().to_string()),
                 ..Overrides::default()
             };
-            let text = page(&format!("examples/{site}-{file}.json"));
-            let s = Settings::parse(text.as_bytes(), &over, role).unwrap();
-            names = Some(s.names.clone());
+            let text = read_page(&format!("examples/{site}-{file}.json"));
+            let parsed = Settings::parse(text.as_bytes(), &overrides, role).unwrap();
+            names = Some(parsed.names.clone());
         }
-        let text = page(&format!("examples/{site}-setup.json"));
-        let (s, _) = configuration::parse(text.as_bytes(), &names.unwrap()).unwrap();
-        assert!(s.routes.len() >= 3);
+        let text = read_page(&format!("examples/{site}-setup.json"));
+        let (parsed, _) = configuration::parse(text.as_bytes(), &names.unwrap()).unwrap();
+        assert!(parsed.routes.len() >= 3);
     }
 }
 
@@ -108,106 +108,135 @@
     }
 }
 
-/// The indented block of a page that begins with `from`, as the page shows it.
-fn block(text: &str, from: &str) -> String {
-    let lines = text.lines().skip_while(|l| !l.starts_with(from));
-    let own: Vec<&str> = lines.take_while(|l| l.starts_with("    ")).collect();
-    own.join("\n")
+/// The indented block of a page that begins with `from`.
+fn indented_block(text: &str, from: &str) -> String {
+    let lines = text.lines().skip_while(|line| !line.starts_with(from));
+    let block_lines: Vec<&str> = lines.take_while(|line| line.starts_with("    ")).collect();
+    block_lines.join("\n")
 }
 
 #[test]
-fn the_example_of_hosted_routes_is_good() {
-    let doc = block(&page("docs/hosted.md"), "    {\"hosted\"");
-    let (s, _) = configuration::parse(doc.as_bytes(), &north()).unwrap();
-    let h = s.hosted.unwrap();
-    assert_eq!((h.routes.len(), h.services.len()), (2, 3));
-    assert_eq!(h.find("desk.example", "/draft/x"), Some(0));
-    assert_eq!(h.routes[0].homes, [0]);
-    assert_eq!(h.limits, configuration::hosted::Limits::default());
+fn the_example_of_hosted_routes_is_valid() {
+    let doc = indented_block(&read_page("docs/hosted.md"), "    {\"hosted\"");
+    let (parsed, _) = configuration::parse(doc.as_bytes(), &north()).unwrap();
+    let hosted_routes = parsed.hosted.unwrap();
+    assert_eq!(
+        (hosted_routes.routes.len(), hosted_routes.services.len()),
+        (2, 3)
+    );
+    assert_eq!(hosted_routes.find("desk.example", "/draft/x"), Some(0));
+    assert_eq!(hosted_routes.routes[0].homes, [0]);
+    assert_eq!(
+        hosted_routes.limits,
+        configuration::hosted::Limits::default()
+    );
     // what the example leaves out is as the tables say
-    let (r, v) = (&h.routes[1], &h.services[1]);
-    assert_eq!((r.aim_ms, r.priority, r.attempts, r.gap_ms), (0, 0, 1, 0));
-    assert!(!r.sticky && !r.resume && r.homes.is_empty());
-    assert_eq!((v.max_conns, v.health.as_str()), (64, "/healthz"));
-    assert_eq!((v.warmup_ms, v.warmup_per_s, v.engine), (0, 0.0, None));
+    let (route_row, service_row) = (&hosted_routes.routes[1], &hosted_routes.services[1]);
+    assert_eq!(
+        (
+            route_row.aim_ms,
+            route_row.priority,
+            route_row.attempts,
+            route_row.gap_ms
+        ),
+        (0, 0, 1, 0)
+    );
+    assert!(!route_row.sticky && !route_row.resume && route_row.homes.is_empty());
+    assert_eq!(
+        (service_row.max_conns, service_row.health.as_str()),
+        (64, "/healthz")
+    );
+    assert_eq!(
+        (
+            service_row.warmup_ms,
+            service_row.warmup_per_s,
+            service_row.engine
+        ),
+        (0, 0.0, None)
+    );
 }
 
 #[test]
-fn the_faults_of_hosted_routes_are_the_codes() {
-    let text = page("docs/hosted.md");
+fn the_page_lists_every_fault_of_hosted_routes() {
+    let text = read_page("docs/hosted.md");
     let route = |more: &str| {
         format!(
             r#"{{"hosted":{{"services":[{{"name":"s0"}}],"routes":[{{"name":"r","host":"h","prefix":"/p/","timeout_ms":5,{more}}}]}}}}"#
         )
     };
-    let good = r#""service":"s0""#;
-    let with = |more: &str| route(&format!("{good},{more}"));
-    let beside = |r: &str| route(good).replace("}]}}", &format!("}},{r}]}}}}"));
-    let bad = [
+    let valid = r#""service":"s0""#;
+    let valid_route_with = |more: &str| route(&format!("{valid},{more}"));
+    let with_second_route =
+        |second_route: &str| route(valid).replace("}]}}", &format!("}},{second_route}]}}}}"));
+    let invalid = [
         route(r#""service":"s""#),
         route(r#""split":[]"#),
-        route(good).replace(r#""host":"h","#, ""),
-        route(good).replace(r#""h""#, "\"\""),
-        route(good).replace(r#""/p/""#, r#""/p""#),
-        route(good).replace(":5,", ":0,"),
-        with(r#""kind":"twice""#),
-        with(r#""homes":[1]"#),
-        with(r#""sticky":1"#),
-        with(r#""aim_ms":-1"#),
-        with(r#""kind":1"#),
-        with(r#""split":{}"#),
-        with(r#""split":[1]"#),
-        beside(r#"{"name":"r","host":"i","prefix":"/","timeout_ms":5,"service":"s0"}"#),
-        beside(r#"{"name":"t","host":"h","prefix":"/p/","timeout_ms":5,"service":"s0"}"#),
+        route(valid).replace(r#""host":"h","#, ""),
+        route(valid).replace(r#""h""#, "\"\""),
+        route(valid).replace(r#""/p/""#, r#""/p""#),
+        route(valid).replace(":5,", ":0,"),
+        valid_route_with(r#""kind":"twice""#),
+        valid_route_with(r#""homes":[1]"#),
+        valid_route_with(r#""sticky":1"#),
+        valid_route_with(r#""aim_ms":-1"#),
+        valid_route_with(r#""kind":1"#),
+        valid_route_with(r#""split":{}"#),
+        valid_route_with(r#""split":[1]"#),
+        with_second_route(r#"{"name":"r","host":"i","prefix":"/","timeout_ms":5,"service":"s0"}"#),
+        with_second_route(
+            r#"{"name":"t","host":"h","prefix":"/p/","timeout_ms":5,"service":"s0"}"#,
+        ),
         format!("\"{}\"", "x".repeat(configuration::MAX_BYTES)),
         r#"{"x":1,"x":2}"#.into(),
     ];
-    for d in bad {
-        let short: String = d.chars().take(300).collect();
-        let faults = configuration::parse(d.as_bytes(), &north()).unwrap_err();
-        let told = |f: &String| {
-            let tail = f.split_once(": ").map_or(f.as_str(), |(_, t)| t);
-            text.contains(f.as_str()) || text.contains(tail)
+    for document in invalid {
+        let short: String = document.chars().take(300).collect();
+        let faults = configuration::parse(document.as_bytes(), &north()).unwrap_err();
+        let documented = |fault: &String| {
+            let tail = fault
+                .split_once(": ")
+                .map_or(fault.as_str(), |(_, tail)| tail);
+            text.contains(fault.as_str()) || text.contains(tail)
         };
-        assert!(faults.iter().all(told), "{short}: {faults:?}");
+        assert!(faults.iter().all(documented), "{short}: {faults:?}");
     }
 }
 
 #[test]
-fn every_header_of_the_products_dialect_is_on_the_page() {
+fn the_page_lists_every_header_of_the_plain_dialect() {
     use sorreldoor::proxy::{Dialect, ForwardHeaders, PlainDialect};
-    let text = page("docs/hosted.md");
-    let f = ForwardHeaders {
+    let text = read_page("docs/hosted.md");
+    let headers = ForwardHeaders {
         worker: "w",
         remaining_ms: 1,
         priority: Some(1),
         last_event: Some(1),
     };
-    let mut out = Vec::new();
-    PlainDialect.write_forward_headers(&f, &mut out);
-    let lines = String::from_utf8(out).unwrap();
+    let mut header_bytes = Vec::new();
+    PlainDialect.write_forward_headers(&headers, &mut header_bytes);
+    let lines = String::from_utf8(header_bytes).unwrap();
     assert_eq!(lines.lines().count(), 4);
-    for l in lines.lines() {
-        let (k, _) = l.split_once(':').unwrap();
-        assert!(text.contains(&format!("| `{k}` | ")), "{k}");
+    for line in lines.lines() {
+        let (key, _) = line.split_once(':').unwrap();
+        assert!(text.contains(&format!("| `{key}` | ")), "{key}");
     }
 }
 
 #[test]
-fn every_setting_of_pacing_is_on_the_page() {
-    let text = page("docs/settings.md");
-    for k in sorreldoor::pacing::KEYS {
-        assert!(text.contains(&format!("\n| `{k}` | ")), "{k}");
+fn the_page_lists_every_pacing_setting() {
+    let text = read_page("docs/settings.md");
+    for key in sorreldoor::pacing::KEYS {
+        assert!(text.contains(&format!("\n| `{key}` | ")), "{key}");
     }
 }
 
-fn sources(dir: &Path, out: &mut Vec<PathBuf>) {
-    for f in std::fs::read_dir(dir).unwrap() {
-        let p = f.unwrap().path();
-        if p.is_dir() && !p.ends_with("target") {
-            sources(&p, out);
-        } else if p.extension().is_some_and(|e| e == "rs") {
-            out.push(p);
+fn collect_sources(dir: &Path, found: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(dir).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() && !path.ends_with("target") {
+            collect_sources(&path, found);
+        } else if path.extension().is_some_and(|e| e == "rs") {
+            found.push(path);
         }
     }
 }
@@ -215,9 +244,9 @@
 #[test]
 fn no_file_is_over_400_lines() {
     let mut all = Vec::new();
-    sources(&root(), &mut all);
+    collect_sources(&root(), &mut all);
     assert!(all.len() > 40);
-    let lines = |p: &PathBuf| std::fs::read_to_string(p).unwrap().lines().count();
-    let long: Vec<_> = all.iter().filter(|p| lines(p) > 400).collect();
+    let lines = |path: &PathBuf| std::fs::read_to_string(path).unwrap().lines().count();
+    let long: Vec<_> = all.iter().filter(|path| lines(path) > 400).collect();
     assert!(long.is_empty(), "{long:?}");
 }
--- a/sorreldoor/tests/settings.rs
+++ b/sorreldoor/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and setups: every fault has its exact words, and a path.
+//! Settings and configurations: every fault has its exact message and path.
 
 use sorreldoor::configuration::{parse, Site};
 use sorreldoor::settings::{Overrides, Role, Settings};
@@ -9,74 +9,74 @@
         .unwrap_or_default()
 }
 
-const GOOD: &str = r#"{"site":"s","regions":{"a":["a1","a2"],"b":["b1"]},"node":"n",
+const VALID: &str = r#"{"site":"s","regions":{"a":["a1","a2"],"b":["b1"]},"node":"n",
   "zone":"a1","http":"127.0.0.1:80","seeds":["127.0.0.1:1","127.0.0.1:2"]}"#;
 
-fn with(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from));
-    GOOD.replace(from, to)
+fn valid_with(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from));
+    VALID.replace(from, to)
 }
 
 #[test]
-fn each_fault_of_a_settings_file_has_its_words() {
-    assert_eq!(faults(GOOD), Vec::<String>::new());
-    let table = [
+fn each_settings_fault_has_its_message() {
+    assert_eq!(faults(VALID), Vec::<String>::new());
+    let cases = [
         (
-            with(r#""node":"n""#, r#""node":"n","nod":1"#),
+            valid_with(r#""node":"n""#, r#""node":"n","nod":1"#),
             "nod: unknown field",
         ),
-        (with(r#""zone":"a1","#, ""), "zone: is missing"),
+        (valid_with(r#""zone":"a1","#, ""), "zone: is missing"),
         (
-            with(r#""zone":"a1""#, r#""zone":"x9""#),
+            valid_with(r#""zone":"a1""#, r#""zone":"x9""#),
             "zone: \"x9\" is in no region",
         ),
         (
-            with("127.0.0.1:80", "localhost:80"),
+            valid_with("127.0.0.1:80", "localhost:80"),
             "http: \"localhost:80\" is not IP:PORT",
         ),
         (
-            with("127.0.0.1:2", "127.0.0.1:1"),
+            valid_with("127.0.0.1:2", "127.0.0.1:1"),
             "seeds[1]: \"127.0.0.1:1\" is named twice",
         ),
         (
-            with("127.0.0.1:2", "nowhere"),
+            valid_with("127.0.0.1:2", "nowhere"),
             "seeds[1]: \"nowhere\" is not IP:PORT",
         ),
         (
-            with(r#"["b1"]"#, r#"["a1"]"#),
+            valid_with(r#"["b1"]"#, r#"["a1"]"#),
             "regions.b: zone \"a1\" is named twice",
         ),
         (
-            with(r#""node":"n""#, r#""node":"n","ack_ms":5"#),
+            valid_with(r#""node":"n""#, r#""node":"n","ack_ms":5"#),
             "ack_ms: must be a whole number from 200 to 60000",
         ),
         (
-            with(r#""node":"n""#, r#""node":"n","node":"m""#),
+            valid_with(r#""node":"n""#, r#""node":"n","node":"m""#),
             "settings: has the key \"node\" twice",
         ),
         (
-            with(r#""node":"n""#, r#""node":"n","listen":"127.0.0.1:80""#),
+            valid_with(r#""node":"n""#, r#""node":"n","listen":"127.0.0.1:80""#),
             "http: is the same address as listen",
         ),
     ];
-    for (text, want) in table {
-        assert_eq!(faults(&text), vec![want.to_string()], "{text}");
+    for (text, expected) in cases {
+        assert_eq!(faults(&text), vec![expected.to_string()], "{text}");
     }
 }
 
 #[test]
-fn a_data_folder_must_be_writable() {
-    let text = with(
+fn the_data_folder_must_be_writable() {
+    let text = valid_with(
         r#""node":"n""#,
         r#""node":"n","listen":"127.0.0.1:81","data":"/proc/none""#,
     );
-    let f = Settings::parse(text.as_bytes(), &Overrides::default(), Role::Core)
+    let faults_found = Settings::parse(text.as_bytes(), &Overrides::default(), Role::Core)
         .err()
         .unwrap_or_default();
-    assert_eq!(f.len(), 1);
+    assert_eq!(faults_found.len(), 1);
     assert!(
-        f[0].starts_with("data: /proc/none is not writable:"),
-        "{f:?}"
+        faults_found[0].starts_with("data: /proc/none is not writable:"),
+        "{faults_found:?}"
     );
 }
 
@@ -94,9 +94,9 @@
  "spill":{"a":{"b":30}},"retry":{"percent":15}}"#;
 
 #[test]
-fn each_fault_of_a_setup_is_listed_under_its_path() {
+fn each_configuration_fault_is_listed_under_its_path() {
     assert!(parse(CONFIGURATION.as_bytes(), &site()).is_ok());
-    let table = [
+    let cases = [
         (
             r#""slots":4"#,
             r#""slots":4,"slot":1"#,
@@ -158,25 +158,30 @@
             "setup: has the key \"percent\" twice",
         ),
     ];
-    for (from, to, want) in table {
+    for (from, to, expected) in cases {
         assert!(CONFIGURATION.contains(from), "{from}");
-        let f = parse(CONFIGURATION.replacen(from, to, 1).as_bytes(), &site()).err();
-        assert_eq!(f, Some(vec![want.to_string()]), "{to}");
+        let faults_found = parse(CONFIGURATION.replacen(from, to, 1).as_bytes(), &site()).err();
+        assert_eq!(faults_found, Some(vec![expected.to_string()]), "{to}");
     }
     let deep = format!("{}1{}", "[".repeat(40), "]".repeat(40));
-    let f = parse(deep.as_bytes(), &site()).err();
-    assert_eq!(f, Some(vec!["setup: is nested deeper than 16".to_string()]));
+    let faults_found = parse(deep.as_bytes(), &site()).err();
+    assert_eq!(
+        faults_found,
+        Some(vec!["setup: is nested deeper than 16".to_string()])
+    );
     let big = format!("{{\"x\":\"{}\"}}", "y".repeat(4 << 20));
-    let f = parse(big.as_bytes(), &site()).err();
+    let faults_found = parse(big.as_bytes(), &site()).err();
     assert_eq!(
-        f,
+        faults_found,
         Some(vec!["setup: is larger than 4194304 bytes".to_string()])
     );
-    let two = CONFIGURATION
+    let two_faults = CONFIGURATION
         .replace(r#""slots":4"#, r#""slots":0"#)
         .replace(r#""percent":15"#, r#""percent":99"#);
     assert_eq!(
-        parse(two.as_bytes(), &site()).err().map(|f| f.len()),
+        parse(two_faults.as_bytes(), &site())
+            .err()
+            .map(|faults_found| faults_found.len()),
         Some(2)
     );
 }
@@ -200,10 +205,10 @@
 ];
 
 #[test]
-fn a_renamed_key_is_read_under_its_old_name_too() {
+fn a_renamed_key_is_accepted_under_its_old_name() {
     for (current, deprecated, value, _) in RENAMED {
         for key in [current, deprecated] {
-            let text = with(r#""node":"n""#, &format!(r#""node":"n","{key}":{value}"#));
+            let text = valid_with(r#""node":"n""#, &format!(r#""node":"n","{key}":{value}"#));
             let settings = Settings::parse(text.as_bytes(), &Overrides::default(), Role::Edge);
             let settings = settings.expect("either name is accepted");
             assert_eq!(number_of(&settings, current), value, "{key}");
@@ -212,15 +217,15 @@
 }
 
 #[test]
-fn a_renamed_key_is_checked_under_the_name_that_is_given() {
+fn a_renamed_key_is_validated_under_the_name_given() {
     for (current, deprecated, value, bounds) in RENAMED {
         for key in [current, deprecated] {
-            let text = with(r#""node":"n""#, &format!(r#""node":"n","{key}":0"#));
-            let want = format!("{key}: must be a whole number from {bounds}");
-            assert_eq!(faults(&text), [want]);
+            let text = valid_with(r#""node":"n""#, &format!(r#""node":"n","{key}":0"#));
+            let expected = format!("{key}: must be a whole number from {bounds}");
+            assert_eq!(faults(&text), [expected]);
         }
         let both = format!(r#""node":"n","{current}":{value},"{deprecated}":{value}"#);
-        let want = format!("{deprecated}: is the old name of {current}, which is given too");
-        assert_eq!(faults(&with(r#""node":"n""#, &both)), [want]);
+        let expected = format!("{deprecated}: is the old name of {current}, which is given too");
+        assert_eq!(faults(&valid_with(r#""node":"n""#, &both)), [expected]);
     }
 }
--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the record: what nodes with an older copy are told.
+//! Updates of the replicated state: the deltas sent to nodes with an older copy.
 
 use sorreldoor::configuration::hosted::Hosted;
 use sorreldoor::configuration::{self, Site};
@@ -22,16 +22,16 @@
     })
 }
 
-fn route(name: usize, service: usize, salt: u64) -> String {
+fn route(name: usize, service: usize, variant: u64) -> String {
     format!(
         r#"{{"name":"r{name}","host":"H{}.example","prefix":"/p{name}/","timeout_ms":{},"service":"s{service}","kind":"stream","note":"of a desk's own"}}"#,
         name % 3,
-        1000 + salt % 5000
+        1000 + variant % 5000
     )
 }
 
-fn service(name: usize, salt: u64) -> String {
-    format!(r#"{{"name":"s{name}","max_conns":{}}}"#, 1 + salt % 500)
+fn service(name: usize, variant: u64) -> String {
+    format!(r#"{{"name":"s{name}","max_conns":{}}}"#, 1 + variant % 500)
 }
 
 fn document(routes: &[String], services: &[String], limit: u64) -> String {
@@ -70,26 +70,26 @@
         }
     }
 
-    fn act(&mut self, cmd: Command) -> Outcome {
+    fn apply_next(&mut self, command: Command) -> Outcome {
         self.count += 1;
-        let said = self
+        let outcome = self
             .record
-            .apply(self.count as u64, self.count, &encode(&cmd));
-        decode(&said).expect("an outcome")
+            .apply(self.count as u64, self.count, &encode(&command));
+        decode(&outcome).expect("an outcome")
     }
 
     fn put(&mut self, doc: String) -> Outcome {
         let base = self.record.version();
-        self.act(Command::Put {
+        self.apply_next(Command::Put {
             base,
             new_version: None,
             document: doc,
         })
     }
 
-    fn items(&mut self, set: String, drop: String) -> Outcome {
+    fn change_items(&mut self, set: String, drop: String) -> Outcome {
         let base = self.record.version();
-        self.act(Command::ChangeItems {
+        self.apply_next(Command::ChangeItems {
             base,
             new_version: None,
             set,
@@ -97,72 +97,84 @@
         })
     }
 
-    fn one_route(&mut self, name: usize, salt: u64) -> Outcome {
-        let set = format!(r#"{{"routes":[{}]}}"#, route(name, 0, salt));
-        self.items(set, "{}".into())
+    fn set_route(&mut self, name: usize, variant: u64) -> Outcome {
+        let set = format!(r#"{{"routes":[{}]}}"#, route(name, 0, variant));
+        self.change_items(set, "{}".into())
     }
 
-    /// Any change that an operator may make, most of them valid.
+    /// A random change that an operator may make, most of them valid.
     fn random_change(&mut self, random: &mut Random) {
-        let salt = random.below(1 << 40);
-        let name = |r: &mut Random| r.below(30) as usize;
+        let variant = random.below(1 << 40);
+        let name = |random: &mut Random| random.below(30) as usize;
         match random.below(10) {
             0 => {
                 let n = random.below(30);
                 let routes: Vec<String> = (0..n)
-                    .filter(|_| !salt.is_multiple_of(3))
-                    .map(|i| route(i as usize, 0, salt))
+                    .filter(|_| !variant.is_multiple_of(3))
+                    .map(|i| route(i as usize, 0, variant))
                     .collect();
                 let mut routes = routes;
-                if salt.is_multiple_of(2) {
+                if variant.is_multiple_of(2) {
                     routes.reverse();
                 }
-                self.put(document(&routes, &[service(0, salt), service(1, 1)], 10));
+                self.put(document(&routes, &[service(0, variant), service(1, 1)], 10));
             }
             1 => {
                 let zone = random.below(3) as u16;
                 let evacuated = random.below(2) == 0;
-                self.act(Command::EvacuateUnversioned { zone, evacuated });
+                self.apply_next(Command::EvacuateUnversioned { zone, evacuated });
             }
             2 => {
-                let set = format!(r#"{{"services":[{}]}}"#, service(name(random) % 4, salt));
-                self.items(set, "{}".into());
+                let set = format!(r#"{{"services":[{}]}}"#, service(name(random) % 4, variant));
+                self.change_items(set, "{}".into());
             }
             3 => {
                 let drop = format!(r#"{{"services":["s{}"]}}"#, name(random) % 4);
-                self.items("{}".into(), drop);
+                self.change_items("{}".into(), drop);
             }
             4 => {
-                let set = format!(r#"{{"limits":{{"idle_ms":{}}}}}"#, 1 + salt % 90);
-                self.items(set, "{}".into());
+                let set = format!(r#"{{"limits":{{"idle_ms":{}}}}}"#, 1 + variant % 90);
+                self.change_items(set, "{}".into());
             }
             5 | 6 => {
                 let drop = format!(r#"{{"routes":["r{}","r{}"]}}"#, name(random), name(random));
-                self.items("{}".into(), drop);
+                self.change_items("{}".into(), drop);
             }
             _ => {
                 let service = random.below(3) as usize;
-                let set = format!(r#"{{"routes":[{}]}}"#, route(name(random), service, salt));
-                self.items(set, "{}".into());
+                let set = format!(
+                    r#"{{"routes":[{}]}}"#,
+                    route(name(random), service, variant)
+                );
+                self.change_items(set, "{}".into());
             }
         }
     }
 }
 
-/// Routes as a caller meets them: which service each leads to, in which order
-/// nothing depends on.
-fn meaning(h: &Hosted) -> BTreeMap<String, String> {
-    let split = |r: &configuration::hosted::Route| {
-        let names = r.split.iter().map(|(s, w)| (&h.services[*s as usize], *w));
+/// The routing that clients observe: the services of each route, independent of
+/// the order of the items.
+fn routing_of(hosted: &Hosted) -> BTreeMap<String, String> {
+    let split = |route_row: &configuration::hosted::Route| {
+        let names = route_row
+            .split
+            .iter()
+            .map(|(service, weight)| (&hosted.services[*service as usize], *weight));
         format!("{:?}", names.collect::<Vec<_>>())
     };
-    let all = h.routes.iter().map(|r| {
-        let found = h.find(&r.host, &r.prefix);
-        let found = found.map(|i| &h.routes[i as usize].name);
-        let rest = (&r.host, &r.prefix, r.timeout_ms, &r.homes, split(r));
-        (r.name.clone(), format!("{found:?} {rest:?}"))
+    let all = hosted.routes.iter().map(|route_row| {
+        let found_route = hosted.find(&route_row.host, &route_row.prefix);
+        let found_route = found_route.map(|i| &hosted.routes[i as usize].name);
+        let rest = (
+            &route_row.host,
+            &route_row.prefix,
+            route_row.timeout_ms,
+            &route_row.homes,
+            split(route_row),
+        );
+        (route_row.name.clone(), format!("{found_route:?} {rest:?}"))
     });
-    let limits = ("limits".to_string(), format!("{:?}", h.limits));
+    let limits = ("limits".to_string(), format!("{:?}", hosted.limits));
     all.chain([limits]).collect()
 }
 
@@ -171,14 +183,14 @@
     configuration.hosted.clone().expect("a hosted part")
 }
 
-/// The whole document, read anew.
-fn read_whole(record: &ReplicatedState) -> Hosted {
+/// The configuration, parsed from the complete document.
+fn parse_document(record: &ReplicatedState) -> Hosted {
     let text = record.view().doc.expect("a document");
-    let (s, _) = configuration::parse(text.as_bytes(), &site()).expect("it is valid");
-    (*s.hosted.expect("a hosted part")).clone()
+    let (configuration, _) = configuration::parse(text.as_bytes(), &site()).expect("it is valid");
+    (*configuration.hosted.expect("a hosted part")).clone()
 }
 
-/// A node that may be told now and then only.
+/// A node that receives only some of the updates.
 #[derive(Default)]
 struct Edge {
     copy: StateReplica,
@@ -187,7 +199,7 @@
 }
 
 impl Edge {
-    fn take(&mut self, update: &StateUpdate) {
+    fn apply_update(&mut self, update: &StateUpdate) {
         assert!(
             self.copy.apply(update),
             "from {} to {}",
@@ -208,9 +220,9 @@
     }
 }
 
-/// After any changes, however many of them an edge slept through, and from
-/// whichever core it is told (one that has it from a snapshot too), the
-/// difference leads to the same copy as the whole.
+/// After any changes, however many an edge has missed, and from any core (also
+/// one restored from a snapshot), the delta leads to the same copy as the
+/// complete document.
 #[test]
 fn a_difference_leads_to_where_the_whole_leads() {
     for seed in 1..=60 {
@@ -228,32 +240,33 @@
             }
             let edge = &mut edges[random.below(4) as usize];
             let update = core.record.delta_since(edge.revision);
-            edge.take(&update);
+            edge.apply_update(&update);
             assert_eq!(
                 edge.copy.view(),
                 core.record.view(),
                 "seed {seed} step {step}"
             );
-            let whole = read_whole(&core.record);
-            assert_eq!(meaning(&edge.hosted), meaning(&whole), "seed {seed}");
-            assert_eq!(meaning(&hosted_of(&core.record)), meaning(&whole));
+            let whole = parse_document(&core.record);
+            assert_eq!(routing_of(&edge.hosted), routing_of(&whole), "seed {seed}");
+            assert_eq!(routing_of(&hosted_of(&core.record)), routing_of(&whole));
         }
     }
 }
 
-/// What a change costs every edge does not grow with the routes there are.
+/// The update that a change sends to each edge does not grow with the number
+/// of routes.
 #[test]
 fn what_is_told_of_a_change_does_not_grow_with_the_routes() {
-    let told = |routes: usize| {
+    let update_bytes = |routes: usize| {
         let mut core = Core::new();
         core.put(with_routes(routes));
-        let have = core.record.revision();
-        assert_eq!(core.one_route(3, 77), Outcome::Applied { version: 2 });
-        EncodedUpdate::new(&core.record.delta_since(have))
+        let known_revision = core.record.revision();
+        assert_eq!(core.set_route(3, 77), Outcome::Applied { version: 2 });
+        EncodedUpdate::new(&core.record.delta_since(known_revision))
             .bytes
             .len()
     };
-    let (few, many) = (told(100), told(5000));
+    let (few, many) = (update_bytes(100), update_bytes(5000));
     assert!(
         many < few + 64,
         "{few} bytes of 100 routes, {many} of 5,000"
@@ -261,67 +274,70 @@
     assert!(many < 1000, "{many}");
 }
 
-/// A whole document put again with one item changed is told as that item.
+/// Replacing the document with one that differs in one item sends just that item.
 #[test]
 fn a_whole_document_is_told_by_what_is_new_in_it() {
     let mut core = Core::new();
     core.put(with_routes(1000));
-    let have = core.record.revision();
+    let known_revision = core.record.revision();
     let mut routes: Vec<String> = (0..1000).map(|i| route(i, 0, 0)).collect();
     routes[500] = route(500, 0, 9);
     routes.remove(7);
     routes.push(route(2000, 0, 1));
     core.put(document(&routes, &[service(0, 1)], 50));
-    let update = core.record.delta_since(have);
+    let update = core.record.delta_since(known_revision);
     let changes = update.document.expect("a document");
-    assert_eq!((update.from_revision, changes.routes.set.len()), (have, 2));
+    assert_eq!(
+        (update.from_revision, changes.routes.set.len()),
+        (known_revision, 2)
+    );
     assert_eq!(changes.routes.deleted, vec!["r7".into()]);
     assert!(changes.rest.is_none() && changes.services.set.is_empty());
 }
 
-/// Deletions are not kept for ever; who is behind them is told the whole.
+/// Deletions are not retained forever; a node behind them is sent the complete document.
 #[test]
 fn whoever_is_too_far_behind_is_told_the_whole() {
     let mut core = Core::new();
     core.put(with_routes(50));
-    let have = core.record.revision();
+    let known_revision = core.record.revision();
     for n in 0..5 {
         let set: Vec<String> = (0..1000).map(|i| route(100 + n * 1000 + i, 0, 0)).collect();
         let names: Vec<String> = (0..1000)
             .map(|i| format!("\"r{}\"", 100 + n * 1000 + i))
             .collect();
-        core.items(format!(r#"{{"routes":[{}]}}"#, set.join(",")), "{}".into());
-        core.items(
+        core.change_items(format!(r#"{{"routes":[{}]}}"#, set.join(",")), "{}".into());
+        core.change_items(
             "{}".into(),
             format!(r#"{{"routes":[{}]}}"#, names.join(",")),
         );
     }
     let mut edge = Edge::default();
-    edge.take(&core.record.delta_since(0));
-    assert_eq!(core.record.delta_since(have).from_revision, 0);
+    edge.apply_update(&core.record.delta_since(0));
+    assert_eq!(core.record.delta_since(known_revision).from_revision, 0);
     let near = core.record.revision() - 1;
     assert_eq!(core.record.delta_since(near).from_revision, near);
     assert!(core.record.image().len() < 200_000);
     assert_eq!(edge.copy.view(), core.record.view());
 }
 
-/// An update that starts after what a copy holds would leave a gap.
+/// An update that starts after the revision of a copy would leave a gap.
 #[test]
 fn an_update_that_does_not_lead_on_is_refused() {
     let mut core = Core::new();
     core.put(with_routes(5));
-    core.one_route(1, 5);
+    core.set_route(1, 5);
     let mut copy = StateReplica::default();
     assert!(!copy.apply(&core.record.delta_since(1)));
     assert_eq!(copy.view(), StateReplica::default().view());
     assert!(copy.apply(&core.record.delta_since(0)));
 }
 
-/// An image of the release before holds the document as one text.
+/// An image of the previous release stores the document as one string.
 #[test]
 fn an_older_image_is_read() {
     #[derive(serde::Serialize)]
-    struct Older {
+    struct LegacyImage {
         #[serde(rename = "rev")]
         revision: u64,
         #[serde(rename = "serial")]
@@ -336,7 +352,7 @@
         answered: BTreeMap<u128, Arc<Vec<u8>>>,
         order: Vec<u128>,
     }
-    let older = Older {
+    let legacy = LegacyImage {
         revision: 9,
         version: 7,
         doc: Some(Arc::new(with_routes(20))),
@@ -349,13 +365,13 @@
         order: Vec::new(),
     };
     let mut core = Core::new();
-    assert!(core.record.load(&encode(&older)));
+    assert!(core.record.load(&encode(&legacy)));
     assert_eq!((core.record.revision(), core.record.version()), (9, 7));
     assert_eq!(hosted_of(&core.record).routes.len(), 20);
-    // what is told of it is told whole to whoever is behind it
+    // nodes behind it are sent the complete document
     let mut edge = Edge::default();
-    edge.take(&core.record.delta_since(0));
-    core.one_route(3, 5);
-    edge.take(&core.record.delta_since(9));
+    edge.apply_update(&core.record.delta_since(0));
+    core.set_route(3, 5);
+    edge.apply_update(&core.record.delta_since(9));
     assert_eq!(edge.copy.view(), core.record.view());
 }
--- a/sorreldoor/tests/updates/costs.rs
+++ b/sorreldoor/tests/updates/costs.rs
@@ -1,4 +1,4 @@
-//! What a change costs by the number of routes; printed, and bounded where it
+//! The cost of a change by the number of routes: printed, and bounded where it
 //! must not grow.
 
 use super::{with_routes, Core, Edge};
@@ -6,40 +6,42 @@
 use sorreldoor::wire::EncodedUpdate;
 use std::time::{Duration, Instant};
 
-fn timed<T>(f: impl FnOnce() -> T) -> (Duration, T) {
-    let began = Instant::now();
-    let made = f();
-    (began.elapsed(), made)
+fn timed<T>(operation: impl FnOnce() -> T) -> (Duration, T) {
+    let started = Instant::now();
+    let result = operation();
+    (started.elapsed(), result)
 }
 
 #[test]
-fn what_a_change_costs_by_the_routes() {
-    let mut told = Vec::new();
+fn cost_of_a_change_by_number_of_routes() {
+    let mut delta_sizes = Vec::new();
     for routes in [100, 1000, 5000] {
         let mut core = Core::new();
-        let doc = with_routes(routes);
-        core.put(doc.clone());
+        let document = with_routes(routes);
+        core.put(document.clone());
         let mut edge = Edge::default();
-        let whole = EncodedUpdate::new(&core.record.delta_since(0));
-        let update = whole.update().expect("it can be read");
-        let (take_whole, ()) = timed(|| edge.take(&update));
-        let (read_document, read) = timed(|| configuration::parse(doc.as_bytes(), &super::site()));
-        assert!(read.is_ok());
-        let have = core.record.revision();
-        let (edit, _) = timed(|| core.one_route(3, 77));
-        let (encode, difference) = timed(|| EncodedUpdate::new(&core.record.delta_since(have)));
-        let update = difference.update().expect("it can be read");
-        let (take, ()) = timed(|| edge.take(&update));
+        let full_update = EncodedUpdate::new(&core.record.delta_since(0));
+        let update = full_update.update().expect("it can be read");
+        let (full_apply_time, ()) = timed(|| edge.apply_update(&update));
+        let (parse_time, parsed) =
+            timed(|| configuration::parse(document.as_bytes(), &super::site()));
+        assert!(parsed.is_ok());
+        let known_revision = core.record.revision();
+        let (edit_time, _) = timed(|| core.set_route(3, 77));
+        let (encode_time, delta) =
+            timed(|| EncodedUpdate::new(&core.record.delta_since(known_revision)));
+        let update = delta.update().expect("it can be read");
+        let (apply_time, ()) = timed(|| edge.apply_update(&update));
         assert_eq!(edge.copy.view(), core.record.view());
         println!(
             "{routes} routes: document {} B, whole {} B, difference {} B; reading the document \
-             {read_document:?}; a core's edit {edit:?}, encoding {encode:?}; an edge takes the \
-             whole in {take_whole:?}, the difference in {take:?}",
-            doc.len(),
-            whole.bytes.len(),
-            difference.bytes.len()
+             {parse_time:?}; a core's edit {edit_time:?}, encoding {encode_time:?}; an edge takes the \
+             whole in {full_apply_time:?}, the difference in {apply_time:?}",
+            document.len(),
+            full_update.bytes.len(),
+            delta.bytes.len()
         );
-        told.push(difference.bytes.len());
+        delta_sizes.push(delta.bytes.len());
     }
-    assert!(told[2] < told[0] + 64, "{told:?}");
+    assert!(delta_sizes[2] < delta_sizes[0] + 64, "{delta_sizes:?}");
 }
