--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -1,6 +1,6 @@
 //! Property tests of the worker response parser: arbitrary bytes, split anywhere.
 
-use super::harness::run;
+use super::harness::block_on_test;
 use proptest::prelude::*;
 use sorreldoor::proxy::attempt::Event;
 use sorreldoor::proxy::http1::{parse_response_head, BodyDecoder, ReadBuffer, ReadError};
@@ -106,7 +106,7 @@
     let mut feed = |buffer: &mut ReadBuffer| {
         let part = parts.find(|p| !p.is_empty());
         let has_part = part.is_some();
-        run(async {
+        block_on_test(async {
             let mut part = part.unwrap_or_default();
             while !part.is_empty() {
                 buffer.fill(&mut part).await.unwrap();
--- a/testbed/tests/requests/faults.rs
+++ b/testbed/tests/requests/faults.rs
@@ -2,7 +2,7 @@
 //! non-idempotent request runs twice, no response reaches another request, and
 //! no client gets a not-run status for a request that ran.
 
-use super::harness::{proxy, run, Caller, Got, Stand, LONG};
+use super::harness::{block_on_test, start_proxy, Client, Response, StubWorker, TEST_TIMEOUT};
 use super::worker::{expected_body, start_worker, Fault, Runs, Worker};
 use async_std::future::timeout;
 use async_std::io::WriteExt;
@@ -14,35 +14,35 @@
 /// Bytes; larger than a connection's buffers, so that some stay unread.
 const LARGE_BODY: usize = 90_000;
 
-fn stub_of(worker: &Worker) -> Stand {
-    Stand {
+fn stub_of(worker: &Worker) -> StubWorker {
+    StubWorker {
         addr: worker.addr,
-        got: Default::default(),
+        received: Default::default(),
     }
 }
 
 /// Sends one request; returns the client's response, if any.
-async fn send_request(caller: &mut Caller, path: &str, id: &str, size: usize) -> Option<Got> {
+async fn send_request(client: &mut Client, path: &str, id: &str, size: usize) -> Option<Response> {
     let head = format!(
         "POST {path} HTTP/1.1\r\nHost: a.example\r\nx-request-id: {id}\r\nx-deadline-ms: 1500\r\ncontent-length: {size}\r\n\r\n"
     );
-    caller.s.write_all(head.as_bytes()).await.ok()?;
-    caller.s.write_all(&vec![b'x'; size]).await.ok()?;
-    timeout(LONG, caller.got()).await.ok()?
+    client.stream.write_all(head.as_bytes()).await.ok()?;
+    client.stream.write_all(&vec![b'x'; size]).await.ok()?;
+    timeout(TEST_TIMEOUT, client.read_response()).await.ok()?
 }
 
 /// The invariant that the response to one request violates, if any.
-fn violation(got: &Option<Got>, id: &str, runs: usize, once: bool) -> Option<String> {
+fn violation(response: &Option<Response>, id: &str, runs: usize, once: bool) -> Option<String> {
     if once && runs > 1 {
         return Some(format!("{id} ran {runs} times"));
     }
-    let got = got.as_ref()?;
-    if NOT_RUN_STATUSES.contains(&got.status) && runs > 0 {
-        return Some(format!("{id} got {} and ran {runs} times", got.status));
+    let response = response.as_ref()?;
+    if NOT_RUN_STATUSES.contains(&response.status) && runs > 0 {
+        return Some(format!("{id} got {} and ran {runs} times", response.status));
     }
-    let own = got.status == 204 || got.body == expected_body(id);
-    if (200..300).contains(&got.status) && got.whole && !own {
-        return Some(format!("{id} got {:?}", got.body));
+    let own = response.status == 204 || response.body == expected_body(id);
+    if (200..300).contains(&response.status) && response.complete && !own {
+        return Some(format!("{id} got {:?}", response.body));
     }
     None
 }
@@ -54,21 +54,25 @@
     let script = vec![Fault::Healthy, fault, Fault::Healthy];
     let a = start_worker(script.clone(), &runs).await;
     let b = start_worker(script, &runs).await;
-    let proxy_address = proxy(&[&stub_of(&a), &stub_of(&b)]).await;
+    let proxy_address = start_proxy(&[&stub_of(&a), &stub_of(&b)]).await;
     let (mut violations, mut served) = (Vec::new(), 0);
     for round in 0..8 {
-        let mut caller = Caller::new(&proxy_address).await;
+        let mut client = Client::new(&proxy_address).await;
         for attempt in 0..2 {
             let id = format!("{path}{round}-{attempt}");
             // closing resets the connection only if the worker left bytes unread
             let size = if attempt == 0 { 10 } else { LARGE_BODY };
-            let got = send_request(&mut caller, path, &id, size).await;
+            let response = send_request(&mut client, path, &id, size).await;
             // a request in flight may still reach a worker
             async_std::task::sleep(Duration::from_millis(15)).await;
             let ran = runs.lock().unwrap().get(&id).copied().unwrap_or(0);
-            served += usize::from(got.as_ref().is_some_and(|g| g.status == 200 && g.whole));
-            violations.extend(violation(&got, &id, ran, once));
-            if got.is_none_or(|g| !g.whole) {
+            served += usize::from(
+                response
+                    .as_ref()
+                    .is_some_and(|g| g.status == 200 && g.complete),
+            );
+            violations.extend(violation(&response, &id, ran, once));
+            if response.is_none_or(|g| !g.complete) {
                 break;
             }
         }
@@ -100,7 +104,7 @@
 
 /// Runs all faults on one route concurrently; panics on any violation.
 fn run_all_faults(path: &'static str, once: bool) {
-    run(async {
+    block_on_test(async {
         let tasks = FAULTS.map(|fault| {
             async_std::task::spawn(async move { (fault, run_with_fault(fault, path, once).await) })
         });
@@ -131,16 +135,16 @@
 
 #[test]
 fn a_surplus_answer_costs_the_next_request_nothing() {
-    run(async {
+    block_on_test(async {
         let runs = Runs::default();
         let worker =
             start_worker(vec![Fault::ImmediateSurplus, Fault::DelayedSurplus], &runs).await;
-        let proxy_address = proxy(&[&stub_of(&worker)]).await;
-        let mut caller = Caller::new(&proxy_address).await;
+        let proxy_address = start_proxy(&[&stub_of(&worker)]).await;
+        let mut client = Client::new(&proxy_address).await;
         for attempt in 0..10 {
             let id = format!("n{attempt}");
-            let got = send_request(&mut caller, "/once/", &id, 10).await.unwrap();
-            assert_eq!((got.status, got.body), (200, expected_body(&id)));
+            let response = send_request(&mut client, "/once/", &id, 10).await.unwrap();
+            assert_eq!((response.status, response.body), (200, expected_body(&id)));
             async_std::task::sleep(Duration::from_millis(25)).await;
         }
     });
