--- a/testbed/tests/catch_up/bounds.rs
+++ b/testbed/tests/catch_up/bounds.rs
@@ -12,9 +12,9 @@
             ..timing(fault)
         },
     );
-    sim.most_events = 20_000_000;
+    sim.max_events = 20_000_000;
     sim.bandwidth = Some(Bandwidth::megabits_per_second(10));
-    let leader = sim.settle();
+    let leader = sim.wait_for_leader();
     put_configuration(&mut sim, leader, 3500, 0);
     let absent_member = any_follower(&sim, leader);
     sim.crash(absent_member);
@@ -25,7 +25,7 @@
     while elapsed.is_none() && sim.now < started_at + 10_000 {
         // whether the changes are accepted or not, the log grows by them
         let base = sim.highest_version();
-        sim.change(leader, base);
+        sim.propose_change(leader, base);
         sim.run_for(CHANGE_EVERY);
         elapsed = (applied(&sim, absent_member) + 3 >= applied(&sim, leader))
             .then_some(sim.now - started_at);
@@ -56,23 +56,23 @@
             ..timing(fault)
         },
     );
-    sim.most_events = 300_000;
-    let deposed_leader = sim.settle();
+    sim.max_events = 300_000;
+    let deposed_leader = sim.wait_for_leader();
     sim.isolate(deposed_leader);
     for _ in 0..60 {
         let base = sim.highest_version();
-        sim.change(deposed_leader, base);
+        sim.propose_change(deposed_leader, base);
     }
     sim.run_for(3000);
     let next = sim.leader().expect("the others have a leader");
     commit_changes(&mut sim, next, 40);
-    sim.cuts.clear();
+    sim.blocked_links.clear();
     sim.run_for(3000);
     commit_changes(&mut sim, next, 3);
     sim.heal();
     sim.run_for(6000);
-    let mut violations = check(&sim);
-    violations.extend(same(&sim));
+    let mut violations = check_history(&sim);
+    violations.extend(check_convergence(&sim));
     violations
 }
 
@@ -94,9 +94,11 @@
     for round in 1..=10 {
         for _ in 0..500 {
             let base = sim.highest_version();
-            let op_id = sim.change(leader, base);
+            let op_id = sim.propose_change(leader, base);
             let end = sim.now + 1000;
-            sim.run_until(end, |sim| sim.op(op_id).done != Done::Open);
+            sim.run_until(end, |sim| {
+                sim.operation(op_id).result != OperationResult::Pending
+            });
         }
         let leader_consensus = consensus(&sim, leader);
         let log_bytes = leader_consensus
@@ -151,17 +153,17 @@
             ..timing(InjectedFault::None)
         },
     );
-    sim.most_events = 2_000_000;
+    sim.max_events = 2_000_000;
     sim.bandwidth = bandwidth;
-    sim.settle();
+    sim.wait_for_leader();
     for tag in 0..4 {
-        sim.loss = seed % 7;
-        sim.twice = seed % 5;
-        sim.jitter = 1 + seed % 40;
+        sim.loss_percent = seed % 7;
+        sim.duplicate_percent = seed % 5;
+        sim.jitter_ms = 1 + seed % 40;
         let node = sim.rng.below(regions.len() as u64) as usize;
         let base = sim.highest_version();
         let document = configuration(400 + 100 * tag, tag);
-        sim.order(
+        sim.propose_command(
             node,
             base,
             &Command::Put {
@@ -170,15 +172,15 @@
                 document,
             },
         );
-        storm(&mut sim, 3000);
-        let mut violations = check(&sim);
-        violations.extend(same(&sim));
+        run_with_faults(&mut sim, 3000);
+        let mut violations = check_history(&sim);
+        violations.extend(check_convergence(&sim));
         assert!(
             violations.is_empty(),
             "seed {seed}, {regions:?}: {violations:#?}"
         );
     }
-    let leader = sim.settle();
+    let leader = sim.wait_for_leader();
     commit_changes(&mut sim, leader, 3);
 }
 
--- a/testbed/tests/conformance/losses.rs
+++ b/testbed/tests/conformance/losses.rs
@@ -22,10 +22,10 @@
         ..Pacing::default()
     };
     let mut sim = Sim::new(seed, regions, pacing.timing(2000));
-    sim.far = inter_region_ms;
-    let leader = sim.settle();
+    sim.inter_region_delay_ms = inter_region_ms;
+    let leader = sim.wait_for_leader();
     let version = sim.highest_version();
-    sim.change(leader, version);
+    sim.propose_change(leader, version);
     sim.run_for(2000);
     sim
 }
@@ -70,7 +70,7 @@
 fn end_process(sim: &mut Sim, leader: usize) {
     sim.crash(leader);
     let id = sim.nodes[leader].id;
-    (0..sim.nodes.len()).for_each(|i| sim.give(i, Event::Disconnected { id }));
+    (0..sim.nodes.len()).for_each(|i| sim.deliver(i, Event::Disconnected { id }));
 }
 
 #[test]
@@ -91,7 +91,7 @@
 fn a_leader_whose_process_ends_is_soon_replaced() {
     for (regions, inter_region_ms) in SITES {
         let (median, longest) = median_and_longest(regions, inter_region_ms, |sim| {
-            let leader = sim.settle();
+            let leader = sim.wait_for_leader();
             end_process(sim, leader);
             time_to_leader(sim)
         });
@@ -107,7 +107,7 @@
 fn a_leader_that_is_silent_is_replaced() {
     for (regions, inter_region_ms) in SITES {
         let (median, longest) = median_and_longest(regions, inter_region_ms, |sim| {
-            let leader = sim.settle();
+            let leader = sim.wait_for_leader();
             sim.isolate(leader);
             let from = sim.now;
             let other = |sim: &Sim| {
@@ -133,11 +133,11 @@
 fn a_closed_connection_alone_unseats_no_leader() {
     for (seed, (regions, inter_region_ms)) in (0..).zip(SITES) {
         let mut sim = settled_sim(seed, regions, inter_region_ms);
-        let leader = sim.settle();
+        let leader = sim.wait_for_leader();
         let id = sim.nodes[leader].id;
         let other = (leader + 1) % regions.len();
         for _ in 0..20 {
-            sim.give(other, Event::Disconnected { id });
+            sim.deliver(other, Event::Disconnected { id });
             sim.run_for(100);
             assert_eq!(sim.leader(), Some(leader), "{regions:?} {inter_region_ms}");
         }
--- a/testbed/tests/membership/main.rs
+++ b/testbed/tests/membership/main.rs
@@ -13,7 +13,7 @@
 use sorreldoor::types::{Millis, RegionId};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
-use testbed::sim::check;
+use testbed::sim::check_history;
 
 /// Two faults, the time between them, and the regions of the voters.
 #[derive(Clone, Copy, Debug)]
@@ -55,9 +55,9 @@
     // proposals during the faults; their outcome does not matter
     for at in 0..3 {
         let at = cluster.slots[at];
-        if cluster.sim.nodes[at].up() {
+        if cluster.sim.nodes[at].is_running() {
             let base = cluster.sim.highest_version();
-            cluster.sim.change(at, base);
+            cluster.sim.propose_change(at, base);
         }
         cluster.run_for(200);
     }
@@ -82,7 +82,7 @@
         cluster.sim.start(node);
         cluster.run_for(SYNC_MS);
     }
-    let violations = check(&cluster.sim);
+    let violations = check_history(&cluster.sim);
     if violations.is_empty() {
         return None;
     }
