--- a/testbed/tests/conformance/answers.rs
+++ b/testbed/tests/conformance/answers.rs
@@ -2,28 +2,28 @@
 
 use super::*;
 use sorreldoor::consensus::Msg;
-use testbed::sim::{kind, same, Done};
+use testbed::sim::{check_convergence, message_kind, OperationResult};
 
 pub fn entries_cross_once_to_each_other_domain_leader() {
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 0, 1, 1, 1], 0);
-    let before = sim.sent.get("append").copied().unwrap_or(0);
-    let far_before = sim.far_sent.get("append").copied().unwrap_or(0);
-    sim.timed(leader, 500).expect("taken");
+    let before = sim.sent_by_kind.get("append").copied().unwrap_or(0);
+    let far_before = sim.sent_between_regions.get("append").copied().unwrap_or(0);
+    sim.commit_latency(leader, 500).expect("taken");
     // one append to the other Domain Leader, two in the own region, and two
     // more that the other Domain Leader forwards
-    assert_eq!(sim.sent["append"] - before, 5);
-    assert_eq!(sim.far_sent["append"] - far_before, 1);
+    assert_eq!(sim.sent_by_kind["append"] - before, 5);
+    assert_eq!(sim.sent_between_regions["append"] - far_before, 1);
 }
 
 pub fn the_domain_leader_answers_after_one_round_trip() {
     let (mut sim, _) = settled_with_leader_in(&[0, 0, 1], 0);
-    sim.jitter = 0;
-    let elapsed = sim.timed(2, 500).expect("taken");
+    sim.jitter_ms = 0;
+    let elapsed = sim.commit_latency(2, 500).expect("taken");
     assert!(
         (60..=66).contains(&elapsed),
         "{elapsed} ms for a round trip of 60"
     );
-    assert!(sim.sent["confirm"] > 0);
+    assert!(sim.sent_by_kind["confirm"] > 0);
 }
 
 pub fn without_fast_return_it_takes_two() {
@@ -32,13 +32,13 @@
         timing.fast_return = fast;
         for seed in 0..200 {
             let mut sim = Sim::new(seed, &[0, 0, 1], timing.clone());
-            sim.jitter = 0;
-            let leader = sim.settle();
+            sim.jitter_ms = 0;
+            let leader = sim.wait_for_leader();
             if sim.nodes[leader].region == 1 {
                 continue;
             }
-            let away = sim.timed(2, 900).expect("taken");
-            let home = sim.timed(leader, 900).expect("taken");
+            let away = sim.commit_latency(2, 900).expect("taken");
+            let home = sim.commit_latency(leader, 900).expect("taken");
             println!("fast return {fast}: other region {away} ms, own {home} ms");
             let bound = if fast { 55..=70 } else { 115..=140 };
             assert!(bound.contains(&away), "{away}");
@@ -56,12 +56,12 @@
         .map_or(0, |a| a.committed());
     for i in 3..6 {
         for j in 0..3 {
-            sim.cut_both(i, j);
+            sim.block_both_ways(i, j);
         }
     }
-    let op_id = sim.change(leader, sim.highest_version());
+    let op_id = sim.propose_change(leader, sim.highest_version());
     sim.run_for(200);
-    assert_eq!(sim.op(op_id).done, Done::Open);
+    assert_eq!(sim.operation(op_id).result, OperationResult::Pending);
     let after = sim.nodes[leader]
         .consensus
         .as_ref()
@@ -72,14 +72,18 @@
 pub fn a_read_sees_what_a_domain_leader_has_answered() {
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
     // message 6 is lost: the Global Leader gets no acknowledgement of the entry
-    sim.drop_if = Some(Box::new(|from, _, m| {
+    sim.drop_filter = Some(Box::new(|from, _, m| {
         from == 2 && matches!(m, Msg::AppendReply { .. })
     }));
-    sim.timed(2, 500).expect("the Domain Leader answers");
+    sim.commit_latency(2, 500)
+        .expect("the Domain Leader answers");
     let top = sim.highest_version();
     let read_id = sim.read(leader);
     sim.run_for(1000);
-    assert_eq!(sim.op(read_id).done, Done::Saw(top));
+    assert_eq!(
+        sim.operation(read_id).result,
+        OperationResult::ReadVersion(top)
+    );
     assert_invariants(&sim);
 }
 
@@ -88,7 +92,9 @@
     sim.crash(4);
     sim.crash(5);
     sim.run_for(1500);
-    let elapsed = sim.timed(3, ACK_MS).expect("answered by the Global Leader");
+    let elapsed = sim
+        .commit_latency(3, ACK_MS)
+        .expect("answered by the Global Leader");
     assert!(elapsed <= ACK_MS / 2, "{elapsed}");
 }
 
@@ -113,26 +119,30 @@
     ];
     for (name, filter) in table {
         let (mut sim, _) = settled_with_leader_in(&[0, 0, 0, 1, 1, 1], 0);
-        sim.drop_if = Some(Box::new(filter));
-        let op_id = sim.change(4, sim.highest_version());
+        sim.drop_filter = Some(Box::new(filter));
+        let op_id = sim.propose_change(4, sim.highest_version());
         sim.run_for(300);
-        sim.drop_if = None;
+        sim.drop_filter = None;
         sim.run_for(ACK_MS);
-        assert!(sim.op(op_id).took(), "{name}: {:?}", sim.op(op_id).done);
+        assert!(
+            sim.operation(op_id).was_applied(),
+            "{name}: {:?}",
+            sim.operation(op_id).result
+        );
         sim.run_for(2000);
         assert_invariants(&sim);
-        assert!(same(&sim).is_empty(), "{name}");
+        assert!(check_convergence(&sim).is_empty(), "{name}");
     }
 }
 
 pub fn the_global_leader_answers_after_a_lost_confirmation() {
     let (mut sim, _) = settled_with_leader_in(&[0, 0, 1], 0);
-    sim.drop_if = Some(Box::new(|_, _, m| {
-        matches!(m, Msg::Confirm { .. }) || kind(m) == "beat"
+    sim.drop_filter = Some(Box::new(|_, _, m| {
+        matches!(m, Msg::Confirm { .. }) || message_kind(m) == "beat"
     }));
-    let elapsed = sim.timed(2, 1000).expect("answered");
+    let elapsed = sim.commit_latency(2, 1000).expect("answered");
     assert!(elapsed > 60, "{elapsed}");
-    assert!(sim.sent["answered"] > 0);
+    assert!(sim.sent_by_kind["answered"] > 0);
 }
 
 pub fn any_one_core_lost_is_acked_within_ack_ms() {
@@ -141,10 +151,10 @@
             let mut worst = 0;
             for seed in 0..10 {
                 let mut sim = new_sim(seed, &regions);
-                sim.settle();
+                sim.wait_for_leader();
                 sim.crash(lost);
                 let at = (lost + 1) % 3;
-                let elapsed = sim.timed(at, ACK_MS * 2);
+                let elapsed = sim.commit_latency(at, ACK_MS * 2);
                 let ok = elapsed.is_some_and(|t| t <= ACK_MS);
                 assert!(ok, "{regions:?} lost {lost} seed {seed}: {elapsed:?}");
                 worst = worst.max(elapsed.unwrap_or(0));
@@ -171,19 +181,19 @@
         from: old,
         msg: message,
     };
-    sim.give(2, event);
+    sim.deliver(2, event);
     let after = sim.nodes[2].consensus.as_ref().map_or(0, |a| a.committed());
     assert_eq!(commit, after);
 }
 
 pub fn a_retry_gets_the_first_answer() {
     let (mut sim, _) = settled_with_leader_in(&[0, 0, 1], 0);
-    let op_id = sim.change(2, sim.highest_version());
+    let op_id = sim.propose_change(2, sim.highest_version());
     sim.run_for(500);
-    assert!(sim.op(op_id).took());
+    assert!(sim.operation(op_id).was_applied());
     let top = sim.highest_version();
     for at in 0..3 {
-        sim.again(at, op_id);
+        sim.retry(at, op_id);
         sim.run_for(300);
     }
     sim.run_for(500);
@@ -195,12 +205,12 @@
 pub fn a_healed_disk_takes_part_again() {
     use sorreldoor::consensus::Event;
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
-    sim.give(leader, Event::SaveFailed);
+    sim.deliver(leader, Event::SaveFailed);
     sim.run_for(3000);
     assert!(sim.leader().is_some_and(|n| n != leader));
-    let top = sim.timed((leader + 1) % 3, ACK_MS);
+    let top = sim.commit_latency((leader + 1) % 3, ACK_MS);
     assert!(top.is_some(), "the others go on");
-    sim.give(leader, Event::SaveRecovered);
+    sim.deliver(leader, Event::SaveRecovered);
     sim.run_for(3000);
     let applied_index = |sim: &Sim, i: usize| sim.nodes[i].consensus.as_ref().map(|a| a.applied());
     assert_eq!(
@@ -212,29 +222,29 @@
     sim.crash(other);
     sim.run_for(5000);
     assert!(sim.leader().is_some(), "it counts for a majority again");
-    assert!(sim.timed(leader, ACK_MS).is_some());
+    assert!(sim.commit_latency(leader, ACK_MS).is_some());
     assert_invariants(&sim);
 }
 
 /// A core whose disk fails or is stuck gives up leadership.
 pub fn a_bad_disk_steps_aside() {
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
-    let op_id = sim.change(leader, sim.highest_version());
-    sim.give(leader, sorreldoor::consensus::Event::SaveFailed);
+    let op_id = sim.propose_change(leader, sim.highest_version());
+    sim.deliver(leader, sorreldoor::consensus::Event::SaveFailed);
     sim.run_for(20);
-    assert_eq!(sim.op(op_id).done, Done::Unknown);
+    assert_eq!(sim.operation(op_id).result, OperationResult::Unknown);
     assert!(sim.nodes[leader]
         .consensus
         .as_ref()
         .is_some_and(|a| a.disk_failed()));
-    let second_op_id = sim.change(leader, sim.highest_version());
-    assert_eq!(sim.op(second_op_id).done, Done::NotTaken);
+    let second_op_id = sim.propose_change(leader, sim.highest_version());
+    assert_eq!(sim.operation(second_op_id).result, OperationResult::Dropped);
     sim.run_for(3000);
     assert!(sim.leader().is_some_and(|n| n != leader));
-    assert!(sim.timed((leader + 1) % 3, ACK_MS).is_some());
+    assert!(sim.commit_latency((leader + 1) % 3, ACK_MS).is_some());
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
     sim.nodes[leader].disk.stuck = true;
-    sim.change(leader, sim.highest_version());
+    sim.propose_change(leader, sim.highest_version());
     let end = sim.now + ACK_MS;
     let noticed = sim.run_until(end, |sim| sim.leader().is_some_and(|n| n != leader));
     assert!(noticed, "a stuck disk is noticed within ackMs");
--- a/testbed/tests/conformance/elections.rs
+++ b/testbed/tests/conformance/elections.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 use sorreldoor::consensus::StateChange;
-use testbed::sim::{same, Done};
+use testbed::sim::{check_convergence, OperationResult};
 
 pub fn a_domain_leader_needs_its_regions_majority() {
     let mut sim = new_sim(1, &[0, 0, 0, 1, 1, 1]);
-    sim.settle();
+    sim.wait_for_leader();
     sim.crash(4);
     sim.crash(5);
     sim.run_for(3000);
@@ -19,14 +19,14 @@
 pub fn the_global_leader_is_a_domain_leader() {
     for seed in 0..20 {
         let mut sim = new_sim(seed, &[0, 0, 1]);
-        let leader = sim.settle();
+        let leader = sim.wait_for_leader();
         assert!(leads_domain(&sim, leader), "seed {seed}");
     }
 }
 
 pub fn an_election_needs_all_but_one_domain_leader() {
     let mut sim = new_sim(3, &[0, 1, 2]);
-    let leader = sim.settle();
+    let leader = sim.wait_for_leader();
     // only two of three regions are left: enough; of four, three are needed
     sim.crash(leader);
     sim.run_for(3000);
@@ -34,13 +34,13 @@
     let mut timing = Timing::for_ack(ACK_MS);
     timing.region_rule_timeout = 1_000_000;
     let mut sim = Sim::new(4, &[0, 1, 2, 3, 3], timing);
-    let leader = sim.settle();
+    let leader = sim.wait_for_leader();
     let lost: Vec<usize> = (0..5).filter(|i| *i != leader).take(2).collect();
     sim.crash(leader);
     sim.crash(lost[0]);
     sim.run_for(4000);
     let up: std::collections::BTreeSet<RegionId> = (0..5)
-        .filter(|i| sim.nodes[*i].up() && leads_domain(&sim, *i))
+        .filter(|i| sim.nodes[*i].is_running() && leads_domain(&sim, *i))
         .map(|i| sim.nodes[i].region)
         .collect();
     assert_eq!(sim.leader().is_some(), up.len() >= 3);
@@ -48,7 +48,7 @@
 
 pub fn an_election_needs_a_majority_of_all_cores() {
     let mut sim = new_sim(5, &[0, 0, 1]);
-    sim.settle();
+    sim.wait_for_leader();
     sim.crash(0);
     sim.crash(1);
     sim.run_for(5000);
@@ -60,10 +60,10 @@
     sim.isolate(2);
     sim.run_for(600);
     let a = other(&sim, 0);
-    sim.timed(leader, 1900)
+    sim.commit_latency(leader, 1900)
         .expect("the region alone has the core's majority");
     // the leader crashes; the other region's core returns with a stale log
-    sim.cuts.clear();
+    sim.blocked_links.clear();
     sim.crash(leader);
     sim.run_for(4000);
     assert_eq!(sim.leader(), Some(a));
@@ -75,7 +75,7 @@
     let term = sim.nodes[leader].consensus.as_ref().map(|a| a.term());
     sim.isolate(2);
     sim.run_for(5000);
-    sim.cuts.clear();
+    sim.blocked_links.clear();
     sim.run_for(3000);
     assert_eq!(sim.leader(), Some(leader));
     assert_eq!(sim.nodes[leader].consensus.as_ref().map(|a| a.term()), term);
@@ -88,8 +88,10 @@
     let end = sim.now + 30_000;
     let mut proposals = 0;
     while sim.now < end && sim.leader() == Some(leader) {
-        let version = sim.nodes[2].record().map_or(0, |record| record.version());
-        sim.change(2, version);
+        let version = sim.nodes[2]
+            .replicated_state()
+            .map_or(0, |record| record.version());
+        sim.propose_change(2, version);
         sim.read(2);
         proposals += 1;
         sim.run_for(40);
@@ -97,18 +99,23 @@
     sim.run_for(3000);
     assert_eq!(sim.leader(), Some(2), "after {proposals} changes");
     let moved = sim
-        .notes
+        .state_changes
         .iter()
         .any(|(_, _, n)| matches!(n, StateChange::TransferringLeadership { .. }));
     assert!(moved);
     let lost = sim
-        .ops
+        .operations
         .iter()
-        .filter(|o| matches!(o.done, Done::Unknown | Done::Open | Done::NotTaken))
+        .filter(|o| {
+            matches!(
+                o.result,
+                OperationResult::Unknown | OperationResult::Pending | OperationResult::Dropped
+            )
+        })
         .count();
     assert_eq!(lost, 0);
     assert_invariants(&sim);
-    assert!(same(&sim).is_empty());
+    assert!(check_convergence(&sim).is_empty());
 }
 
 pub fn evenly_spread_proposals_do_not_move_the_leader() {
@@ -117,11 +124,11 @@
     while sim.now < end {
         let at = sim.rng.below(3) as usize;
         let version = sim.highest_version();
-        sim.change(at, version);
+        sim.propose_change(at, version);
         sim.run_for(100);
     }
     let moves = sim
-        .notes
+        .state_changes
         .iter()
         .filter(|(_, _, n)| matches!(n, StateChange::TransferringLeadership { .. }))
         .count();
@@ -134,12 +141,12 @@
 fn steady_reading_does_not_unseat_domain_leaders() {
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
     let end = sim.now + 20_000;
-    let before = sim.notes.len();
+    let before = sim.state_changes.len();
     while sim.now < end {
         sim.read(leader);
         sim.run_for(9);
     }
-    let noted = &sim.notes[before..];
+    let noted = &sim.state_changes[before..];
     let swaps = noted.iter().filter(|(_, _, n)| {
         matches!(
             n,
@@ -155,14 +162,16 @@
         for kill_target in [false, true] {
             let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
             let transfer_started = |sim: &Sim| {
-                sim.notes
+                sim.state_changes
                     .iter()
                     .any(|(_, _, n)| matches!(n, StateChange::TransferringLeadership { .. }))
             };
             let end = sim.now + 30_000;
             while sim.now < end && !transfer_started(&sim) {
-                let version = sim.nodes[2].record().map_or(0, |record| record.version());
-                sim.change(2, version);
+                let version = sim.nodes[2]
+                    .replicated_state()
+                    .map_or(0, |record| record.version());
+                sim.propose_change(2, version);
                 sim.read(2);
                 sim.run_for(20);
             }
@@ -173,13 +182,16 @@
             let at = if kill_target { leader } else { 2 };
             // a change in flight may commit first; a later one then builds on it
             let from = sim.now;
-            while sim.now < from + ACK_MS && sim.timed(at, ACK_MS).is_none() {}
+            while sim.now < from + ACK_MS && sim.commit_latency(at, ACK_MS).is_none() {}
             let elapsed = sim.now - from;
             assert!(elapsed <= ACK_MS, "{offset_ms} {kill_target}: {elapsed}");
             sim.start(dead);
             sim.run_for(4000);
             assert_invariants(&sim);
-            assert!(same(&sim).is_empty(), "{offset_ms} {kill_target}");
+            assert!(
+                check_convergence(&sim).is_empty(),
+                "{offset_ms} {kill_target}"
+            );
         }
     }
 }
