--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -9,7 +9,9 @@
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::Command;
 use sorreldoor::types::{Millis, RegionId};
-use testbed::sim::{check, same, storm, Bandwidth, Done, Sim};
+use testbed::sim::{
+    check_convergence, check_history, run_with_faults, Bandwidth, OperationResult, Sim,
+};
 
 /// Interval between two configuration changes.
 const CHANGE_EVERY: Millis = 100;
@@ -48,10 +50,10 @@
     fault: InjectedFault,
 ) -> (Sim, usize) {
     let mut sim = Sim::new(seed, regions, timing(fault));
-    sim.far = 35;
-    sim.most_events = 20_000_000;
+    sim.inter_region_delay_ms = 35;
+    sim.max_events = 20_000_000;
     sim.bandwidth = Some(Bandwidth::megabits_per_second(10));
-    let leader = sim.settle();
+    let leader = sim.wait_for_leader();
     put_configuration(&mut sim, leader, routes, 0);
     (sim, leader)
 }
@@ -59,7 +61,7 @@
 fn put_configuration(sim: &mut Sim, node: usize, routes: usize, tag: usize) {
     let base = sim.highest_version();
     let document = configuration(routes, tag);
-    let op_id = sim.order(
+    let op_id = sim.propose_command(
         node,
         base,
         &Command::Put {
@@ -69,22 +71,30 @@
         },
     );
     let end = sim.now + 20_000;
-    sim.run_until(end, |sim| sim.op(op_id).done != Done::Open);
-    assert!(sim.op(op_id).took(), "{:?}", sim.op(op_id).done);
+    sim.run_until(end, |sim| {
+        sim.operation(op_id).result != OperationResult::Pending
+    });
+    assert!(
+        sim.operation(op_id).was_applied(),
+        "{:?}",
+        sim.operation(op_id).result
+    );
 }
 
 /// Makes changes one after the other; each must be acknowledged.
 fn commit_changes(sim: &mut Sim, node: usize, count: usize) {
     for _ in 0..count {
         let base = sim.highest_version();
-        let op_id = sim.change(node, base);
+        let op_id = sim.propose_change(node, base);
         let next = sim.now + CHANGE_EVERY;
-        sim.run_until(next + 4000, |sim| sim.op(op_id).done != Done::Open);
+        sim.run_until(next + 4000, |sim| {
+            sim.operation(op_id).result != OperationResult::Pending
+        });
         assert!(
-            sim.op(op_id).took(),
+            sim.operation(op_id).was_applied(),
             "at {}: {:?}",
             sim.now,
-            sim.op(op_id).done
+            sim.operation(op_id).result
         );
         let rest = next.saturating_sub(sim.now);
         sim.run_for(rest);
@@ -110,7 +120,7 @@
 }
 
 fn leaders_since(sim: &Sim, since: Millis) -> usize {
-    sim.notes
+    sim.state_changes
         .iter()
         .filter(|(t, _, n)| *t >= since && matches!(n, StateChange::GlobalLeader { .. }))
         .count()
@@ -119,8 +129,8 @@
 fn assert_invariants(sim: &mut Sim) {
     sim.heal();
     sim.run_for(6000);
-    let mut violations = check(sim);
-    violations.extend(same(sim));
+    let mut violations = check_history(sim);
+    violations.extend(check_convergence(sim));
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
@@ -182,7 +192,7 @@
 fn restart_with(sim: &mut Sim, fault: InjectedFault) -> usize {
     sim.timing.injected_fault = fault;
     let up: Vec<usize> = (0..sim.nodes.len())
-        .filter(|i| sim.nodes[*i].up())
+        .filter(|i| sim.nodes[*i].is_running())
         .collect();
     for i in &up {
         sim.crash(*i);
@@ -190,7 +200,7 @@
     for i in up {
         sim.start(i);
     }
-    let leader = sim.settle();
+    let leader = sim.wait_for_leader();
     sim.run_for(3000);
     leader
 }
@@ -269,7 +279,7 @@
 }
 
 fn propose_members(sim: &mut Sim, node: usize, members: Vec<Member>) {
-    sim.give(node, Event::Reconfigure(members));
+    sim.deliver(node, Event::Reconfigure(members));
 }
 
 /// A blank member replaces a lost one, joining as a non-voter.
@@ -281,7 +291,7 @@
         sim.crash(lost);
         commit_changes(&mut sim, leader, 300);
         let region = sim.nodes[lost].region;
-        let blank_node = sim.add_blank(region);
+        let blank_node = sim.add_node(region);
         let mut members = consensus(&sim, leader).members().to_vec();
         members.push(testbed::sim::member(blank_node, region, false));
         propose_members(&mut sim, leader, members.clone());
@@ -309,7 +319,7 @@
     }
 }
 
-fn consensus(sim: &Sim, i: usize) -> &Consensus<testbed::sim::Watched> {
+fn consensus(sim: &Sim, i: usize) -> &Consensus<testbed::sim::RecordingStateMachine> {
     sim.nodes[i].consensus.as_ref().expect("the node is up")
 }
 
@@ -400,9 +410,9 @@
     let snapshot_bytes = consensus(&sim, leader).snapshot_bytes() as u64;
     for _ in 0..3 {
         sim.run_for(150);
-        sim.cut_both(leader, absent_member);
+        sim.block_both_ways(leader, absent_member);
         sim.run_for(1500);
-        sim.cuts.clear();
+        sim.blocked_links.clear();
     }
     let elapsed = time_to_catch_up(&mut sim, leader, absent_member, 20_000);
     let sent = sim.nodes[leader].uplink.sent_bytes;
--- a/testbed/tests/conformance/main.rs
+++ b/testbed/tests/conformance/main.rs
@@ -6,7 +6,7 @@
 
 use sorreldoor::consensus::Timing;
 use sorreldoor::types::RegionId;
-use testbed::sim::{check, Sim};
+use testbed::sim::{check_history, Sim};
 
 pub const ACK_MS: u64 = 2000;
 
@@ -17,7 +17,7 @@
 pub fn settled_with_leader_in(regions: &[RegionId], region: RegionId) -> (Sim, usize) {
     for seed in 0..200 {
         let mut sim = new_sim(seed, regions);
-        let leader = sim.settle();
+        let leader = sim.wait_for_leader();
         if sim.nodes[leader].region == region {
             return (sim, leader);
         }
@@ -41,7 +41,7 @@
 }
 
 pub fn assert_invariants(sim: &Sim) {
-    let violations = check(sim);
+    let violations = check_history(sim);
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -80,7 +80,7 @@
         let mut timing = Timing::for_ack(2000);
         timing.injected_fault = broken;
         let mut sim = Sim::new(seed, &regions, timing);
-        sim.most_events = 4_000_000;
+        sim.max_events = 4_000_000;
         let addresses = (0..3).map(|i| (i, format!("address-{i}"))).collect();
         let mut cluster = Cluster {
             sim,
@@ -157,30 +157,32 @@
 
     fn apply(&mut self, action: Action) {
         match action {
-            Action::Crash(node) if self.sim.nodes[node].up() => {
+            Action::Crash(node) if self.sim.nodes[node].is_running() => {
                 self.sim.crash(node);
                 let replaced = !self.slots.contains(&node);
                 if self.stopping.contains(&node) || replaced {
                     self.removed.insert(node);
                 }
             }
-            Action::Start(node) if !self.sim.nodes[node].up() && !self.removed.contains(&node) => {
+            Action::Start(node)
+                if !self.sim.nodes[node].is_running() && !self.removed.contains(&node) =>
+            {
                 self.sim.start(node);
             }
             Action::AddNode { slot, addr } => {
                 let old = self.slots[slot];
                 // a machine that was lost for good does not restart
-                if !self.sim.nodes[old].up() {
+                if !self.sim.nodes[old].is_running() {
                     self.removed.insert(old);
                 }
-                let node = self.sim.add_blank(self.regions[slot]);
+                let node = self.sim.add_node(self.regions[slot]);
                 self.addresses.insert(node, addr);
                 self.slots[slot] = node;
                 self.apply_partitions();
             }
             Action::Stop(node) => {
                 self.stopping.insert(node);
-                self.sim.give(node, Event::Stop);
+                self.sim.deliver(node, Event::Stop);
             }
             Action::Partition(node) => {
                 self.partitioned.insert(node);
@@ -190,13 +192,15 @@
                 self.partitioned.remove(&node);
                 self.apply_partitions();
             }
-            Action::Freeze(node, ms) if self.sim.nodes[node].up() => self.sim.freeze(node, ms),
+            Action::Freeze(node, ms) if self.sim.nodes[node].is_running() => {
+                self.sim.freeze(node, ms)
+            }
             _ => {}
         }
     }
 
     fn apply_partitions(&mut self) {
-        self.sim.cuts.clear();
+        self.sim.blocked_links.clear();
         for node in self.partitioned.clone() {
             self.sim.isolate(node);
         }
@@ -261,8 +265,8 @@
         let health = others.map(|m| (m.id, health(m.id))).collect();
         let reachable = |other: &usize| {
             let frozen = self.sim.nodes[*other].frozen_until > self.sim.now;
-            let partitioned = self.sim.cuts.contains(&(*other, node));
-            *other == node || (self.sim.nodes[*other].up() && !frozen && !partitioned)
+            let partitioned = self.sim.blocked_links.contains(&(*other, node));
+            *other == node || (self.sim.nodes[*other].is_running() && !frozen && !partitioned)
         };
         let all: Vec<usize> = (0..self.sim.nodes.len()).collect();
         let live: Vec<Hello> = all
@@ -295,19 +299,19 @@
         };
         if let Some(change) = state.decide(&observed) {
             let next = change.applied(&members);
-            self.sim.give(node, Event::Reconfigure(next));
+            self.sim.deliver(node, Event::Reconfigure(next));
         }
     }
 
     /// Whether a change proposed at this node is acknowledged within [`ACK_MS`].
     pub fn commits_in_time(&mut self, at: usize) -> bool {
         let base = self.sim.highest_version();
-        let op = self.sim.change(at, base);
+        let op = self.sim.propose_change(at, base);
         let end = self.sim.now + ACK_MS;
-        while self.sim.now < end && !self.sim.op(op).took() {
+        while self.sim.now < end && !self.sim.operation(op).was_applied() {
             self.run_for(STEP_MS);
         }
-        self.sim.op(op).took()
+        self.sim.operation(op).was_applied()
     }
 
     pub fn describe_members(&self) -> String {
