--- a/testbed/src/emulator/check.rs
+++ b/testbed/src/emulator/check.rs
@@ -107,13 +107,13 @@
         let h = &w.class(a.client_attempt).homes;
         !a.misdirected && !h.is_empty() && !h.contains(&w.workers[a.worker].region)
     };
-    let log_event = |a: &Arrival| {
+    let describe = |a: &Arrival| {
         format!(
             "HOME: try {} at {}",
             a.client_attempt, w.workers[a.worker].name
         )
     };
-    w.arrivals.iter().filter(bad).map(log_event).collect()
+    w.arrivals.iter().filter(bad).map(describe).collect()
 }
 
 fn zones(w: &World) -> Vec<String> {
@@ -123,14 +123,14 @@
         let hit = |e: &Evacuation| e.zone == z && a.at > e.from + span && a.at < e.to;
         !a.misdirected && w.evacuations.iter().any(hit) && w.in_touch(a.node, a.sent)
     };
-    let log_event = |a: &Arrival| {
+    let describe = |a: &Arrival| {
         format!(
             "EVAC: zone {} at {} ms",
             w.workers[a.worker].zone,
             a.at / 1000
         )
     };
-    w.arrivals.iter().filter(bad).map(log_event).collect()
+    w.arrivals.iter().filter(bad).map(describe).collect()
 }
 
 fn check_drains(w: &World) -> Vec<String> {
@@ -138,14 +138,14 @@
         let closed_at = w.workers[a.worker].closed_at;
         !a.misdirected && closed_at.is_some_and(|t| a.at > t) && w.in_touch(a.node, a.sent)
     };
-    let log_event = |a: &Arrival| {
+    let describe = |a: &Arrival| {
         let x = &w.workers[a.worker];
         format!(
             "DRAIN: {} leaving since {:?} us, reached at {} us",
             x.name, x.leaving, a.at
         )
     };
-    w.arrivals.iter().filter(bad).map(log_event).collect()
+    w.arrivals.iter().filter(bad).map(describe).collect()
 }
 
 fn routes(w: &World) -> Vec<String> {
--- a/testbed/src/raw_worker.rs
+++ b/testbed/src/raw_worker.rs
@@ -29,7 +29,7 @@
         Ok(RawWorker { addr, answer })
     }
 
-    pub fn log_event(&self, b: &[u8]) {
+    pub fn set_response(&self, b: &[u8]) {
         *lock(&self.answer) = b.to_vec();
     }
 }
--- a/testbed/tests/doors/unusual_results.rs
+++ b/testbed/tests/doors/unusual_results.rs
@@ -21,7 +21,7 @@
             leaving: false,
         });
     });
-    worker.log_event(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
+    worker.set_response(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
     let edge = fleet.edges()[0];
     assert!(fleet.until(WAIT_LIMIT, |fleet| send_request(
         fleet,
@@ -53,7 +53,7 @@
     ];
     let address = fleet.nodes[edge].http;
     for (name, text, status, expected_part) in cases {
-        worker.log_event(format!("HTTP/1.1 {text}").as_bytes());
+        worker.set_response(format!("HTTP/1.1 {text}").as_bytes());
         let head = "GET /v1/errand/page/x HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         // a failed worker is ejected for a moment
         let mut got = String::new();
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -88,15 +88,12 @@
     // of six cores one stands by
     let voters = world.cores().len().min(2 * world.tolerate + 1);
     let end = world.now + 10_000;
-    let all_members_settled = world.run_until(end, |world| {
+    let voters_complete = world.run_until(end, |world| {
         let a = world.leader().and_then(|c| world.controller(c));
         let a = a.and_then(|controller| controller.consensus());
         a.is_some_and(|a| a.members().iter().filter(|m| m.voter).count() == voters)
     });
-    assert!(
-        all_members_settled,
-        "seed {seed}: the wanted voters are there"
-    );
+    assert!(voters_complete, "seed {seed}: the wanted voters are there");
     world
 }
 
