--- a/sorreldoor/src/discovery.rs
+++ b/sorreldoor/src/discovery.rs
@@ -114,8 +114,8 @@
     /// Version of the model weights that it has loaded; empty if it does not
     /// say.
     pub weights: String,
-    /// Whether it answered the last poll with a valid report; if not, the other
-    /// fields are empty.
+    /// Whether it answered the last poll with a valid report; if not, all but
+    /// the name is empty.
     pub live: bool,
 }
 
