--- a/sorreldoor/src/lib.rs
+++ b/sorreldoor/src/lib.rs
@@ -1,4 +1,8 @@
 //! sorreldoor: serving of a language model across regions.
+//!
+//! docs/architecture.md says who owns which state; docs/glossary.md has the terms.
+
+#![deny(missing_docs)]
 
 pub mod balancer;
 pub mod configuration;
