--- a/docs/measurements/hollow.sh
+++ b/docs/measurements/hollow.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
 # The runs behind docs/CAPACITY.md: one line of JSON each, to the folder given.
-#   cargo build --release -p rig && docs/measurements/hollow.sh /tmp/hollow
+#   cargo build --release -p testbed && docs/measurements/hollow.sh /tmp/hollow
 # Three at a time; each bounded in time, and said so when it did not end.
 set -euo pipefail
 into=${1:?a folder}
-rig=${RIG:-target/release/rig}
+testbed=${TESTBED:-${RIG:-target/release/testbed}}
 mkdir -p "$into"
 run() { # name, seconds allowed, flags
   local name=$1 most=$2
   shift 2
-  if ! timeout "$most" "$rig" hollow --json --full 1 "$@" >"$into/$name.json" 2>"$into/$name.err"; then
+  if ! timeout "$most" "$testbed" hollow --json --full 1 "$@" >"$into/$name.json" 2>"$into/$name.err"; then
     echo "$name: not ended within $most s, or failed: $*" >&2
     rm -f "$into/$name.json"
   fi
--- a/testbed/days/play.sh
+++ b/testbed/days/play.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Plays the days beside this script on deployments and tells which rules broke.
 #
-#   rig/days/play.sh [--bench PATH] [--sites DIR]... [--site FILE]... [--days GLOB]
+#   testbed/days/play.sh [--bench PATH] [--sites DIR]... [--site FILE]... [--days GLOB]
 #                    [--seeds N | --seed LIST] [--jobs N] [--table FILE] --why TEXT
 #
 # --bench  the bench's program; also FLEETBENCH. Without either, nothing is played.
--- a/testbed/src/tricks.rs
+++ b/testbed/src/faulty_node.rs
@@ -1,7 +1,7 @@
-//! A node of the product with a clock and a store that misbehave as a small
-//! file says, through the product's own seams. Read anew as it changes.
+//! A node of the product whose clock and store show the faults that a small
+//! file names, through the product's own traits. The file is read as it changes.
 
-use crate::stand::locked;
+use crate::sync::lock;
 use simd_json::prelude::*;
 use sorreldoor::consensus::Save;
 use sorreldoor::json::{self, Value};
@@ -14,27 +14,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What the file says: `wall_ms` onto the wall clock, `slow_ms` onto every
-/// save, `stuck` saves that do not end, `full` a disk that takes no more.
+/// The faults in the file: `wall_ms` is added to the wall clock, `slow_ms` to
+/// every write; `stuck` writes do not end, and a `full` disk fails them.
 #[derive(Clone)]
-pub struct Tricks {
+pub struct NodeFaults {
     file: PathBuf,
     last: Arc<Mutex<(Option<Instant>, Value)>>,
 }
 
-impl Tricks {
-    pub fn new(file: &Path) -> Tricks {
-        Tricks {
+impl NodeFaults {
+    pub fn new(file: &Path) -> NodeFaults {
+        NodeFaults {
             file: file.to_path_buf(),
             last: Arc::new(Mutex::new((None, Value::default()))),
         }
     }
 
     fn get(&self, key: &str) -> Option<Value> {
-        let mut l = locked(&self.last);
+        let mut l = lock(&self.last);
         if l.0.is_none_or(|t| t.elapsed() > Duration::from_millis(30)) {
             let text = std::fs::read(&self.file).unwrap_or_default();
-            // half a file, just being written, says what the last one said
+            // a file that is just being written does not parse: the last one holds
             if let Ok(v) = json::parse(&text, 4096) {
                 l.1 = v;
             }
@@ -52,9 +52,9 @@
     }
 }
 
-struct TrickClock(SystemClock, Tricks);
+struct FaultyClock(SystemClock, NodeFaults);
 
-impl Clock for TrickClock {
+impl Clock for FaultyClock {
     fn now(&self) -> Now {
         let n = self.0.now();
         Now {
@@ -64,11 +64,11 @@
     }
 }
 
-struct TrickStore<S>(S, Tricks);
+struct FaultyStore<S>(S, NodeFaults);
 
-impl<S> TrickStore<S> {
-    /// Waits and refuses as the file says.
-    fn trouble(&self) -> io::Result<()> {
+impl<S> FaultyStore<S> {
+    /// Delays or fails a write as the file says.
+    fn inject_fault(&self) -> io::Result<()> {
         while self.1.flag("stuck") {
             thread::sleep(Duration::from_millis(20));
         }
@@ -81,22 +81,25 @@
     }
 }
 
-impl<S: Store> Store for TrickStore<S> {
+impl<S: Store> Store for FaultyStore<S> {
     fn save(&mut self, batch: &[(u64, Save)]) -> io::Result<()> {
-        self.trouble()?;
+        self.inject_fault()?;
         self.0.save(batch)
     }
 
     fn put(&mut self, name: &str, value: &[u8]) -> io::Result<()> {
-        self.trouble()?;
+        self.inject_fault()?;
         self.0.put(name, value)
     }
 }
 
-/// Run one node; what it ends with.
-pub fn node(role: &str, settings: &Path, tricks: &Path) -> Result<(), String> {
-    let t = Tricks::new(tricks);
-    let clock = TrickClock(SystemClock::default(), t.clone());
+/// Runs one node until it ends.
+///
+/// # Errors
+/// If its settings are invalid, or as the node itself.
+pub fn run(role: &str, settings: &Path, faults: &Path) -> Result<(), String> {
+    let faults = NodeFaults::new(faults);
+    let clock = FaultyClock(SystemClock::default(), faults.clone());
     let role = if role == "core" {
         Role::Core
     } else {
@@ -104,7 +107,7 @@
     };
     let set = Settings::load(settings, &Over::default(), role).map_err(|f| f.join("; "))?;
     match role {
-        Role::Core => sorreldoor::control_plane::run_by(set, clock, |s| TrickStore(s, t))
+        Role::Core => sorreldoor::control_plane::run_by(set, clock, |s| FaultyStore(s, faults))
             .map_err(|e| e.to_string()),
         Role::Edge => sorreldoor::gateway::run_with(set, clock),
     }
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -2,9 +2,9 @@
 //! the platform, and the delays between regions.
 
 use crate::link::Link;
-use crate::platform::{Platform, Row};
 pub use crate::presets::{archive, configuration, press, SitePreset};
-use crate::stand::{Make, Stand};
+use crate::stub_platform::{StubPlatform, WorkerRow};
+use crate::stub_worker::{StubWorker, WorkerProfile};
 use async_std::task;
 use simd_json::prelude::*;
 use sorreldoor::http::{self, Broke, Call, Called};
@@ -29,30 +29,30 @@
     pub links: BTreeMap<String, Link>,
 }
 
-static TURN: Mutex<()> = Mutex::new(());
+static ONE_FLEET_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 pub struct Fleet {
     pub root: PathBuf,
     pub preset: SitePreset,
     pub nodes: Vec<Node>,
-    pub platform: Platform,
-    pub workers: Vec<Stand>,
+    pub platform: StubPlatform,
+    pub workers: Vec<StubWorker>,
     pub binary: PathBuf,
     /// Set for every child: how test builds are told to misbehave.
     pub envs: Vec<(String, String)>,
     /// Nodes run with clocks and disks that can be made to misbehave.
-    pub tricky: bool,
+    pub faulty_nodes: bool,
     cores: usize,
     /// Held for the fleet's life: one fleet at a time in a process.
-    turn: Option<MutexGuard<'static, ()>>,
+    exclusive: Option<MutexGuard<'static, ()>>,
 }
 
 /// Ports that the system gave, held until the children take them over.
 #[derive(Default)]
-pub struct Held(Vec<TcpListener>);
+pub struct ReservedPorts(Vec<TcpListener>);
 
-impl Held {
-    pub fn take(&mut self) -> SocketAddr {
+impl ReservedPorts {
+    pub fn reserve(&mut self) -> SocketAddr {
         let l = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
         let a = l.local_addr().expect("a bound socket has an address");
         self.0.push(l);
@@ -76,20 +76,22 @@
 
     /// With as many cores as there are zones, if that is not three.
     pub fn start_with(root: &Path, preset: SitePreset, cores: usize) -> Fleet {
-        Fleet::start_by(root, preset, cores, |_| {})
+        Fleet::start_customized(root, preset, cores, |_| {})
     }
 
     /// With something about it changed before its nodes start.
-    pub fn start_by(
+    pub fn start_customized(
         root: &Path,
         preset: SitePreset,
         cores: usize,
         with: impl FnOnce(&mut Fleet),
     ) -> Fleet {
         // many fleets at once on one machine would measure the machine
-        let turn = TURN.lock().unwrap_or_else(|p| p.into_inner());
-        let mut f = task::block_on(Fleet::lay(root, preset, cores));
-        f.turn = Some(turn);
+        let exclusive = ONE_FLEET_AT_A_TIME
+            .lock()
+            .unwrap_or_else(|p| p.into_inner());
+        let mut f = task::block_on(Fleet::create(root, preset, cores));
+        f.exclusive = Some(exclusive);
         with(&mut f);
         for i in 0..f.nodes.len() {
             f.spawn(i);
@@ -97,9 +99,11 @@
         f
     }
 
-    async fn lay(root: &Path, preset: SitePreset, cores: usize) -> Fleet {
+    async fn create(root: &Path, preset: SitePreset, cores: usize) -> Fleet {
         std::fs::create_dir_all(root).expect("the fleet's folder can be made");
-        let platform = Platform::start(None).await.expect("loopback can be bound");
+        let platform = StubPlatform::start(None)
+            .await
+            .expect("loopback can be bound");
         let mut workers = Vec::new();
         let mut rows = Vec::new();
         let zones: Vec<(&str, &str)> = preset
@@ -109,26 +113,30 @@
             .collect();
         for (r, zs, n) in &preset.regions {
             for i in 0..*n {
-                let m = Make::model(&format!("{r}-gpu{i}"));
-                let w = Stand::start(m, None).await.expect("loopback can be bound");
-                rows.push(row(&w, "gpu", zs[i % zs.len()]));
+                let m = WorkerProfile::model(&format!("{r}-gpu{i}"));
+                let w = StubWorker::start(m, None)
+                    .await
+                    .expect("loopback can be bound");
+                rows.push(worker_row(&w, "gpu", zs[i % zs.len()]));
                 workers.push(w);
             }
         }
         for i in 0..preset.webs {
-            let m = Make::web(&format!("web{i}"));
-            let w = Stand::start(m, None).await.expect("loopback can be bound");
-            rows.push(row(&w, "web", zones[i % zones.len()].1));
+            let m = WorkerProfile::web(&format!("web{i}"));
+            let w = StubWorker::start(m, None)
+                .await
+                .expect("loopback can be bound");
+            rows.push(worker_row(&w, "web", zones[i % zones.len()].1));
             workers.push(w);
         }
         platform.change(|l| *l = rows);
-        let mut held = Held::default();
+        let mut ports = ReservedPorts::default();
         let mut nodes = Vec::new();
         for (r, z) in &zones {
             let name = format!("core-{z}");
-            nodes.push(node(root, &mut held, name, true, z, r));
+            nodes.push(node(root, &mut ports, name, true, z, r));
             for i in 0..preset.edges_per_zone {
-                nodes.push(node(root, &mut held, format!("edge-{z}-{i}"), false, z, r));
+                nodes.push(node(root, &mut ports, format!("edge-{z}-{i}"), false, z, r));
             }
         }
         let mut f = Fleet {
@@ -139,12 +147,12 @@
             workers,
             binary: binary(),
             envs: Vec::new(),
-            tricky: false,
+            faulty_nodes: false,
             cores,
-            turn: None,
+            exclusive: None,
         };
         f.connect().await;
-        drop(held);
+        drop(ports);
         f
     }
 
@@ -260,7 +268,7 @@
 
     /// Start again what has ended by itself: a port that the system gave may
     /// have gone to somebody else's connection before the child could bind it.
-    fn revive(&mut self) {
+    fn restart_ended(&mut self) {
         for i in 0..self.nodes.len() {
             let ended = |c: &mut Child| matches!(c.try_wait(), Ok(Some(_)));
             if self.nodes[i].child.as_mut().is_some_and(ended) {
@@ -270,10 +278,10 @@
     }
 
     /// Wait, while starting, until `f` holds.
-    fn comes(&mut self, f: fn(&Fleet) -> bool) -> bool {
+    fn wait_for(&mut self, f: fn(&Fleet) -> bool) -> bool {
         let end = Instant::now() + Duration::from_secs(60);
         while Instant::now() < end {
-            self.revive();
+            self.restart_ended();
             if self.until(Duration::from_millis(500), f) {
                 return true;
             }
@@ -281,23 +289,23 @@
         false
     }
 
-    pub fn found(&mut self) {
-        assert!(self.comes(Fleet::founded), "the site is founded");
+    pub fn wait_until_founded(&mut self) {
+        assert!(self.wait_for(Fleet::founded), "the site is founded");
     }
 
-    pub fn serve_again(&mut self) {
-        assert!(self.comes(Fleet::serving), "every edge serves");
+    pub fn wait_until_serving(&mut self) {
+        assert!(self.wait_for(Fleet::serving), "every edge serves");
     }
 
     /// Wait for the founding, adopt the usual setup, wait for every edge.
     pub fn serve(&mut self) {
-        self.found();
+        self.wait_until_founded();
         let file = self.root.join("setup.json");
         std::fs::write(&file, configuration(&self.preset))
             .expect("the fleet's folder can be written");
         let (code, text) = self.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
         assert_eq!(code, 0, "{text}");
-        self.serve_again();
+        self.wait_until_serving();
     }
 
     /// Run the operators' client against a node.
@@ -321,9 +329,9 @@
     }
 }
 
-fn row(w: &Stand, group: &str, zone: &str) -> Row {
-    Row {
-        name: w.make.name.clone(),
+fn worker_row(w: &StubWorker, group: &str, zone: &str) -> WorkerRow {
+    WorkerRow {
+        name: w.profile.name.clone(),
         addr: w.addr,
         group: group.into(),
         zone: zone.into(),
@@ -333,7 +341,7 @@
 
 pub(crate) fn node(
     root: &Path,
-    held: &mut Held,
+    ports: &mut ReservedPorts,
     name: String,
     core: bool,
     zone: &str,
@@ -341,8 +349,8 @@
 ) -> Node {
     Node {
         file: root.join(format!("{name}.json")),
-        listen: core.then(|| held.take()),
-        http: held.take(),
+        listen: core.then(|| ports.reserve()),
+        http: ports.reserve(),
         name,
         core,
         zone: zone.into(),
--- a/testbed/src/hands.rs
+++ b/testbed/src/fleet_faults.rs
@@ -1,7 +1,7 @@
-//! What a fleet's runner does to its own nodes: start, stop, freeze, replace,
-//! cut off, and have their clocks and disks misbehave.
+//! Fault injection on the real processes of a fleet: start, stop, signal,
+//! replace and partition nodes, and make their clocks and disks fail.
 
-use crate::fleet::{node, Fleet, Held};
+use crate::fleet::{node, Fleet, ReservedPorts};
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
 
@@ -17,9 +17,9 @@
         // a write beyond a limit must fail, as on a full disk, not kill
         let mut run = Command::new("sh");
         run.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]);
-        if self.tricky {
+        if self.faulty_nodes {
             let tricks = self.root.join(format!("{}.tricks", n.name));
-            run.arg(self.binary.with_file_name("rig"))
+            run.arg(self.binary.with_file_name("testbed"))
                 .args(["node", "--role", role, "--settings"])
                 .arg(&n.file)
                 .arg("--tricks")
@@ -42,13 +42,13 @@
 
     /// Lay out a blank core in a lost one's zone, at a new address.
     pub fn replace(&mut self, lost: usize) -> usize {
-        let mut held = Held::default();
+        let mut ports = ReservedPorts::default();
         let (zone, region) = (
             self.nodes[lost].zone.clone(),
             self.nodes[lost].region.clone(),
         );
         let name = format!("{}-new", self.nodes[lost].name);
-        let n = node(&self.root, &mut held, name, true, &zone, &region);
+        let n = node(&self.root, &mut ports, name, true, &zone, &region);
         self.nodes.push(n);
         let i = self.nodes.len() - 1;
         let seeds: Vec<SocketAddr> = self.nodes.iter().take(i).filter_map(|n| n.listen).collect();
@@ -73,7 +73,7 @@
     }
 
     /// From now on no write of this child beyond a file's first bytes succeeds.
-    pub fn limit_files(&self, i: usize) {
+    pub fn limit_file_size(&self, i: usize) {
         if let Some(c) = &self.nodes[i].child {
             let _ = Command::new("prlimit")
                 .args(["--pid", &c.id().to_string(), "--fsize=64:64"])
@@ -81,19 +81,20 @@
         }
     }
 
-    /// From now on a node's clock and disk do as this says (see `tricks`).
-    pub fn trick(&self, i: usize, says: &str) {
+    /// From now on a node's clock and disk fail as this says (see
+    /// [`crate::faulty_node`]).
+    pub fn set_node_faults(&self, i: usize, answer: &str) {
         let file = self.root.join(format!("{}.tricks", self.nodes[i].name));
-        std::fs::write(file, says).expect("the fleet's folder can be written");
+        std::fs::write(file, answer).expect("the fleet's folder can be written");
     }
 
-    /// Cut the ways between nodes and cores of different regions, or not.
-    pub fn cut_regions(&self, on: bool) {
+    /// Blocks or unblocks the links between nodes and cores of different regions.
+    pub fn partition_regions(&self, on: bool) {
         for n in &self.nodes {
             for (core, l) in &n.links {
                 let to = &self.nodes[self.node(core)];
                 if to.region != n.region {
-                    l.cut(on);
+                    l.set_blocked(on);
                 }
             }
         }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,19 +1,19 @@
-//! Stand-ins, fleet runner and simulator for sorreldoor; never shipped.
+//! Stub workers, fleet runner, emulator and simulators for sorreldoor; never shipped.
 
 pub mod disk;
 pub mod emul;
 pub mod experiment;
-mod feed;
+pub mod faulty_node;
 pub mod fleet;
-mod hands;
+mod fleet_faults;
 pub mod hollow;
 pub mod link;
-pub mod platform;
 pub mod presets;
 pub mod rand;
-pub mod raw;
+pub mod raw_worker;
 pub mod sim;
 pub mod site;
 pub mod soak;
-pub mod stand;
-pub mod tricks;
+pub mod stub_platform;
+pub mod stub_worker;
+pub mod sync;
--- a/testbed/src/link.rs
+++ b/testbed/src/link.rs
@@ -11,7 +11,7 @@
 
 pub struct Link {
     pub addr: SocketAddr,
-    cut: Arc<AtomicBool>,
+    set_blocked: Arc<AtomicBool>,
 }
 
 impl Link {
@@ -19,27 +19,27 @@
     pub async fn start(to: SocketAddr, delay: Duration) -> async_std::io::Result<Link> {
         let l = TcpListener::bind("127.0.0.1:0").await?;
         let addr = l.local_addr()?;
-        let cut = Arc::new(AtomicBool::new(false));
-        task::spawn(accept(l, to, delay, cut.clone()));
-        Ok(Link { addr, cut })
+        let set_blocked = Arc::new(AtomicBool::new(false));
+        task::spawn(accept(l, to, delay, set_blocked.clone()));
+        Ok(Link { addr, set_blocked })
     }
 
     /// While cut, nothing passes and nobody is told.
-    pub fn cut(&self, on: bool) {
-        self.cut.store(on, Ordering::SeqCst);
+    pub fn set_blocked(&self, on: bool) {
+        self.set_blocked.store(on, Ordering::SeqCst);
     }
 }
 
-async fn accept(l: TcpListener, to: SocketAddr, delay: Duration, cut: Arc<AtomicBool>) {
+async fn accept(l: TcpListener, to: SocketAddr, delay: Duration, set_blocked: Arc<AtomicBool>) {
     loop {
         let Ok((near, _)) = l.accept().await else {
             continue;
         };
-        let cut = cut.clone();
+        let set_blocked = set_blocked.clone();
         task::spawn(async move {
             // the way there takes its time before anything can be sent
             task::sleep(delay).await;
-            if cut.load(Ordering::SeqCst) {
+            if set_blocked.load(Ordering::SeqCst) {
                 task::sleep(Duration::from_secs(2)).await;
                 return;
             }
@@ -49,15 +49,15 @@
             };
             let _ = near.set_nodelay(true);
             let _ = far.set_nodelay(true);
-            task::spawn(carry(near.clone(), far.clone(), delay, cut.clone()));
-            carry(far, near, delay, cut).await;
+            task::spawn(carry(near.clone(), far.clone(), delay, set_blocked.clone()));
+            carry(far, near, delay, set_blocked).await;
         });
     }
 }
 
-async fn carry(mut from: TcpStream, to: TcpStream, delay: Duration, cut: Arc<AtomicBool>) {
+async fn carry(mut from: TcpStream, to: TcpStream, delay: Duration, set_blocked: Arc<AtomicBool>) {
     let (tx, rx): (Sender<(Instant, Vec<u8>)>, _) = bounded(1024);
-    let out = task::spawn(deliver(rx, to, cut));
+    let out = task::spawn(deliver(rx, to, set_blocked));
     let mut b = vec![0; 16 * 1024];
     while let Ok(n) = from.read(&mut b).await {
         if n == 0 {
@@ -72,7 +72,11 @@
     out.await;
 }
 
-async fn deliver(rx: Receiver<(Instant, Vec<u8>)>, mut to: TcpStream, cut: Arc<AtomicBool>) {
+async fn deliver(
+    rx: Receiver<(Instant, Vec<u8>)>,
+    mut to: TcpStream,
+    set_blocked: Arc<AtomicBool>,
+) {
     while let Ok((at, b)) = rx.recv().await {
         let left = at.saturating_duration_since(Instant::now());
         if !left.is_zero() {
@@ -80,7 +84,7 @@
         }
         // a TCP stream cannot lose bytes in its middle, so a cut holds
         // them back, and what came before it arrives after it
-        while cut.load(Ordering::SeqCst) {
+        while set_blocked.load(Ordering::SeqCst) {
             task::sleep(Duration::from_millis(20)).await;
         }
         if to.write_all(&b).await.is_err() {
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -12,7 +12,7 @@
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-fn held() -> usize {
+fn ports() -> usize {
     let s = HEAP.stats();
     s.bytes_allocated.saturating_sub(s.bytes_deallocated)
 }
@@ -89,26 +89,26 @@
             env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
                 .init();
             let (set, tricks) = (n.settings.unwrap_or_default(), n.tricks.unwrap_or_default());
-            if let Err(e) = testbed::tricks::node(&n.role, &set, &tricks) {
-                eprintln!("rig: {e}");
+            if let Err(e) = testbed::faulty_node::run(&n.role, &set, &tricks) {
+                eprintln!("testbed: {e}");
                 std::process::exit(1);
             }
         }
         Some(What::Hollow(h)) => {
-            if let Err(e) = hollow(&h, held) {
-                eprintln!("rig: {e}");
+            if let Err(e) = hollow(&h, ports) {
+                eprintln!("testbed: {e}");
                 std::process::exit(2);
             }
         }
         Some(What::Experiment(a)) => match testbed::experiment::run(&a) {
             Ok(whole) => std::process::exit(i32::from(!whole)),
             Err(e) => {
-                eprintln!("rig: {e}");
+                eprintln!("testbed: {e}");
                 std::process::exit(2);
             }
         },
         None => {
-            eprintln!("rig: say what to run: fleet; see --help");
+            eprintln!("testbed: say what to run: fleet; see --help");
             std::process::exit(2);
         }
     }
@@ -119,7 +119,7 @@
         "press" => press(),
         "archive" => archive(),
         s => {
-            eprintln!("rig: no site {s:?}; press or archive");
+            eprintln!("testbed: no site {s:?}; press or archive");
             std::process::exit(2);
         }
     }
@@ -148,7 +148,7 @@
     ])
     .expect("signals can be watched");
     let mut f = Fleet::start(&root, preset);
-    f.found();
+    f.wait_until_founded();
     let file = root.join("setup.json");
     std::fs::write(&file, configuration(&f.preset)).expect("the fleet's folder can be written");
     for n in &f.nodes {
--- a/testbed/src/raw.rs
+++ b/testbed/src/raw_worker.rs
@@ -1,7 +1,7 @@
 //! A web worker that reports its load like any other and answers everything
 //! else with bytes given, whatever HTTP may say of them.
 
-use crate::stand::locked;
+use crate::sync::lock;
 use async_std::io::prelude::*;
 use async_std::io::{self, BufReader};
 use async_std::net::{TcpListener, TcpStream};
@@ -9,32 +9,32 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-pub struct Raw {
+pub struct RawWorker {
     pub addr: SocketAddr,
-    says: Arc<Mutex<Vec<u8>>>,
+    answer: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Raw {
-    pub async fn start(name: &str) -> io::Result<Raw> {
+impl RawWorker {
+    pub async fn start(name: &str) -> io::Result<RawWorker> {
         let l = TcpListener::bind("127.0.0.1:0").await?;
         let addr = l.local_addr()?;
-        let says: Arc<Mutex<Vec<u8>>> = Arc::default();
-        let (name, shared) = (name.to_string(), says.clone());
+        let answer: Arc<Mutex<Vec<u8>>> = Arc::default();
+        let (name, shared) = (name.to_string(), answer.clone());
         task::spawn(async move {
             while let Ok((s, _)) = l.accept().await {
-                let (name, says) = (name.clone(), locked(&shared).clone());
-                task::spawn(async move { one(s, &name, &says).await });
+                let (name, answer) = (name.clone(), lock(&shared).clone());
+                task::spawn(async move { answer_connection(s, &name, &answer).await });
             }
         });
-        Ok(Raw { addr, says })
+        Ok(RawWorker { addr, answer })
     }
 
     pub fn log_event(&self, b: &[u8]) {
-        *locked(&self.says) = b.to_vec();
+        *lock(&self.answer) = b.to_vec();
     }
 }
 
-async fn one(s: TcpStream, name: &str, says: &[u8]) -> io::Result<()> {
+async fn answer_connection(s: TcpStream, name: &str, answer: &[u8]) -> io::Result<()> {
     let mut from = BufReader::new(s.clone());
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -52,7 +52,7 @@
     let text = if head.starts_with("GET /load ") {
         told.as_bytes()
     } else {
-        says
+        answer
     };
     let mut s = s;
     s.write_all(text).await?;
--- a/testbed/src/soak.rs
+++ b/testbed/src/soak.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::Fleet;
 use crate::rand::Rand;
-use crate::stand::locked;
+use crate::sync::lock;
 use http_types::Method;
 use sorreldoor::http::{call, Broke, Call};
 use std::collections::BTreeMap;
@@ -119,7 +119,7 @@
             let again = saw != Saw::Served;
             let lost = u64::from(saw == Saw::Unsure);
             sh.lost.fetch_add(lost, Ordering::SeqCst);
-            locked(&sh.saw).insert(id.clone(), saw);
+            lock(&sh.saw).insert(id.clone(), saw);
             if !again || i == 5 {
                 break;
             }
@@ -182,7 +182,7 @@
             let whole = events == 0 || text.lines().count() == events;
             let ended = events == 0 || text.ends_with("\"done\":true}\n");
             if !(own && whole && ended) {
-                locked(&sh.wrong).push(format!("{id} ({path}) got {text:?}"));
+                lock(&sh.wrong).push(format!("{id} ({path}) got {text:?}"));
             }
             Saw::Served
         }
@@ -195,21 +195,21 @@
 /// Hold what callers saw against what the workers ran.
 fn weigh(f: &Fleet, sh: &Shared) -> Tally {
     let mut t = Tally {
-        wrong: std::mem::take(&mut *locked(&sh.wrong)),
+        wrong: std::mem::take(&mut *lock(&sh.wrong)),
         tries: sh.tries.load(Ordering::SeqCst) as usize,
         lost: sh.lost.load(Ordering::SeqCst) as usize,
         ..Tally::default()
     };
-    let mut ran: BTreeMap<String, u32> = BTreeMap::new();
-    for w in f.workers.iter().filter(|w| w.make.model) {
-        for id in &w.book().ran {
-            *ran.entry(id.clone()).or_default() += 1;
+    let mut executed: BTreeMap<String, u32> = BTreeMap::new();
+    for w in f.workers.iter().filter(|w| w.profile.model) {
+        for id in &w.state().executed {
+            *executed.entry(id.clone()).or_default() += 1;
         }
     }
-    for (id, n) in ran.iter().filter(|(_, n)| **n > 1) {
+    for (id, n) in executed.iter().filter(|(_, n)| **n > 1) {
         t.wrong.push(format!("{id} ran {n} times"));
     }
-    for s in locked(&sh.saw).values() {
+    for s in lock(&sh.saw).values() {
         t.asked += 1;
         match s {
             Saw::Served => t.served += 1,
--- a/testbed/src/platform.rs
+++ b/testbed/src/stub_platform.rs
@@ -1,6 +1,6 @@
 //! Stand-in for the platform: it keeps the worker list and serves it.
 
-use crate::stand::locked;
+use crate::sync::lock;
 use async_std::io;
 use async_std::net::TcpListener;
 use async_std::task;
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct WorkerRow {
     pub name: String,
     pub addr: SocketAddr,
     pub group: String,
@@ -23,16 +23,16 @@
 #[derive(Default)]
 struct List {
     version: u64,
-    rows: Vec<Row>,
+    rows: Vec<WorkerRow>,
 }
 
-pub struct Platform {
+pub struct StubPlatform {
     pub addr: SocketAddr,
     list: Arc<Mutex<List>>,
 }
 
-impl Platform {
-    pub async fn start(addr: Option<SocketAddr>) -> io::Result<Platform> {
+impl StubPlatform {
+    pub async fn start(addr: Option<SocketAddr>) -> io::Result<StubPlatform> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let l = TcpListener::bind(addr.unwrap_or(any)).await?;
         let addr = l.local_addr()?;
@@ -41,12 +41,12 @@
         task::spawn(http::serve(l, 1024, http::Gate::default(), move |r, _| {
             show(shown.clone(), r)
         }));
-        Ok(Platform { addr, list })
+        Ok(StubPlatform { addr, list })
     }
 
     /// Change the list; every change raises its serial.
-    pub fn change(&self, f: impl FnOnce(&mut Vec<Row>)) {
-        let mut l = locked(&self.list);
+    pub fn change(&self, f: impl FnOnce(&mut Vec<WorkerRow>)) {
+        let mut l = lock(&self.list);
         f(&mut l.rows);
         l.version += 1;
     }
@@ -56,7 +56,7 @@
     if req.method() != Method::Get || req.url().path() != "/workers" {
         return Response::new(StatusCode::NotFound);
     }
-    let l = locked(&list);
+    let l = lock(&list);
     let rows: Vec<Value> = l
         .rows
         .iter()
--- a/testbed/tests/doctor.rs
+++ b/testbed/tests/doctor.rs
@@ -41,13 +41,13 @@
     let d = std::env::temp_dir().join(format!("sorreldoor-doctor-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&d);
     let mut f = Fleet::start(&d, small());
-    f.found();
+    f.wait_until_founded();
     let edge = f.edges()[0];
     finds(&f, edge, &["D15 broken no setup"], 2);
     let file = f.root.join("setup.json");
     std::fs::write(&file, configuration(&f.preset)).unwrap();
     f.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
-    f.serve_again();
+    f.wait_until_serving();
     finds(&f, edge, &["nothing found"], 0);
     f.ctl(0, &["evacuate", "n2", "--base", "1"]);
     finds(&f, edge, &["D21 note a zone is left emptied"], 0);
@@ -56,7 +56,7 @@
     let k = f
         .workers
         .iter()
-        .position(|w| w.make.name == "south-gpu0")
+        .position(|w| w.profile.name == "south-gpu0")
         .unwrap();
     let gone = f.workers.remove(k);
     let addr = gone.addr;
--- a/testbed/tests/doors/main.rs
+++ b/testbed/tests/doors/main.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use testbed::fleet::{configuration, press, Fleet, SitePreset};
-use testbed::stand::Fault;
+use testbed::stub_worker::InjectedFault;
 
 const LONG: Duration = Duration::from_secs(40);
 
@@ -150,46 +150,46 @@
     let near = f
         .workers
         .iter()
-        .position(|w| w.make.name == "north-gpu0")
+        .position(|w| w.profile.name == "north-gpu0")
         .unwrap();
     let far = f
         .workers
         .iter()
-        .position(|w| w.make.name == "south-gpu0")
+        .position(|w| w.profile.name == "south-gpu0")
         .unwrap();
-    let web = f.workers.iter().position(|w| !w.make.model).unwrap();
-    let set = |fault: Fault| {
+    let web = f.workers.iter().position(|w| !w.profile.model).unwrap();
+    let set = |fault: InjectedFault| {
         for w in [near, far, web] {
-            f.workers[w].book().fault = fault;
+            f.workers[w].state().fault = fault;
         }
     };
     let home = [("x-home", "north")];
     let table = [
-        (Fault::HangUp, 502, "outcome-unknown"),
-        (Fault::Short, 502, "outcome-unknown"),
-        (Fault::Garbage, 502, "outcome-unknown"),
-        (Fault::WrongErrand, 502, "outcome-unknown"),
+        (InjectedFault::CloseConnection, 502, "outcome-unknown"),
+        (InjectedFault::TruncatedBody, 502, "outcome-unknown"),
+        (InjectedFault::InvalidJson, 502, "outcome-unknown"),
+        (InjectedFault::WrongRequestId, 502, "outcome-unknown"),
     ];
     for (fault, status, code) in table {
         set(fault);
         let c = ask(f, Method::Post, "/v1/errand/question", &home, b"{}");
         assert_eq!((c.status, &error_code(&c)[..]), (status, code), "{fault:?}");
         // the worker that broke off is left alone for a moment
-        set(Fault::None);
+        set(InjectedFault::None);
         assert!(f.until(LONG, |f| {
             ask(f, Method::Post, "/v1/errand/question", &home, b"{}").status == 200
         }));
     }
     // what may be repeated is, within the budget, and is told apart
     for (fault, code) in [
-        (Fault::HangUp, "worker-short"),
-        (Fault::Short, "worker-short"),
+        (InjectedFault::CloseConnection, "worker-short"),
+        (InjectedFault::TruncatedBody, "worker-short"),
     ] {
         set(fault);
         let c = ask(f, Method::Get, "/v1/errand/page/x", &[], b"");
         let ok = c.status == 502 || c.status == 503;
         assert!(ok, "{fault:?} {code}: {} {}", c.status, error_code(&c));
-        set(Fault::None);
+        set(InjectedFault::None);
         assert!(
             f.until(LONG, |f| ask(f, Method::Get, "/v1/errand/page/x", &[], b"")
                 .status
@@ -197,18 +197,18 @@
         );
     }
     // a worker that has not run it: another may, and nothing ran here
-    set(Fault::Refuse);
-    let ran = f.workers[near].book().ran.len();
+    set(InjectedFault::Reject);
+    let executed = f.workers[near].state().executed.len();
     let c = ask(f, Method::Post, "/v1/errand/question", &home, b"{}");
     assert_eq!((c.status, &error_code(&c)[..]), (503, "no-worker"));
-    assert_eq!(f.workers[near].book().ran.len(), ran);
-    set(Fault::None);
+    assert_eq!(f.workers[near].state().executed.len(), executed);
+    set(InjectedFault::None);
 }
 
 fn streams(f: &Fleet) {
-    for fault in [Fault::CutStream, Fault::SkipEvent] {
+    for fault in [InjectedFault::TruncatedStream, InjectedFault::SkippedEvent] {
         for w in &f.workers {
-            w.book().fault = fault;
+            w.state().fault = fault;
         }
         let at = f.nodes[f.edges()[0]].http;
         let body = "{\"events\":4}";
@@ -223,7 +223,7 @@
         assert!(!got.contains("\"done\":true"), "{got}");
         assert!(!got.ends_with("0\r\n\r\n"), "{got}");
         for w in &f.workers {
-            w.book().fault = Fault::None;
+            w.state().fault = InjectedFault::None;
         }
     }
 }
@@ -241,7 +241,7 @@
         let mut b = [0; 200];
         let _ = s.read(&mut b).await.unwrap();
     });
-    assert!(f.until(LONG, |f| f.workers.iter().all(|w| w.book().running == 0)));
+    assert!(f.until(LONG, |f| f.workers.iter().all(|w| w.state().running == 0)));
 }
 
 fn frames(f: &Fleet) {
--- a/testbed/tests/doors/odd.rs
+++ b/testbed/tests/doors/odd.rs
@@ -7,12 +7,12 @@
 #[test]
 fn odd_results_come_exactly_or_not_at_all() {
     let f = start("odd");
-    let w = task::block_on(testbed::raw::Raw::start("raw")).unwrap();
+    let w = task::block_on(testbed::raw_worker::RawWorker::start("raw")).unwrap();
     let addr = w.addr;
     f.platform.change(|l| {
         l.retain(|r| r.group != "web");
         let (name, group, zone) = ("raw".into(), "web".into(), "n1".into());
-        l.push(testbed::platform::Row {
+        l.push(testbed::stub_platform::WorkerRow {
             name,
             addr,
             group,
@@ -74,7 +74,7 @@
 fn results_unchecked_would_be_seen() {
     let d = std::env::temp_dir().join(format!("sorreldoor-door-{}-bare", std::process::id()));
     let _ = std::fs::remove_dir_all(&d);
-    let mut f = Fleet::start_by(&d, small(), 2, |f| {
+    let mut f = Fleet::start_customized(&d, small(), 2, |f| {
         let invariants = "result-length,result-owner,sequence";
         f.envs.push(("SORRELDOOR_BREAK".into(), invariants.into()));
     });
@@ -85,15 +85,15 @@
         "build it for tests first: cargo build --workspace --all-targets"
     );
     f.serve();
-    let set = |fault: Fault| f.workers.iter().for_each(|w| w.book().fault = fault);
+    let set = |fault: InjectedFault| f.workers.iter().for_each(|w| w.state().fault = fault);
     let home = [("x-home", "north")];
-    set(Fault::Short);
+    set(InjectedFault::TruncatedBody);
     let c = ask(&f, Method::Get, "/v1/errand/page/x", &[], b"");
     assert_eq!((c.status, c.body.len()), (200, 4), "half a page");
-    set(Fault::WrongErrand);
+    set(InjectedFault::WrongRequestId);
     let c = ask(&f, Method::Post, "/v1/errand/question", &home, b"{}");
     assert_eq!(c.status, 200, "another's result");
-    set(Fault::SkipEvent);
+    set(InjectedFault::SkippedEvent);
     let c = ask(&f, Method::Post, "/v1/errand/draft", &[], b"{\"events\":4}");
     let text = String::from_utf8_lossy(&c.body).into_owned();
     assert!(
--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -49,10 +49,15 @@
         let page = f.call(i, Call::get("/v1/errand/page/a/b"), LONG).unwrap();
         assert_eq!((page.status, &page.body[..]), (200, &b"<p>/a/b</p>"[..]));
     }
-    let far = f.workers.iter().filter(|w| !w.make.name.starts_with(home));
-    assert!(far
-        .filter(|w| w.make.model)
-        .all(|w| w.book().ran.iter().all(|id| !id.is_empty())));
+    let far = f
+        .workers
+        .iter()
+        .filter(|w| !w.profile.name.starts_with(home));
+    assert!(far.filter(|w| w.profile.model).all(|w| w
+        .state()
+        .executed
+        .iter()
+        .all(|id| !id.is_empty())));
 }
 
 #[test]
@@ -200,7 +205,7 @@
     };
     assert!(f.until(LONG, |f| leads(f).is_some()));
     let l = leads(&f).unwrap();
-    f.limit_files(l);
+    f.limit_file_size(l);
     let other = f.cores().into_iter().find(|i| *i != l).unwrap();
     let (code, text) = f.ctl(other, &["evacuate", "n1", "--base", "1"]);
     assert!(code == 0 || code == 4 || code == 1, "{code} {text}");
--- a/testbed/tests/troubles.rs
+++ b/testbed/tests/troubles.rs
@@ -110,11 +110,12 @@
 /// Clocks stepped both ways, disks slow, stuck and full, the regions cut.
 #[test]
 fn clocks_disks_and_ways_that_misbehave() {
-    let mut f = Fleet::start_by(&dir("troubles"), archive(), 3, |f| f.tricky = true);
+    let mut f = Fleet::start_customized(&dir("troubles"), archive(), 3, |f| f.faulty_nodes = true);
     f.serve();
     let t = under(&mut f, 22, 8, |f| {
         let step = |f: &Fleet, ms: i64| {
-            (0..f.nodes.len()).for_each(|i| f.trick(i, &format!(r#"{{"wall_ms":{ms}}}"#)));
+            (0..f.nodes.len())
+                .for_each(|i| f.set_node_faults(i, &format!(r#"{{"wall_ms":{ms}}}"#)));
         };
         let woken = |f: &Fleet, n: usize| {
             f.edges()
@@ -144,27 +145,27 @@
         assert!(f.until(LONG, Fleet::serving));
         let cores = f.cores();
         for (i, c) in cores.iter().enumerate() {
-            f.trick(*c, r#"{"slow_ms":150}"#);
+            f.set_node_faults(*c, r#"{"slow_ms":150}"#);
             let (took, _) = change(f, f.edges()[i], i as u64);
             println!(
                 "{} slow: a change took {} ms",
                 f.nodes[*c].name,
                 took.as_millis()
             );
-            f.trick(*c, r#"{"stuck":true}"#);
+            f.set_node_faults(*c, r#"{"stuck":true}"#);
             let (took, _) = change(f, f.edges()[i + 1], 3 + i as u64);
             println!(
                 "{} stuck: a change took {} ms",
                 f.nodes[*c].name,
                 took.as_millis()
             );
-            f.trick(*c, "{}");
+            f.set_node_faults(*c, "{}");
             assert!(
                 f.until(LONG, Fleet::founded),
                 "all cores have a quorum again"
             );
         }
-        f.cut_regions(true);
+        f.partition_regions(true);
         let big: Vec<usize> = f
             .cores()
             .into_iter()
@@ -172,17 +173,17 @@
             .collect();
         let (took, top) = change(f, big[0], 9);
         println!("regions cut: a change took {} ms", took.as_millis());
-        f.cut_regions(false);
+        f.partition_regions(false);
         for e in f.edges() {
             assert!(f.until(LONG, |f| version(f, e) >= top));
         }
         let last = f.cores()[2];
-        f.trick(last, r#"{"full":true}"#);
+        f.set_node_faults(last, r#"{"full":true}"#);
         let (took, _) = change(f, f.edges()[0], 4);
         println!("a disk full: a change took {} ms", took.as_millis());
         assert!(f.until(LONG, |f| log(f, last).contains("E220")));
         // room again: it takes part again without a restart
-        f.trick(last, "{}");
+        f.set_node_faults(last, "{}");
         assert!(f.until(LONG, |f| log(f, last).contains("E224")));
         // and with one, on the same data folder
         f.kill(last);
