--- a/sorreldoor/src/balancer/candidates.rs
+++ b/sorreldoor/src/balancer/candidates.rs
@@ -211,8 +211,9 @@
     /// This node's share of the attempts in one window that all nodes together
     /// may send to an endpoint in slow start.
     fn slow_start_share(&self, endpoint: &Endpoint, profile: &ServiceProfile) -> u32 {
-        let bounds = &self.bounds;
-        let per_second = profile.warmup_per_s * bounds.warmup_excess + bounds.warmup_slack;
+        let site_limits = &self.site_limits;
+        let per_second =
+            profile.warmup_per_s * site_limits.warmup_excess + site_limits.warmup_slack;
         let limit = per_second * SLOW_START_MARGIN;
         self.nodes
             .regional_share(limit, endpoint.hash, endpoint.region)
--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -142,10 +142,10 @@
     /// Whether this node's share of the service's retry budget allows a retry.
     pub(super) fn allows_retry(&self, service: ServiceIndex, now: Millis) -> bool {
         let service = &self.services[service];
-        let total_slack = self.bounds.retry_slack * SLACK_MARGIN;
+        let total_slack = self.site_limits.retry_slack * SLACK_MARGIN;
         let slack = self.nodes.share(total_slack, service.hash);
         let budget = &service.retry_budget;
-        budget.allows_retry(&self.bounds, slack, now)
+        budget.allows_retry(&self.site_limits, slack, now)
     }
 
     fn wait(&mut self, request: &mut Request, slot: QueueSlot, now: Millis) -> Decision {
--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -80,7 +80,7 @@
     ) {
         if request.reached_endpoint {
             let budget = &mut self.services[service].retry_budget;
-            budget.record_retry(&self.bounds, now);
+            budget.record_retry(&self.site_limits, now);
             self.counts.retried += 1;
         }
         let prompt_tokens = request.total_tokens();
--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -81,7 +81,7 @@
     fn count_request(&mut self, request: &Request, route: &Route, now: Millis) {
         if let Some(first) = self.next_service(request, route, 0.0) {
             let service = &mut self.services[first.service];
-            service.retry_budget.record_request(&self.bounds, now);
+            service.retry_budget.record_request(&self.site_limits, now);
             if request.has_long_prompt() {
                 service.last_long_prompt = Some(now);
             }
--- a/sorreldoor/src/balancer/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -126,7 +126,7 @@
 
 /// Limits set by the operator that hold for all nodes together.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct SiteLimits {
     /// Retries in any window, as a share of the requests in it.
     pub retry_ratio: f64,
     /// Length of the retry window, in milliseconds.
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -142,7 +142,7 @@
         if attempt.is_retry {
             self.services[endpoint.service]
                 .retry_budget
-                .cancel_retry(&self.bounds, attempt.sent_at);
+                .cancel_retry(&self.site_limits, attempt.sent_at);
             self.counts.retried = self.counts.retried.saturating_sub(1);
         }
         self.uncount_attempt(request_id);
--- a/sorreldoor/src/balancer/retry_budget.rs
+++ b/sorreldoor/src/balancer/retry_budget.rs
@@ -3,7 +3,7 @@
 //! The operator's limit holds for the sums over all nodes. Clocks of nodes
 //! differ, so the window may start anywhere; see [`RetryBudget::allows_retry`].
 
-use super::Bounds;
+use super::SiteLimits;
 use crate::types::Millis;
 
 /// Buckets in a quarter of the window.
@@ -43,8 +43,8 @@
         }
     }
 
-    fn step(bounds: &Bounds, at: Millis) -> u64 {
-        let step_ms = (bounds.retry_window_ms / BUCKETS_PER_WINDOW).max(1);
+    fn step(site_limits: &SiteLimits, at: Millis) -> u64 {
+        let step_ms = (site_limits.retry_window_ms / BUCKETS_PER_WINDOW).max(1);
         at / step_ms + 1
     }
 
@@ -52,8 +52,8 @@
         (step % BUCKETS as u64) as usize
     }
 
-    fn bucket_mut(&mut self, bounds: &Bounds, now: Millis) -> &mut Bucket {
-        let step = Self::step(bounds, now);
+    fn bucket_mut(&mut self, site_limits: &SiteLimits, now: Millis) -> &mut Bucket {
+        let step = Self::step(site_limits, now);
         let bucket = &mut self.buckets[Self::position(step)];
         if bucket.step != step {
             *bucket = Bucket {
@@ -65,18 +65,18 @@
     }
 
     /// Counts a request.
-    pub fn record_request(&mut self, bounds: &Bounds, now: Millis) {
-        self.bucket_mut(bounds, now).requests += 1;
+    pub fn record_request(&mut self, site_limits: &SiteLimits, now: Millis) {
+        self.bucket_mut(site_limits, now).requests += 1;
     }
 
     /// Counts a retry.
-    pub fn record_retry(&mut self, bounds: &Bounds, now: Millis) {
-        self.bucket_mut(bounds, now).retries += 1;
+    pub fn record_retry(&mut self, site_limits: &SiteLimits, now: Millis) {
+        self.bucket_mut(site_limits, now).retries += 1;
     }
 
     /// Takes back a retry that was recorded at `recorded_at` but never sent.
-    pub fn cancel_retry(&mut self, bounds: &Bounds, recorded_at: Millis) {
-        let step = Self::step(bounds, recorded_at);
+    pub fn cancel_retry(&mut self, site_limits: &SiteLimits, recorded_at: Millis) {
+        let step = Self::step(site_limits, recorded_at);
         let bucket = &mut self.buckets[Self::position(step)];
         if bucket.step == step {
             bucket.retries = bucket.retries.saturating_sub(1);
@@ -90,18 +90,18 @@
     /// counted for it, one holds at least as many requests as the smaller of two
     /// weighted sums over the last four quarters, and sums over nodes of this
     /// form never exceed the form of the sums.
-    pub fn allows_retry(&self, bounds: &Bounds, slack: u32, now: Millis) -> bool {
-        let step = Self::step(bounds, now);
+    pub fn allows_retry(&self, site_limits: &SiteLimits, slack: u32, now: Millis) -> bool {
+        let step = Self::step(site_limits, now);
         let [oldest, older, newer, newest] = [3, 2, 1, 0].map(|i| self.quarter(step, i));
         let early = 0.75 * (oldest + older) + newer + 0.25 * newest;
         let late = 0.75 * (newer + newest) + older + 0.25 * oldest;
         let requests = early.min(late);
         // a restarted node forgot its earlier retries
         let age_ms = now.saturating_sub(self.since) as f64;
-        let age = age_ms / bounds.retry_window_ms.max(1) as f64;
+        let age = age_ms / site_limits.retry_window_ms.max(1) as f64;
         let slack = f64::from(slack) * age.min(1.0);
         let retries = self.retries(step);
-        f64::from(retries + 1) <= bounds.retry_ratio * RATIO_MARGIN * requests + slack
+        f64::from(retries + 1) <= site_limits.retry_ratio * RATIO_MARGIN * requests + slack
     }
 
     /// Retries in all kept buckets. The bucket of `step` is not over, so it
--- a/sorreldoor/src/balancer/state.rs
+++ b/sorreldoor/src/balancer/state.rs
@@ -8,7 +8,7 @@
 use super::request_table::RequestTable;
 use super::service::ServiceState;
 use super::wait_queue::WaitQueue;
-use super::{Bounds, Locality};
+use super::{Locality, SiteLimits};
 use crate::configuration::hosted::{Hosted, Service};
 use crate::quota::Admission;
 use crate::types::Millis;
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub struct Balancer {
     pub(super) locality: Locality,
-    pub(super) bounds: Bounds,
+    pub(super) site_limits: SiteLimits,
     pub(super) rng: SplitMix64,
     pub(super) now: Millis,
     /// Time of the first call.
@@ -80,12 +80,12 @@
 
 impl Balancer {
     /// A balancer without a configuration; `seed` feeds its random generator.
-    pub fn new(locality: Locality, bounds: Bounds, seed: u64) -> Balancer {
+    pub fn new(locality: Locality, site_limits: SiteLimits, seed: u64) -> Balancer {
         let nodes = Nodes::new(&locality.node, locality.region);
         Balancer {
             rng: SplitMix64(seed ^ hash::name(&locality.node)),
             locality,
-            bounds,
+            site_limits,
             now: 0,
             started_at: None,
             hosted: None,
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -8,7 +8,7 @@
 use super::status_endpoint::{
     serve_status_endpoint, NodeStatus, RequestHandler, StatusEndpoint, StatusHandler,
 };
-use crate::balancer::{Balancer, Bounds, Locality};
+use crate::balancer::{Balancer, Locality, SiteLimits};
 use crate::log_events::{log_event, LogEvent};
 use crate::metrics::{self, EDGE_METRICS};
 use crate::net::{Net, NetEvent};
@@ -38,7 +38,7 @@
     /// The settings that all nodes have.
     pub settings: Settings,
     /// Limits on retries and slow start, for all nodes together.
-    pub bounds: Bounds,
+    pub bounds: SiteLimits,
     /// From the signal to stop until the process must have ended.
     pub grace: Duration,
 }
@@ -90,7 +90,7 @@
     })
 }
 
-fn new_controller<C: Clock>(settings: &Settings, bounds: Bounds, clock: &C) -> ProxyController {
+fn new_controller<C: Clock>(settings: &Settings, bounds: SiteLimits, clock: &C) -> ProxyController {
     let now = clock.now();
     let identity = crate::run::edge_hello(settings);
     let locality = Locality {
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -1,7 +1,7 @@
 //! The load balancer: each mechanism on its own, and many nodes together.
 
 use sorreldoor::balancer::{
-    AttemptOutcome, Balancer, Bounds, Decision, LoadReport, Locality, RequestId, Target,
+    AttemptOutcome, Balancer, Decision, LoadReport, Locality, RequestId, SiteLimits, Target,
 };
 use sorreldoor::configuration::hosted::{Engine, Hosted, Kind, Route, Service};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
@@ -33,8 +33,8 @@
 /// Two regions: zones 0 and 1 in the first, 2 in the second.
 const REGIONS: [u8; 3] = [0, 0, 1];
 
-fn bounds() -> Bounds {
-    Bounds {
+fn site_limits() -> SiteLimits {
+    SiteLimits {
         retry_ratio: 0.2,
         retry_window_ms: 10_000,
         retry_slack: 64.0,
@@ -133,7 +133,7 @@
 }
 
 fn new_balancer(hosted: Arc<Hosted>, workers: Vec<Worker>) -> Balancer {
-    let mut balancer = Balancer::new(locality("n0", 0), bounds(), 7);
+    let mut balancer = Balancer::new(locality("n0", 0), site_limits(), 7);
     balancer.apply_configuration(hosted, 0);
     balancer.update_nodes(vec![("n0".into(), 0)]);
     balancer.update_registry(&registry(1, workers), 0);
--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -223,7 +223,7 @@
     assert_eq!(send(&mut balancer, "/p/x", 10).1.priority, Some(9));
     let sum: u32 = (0..93)
         .map(|i| {
-            let mut balancer = Balancer::new(locality(&format!("n{i}"), 0), bounds(), 1);
+            let mut balancer = Balancer::new(locality(&format!("n{i}"), 0), site_limits(), 1);
             balancer.apply_configuration(default_routes(), 0);
             balancer.update_nodes((0..93).map(|i| (format!("n{i}"), 0)).collect());
             balancer.update_registry(&registry(1, workers_in("model", 48, &[0])), 0);
--- a/sorreldoor/tests/balancer/fuzz.rs
+++ b/sorreldoor/tests/balancer/fuzz.rs
@@ -46,7 +46,7 @@
     let mut rng = Rand(seed.wrapping_mul(0x9e37_79b9) | 1);
     let configurations = configurations();
     let mut hosted_now = configurations[0].clone();
-    let mut balancer = Balancer::new(locality("n0", 0), bounds(), seed);
+    let mut balancer = Balancer::new(locality("n0", 0), site_limits(), seed);
     balancer.apply_configuration(hosted_now.clone(), 0);
     balancer.update_nodes(vec![("n0".into(), 0), ("n1".into(), 2)]);
     let mut workers: Vec<Worker> = Vec::new();
--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn no_configuration_and_no_route() {
-    let mut balancer = Balancer::new(locality("n0", 0), bounds(), 7);
+    let mut balancer = Balancer::new(locality("n0", 0), site_limits(), 7);
     assert_eq!(
         balancer.begin("h", "/web/x", metadata(&[]), 0, 0),
         Err(ErrorCode::NoConfiguration)
--- a/sorreldoor/tests/balancer/measures.rs
+++ b/sorreldoor/tests/balancer/measures.rs
@@ -36,8 +36,8 @@
 /// The smallest headroom under the retry budget in any window that starts or ends
 /// at a retry, given the requests of the window, of the one before it, or of half
 /// a window before.
-pub fn budget_headroom(requests: &[u64], retries: &[u64], bounds: &Bounds) -> f64 {
-    let window = bounds.retry_window_ms;
+pub fn budget_headroom(requests: &[u64], retries: &[u64], site_limits: &SiteLimits) -> f64 {
+    let window = site_limits.retry_window_ms;
     let count = |times: &[u64], start: i64, end: i64| {
         let position = |x: i64| times.partition_point(|t| (*t as i64) < x);
         position(end) - position(start)
@@ -54,7 +54,7 @@
                 .map(|shift| count(requests, start - shift, end - shift))
                 .max()
                 .unwrap_or(0);
-            bounds.retry_ratio * requests_counted as f64 + bounds.retry_slack
+            site_limits.retry_ratio * requests_counted as f64 + site_limits.retry_slack
                 - count(retries, start, end) as f64
         })
         .fold(f64::MAX, f64::min)
--- a/sorreldoor/tests/balancer/nodes.rs
+++ b/sorreldoor/tests/balancer/nodes.rs
@@ -103,7 +103,7 @@
             sim.backends[w].connect_failure_chance = 0.05;
         }
         sim.run(60_000, |_| {});
-        let headroom = budget_headroom(&sim.requests, &sim.retries, &bounds());
+        let headroom = budget_headroom(&sim.requests, &sim.retries, &site_limits());
         println!(
             "{n} nodes: {} asked, {} further, least room {headroom:.1}",
             sim.requests.len(),
@@ -211,7 +211,7 @@
 fn isolated_nodes(hosted_routes: &std::sync::Arc<Hosted>) -> Vec<Balancer> {
     let one = |i: u64| {
         let zone = if i.is_multiple_of(2) { 0 } else { 2 };
-        let mut balancer = Balancer::new(locality(&format!("n{i}"), zone), bounds(), i);
+        let mut balancer = Balancer::new(locality(&format!("n{i}"), zone), site_limits(), i);
         balancer.apply_configuration(hosted_routes.clone(), 0);
         balancer.update_registry(&registry(1, workers()), 0);
         balancer
@@ -294,7 +294,7 @@
         let attempts = (0..40).filter(|_| send(balancer, "/once/x", now).1.name == warming);
         attempts.count()
     };
-    let mut balancer = Balancer::new(locality("n0", 0), bounds(), 1);
+    let mut balancer = Balancer::new(locality("n0", 0), site_limits(), 1);
     balancer.apply_configuration(default_routes(), 0);
     balancer.update_registry(&registry(1, registered.clone()), 0);
     assert_eq!(attempts_at_warming(&mut balancer, 5000), 0);
@@ -334,7 +334,7 @@
             }
         });
         let warming = [0, 1].map(|w: usize| peak_within(&sim.backends[w].arrivals, 1000));
-        let headroom = budget_headroom(&sim.requests, &sim.retries, &bounds());
+        let headroom = budget_headroom(&sim.requests, &sim.retries, &site_limits());
         println!("{n} nodes, restarts: cold {warming:?} of 51.5, least room {headroom:.1}");
         assert!(warming.iter().all(|c| *c <= 51), "{warming:?}");
         assert!(headroom >= 0.0, "{headroom}");
--- a/sorreldoor/tests/balancer/simulation.rs
+++ b/sorreldoor/tests/balancer/simulation.rs
@@ -58,7 +58,7 @@
         let clock_offsets: Vec<u64> = (0..n).map(|_| rand.below(1_000_000)).collect();
         let nodes = (0..n)
             .map(|i| {
-                let mut t = Balancer::new(locality(&names[i].0, zones[i]), bounds(), seed);
+                let mut t = Balancer::new(locality(&names[i].0, zones[i]), site_limits(), seed);
                 t.apply_configuration(hosted.clone(), clock_offsets[i]);
                 t.update_nodes(names.clone());
                 t.update_registry(&registry(1, registered.clone()), clock_offsets[i]);
@@ -165,7 +165,7 @@
     pub fn restart(&mut self, n: usize, hosted: Arc<Hosted>) {
         let t = self.clock(n);
         let zone = (n % 3) as u16;
-        let mut balancer = Balancer::new(locality(&format!("n{n}"), zone), bounds(), t);
+        let mut balancer = Balancer::new(locality(&format!("n{n}"), zone), site_limits(), t);
         balancer.apply_configuration(hosted, t);
         let all = 0..self.nodes.len();
         balancer.update_nodes(all.map(|i| (format!("n{i}"), (i % 3) as u16)).collect());
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -4,7 +4,7 @@
 use async_std::io::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use sorreldoor::balancer::{Balancer, Bounds, Locality};
+use sorreldoor::balancer::{Balancer, Locality, SiteLimits};
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::proxy::http1::*;
@@ -245,7 +245,7 @@
         regions: vec![0],
         ..Locality::default()
     };
-    let bounds = Bounds {
+    let bounds = SiteLimits {
         retry_ratio: 0.2,
         retry_window_ms: 10_000,
         retry_slack: 1000.0,
--- a/testbed/src/emulator/control_plane.rs
+++ b/testbed/src/emulator/control_plane.rs
@@ -4,7 +4,7 @@
 use super::node::Node;
 use super::policy::HOST;
 use super::*;
-use sorreldoor::balancer::{Bounds, Locality};
+use sorreldoor::balancer::{Locality, SiteLimits};
 use sorreldoor::configuration::hosted::{Engine as Conf, Kind, Route, Service};
 use sorreldoor::discovery::Worker;
 
@@ -127,7 +127,7 @@
             regions: m.zones.clone(),
         };
         let b = &m.bounds;
-        let bounds = Bounds {
+        let bounds = SiteLimits {
             retry_ratio: b.retry_ratio,
             retry_window_ms: b.retry_window_ms,
             retry_slack: b.retry_slack,
--- a/testbed/src/emulator/policy.rs
+++ b/testbed/src/emulator/policy.rs
@@ -3,7 +3,7 @@
 
 use super::baseline::BaselinePolicy;
 use super::violation::ViolatingBalancer;
-use sorreldoor::balancer::{AttemptOutcome, Balancer, Bounds, Decision, Locality, RequestId};
+use sorreldoor::balancer::{AttemptOutcome, Balancer, Decision, Locality, RequestId, SiteLimits};
 use sorreldoor::configuration::hosted::{Hosted, Route};
 use sorreldoor::discovery::WorkerRegistry;
 use sorreldoor::error::ErrorCode;
@@ -137,7 +137,7 @@
         }
     }
 
-    pub fn make(self, place: Locality, mut bounds: Bounds, seed: u64) -> Box<dyn Policy> {
+    pub fn make(self, place: Locality, mut bounds: SiteLimits, seed: u64) -> Box<dyn Policy> {
         match self {
             PolicyKind::Balancer => Box::new(Balancer::new(place, bounds, seed)),
             PolicyKind::RoundRobin | PolicyKind::LeastLoad => {
--- a/testbed/tests/tenants.rs
+++ b/testbed/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! The invariants of tenants: each check holds, and fails once its mechanism is
 //! switched off.
 
-use sorreldoor::balancer::{Balancer, Bounds, Locality};
+use sorreldoor::balancer::{Balancer, Locality, SiteLimits};
 use sorreldoor::configuration::tenants::ApiKey;
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::invariants::{break_only, Invariant};
@@ -14,7 +14,7 @@
  "tenants":[{"name":"desk","keys":["k1"],"rate_per_s":2,"burst":2}]}}"#;
 
 fn balancer() -> Balancer {
-    let bounds = Bounds {
+    let bounds = SiteLimits {
         retry_ratio: 0.2,
         retry_window_ms: 10_000,
         retry_slack: 64.0,
