--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -58,7 +58,7 @@
 
     /// Decides on a request under the configuration in force. An attempt that
     /// is still in flight counts as canceled.
-    pub fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
+    pub fn decide(&mut self, request_id: RequestId, now: Millis) -> Decision {
         self.advance_clock(now);
         self.leave_queue(request_id);
         let in_flight = self.requests.get(request_id).and_then(|r| r.attempt);
@@ -74,7 +74,7 @@
         self.refresh_route(&mut request, &hosted);
         let route = request.route.and_then(|i| hosted.routes.get(i as usize));
         let route = route.map(|route| &**route);
-        let decision = self.decide(request_id, &mut request, route, now);
+        let decision = self.decide_on_route(request_id, &mut request, route, now);
         self.requests.check_in(request_id, request);
         if matches!(decision, Decision::Reject(..)) {
             self.counts.rejected += 1;
@@ -82,7 +82,7 @@
         decision
     }
 
-    fn decide(
+    fn decide_on_route(
         &mut self,
         request_id: RequestId,
         request: &mut Request,
--- a/sorreldoor/src/proxy/forward_request.rs
+++ b/sorreldoor/src/proxy/forward_request.rs
@@ -70,7 +70,7 @@
     if shared.is_queue_closed() {
         balancer.record_event(request_id, Event::Shutdown);
     }
-    let decision = balancer.pick(request_id, now);
+    let decision = balancer.decide(request_id, now);
     Placement {
         decision,
         route: balancer.route(request_id).cloned(),
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -168,6 +168,6 @@
 
 fn send(balancer: &mut Balancer, path: &str, now: u64) -> (RequestId, Target) {
     let request_id = begin(balancer, path, now);
-    let target = expect_send(balancer.pick(request_id, now));
+    let target = expect_send(balancer.decide(request_id, now));
     (request_id, target)
 }
--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -13,7 +13,7 @@
             unreachable = false;
         }
         let request = begin(&mut balancer, "/web/x", now);
-        let mut decision = balancer.pick(request, now);
+        let mut decision = balancer.decide(request, now);
         while let Decision::Send(target) = &decision {
             if target.name == unreachable_worker {
                 attempts.push(now);
@@ -21,7 +21,7 @@
             }
             if target.name == unreachable_worker && unreachable {
                 balancer.record_outcome(request, AttemptOutcome::ConnectFailed, now);
-                decision = balancer.pick(request, now);
+                decision = balancer.decide(request, now);
             } else {
                 balancer.record_outcome(request, AttemptOutcome::Completed(200), now + 15);
                 break;
@@ -87,7 +87,7 @@
         })),
         1001,
     );
-    let second = expect_send(balancer.pick(request, 1001));
+    let second = expect_send(balancer.decide(request, 1001));
     assert_ne!(first.name, second.name);
     for now in 1002..1008 {
         assert_eq!(send(&mut balancer, "/webonce/x", now).1.name, second.name);
@@ -112,7 +112,7 @@
                 let request = balancer
                     .begin("h", path, metadata(&prompt(*i)), *i, *i)
                     .unwrap();
-                let target = expect_send(balancer.pick(request, *i));
+                let target = expect_send(balancer.decide(request, *i));
                 balancer.finish(request, *i);
                 target.name.starts_with("web")
             });
@@ -137,7 +137,7 @@
         let request = balancer
             .begin("h", "/once/", metadata(&[(id, 20_000)]), 10, 10)
             .unwrap();
-        at.push(expect_send(balancer.pick(request, 10)).name);
+        at.push(expect_send(balancer.decide(request, 10)).name);
     }
     at.sort();
     at.dedup();
@@ -153,7 +153,7 @@
         let request = balancer
             .begin("h", "/once/", session_prompt(1000 + i * 500), 10, 10)
             .unwrap();
-        at.push(expect_send(balancer.pick(request, 10)).name);
+        at.push(expect_send(balancer.decide(request, 10)).name);
         balancer.record_outcome(request, AttemptOutcome::FirstEvent, 50);
         balancer.record_outcome(request, AttemptOutcome::Completed(200), 60);
         balancer.finish(request, 60);
@@ -202,7 +202,7 @@
                 i,
             )
             .unwrap();
-        let decision = balancer.pick(request, i);
+        let decision = balancer.decide(request, i);
         assert!(matches!(decision, Decision::Send(_)));
         balancer.record_outcome(request, AttemptOutcome::Completed(200), i + 1);
         balancer.finish(request, i + 1);
--- a/sorreldoor/tests/balancer/fuzz.rs
+++ b/sorreldoor/tests/balancer/fuzz.rs
@@ -113,7 +113,7 @@
                 };
                 let model = open.get_mut(&request).unwrap();
                 model.ran |= model.current_worker.take().is_some();
-                let decision = balancer.pick(request, now);
+                let decision = balancer.decide(request, now);
                 let route_now = balancer.route(request).unwrap();
                 (model.homes, model.attempts) = (route_now.homes.clone(), route_now.attempts);
                 model.deadline = balancer.deadline(request);
--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -29,7 +29,7 @@
     let (request, _) = send(&mut balancer, "/webonce/x", 100);
     balancer.record_outcome(request, AttemptOutcome::Failed, 120);
     assert_eq!(
-        balancer.pick(request, 120),
+        balancer.decide(request, 120),
         Decision::Reject(ErrorCode::OutcomeUnknown, 0)
     );
 }
@@ -47,7 +47,7 @@
         let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
         let (request, first) = send(&mut balancer, "/webonce/x", 20_000);
         balancer.record_outcome(request, outcome.clone(), 20_010);
-        match balancer.pick(request, 20_010) {
+        match balancer.decide(request, 20_010) {
             Decision::Send(second) => assert!(retried && first.name != second.name, "{outcome:?}"),
             decision => assert!(!retried, "{outcome:?}: {decision:?}"),
         }
@@ -57,7 +57,7 @@
         balancer.record_outcome(request, outcome.clone(), 20_020);
         // an attempt without a connection or to a deregistered worker was not
         // sent, so a third worker is not a third attempt
-        let third = matches!(balancer.pick(request, 20_020), Decision::Send(_));
+        let third = matches!(balancer.decide(request, 20_020), Decision::Send(_));
         let unsent =
             [AttemptOutcome::ConnectFailed, AttemptOutcome::Misdirected].contains(&outcome);
         assert_eq!(third, unsent, "{outcome:?}");
@@ -69,10 +69,10 @@
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
     let (request, first) = send(&mut balancer, "/web/x", 20_000);
     balancer.record_outcome(request, AttemptOutcome::Failed, 20_010);
-    let second = expect_send(balancer.pick(request, 20_010));
+    let second = expect_send(balancer.decide(request, 20_010));
     assert_ne!(first.name, second.name);
     balancer.record_outcome(request, AttemptOutcome::Rejected(None), 20_020);
-    let decision = balancer.pick(request, 20_020);
+    let decision = balancer.decide(request, 20_020);
     assert!(
         matches!(decision, Decision::Reject(ErrorCode::WorkerDisconnected, _)),
         "{decision:?}"
@@ -89,7 +89,7 @@
     );
     balancer.record_outcome(request, AttemptOutcome::Failed, 20_010);
     assert_eq!(
-        balancer.pick(request, 20_010),
+        balancer.decide(request, 20_010),
         Decision::Reject(ErrorCode::OutcomeUnknown, 0)
     );
 }
@@ -104,20 +104,20 @@
         begin(&mut balancer, "/w/x", 20_010),
         begin(&mut balancer, "/w/x", 20_010),
     );
-    let first = expect_send(balancer.pick(first_request, 20_010));
+    let first = expect_send(balancer.decide(first_request, 20_010));
     assert!(first.name.starts_with("web") && first.priority.is_none());
     balancer.apply_configuration(routed_to(0), 20_011);
-    let second = expect_send(balancer.pick(second_request, 20_011));
+    let second = expect_send(balancer.decide(second_request, 20_011));
     assert!(second.name.starts_with("model") && second.priority == Some(1));
     // a rejected attempt is routed anew as well
     balancer.record_outcome(first_request, AttemptOutcome::Rejected(None), 20_012);
-    assert!(expect_send(balancer.pick(first_request, 20_012))
+    assert!(expect_send(balancer.decide(first_request, 20_012))
         .name
         .starts_with("model"));
     let unrouted = begin(&mut balancer, "/w/x", 20_012);
     balancer.apply_configuration(hosted(vec![route("v", "/v/", Kind::Once, 1)]), 20_013);
     assert_eq!(
-        balancer.pick(unrouted, 20_013),
+        balancer.decide(unrouted, 20_013),
         Decision::Reject(ErrorCode::UnknownRoute, 0)
     );
     assert!(balancer.route(unrouted).is_none());
@@ -203,7 +203,7 @@
         balancer.set_evacuated_zones(evacuated.clone(), 0);
         for i in 0..20 {
             let request = begin(&mut balancer, path, i);
-            let chosen = match balancer.pick(request, i) {
+            let chosen = match balancer.decide(request, i) {
                 Decision::Send(target) => Some(target.name),
                 _ => None,
             };
@@ -259,18 +259,18 @@
         .begin("h", "/web/x", request_metadata, 1000, 1010)
         .unwrap();
     assert_eq!(balancer.deadline(without_deadline), 9000);
-    assert!(matches!(balancer.pick(request, 1010), Decision::Wait(delay_ms) if delay_ms > 0));
+    assert!(matches!(balancer.decide(request, 1010), Decision::Wait(delay_ms) if delay_ms > 0));
     // it is rejected with a retry time within a quarter of the latency target
     let now = 1200;
-    match balancer.pick(request, now) {
+    match balancer.decide(request, now) {
         Decision::Reject(ErrorCode::NoWorker, ms) => assert!((100..=400).contains(&ms)),
         decision => panic!("{decision:?}"),
     }
-    match balancer.pick(request, 5700) {
+    match balancer.decide(request, 5700) {
         Decision::Reject(ErrorCode::NoWorker, ms) => assert!(ms <= 100),
         decision => panic!("{decision:?}"),
     }
-    let decision = balancer.pick(request, 5998);
+    let decision = balancer.decide(request, 5998);
     assert!(
         matches!(decision, Decision::Reject(ErrorCode::NotSent, _)),
         "{decision:?}"
@@ -290,7 +290,7 @@
         .collect();
     let queued = |balancer: &mut Balancer, path: &str, now| {
         let request = begin(balancer, path, now);
-        assert!(matches!(balancer.pick(request, now), Decision::Wait(_)));
+        assert!(matches!(balancer.decide(request, now), Decision::Wait(_)));
         request
     };
     let low = queued(&mut balancer, "/low/x", 1);
@@ -301,8 +301,8 @@
     assert_eq!(balancer.take_ready(5), [high_early]);
     // a new arrival queues after those already waiting
     let high_newest = queued(&mut balancer, "/high/x", 5);
-    expect_send(balancer.pick(high_early, 5));
-    assert!(matches!(balancer.pick(high_late, 6), Decision::Wait(_)));
+    expect_send(balancer.decide(high_early, 5));
+    assert!(matches!(balancer.decide(high_late, 6), Decision::Wait(_)));
     assert_eq!(balancer.take_ready(60), [high_late, high_newest, low]);
     balancer.finish(high_late, 61);
     balancer.record_outcome(running[1], AttemptOutcome::Completed(200), 61);
@@ -331,7 +331,7 @@
             let request = balancer
                 .begin("h", "/webonce/x", metadata(&[]), now - now.min(300), now)
                 .unwrap();
-            match balancer.pick(request, now) {
+            match balancer.decide(request, now) {
                 Decision::Send(_) => open.push(request),
                 Decision::Reject(error, _) => {
                     assert_eq!(error, ErrorCode::NoWorker);
--- a/sorreldoor/tests/balancer/nodes.rs
+++ b/sorreldoor/tests/balancer/nodes.rs
@@ -227,7 +227,7 @@
         for balancer in all.iter_mut() {
             let request_metadata = metadata(&[(id, shared_tokens), (id << 32, 300)]);
             let request = balancer.begin("h", path, request_metadata, id, id).unwrap();
-            let name = expect_send(balancer.pick(request, id)).name;
+            let name = expect_send(balancer.decide(request, id)).name;
             at.extend(workers().into_iter().find(|w| w.name == name));
             balancer.finish(request, id);
         }
--- a/sorreldoor/tests/balancer/simulation.rs
+++ b/sorreldoor/tests/balancer/simulation.rs
@@ -144,16 +144,16 @@
                 SimEvent::Break(n, r, w) => {
                     self.record_outcome(n, r, AttemptOutcome::Failed);
                     self.free_slot(w);
-                    self.pick(n, r);
+                    self.decide(n, r);
                 }
                 SimEvent::Wake(n) => {
                     let t = self.clock(n);
                     for r in self.nodes[n].take_ready(t) {
-                        self.pick(n, r);
+                        self.decide(n, r);
                     }
                     self.schedule(at + 10, SimEvent::Wake(n));
                 }
-                SimEvent::Recheck(n, r) if self.waiting.contains(&(n, r)) => self.pick(n, r),
+                SimEvent::Recheck(n, r) if self.waiting.contains(&(n, r)) => self.decide(n, r),
                 SimEvent::Recheck(..) => {}
                 SimEvent::SlotFreed(w) => self.free_slot(w),
                 SimEvent::WorkerRegistry => on_registry_event(self),
@@ -233,7 +233,7 @@
             .unwrap();
         self.in_progress
             .insert((n, r), (0, segments, flow_settings.stream_ms));
-        self.pick(n, r);
+        self.decide(n, r);
         let mean_gap_ms = 1000.0 / flow_settings.per_s;
         let next = self.now as f64 + mean_gap_ms * (self.rand.below(2000) as f64 / 1000.0);
         if next < flow_settings.to as f64 {
@@ -242,10 +242,10 @@
         }
     }
 
-    fn pick(&mut self, n: usize, r: RequestId) {
+    fn decide(&mut self, n: usize, r: RequestId) {
         let t = self.clock(n);
         self.waiting.remove(&(n, r));
-        match self.nodes[n].pick(r, t) {
+        match self.nodes[n].decide(r, t) {
             Decision::Send(g) => {
                 let mut w = g.worker;
                 if self.round_robin {
@@ -262,7 +262,7 @@
                     .chance(self.backends[w as usize].connect_failure_chance)
                 {
                     self.record_outcome(n, r, AttemptOutcome::ConnectFailed);
-                    return self.pick(n, r);
+                    return self.decide(n, r);
                 }
                 let cross_region = self.registered[w as usize].region != self.region[n];
                 let latency_ms = 1 + self.rand.below(3) + if cross_region { 35 } else { 0 };
@@ -295,7 +295,7 @@
         {
             let load = Some(backend.load());
             self.record_outcome(n, r, AttemptOutcome::Rejected(load));
-            return self.pick(n, r);
+            return self.decide(n, r);
         }
         if self.rand.chance(backend.failure_chance) {
             backend.running += 1;
--- a/sorreldoor/tests/balancer/tenants.rs
+++ b/sorreldoor/tests/balancer/tenants.rs
@@ -29,7 +29,7 @@
 
 fn send_as(balancer: &mut Balancer, key: &str, path: &str, now: u64) -> Target {
     let request_id = begin_as(balancer, key, path, now);
-    expect_send(balancer.pick(request_id, now))
+    expect_send(balancer.decide(request_id, now))
 }
 
 #[test]
@@ -88,7 +88,7 @@
     let mut waiting = Vec::new();
     for key in ["iron", "iron", "iron", "gold"] {
         let request_id = begin_as(&mut balancer, key, "/web/x", 10);
-        if matches!(balancer.pick(request_id, 10), Decision::Wait(_)) {
+        if matches!(balancer.decide(request_id, 10), Decision::Wait(_)) {
             waiting.push((request_id, key));
         }
     }
@@ -120,7 +120,7 @@
         ("second", "/bound/", None),
     ] {
         let request_id = begin_as(&mut balancer, key, path, 10);
-        let sent = match balancer.pick(request_id, 10) {
+        let sent = match balancer.decide(request_id, 10) {
             Decision::Send(target) => Some(target.name),
             _ => None,
         };
@@ -134,10 +134,10 @@
     let before = with_tenants(routes(), vec![tenant("gold", 0, &[])]);
     let mut balancer = new_balancer(before, Vec::new());
     let request_id = begin_as(&mut balancer, "gold", "/web/x", 10);
-    assert!(matches!(balancer.pick(request_id, 10), Decision::Wait(_)));
+    assert!(matches!(balancer.decide(request_id, 10), Decision::Wait(_)));
     balancer.apply_configuration(with_tenants(routes(), Vec::new()), 20);
     assert_eq!(
-        balancer.pick(request_id, 30),
+        balancer.decide(request_id, 30),
         Decision::Reject(ErrorCode::UnknownKey, 0)
     );
     balancer.finish(request_id, 30);
@@ -161,9 +161,9 @@
         let begun = balancer.begin("h", "/web/x", metadata.clone(), 10, 10);
         assert_eq!(begun, Err(ErrorCode::UnknownKey));
         let begun = balancer.begin("h", "/public/x", metadata, 10, 10).unwrap();
-        assert_eq!(expect_send(balancer.pick(begun, 10)).tenant, None);
+        assert_eq!(expect_send(balancer.decide(begun, 10)).tenant, None);
     }
     let known = begin_as(&mut balancer, "gold", "/public/x", 10);
-    let target = expect_send(balancer.pick(known, 10));
+    let target = expect_send(balancer.decide(known, 10));
     assert_eq!(target.tenant.as_deref(), Some("gold"));
 }
--- a/testbed/src/emulator/policy.rs
+++ b/testbed/src/emulator/policy.rs
@@ -47,7 +47,7 @@
         Balancer::begin(self, HOST, path, requested, now, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
-        Balancer::pick(self, request_id, now)
+        Balancer::decide(self, request_id, now)
     }
     fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
         Balancer::record_outcome(self, request_id, h, now);
--- a/testbed/src/emulator/violation.rs
+++ b/testbed/src/emulator/violation.rs
@@ -43,7 +43,7 @@
         if self.violation == Violation::Mute {
             return Decision::Wait(20);
         }
-        self.balancer.pick(request_id, now)
+        self.balancer.decide(request_id, now)
     }
     fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
         let h = match h {
