--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -44,7 +44,7 @@
         }
         let trial = endpoint.outlier.start_attempt();
         let target = Target {
-            worker: choice.endpoint.0,
+            endpoint_index: choice.endpoint.0,
             name: endpoint.name.clone(),
             addr: endpoint.addr,
             time_left_ms: request.deadline.saturating_sub(now),
--- a/sorreldoor/src/balancer/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// Dense index of the endpoint, valid as long as the balancer lives.
-    pub worker: u32,
+    pub endpoint_index: u32,
     /// Name of the endpoint in the platform's registry.
     pub name: String,
     /// Where the endpoint takes requests.
--- a/sorreldoor/src/proxy/upstream/exchange.rs
+++ b/sorreldoor/src/proxy/upstream/exchange.rs
@@ -95,7 +95,7 @@
     /// Closes a connection that cannot be used again.
     pub fn close(&self, connection: Connection) {
         drop(connection);
-        self.shared.connections.discard(self.target.worker);
+        self.shared.connections.discard(self.target.endpoint_index);
     }
 
     /// Pools the connection after a complete response, or closes it if it
@@ -107,9 +107,11 @@
         if !reusable {
             return self.close(connection);
         }
-        self.shared
-            .connections
-            .release(self.target.worker, connection, head.keep_alive_s());
+        self.shared.connections.release(
+            self.target.endpoint_index,
+            connection,
+            head.keep_alive_s(),
+        );
     }
 
     /// Whether another worker could take over the request, its own having sent
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -62,7 +62,7 @@
                 exchange
                     .shared
                     .connections
-                    .acquire_new(exchange.target.worker);
+                    .acquire_new(exchange.target.endpoint_index);
             }
             result => return result,
         }
@@ -79,12 +79,12 @@
     exchange
         .shared
         .connections
-        .acquire(exchange.target.worker, max_idle)
+        .acquire(exchange.target.endpoint_index, max_idle)
 }
 
 async fn new_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
     let connections = &exchange.shared.connections;
-    let worker = exchange.target.worker;
+    let worker = exchange.target.endpoint_index;
     connections.evict_surplus(worker, exchange.target.max_conns);
     let within = Duration::from_millis(CONNECT_TIMEOUT_MS.min(exchange.time_left().max(1)));
     let addr = exchange.shared.dial_addr(exchange.target.addr);
--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -175,8 +175,11 @@
         completions.retain(|e| e.0 != now);
         if now % 30 == 0 {
             let (request, target) = send(&mut balancer, "/web/x", now);
-            attempts_by_worker[target.worker as usize] += 1;
-            completions.push((now + if target.worker == 1 { 180 } else { 60 }, request));
+            attempts_by_worker[target.endpoint_index as usize] += 1;
+            completions.push((
+                now + if target.endpoint_index == 1 { 180 } else { 60 },
+                request,
+            ));
         }
     }
     assert!(
--- a/sorreldoor/tests/balancer/simulation.rs
+++ b/sorreldoor/tests/balancer/simulation.rs
@@ -247,7 +247,7 @@
         self.waiting.remove(&(n, r));
         match self.nodes[n].decide(r, t) {
             Decision::Send(g) => {
-                let mut w = g.worker;
+                let mut w = g.endpoint_index;
                 if self.round_robin {
                     w = loop {
                         self.rotation += 1;
--- a/testbed/src/emulator/baseline.rs
+++ b/testbed/src/emulator/baseline.rs
@@ -148,7 +148,7 @@
                     self.endpoints[i].mine += 1;
                     let w = self.endpoints[i].w.clone().unwrap_or_else(Worker::blank);
                     Decision::Send(Target {
-                        worker: i as u32,
+                        endpoint_index: i as u32,
                         name: w.name,
                         addr: w.addr,
                         time_left_ms: h.deadline.saturating_sub(now),
