--- a/sorreldoor/src/balancer/mod.rs
+++ b/sorreldoor/src/balancer/mod.rs
@@ -1,9 +1,10 @@
-//! Load balancing of hosted routes: the requests in progress at this node, what
-//! is known of each endpoint, and the decision where a request goes next.
+//! Load balancing of hosted routes. A [`Balancer`] holds the requests in progress
+//! at this node and the state of each endpoint, and decides for each request
+//! whether it is sent, waits or is rejected.
 //!
-//! The module does no I/O and reads no clock. Every call takes the time in
-//! milliseconds of one monotonic clock, and every random draw comes from a seed,
-//! so that a run can be repeated.
+//! The module does no I/O and reads no clock: every call takes the time of one
+//! monotonic clock in milliseconds, and random numbers come from a seed. The same
+//! sequence of calls therefore gives the same results.
 
 mod authentication;
 mod candidates;
@@ -36,82 +37,87 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Id of a request in progress at this node; never used twice.
+/// Id of a request in progress at this node; not reused for another request.
 pub type RequestId = u64;
 
 /// The endpoint that one attempt of a request is sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Dense index of the endpoint, valid as long as the balancer lives.
+    /// Dense index of the endpoint; not reused while the balancer exists.
     pub endpoint_index: u32,
     /// Name of the endpoint in the platform's registry.
     pub name: String,
-    /// Where the endpoint takes requests.
+    /// Address at which the endpoint accepts requests.
     pub addr: SocketAddr,
     /// Time until the client's deadline, in milliseconds.
     pub time_left_ms: u64,
-    /// Scheduling priority at the engine, 0 (first) to 9; none where the
-    /// service has no engine.
+    /// Scheduling priority at the engine, from 0 (most urgent) to 9; `None` if
+    /// the service has no engine.
     pub priority: Option<u8>,
-    /// Connections that this node may open to the endpoint.
+    /// Maximum number of connections from this node to the endpoint.
     pub max_conns: u32,
-    /// Name of the tenant in whose name the request runs.
+    /// Name of the tenant that the request belongs to, if any.
     pub tenant: Option<Arc<str>>,
-    /// Requires a new connection, which proves that the endpoint is alive.
+    /// Whether the attempt needs a new connection: accepting one shows that the
+    /// endpoint is alive.
     pub new_connection: bool,
 }
 
-/// What to do with a request now.
+/// What the proxy has to do with a request now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Send an attempt to this endpoint.
     Send(Target),
-    /// Decide again when woken, at the latest after so many milliseconds.
+    /// Call [`Balancer::decide`] again once [`Balancer::take_ready`] returns the
+    /// request, and no later than after this many milliseconds.
     Wait(Millis),
-    /// Send no (further) attempt. Carries the error for the client and the
+    /// Send no (further) attempt. Contains the error for the client and the
     /// retry-after time in milliseconds; 0: the client should not retry.
     Reject(ErrorCode, Millis),
 }
 
-/// Load of an endpoint as it reports it in the head of an answer.
+/// Load of an endpoint, as reported by it in a response head.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
     /// Requests in the running batch.
     pub running: u32,
-    /// Requests in the endpoint's own queue.
+    /// Requests queued at the endpoint.
     pub waiting: u32,
-    /// Capacity of the batch; 0: not reported.
+    /// Maximum size of the batch; 0: not reported.
     pub slots: u32,
 }
 
-/// Progress or end of one attempt.
+/// Intermediate or final result of one attempt. `HeadReceived` and `FirstEvent`
+/// are intermediate, all others end the attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// The head of the answer came, with the endpoint's load and the rest of
-    /// its slow start in milliseconds, where it reports them.
+    /// The response head was received.
     HeadReceived {
-        /// Load of the endpoint; none: not reported.
+        /// Load of the endpoint; `None`: not reported.
         load: Option<LoadReport>,
-        /// Rest of its slow start, in milliseconds; none: not reported.
+        /// Remaining slow start of the endpoint in milliseconds; `None`: not
+        /// reported.
         slow_start_ms: Option<u64>,
     },
-    /// The first event of a stream, or the complete answer, came.
+    /// The first event of a stream, or the complete response, was received.
     FirstEvent,
-    /// The answer is complete; carries its HTTP status.
+    /// The response is complete. Contains its HTTP status.
     Completed(u16),
-    /// The endpoint promises that it did not run the request (429 or 503).
+    /// The endpoint refused the request without running it (429 or 503).
     Rejected(Option<LoadReport>),
-    /// Another endpoint has this address by now (421).
+    /// The address now belongs to another endpoint (421).
     Misdirected,
-    /// No connection came up: nothing was sent.
+    /// The connection was not established; nothing was sent.
     ConnectFailed,
-    /// Broken off, timed out or answered with garbage after it was sent.
+    /// The connection broke, the response timed out or it was malformed, after
+    /// the request was sent.
     Failed,
-    /// The client left or its deadline passed; not the endpoint's fault.
+    /// The client disconnected or its deadline passed. This does not count as a
+    /// failure of the endpoint.
     Canceled,
 }
 
-/// The position of this node in the site.
+/// Zone and region of this node, and the regions of all zones.
 #[derive(Clone, Debug, Default)]
 pub struct Locality {
     /// Name of this node.
@@ -120,22 +126,22 @@
     pub zone: u16,
     /// Index of this node's region.
     pub region: u8,
-    /// The region of each zone.
+    /// Region index of each zone, by zone index.
     pub regions: Vec<u8>,
 }
 
-/// Limits set by the operator that hold for all nodes together.
+/// Limits set by the operator that apply to the sum over all nodes of the site.
 #[derive(Clone, Debug)]
 pub struct SiteLimits {
-    /// Retries in any window, as a share of the requests in it.
+    /// Maximum retries in any window, as a fraction of the requests in it.
     pub retry_ratio: f64,
     /// Length of the retry window, in milliseconds.
     pub retry_window_ms: Millis,
-    /// Retries in a window that need no requests.
+    /// Retries allowed per window in addition to `retry_ratio`.
     pub retry_slack: f64,
-    /// In slow start an endpoint takes `warmup_per_s * warmup_excess +
-    /// warmup_slack` requests a second.
+    /// Factor on a service's `warmup_per_s`: an endpoint in slow start gets at most
+    /// `warmup_per_s * warmup_excess + warmup_slack` requests per second.
     pub warmup_excess: f64,
-    /// Requests a second beside the share; see `warmup_excess`.
+    /// Requests per second added to that product; see `warmup_excess`.
     pub warmup_slack: f64,
 }
