--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -1,4 +1,5 @@
-//! Sending an attempt: what is counted, and what the proxy gets to know.
+//! Starting an attempt: updates request, endpoint and counters, and returns the
+//! target to the proxy.
 
 use super::candidates::Choice;
 use super::endpoint::Endpoint;
@@ -11,14 +12,15 @@
 use crate::proxy::attempt::{Event, Repeatability};
 use crate::types::Millis;
 
-/// An endpoint that was active within this time is alive.
+/// An endpoint that sent something within this time is taken to be alive.
 const RECENTLY_ACTIVE: Millis = 200;
-/// Share of an endpoint's connection limit that is used: it resets
-/// connections beyond the limit.
+/// Fraction of an endpoint's connection limit that is used. The endpoint resets
+/// connections above the limit.
 const CONNECTION_MARGIN: f64 = 0.9;
 
 impl Balancer {
-    /// Counts an attempt at the chosen endpoint and names its target.
+    /// Starts an attempt at the chosen endpoint; returns `Decision::Send` with its
+    /// target.
     pub(super) fn send(
         &mut self,
         request: &mut Request,
@@ -38,7 +40,7 @@
         let new_connection = needs_new_connection(endpoint, route, now);
         endpoint.start_attempt(choice.prefill_tokens, now);
         if let Some(engine) = engine {
-            // requests of other nodes fill its memory too
+            // the rest of its cache holds prompts sent by other nodes
             let capacity = engine.kv_tokens * 6 / 10;
             endpoint.prefix_cache.insert(&request.segments, capacity);
         }
@@ -89,7 +91,7 @@
         self.counts.cached_tokens += u64::from(cached_tokens);
     }
 
-    /// Connections to one endpoint that this node may open.
+    /// Maximum number of connections from this node to an endpoint; at least 1.
     fn connection_share(&self, max_conns: u32, endpoint: EndpointIndex) -> u32 {
         let key = self.endpoints.get(endpoint).map_or(0, |e| e.hash);
         let total = f64::from(max_conns) * CONNECTION_MARGIN;
@@ -97,8 +99,8 @@
     }
 }
 
-/// A request that runs at most once goes out only where the endpoint is known
-/// to be alive, and a suspect endpoint has to prove it.
+/// Whether an attempt must not reuse a connection: at a suspect endpoint, and for
+/// non-idempotent requests unless the endpoint was active recently.
 fn needs_new_connection(endpoint: &Endpoint, route: &Route, now: Millis) -> bool {
     let recently_active = now < endpoint.last_activity + RECENTLY_ACTIVE;
     endpoint.suspect(now) || (!route.repeatable() && !recently_active)
