--- a/sorreldoor/src/balancer/candidates.rs
+++ b/sorreldoor/src/balancer/candidates.rs
@@ -1,6 +1,7 @@
-//! The endpoints of a service that may take a request now, and the best of them.
+//! Endpoint selection: filters the endpoints of a service by the rules of
+//! registry, route and tenant, and finds the cheapest of them for a request.
 
-use super::cost::{PromptProfile, Query};
+use super::cost::{PromptProfile, RequestContext};
 use super::endpoint::{Endpoint, SLOW_START_WINDOW};
 use super::hash;
 use super::index::{EndpointIndex, ServiceIndex};
@@ -10,33 +11,35 @@
 use crate::configuration::hosted::{Route, Service};
 use crate::types::Millis;
 
-/// Load of an endpoint over its slots up to which it gets requests: a few that
-/// queue keep it busy, more only wait.
+/// Maximum ratio of load to slots at which an endpoint has capacity. Above 1, as a
+/// few queued requests keep the endpoint busy.
 const MAX_LOAD_RATIO: f64 = 1.5;
-/// Share of the rate limit of slow start that is used.
+/// Fraction of the rate limit of slow start that is used.
 const SLOW_START_MARGIN: f64 = 0.85;
 
-/// An endpoint that may be chosen, and what its choice assumes.
+/// An endpoint evaluated for a request, with its cost and the estimates behind it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Choice {
     pub endpoint: EndpointIndex,
     pub cost: f64,
     pub load: f64,
-    /// Leading prompt segments expected in its prefix cache.
+    /// Number of leading prompt segments expected in its prefix cache.
     pub cached_segments: usize,
     /// Prompt tokens left for prefill.
     pub prefill_tokens: u32,
 }
 
-/// What a service offers a request now.
+/// The best endpoints of a service for a request, and the capacity of all that are
+/// eligible.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Candidates {
-    /// Number of endpoints that may take it at all.
+    /// Number of endpoints that the rules allow, with or without capacity.
     pub eligible: u32,
     /// The cheapest endpoints with capacity: in this region, and in others.
     local: Option<Choice>,
     remote: Option<Choice>,
-    /// The least loaded endpoint without capacity.
+    /// The least loaded endpoint without capacity. Endpoints of other regions count
+    /// as without capacity once all their slots are in use.
     pub overloaded: Option<Choice>,
     /// Slots of the eligible endpoints, and those in use.
     pub slots: f64,
@@ -44,19 +47,19 @@
 }
 
 impl Candidates {
-    /// The endpoint to send to. Another region is far, while an endpoint of this
-    /// region queues only briefly.
+    /// The endpoint to send to, if one has capacity. Endpoints of this region come
+    /// first: a short queue there takes less time than the way to another region.
     pub fn best(&self) -> Option<Choice> {
         self.local.or(self.remote)
     }
 }
 
-/// The settings of a service that are needed for each endpoint.
+/// The settings of a service that the evaluation of its endpoints uses.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceProfile {
     /// Slots of an endpoint as configured; 0: not configured.
     pub slots: u32,
-    /// Requests a second that an endpoint in slow start bears; 0: no limit.
+    /// Requests per second that an endpoint in slow start can serve; 0: no limit.
     pub warmup_per_s: f64,
     pub has_engine: bool,
 }
@@ -78,15 +81,15 @@
     }
 }
 
-/// Whether homes allow a region; without any all are allowed.
+/// Whether `homes` allows a region; an empty list allows all.
 fn is_home(homes: &[u8], region: u8) -> bool {
     homes.is_empty() || homes.contains(&region)
 }
 
 impl Balancer {
-    /// Looks at all endpoints of a service. Ejected ones that are not due for a
-    /// trial count only if `include_ejected` is set.
-    pub(super) fn candidates(
+    /// Evaluates all endpoints of a service for a request. Ejected endpoints without
+    /// a due trial are eligible only if `include_ejected` is set.
+    pub(super) fn evaluate_endpoints(
         &mut self,
         service: ServiceIndex,
         request: &Request,
@@ -99,7 +102,7 @@
             return candidates;
         };
         let state = &self.services[service];
-        let query = Query {
+        let context = RequestContext {
             request,
             prompt: PromptProfile::new(request, &profile, state, now),
             profile,
@@ -115,7 +118,7 @@
                 self.may_serve(endpoint, *index, request, route) && usable(endpoint)
             })
         };
-        let preferred = self.preferred_endpoint(&query.prompt, eligible());
+        let preferred = self.preferred_endpoint(&context.prompt, eligible());
         let mut rng = self.rng.clone();
         for (index, endpoint) in eligible() {
             let slots = profile.slots_of(endpoint);
@@ -124,13 +127,13 @@
             candidates.slots += slots;
             candidates.used_slots += load.min(slots);
             let is_preferred = preferred == Some(index);
-            let choice = self.evaluate(&query, (index, endpoint), is_preferred, rng.unit());
+            let choice = self.evaluate(&context, (index, endpoint), is_preferred, rng.unit());
             if self.slow_start_exhausted(endpoint, &profile, now) {
                 continue;
             }
             let has_capacity = load < slots * MAX_LOAD_RATIO && now >= endpoint.overloaded_until;
             let local = endpoint.region == self.locality.region;
-            let near = local || (query.prompt.long_prefix && load < slots);
+            let near = local || (context.prompt.long_prefix && load < slots);
             let best = match (has_capacity, near) {
                 (true, true) => &mut candidates.local,
                 (true, false) if load < slots => &mut candidates.remote,
@@ -156,8 +159,9 @@
         indices.filter_map(|index| Some((*index, self.endpoints.get(*index)?)))
     }
 
-    /// Whether the rules of the registry and the route let an endpoint serve a
-    /// request.
+    /// Whether an endpoint may serve a request: it accepts requests, its zone is not
+    /// evacuated, the homes of route and tenant allow its region, and it was not
+    /// tried before.
     fn may_serve(
         &self,
         endpoint: &Endpoint,
@@ -173,8 +177,8 @@
             && !request.tried.contains(&index)
     }
 
-    /// The endpoint that every node prefers for a prompt prefix, found by
-    /// rendezvous hashing without any exchange between nodes.
+    /// The endpoint preferred for a prompt prefix, by rendezvous hashing. Nodes with
+    /// the same registry prefer the same endpoint without communication.
     fn preferred_endpoint<'a>(
         &self,
         prompt: &PromptProfile,
@@ -192,7 +196,7 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether this node has used its share of an endpoint's slow start.
+    /// Whether this node has used up its share of an endpoint's slow-start rate.
     fn slow_start_exhausted(
         &self,
         endpoint: &Endpoint,
@@ -203,13 +207,13 @@
         if !limited {
             return false;
         }
-        // a restarted node forgot its earlier attempts
+        // attempts before a restart of this node are not in the count
         let restarted = now < self.started_at.unwrap_or(now) + SLOW_START_WINDOW;
         restarted || endpoint.recent_attempts(now) >= self.slow_start_share(endpoint, profile)
     }
 
-    /// This node's share of the attempts in one window that all nodes together
-    /// may send to an endpoint in slow start.
+    /// Attempts that this node may send to an endpoint in slow start within one
+    /// [`SLOW_START_WINDOW`]: its share of the limit for all nodes.
     fn slow_start_share(&self, endpoint: &Endpoint, profile: &ServiceProfile) -> u32 {
         let site_limits = &self.site_limits;
         let per_second =
--- a/sorreldoor/src/balancer/cost.rs
+++ b/sorreldoor/src/balancer/cost.rs
@@ -1,5 +1,5 @@
-//! What a request costs at an endpoint: in milliseconds for engines, in shares of
-//! an endpoint's load for other services.
+//! The cost of sending a request to an endpoint: an estimate in milliseconds for
+//! engines, a fraction of the endpoint's slots for other services.
 
 use super::candidates::{Choice, ServiceProfile};
 use super::endpoint::Endpoint;
@@ -11,39 +11,41 @@
 use super::state::Balancer;
 use crate::types::Millis;
 
-/// Fewer shared tokens than these are read anywhere at little cost.
+/// Shared prefixes with fewer tokens are cheap to prefill at any endpoint.
 const SMALL_PREFIX_TOKENS: u32 = 256;
-/// Longer prompts make no good trials of ejected endpoints.
+/// Longest prompt that is used as the trial of an ejected endpoint.
 const TRIAL_PROMPT_TOKENS: u32 = 2000;
 /// Round trip to another region, in milliseconds.
 const REMOTE_REGION_MS: f64 = 80.0;
-/// Penalty of an endpoint for the other kind of prompt, in milliseconds.
+/// Penalty for a short prompt at an endpoint for long ones, in milliseconds; twice
+/// this for a long prompt at an endpoint for short ones.
 const MISPLACED_PROMPT_MS: f64 = 100.0;
-/// Penalty of an endpoint that may be dead, in milliseconds.
+/// Penalty of a suspect endpoint, in milliseconds; see [`Endpoint::suspect`].
 const SUSPECT_MS: f64 = 100.0;
-/// Penalties of another zone, in milliseconds: for prompts with little to share,
-/// and for others.
+/// Penalties of another zone, in milliseconds: for prompts with fewer shared tokens
+/// than [`SMALL_PREFIX_TOKENS`], and for others.
 const REMOTE_ZONE_MS: f64 = 8.0;
 const REMOTE_ZONE_SHARED_MS: f64 = 4.0;
 /// Penalty of slow start, in milliseconds.
 const SLOW_START_MS: f64 = 8.0;
-/// Range of the noise that keeps nodes apart, in milliseconds.
+/// Range of the random part of the cost, in milliseconds. It prevents all nodes
+/// from choosing the same endpoint at once.
 const NOISE_MS: f64 = 6.0;
-/// The cost of a due trial: below every other cost.
+/// The cost of a due trial: lower than all others.
 const TRIAL_COST: f64 = -1.0;
 
-/// The properties of a request's prompt that its cost rests on.
+/// The properties of a request's prompt that determine its cost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PromptProfile {
     tokens: u32,
     shared_tokens: u32,
-    /// Affinity key of the shared prefix; none without an engine.
+    /// Affinity key of the shared prefix; `None` without an engine.
     pub prefix_key: Option<u64>,
-    /// The shared prefix is worth the way to another region.
+    /// Prefill of the shared prefix takes longer than the way to another region.
     pub long_prefix: bool,
-    /// Its prefill stalls other requests for long.
+    /// Its prefill delays other requests for long.
     pub long_prompt: bool,
-    /// The service got such prompts recently.
+    /// The service had long prompts recently.
     recent_long_prompts: bool,
 }
 
@@ -67,48 +69,48 @@
     }
 }
 
-/// What endpoints are evaluated for.
-pub(super) struct Query<'a> {
+/// The request that endpoints are evaluated for, and the settings of its service.
+pub(super) struct RequestContext<'a> {
     pub request: &'a Request,
     pub prompt: PromptProfile,
     pub profile: ServiceProfile,
     pub now: Millis,
 }
 
-/// What a request would meet at one endpoint.
+/// The expected state of one endpoint if the request were sent there.
 struct Placement<'a> {
     endpoint: &'a Endpoint,
-    /// Load over slots once the request is there.
+    /// Load over slots, including the request.
     load_ratio: f64,
-    /// Requests that the request would delay.
+    /// Requests running and waiting there, without the request.
     load: f64,
-    /// Tokens of the prompt expected in the prefix cache, and the rest.
+    /// Prompt tokens expected in the prefix cache, and those left for prefill.
     cached_tokens: u32,
     prefill_tokens: u32,
-    /// All nodes prefer this endpoint for the prefix.
+    /// Whether this is the preferred endpoint for the prefix.
     preferred: bool,
-    /// The prompt has segments besides the request's own.
+    /// Whether the prompt has segments besides the request's own.
     has_shared_segments: bool,
-    /// Random fraction.
+    /// Random number between 0 and 1.
     noise: f64,
 }
 
 impl Balancer {
-    /// Evaluates an endpoint for a request. `preferred` marks the endpoint that
-    /// all nodes prefer for the prefix; `noise` is a random fraction.
+    /// Computes the cost of an endpoint for a request. `preferred`: it is the
+    /// preferred endpoint for the prefix; `noise`: a random number between 0 and 1.
     pub(super) fn evaluate(
         &self,
-        query: &Query,
+        context: &RequestContext,
         (index, endpoint): (EndpointIndex, &Endpoint),
         preferred: bool,
         noise: f64,
     ) -> Choice {
-        let Query {
+        let RequestContext {
             request,
             prompt,
             profile,
             now,
-        } = query;
+        } = context;
         let now = *now;
         let load = self.expected_load(endpoint, prompt, preferred, now);
         let hit = match profile.has_engine {
@@ -116,8 +118,8 @@
             false => Default::default(),
         };
         let has_shared_segments = request.segments.len() > 1;
-        // other nodes send this prefix there too; a single segment may well be the
-        // request's own, and new
+        // other nodes send this prefix to the preferred endpoint too; a single
+        // segment is often the request's own and not cached yet
         let cached_tokens = match preferred && has_shared_segments {
             true => hit.tokens.max(prompt.shared_tokens),
             false => hit.tokens,
@@ -148,8 +150,9 @@
         }
     }
 
-    /// The load of an endpoint. What one node sends of a hot long prefix, all
-    /// nodes send, though their requests are not reported yet.
+    /// The load of an endpoint. For the preferred endpoint of a long prefix it is at
+    /// least an estimate from this node's requests and the number of nodes, as load
+    /// reports do not include the latest requests of other nodes.
     fn expected_load(
         &self,
         endpoint: &Endpoint,
@@ -157,13 +160,13 @@
         preferred: bool,
         now: Millis,
     ) -> f64 {
-        let senders = if preferred && prompt.long_prefix {
+        let nodes = if preferred && prompt.long_prefix {
             self.nodes.count()
         } else {
             0
         };
         let in_flight = f64::from(endpoint.in_flight());
-        endpoint.load(now).max(0.6 * in_flight * f64::from(senders))
+        endpoint.load(now).max(0.6 * in_flight * f64::from(nodes))
     }
 
     /// The cost at an engine, in milliseconds.
@@ -172,9 +175,9 @@
         let per_token = self.services[endpoint.service].prefill_ms_per_token;
         let prefill = f64::from(placement.prefill_tokens) * per_token;
         let uncached = prompt.shared_tokens.saturating_sub(placement.cached_tokens);
-        let reread = f64::from(uncached) * per_token;
-        // a long prefill stalls all requests that run beside it
-        let stall = (endpoint.prefill_tokens() as f64) * per_token
+        let recompute = f64::from(uncached) * per_token;
+        // prefill delays all requests that run at the same time
+        let delay = (endpoint.prefill_tokens() as f64) * per_token
             + prefill * (0.1 * placement.load).min(1.0);
         let ratio = placement.load_ratio;
         let queue = 60.0 * ratio + 1500.0 * (ratio - 0.8).max(0.0);
@@ -182,16 +185,18 @@
             true => 0.0,
             false => REMOTE_REGION_MS,
         };
-        // nodes that turn away from the preferred endpoint agree on the next
+        // a fixed order of the endpoints per prefix: nodes that avoid the preferred
+        // endpoint choose the same alternative
         let key = prompt.prefix_key;
-        let order = key.map_or(0.0, |key| hash::unit(hash::mix(key, endpoint.hash)));
-        // the turns of a session meet there, unless it is busy with prefill
-        let reread = match placement.preferred && !placement.has_shared_segments {
-            true => reread * 0.5,
-            false => reread,
+        let fallback_order = key.map_or(0.0, |key| hash::unit(hash::mix(key, endpoint.hash)));
+        // later turns of a session go to the preferred endpoint, unless it is busy
+        // with prefill
+        let recompute = match placement.preferred && !placement.has_shared_segments {
+            true => recompute * 0.5,
+            false => recompute,
         };
-        endpoint.latency_ratio * (queue + prefill + stall)
-            + reread * (1.1 - 0.1 * order)
+        endpoint.latency_ratio * (queue + prefill + delay)
+            + recompute * (1.1 - 0.1 * fallback_order)
             + self.zone_cost(endpoint, prompt)
             + region
             + misplacement_cost(endpoint, prompt)
@@ -217,7 +222,7 @@
         }
     }
 
-    /// The cost at an endpoint without engine, in shares of its load.
+    /// The cost at an endpoint without engine, as a fraction of its slots.
     fn plain_cost(&self, placement: &Placement, now: Millis) -> f64 {
         let endpoint = placement.endpoint;
         let same_zone = endpoint.zone == self.locality.zone;
@@ -233,7 +238,7 @@
     }
 }
 
-/// Keeps long prompts and short ones on separate endpoints.
+/// The penalty that keeps long and short prompts on separate endpoints.
 fn misplacement_cost(endpoint: &Endpoint, prompt: &PromptProfile) -> f64 {
     match (prompt.long_prompt, endpoint.serves_long_prompts) {
         (true, false) => 2.0 * MISPLACED_PROMPT_MS,
@@ -242,8 +247,8 @@
     }
 }
 
-/// The cost at an ejected endpoint: a due trial comes first, with a short prompt
-/// if there is one. Where all are ejected, the one ejected longest is least bad.
+/// Adjusts the cost for ejection. A due trial with a short prompt has the lowest
+/// cost of all; other ejected endpoints cost more by the rest of their ejection time.
 fn trial_cost(endpoint: &Endpoint, prompt: &PromptProfile, cost: f64, now: Millis) -> f64 {
     let ejected_until = endpoint.outlier.ejected_until();
     let short = prompt.tokens <= TRIAL_PROMPT_TOKENS;
--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -1,4 +1,5 @@
-//! Where a request goes now, whether it waits, or why it is rejected.
+//! The decision on a request: the endpoint it is sent to, whether it waits for
+//! capacity, or the error it is rejected with.
 
 use super::authentication::Caller;
 use super::candidates::Candidates;
@@ -13,42 +14,46 @@
 use crate::proxy::attempt::{ClientAnswer, Event, Repeatability};
 use crate::types::Millis;
 
-/// With less time left no attempt is sent.
+/// No attempt is sent with less time than this left until the deadline.
 pub(super) const MIN_TIME_LEFT: Millis = 5;
-/// Range of the retry-after time of a rejection.
+/// Range from which the retry-after time of a rejection is drawn.
 const MIN_RETRY_AFTER: Millis = 100;
 const MAX_RETRY_AFTER: Millis = 400;
 
-/// A service in a request's own order of the services of its route.
+/// A service and its rank in the order in which a request prefers the services of
+/// its route; the lowest rank is first.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RankedService {
     pub service: ServiceIndex,
     pub rank: f64,
 }
 
-/// The place of a request in the wait queue, and how long it may wait.
+/// Queue and position in which a request waits, and until when.
 #[derive(Clone, Copy, Debug)]
-struct QueueSlot {
+struct QueueEntry {
     key: QueueKey,
     position: Position,
     wait_until: Millis,
 }
 
 impl Balancer {
-    /// The service that follows the rank `after` in the request's own order.
+    /// The service with the lowest rank above `after`, by weighted rendezvous
+    /// hashing: over many requests the services are used in proportion to their
+    /// weights.
     pub(super) fn next_service(
         &self,
         request: &Request,
         route: &Route,
         after: f64,
     ) -> Option<RankedService> {
-        // one prefix must keep to one service, or it is read twice
+        // requests with the same prefix go to the same service, so that it is
+        // prefilled once
         let affinity = request.prefix_key().filter(|_| route.sticky);
-        let draw = affinity.unwrap_or(request.split_draw);
+        let key = affinity.unwrap_or(request.split_key);
         let weighted = route.split.iter().filter(|(_, weight)| *weight > 0);
         let ranked = weighted.filter_map(|(config_index, weight)| {
             let service = *self.configured_services.get(*config_index as usize)?;
-            let rank = rendezvous_rank(draw, self.services[service].hash, *weight);
+            let rank = rendezvous_rank(key, self.services[service].hash, *weight);
             Some(RankedService { service, rank })
         });
         ranked
@@ -56,8 +61,8 @@
             .min_by(|a, b| a.rank.total_cmp(&b.rank))
     }
 
-    /// Decides on a request under the configuration in force. An attempt that
-    /// is still in flight counts as canceled.
+    /// Decides what happens next to a request under the current configuration. An
+    /// attempt that is still in flight is recorded as canceled.
     pub fn decide(&mut self, request_id: RequestId, now: Millis) -> Decision {
         self.advance_clock(now);
         self.leave_queue(request_id);
@@ -89,7 +94,7 @@
         route: Option<&Route>,
         now: Millis,
     ) -> Decision {
-        // without a route nothing says that it is idempotent
+        // a request without a route is not known to be idempotent
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
         request.progress.on(Event::ConfigurationChanged(kind));
         if !request.progress.may_send() {
@@ -99,7 +104,7 @@
             return Decision::Reject(ErrorCode::UnknownRoute, 0);
         };
         if request.caller == Caller::Unauthenticated {
-            // its key was revoked while it waited or ran
+            // the API key was revoked after the request began
             self.counts.unauthenticated += 1;
             return self.reject(request, ErrorCode::UnknownKey, now);
         }
@@ -113,11 +118,11 @@
         let Some(first) = self.next_service(request, route, 0.0) else {
             return self.reject(request, ErrorCode::NoWorker, now);
         };
-        let slot = queue_slot(request_id, request, route, first.service);
+        let entry = queue_entry(request_id, request, route, first.service);
         let untried = request.tried.is_empty();
-        let may_wait = now < slot.wait_until;
-        if untried && may_wait && self.wait_queue.any_ahead_of(slot.key, slot.position) {
-            return self.wait(request, slot, now);
+        let may_wait = now < entry.wait_until;
+        if untried && may_wait && self.wait_queue.any_ahead_of(entry.key, entry.position) {
+            return self.wait(request, entry, now);
         }
         let (service, candidates) = self.find_candidates(request, route, now);
         if request.reached_endpoint && !self.allows_retry(service, now) {
@@ -127,11 +132,12 @@
             return self.send(request, service, best, route, now);
         }
         if may_wait {
-            return self.wait(request, slot, now);
+            return self.wait(request, entry, now);
         }
-        // a rejection while half the slots are free is worse than a queue
+        // with more than half of the slots free, an overloaded endpoint is better
+        // than a rejection
         let underused = candidates.used_slots * 2.0 < candidates.slots;
-        // a request that has begun must not end because it would have to wait
+        // a request that may have run is not rejected for lack of capacity
         let may_queue = underused || request.progress.may_have_run();
         match candidates.overloaded.filter(|_| may_queue) {
             Some(overloaded) => self.send(request, service, overloaded, route, now),
@@ -148,21 +154,23 @@
         budget.allows_retry(&self.site_limits, slack, now)
     }
 
-    fn wait(&mut self, request: &mut Request, slot: QueueSlot, now: Millis) -> Decision {
+    fn wait(&mut self, request: &mut Request, entry: QueueEntry, now: Millis) -> Decision {
         if !std::mem::replace(&mut request.has_waited, true) {
             self.counts.waited += 1;
         }
-        // one that avoids an endpoint must not hold up those behind it
+        // a request that excludes tried endpoints must not block those behind it
         if request.tried.is_empty() {
-            request.queued = Some((slot.key, slot.position));
-            self.wait_queue.insert(slot.key, slot.position, now);
+            request.queued = Some((entry.key, entry.position));
+            self.wait_queue.insert(entry.key, entry.position, now);
         }
-        let remaining = slot.wait_until.saturating_sub(now);
+        let remaining = entry.wait_until.saturating_sub(now);
         Decision::Wait(remaining.clamp(1, RECHECK_INTERVAL))
     }
 
-    /// The first service in the request's order that has endpoints for it.
-    /// Ejected endpoints count only where no service has others.
+    /// The first service in the request's order with eligible endpoints, and the
+    /// candidates there. Ejected endpoints without a due trial are eligible only
+    /// if no service has others. Without any eligible endpoint the candidates are
+    /// empty.
     pub(super) fn find_candidates(
         &mut self,
         request: &Request,
@@ -174,7 +182,7 @@
             let mut after = 0.0;
             while let Some(ranked) = self.next_service(request, route, after) {
                 let candidates =
-                    self.candidates(ranked.service, request, route, include_ejected, now);
+                    self.evaluate_endpoints(ranked.service, request, route, include_ejected, now);
                 if candidates.eligible > 0 {
                     return (ranked.service, candidates);
                 }
@@ -192,7 +200,7 @@
             _ if request.progress.may_run_twice() => ErrorCode::WorkerDisconnected,
             _ => ErrorCode::OutcomeUnknown,
         };
-        // clients wait for up to a third of the time that they have left
+        // at most a third of the time left, so that the client can still retry
         let max_wait = request.deadline.saturating_sub(now) / 3;
         let range = (MAX_RETRY_AFTER - MIN_RETRY_AFTER) as f64;
         let retry_after = MIN_RETRY_AFTER + (self.rng.unit() * range) as Millis;
@@ -203,13 +211,13 @@
     }
 }
 
-fn queue_slot(
+fn queue_entry(
     request_id: RequestId,
     request: &Request,
     route: &Route,
     service: ServiceIndex,
-) -> QueueSlot {
-    QueueSlot {
+) -> QueueEntry {
+    QueueEntry {
         key: QueueKey {
             service,
             regions: allowed_regions(&route.homes, request.caller.homes()),
@@ -223,13 +231,13 @@
     }
 }
 
-/// Homes as a bit set; 0: all regions.
+/// Home regions as a bit set; 0 for an empty list, which allows all regions.
 fn region_bits(homes: &[u8]) -> u64 {
     homes.iter().fold(0, |bits, home| bits | 1 << (home & 63))
 }
 
-/// The regions that may serve a request, as a bit set; 0: all. Both the homes
-/// of the route and those of the tenant bind.
+/// The regions allowed by the homes of both the route and the tenant, as a bit
+/// set; 0 if neither has homes, or if they have no region in common.
 fn allowed_regions(route: &[u8], tenant: &[u8]) -> u64 {
     match (region_bits(route), region_bits(tenant)) {
         (0, bits) | (bits, 0) => bits,
@@ -237,14 +245,14 @@
     }
 }
 
-/// How long after its arrival a request may still wait, in milliseconds.
+/// Time after its arrival until which a request may wait, in milliseconds.
 fn max_wait(route: &Route, reached_endpoint: bool) -> Millis {
     let latency_target = match route.aim_ms {
         0 => route.timeout_ms / 2,
         target => target,
     };
-    // rejected within a quarter of the target, a client's retry can still be
-    // in time
+    // after a rejection within a quarter of the target, the client's retry can
+    // still meet the target
     let quarter = latency_target / 4;
     if reached_endpoint {
         quarter * 2
--- a/sorreldoor/src/balancer/failover.rs
+++ b/sorreldoor/src/balancer/failover.rs
@@ -1,4 +1,4 @@
-//! Whether a request may leave its endpoint for another one.
+//! Failover: whether a request in flight may be moved to another endpoint.
 
 use super::decide::MIN_TIME_LEFT;
 use super::endpoint::Endpoint;
@@ -9,10 +9,11 @@
 use crate::types::Millis;
 
 impl Balancer {
-    /// Whether another endpoint could take over a request that is in flight: its
-    /// route, its attempts so far, the retry budget and the load of other
-    /// endpoints allow it, and nothing came from its endpoint for `silence`
-    /// milliseconds; 0: whether or not something came.
+    /// Whether a request in flight may be moved to another endpoint: its route and
+    /// progress, its number of attempts, the time left and the retry budget allow it, another
+    /// endpoint has capacity, and the current endpoint has sent nothing to any
+    /// request for `silence` milliseconds. With `silence` 0 the activity of the
+    /// endpoint is not considered.
     pub fn may_fail_over(&mut self, request_id: RequestId, silence: Millis, now: Millis) -> bool {
         let Some(request) = self.requests.check_out(request_id) else {
             return false;
@@ -32,7 +33,7 @@
         silence: Millis,
         now: Millis,
     ) -> bool {
-        let current = request.generation == self.generation;
+        let current = request.configuration_generation == self.configuration_generation;
         let route = request.route.filter(|_| current);
         let Some(route) = route.and_then(|index| hosted.routes.get(index as usize)) else {
             return false;
@@ -42,7 +43,7 @@
         if exhausted || too_late || !request.progress.may_run_twice() {
             return false;
         }
-        // an endpoint that answers others is slow, not dead
+        // an endpoint that responds to other requests is slow, not dead
         let silent = |e: &&Endpoint| silence == 0 || e.last_activity + silence <= now;
         let endpoint = request
             .attempt
--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The begin and the end of a request, and its route and deadline in between.
+//! The lifecycle of a request: admission, its route and deadline under the current
+//! configuration, and removal.
 
 use super::authentication::Caller;
 use super::request_table::Request;
@@ -12,13 +13,13 @@
 use crate::types::Millis;
 
 impl Balancer {
-    /// Adds a request whose head came; it counts for the retry budget from now
-    /// on. `host` and `path` are as the client wrote them.
+    /// Adds a request after its head was received, and counts it for the retry
+    /// budget. `host` and `path` are as sent by the client.
     ///
     /// # Errors
     /// `NoConfiguration` before the first configuration, `UnknownRoute` if no
-    /// route matches, `UnknownKey` if no tenant holds the request's key and the
-    /// route needs one, `QuotaExceeded` if the tenant has requested too much.
+    /// route matches, `UnknownKey` if the route requires a key and no tenant has
+    /// the one sent, `QuotaExceeded` if the tenant's quota is used up.
     pub fn begin(
         &mut self,
         host: &str,
@@ -51,8 +52,8 @@
             api_key: metadata.api_key,
             route: Some(route_index),
             caller,
-            generation: self.generation,
-            split_draw: self.rng.next(),
+            configuration_generation: self.configuration_generation,
+            split_key: self.rng.next(),
             attempt: None,
             tried: Vec::new(),
             attempts: 0,
@@ -66,7 +67,8 @@
         Ok(self.requests.insert(request))
     }
 
-    /// Counts a request against the quota of its tenant.
+    /// Counts a request against the quota of its tenant; returns whether it is
+    /// admitted.
     fn within_quota(&mut self, caller: &Caller, now: Millis) -> bool {
         let limited = caller
             .tenant()
@@ -89,32 +91,33 @@
         self.counts.begun += 1;
     }
 
-    /// The request's route in the configuration in force.
+    /// The request's route in the current configuration.
     pub fn route(&self, request_id: RequestId) -> Option<&Route> {
         let request = self.requests.get(request_id)?;
         let hosted = self.hosted.as_ref()?;
-        // an index means nothing in another configuration
-        let index = match request.generation == self.generation {
+        // indices are valid only in the configuration they were found in
+        let index = match request.configuration_generation == self.configuration_generation {
             true => request.route?,
             false => hosted.find(&request.host, &request.path)?,
         };
         hosted.routes.get(index as usize).map(|route| &**route)
     }
 
-    /// The request's deadline, on the clock of `now`; 0 if it is unknown.
+    /// The request's deadline, on the clock of `now`; 0 for an unknown request.
     pub fn deadline(&self, request_id: RequestId) -> Millis {
         self.requests
             .get(request_id)
             .map_or(0, |request| request.deadline)
     }
 
-    /// Looks route and tenant up again if the configuration has changed.
+    /// Updates route, deadline and caller if the configuration has changed since they
+    /// were set.
     pub(super) fn refresh_route(&self, request: &mut Request, hosted: &Hosted) {
-        if request.generation == self.generation {
+        if request.configuration_generation == self.configuration_generation {
             return;
         }
         request.route = hosted.find(&request.host, &request.path);
-        request.generation = self.generation;
+        request.configuration_generation = self.configuration_generation;
         if let Some(index) = request.route {
             let route = &hosted.routes[index as usize];
             request.deadline = deadline(route, request.client_timeout_ms, request.arrived_at);
@@ -122,19 +125,19 @@
         }
     }
 
-    /// Records an event that only the request's own progress depends on.
+    /// Records an event that affects the request's progress, but no endpoint.
     pub fn record_event(&mut self, request_id: RequestId, event: Event) {
         if let Some(request) = self.requests.get_mut(request_id) {
             request.progress.on(event);
         }
     }
 
-    /// Removes a request, whatever its state.
+    /// Removes a request in any state. An attempt in flight is ended.
     pub fn finish(&mut self, request_id: RequestId, now: Millis) {
         self.advance_clock(now);
         self.leave_queue(request_id);
         let attempt = self.requests.get(request_id).and_then(|r| r.attempt);
-        self.close_attempt(request_id, true);
+        self.release_attempt(request_id, true);
         self.requests.remove(request_id);
         if let Some(attempt) = attempt {
             self.remove_if_unused(attempt.endpoint);
@@ -149,14 +152,15 @@
         }
     }
 
-    /// The waiting requests that may find capacity now, the first in order first.
+    /// The waiting requests that may find capacity now, in queue order. The caller
+    /// decides on each of them again.
     pub fn take_ready(&mut self, now: Millis) -> Vec<RequestId> {
         self.advance_clock(now);
         self.wait_queue.take_ready(now)
     }
 }
 
-/// The client's deadline or the route's, whichever ends first.
+/// The earlier of the client's deadline and the route's.
 fn deadline(route: &Route, client_timeout_ms: Option<u64>, arrived_at: Millis) -> Millis {
     arrived_at
         + client_timeout_ms
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -1,5 +1,5 @@
-//! What the outcome of an attempt changes: the request, the endpoint and the
-//! retry budget.
+//! Applies the outcome of an attempt to the request, the endpoint and the retry
+//! budget.
 
 use super::endpoint::OVERLOAD_BACKOFF;
 use super::outlier_detection::HealthSignal;
@@ -11,7 +11,7 @@
 use crate::types::Millis;
 
 impl AttemptOutcome {
-    /// Whether the outcome shows that the endpoint is alive.
+    /// Whether the endpoint sent something, and so is alive.
     fn shows_activity(&self) -> bool {
         !matches!(
             self,
@@ -21,8 +21,8 @@
 }
 
 impl Balancer {
-    /// Records the progress or the end of the request's current attempt.
-    /// Without a current attempt nothing changes.
+    /// Records an outcome of the request's current attempt. Does nothing if there is
+    /// no current attempt.
     pub fn record_outcome(&mut self, request_id: RequestId, outcome: AttemptOutcome, now: Millis) {
         self.advance_clock(now);
         let Some(attempt) = self.requests.get(request_id).and_then(|r| r.attempt) else {
@@ -39,30 +39,30 @@
             AttemptOutcome::FirstEvent => self.record_first_event(request_id, now),
             AttemptOutcome::Completed(status) => {
                 self.record_completed(request_id, attempt, status, now);
-                self.close_attempt(request_id, true);
-                self.end_attempt(request_id, Event::ResponseComplete, None);
+                self.release_attempt(request_id, true);
+                self.record_attempt_end(request_id, Event::ResponseComplete, None);
             }
             AttemptOutcome::Rejected(load) => self.attempt_rejected(request_id, attempt, load, now),
             AttemptOutcome::Misdirected => self.attempt_misdirected(request_id, attempt),
             AttemptOutcome::ConnectFailed => self.connect_failed(request_id, attempt, now),
             AttemptOutcome::Failed => {
-                self.close_attempt(request_id, true);
+                self.release_attempt(request_id, true);
                 self.record_health(attempt, HealthSignal::Failure, now);
-                self.end_attempt(
+                self.record_attempt_end(
                     request_id,
                     Event::Closed,
                     Some(ErrorCode::WorkerDisconnected),
                 );
             }
             AttemptOutcome::Canceled => {
-                self.close_attempt(request_id, true);
-                self.end_attempt(request_id, Event::Closed, None);
+                self.release_attempt(request_id, true);
+                self.record_attempt_end(request_id, Event::Closed, None);
             }
         }
         self.remove_if_unused(attempt.endpoint);
     }
 
-    /// Something came from the endpoint of the request's current attempt.
+    /// Records that the endpoint of the request's current attempt sent something.
     pub fn record_activity(&mut self, request_id: RequestId, now: Millis) {
         let attempt = self.requests.get(request_id).and_then(|r| r.attempt);
         let endpoint = attempt.and_then(|attempt| self.endpoints.get_mut(attempt.endpoint));
@@ -79,46 +79,52 @@
         now: Millis,
     ) {
         self.record_head(attempt.endpoint, load, None, now);
-        self.forget_cached_segments(request_id, attempt);
-        self.close_attempt(request_id, true);
+        self.remove_uncached_segments(request_id, attempt);
+        self.release_attempt(request_id, true);
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             endpoint.overloaded_until = now + OVERLOAD_BACKOFF;
         }
-        // an answer shows that the endpoint is healthy, however loaded
+        // a refusal (429 or 503) shows overload, not a failed endpoint
         self.record_health(attempt, HealthSignal::Success, now);
-        self.end_attempt(request_id, Event::NotRun, Some(ErrorCode::NoWorker));
+        self.record_attempt_end(request_id, Event::NotRun, Some(ErrorCode::NoWorker));
     }
 
     fn attempt_misdirected(&mut self, request_id: RequestId, attempt: Attempt) {
-        self.forget_cached_segments(request_id, attempt);
-        self.close_attempt(request_id, true);
+        self.remove_uncached_segments(request_id, attempt);
+        self.release_attempt(request_id, true);
         let version = self.registry_version;
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             endpoint.misdirected_at = Some(version);
         }
-        self.end_attempt(request_id, Event::NotRun, Some(ErrorCode::NotSent));
-        // the endpoint it was meant for is gone, so no endpoint has had it
-        self.uncount_attempt(request_id);
+        self.record_attempt_end(request_id, Event::NotRun, Some(ErrorCode::NotSent));
+        // the intended endpoint is gone, so the attempt reached none
+        self.decrement_attempts(request_id);
     }
 
     fn connect_failed(&mut self, request_id: RequestId, attempt: Attempt, now: Millis) {
-        self.forget_cached_segments(request_id, attempt);
-        self.close_attempt(request_id, false);
-        self.cancel_attempt(request_id, attempt);
+        self.remove_uncached_segments(request_id, attempt);
+        self.release_attempt(request_id, false);
+        self.revert_unsent_attempt(request_id, attempt);
         self.record_health(attempt, HealthSignal::ConnectFailure, now);
-        self.end_attempt(request_id, Event::ConnectFailed, Some(ErrorCode::NotSent));
+        self.record_attempt_end(request_id, Event::ConnectFailed, Some(ErrorCode::NotSent));
     }
 
-    fn end_attempt(&mut self, request_id: RequestId, event: Event, error: Option<ErrorCode>) {
+    /// Updates the request's progress and last error after its attempt has ended.
+    fn record_attempt_end(
+        &mut self,
+        request_id: RequestId,
+        event: Event,
+        error: Option<ErrorCode>,
+    ) {
         if let Some(request) = self.requests.get_mut(request_id) {
             request.progress.on(event);
             request.last_error = error;
         }
     }
 
-    /// Ends the request's current attempt and frees its slot. `reached` is
-    /// false if certainly nothing reached the endpoint.
-    pub(super) fn close_attempt(&mut self, request_id: RequestId, reached: bool) {
+    /// Removes the request's current attempt and frees its slot at the endpoint.
+    /// `reached` is false only if the endpoint certainly received nothing.
+    pub(super) fn release_attempt(&mut self, request_id: RequestId, reached: bool) {
         let Some(request) = self.requests.get_mut(request_id) else {
             return;
         };
@@ -132,9 +138,9 @@
         }
     }
 
-    /// Takes back the counts of an attempt that never left this node: it costs
-    /// no retry budget and none of the route's attempts.
-    fn cancel_attempt(&mut self, request_id: RequestId, attempt: Attempt) {
+    /// Reverts the counts of an attempt that was not sent: those of slow start, of
+    /// the retry budget and of the route's attempts.
+    fn revert_unsent_attempt(&mut self, request_id: RequestId, attempt: Attempt) {
         let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else {
             return;
         };
@@ -145,17 +151,18 @@
                 .cancel_retry(&self.site_limits, attempt.sent_at);
             self.counts.retried = self.counts.retried.saturating_sub(1);
         }
-        self.uncount_attempt(request_id);
+        self.decrement_attempts(request_id);
     }
 
-    fn uncount_attempt(&mut self, request_id: RequestId) {
+    fn decrement_attempts(&mut self, request_id: RequestId) {
         if let Some(request) = self.requests.get_mut(request_id) {
             request.attempts = request.attempts.saturating_sub(1);
         }
     }
 
-    /// The endpoint did not read the prompt after all.
-    fn forget_cached_segments(&mut self, request_id: RequestId, attempt: Attempt) {
+    /// Removes the uncached segments of an attempt from the cache model, as the
+    /// endpoint did not prefill them.
+    fn remove_uncached_segments(&mut self, request_id: RequestId, attempt: Attempt) {
         let Some(request) = self.requests.get(request_id) else {
             return;
         };
--- a/sorreldoor/src/balancer/request_table.rs
+++ b/sorreldoor/src/balancer/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests in progress at this node.
+//! The requests in progress at this node, and the table that holds them.
 
 use super::authentication::Caller;
 use super::hash;
@@ -12,58 +12,64 @@
 use crate::proxy::PromptSegment;
 use crate::types::Millis;
 
-/// An attempt that has not come to its end.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub endpoint: EndpointIndex,
     pub sent_at: Millis,
-    /// Leading prompt segments that were expected in the endpoint's prefix cache.
+    /// Number of leading prompt segments expected in the endpoint's prefix cache.
     pub cached_segments: usize,
     /// Prompt tokens left for prefill.
     pub prefill_tokens: u32,
     pub prefill_done: bool,
-    /// It tries an ejected endpoint.
+    /// Whether it is a trial of an ejected endpoint.
     pub trial: bool,
-    /// It was counted against the retry budget.
+    /// Whether it was counted against the retry budget.
     pub is_retry: bool,
 }
 
-/// A request from its head to its end.
+/// A request in progress, from its head until [`Balancer::finish`].
+///
+/// [`Balancer::finish`]: super::Balancer::finish
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub host: Box<str>,
     pub path: Box<str>,
     pub arrived_at: Millis,
-    /// How long the client waits from arrival on, in milliseconds.
+    /// Timeout set by the client, in milliseconds from arrival.
     pub client_timeout_ms: Option<u64>,
     pub segments: Box<[PromptSegment]>,
     pub prompt_tokens: u32,
     pub api_key: Option<ApiKey>,
-    /// Index of the route in the configuration of `generation`.
+    /// Index of the route in the configuration of `configuration_generation`.
     pub route: Option<u32>,
-    /// Whom the request runs for under that configuration.
+    /// The caller under that configuration.
     pub caller: Caller,
-    pub generation: u32,
+    /// See [`Balancer::apply_configuration`].
+    ///
+    /// [`Balancer::apply_configuration`]: super::Balancer::apply_configuration
+    pub configuration_generation: u32,
     pub deadline: Millis,
-    /// Random draw that orders the services of a weighted split.
-    pub split_draw: u64,
+    /// Random key that orders the services of a weighted split.
+    pub split_key: u64,
     pub attempt: Option<Attempt>,
-    /// Endpoints that attempts were decided for.
+    /// Endpoints chosen for earlier attempts and the current one; not chosen again.
     pub tried: Vec<EndpointIndex>,
-    /// Attempts that reached an endpoint, or may have.
+    /// Number of attempts that reached an endpoint, or may have.
     pub attempts: u32,
-    /// Some attempt ended after it reached an endpoint, or may have.
+    /// Whether an attempt has ended that reached an endpoint, or may have.
     pub reached_endpoint: bool,
     pub progress: RequestProgress,
     pub last_error: Option<ErrorCode>,
-    /// Its place in the wait queue.
+    /// Its queue and position, while it waits.
     pub queued: Option<(QueueKey, Position)>,
     pub has_waited: bool,
 }
 
 impl Request {
-    /// Prompt segments that other requests may share: all but the last, which is
-    /// the request's own or its session's; a single segment may be a session's.
+    /// Prompt segments that other requests may share: all but the last, which
+    /// belongs to this request or its session. A single segment is included, as
+    /// later requests of the session may share it.
     pub fn shared_segments(&self) -> &[PromptSegment] {
         match self.segments.len() {
             count if count > 1 => &self.segments[..count - 1],
@@ -71,7 +77,7 @@
         }
     }
 
-    /// Tokens in the shared segments.
+    /// Number of tokens in the shared segments.
     pub fn shared_tokens(&self) -> u32 {
         self.shared_segments()
             .iter()
@@ -79,40 +85,43 @@
             .sum()
     }
 
-    /// Tokens in all segments.
+    /// Number of tokens in all segments.
     pub fn segment_tokens(&self) -> u32 {
         self.segments.iter().map(|segment| segment.tokens).sum()
     }
 
-    /// Tokens of the prompt, as its segments or the client tell them.
+    /// Number of tokens in the prompt: the larger of the sum over its segments and
+    /// the total stated by the client.
     pub fn total_tokens(&self) -> u32 {
         self.segment_tokens().max(self.prompt_tokens)
     }
 
-    /// Whether its prefill stalls other requests for long.
+    /// Whether the prompt is so long that its prefill delays other requests.
     pub fn has_long_prompt(&self) -> bool {
         self.shared_tokens() >= LONG_PREFIX_TOKENS || self.total_tokens() >= LONG_PROMPT_TOKENS
     }
 
-    /// The affinity key of the prompt: its last shared segment.
+    /// The affinity key of the prompt: the id of its last shared segment.
     pub fn prefix_key(&self) -> Option<u64> {
         self.shared_segments().last().map(|segment| segment.id)
     }
 }
 
-/// The rank of a service in a weighted rendezvous hash; the lowest is first.
-pub(super) fn rendezvous_rank(draw: u64, service_hash: u64, weight: u32) -> f64 {
-    -hash::unit(hash::mix(draw, service_hash)).ln() / f64::from(weight)
+/// The rank of a service by weighted rendezvous hashing of `key`; the lowest is
+/// first.
+pub(super) fn rendezvous_rank(key: u64, service_hash: u64, weight: u32) -> f64 {
+    -hash::unit(hash::mix(key, service_hash)).ln() / f64::from(weight)
 }
 
-/// An entry of the table; `generation` tells reuses of the entry apart.
+/// An entry of the table; `generation` counts the requests it has held.
 #[derive(Clone, Debug, Default)]
 struct Entry {
     generation: u32,
     request: Option<Box<Request>>,
 }
 
-/// Requests by id: the entry in the low half, its generation in the high half.
+/// Requests by id. The low 32 bits of an id are the index of its entry, the high
+/// 32 bits the entry's generation.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestTable {
     entries: Vec<Entry>,
@@ -151,13 +160,14 @@
         entry.request.as_deref_mut().filter(|_| current)
     }
 
-    /// Takes a request out while a decision on it is made; it must come back by
-    /// [`RequestTable::check_in`].
+    /// Moves a request out of the table, so that it can be changed together with
+    /// the balancer; [`RequestTable::check_in`] must follow.
     pub fn check_out(&mut self, id: RequestId) -> Option<Box<Request>> {
         self.get(id)?;
         self.entries[Self::position(id)].request.take()
     }
 
+    /// Moves a request back that was taken by [`RequestTable::check_out`].
     pub fn check_in(&mut self, id: RequestId, request: Box<Request>) {
         self.entries[Self::position(id)].request = Some(request);
     }
--- a/sorreldoor/src/balancer/state.rs
+++ b/sorreldoor/src/balancer/state.rs
@@ -1,4 +1,4 @@
-//! The balancer itself: the state of one node, and its counters.
+//! The state of the balancer, its configuration, and its counters.
 
 use super::hash::{self, SplitMix64};
 use super::index::{Endpoints, ServiceIndex, Services};
@@ -15,71 +15,72 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Counters for status pages.
+/// Counters since the start of the node, and current numbers, for status and metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests begun, and those in progress now.
+    /// Requests begun.
     pub begun: u64,
-    /// Requests in progress now.
+    /// Requests in progress (current number).
     pub open: u64,
-    /// Attempts answered completely.
+    /// Attempts with a complete response of a status below 400.
     pub served: u64,
     /// Decisions to send no (further) attempt.
     pub rejected: u64,
-    /// Requests rejected because no tenant holds their key.
+    /// Requests rejected because no tenant has their key, or they had none.
     pub unauthenticated: u64,
     /// Requests rejected because their tenant's quota is used up.
     pub over_quota: u64,
     /// Attempts beyond the first that reached an endpoint.
     pub retried: u64,
-    /// Requests that waited, and those that wait now.
+    /// Requests that have waited for an endpoint.
     pub waited: u64,
-    /// Requests that wait now.
+    /// Requests in the wait queue (current number).
     pub waiting: u64,
-    /// Ejections, and endpoints that are ejected now.
+    /// Ejections of endpoints.
     pub ejections: u64,
-    /// Endpoints that are ejected now.
+    /// Ejected endpoints (current number).
     pub ejected: u64,
-    /// Endpoints in the registry.
+    /// Endpoints in the registry (current number).
     pub workers: u64,
-    /// Prompt tokens expected in prefix caches, and those left for prefill.
+    /// Prompt tokens expected in prefix caches, over all attempts.
     pub cached_tokens: u64,
     /// Prompt tokens left for prefill, over all attempts.
     pub prefill_tokens: u64,
 }
 
-/// The load balancer of one node.
+/// The load balancer of one node. The proxy owns it and calls it under a lock.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     pub(super) locality: Locality,
     pub(super) site_limits: SiteLimits,
     pub(super) rng: SplitMix64,
     pub(super) now: Millis,
-    /// Time of the first call.
+    /// Time of the first call; `None` before it.
     pub(super) started_at: Option<Millis>,
     pub(super) hosted: Option<Arc<Hosted>>,
     pub(super) engine_priorities: EnginePriorities,
-    /// Number of configurations applied so far.
-    pub(super) generation: u32,
+    /// Number of configurations applied so far, modulo 2^32.
+    pub(super) configuration_generation: u32,
     pub(super) evacuated_zones: Vec<u16>,
     pub(super) registry_version: u64,
     pub(super) has_registry: bool,
     pub(super) nodes: Nodes,
     pub(super) services: Services,
     service_names: HashMap<String, ServiceIndex>,
-    /// The services of the configuration, by their index there.
+    /// The services of the current configuration, by their index there.
     pub(super) configured_services: Vec<ServiceIndex>,
     pub(super) endpoints: Endpoints,
     pub(super) endpoint_names: EndpointNames,
     pub(super) requests: RequestTable,
     pub(super) wait_queue: WaitQueue,
-    /// Which requests of tenants with a quota are admitted.
+    /// Admission control for tenants with a quota.
     pub admission: Admission,
     pub(super) counts: Counts,
 }
 
 impl Balancer {
-    /// A balancer without a configuration; `seed` feeds its random generator.
+    /// A balancer without configuration and registry; `seed` and the node's name seed
+    /// its random number generator.
     pub fn new(locality: Locality, site_limits: SiteLimits, seed: u64) -> Balancer {
         let nodes = Nodes::new(&locality.node, locality.region);
         Balancer {
@@ -90,7 +91,7 @@
             started_at: None,
             hosted: None,
             engine_priorities: EnginePriorities::default(),
-            generation: 0,
+            configuration_generation: 0,
             evacuated_zones: Vec::new(),
             registry_version: 0,
             has_registry: false,
@@ -112,19 +113,19 @@
         self.started_at.get_or_insert(now);
     }
 
-    /// The service of that name, added if it is new.
+    /// The service of that name; adds it if it is unknown.
     pub(super) fn service_index(&mut self, name: &str, now: Millis) -> ServiceIndex {
         if let Some(index) = self.service_names.get(name) {
             return *index;
         }
-        // only a restarted node may have forgotten earlier retries
+        // retries before a restart of this node are not in the count
         let budget_since = self.started_at.unwrap_or(now);
         let index = self.services.push(ServiceState::new(name, budget_since));
         self.service_names.insert(name.to_string(), index);
         index
     }
 
-    /// The configuration of a service, if it has one now.
+    /// The service's entry in the current configuration, if any.
     pub(super) fn service_config(&self, service: ServiceIndex) -> Option<&Service> {
         let index = self.services.get(service)?.config_index?;
         self.hosted.as_ref()?.services.get(index as usize)
@@ -136,10 +137,11 @@
             .map_or(0, |config| config.warmup_ms)
     }
 
-    /// Applies a configuration of hosted routes.
+    /// Replaces the configuration of hosted routes. Requests in progress get their
+    /// new route at the next decision.
     pub fn apply_configuration(&mut self, hosted: Arc<Hosted>, now: Millis) {
         self.advance_clock(now);
-        self.generation = self.generation.wrapping_add(1);
+        self.configuration_generation = self.configuration_generation.wrapping_add(1);
         for service in self.services.iter_mut() {
             service.config_index = None;
         }
@@ -154,13 +156,14 @@
         self.wait_queue.recheck_all();
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn hosted(&self) -> Option<&Arc<Hosted>> {
         self.hosted.as_ref()
     }
 
-    /// Sets the names and zones of the ready nodes. To be called once the list
-    /// is complete: until then this node has no share of any common limit.
+    /// Updates the list of ready nodes from their names and zones. Until the first
+    /// update this node's share of every limit of the site is 0, so the list must
+    /// be complete.
     pub fn update_nodes(&mut self, ready: Vec<(String, u16)>) {
         let region = |zone: u16| self.locality.regions.get(zone as usize).copied();
         let hashed = ready
@@ -169,7 +172,7 @@
         self.nodes.update(hashed, self.now);
     }
 
-    /// The counters as of now.
+    /// The current values of the counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         let ejected = self.endpoints.iter().filter(|e| e.outlier.ejected());
