--- a/sorreldoor/src/balancer/candidates.rs
+++ b/sorreldoor/src/balancer/candidates.rs
@@ -170,7 +170,7 @@
         route: &Route,
     ) -> bool {
         endpoint.accepting
-            && endpoint.misdirected_at.is_none()
+            && endpoint.misdirected_version.is_none()
             && !self.evacuated_zones.contains(&endpoint.zone)
             && is_home(&route.homes, endpoint.region)
             && is_home(request.caller.homes(), endpoint.region)
--- a/sorreldoor/src/balancer/endpoint.rs
+++ b/sorreldoor/src/balancer/endpoint.rs
@@ -1,4 +1,5 @@
-//! What the balancer knows about one endpoint, that is, one worker of a service.
+//! The state of one endpoint, that is, one worker of a service, as known to this
+//! node.
 
 use super::hash;
 use super::index::ServiceIndex;
@@ -10,21 +11,22 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Window of the rate limit of slow start. The limit is stated for a second;
-/// the window is longer, as an attempt may leave later than it was decided.
+/// Window of the rate limit of slow start. The limit is per second; the window is
+/// longer, as an attempt may be sent some time after the decision.
 pub(super) const SLOW_START_WINDOW: Millis = 1200;
-/// A load report counts fully for so long, then decays.
+/// Age up to which a load report counts in full; later its weight decays.
 const LOAD_REPORT_FRESH: Millis = 1000;
-/// Half-life of an older load report, in milliseconds.
+/// Half-life of the weight of older load reports, in milliseconds.
 const LOAD_HALF_LIFE_MS: f64 = 1500.0;
-/// An endpoint that rejected a request gets nothing for so long.
+/// Time after a refused attempt for which the endpoint counts as without capacity.
 pub(super) const OVERLOAD_BACKOFF: Millis = 100;
-/// An endpoint that has not answered for so long may be dead.
+/// An endpoint is suspect if attempts are in flight and nothing was received for
+/// this time.
 const SUSPECT_AFTER: Millis = 300;
-/// Send times remembered for one endpoint, at most.
+/// Maximum number of send times kept for one endpoint.
 const MAX_RECENT_ATTEMPTS: usize = 256;
 
-/// State of one endpoint.
+/// State of one endpoint. Registry updates and the outcomes of attempts change it.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub name: String,
@@ -35,29 +37,31 @@
     pub region: u8,
     /// Registered, not draining and not about to leave.
     pub accepting: bool,
-    /// In the newest registry.
+    /// Whether it is in the latest registry.
     pub registered: bool,
-    /// Version of the registry under which a request was misdirected; the
-    /// endpoint is not used until a newer registry comes.
-    pub misdirected_at: Option<u64>,
+    /// Version of the registry in which its address turned out to be wrong. The
+    /// endpoint is not used until a newer registry is applied.
+    pub misdirected_version: Option<u64>,
     pub slots: u32,
-    /// Serves prompts with long shared prefixes.
+    /// Whether it is one of the endpoints for long prompts.
     pub serves_long_prompts: bool,
-    /// When anything last came from it.
+    /// Time at which anything was last received from it.
     pub last_activity: Millis,
     pub overloaded_until: Millis,
     pub prefix_cache: PrefixCache,
     pub outlier: OutlierDetector,
-    /// Latency to the first event over the usual one of the service; 1: as usual.
+    /// Moving average of its time to the first event, relative to the expected time
+    /// of the service; 1: as expected.
     pub latency_ratio: f64,
-    /// Since when this node waits for the endpoint to send anything at all.
+    /// Time since which attempts are in flight without anything received.
     awaiting_since: Option<Millis>,
     /// Attempts of this node that are in flight.
     in_flight: u32,
-    /// Requests of other nodes, as of `reported_at`.
+    /// Requests of other nodes, as of the load report at `reported_at`.
     other_load: f64,
     reported_at: Millis,
     slow_start_until: Millis,
+    /// Send times of this node's latest attempts.
     recent_attempts: VecDeque<Millis>,
     /// Prompt tokens of this node's attempts that are still in prefill.
     prefill_tokens: u64,
@@ -74,7 +78,7 @@
             region: 0,
             accepting: false,
             registered: false,
-            misdirected_at: None,
+            misdirected_version: None,
             slots: 0,
             serves_long_prompts: false,
             last_activity: 0,
@@ -107,18 +111,19 @@
         self.slow_start_until = until;
     }
 
-    /// Extends slow start; a later end that is known already stays.
+    /// Extends slow start until `until`; does not shorten it.
     pub fn extend_slow_start(&mut self, until: Millis) {
         self.slow_start_until = self.slow_start_until.max(until);
     }
 
-    /// Something came from the endpoint.
+    /// Records that something was received from the endpoint.
     pub fn record_activity(&mut self, now: Millis) {
         self.last_activity = self.last_activity.max(now);
         self.awaiting_since = Some(now).filter(|_| self.in_flight > 0);
     }
 
-    /// It has not answered for so long that it may be dead.
+    /// Whether the endpoint may be dead: attempts are in flight and nothing was
+    /// received from it for [`SUSPECT_AFTER`].
     pub fn suspect(&self, now: Millis) -> bool {
         self.awaiting_since
             .is_some_and(|since| now >= since + SUSPECT_AFTER)
@@ -132,10 +137,10 @@
         self.prefill_tokens
     }
 
-    /// Estimated number of requests running and waiting there.
+    /// Estimated number of requests running and waiting at the endpoint, of all nodes.
     pub fn load(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.reported_at);
-        // an endpoint with an old report is tried again some time
+        // the decay lets an endpoint with an old report get requests again
         let weight = match age <= LOAD_REPORT_FRESH {
             true => 1.0,
             false => (-((age - LOAD_REPORT_FRESH) as f64) / LOAD_HALF_LIFE_MS).exp2(),
@@ -143,7 +148,7 @@
         f64::from(self.in_flight) + self.other_load * weight
     }
 
-    /// Takes in the endpoint's own report of its load.
+    /// Applies a load report of the endpoint.
     pub fn report_load(&mut self, load: LoadReport, now: Millis) {
         let total = f64::from(load.running) + f64::from(load.waiting);
         self.other_load = (total - f64::from(self.in_flight)).max(0.0);
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Counts an attempt that is sent now.
+    /// Adds an attempt that is sent now.
     pub fn start_attempt(&mut self, prefill_tokens: u32, now: Millis) {
         self.in_flight += 1;
         self.awaiting_since.get_or_insert(now);
@@ -161,7 +166,7 @@
         self.prefill_tokens += u64::from(prefill_tokens);
     }
 
-    /// Counts an attempt that came to its end.
+    /// Removes an attempt that has ended.
     pub fn end_attempt(&mut self, attempt: &Attempt) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.awaiting_since = self.awaiting_since.filter(|_| self.in_flight > 0);
@@ -173,7 +178,7 @@
         }
     }
 
-    /// The prompt of an attempt was read.
+    /// Subtracts an attempt's tokens once its prefill has ended.
     pub fn end_prefill(&mut self, tokens: u32) {
         self.prefill_tokens = self.prefill_tokens.saturating_sub(u64::from(tokens));
     }
@@ -188,7 +193,7 @@
         self.recent_attempts.push_back(now);
     }
 
-    /// Takes back the record of an attempt that never left this node.
+    /// Removes the record of an attempt that was not sent after all.
     pub fn cancel_send(&mut self, sent_at: Millis) {
         let recorded = self.recent_attempts.iter().rposition(|t| *t == sent_at);
         if let Some(position) = recorded {
@@ -196,7 +201,7 @@
         }
     }
 
-    /// Attempts of this node in the window of slow start.
+    /// Number of attempts of this node within the last [`SLOW_START_WINDOW`].
     pub fn recent_attempts(&self, now: Millis) -> u32 {
         self.recent_attempts
             .iter()
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -94,7 +94,7 @@
         self.release_attempt(request_id, true);
         let version = self.registry_version;
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
-            endpoint.misdirected_at = Some(version);
+            endpoint.misdirected_version = Some(version);
         }
         self.record_attempt_end(request_id, Event::NotRun, Some(ErrorCode::NotSent));
         // the intended endpoint is gone, so the attempt reached none
@@ -134,7 +134,7 @@
         request.reached_endpoint |= reached;
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             endpoint.end_attempt(&attempt);
-            self.wait_queue.slot_freed(endpoint.service);
+            self.wait_queue.record_freed_slot(endpoint.service);
         }
     }
 
--- a/sorreldoor/src/balancer/registry.rs
+++ b/sorreldoor/src/balancer/registry.rs
@@ -1,5 +1,5 @@
-//! Updates of the endpoints from the platform's worker registry and from the
-//! evacuation of zones.
+//! Adds, updates and removes endpoints according to the platform's worker registry,
+//! and applies the evacuation of zones.
 
 use super::endpoint::Endpoint;
 use super::index::{EndpointIndex, ServiceIndex};
@@ -8,14 +8,15 @@
 use crate::types::Millis;
 use std::collections::HashMap;
 
-/// The registry may show the end of slow start a little too early.
+/// Time added to the slow start that the registry reports, which may be too short.
 const SLOW_START_MARGIN: Millis = 300;
 
 /// Indices of the endpoints by name.
 pub(super) type EndpointNames = HashMap<String, EndpointIndex>;
 
 impl Balancer {
-    /// Applies the platform's registry; one older than the last is ignored.
+    /// Applies a version of the platform's registry. An older version than the
+    /// current one is ignored.
     pub fn update_registry(&mut self, registry: &WorkerRegistry, now: Millis) {
         self.advance_clock(now);
         if self.has_registry && registry.version < self.registry_version {
@@ -48,10 +49,10 @@
         if endpoint.slots == 0 || worker.slots > 0 {
             endpoint.slots = worker.slots;
         }
-        endpoint.misdirected_at = endpoint.misdirected_at.filter(|at| *at >= version);
+        endpoint.misdirected_version = endpoint.misdirected_version.filter(|at| *at >= version);
         let slow_start_ms = match added && self.has_registry {
-            // an endpoint that is added to a running site needs slow start,
-            // though the registry may not say so yet
+            // an endpoint added after the first registry has just started, even if
+            // the registry does not report slow start yet
             true => worker.cold_ms.max(warmup_ms),
             false => worker.cold_ms,
         };
@@ -64,14 +65,14 @@
         index
     }
 
-    /// The endpoint of a registered worker, and whether it was added now.
+    /// The endpoint of a registered worker, and whether this call added it.
     fn find_or_add(&mut self, worker: &Worker, service: ServiceIndex) -> (EndpointIndex, bool) {
         if let Some(index) = self.endpoint_names.get(&worker.name).copied() {
             let known = self.endpoints.get(index);
             if known.is_some_and(|endpoint| endpoint.service == service) {
                 return (index, false);
             }
-            // the same name in another service is another worker
+            // a worker of the same name in another service is another endpoint
             if let Some(endpoint) = self.endpoints.get_mut(index) {
                 endpoint.unregister();
             }
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Removes an endpoint that is not registered once no attempt is in flight.
+    /// Removes an endpoint if it is not registered and no attempt is in flight.
     pub(super) fn remove_if_unused(&mut self, index: EndpointIndex) {
         let Some(endpoint) = self.endpoints.get(index) else {
             return;
@@ -113,12 +114,13 @@
         self.endpoints.remove(index);
     }
 
-    /// Sets all zones that are evacuated, that is, that get no requests.
+    /// Sets the evacuated zones, which get no requests. Endpoints of zones that are no
+    /// longer evacuated enter slow start.
     pub fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
         self.advance_clock(now);
         let mut returned = std::mem::replace(&mut self.evacuated_zones, zones);
         returned.retain(|zone| !self.evacuated_zones.contains(zone));
-        // endpoints may have lost their warm state while their zone was empty
+        // endpoints may have lost their caches while their zone got no requests
         for index in self.endpoints.indices() {
             let Some(endpoint) = self.endpoints.get(index) else {
                 continue;
@@ -131,7 +133,8 @@
         self.wait_queue.recheck_all();
     }
 
-    /// Puts an endpoint into slow start for so many milliseconds.
+    /// Puts an endpoint into slow start for `duration`, unless its slow start lasts
+    /// longer already, and clears the model of its prefix cache.
     pub(super) fn start_slow_start(&mut self, index: EndpointIndex, duration: Millis, now: Millis) {
         if let Some(endpoint) = self.endpoints.get_mut(index) {
             endpoint.extend_slow_start(now + duration);
--- a/sorreldoor/src/balancer/wait_queue.rs
+++ b/sorreldoor/src/balancer/wait_queue.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for capacity, by priority and then by arrival.
+//! The queues of requests that wait for capacity, ordered by priority and then by
+//! arrival.
 
 use super::index::ServiceIndex;
 use super::priority::Rank;
@@ -6,14 +7,14 @@
 use crate::types::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A waiting request is decided on again after so long at the latest.
+/// Maximum time between two decisions on a waiting request.
 pub(super) const RECHECK_INTERVAL: Millis = 20;
 
-/// What the requests of one queue can be served by.
+/// The service and regions that may serve the requests of one queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
     pub service: ServiceIndex,
-    /// Regions that may serve them, as a bit set; 0: all.
+    /// Regions allowed by homes, as a bit set; see `decide::allowed_regions`.
     pub regions: u64,
 }
 
@@ -28,19 +29,20 @@
 #[derive(Clone, Debug, Default)]
 struct Queue {
     positions: BTreeSet<Position>,
-    /// Slots that came free since requests were last taken.
+    /// Number of slots freed since the last call of [`WaitQueue::take_ready`].
     freed_slots: u32,
-    /// When all of them are decided on again.
+    /// Time of the next decision on all of its requests.
     recheck_at: Millis,
 }
 
-/// All queues of waiting requests.
+/// The queues of waiting requests, by service and regions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WaitQueue {
     queues: BTreeMap<QueueKey, Queue>,
 }
 
 impl WaitQueue {
+    /// Number of waiting requests in all queues.
     pub fn len(&self) -> usize {
         self.queues
             .values()
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Whether some request waits ahead of `position`.
+    /// Whether a request waits ahead of `position` in the queue of `key`.
     pub fn any_ahead_of(&self, key: QueueKey, position: Position) -> bool {
         let first = self
             .queues
@@ -75,24 +77,25 @@
         first.is_some_and(|first| *first < position)
     }
 
-    /// A slot came free at an endpoint of the service.
-    pub fn slot_freed(&mut self, service: ServiceIndex) {
+    /// Records that a slot was freed at an endpoint of the service.
+    pub fn record_freed_slot(&mut self, service: ServiceIndex) {
         let key = |regions| QueueKey { service, regions };
         self.queues
             .range_mut(key(0)..=key(u64::MAX))
             .for_each(|(_, queue)| queue.freed_slots += 1);
     }
 
-    /// Any request may find capacity now, as the registry or the configuration
-    /// has changed.
+    /// Makes all requests ready, after a change of the registry, the configuration or
+    /// the evacuated zones.
     pub fn recheck_all(&mut self) {
         self.queues
             .values_mut()
             .for_each(|queue| queue.recheck_at = 0);
     }
 
-    /// The requests to decide on again, the first in order first. They stay in
-    /// their queues until they are removed.
+    /// The requests to decide on again, in order: as many per queue as slots were
+    /// freed, or all if its recheck is due. They stay in their queues until
+    /// removed.
     pub fn take_ready(&mut self, now: Millis) -> Vec<RequestId> {
         let mut ready: Vec<Position> = Vec::new();
         for queue in self.queues.values_mut() {
