--- a/sorreldoor/src/balancer/feedback.rs
+++ b/sorreldoor/src/balancer/feedback.rs
@@ -1,4 +1,5 @@
-//! What answers say about endpoints: load, slow start, latency and health.
+//! Updates the state of endpoints from responses: load, slow start, latency and
+//! health.
 
 use super::index::EndpointIndex;
 use super::outlier_detection::HealthSignal;
@@ -7,18 +8,19 @@
 use super::{LoadReport, RequestId};
 use crate::types::Millis;
 
-/// Weight of a new measurement in a moving average.
+/// Weight of a new sample in an exponentially weighted moving average.
 const EWMA_WEIGHT: f64 = 0.1;
-/// Prompts with more tokens to read measure the prefill time of one token.
+/// Attempts with more prefill tokens are samples of the prefill time per token.
 const PREFILL_SAMPLE_TOKENS: u32 = 2000;
-/// Prompts with fewer tokens to read measure the latency without prefill.
+/// Attempts with fewer prefill tokens are samples of the latency without prefill.
 const BASE_SAMPLE_TOKENS: u32 = 500;
 /// Bounds of the latency ratio of an endpoint.
 const MIN_LATENCY_RATIO: f64 = 0.25;
 const MAX_LATENCY_RATIO: f64 = 4.0;
-/// One in so many endpoints of a service and region may be ejected for failures.
-const MAX_EJECTED_FRACTION: usize = 3;
-/// Status of an answer whose deadline passed at the endpoint.
+/// At most one in this many endpoints of a service and region is ejected for
+/// failures, but one always may be.
+const ENDPOINTS_PER_EJECTION: usize = 3;
+/// Status of a response whose deadline passed at the endpoint.
 const GATEWAY_TIMEOUT: u16 = 504;
 
 fn update_average(average: &mut f64, sample: f64) {
@@ -26,7 +28,7 @@
 }
 
 impl Balancer {
-    /// Takes in the head of an answer.
+    /// Applies the load and slow start reported in a response head.
     pub(super) fn record_head(
         &mut self,
         index: EndpointIndex,
@@ -45,7 +47,8 @@
         }
     }
 
-    /// The first event came: prefill is done, and its duration is known.
+    /// Ends the prefill of the current attempt and updates the latency averages of
+    /// endpoint and service. Only the first call for an attempt has an effect.
     pub(super) fn record_first_event(&mut self, request_id: RequestId, now: Millis) {
         let request = self.requests.get_mut(request_id);
         let Some(attempt) = request.and_then(|request| request.attempt.as_mut()) else {
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The complete answer came, with the endpoint's own status.
+    /// Applies the status of a complete response to the endpoint's health.
     pub(super) fn record_completed(
         &mut self,
         request_id: RequestId,
@@ -91,7 +94,8 @@
             self.counts.served += 1;
         }
         match status {
-            // the deadline may have been too short; this shows slowness alone
+            // the deadline may have been short, so this counts as slow, not as
+            // failed
             GATEWAY_TIMEOUT => {
                 if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
                     update_average(&mut endpoint.latency_ratio, MAX_LATENCY_RATIO);
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Feeds outlier detection with the end of an attempt.
+    /// Applies the result of an attempt to outlier detection.
     pub(super) fn record_health(&mut self, attempt: Attempt, signal: HealthSignal, now: Millis) {
         let may_eject = signal != HealthSignal::Failure || self.may_eject(attempt.endpoint);
         let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else {
@@ -111,7 +115,7 @@
         let was_ejected = endpoint.outlier.ejected();
         let ejected = endpoint.outlier.record(signal, may_eject, now);
         if signal == HealthSignal::ConnectFailure {
-            // the process is gone, and its cache with it
+            // the process has ended and lost its cache
             endpoint.prefix_cache.clear();
         }
         if ejected && !was_ejected {
@@ -121,15 +125,15 @@
             return;
         }
         endpoint.outlier.relax_backoff();
-        if endpoint.outlier.try_return() {
-            // it may have been restarted, which the registry shows only later
+        if endpoint.outlier.try_readmit() {
+            // it may have been restarted, which the registry shows with a delay
             let service = endpoint.service;
             let warmup_ms = self.warmup_ms(service);
             self.start_slow_start(attempt.endpoint, warmup_ms, now);
         }
     }
 
-    /// Whether another endpoint of this service and region may be ejected for
+    /// Whether one more endpoint of this service and region may be ejected for
     /// failures.
     fn may_eject(&self, index: EndpointIndex) -> bool {
         let Some(endpoint) = self.endpoints.get(index) else {
@@ -142,6 +146,6 @@
                 .filter(|peer| peer.registered && peer.region == endpoint.region)
         };
         let ejected = peers().filter(|peer| peer.outlier.ejected()).count();
-        ejected < (peers().count() / MAX_EJECTED_FRACTION).max(1)
+        ejected < (peers().count() / ENDPOINTS_PER_EJECTION).max(1)
     }
 }
--- a/sorreldoor/src/balancer/outlier_detection.rs
+++ b/sorreldoor/src/balancer/outlier_detection.rs
@@ -1,30 +1,32 @@
 //! Passive outlier detection: an endpoint that fails is ejected for a time that
-//! doubles, and comes back after successful trial requests.
+//! doubles with each ejection, and readmitted after successful trial requests.
 
 use crate::types::Millis;
 
-/// Ejection times: the first, and the longest.
+/// First and longest ejection time.
 const BASE_EJECTION: Millis = 1000;
 const MAX_EJECTION: Millis = 10_000;
-/// Steps of doubling, at most.
+/// Maximum number of doublings.
 const MAX_BACKOFF_LEVEL: u32 = 4;
 /// Consecutive failures that eject an endpoint.
 const CONSECUTIVE_FAILURES: u32 = 2;
-/// Share of failures that ejects an endpoint once enough attempts were seen.
-const FAILURE_SHARE: f64 = 0.5;
+/// Fraction of failures above which an endpoint is ejected, and the number of
+/// attempts that this needs.
+const FAILURE_RATIO: f64 = 0.5;
 const MIN_ATTEMPTS: f64 = 5.0;
-/// Decay of older signals with each new one.
+/// Factor on the weight of older signals with each new one.
 const DECAY: f64 = 0.9;
-/// Consecutive good trials that end an ejection.
-const TRIALS_TO_RETURN: u32 = 2;
-/// So long after its end an ejection may be tried by a non-idempotent request.
+/// Successful trials that end an ejection.
+const TRIALS_TO_READMIT: u32 = 2;
+/// Additional time after the ejection time before a non-idempotent request may be
+/// a trial.
 const NON_IDEMPOTENT_TRIAL_DELAY: Millis = 2000;
 
-/// What the end of an attempt says about the endpoint's health.
+/// The result of an attempt, as far as it shows the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HealthSignal {
     Success,
-    /// No connection came up.
+    /// The connection was not established.
     ConnectFailure,
     Failure,
 }
@@ -33,10 +35,10 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutlierDetector {
     consecutive_failures: u32,
-    /// Decayed numbers of successes and failures.
+    /// Numbers of successes and failures, with decay.
     successes: f64,
     failures: f64,
-    /// Ejected until then; 0: not ejected.
+    /// End of the ejection time; 0: not ejected.
     ejected_until: Millis,
     backoff_level: u32,
     /// Successful trials since the ejection.
@@ -45,8 +47,8 @@
 }
 
 impl OutlierDetector {
-    /// Whether the endpoint is ejected, also once the ejection time is over and
-    /// trials have not brought it back yet.
+    /// Whether the endpoint is ejected. It stays so after the ejection time until
+    /// enough trials have succeeded.
     pub fn ejected(&self) -> bool {
         self.ejected_until > 0
     }
@@ -66,20 +68,20 @@
         !self.trial_in_flight && now >= self.ejected_until + delay
     }
 
-    /// Counts an attempt that is sent now; true if it is a trial.
+    /// Records an attempt that is sent now; returns whether it is a trial.
     pub fn start_attempt(&mut self) -> bool {
         let trial = self.ejected();
         self.trial_in_flight |= trial;
         trial
     }
 
-    /// The trial request came to its end.
+    /// Records the end of the trial, so that the next one may be sent.
     pub fn end_trial(&mut self) {
         self.trial_in_flight = false;
     }
 
-    /// Takes in a signal; true if it ejects the endpoint or keeps it ejected.
-    /// `may_eject` is false where too many others of the service are ejected.
+    /// Applies a signal; returns whether it ejects the endpoint or keeps it ejected.
+    /// `may_eject` is false if too many endpoints of the service are ejected.
     pub fn record(&mut self, signal: HealthSignal, may_eject: bool, now: Millis) -> bool {
         self.successes *= DECAY;
         self.failures *= DECAY;
@@ -91,8 +93,8 @@
         self.consecutive_failures += 1;
         let eject = match (self.ejected(), signal) {
             (true, _) => true,
-            // an endpoint without connections serves nobody, however many
-            // others are ejected
+            // an endpoint that accepts no connections cannot serve requests,
+            // however many others are ejected
             (_, HealthSignal::ConnectFailure) => true,
             _ => may_eject && self.failing(),
         };
@@ -112,12 +114,12 @@
 
     fn failing(&self) -> bool {
         let attempts = self.successes + self.failures;
-        let often = attempts >= MIN_ATTEMPTS * 0.8 && self.failures / attempts > FAILURE_SHARE;
+        let often = attempts >= MIN_ATTEMPTS * 0.8 && self.failures / attempts > FAILURE_RATIO;
         self.consecutive_failures >= CONSECUTIVE_FAILURES || often
     }
 
     fn eject(&mut self, now: Millis) {
-        // failures of attempts from before the ejection are one event
+        // failures of attempts sent before the ejection do not extend it
         if self.ejected() && now < self.ejected_until {
             return;
         }
@@ -127,19 +129,21 @@
         self.passed_trials = 0;
     }
 
-    /// Ends the ejection after enough good trials; true the moment that happens.
-    pub fn try_return(&mut self) -> bool {
-        let returns = self.ejected() && self.passed_trials >= TRIALS_TO_RETURN;
-        if returns {
+    /// Ends the ejection after enough successful trials; returns whether this call
+    /// ended it.
+    pub fn try_readmit(&mut self) -> bool {
+        let readmit = self.ejected() && self.passed_trials >= TRIALS_TO_READMIT;
+        if readmit {
             self.ejected_until = 0;
             self.passed_trials = 0;
             self.consecutive_failures = 0;
             (self.successes, self.failures) = (2.0, 1.0);
         }
-        returns
+        readmit
     }
 
-    /// Takes back one step of the doubling after a long time without failures.
+    /// Reverts one doubling of the ejection time once the decayed number of failures
+    /// is near 0.
     pub fn relax_backoff(&mut self) {
         if !self.ejected() && self.consecutive_failures == 0 && self.failures < 0.1 {
             self.backoff_level = self.backoff_level.saturating_sub(1);
