--- a/sorreldoor/src/balancer/long_prompts.rs
+++ b/sorreldoor/src/balancer/long_prompts.rs
@@ -1,8 +1,8 @@
-//! The endpoints of a service that long prompts go to: while one is read, the
-//! streams beside it stand still and other prompts wait.
+//! Assignment of long prompts to a part of a service's endpoints. The prefill of a
+//! long prompt delays the streams and prompts at the same endpoint.
 //!
-//! Every node computes the same set from the configuration and the registry
-//! alone, without any exchange between nodes.
+//! Nodes with the same configuration and registry compute the same assignment
+//! without communication.
 
 use super::hash;
 use super::index::{EndpointIndex, ServiceIndex};
@@ -11,17 +11,17 @@
 use crate::configuration::hosted::{Hosted, Kind};
 use crate::types::Millis;
 
-/// From so many shared tokens on, a prefix is worth the way to another region:
-/// prefill takes longer than the round trip.
+/// Number of shared tokens from which a prefix is long: its prefill takes longer
+/// than a round trip to another region.
 pub(super) const LONG_PREFIX_TOKENS: u32 = 4096;
-/// From so many tokens on, a prompt is long whatever it shares.
+/// Number of tokens from which a prompt is long, whatever part of it is shared.
 pub(super) const LONG_PROMPT_TOKENS: u32 = 4 * LONG_PREFIX_TOKENS;
-/// A long prompt within this time keeps short ones away from its endpoints.
+/// Time after a long prompt for which short ones avoid the endpoints for long ones.
 pub(super) const RECENT_LONG_PROMPT: Millis = 30_000;
-/// One in so many endpoints takes long prompts.
-const ENDPOINT_FRACTION: usize = 2;
+/// Endpoints of a service per endpoint for long prompts.
+const ENDPOINTS_PER_LONG_PROMPT_ENDPOINT: usize = 2;
 
-/// What the choice for one endpoint rests on.
+/// An endpoint that may be chosen for long prompts.
 struct Candidate {
     index: EndpointIndex,
     region: u8,
@@ -29,6 +29,7 @@
 }
 
 impl ServiceState {
+    /// Number of stream routes pinned to a region; see `pinned_streams`.
     fn pinned_to(&self, region: u8) -> f64 {
         let pinned = self.pinned_streams.get(region as usize);
         pinned.copied().unwrap_or(0.0)
@@ -36,8 +37,8 @@
 }
 
 impl Balancer {
-    /// Counts for each service how many stream routes are pinned to a region by
-    /// their homes, and assigns the endpoints anew.
+    /// Sets `pinned_streams` of all services from a configuration, and updates the
+    /// assignment of endpoints.
     pub(super) fn count_pinned_streams(&mut self, hosted: &Hosted) {
         let regions = 1 + self.locality.regions.iter().copied().max().unwrap_or(0) as usize;
         for service in self.services.iter_mut() {
@@ -60,8 +61,8 @@
         self.assign_long_prompts();
     }
 
-    /// Chooses the endpoints for long prompts anew; to be called after any change
-    /// of the registry or the configuration.
+    /// Updates which endpoints serve long prompts. Must be called after each change of
+    /// the registry or the configuration.
     pub(super) fn assign_long_prompts(&mut self) {
         for service in self.services.indices() {
             let chosen = self.long_prompt_endpoints(service);
@@ -78,10 +79,11 @@
         let mut all = self.accepting_endpoints(service);
         let pinned = |c: &Candidate| service.pinned_to(c.region);
         let most_pinned = all.iter().map(pinned).fold(0.0, f64::max);
-        // a long prompt stalls streams that have no other region to go to
-        let busy = |c: &Candidate| pinned(c) * 2.0 > most_pinned;
-        all.sort_by_key(|c| (busy(c), hash::mix(service.hash, c.hash)));
-        let count = all.len().div_ceil(ENDPOINT_FRACTION);
+        // streams pinned to a region cannot avoid the delay by long prompts there,
+        // so its endpoints are chosen last
+        let heavily_pinned = |c: &Candidate| pinned(c) * 2.0 > most_pinned;
+        all.sort_by_key(|c| (heavily_pinned(c), hash::mix(service.hash, c.hash)));
+        let count = all.len().div_ceil(ENDPOINTS_PER_LONG_PROMPT_ENDPOINT);
         all.iter().take(count).map(|c| c.index).collect()
     }
 
--- a/sorreldoor/src/balancer/service.rs
+++ b/sorreldoor/src/balancer/service.rs
@@ -1,25 +1,25 @@
-//! What the balancer knows about one service.
+//! The state of one service, as known to this node.
 
 use super::hash;
 use super::index::EndpointIndex;
 use super::retry_budget::RetryBudget;
 use crate::types::Millis;
 
-/// Estimates of a service's speed before anything was measured, in milliseconds.
+/// Initial latency estimates of a service, in milliseconds.
 const INITIAL_PREFILL_MS_PER_TOKEN: f64 = 0.02;
 const INITIAL_BASE_LATENCY_MS: f64 = 50.0;
 
-/// State of a service by name; it outlives changes of the configuration.
+/// State of a service, kept by name across changes of the configuration.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceState {
     pub hash: u64,
-    /// Index of the service in the configuration in force.
+    /// Index of the service in the current configuration; `None`: not configured.
     pub config_index: Option<u16>,
     pub endpoints: Vec<EndpointIndex>,
-    /// Stream routes whose homes pin them to each region; a route with several
-    /// homes counts in parts.
+    /// Number of stream routes pinned to each region by their homes. A route with
+    /// `n` homes counts as `1/n` in each.
     pub pinned_streams: Vec<f64>,
-    /// When a long shared prefix was last requested.
+    /// Time of the last request with a long prompt.
     pub last_long_prompt: Option<Millis>,
     pub retry_budget: RetryBudget,
     /// Estimated prefill time of one prompt token, in milliseconds.
@@ -29,7 +29,7 @@
 }
 
 impl ServiceState {
-    /// `budget_since`: when this node started to count retries.
+    /// `budget_since`: the time at which this node started to count retries.
     pub fn new(name: &str, budget_since: Millis) -> ServiceState {
         ServiceState {
             hash: hash::name(name),
