--- a/sorreldoor/src/balancer/nodes.rs
+++ b/sorreldoor/src/balancer/nodes.rs
@@ -1,15 +1,16 @@
-//! The nodes of the site, and this node's share of limits that hold for all of
-//! them together.
+//! The nodes of the site, and this node's share of limits that apply to the sum
+//! over all nodes.
 //!
-//! All nodes compute their shares from names alone. The shares add up to the
-//! limit at most, as long as the nodes see the same list.
+//! Each node computes its share from the names of the nodes, without
+//! communication. While all nodes have the same list, the shares add up to at most
+//! the limit.
 
 use super::hash;
 use crate::types::Millis;
 
-/// A node that was ready within this time still has its share.
+/// A node keeps its share for this time after it was last ready.
 const RECENTLY_READY: Millis = 30_000;
-/// Share of an endpoint's capacity that goes to the nodes of its own region.
+/// Fraction of an endpoint's capacity for the nodes of its own region.
 const LOCAL_REGION_SHARE: f64 = 0.85;
 
 #[derive(Clone, Debug)]
@@ -28,7 +29,7 @@
 }
 
 impl Nodes {
-    /// Knows no node yet; until the first update every share is 0.
+    /// An empty list; until the first update every share is 0.
     pub fn new(own_name: &str, own_region: u8) -> Nodes {
         Nodes {
             own_hash: hash::name(own_name),
@@ -37,9 +38,10 @@
         }
     }
 
-    /// Takes in the hashed names and the regions of the ready nodes.
+    /// Updates the list from the name hashes and regions of the ready nodes. This
+    /// node is always included.
     pub fn update(&mut self, ready: impl Iterator<Item = (u64, u8)>, now: Millis) {
-        // a node that is missing for a moment still uses its share
+        // a node that is missing for a short time may still use its share
         self.nodes
             .retain(|node| now.saturating_sub(node.last_ready) < RECENTLY_READY);
         let own = (self.own_hash, self.own_region);
@@ -61,14 +63,14 @@
         self.nodes.len().max(1) as u32
     }
 
-    /// This node's share of `total`. The remainder of the division goes to
-    /// other nodes for another `key`.
+    /// This node's share of `total`, rounded down. `key` determines which nodes get
+    /// one more from the remainder of the division.
     pub fn share(&self, total: f64, key: u64) -> u32 {
         self.share_among(total.max(0.0) as u32, key, |_| true)
     }
 
-    /// As [`Nodes::share`], for something in a region: the nodes of that region
-    /// get the larger part.
+    /// As [`Nodes::share`], for a limit of something in `region`: the nodes of that
+    /// region share [`LOCAL_REGION_SHARE`] of `total`, the others the rest.
     pub fn regional_share(&self, total: f64, key: u64, region: u8) -> u32 {
         let in_region = |node: &Node| node.region == region;
         let local_nodes = self.nodes.iter().filter(|node| in_region(node)).count();
@@ -89,12 +91,12 @@
     fn share_among(&self, total: u32, key: u64, member: impl Fn(&Node) -> bool) -> u32 {
         let members = || self.nodes.iter().filter(|node| member(node));
         let count = members().count() as u32;
-        // while no node is known the others may use all of it
+        // without a list, other nodes may already use all of the limit
         if count == 0 {
             return 0;
         }
         let own_rank = hash::mix(key, self.own_hash);
-        // clocks are not shared, so the remainder is dealt out by names alone
+        // the remainder is distributed by name hashes, which need no common clock
         let ahead = members()
             .filter(|node| hash::mix(key, node.hash) > own_rank)
             .count() as u32;
