--- a/sorreldoor/src/balancer/authentication.rs
+++ b/sorreldoor/src/balancer/authentication.rs
@@ -1,20 +1,21 @@
-//! Authentication: in whose name a request runs, by its API key and the
-//! configuration in force.
+//! Authentication: finds the tenant of a request by its API key in the current
+//! configuration.
 
 use crate::configuration::hosted::{Hosted, Route};
 use crate::configuration::tenants::{ApiKey, Tenant};
 use crate::invariants::{broken, Invariant};
 use std::sync::Arc;
 
-/// Whom a request runs for.
+/// The result of authentication.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) enum Caller {
-    /// Nobody in particular: the route is public, or there are no tenants.
+    /// No tenant: none is configured, or the route is public and no tenant has the
+    /// request's key.
     #[default]
     Anonymous,
-    /// The tenant that holds the request's key.
+    /// The tenant that has the request's key.
     Tenant(Arc<Tenant>),
-    /// The route needs a key, and no tenant holds the one sent, if any was.
+    /// The route requires a key, and the request has none or one of no tenant.
     Unauthenticated,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The tenant, if there is one.
+    /// The authenticated tenant, if any.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Caller::Tenant(tenant) => Some(tenant),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The only regions that may serve it; empty: all.
+    /// The regions that may serve the caller's requests; empty: all.
     pub fn homes(&self) -> &[u8] {
         self.tenant().map_or(&[], |tenant| &tenant.homes)
     }
