--- a/sorreldoor/src/balancer/priority.rs
+++ b/sorreldoor/src/balancer/priority.rs
@@ -1,20 +1,23 @@
-//! Priority classes: that of the tenant goes before that of the route.
+//! Priorities of requests, by tenant first and route second, and their mapping to
+//! the priorities of engines.
 
 use super::request_table::Request;
 use super::state::Balancer;
 use crate::configuration::hosted::{Hosted, Route};
 
-/// The least urgent priority that engines know.
+/// The least urgent priority of an engine; 0 is the most urgent.
 const MAX_ENGINE_PRIORITY: usize = 9;
 
-/// The rank of a request among those that wait; lower ranks go first.
+/// Combined priority of tenant (high byte) and route (low byte); lower ranks are
+/// served first.
 pub(super) type Rank = u16;
 
-/// Maps ranks to the priorities that engines know. Where the ranks of a
-/// configuration are more than these, neighbouring ones share one.
+/// Maps the ranks of a configuration to engine priorities, in the same order.
+/// Adjacent ranks share a priority if there are more ranks than priorities.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EnginePriorities {
-    /// All ranks of the configuration, in order; empty: it has no tenants.
+    /// All ranks of the configuration in ascending order; empty if it has no tenants,
+    /// in which case the route's priority is used.
     ranks: Vec<Rank>,
 }
 
@@ -24,7 +27,7 @@
             return EnginePriorities::default();
         }
         let tenants = hosted.tenants.all().iter().map(|tenant| tenant.priority);
-        // a request without a tenant has the priority 0 among them
+        // a request without a tenant has tenant priority 0
         let mut tenants: Vec<u8> = tenants.chain([0]).collect();
         let mut routes: Vec<u8> = hosted.routes.iter().map(|route| route.priority).collect();
         for priorities in [&mut tenants, &mut routes] {
@@ -59,7 +62,7 @@
 }
 
 impl Request {
-    /// Its rank on a route.
+    /// The request's rank on a route.
     pub fn rank(&self, route: &Route) -> Rank {
         let tenant = self.caller.tenant().map_or(0, |tenant| tenant.priority);
         rank(tenant, route.priority)
@@ -67,7 +70,7 @@
 }
 
 impl Balancer {
-    /// The priority of a request at a worker's engine, 0 (first) to 9.
+    /// The priority of a request at an engine, from 0 (most urgent) to 9.
     pub(super) fn engine_priority(&self, request: &Request, route: &Route) -> u8 {
         self.engine_priorities.of(request.rank(route))
     }
