--- a/sorreldoor/src/balancer/prefix_cache.rs
+++ b/sorreldoor/src/balancer/prefix_cache.rs
@@ -1,29 +1,31 @@
 //! A model of an endpoint's prefix (KV) cache: the prompt segments that it probably
-//! holds, with least-recently-used eviction.
+//! contains, with least-recently-used eviction.
 
 use super::hash::U64HashBuilder;
 use crate::proxy::PromptSegment;
 use std::collections::HashMap;
 
-/// Parts remembered for one endpoint, at most.
+/// Maximum number of segments in the model of one endpoint.
 const MAX_SEGMENTS: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
 struct CachedSegment {
     tokens: u32,
-    /// Logical time of the last use.
+    /// Value of the cache's `clock` at the last use.
     used_at: u32,
 }
 
-/// The segments that one endpoint probably holds.
+/// The segments that one endpoint has probably cached.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PrefixCache {
     segments: HashMap<u64, CachedSegment, U64HashBuilder>,
+    /// Sum of the tokens of all segments.
     tokens: u64,
+    /// Logical time: the number of insertions.
     clock: u32,
 }
 
-/// The leading segments of a prompt that an endpoint holds.
+/// The number of leading segments of a prompt that are cached, and of their tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PrefixHit {
     pub segments: usize,
@@ -31,7 +33,7 @@
 }
 
 impl PrefixCache {
-    /// The leading segments that are cached without a gap.
+    /// Looks up the leading segments of a prompt, up to the first that is not cached.
     pub fn lookup(&self, segments: &[PromptSegment]) -> PrefixHit {
         let cached = segments
             .iter()
@@ -46,7 +48,8 @@
         }
     }
 
-    /// The segments were sent there; evicts down to `capacity` tokens.
+    /// Adds the segments of a prompt sent to the endpoint, then evicts down to
+    /// `capacity` tokens.
     pub fn insert(&mut self, segments: &[PromptSegment], capacity: u64) {
         self.clock += 1;
         for segment in segments {
@@ -77,12 +80,12 @@
         }
     }
 
-    /// The segments were not read there after all.
+    /// Removes segments that the endpoint did not prefill.
     pub fn remove(&mut self, segments: &[PromptSegment]) {
         segments.iter().for_each(|segment| self.evict(segment.id));
     }
 
-    /// The endpoint lost its cache.
+    /// Removes all segments, after the endpoint has lost its cache.
     pub fn clear(&mut self) {
         *self = PrefixCache::default();
     }
