--- a/sorreldoor/src/balancer/hash.rs
+++ b/sorreldoor/src/balancer/hash.rs
@@ -1,4 +1,4 @@
-//! Hash functions and a random generator that give the same results on every node.
+//! Hash functions and a random number generator with the same results on all nodes.
 
 /// A stable hash of two numbers (the finalizer of MurmurHash3).
 pub fn mix(a: u64, b: u64) -> u64 {
@@ -10,7 +10,7 @@
     h ^ (h >> 33)
 }
 
-/// A stable hash of a name (FNV-1a, mixed).
+/// A stable hash of a name (FNV-1a, then [`mix`]).
 pub fn name(s: &str) -> u64 {
     let h = s.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, x| {
         (h ^ u64::from(x)).wrapping_mul(0x0100_0000_01b3)
@@ -18,12 +18,12 @@
     mix(h, 0)
 }
 
-/// Maps a hash to a fraction over 0 and below 1.
+/// Maps a hash to a number in (0, 1].
 pub fn unit(h: u64) -> f64 {
     ((h >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// A seeded random generator (SplitMix64).
+/// A seeded random number generator (SplitMix64, with [`mix`] as its finalizer).
 #[derive(Clone, Debug)]
 pub struct SplitMix64(pub u64);
 
@@ -33,13 +33,13 @@
         mix(self.0, 1)
     }
 
-    /// A fraction over 0 and below 1.
+    /// A random number in (0, 1].
     pub fn unit(&mut self) -> f64 {
         unit(self.next())
     }
 }
 
-/// A hasher for keys that are hashes already.
+/// A hasher for `u64` keys, by [`mix`].
 #[derive(Clone, Copy, Default)]
 pub struct U64Hasher(u64);
 
