--- a/sorreldoor/src/balancer/index.rs
+++ b/sorreldoor/src/balancer/index.rs
@@ -1,17 +1,17 @@
-//! Typed dense indices of services and endpoints, and the containers they index.
+//! Dense indices of services and endpoints, and the containers that they index.
 
 use super::endpoint::Endpoint;
 use super::service::ServiceState;
 
-/// Dense index of a service; never reused while the balancer lives.
+/// Dense index of a service; not reused while the balancer exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ServiceIndex(pub u32);
 
-/// Dense index of an endpoint; never reused while the balancer lives.
+/// Dense index of an endpoint; not reused while the balancer exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EndpointIndex(pub u32);
 
-/// All services that any configuration or registry has named.
+/// All services named by any configuration or registry so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Services(Vec<ServiceState>);
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// All endpoints; a removed one leaves an empty entry behind.
+/// All endpoints. The entry of a removed endpoint stays, empty.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Endpoints(Vec<Option<Box<Endpoint>>>);
 
