--- a/sorreldoor/tests/balancer/fuzz.rs
+++ b/sorreldoor/tests/balancer/fuzz.rs
@@ -1,16 +1,18 @@
-//! Random sequences of calls: no invariant is violated, and no state is left over.
+//! Random sequences of calls: no invariant is violated, and no state remains after
+//! all requests have finished.
 
-use super::measures::Rand;
+use super::measures::XorShift64;
 use super::*;
 use std::collections::BTreeMap;
 
+/// The expected state of one request.
 #[derive(Default)]
 struct RequestModel {
     path: &'static str,
     homes: Vec<u8>,
-    attempts: u32,
+    max_attempts: u32,
     attempts_sent: u32,
-    ran: bool,
+    may_have_run: bool,
     current_worker: Option<String>,
     tried: Vec<String>,
     deadline: u64,
@@ -43,26 +45,27 @@
 }
 
 fn run_seed(seed: u64) {
-    let mut rng = Rand(seed.wrapping_mul(0x9e37_79b9) | 1);
+    let mut rng = XorShift64(seed.wrapping_mul(0x9e37_79b9) | 1);
     let configurations = configurations();
-    let mut hosted_now = configurations[0].clone();
+    let mut current_configuration = configurations[0].clone();
     let mut balancer = Balancer::new(locality("n0", 0), site_limits(), seed);
-    balancer.apply_configuration(hosted_now.clone(), 0);
+    balancer.apply_configuration(current_configuration.clone(), 0);
     balancer.update_nodes(vec![("n0".into(), 0), ("n1".into(), 2)]);
     let mut workers: Vec<Worker> = Vec::new();
     let (mut version, mut evacuated, mut created, mut now) = (0, vec![], 0, 0u64);
     let mut open: BTreeMap<RequestId, RequestModel> = BTreeMap::new();
-    let mut stale: BTreeMap<String, u64> = BTreeMap::new();
+    let mut misdirected: BTreeMap<String, u64> = BTreeMap::new();
     for _ in 0..4000 {
         now += rng.below(12);
-        let random_request = |rng: &mut Rand, open_requests: &BTreeMap<RequestId, RequestModel>| {
-            let i = rng.below(open_requests.len().max(1) as u64) as usize;
-            open_requests.keys().nth(i).copied()
-        };
+        let random_request =
+            |rng: &mut XorShift64, open_requests: &BTreeMap<RequestId, RequestModel>| {
+                let i = rng.below(open_requests.len().max(1) as u64) as usize;
+                open_requests.keys().nth(i).copied()
+            };
         match rng.below(100) {
             0 => {
-                hosted_now = configurations[rng.below(2) as usize].clone();
-                balancer.apply_configuration(hosted_now.clone(), now);
+                current_configuration = configurations[rng.below(2) as usize].clone();
+                balancer.apply_configuration(current_configuration.clone(), now);
             }
             1 => {
                 evacuated = (0..3u16).filter(|_| rng.chance(0.2)).collect();
@@ -89,7 +92,7 @@
                 }
                 version += rng.below(2);
                 balancer.update_registry(&registry(version, workers.clone()), now);
-                stale.retain(|_, registry_version| *registry_version >= version);
+                misdirected.retain(|_, registry_version| *registry_version >= version);
             }
             5..=34 => {
                 let path = PATHS[rng.below(4) as usize];
@@ -112,10 +115,10 @@
                     continue;
                 };
                 let model = open.get_mut(&request).unwrap();
-                model.ran |= model.current_worker.take().is_some();
+                model.may_have_run |= model.current_worker.take().is_some();
                 let decision = balancer.decide(request, now);
                 let route_now = balancer.route(request).unwrap();
-                (model.homes, model.attempts) = (route_now.homes.clone(), route_now.attempts);
+                (model.homes, model.max_attempts) = (route_now.homes.clone(), route_now.attempts);
                 model.deadline = balancer.deadline(request);
                 match decision {
                     Decision::Send(target) => {
@@ -126,14 +129,19 @@
                         assert!(!registered.leaving && registered.leaves_ms.is_none());
                         assert!(!evacuated.contains(&registered.zone));
                         assert!(model.homes.is_empty() || model.homes.contains(&registered.region));
-                        assert!(!stale.contains_key(&registered.name));
+                        assert!(!misdirected.contains_key(&registered.name));
                         assert!(
                             !model.tried.contains(&registered.name)
-                                && model.attempts_sent < model.attempts
+                                && model.attempts_sent < model.max_attempts
+                        );
+                        assert!(
+                            !model.may_have_run || route_now.repeatable(),
+                            "retry of a non-idempotent request on {}",
+                            model.path
                         );
-                        assert!(!model.ran || route_now.repeatable(), "{} again", model.path);
                         assert!(route_now.split.iter().any(|(service, _)| {
-                            hosted_now.services[*service as usize].name == registered.group
+                            current_configuration.services[*service as usize].name
+                                == registered.group
                         }));
                         assert_eq!(target.time_left_ms, model.deadline - now);
                         model.attempts_sent += 1;
@@ -144,7 +152,7 @@
                     Decision::Reject(error, delay_ms) => {
                         assert!(delay_ms * 3 <= model.deadline.saturating_sub(now));
                         // 429 and 503 guarantee that it did not run
-                        assert!(!model.ran || error.status() != 503, "{error}");
+                        assert!(!model.may_have_run || error.status() != 503, "{error}");
                         balancer.finish(request, now);
                         open.remove(&request);
                     }
@@ -181,13 +189,13 @@
                 balancer.record_outcome(request, outcome, now);
                 if kind > 1 {
                     let current_worker = model.current_worker.take();
-                    model.ran |= current_worker.is_some() && ![3, 4, 5].contains(&kind);
-                    // the intended worker was deregistered, or none was reached
+                    model.may_have_run |= current_worker.is_some() && ![3, 4, 5].contains(&kind);
+                    // the address belongs to another worker, or no worker was reached
                     model.attempts_sent -=
                         u32::from(current_worker.is_some() && (kind == 4 || kind == 5));
                     current_worker
                         .filter(|_| kind == 4)
-                        .map(|n| stale.insert(n, version));
+                        .map(|n| misdirected.insert(n, version));
                 }
             }
             90..=95 => {
--- a/sorreldoor/tests/balancer/measures.rs
+++ b/sorreldoor/tests/balancer/measures.rs
@@ -1,10 +1,11 @@
-//! A random generator, and measures over the attempts of a simulation.
+//! A random number generator, and measures of a simulation's requests and attempts.
 
 use super::*;
 
-pub struct Rand(pub u64);
+/// The xorshift64* generator; the seed must not be 0.
+pub struct XorShift64(pub u64);
 
-impl Rand {
+impl XorShift64 {
     pub fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -19,7 +20,7 @@
     }
 }
 
-/// The largest number of the sorted `times` within any `span`.
+/// The largest number of times within any span of this length; `times` is sorted.
 pub fn peak_within(times: &[u64], span: u64) -> usize {
     let mut start = 0;
     (0..times.len())
@@ -33,9 +34,9 @@
         .unwrap_or(0)
 }
 
-/// The smallest headroom under the retry budget in any window that starts or ends
-/// at a retry, given the requests of the window, of the one before it, or of half
-/// a window before.
+/// The smallest number of retries left in the budget, over all windows that start or
+/// end at a retry. The requests are counted in the window, in the one before it and
+/// in the one half a window earlier; the largest count applies.
 pub fn budget_headroom(requests: &[u64], retries: &[u64], site_limits: &SiteLimits) -> f64 {
     let window = site_limits.retry_window_ms;
     let count = |times: &[u64], start: i64, end: i64| {
--- a/sorreldoor/tests/balancer/nodes.rs
+++ b/sorreldoor/tests/balancer/nodes.rs
@@ -1,20 +1,20 @@
-//! Limits that hold for all nodes together.
+//! Limits on the sum over all nodes, and the choice of workers for prompt prefixes.
 
 use super::measures::*;
 use super::simulation::*;
 use super::workload::{Backend, Flow};
 use super::*;
 
-fn model_flow(per_s: f64) -> Flow {
+fn model_flow(requests_per_s: f64) -> Flow {
     Flow {
         path: "/idem/",
-        per_s,
+        requests_per_s,
         prefixes: 50,
         shared_tokens: 92,
         own_tokens: 291,
         stream_ms: 200,
-        from: 15_000,
-        to: 40_000,
+        start_ms: 15_000,
+        end_ms: 40_000,
     }
 }
 
@@ -25,16 +25,16 @@
 
 #[test]
 fn slow_start_stays_within_the_limit_of_all_nodes() {
-    for (n, per_s, seed) in [
+    for (n, requests_per_s, seed) in [
         (12, 300.0, 1),
         (12, 2000.0, 2),
         (93, 400.0, 3),
         (93, 3000.0, 4),
     ] {
         let mut sim = Simulation::new(n, seed, default_routes(), workers());
-        sim.flows = vec![model_flow(per_s)];
-        // one worker joins under traffic, two registered ones start warming up
-        sim.schedule(20_000, SimEvent::WorkerRegistry);
+        sim.flows = vec![model_flow(requests_per_s)];
+        // under load, one worker joins and two registered ones enter slow start
+        sim.schedule(20_000, SimEvent::TestAction);
         sim.run(25_000, |sim| {
             let mut registered = sim.registered.clone();
             registered[3].cold_ms = 5000;
@@ -63,15 +63,18 @@
             .map(|(w, to)| peak_rate(*w, (20_000, *to)))
             .collect();
         println!(
-            "{n} nodes, {per_s}/s: cold {peaks:?} of 51.5, refused {}",
+            "{n} nodes, {requests_per_s}/s: requests per second in slow start {peaks:?} of at most 51.5, rejected {}",
             sim.rejected
         );
-        assert!(peaks.iter().all(|m| *m <= 51), "{n} {per_s}: {peaks:?}");
-        // at low load other workers are preferred; at high load they must help
-        let least_expected = if per_s > 1000.0 { 15 } else { 0 };
+        assert!(
+            peaks.iter().all(|m| *m <= 51),
+            "{n} {requests_per_s}: {peaks:?}"
+        );
+        // at low load other workers are preferred; at high load these get requests too
+        let least_expected = if requests_per_s > 1000.0 { 15 } else { 0 };
         assert!(
             peaks.iter().all(|m| *m >= least_expected),
-            "{n} {per_s}: {peaks:?}"
+            "{n} {requests_per_s}: {peaks:?}"
         );
     }
 }
@@ -91,11 +94,11 @@
         let mut sim = Simulation::new(n, seed, default_routes(), workers());
         let (first_offset, second_offset) = (sim.rand.below(8000), sim.rand.below(8000));
         let mut steady = model_flow(100.0);
-        steady.to = 60_000;
+        steady.end_ms = 60_000;
         let mut burst = model_flow(900.0);
-        (burst.from, burst.to) = (20_000 + first_offset, 26_000 + first_offset);
+        (burst.start_ms, burst.end_ms) = (20_000 + first_offset, 26_000 + first_offset);
         let mut next = model_flow(1500.0);
-        (next.from, next.to) = (34_000 + second_offset, 36_000 + second_offset);
+        (next.start_ms, next.end_ms) = (34_000 + second_offset, 36_000 + second_offset);
         sim.flows = vec![steady, burst, next];
         for w in 0..18 {
             sim.backends[w].failure_chance = 0.25;
@@ -105,20 +108,20 @@
         sim.run(60_000, |_| {});
         let headroom = budget_headroom(&sim.requests, &sim.retries, &site_limits());
         println!(
-            "{n} nodes: {} asked, {} further, least room {headroom:.1}",
+            "{n} nodes: {} requests, {} retries, least headroom {headroom:.1}",
             sim.requests.len(),
             sim.retries.len()
         );
         assert!(headroom >= 0.0, "{n} {seed}: {headroom}");
         assert!(
             sim.retries.len() * 20 > sim.requests.len(),
-            "{n}: hardly any used"
+            "{n} nodes: too few retries to test the budget"
         );
     }
 }
 
 #[test]
-fn prefixes_stay_put() {
+fn prefix_affinity_recomputes_fewer_tokens_than_round_robin() {
     let run = |round_robin| {
         let mut sim = Simulation::new(12, 11, default_routes(), workers());
         sim.round_robin = round_robin;
@@ -127,13 +130,13 @@
         sim.flows = vec![
             Flow {
                 path: "/once/",
-                per_s: 14.3,
+                requests_per_s: 14.3,
                 prefixes: 54,
                 shared_tokens: 13_300,
                 own_tokens: 3720,
                 stream_ms: 160,
-                from: 10_000,
-                to: 40_000,
+                start_ms: 10_000,
+                end_ms: 40_000,
             },
             small,
         ];
@@ -144,7 +147,7 @@
         );
         let share = sim.recomputed_tokens as f64 / sim.shared_tokens as f64;
         println!(
-            "round robin {round_robin}: reread {:.3}, first p50 {p50} p99 {p99} ms, refused {}",
+            "round robin {round_robin}: recomputed {:.3}, first event p50 {p50} p99 {p99} ms, rejected {}",
             share, sim.rejected
         );
         assert_eq!(sim.rejected, 0);
@@ -156,17 +159,17 @@
 }
 
 #[test]
-fn a_hot_prefix_spreads_with_its_load() {
+fn a_hot_prefix_beyond_one_worker_is_served_without_rejections() {
     let mut sim = Simulation::new(12, 13, default_routes(), workers());
     sim.flows = vec![Flow {
         path: "/once/",
-        per_s: 700.0,
+        requests_per_s: 700.0,
         prefixes: 1,
         shared_tokens: 8000,
         own_tokens: 100,
         stream_ms: 400,
-        from: 10_000,
-        to: 20_000,
+        start_ms: 10_000,
+        end_ms: 20_000,
     }];
     sim.run(25_000, |_| {});
     let peak = sim
@@ -175,24 +178,24 @@
         .map(|backend| peak_within(&backend.arrivals, 1000))
         .max();
     println!(
-        "hot: peak {peak:?} p99 {} refused {}",
+        "hot prefix: peak {peak:?} per second, first event p99 {} ms, rejected {}",
         sim.first_event_percentile(0.99),
         sim.rejected
     );
-    // a worker serves about 48 in 0.42 s
+    // a worker serves about 48 requests in 0.42 s
     assert!(sim.first_event_percentile(0.99) < 400);
     assert_eq!(sim.rejected, 0);
 }
 
 #[test]
-fn a_burst_beyond_capacity_is_rejected_in_time_and_the_rest_served() {
+fn at_least_half_of_a_burst_beyond_capacity_is_served_and_none_stays_open() {
     let mut sim = Simulation::new(12, 17, default_routes(), workers());
     let mut burst_flow = model_flow(6000.0);
-    (burst_flow.from, burst_flow.to) = (15_000, 18_000);
+    (burst_flow.start_ms, burst_flow.end_ms) = (15_000, 18_000);
     sim.flows = vec![burst_flow];
     sim.run(25_000, |_| {});
     println!(
-        "burst: served {} refused {} of {}",
+        "burst: served {}, rejected {} of {}",
         sim.served,
         sim.rejected,
         sim.requests.len()
@@ -207,7 +210,7 @@
     );
 }
 
-/// Nodes of both regions, none of which knows another.
+/// Balancers of nodes in both regions, each without a list of the other nodes.
 fn isolated_nodes(hosted_routes: &std::sync::Arc<Hosted>) -> Vec<Balancer> {
     let one = |i: u64| {
         let zone = if i.is_multiple_of(2) { 0 } else { 2 };
@@ -242,15 +245,15 @@
 }
 
 #[test]
-fn nodes_agree_on_a_prefix_without_communication() {
+fn nodes_choose_the_same_worker_for_a_prefix_without_communication() {
     // prefill takes longer than the round trip to another region
     let long = placements(&mut isolated_nodes(&default_routes()), "/once/", 9000);
     for at in &long {
         assert!(at.iter().all(|w| *w == at[0]), "{at:?}");
     }
-    // half of the eighteen workers holds them, and all of these are used
+    // long prompts go to half of the eighteen workers, and all of these are used
     assert_eq!(distinct(&long), 9);
-    // prefill of a short one is faster than a cache hit in the other region
+    // prefill of a short prefix takes less time than the way to the other region
     let short = placements(&mut isolated_nodes(&default_routes()), "/once/", 1000);
     for at in &short {
         let own_region = |i: usize| REGIONS[if i.is_multiple_of(2) { 0 } else { 2 }];
@@ -263,24 +266,24 @@
 }
 
 #[test]
-fn long_prefixes_avoid_the_region_that_other_routes_are_bound_to() {
-    let mut bound_route = route("bound", "/bound/", Kind::Stream, 0);
-    bound_route.homes = vec![0];
+fn long_prompts_avoid_the_region_that_stream_routes_are_pinned_to() {
+    let mut pinned_route = route("bound", "/bound/", Kind::Stream, 0);
+    pinned_route.homes = vec![0];
     let mut all: Vec<Route> = default_routes()
         .routes
         .iter()
         .map(|route| (**route).clone())
         .collect();
-    all.push(bound_route);
+    all.push(pinned_route);
     let hosted_routes = hosted(all);
     let long = placements(&mut isolated_nodes(&hosted_routes), "/once/", 9000);
     for at in &long {
         assert!(at.iter().all(|w| *w == at[0]), "{at:?}");
     }
-    // half of the eighteen: the other region's six, and three of the bound region
-    let (bound_region, other_region): (Vec<_>, Vec<_>) =
+    // half of the eighteen workers: all six of the other region, three of this one
+    let (pinned_region, other_region): (Vec<_>, Vec<_>) =
         long.iter().cloned().partition(|at| at[0].region == 0);
-    assert_eq!((distinct(&bound_region), distinct(&other_region)), (3, 6));
+    assert_eq!((distinct(&pinned_region), distinct(&other_region)), (3, 6));
     let home = placements(&mut isolated_nodes(&hosted_routes), "/bound/", 9000);
     assert!(home.iter().flatten().all(|w| w.region == 0));
 }
@@ -301,7 +304,7 @@
     let mut balancer = new_balancer(default_routes(), registered.clone());
     assert_eq!(attempts_at_warming(&mut balancer, 1000), 0);
     assert!(attempts_at_warming(&mut balancer, 3000) > 0);
-    // nodes that are missing for a moment keep their quota shares
+    // nodes that are missing for a short time keep their shares of the limit
     let mut balancer = new_balancer(default_routes(), registered);
     balancer.update_nodes((0..12).map(|i| (format!("n{i}"), 0)).collect());
     balancer.update_nodes(vec![("n0".into(), 0)]);
@@ -309,14 +312,14 @@
 }
 
 #[test]
-fn mass_restarts_violate_neither_bound() {
+fn restarts_of_half_the_nodes_violate_neither_slow_start_nor_retry_limits() {
     for (n, seed) in [(12, 21), (12, 22), (93, 23)] {
         let mut registered = workers();
         registered[0].cold_ms = 60_000;
         registered[1].cold_ms = 60_000;
         let mut sim = Simulation::new(n, seed, default_routes(), registered);
         let mut busy_flow = model_flow(1500.0);
-        busy_flow.to = 32_000;
+        busy_flow.end_ms = 32_000;
         sim.flows = vec![busy_flow];
         for w in 0..18 {
             sim.backends[w].failure_chance = 0.2;
@@ -324,7 +327,7 @@
         }
         // half the nodes at once, and again before the retry window has passed
         for at in [20_000, 20_900, 24_000, 27_000] {
-            sim.schedule(at, SimEvent::WorkerRegistry);
+            sim.schedule(at, SimEvent::TestAction);
         }
         sim.run(32_000, |sim| {
             for i in 0..sim.nodes.len() {
@@ -335,7 +338,10 @@
         });
         let warming = [0, 1].map(|w: usize| peak_within(&sim.backends[w].arrivals, 1000));
         let headroom = budget_headroom(&sim.requests, &sim.retries, &site_limits());
-        println!("{n} nodes, restarts: cold {warming:?} of 51.5, least room {headroom:.1}");
+        println!(
+            "{n} nodes, restarts: requests per second in slow start {warming:?} of at most 51.5, \
+             least headroom {headroom:.1}"
+        );
         assert!(warming.iter().all(|c| *c <= 51), "{warming:?}");
         assert!(headroom >= 0.0, "{headroom}");
     }
