--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -1,12 +1,14 @@
-//! Which attempts may be sent where, how often, and when clients may retry.
+//! The rules for sending attempts: which workers, how many attempts, in which order,
+//! and the retry-after time of rejections.
 
 use super::*;
 
-/// Path, registered workers, evacuated zones, and the worker that must be chosen.
+/// Path, registered workers, evacuated zones, and the worker that must be chosen, if
+/// any.
 type Case = (&'static str, Vec<Worker>, Vec<u16>, Option<&'static str>);
 
 #[test]
-fn no_configuration_and_no_route() {
+fn begin_fails_without_a_configuration_or_a_matching_route() {
     let mut balancer = Balancer::new(locality("n0", 0), site_limits(), 7);
     assert_eq!(
         balancer.begin("h", "/web/x", metadata(&[]), 0, 0),
@@ -24,7 +26,7 @@
 }
 
 #[test]
-fn an_attempt_that_may_have_run_is_not_retried() {
+fn a_failed_non_idempotent_request_is_not_retried() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1, 2]));
     let (request, _) = send(&mut balancer, "/webonce/x", 100);
     balancer.record_outcome(request, AttemptOutcome::Failed, 120);
@@ -35,7 +37,7 @@
 }
 
 #[test]
-fn a_rejected_request_is_retried_within_its_attempts() {
+fn a_non_idempotent_request_is_retried_only_if_the_attempt_did_not_run() {
     for (outcome, retried) in [
         (AttemptOutcome::Rejected(None), true),
         (AttemptOutcome::Misdirected, true),
@@ -55,8 +57,8 @@
             continue;
         }
         balancer.record_outcome(request, outcome.clone(), 20_020);
-        // an attempt without a connection or to a deregistered worker was not
-        // sent, so a third worker is not a third attempt
+        // an attempt without a connection or with the wrong address does not count
+        // against the route's attempts
         let third = matches!(balancer.decide(request, 20_020), Decision::Send(_));
         let unsent =
             [AttemptOutcome::ConnectFailed, AttemptOutcome::Misdirected].contains(&outcome);
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn the_configuration_in_force_decides_at_each_pick() {
+fn each_decision_uses_the_current_configuration() {
     let routed_to = |service| hosted(vec![route("w", "/w/", Kind::Once, service)]);
     let mut workers = workers_in("web", 6, &[0, 1]);
     workers.extend(workers_in("model", 48, &[0, 1]));
@@ -109,7 +111,7 @@
     balancer.apply_configuration(routed_to(0), 20_011);
     let second = expect_send(balancer.decide(second_request, 20_011));
     assert!(second.name.starts_with("model") && second.priority == Some(1));
-    // a rejected attempt is routed anew as well
+    // a retry after a rejected attempt also uses the new route
     balancer.record_outcome(first_request, AttemptOutcome::Rejected(None), 20_012);
     assert!(expect_send(balancer.decide(first_request, 20_012))
         .name
@@ -124,7 +126,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn the_route_with_the_longest_prefix_matches() {
     let configuration = hosted(vec![
         route("a", "/", Kind::Once, 1),
         route("b", "/a/", Kind::Once, 1),
@@ -218,7 +220,7 @@
 }
 
 #[test]
-fn unregistered_or_misdirected_workers_get_nothing() {
+fn unregistered_or_misdirected_workers_get_no_requests() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 1]));
     let (request, first) = send(&mut balancer, "/web/x", 10);
     balancer.record_outcome(request, AttemptOutcome::Misdirected, 11);
@@ -241,13 +243,13 @@
     assert!(targets(&mut balancer, 4001).contains(&first.name));
     balancer.update_registry(&registry(3, vec![worker("new", "web", 0, 6)]), 5000);
     assert_eq!(targets(&mut balancer, 5001), ["new"]);
-    // an older list that arrives late changes nothing
+    // an older registry that arrives late is ignored
     balancer.update_registry(&registry(2, workers_in("web", 6, &[0, 1])), 5002);
     assert_eq!(targets(&mut balancer, 5003), ["new"]);
 }
 
 #[test]
-fn deadlines_and_retry_after() {
+fn the_earlier_deadline_applies_and_retry_after_fits_the_time_left() {
     let mut balancer = new_balancer(default_routes(), vec![]);
     let request = balancer
         .begin("h", "/web/x", metadata(&[]), 1000, 1010)
@@ -260,7 +262,7 @@
         .unwrap();
     assert_eq!(balancer.deadline(without_deadline), 9000);
     assert!(matches!(balancer.decide(request, 1010), Decision::Wait(delay_ms) if delay_ms > 0));
-    // it is rejected with a retry time within a quarter of the latency target
+    // after a quarter of the latency target it is rejected with a retry-after time
     let now = 1200;
     match balancer.decide(request, now) {
         Decision::Reject(ErrorCode::NoWorker, ms) => assert!((100..=400).contains(&ms)),
@@ -278,7 +280,7 @@
 }
 
 #[test]
-fn a_free_slot_goes_by_priority_then_arrival() {
+fn a_free_slot_goes_to_the_first_request_by_priority_then_arrival() {
     let mut low = route("low", "/low/", Kind::Once, 1);
     low.priority = 3;
     let mut balancer = new_balancer(
@@ -311,8 +313,8 @@
 }
 
 #[test]
-fn no_rejection_while_half_the_slots_are_free() {
-    // a worker that rejects requests despite free slots is tried again
+fn no_request_is_rejected_while_half_the_slots_are_free() {
+    // the load alternates between below and above the capacity of 16 slots
     let mut balancer = new_balancer(default_routes(), workers_in("web", 8, &[0, 0]));
     let mut random_state = 5u64;
     let mut open: Vec<RequestId> = Vec::new();
@@ -335,7 +337,11 @@
                 Decision::Send(_) => open.push(request),
                 Decision::Reject(error, _) => {
                     assert_eq!(error, ErrorCode::NoWorker);
-                    assert!(open.len() * 2 >= 16, "{} of 16 taken", open.len());
+                    assert!(
+                        open.len() * 2 >= 16,
+                        "rejected with {} of 16 slots in use",
+                        open.len()
+                    );
                     rejected += 1;
                     balancer.finish(request, now);
                 }
