--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -1,9 +1,9 @@
-//! Endpoint selection, outlier ejection and avoidance.
+//! Endpoint selection, outlier detection and weighted splits.
 
 use super::*;
 
 #[test]
-fn an_unreachable_worker_is_ejected_and_readmitted_by_probes() {
+fn an_unreachable_worker_is_ejected_and_readmitted_by_trials() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 0, 0, 0]));
     let unreachable_worker = "web1";
     let mut unreachable = true;
@@ -39,7 +39,7 @@
         attempts_while_unreachable.len() <= 6,
         "{attempts_while_unreachable:?}"
     );
-    // the backoff doubles
+    // the time between trials grows
     assert!(
         attempts_while_unreachable
             .windows(3)
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn at_most_a_third_is_ejected_for_failures_and_a_fully_ejected_group_still_serves() {
+fn at_most_a_third_is_ejected_for_failures_and_a_fully_ejected_service_still_serves() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0; 9]));
     for now in 0..400u64 {
         let (request, _) = send(&mut balancer, "/webonce/x", now);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_full_worker_is_avoided_for_a_while() {
+fn a_worker_that_refused_a_request_is_avoided_for_a_short_time() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 0]));
     let (request, first) = send(&mut balancer, "/webonce/x", 1000);
     balancer.record_outcome(
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn weights_split_and_sticky_ones_stay() {
+fn routes_split_by_weight_and_sticky_routes_keep_a_prefix_at_one_service() {
     let mut sticky = route("s", "/s/", Kind::Once, 0);
     sticky.split = vec![(0, 90), (1, 10)];
     let mut spread = route("n", "/n/", Kind::Once, 0);
@@ -118,52 +118,55 @@
             });
             to_web.count()
         };
-    let s = web_attempts(&mut balancer, "/s/", &|i| {
+    let sticky_to_web = web_attempts(&mut balancer, "/s/", &|i| {
         vec![(i + 1, 50), (i + 1_000_000, 9)]
     });
-    assert!((140..260).contains(&s), "{s}");
-    let n = web_attempts(&mut balancer, "/n/", &|_| vec![(7, 50), (8, 9)]);
-    assert!((520..680).contains(&n), "{n}");
-    let one = web_attempts(&mut balancer, "/s/", &|i| vec![(7, 50), (i + 100, 9)]);
-    assert!(one == 0 || one == 2000, "{one}");
+    assert!((140..260).contains(&sticky_to_web), "{sticky_to_web}");
+    let spread_to_web = web_attempts(&mut balancer, "/n/", &|_| vec![(7, 50), (8, 9)]);
+    assert!((520..680).contains(&spread_to_web), "{spread_to_web}");
+    let one_prefix_to_web = web_attempts(&mut balancer, "/s/", &|i| vec![(7, 50), (i + 100, 9)]);
+    assert!(
+        one_prefix_to_web == 0 || one_prefix_to_web == 2000,
+        "{one_prefix_to_web}"
+    );
     assert_eq!(web_attempts(&mut balancer, "/z/", &|_| vec![]), 2000);
 }
 
 #[test]
 fn long_prompts_go_to_different_workers() {
     let mut balancer = new_balancer(default_routes(), workers_in("model", 48, &[0, 0, 0]));
-    let mut at: Vec<String> = Vec::new();
+    let mut chosen_workers: Vec<String> = Vec::new();
     for id in 1..4u64 {
         let request = balancer
             .begin("h", "/once/", metadata(&[(id, 20_000)]), 10, 10)
             .unwrap();
-        at.push(expect_send(balancer.decide(request, 10)).name);
+        chosen_workers.push(expect_send(balancer.decide(request, 10)).name);
     }
-    at.sort();
-    at.dedup();
-    assert_eq!(at.len(), 3);
+    chosen_workers.sort();
+    chosen_workers.dedup();
+    assert_eq!(chosen_workers.len(), 3);
 }
 
 #[test]
-fn a_session_returns_to_its_prefix_cache() {
+fn requests_of_a_session_go_to_the_same_worker() {
     let mut balancer = new_balancer(default_routes(), workers_in("model", 48, &[0; 6]));
     let session_prompt = |own_tokens: u32| metadata(&[(5, 6000), (77, own_tokens)]);
-    let mut at = Vec::new();
+    let mut chosen_workers = Vec::new();
     for i in 0..5 {
         let request = balancer
             .begin("h", "/once/", session_prompt(1000 + i * 500), 10, 10)
             .unwrap();
-        at.push(expect_send(balancer.decide(request, 10)).name);
+        chosen_workers.push(expect_send(balancer.decide(request, 10)).name);
         balancer.record_outcome(request, AttemptOutcome::FirstEvent, 50);
         balancer.record_outcome(request, AttemptOutcome::Completed(200), 60);
         balancer.finish(request, 60);
     }
-    at.dedup();
-    assert_eq!(at.len(), 1);
+    chosen_workers.dedup();
+    assert_eq!(chosen_workers.len(), 1);
 }
 
 #[test]
-fn a_slow_worker_gets_less_and_plain_requests_stay_in_their_zone() {
+fn a_slow_worker_gets_fewer_requests_and_requests_without_prompt_prefer_their_zone() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 0, 1]));
     let mut attempts_by_worker = [0; 3];
     let mut completions: Vec<(u64, RequestId)> = Vec::new();
