--- a/sorreldoor/tests/balancer/tenants.rs
+++ b/sorreldoor/tests/balancer/tenants.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants: priorities, homes, and keys that are revoked.
+//! Requests of tenants: priorities, homes, and invalid or revoked keys.
 
 use super::*;
 use sorreldoor::configuration::tenants::{ApiKey, Tenant, Tenants};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_priority_of_the_tenant_goes_before_that_of_the_route() {
+fn tenant_priority_ranks_before_route_priority() {
     let urgent = Route {
         priority: 0,
         ..route("urgent", "/urgent/", Kind::Idempotent, 0)
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn engine_priorities_stay_in_order_where_there_are_more_than_ten() {
+fn engine_priorities_keep_the_order_of_more_than_ten_ranks() {
     let priorities: Vec<u8> = vec![0, 1, 2, 7, 200];
     let routes = (0..4).map(|priority| Route {
         priority,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_urgent_tenant_is_sent_before_others_that_wait() {
+fn a_waiting_request_of_an_urgent_tenant_is_ready_first() {
     let routes = vec![route("web", "/web/", Kind::Idempotent, 1)];
     let tenants = vec![tenant("gold", 0, &[]), tenant("iron", 3, &[])];
     let mut balancer = new_balancer(with_tenants(routes, tenants), workers_in("web", 1, &[0]));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn homes_of_route_and_tenant_both_bind() {
+fn workers_are_within_the_homes_of_both_route_and_tenant() {
     let anywhere = route("any", "/any/", Kind::Idempotent, 1);
     let bound = Route {
         homes: vec![0],
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_request_without_a_valid_key_does_not_begin() {
+fn a_request_without_a_valid_key_begins_only_on_a_public_route() {
     let public = Route {
         public: true,
         ..route("public", "/public/", Kind::Idempotent, 1)
