--- a/sorreldoor/tests/balancer/quotas.rs
+++ b/sorreldoor/tests/balancer/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of tenants at one node: what is admitted, and what is told to cores.
+//! Quotas of tenants at one node: admission, and the usage reported to cores.
 
 use super::*;
 use sorreldoor::configuration::tenants::{ApiKey, Tenant, Tenants};
@@ -20,7 +20,7 @@
     new_balancer(Arc::new(configuration), workers_in("web", 6, &[0, 1]))
 }
 
-/// How many of 100 requests are admitted.
+/// Begins 100 requests; returns how many of them are admitted.
 fn admitted(balancer: &mut Balancer, now: u64) -> usize {
     let requests = (0..100).filter(|_| {
         let metadata = RequestMetadata {
@@ -45,8 +45,8 @@
     AdmissionShare { tenant, per_mille }
 }
 
-/// What a core tells unasked.
-fn told(shares: &[AdmissionShare]) -> AdmissionUpdate {
+/// An update of the shares that a core sends without a report to acknowledge.
+fn unsolicited_update(shares: &[AdmissionShare]) -> AdmissionUpdate {
     AdmissionUpdate {
         answers: None,
         shares: Some(shares.to_vec()),
@@ -54,28 +54,34 @@
 }
 
 #[test]
-fn a_share_told_by_a_core_is_admitted_and_the_rest_answered_429() {
+fn a_node_admits_the_share_sent_by_a_core_and_rejects_the_rest_with_429() {
     let id = tenant().id();
     let mut balancer = balancer_of(tenant());
     assert_eq!(admitted(&mut balancer, 10), 100);
-    balancer.admission.apply(&told(&[share(id, 250)]));
+    balancer
+        .admission
+        .apply(&unsolicited_update(&[share(id, 250)]));
     let some = admitted(&mut balancer, 20);
     assert!((24..=26).contains(&some), "{some}");
     assert_eq!(balancer.counts().over_quota, 100 - some as u64);
-    balancer.admission.apply(&told(&[share(id, 0)]));
+    balancer
+        .admission
+        .apply(&unsolicited_update(&[share(id, 0)]));
     assert!(admitted(&mut balancer, 30) <= 1);
-    balancer.admission.apply(&told(&[]));
+    balancer.admission.apply(&unsolicited_update(&[]));
     assert_eq!(admitted(&mut balancer, 40), 100);
     assert_eq!(ErrorCode::QuotaExceeded.status(), 429);
 }
 
 #[test]
-fn all_requests_are_reported_once() {
+fn usage_is_reported_again_only_if_the_core_has_not_acknowledged_it() {
     let id = tenant().id();
     let mut balancer = balancer_of(tenant());
-    balancer.admission.apply(&told(&[share(id, 500)]));
+    balancer
+        .admission
+        .apply(&unsolicited_update(&[share(id, 500)]));
     let some = admitted(&mut balancer, 10) as u64;
-    let report = balancer.admission.take_report(20).expect("a report");
+    let report = balancer.admission.take_report(20).expect("a report is due");
     let row = report.usage[0];
     assert_eq!(
         (report.usage.len(), row.tenant, row.requested),
@@ -83,9 +89,12 @@
     );
     assert_eq!(row.admitted, some);
     assert_eq!(balancer.admission.take_report(500), None);
-    // a core that answered has counted it; one that did not may not have
+    // without an acknowledgement, the core may not have counted the report
     balancer.admission.disconnected();
-    let again = balancer.admission.take_report(1000).expect("once more");
+    let again = balancer
+        .admission
+        .take_report(1000)
+        .expect("the report is sent again");
     assert_eq!(again.usage, report.usage);
     balancer.admission.apply(&AdmissionUpdate {
         answers: Some(again.number),
@@ -96,7 +105,7 @@
 }
 
 #[test]
-fn a_node_without_an_answer_admits_its_part_of_the_rate() {
+fn a_node_without_acknowledgement_admits_its_share_of_the_rate() {
     let mut balancer = balancer_of(tenant());
     let nodes = (0..4).map(|n| (format!("n{n}"), 0)).collect();
     balancer.update_nodes(nodes);
@@ -105,19 +114,19 @@
     assert_eq!(
         admitted(&mut balancer, 1000),
         100,
-        "the answer may be on its way"
+        "the acknowledgement is not overdue yet"
     );
     let before = balancer.counts().over_quota;
     let detached: usize = (0..10)
         .map(|second| admitted(&mut balancer, 2000 + second * 1000))
         .sum();
-    // a fourth of ten a second
+    // a quarter of 10 per second
     assert!((20..=28).contains(&detached), "{detached}");
     assert_eq!(
         balancer.counts().over_quota - before,
         1000 - detached as u64
     );
-    // what was rejected meanwhile is not made up for
+    // requests rejected in the meantime do not raise the rate later
     assert_eq!(
         balancer.admission.take_report(20_000).map(|r| r.number),
         Some(2)
@@ -128,21 +137,24 @@
     });
     balancer
         .admission
-        .apply(&told(&[share(tenant().id(), 100)]));
+        .apply(&unsolicited_update(&[share(tenant().id(), 100)]));
     let joined = admitted(&mut balancer, 20_000);
     assert!(joined <= 12, "{joined}");
-    balancer.admission.apply(&told(&[]));
+    balancer.admission.apply(&unsolicited_update(&[]));
     assert_eq!(admitted(&mut balancer, 20_000), 100);
 }
 
 #[test]
-fn a_node_that_reaches_no_core_reports_later_what_it_admitted() {
+fn a_node_that_reaches_no_core_reports_its_usage_later() {
     let mut balancer = balancer_of(tenant());
     assert_eq!(admitted(&mut balancer, 10), 100);
     balancer.admission.unreachable(20);
     let detached = admitted(&mut balancer, 3000) as u64;
     assert!(detached <= 10, "{detached}");
-    let report = balancer.admission.take_report(3010).expect("a report");
+    let report = balancer
+        .admission
+        .take_report(3010)
+        .expect("a report is due");
     assert_eq!(report.usage[0].admitted, 100 + detached);
 }
 
@@ -153,7 +165,9 @@
         ..tenant()
     });
     let id = tenant().id();
-    balancer.admission.apply(&told(&[share(id, 0)]));
+    balancer
+        .admission
+        .apply(&unsolicited_update(&[share(id, 0)]));
     assert_eq!(admitted(&mut balancer, 10), 100);
     assert_eq!(balancer.admission.take_report(20), None);
 }
