--- a/sorreldoor/tests/balancer/unresponsive.rs
+++ b/sorreldoor/tests/balancer/unresponsive.rs
@@ -1,5 +1,5 @@
-//! Unresponsive workers: they get attempts on new connections only, are avoided,
-//! and requests that may fail over leave them.
+//! Unresponsive workers: they are avoided, get attempts on new connections only, and
+//! requests that may run twice fail over to other workers.
 
 use super::*;
 
@@ -11,35 +11,38 @@
 }
 
 #[test]
-fn non_idempotent_requests_use_old_connections_only_to_responsive_workers() {
+fn non_idempotent_requests_reuse_connections_only_to_recently_active_workers() {
     let (mut balancer, request, first) = balancer_with_pending_request("/webonce/a");
-    assert!(first.new_connection, "nothing was ever heard of it");
+    assert!(
+        first.new_connection,
+        "the worker has not been active before"
+    );
     balancer.record_outcome(request, AttemptOutcome::Completed(200), 20_050);
     balancer.finish(request, 20_050);
     let uses_new_connection = |balancer: &mut Balancer, now: u64| {
         let (request, target) = (0..9)
             .map(|_| send(balancer, "/webonce/b", now))
             .find(|(_, target)| target.name == first.name)
-            .expect("it gets some of nine");
+            .expect("the worker gets one of nine requests");
         balancer.finish(request, now);
         target.new_connection
     };
     assert!(
         !uses_new_connection(&mut balancer.clone(), 20_100),
-        "it has just spoken"
+        "the worker was active 50 ms ago"
     );
     assert!(
         uses_new_connection(&mut balancer, 20_400),
-        "that is long ago"
+        "the worker was active 350 ms ago"
     );
 }
 
 #[test]
-fn an_unresponsive_worker_is_suspect_until_it_answers() {
+fn an_unresponsive_worker_is_suspect_until_it_responds() {
     let (mut balancer, request, first) = balancer_with_pending_request("/web/a");
     assert!(
         !first.new_connection,
-        "what may run twice may go out on a kept connection"
+        "an idempotent request may reuse a connection"
     );
     let attempts_at_first = |balancer: &Balancer, now: u64| {
         let mut balancer = balancer.clone();
@@ -61,8 +64,11 @@
         "{after_silence:?} {while_responsive:?}"
     );
     balancer.record_activity(request, 20_400);
-    assert!(!attempts_at_first(&balancer, 20_450).1, "it spoke");
-    assert!(attempts_at_first(&balancer, 20_800).1, "and owes the rest");
+    assert!(!attempts_at_first(&balancer, 20_450).1, "active 50 ms ago");
+    assert!(
+        attempts_at_first(&balancer, 20_800).1,
+        "inactive for 400 ms with an attempt in flight"
+    );
 }
 
 #[test]
@@ -71,23 +77,23 @@
     balancer.record_activity(request, 20_300);
     assert!(
         !balancer.may_fail_over(request, 400, 20_500),
-        "it spoke 200 ms ago"
+        "the worker was active 200 ms ago"
     );
     assert!(balancer.may_fail_over(request, 400, 20_700));
     assert!(
         balancer.may_fail_over(request, 0, 20_500),
-        "asked not to mind whether it lives"
+        "with a silence of 0, activity is not considered"
     );
     let (mut balancer, request, _) = balancer_with_pending_request("/webonce/a");
     assert!(
         !balancer.may_fail_over(request, 0, 25_000),
-        "what runs once never moves"
+        "a non-idempotent request does not fail over"
     );
     let mut single_balancer = new_balancer(default_routes(), workers_in("web", 6, &[0]));
     let (single_request, _) = send(&mut single_balancer, "/web/a", 20_000);
     assert!(
         !single_balancer.may_fail_over(single_request, 0, 22_000),
-        "there is no other"
+        "there is no other worker"
     );
     balancer.finish(request, 25_000);
 }
