--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The load balancer: each mechanism on its own, and many nodes together.
+//! The load balancer: single mechanisms, and simulations of many nodes.
 
 use sorreldoor::balancer::{
     AttemptOutcome, Balancer, Decision, LoadReport, Locality, RequestId, SiteLimits, Target,
@@ -123,9 +123,10 @@
     }
 }
 
+/// One worker for each of `zones`, named by group and number.
 fn workers_in(group: &str, slots: u32, zones: &[u16]) -> Vec<Worker> {
-    let worker_row = |(i, z): (usize, &u16)| worker(&format!("{group}{i}"), group, *z, slots);
-    zones.iter().enumerate().map(worker_row).collect()
+    let numbered = |(i, zone): (usize, &u16)| worker(&format!("{group}{i}"), group, *zone, slots);
+    zones.iter().enumerate().map(numbered).collect()
 }
 
 fn registry(version: u64, workers: Vec<Worker>) -> WorkerRegistry {
@@ -140,11 +141,12 @@
     balancer
 }
 
-fn metadata(parts: &[(u64, u32)]) -> RequestMetadata {
+/// Metadata with prompt segments, given as id and tokens.
+fn metadata(segments: &[(u64, u32)]) -> RequestMetadata {
     RequestMetadata {
         deadline_ms: Some(5000),
-        tokens_in: parts.iter().map(|part| part.1).sum(),
-        prompt_segments: parts
+        tokens_in: segments.iter().map(|segment| segment.1).sum(),
+        prompt_segments: segments
             .iter()
             .map(|(id, tokens)| PromptSegment {
                 id: *id,
@@ -155,6 +157,7 @@
     }
 }
 
+/// Begins a request without a prompt.
 fn begin(balancer: &mut Balancer, path: &str, now: u64) -> RequestId {
     balancer.begin("h", path, metadata(&[]), now, now).unwrap()
 }
@@ -162,10 +165,11 @@
 fn expect_send(decision: Decision) -> Target {
     match decision {
         Decision::Send(target) => target,
-        decision => panic!("not sent: {decision:?}"),
+        decision => panic!("expected Decision::Send, got {decision:?}"),
     }
 }
 
+/// Begins a request and decides on it; panics unless it is sent.
 fn send(balancer: &mut Balancer, path: &str, now: u64) -> (RequestId, Target) {
     let request_id = begin(balancer, path, now);
     let target = expect_send(balancer.decide(request_id, now));
