--- a/sorreldoor/src/balancer/failover.rs
+++ b/sorreldoor/src/balancer/failover.rs
@@ -10,10 +10,10 @@
 
 impl Balancer {
     /// Whether a request in flight may be moved to another endpoint: its route and
-    /// progress, its number of attempts, the time left and the retry budget allow it, another
-    /// endpoint has capacity, and the current endpoint has sent nothing to any
-    /// request for `silence` milliseconds. With `silence` 0 the activity of the
-    /// endpoint is not considered.
+    /// progress, its number of attempts, the time left and the retry budget allow
+    /// it, another endpoint has capacity, and the current endpoint has sent nothing
+    /// for `silence` milliseconds, for this or any other request. With `silence` 0
+    /// the activity of the endpoint is not considered.
     pub fn may_fail_over(&mut self, request_id: RequestId, silence: Millis, now: Millis) -> bool {
         let Some(request) = self.requests.check_out(request_id) else {
             return false;
