--- a/sorreldoor/src/balancer/authentication.rs
+++ b/sorreldoor/src/balancer/authentication.rs
@@ -15,7 +15,7 @@
     Anonymous,
     /// The tenant that has the request's key.
     Tenant(Arc<Tenant>),
-    /// The route requires a key, and the request has none or one of no tenant.
+    /// The route requires a key, and the request has none or an unknown one.
     Unauthenticated,
 }
 
