--- a/sorreldoor/src/balancer/cost.rs
+++ b/sorreldoor/src/balancer/cost.rs
@@ -13,7 +13,7 @@
 
 /// Shared prefixes with fewer tokens are cheap to prefill at any endpoint.
 const SMALL_PREFIX_TOKENS: u32 = 256;
-/// Longest prompt that is used as the trial of an ejected endpoint.
+/// Largest number of tokens of a prompt used as the trial of an ejected endpoint.
 const TRIAL_PROMPT_TOKENS: u32 = 2000;
 /// Round trip to another region, in milliseconds.
 const REMOTE_REGION_MS: f64 = 80.0;
