--- a/sorreldoor/src/balancer/long_prompts.rs
+++ b/sorreldoor/src/balancer/long_prompts.rs
@@ -18,8 +18,8 @@
 pub(super) const LONG_PROMPT_TOKENS: u32 = 4 * LONG_PREFIX_TOKENS;
 /// Time after a long prompt for which short ones avoid the endpoints for long ones.
 pub(super) const RECENT_LONG_PROMPT: Millis = 30_000;
-/// Endpoints of a service per endpoint for long prompts.
-const ENDPOINTS_PER_LONG_PROMPT_ENDPOINT: usize = 2;
+/// One in this many endpoints of a service, rounded up, serves long prompts.
+const LONG_PROMPT_DIVISOR: usize = 2;
 
 /// An endpoint that may be chosen for long prompts.
 struct Candidate {
@@ -83,7 +83,7 @@
         // so its endpoints are chosen last
         let heavily_pinned = |c: &Candidate| pinned(c) * 2.0 > most_pinned;
         all.sort_by_key(|c| (heavily_pinned(c), hash::mix(service.hash, c.hash)));
-        let count = all.len().div_ceil(ENDPOINTS_PER_LONG_PROMPT_ENDPOINT);
+        let count = all.len().div_ceil(LONG_PROMPT_DIVISOR);
         all.iter().take(count).map(|c| c.index).collect()
     }
 
