--- a/sorreldoor/tests/balancer/invariants.rs
+++ b/sorreldoor/tests/balancer/invariants.rs
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn the_earlier_deadline_applies_and_retry_after_fits_the_time_left() {
+fn the_earlier_deadline_applies_and_limits_the_retry_after_time() {
     let mut balancer = new_balancer(default_routes(), vec![]);
     let request = balancer
         .begin("h", "/web/x", metadata(&[]), 1000, 1010)
--- a/sorreldoor/tests/balancer/nodes.rs
+++ b/sorreldoor/tests/balancer/nodes.rs
@@ -63,7 +63,7 @@
             .map(|(w, to)| peak_rate(*w, (20_000, *to)))
             .collect();
         println!(
-            "{n} nodes, {requests_per_s}/s: requests per second in slow start {peaks:?} of at most 51.5, rejected {}",
+            "{n} nodes, {requests_per_s}/s: slow start peaks {peaks:?} of 51.5/s, rejected {}",
             sim.rejected
         );
         assert!(
@@ -147,7 +147,7 @@
         );
         let share = sim.recomputed_tokens as f64 / sim.shared_tokens as f64;
         println!(
-            "round robin {round_robin}: recomputed {:.3}, first event p50 {p50} p99 {p99} ms, rejected {}",
+            "round robin {round_robin}: recomputed {:.3}, p50 {p50} p99 {p99} ms, rejected {}",
             share, sim.rejected
         );
         assert_eq!(sim.rejected, 0);
@@ -339,8 +339,7 @@
         let warming = [0, 1].map(|w: usize| peak_within(&sim.backends[w].arrivals, 1000));
         let headroom = budget_headroom(&sim.requests, &sim.retries, &site_limits());
         println!(
-            "{n} nodes, restarts: requests per second in slow start {warming:?} of at most 51.5, \
-             least headroom {headroom:.1}"
+            "{n} nodes, restarts: slow start peaks {warming:?} of 51.5/s, least headroom {headroom:.1}"
         );
         assert!(warming.iter().all(|c| *c <= 51), "{warming:?}");
         assert!(headroom >= 0.0, "{headroom}");
