--- a/sorreldoor/tests/balancer/nodes.rs
+++ b/sorreldoor/tests/balancer/nodes.rs
@@ -339,7 +339,7 @@
         let warming = [0, 1].map(|w: usize| peak_within(&sim.backends[w].arrivals, 1000));
         let headroom = budget_headroom(&sim.requests, &sim.retries, &site_limits());
         println!(
-            "{n} nodes, restarts: slow start peaks {warming:?} of 51.5/s, least headroom {headroom:.1}"
+            "{n} nodes, restarts: slow start peaks {warming:?} of 51.5/s, headroom {headroom:.1}"
         );
         assert!(warming.iter().all(|c| *c <= 51), "{warming:?}");
         assert!(headroom >= 0.0, "{headroom}");
