--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -208,7 +208,7 @@
     }
 
     /// A first member of a new group; the founding snapshot is its first save.
-    pub fn found(
+    pub fn bootstrap(
         id: NodeId,
         timing: Timing,
         members: Vec<Member>,
@@ -223,7 +223,7 @@
         };
         let recovered = RecoveredState {
             hard_state: HardState::default(),
-            log: RaftLog::founded(members),
+            log: RaftLog::bootstrap(members),
             snapshot: Some(snapshot.clone()),
             claims: Vec::new(),
         };
--- a/sorreldoor/src/consensus/raft_log.rs
+++ b/sorreldoor/src/consensus/raft_log.rs
@@ -14,7 +14,7 @@
 
 impl RaftLog {
     /// The empty log of a new group.
-    pub fn founded(members: Vec<Member>) -> RaftLog {
+    pub fn bootstrap(members: Vec<Member>) -> RaftLog {
         RaftLog {
             base_members: members,
             ..RaftLog::default()
--- a/sorreldoor/src/control_plane/controller/bootstrap.rs
+++ b/sorreldoor/src/control_plane/controller/bootstrap.rs
@@ -72,7 +72,7 @@
         self.log_event(LogEvent::ClusterBootstrapped, names(&founders));
         let record = ReplicatedState::new(self.site.clone());
         let (id, timing, seed, now) = (self.me.id, self.timing.clone(), self.seed, self.now);
-        let consensus = Consensus::found(id, timing, founders, record, seed, now);
+        let consensus = Consensus::bootstrap(id, timing, founders, record, seed, now);
         self.consensus = Some(consensus);
         self.idempotency_event(idempotency::Event::Founded);
         self.announce_membership();
