--- a/sorreldoor/src/consensus/confchange.rs
+++ b/sorreldoor/src/consensus/confchange.rs
@@ -19,7 +19,7 @@
     /// this term has committed an entry, or if no voter would be left.
     pub(super) fn next_configuration(&self, next: &[Member]) -> Option<Vec<Member>> {
         let term_has_committed = self.log.term_at(self.committed) == Some(self.hard_state.term);
-        if !term_has_committed || !self.members_settled() {
+        if !term_has_committed || !self.has_stable_membership() {
             return None;
         }
         let next = quorum::without_outgoing(next);
--- a/sorreldoor/src/consensus/status.rs
+++ b/sorreldoor/src/consensus/status.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether the newest configuration is committed and not a joint one.
-    pub fn members_settled(&self) -> bool {
+    pub fn has_stable_membership(&self) -> bool {
         let committed = self.log.last_configuration_index() <= self.committed;
         committed && !quorum::is_joint(self.log.members())
     }
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -19,7 +19,7 @@
         let Some(consensus) = &self.consensus else {
             return;
         };
-        if !consensus.leads_globally() || !consensus.members_settled() || self.leaving {
+        if !consensus.leads_globally() || !consensus.has_stable_membership() || self.leaving {
             return;
         }
         let members = consensus.members().to_vec();
--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -253,7 +253,7 @@
         if frozen || self.stopping.contains(&node) {
             return;
         }
-        if !consensus.leads_globally() || !consensus.members_settled() {
+        if !consensus.leads_globally() || !consensus.has_stable_membership() {
             return;
         }
         let members = consensus.members().to_vec();
--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -198,7 +198,7 @@
                     let voters: Vec<u64> = seats.filter(|m| m.voter).map(|m| m.id).collect();
                     let replaced = voters.contains(&id) && !voters.contains(&lost_id);
                     // until its change has ended, the lost one still counts
-                    replaced && voters.len() == 3 && a.members_settled()
+                    replaced && voters.len() == 3 && a.has_stable_membership()
                 })
         });
         assert!(done, "seed {seed}: the new core has the lost one's seat");
--- a/testbed/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -44,7 +44,7 @@
                 let voters = x.members().iter().filter(|m| m.voter);
                 let ids: Vec<u64> = voters.map(|m| m.id).collect();
                 // until its change has ended, the lost core still counts
-                ids.len() == 3 && ids.contains(&id) && x.members_settled()
+                ids.len() == 3 && ids.contains(&id) && x.has_stable_membership()
             })
     });
     // it gets no membership where the core that it cannot reach leads
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -32,7 +32,7 @@
         .and_then(|c| world.controller(c))
         .and_then(|controller| controller.consensus());
     a.map_or((Vec::new(), false), |a| {
-        (a.members().to_vec(), !a.members_settled())
+        (a.members().to_vec(), !a.has_stable_membership())
     })
 }
 
