--- a/sorreldoor/src/consensus/persistence.rs
+++ b/sorreldoor/src/consensus/persistence.rs
@@ -43,7 +43,7 @@
 
     /// Order a save that isn't part of the log, such as claims. Returns its
     /// number, for [`Event::Saved`](super::Event::Saved).
-    pub fn save_beside_log(&mut self, save: Save) -> (u64, Vec<Effect>) {
+    pub fn save_outside_log(&mut self, save: Save) -> (u64, Vec<Effect>) {
         self.save(save);
         (self.save_seq, std::mem::take(&mut self.effects))
     }
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -69,7 +69,7 @@
 
     /// Saves with the log's own saves; the sequence number of the save.
     fn save_claims(&mut self, save: Save) -> Option<u64> {
-        let (seq, effects) = self.consensus.as_mut()?.save_beside_log(save);
+        let (seq, effects) = self.consensus.as_mut()?.save_outside_log(save);
         for effect in effects {
             self.apply_consensus_effect(effect);
         }
