--- a/sorreldoor/src/consensus/event.rs
+++ b/sorreldoor/src/consensus/event.rs
@@ -50,7 +50,7 @@
     Reconfigure(Vec<Member>),
     /// A client of this node asks for a linearizable read.
     Read {
-        /// Chosen by the driver; echoed by [`Effect::ReadReady`].
+        /// Chosen by the driver; echoed by [`Effect::ReadResult`].
         request_id: u64,
     },
 }
@@ -82,7 +82,7 @@
     },
     /// The state machine may serve the read; if not `ok`, it timed out or this
     /// node could not take it.
-    ReadReady {
+    ReadResult {
         /// The id from [`Event::Read`].
         request_id: u64,
         /// Whether the state machine now includes all writes that were answered
--- a/sorreldoor/src/consensus/persistence.rs
+++ b/sorreldoor/src/consensus/persistence.rs
@@ -113,7 +113,7 @@
             self.complete_proposal(id, Err(ProposalError::OutcomeUnknown));
         }
         for (request_id, _) in std::mem::take(&mut self.pending_reads) {
-            self.effects.push(Effect::ReadReady {
+            self.effects.push(Effect::ReadResult {
                 request_id,
                 ok: false,
             });
--- a/sorreldoor/src/consensus/read_index.rs
+++ b/sorreldoor/src/consensus/read_index.rs
@@ -17,7 +17,7 @@
     /// Accept a read of a client of this node.
     pub(super) fn read_index(&mut self, request_id: u64) {
         if self.disk_failed || self.pending_reads.len() >= self.timing.max_pending {
-            self.effects.push(Effect::ReadReady {
+            self.effects.push(Effect::ReadResult {
                 request_id,
                 ok: false,
             });
@@ -126,7 +126,7 @@
     fn end_reads(&mut self, ok: bool, condition: impl Fn(&PendingRead) -> bool) {
         for request_id in self.reads_where(condition) {
             self.pending_reads.remove(&request_id);
-            self.effects.push(Effect::ReadReady { request_id, ok });
+            self.effects.push(Effect::ReadResult { request_id, ok });
         }
     }
 
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -337,7 +337,7 @@
                 proposal_id,
                 outcome,
             } => self.proposal_completed(proposal_id, outcome),
-            Effect::ReadReady { request_id, ok } => self.read_completed(i, request_id, ok),
+            Effect::ReadResult { request_id, ok } => self.read_completed(i, request_id, ok),
             Effect::StateChanged(change) => {
                 let id = self.nodes[i].id;
                 if let StateChange::GlobalLeader { term, id } = &change {
