--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -82,7 +82,7 @@
     /// Highest index that a majority of all voters has: what safety rests on,
     /// and never waived.
     fn core_majority_index(&self) -> u64 {
-        if self.timing.injected_fault == InjectedFault::SkipCoreMajority {
+        if self.timing.injected_fault == InjectedFault::SkipVoterMajority {
             return self.region_index(self.region()).max(1);
         }
         self.quorum().committed_index(|id| self.matched_index(id))
--- a/sorreldoor/src/consensus/timing.rs
+++ b/sorreldoor/src/consensus/timing.rs
@@ -47,7 +47,7 @@
     #[default]
     None,
     /// Commit without a majority of all voters.
-    SkipCoreMajority,
+    SkipVoterMajority,
     /// Send what depends on a save before it is synced.
     SendBeforeSync,
     /// Answer reads without proof of leadership.
--- a/testbed/tests/consensus_sim.rs
+++ b/testbed/tests/consensus_sim.rs
@@ -106,7 +106,7 @@
 #[test]
 fn the_checker_catches_every_broken_rule() {
     let broken = [
-        InjectedFault::SkipCoreMajority,
+        InjectedFault::SkipVoterMajority,
         InjectedFault::SendBeforeSync,
         InjectedFault::SkipReadProof,
         InjectedFault::VoteForStaleLog,
