--- a/sorreldoor/src/consensus/save.rs
+++ b/sorreldoor/src/consensus/save.rs
@@ -34,10 +34,11 @@
     },
     /// Claims on request ids, which aren't part of the log but stored beside
     /// it. Written by the release before; still read.
-    Claims(Vec<(String, u128)>),
+    #[serde(rename = "Claims")]
+    LegacyClaims(Vec<(String, u128)>),
     /// Claims on request ids; each replaces an earlier one on the same id.
     #[serde(rename = "Noted")]
-    ClaimRecord(Vec<ClaimRecord>),
+    ClaimRecords(Vec<ClaimRecord>),
     /// The claims on these request ids have ended.
     #[serde(rename = "Forgot")]
     ReleasedClaims(Vec<String>),
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -53,7 +53,7 @@
                 let seq = if claims.is_empty() {
                     self.consensus.as_ref().and_then(|c| c.last_unsynced_save())
                 } else {
-                    self.save_claims(Save::ClaimRecord(claims))
+                    self.save_claims(Save::ClaimRecords(claims))
                 };
                 if let Some(seq) = seq {
                     self.idempotency.defer(seq, action);
--- a/sorreldoor/src/control_plane/idempotency/mod.rs
+++ b/sorreldoor/src/control_plane/idempotency/mod.rs
@@ -240,7 +240,7 @@
             }
         }
         if context.joined && !new_claims.is_empty() {
-            let save = Save::ClaimRecord(new_claims);
+            let save = Save::ClaimRecords(new_claims);
             self.effects.push(Effect::Save(save));
         }
     }
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -70,8 +70,8 @@
                 entries,
                 commit,
             } => self.append(*from, entries, *commit),
-            Save::Claims(claims) => self.legacy_claims.extend(claims.iter().cloned()),
-            Save::ClaimRecord(claims) => {
+            Save::LegacyClaims(claims) => self.legacy_claims.extend(claims.iter().cloned()),
+            Save::ClaimRecords(claims) => {
                 let rows = claims.iter().map(|claim| (claim.id.clone(), claim.clone()));
                 self.claims.extend(rows);
             }
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -367,8 +367,8 @@
             snapshot,
             discard_log: false,
         },
-        Save::Claims(vec![("old".into(), 7)]),
-        Save::ClaimRecord(vec![
+        Save::LegacyClaims(vec![("old".into(), 7)]),
+        Save::ClaimRecords(vec![
             claim(),
             ClaimRecord {
                 id: "gone".into(),
--- a/sorreldoor/tests/store/state.rs
+++ b/sorreldoor/tests/store/state.rs
@@ -27,11 +27,11 @@
     };
     let mut state: DurableState = decode(&encode(&legacy)).expect("an image of that release");
     // its saves are still in the log after the image
-    state.apply_save(4, &Save::Claims(vec![("later".into(), 8)]));
+    state.apply_save(4, &Save::LegacyClaims(vec![("later".into(), 8)]));
     let (id, claimant, retention_ms) = ("old".to_string(), 9, 5);
     state.apply_save(
         5,
-        &Save::ClaimRecord(vec![ClaimRecord {
+        &Save::ClaimRecords(vec![ClaimRecord {
             id,
             claimant,
             retention_ms,
--- a/sorreldoor/tests/store/workload.rs
+++ b/sorreldoor/tests/store/workload.rs
@@ -180,7 +180,7 @@
                 term: state.hard.term + 1,
                 ..state.hard.clone()
             }),
-            1 => Save::ClaimRecord(vec![ClaimRecord {
+            1 => Save::ClaimRecords(vec![ClaimRecord {
                 id: format!("id{}", self.random.below(5)),
                 claimant: 1,
                 retention_ms: 9,
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -124,7 +124,7 @@
     }
 
     fn save(&mut self, process: usize, seq: u64, save: Save) {
-        if matches!(save, Save::ClaimRecord(_) | Save::ReleasedClaims(_)) {
+        if matches!(save, Save::ClaimRecords(_) | Save::ReleasedClaims(_)) {
             self.claims_traffic.disk_bytes += encode(&save).len() as u64;
         }
         let incarnation = self.processes[process].incarnation;
