--- a/sorreldoor/src/consensus/status.rs
+++ b/sorreldoor/src/consensus/status.rs
@@ -90,7 +90,7 @@
     }
 
     /// Milliseconds since this node, as Global Leader, heard from `id`.
-    pub fn silent_for(&self, id: NodeId) -> Option<Millis> {
+    pub fn silence_of(&self, id: NodeId) -> Option<Millis> {
         let progress = self.progress.get(&id);
         progress
             .filter(|_| self.role == Role::Leader)
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -41,7 +41,7 @@
     fn health_of(&self, id: NodeId) -> Health {
         let consensus = self.consensus.as_ref();
         Health {
-            silent_ms: consensus.and_then(|c| c.silent_for(id)).unwrap_or(0),
+            silent_ms: consensus.and_then(|c| c.silence_of(id)).unwrap_or(0),
             caught_up: consensus.is_some_and(|c| c.caught_up(id)),
         }
     }
--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -258,7 +258,7 @@
         }
         let members = consensus.members().to_vec();
         let health = |id: NodeId| Health {
-            silent_ms: consensus.silent_for(id).unwrap_or(0),
+            silent_ms: consensus.silence_of(id).unwrap_or(0),
             caught_up: consensus.caught_up(id),
         };
         let others = members.iter().filter(|m| m.id != consensus.id());
