--- a/sorreldoor/src/consensus/entry.rs
+++ b/sorreldoor/src/consensus/entry.rs
@@ -87,7 +87,7 @@
 
     /// Whether the entry exceeds one message and is sent in chunks.
     pub fn is_large(&self) -> bool {
-        matches!(&self.body, Body::Data(data) if data.len() > super::CHUNK_BYTES)
+        matches!(&self.body, Body::Data(data) if data.len() > super::TRANSFER_CHUNK_BYTES)
     }
 }
 
--- a/sorreldoor/src/consensus/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -58,4 +58,4 @@
 pub use save::{ClaimRecord, RecoveredState, Save};
 pub use state_machine::StateMachine;
 pub use timing::{InjectedFault, Timing};
-pub use transfer::{CHUNK_BYTES, WINDOW_BYTES};
+pub use transfer::{TRANSFER_CHUNK_BYTES, TRANSFER_WINDOW_BYTES};
--- a/sorreldoor/src/consensus/snapshot_transfer.rs
+++ b/sorreldoor/src/consensus/snapshot_transfer.rs
@@ -10,7 +10,7 @@
 use super::node::Consensus;
 use super::state_machine::StateMachine;
 use super::timing::InjectedFault;
-use super::transfer::{IncomingTransfer, Transfer, CHUNK_BYTES, MAX_CONTENT_BYTES, WINDOW_BYTES};
+use super::transfer::{IncomingTransfer, Transfer, TRANSFER_CHUNK_BYTES, MAX_CONTENT_BYTES, TRANSFER_WINDOW_BYTES};
 use crate::types::NodeId;
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
         let chunk_bytes = if unchunked {
             usize::MAX / 2
         } else {
-            CHUNK_BYTES
+            TRANSFER_CHUNK_BYTES
         };
         let resend = self.timing.resend_interval;
         let timeout = if unchunked { resend } else { resend * 2 };
@@ -33,7 +33,7 @@
         };
         transfer.rewind_if_stalled(self.now, timeout);
         let window = if transfer.is_stalled() {
-            CHUNK_BYTES
+            TRANSFER_CHUNK_BYTES
         } else {
             window
         };
@@ -69,7 +69,7 @@
     /// The share of one transfer in the bytes in flight of all.
     fn transfer_window(&self) -> usize {
         let transfers = self.progress.values().filter(|p| p.transfer.is_some());
-        (WINDOW_BYTES / transfers.count().max(1)).max(CHUNK_BYTES)
+        (TRANSFER_WINDOW_BYTES / transfers.count().max(1)).max(TRANSFER_CHUNK_BYTES)
     }
 
     /// Replace a snapshot by the newest one if the entries that follow it are
--- a/sorreldoor/src/consensus/transfer.rs
+++ b/sorreldoor/src/consensus/transfer.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 /// Bytes of content in one message at most.
-pub const CHUNK_BYTES: usize = 32 * 1024;
+pub const TRANSFER_CHUNK_BYTES: usize = 32 * 1024;
 /// Bytes of content in flight to all members together; one chunk to each is
 /// always allowed. At 10 Mbit/s this takes about a tenth of a second.
-pub const WINDOW_BYTES: usize = 128 * 1024;
+pub const TRANSFER_WINDOW_BYTES: usize = 128 * 1024;
 /// The largest content that a receiver accepts, in bytes.
 pub(super) const MAX_CONTENT_BYTES: u64 = 16 << 20;
 
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use sorreldoor::consensus::{
-    Consensus, Event, InjectedFault, Member, StateChange, Timing, CHUNK_BYTES, WINDOW_BYTES,
+    Consensus, Event, InjectedFault, Member, StateChange, Timing, TRANSFER_CHUNK_BYTES, TRANSFER_WINDOW_BYTES,
 };
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::Command;
@@ -296,7 +296,7 @@
     println!("three breaks: {elapsed:?} ms, {sent} bytes sent for an image of {snapshot_bytes}");
     assert!(elapsed.is_some_and(|ms| ms < 5000), "{elapsed:?}");
     // three windows are lost; the rest are heartbeats and changes
-    let lost = 3 * (WINDOW_BYTES + CHUNK_BYTES) as u64;
+    let lost = 3 * (TRANSFER_WINDOW_BYTES + TRANSFER_CHUNK_BYTES) as u64;
     assert!(
         sent < snapshot_bytes + lost + 150_000,
         "{sent} for {snapshot_bytes}"
