--- a/sorreldoor/src/consensus/apply.rs
+++ b/sorreldoor/src/consensus/apply.rs
@@ -119,7 +119,7 @@
 
     /// The outcome of a proposal that has been applied here.
     pub(super) fn applied_outcome(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
-        self.state_machine.answered(proposal_id)
+        self.state_machine.recorded_outcome(proposal_id)
     }
 
     /// End a proposal of this node's client, if it is pending.
--- a/sorreldoor/src/consensus/state_machine.rs
+++ b/sorreldoor/src/consensus/state_machine.rs
@@ -8,7 +8,7 @@
     /// Apply one committed entry; the outcome goes to its proposer.
     fn apply(&mut self, index: u64, proposal_id: ProposalId, data: &[u8]) -> Vec<u8>;
     /// The first outcome of a proposal that was applied before.
-    fn answered(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>>;
+    fn recorded_outcome(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>>;
     /// The whole state, serialized, for a snapshot.
     fn image(&self) -> Vec<u8>;
     /// Replace the state by an image; false, and no change, if it is invalid.
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -92,7 +92,7 @@
     /// The outcome of a proposal as far as the record tells.
     fn recorded_outcome(&self, proposal_id: ProposalId, proved: bool) -> OpOutcome {
         let record = self.consensus.as_ref().map(|c| c.state_machine());
-        let bytes = record.and_then(|record| record.answered(proposal_id));
+        let bytes = record.and_then(|record| record.recorded_outcome(proposal_id));
         match bytes.and_then(|bytes| decode(&bytes)) {
             Some(outcome) => OpOutcome::Got(outcome),
             None if proved => OpOutcome::Nothing,
--- a/sorreldoor/src/replicated_state/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -84,7 +84,7 @@
         encode(&outcome)
     }
 
-    fn answered(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
+    fn recorded_outcome(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
         let outcome = self.applied_before(proposal_id)?;
         Some(Arc::new(encode(&outcome)))
     }
--- a/sorreldoor/tests/replicated_state.rs
+++ b/sorreldoor/tests/replicated_state.rs
@@ -142,7 +142,7 @@
         "version 7 may still be on its way"
     );
     assert_eq!(
-        state.answered(2),
+        state.recorded_outcome(2),
         None,
         "nothing is kept of what was not taken"
     );
--- a/testbed/src/sim/node.rs
+++ b/testbed/src/sim/node.rs
@@ -154,8 +154,8 @@
             .applied(self.node, index, proposal_id, data);
         self.replicated_state.apply(index, proposal_id, data)
     }
-    fn answered(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
-        self.replicated_state.answered(proposal_id)
+    fn recorded_outcome(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
+        self.replicated_state.recorded_outcome(proposal_id)
     }
     fn image(&self) -> Vec<u8> {
         self.replicated_state.image()
