--- a/sorreldoor/src/consensus/leader_transfer.rs
+++ b/sorreldoor/src/consensus/leader_transfer.rs
@@ -2,10 +2,10 @@
 //! latency, or to any voter before a shutdown.
 
 use super::event::StateChange;
+use super::leader_position::{best_region, LatencyModel, Load};
 use super::messages::Msg;
 use super::node::Consensus;
 use super::pending::LeaderTransfer;
-use super::position::{best_region, LatencyModel, Load};
 use super::quorum;
 use super::role::Role;
 use super::state_machine::StateMachine;
--- a/sorreldoor/src/consensus/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -24,13 +24,13 @@
 mod fast_return;
 mod follower;
 mod leader;
+pub mod leader_position;
 mod leader_transfer;
 mod members;
 mod messages;
 mod node;
 mod pending;
 mod persistence;
-pub mod position;
 mod progress;
 mod proposal;
 pub mod quorum;
@@ -49,11 +49,11 @@
 pub use entry::{Body, Entry, HardState, LogPosition, Member, Snapshot};
 pub use errors::ProposalError;
 pub use event::{Effect, Event, SilentVoter, StateChange, StepDownReason};
+pub use leader_position::Load;
 pub use messages::{
     AppendReply, AppendRequest, Chunk, ContentHeader, Msg, ReplicaProgress, VoteReply,
 };
 pub use node::Consensus;
-pub use position::Load;
 pub use raft_log::RaftLog;
 pub use save::{ClaimRecord, RecoveredState, Save};
 pub use state_machine::StateMachine;
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -2,12 +2,12 @@
 
 use super::entry::{HardState, LogPosition, Member, Snapshot};
 use super::event::{Effect, Event};
+use super::leader_position::Load;
 use super::messages::Msg;
 use super::pending::{
     Confirmation, DeferredMessage, DeferredResult, LeaderTransfer, PendingProposal, PendingRead,
     PendingReadIndex, UnsyncedSave,
 };
-use super::position::Load;
 use super::progress::Progress;
 use super::raft_log::RaftLog;
 use super::role::{DomainLeader, Election, Role};
--- a/sorreldoor/src/consensus/snapshot_transfer.rs
+++ b/sorreldoor/src/consensus/snapshot_transfer.rs
@@ -10,7 +10,9 @@
 use super::node::Consensus;
 use super::state_machine::StateMachine;
 use super::timing::InjectedFault;
-use super::transfer::{IncomingTransfer, Transfer, TRANSFER_CHUNK_BYTES, MAX_CONTENT_BYTES, TRANSFER_WINDOW_BYTES};
+use super::transfer::{
+    IncomingTransfer, Transfer, MAX_CONTENT_BYTES, TRANSFER_CHUNK_BYTES, TRANSFER_WINDOW_BYTES,
+};
 use crate::types::NodeId;
 use std::sync::Arc;
 
--- a/sorreldoor/tests/position.rs
+++ b/sorreldoor/tests/position.rs
@@ -1,6 +1,6 @@
 //! The paper's Ls in its three cases, and the choice of z that follows.
 
-use sorreldoor::consensus::position::{best_region, LatencyModel, Load};
+use sorreldoor::consensus::leader_position::{best_region, LatencyModel, Load};
 use std::collections::BTreeMap;
 
 fn latencies() -> BTreeMap<(u8, u8), u64> {
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -6,7 +6,8 @@
 mod support;
 
 use sorreldoor::consensus::{
-    Consensus, Event, InjectedFault, Member, StateChange, Timing, TRANSFER_CHUNK_BYTES, TRANSFER_WINDOW_BYTES,
+    Consensus, Event, InjectedFault, Member, StateChange, Timing, TRANSFER_CHUNK_BYTES,
+    TRANSFER_WINDOW_BYTES,
 };
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::Command;
