--- a/sorreldoor/src/consensus/leader_position.rs
+++ b/sorreldoor/src/consensus/leader_position.rs
@@ -9,7 +9,7 @@
 /// Recent reads and writes of one region's clients; both counts are halved every
 /// placement interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct RegionLoad {
     /// Requests for a read index by the cores of the region.
     pub reads: u64,
     /// Proposals that the Global Leader appended for the region's cores.
@@ -21,7 +21,7 @@
 pub struct LatencyModel<'a> {
     /// Reads and writes by the region that they came from; a region that is
     /// absent has none.
-    pub load: &'a BTreeMap<RegionId, Load>,
+    pub load: &'a BTreeMap<RegionId, RegionLoad>,
     /// One-way delay between two regions, where known, in one direction or
     /// both.
     pub latencies: &'a BTreeMap<(RegionId, RegionId), Millis>,
--- a/sorreldoor/src/consensus/leader_transfer.rs
+++ b/sorreldoor/src/consensus/leader_transfer.rs
@@ -2,7 +2,7 @@
 //! latency, or to any voter before a shutdown.
 
 use super::event::StateChange;
-use super::leader_position::{best_region, LatencyModel, Load};
+use super::leader_position::{best_region, LatencyModel, RegionLoad};
 use super::messages::Msg;
 use super::node::Consensus;
 use super::pending::LeaderTransfer;
@@ -42,7 +42,7 @@
         let own = self.region();
         let region = self.better_region().unwrap_or(own);
         for load in self.region_load.values_mut() {
-            *load = Load {
+            *load = RegionLoad {
                 reads: load.reads / 2,
                 writes: load.writes / 2,
             };
--- a/sorreldoor/src/consensus/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -49,7 +49,7 @@
 pub use entry::{Body, Entry, HardState, LogPosition, Member, Snapshot};
 pub use errors::ProposalError;
 pub use event::{Effect, Event, SilentVoter, StateChange, StepDownReason};
-pub use leader_position::Load;
+pub use leader_position::RegionLoad;
 pub use messages::{
     AppendReply, AppendRequest, Chunk, ContentHeader, Msg, ReplicaProgress, VoteReply,
 };
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -2,7 +2,7 @@
 
 use super::entry::{HardState, LogPosition, Member, Snapshot};
 use super::event::{Effect, Event};
-use super::leader_position::Load;
+use super::leader_position::RegionLoad;
 use super::messages::Msg;
 use super::pending::{
     Confirmation, DeferredMessage, DeferredResult, LeaderTransfer, PendingProposal, PendingRead,
@@ -99,7 +99,7 @@
 
     // placement of the Global Leader
     pub(super) unavailable_regions: BTreeSet<RegionId>,
-    pub(super) region_load: BTreeMap<RegionId, Load>,
+    pub(super) region_load: BTreeMap<RegionId, RegionLoad>,
     /// Smoothed one-way delays between two regions.
     pub(super) latencies: BTreeMap<(RegionId, RegionId), Millis>,
     pub(super) next_placement_at: Millis,
--- a/sorreldoor/tests/position.rs
+++ b/sorreldoor/tests/position.rs
@@ -1,17 +1,17 @@
 //! The paper's Ls in its three cases, and the choice of z that follows.
 
-use sorreldoor::consensus::leader_position::{best_region, LatencyModel, Load};
+use sorreldoor::consensus::leader_position::{best_region, LatencyModel, RegionLoad};
 use std::collections::BTreeMap;
 
 fn latencies() -> BTreeMap<(u8, u8), u64> {
     [((0, 1), 10), ((0, 2), 30), ((1, 2), 25)].into()
 }
 
-fn load(rows: &[(u64, u64)]) -> BTreeMap<u8, Load> {
+fn load(rows: &[(u64, u64)]) -> BTreeMap<u8, RegionLoad> {
     rows.iter()
         .enumerate()
         .map(|(region, (reads, writes))| {
-            let load_of_region = Load {
+            let load_of_region = RegionLoad {
                 reads: *reads,
                 writes: *writes,
             };
