--- a/sorreldoor/src/consensus/append_reply.rs
+++ b/sorreldoor/src/consensus/append_reply.rs
@@ -79,7 +79,7 @@
             let progress = self.progress.entry(replica.id).or_default();
             let advanced = replica.matched > progress.matched || replica.round > progress.round;
             if advanced || replica.id == from {
-                progress.last_heard_at = self.now;
+                progress.last_contact_at = self.now;
             }
             any_advanced |= advanced;
             progress.round = progress.round.max(replica.round);
--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -37,7 +37,7 @@
         let live = self.now.saturating_sub(self.timing.region_timeout);
         quorum::has_majority(&self.region_voters(region), |id| {
             let progress = self.progress.get(&id);
-            id == self.id || progress.is_some_and(|p| p.last_heard_at >= live)
+            id == self.id || progress.is_some_and(|p| p.last_contact_at >= live)
         })
     }
 
--- a/sorreldoor/src/consensus/domain_election.rs
+++ b/sorreldoor/src/consensus/domain_election.rs
@@ -30,9 +30,9 @@
         let has_quorum = quorum::has_majority(&voters, |id| {
             id == self.id
                 || self
-                    .domain_peer_heard_at
+                    .domain_peer_contact_at
                     .get(&id)
-                    .is_some_and(|heard_at| *heard_at >= live)
+                    .is_some_and(|contact_at| *contact_at >= live)
         });
         // without its region's quorum it must not block another election
         if !has_quorum || self.disk_stalled() || !self.is_voter() {
@@ -50,7 +50,7 @@
         let domain_term = self.hard_state.domain_term;
         let sent_at = self.now;
         self.record_domain_leader(self.region(), self.id, domain_term);
-        self.domain_leader_heard_at = sent_at;
+        self.domain_leader_contact_at = sent_at;
         for id in self.others() {
             let heartbeat = Msg::DomainHeartbeat {
                 domain_term,
@@ -64,7 +64,7 @@
         let leader = DomainLeader {
             id,
             domain_term,
-            last_heard_at: self.now,
+            last_contact_at: self.now,
         };
         self.domain_leaders.insert(region, leader);
     }
@@ -122,7 +122,7 @@
     }
 
     fn grants_domain_pre_vote(&self, domain_term: u64, last: LogPosition) -> bool {
-        let silence = self.now.saturating_sub(self.domain_leader_heard_at);
+        let silence = self.now.saturating_sub(self.domain_leader_contact_at);
         let silent = silence >= self.timing.election_timeout / 2;
         let no_leader = (silent || !self.domain_leader_known) && self.domain_role != Role::Leader;
         last >= self.log.last()
@@ -207,7 +207,7 @@
             id: self.id,
         });
         let now = self.now;
-        self.domain_peer_heard_at = voters.iter().map(|id| (*id, now)).collect();
+        self.domain_peer_contact_at = voters.iter().map(|id| (*id, now)).collect();
         // a Global Leader tracks more than its region, and that stays valid
         if self.role != Role::Leader {
             self.progress.clear();
@@ -253,13 +253,13 @@
         if self.domain_role != Role::Leader {
             self.domain_role = Role::Follower;
         }
-        self.domain_leader_heard_at = self.now;
+        self.domain_leader_contact_at = self.now;
         self.domain_leader_known = true;
         self.reset_domain_election_deadline();
     }
 
     pub(super) fn handle_domain_heartbeat_reply(&mut self, from: NodeId, sent_at: Millis) {
-        self.domain_peer_heard_at.insert(from, self.now);
+        self.domain_peer_contact_at.insert(from, self.now);
         let own = self.region();
         let region = quorum::region_of(self.log.members(), from);
         let Some(region) = region.filter(|r| *r != own) else {
--- a/sorreldoor/src/consensus/election.rs
+++ b/sorreldoor/src/consensus/election.rs
@@ -80,10 +80,10 @@
     /// another core's cannot win, so that other core must be able to.
     fn may_campaign(&self) -> bool {
         let domain_leader = self.domain_leaders.get(&self.region());
-        let heard_at = domain_leader.map_or(0, |leader| leader.last_heard_at);
+        let contact_at = domain_leader.map_or(0, |leader| leader.last_contact_at);
         let silence = self
             .now
-            .saturating_sub(heard_at.max(self.domain_leader_heard_at));
+            .saturating_sub(contact_at.max(self.domain_leader_contact_at));
         self.domain_role == Role::Leader
             || self.missed_elections > MISSED_ELECTIONS_BEFORE_ANY_VOTER
             || silence > self.timing.region_rule_timeout
--- a/sorreldoor/src/consensus/election_timer.rs
+++ b/sorreldoor/src/consensus/election_timer.rs
@@ -44,7 +44,7 @@
     /// Whether this node has no contact to a Global Leader: none known yet,
     /// silent for an election time-out, or its connection was closed.
     pub(super) fn no_active_leader(&self) -> bool {
-        let silence = self.now.saturating_sub(self.leader_heard_at);
+        let silence = self.now.saturating_sub(self.leader_contact_at);
         let silent = silence >= self.timing.election_timeout;
         self.role != Role::Leader
             && (self.global_leader.is_none() || self.leader_suspected || silent)
--- a/sorreldoor/src/consensus/follower.rs
+++ b/sorreldoor/src/consensus/follower.rs
@@ -48,7 +48,7 @@
         self.role = Role::Follower;
         let is_new = self.global_leader != Some(global_leader);
         self.global_leader = Some(global_leader);
-        self.leader_heard_at = self.now;
+        self.leader_contact_at = self.now;
         self.leader_known_at = Some(self.now);
         self.leader_suspected = false;
         self.pre_votes_granted.clear();
--- a/sorreldoor/src/consensus/leader.rs
+++ b/sorreldoor/src/consensus/leader.rs
@@ -41,8 +41,8 @@
         self.uncommitted_proposals.clear();
         self.unavailable_regions.clear();
         for id in self.others() {
-            let heard_at = self.heard_in_election(id);
-            let progress = Progress::active_from(next_index, heard_at);
+            let contact_at = self.initial_contact_at(id);
+            let progress = Progress::active_from(next_index, contact_at);
             self.progress.insert(id, progress);
         }
         for index in self.committed + 1..next_index {
@@ -56,9 +56,9 @@
     /// When a member counts as heard from as this node's term of office begins. One
     /// that took no part in the election has a quarter of the time-out left to
     /// answer, so that commits don't wait for a region that was lost before.
-    fn heard_in_election(&self, id: NodeId) -> Millis {
-        let took_part = self.election.votes.contains(&id);
-        if took_part || self.timing.injected_fault == InjectedFault::WaitForSilentRegions {
+    fn initial_contact_at(&self, id: NodeId) -> Millis {
+        let granted_vote = self.election.votes.contains(&id);
+        if granted_vote || self.timing.injected_fault == InjectedFault::WaitForSilentRegions {
             return self.now;
         }
         let timeout = self.timing.region_timeout;
@@ -114,7 +114,7 @@
         let live = self.now.saturating_sub(self.timing.election_timeout);
         self.quorum().is_reached(|id| {
             let progress = self.progress.get(&id);
-            id == self.id || progress.is_some_and(|p| p.last_heard_at >= live)
+            id == self.id || progress.is_some_and(|p| p.last_contact_at >= live)
         })
     }
 
@@ -123,7 +123,7 @@
     fn silent_voters(&self) -> Vec<SilentVoter> {
         let silent_for = |id: NodeId| {
             let progress = self.progress.get(&id);
-            progress.map_or(self.now, |p| self.now.saturating_sub(p.last_heard_at))
+            progress.map_or(self.now, |p| self.now.saturating_sub(p.last_contact_at))
         };
         let voters = self.voters().into_iter().filter(|id| *id != self.id);
         voters
--- a/sorreldoor/src/consensus/leader_transfer.rs
+++ b/sorreldoor/src/consensus/leader_transfer.rs
@@ -48,7 +48,7 @@
             };
         }
         let domain_leader = self.domain_leaders.get(&region).filter(|leader| {
-            let silence = self.now.saturating_sub(leader.last_heard_at);
+            let silence = self.now.saturating_sub(leader.last_contact_at);
             leader.id != self.id && silence < self.timing.region_timeout
         });
         if let Some(id) = domain_leader.map(|leader| leader.id) {
@@ -111,9 +111,9 @@
             .members()
             .iter()
             .filter(|m| m.voter && m.id != self.id && self.caught_up(m.id))
-            .filter_map(|m| self.progress.get(&m.id).map(|p| (m.id, p.last_heard_at)))
-            .filter(|(_, heard_at)| *heard_at >= live)
-            .max_by_key(|(id, heard_at)| (is_domain_leader(*id), *heard_at, *id));
+            .filter_map(|m| self.progress.get(&m.id).map(|p| (m.id, p.last_contact_at)))
+            .filter(|(_, contact_at)| *contact_at >= live)
+            .max_by_key(|(id, contact_at)| (is_domain_leader(*id), *contact_at, *id));
         if let Some((id, _)) = next {
             self.transfer_leader(id);
         }
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -36,10 +36,10 @@
     pub(super) domain_role: Role,
     pub(super) global_leader: Option<NodeId>,
     pub(super) domain_leaders: BTreeMap<RegionId, DomainLeader>,
-    pub(super) leader_heard_at: Millis,
+    pub(super) leader_contact_at: Millis,
     /// When this process last had contact with a Global Leader, or was it.
     pub(super) leader_known_at: Option<Millis>,
-    pub(super) domain_leader_heard_at: Millis,
+    pub(super) domain_leader_contact_at: Millis,
     /// The connection to the Global Leader was closed, and nothing has come
     /// from it since.
     pub(super) leader_suspected: bool,
@@ -65,7 +65,7 @@
     /// Transfers to this node, by sender.
     pub(super) incoming_transfers: BTreeMap<NodeId, IncomingTransfer>,
     /// When this Domain Leader last had a heartbeat reply of each node.
-    pub(super) domain_peer_heard_at: BTreeMap<NodeId, Millis>,
+    pub(super) domain_peer_contact_at: BTreeMap<NodeId, Millis>,
     /// Index up to which this log is known to match the Global Leader's of
     /// this term.
     pub(super) verified_index: u64,
@@ -154,9 +154,9 @@
             domain_role: Role::Follower,
             global_leader: None,
             domain_leaders: BTreeMap::new(),
-            leader_heard_at: now,
+            leader_contact_at: now,
             leader_known_at: None,
-            domain_leader_heard_at: now,
+            domain_leader_contact_at: now,
             leader_suspected: false,
             domain_leader_known: false,
             missed_elections: 0,
@@ -168,7 +168,7 @@
             domain_election: Election::default(),
             progress: BTreeMap::new(),
             incoming_transfers: BTreeMap::new(),
-            domain_peer_heard_at: BTreeMap::new(),
+            domain_peer_contact_at: BTreeMap::new(),
             verified_index: 0,
             heartbeat_round: 0,
             leader_round: 0,
--- a/sorreldoor/src/consensus/progress.rs
+++ b/sorreldoor/src/consensus/progress.rs
@@ -22,7 +22,7 @@
     pub probe_index: u64,
     /// The newest round of heartbeats that the replica has echoed.
     pub round: u64,
-    pub last_heard_at: Millis,
+    pub last_contact_at: Millis,
     pub sent_at: Millis,
     in_flight: VecDeque<InFlightAppend>,
     /// A snapshot or a large entry that is being sent in chunks.
@@ -41,7 +41,7 @@
     /// As `starting_at`, counted as heard from at `now`.
     pub fn active_from(next_index: u64, now: Millis) -> Progress {
         Progress {
-            last_heard_at: now,
+            last_contact_at: now,
             ..Progress::starting_at(next_index)
         }
     }
--- a/sorreldoor/src/consensus/replication.rs
+++ b/sorreldoor/src/consensus/replication.rs
@@ -47,7 +47,7 @@
         let relay = |region| {
             self.domain_leaders.get(&region).filter(|leader| {
                 region != own
-                    && leader.last_heard_at >= live
+                    && leader.last_contact_at >= live
                     && members.iter().any(|m| m.id == leader.id)
             })
         };
@@ -200,7 +200,7 @@
     /// Whether this Domain Leader follows a live Global Leader of another
     /// region. In its own region the Global Leader replicates itself.
     fn relays_to_region(&self) -> bool {
-        let silence = self.now.saturating_sub(self.leader_heard_at);
+        let silence = self.now.saturating_sub(self.leader_contact_at);
         self.domain_role == Role::Leader
             && self.global_leader.is_some_and(|leader| leader != self.id)
             && silence < self.timing.election_timeout
--- a/sorreldoor/src/consensus/role.rs
+++ b/sorreldoor/src/consensus/role.rs
@@ -32,7 +32,7 @@
 pub(super) struct DomainLeader {
     pub id: NodeId,
     pub domain_term: u64,
-    pub last_heard_at: Millis,
+    pub last_contact_at: Millis,
 }
 
 impl Role {
--- a/sorreldoor/src/consensus/snapshot_transfer.rs
+++ b/sorreldoor/src/consensus/snapshot_transfer.rs
@@ -131,7 +131,7 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.last_heard_at = now;
+        progress.last_contact_at = now;
         let Some(transfer) = progress.transfer.as_mut().filter(|t| t.id() == id) else {
             return;
         };
--- a/sorreldoor/src/consensus/status.rs
+++ b/sorreldoor/src/consensus/status.rs
@@ -94,7 +94,7 @@
         let progress = self.progress.get(&id);
         progress
             .filter(|_| self.role == Role::Leader)
-            .map(|p| self.now.saturating_sub(p.last_heard_at))
+            .map(|p| self.now.saturating_sub(p.last_contact_at))
     }
 
     /// Whether the newest configuration is committed and not a joint one.
@@ -113,7 +113,7 @@
 
     /// Whether a Global Leader was heard from lately, or is this node.
     pub fn has_leader(&self) -> bool {
-        let silence = self.now.saturating_sub(self.leader_heard_at);
+        let silence = self.now.saturating_sub(self.leader_contact_at);
         let live = silence < self.timing.election_timeout * 2;
         self.role == Role::Leader || (self.global_leader.is_some() && live)
     }
