--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -28,7 +28,7 @@
     }
 
     /// Highest index that a majority of the region's voters has.
-    fn region_index(&self, region: RegionId) -> u64 {
+    fn region_majority_index(&self, region: RegionId) -> u64 {
         quorum::majority_index(&self.region_voters(region), |id| self.matched_index(id))
     }
 
@@ -58,7 +58,7 @@
     /// has.
     pub(super) fn in_domain_commit_index(&self) -> u64 {
         let region = self.region();
-        let index = self.region_index(region);
+        let index = self.region_majority_index(region);
         let of_this_term = self.log.term_at(index) == Some(self.hard_state.term);
         if of_this_term && self.region_available(region) {
             index.max(self.committed)
@@ -69,7 +69,7 @@
 
     /// Advance the commit index if the rules allow it.
     pub(super) fn maybe_commit(&mut self) {
-        let index = self.core_majority_index().min(self.region_rules_index());
+        let index = self.voter_majority_index().min(self.region_rules_index());
         if index > self.committed && self.log.term_at(index) == Some(self.hard_state.term) {
             self.commit_to(index);
             while self.appended_at.front().is_some_and(|(i, _)| *i <= index) {
@@ -81,9 +81,9 @@
 
     /// Highest index that a majority of all voters has: what safety rests on,
     /// and never waived.
-    fn core_majority_index(&self) -> u64 {
+    fn voter_majority_index(&self) -> u64 {
         if self.timing.injected_fault == InjectedFault::SkipVoterMajority {
-            return self.region_index(self.region()).max(1);
+            return self.region_majority_index(self.region()).max(1);
         }
         self.quorum().committed_index(|id| self.matched_index(id))
     }
@@ -93,10 +93,10 @@
         let own = self.region();
         let mut others = quorum::regions(self.log.members());
         others.remove(&own);
-        let others_index = others.iter().map(|r| self.region_index(*r)).max();
+        let others_index = others.iter().map(|r| self.region_majority_index(*r)).max();
         let waived = self.waived_index();
         let own_limit = if self.region_available(own) {
-            self.region_index(own).max(waived)
+            self.region_majority_index(own).max(waived)
         } else {
             u64::MAX
         };
