--- a/sorreldoor/src/consensus/domain_election.rs
+++ b/sorreldoor/src/consensus/domain_election.rs
@@ -78,7 +78,7 @@
             ..Election::default()
         };
         self.request_domain_votes(self.hard_state.domain_term + 1, true);
-        self.check_elections();
+        self.advance_elections();
     }
 
     fn request_domain_votes(&mut self, domain_term: u64, pre_vote: bool) {
@@ -170,13 +170,13 @@
         let campaign_term = self.hard_state.domain_term + u64::from(pre_vote);
         if granted && self.domain_role == campaign && domain_term == campaign_term {
             self.domain_election.votes.insert(from);
-            self.check_elections();
+            self.advance_elections();
         }
     }
 
     /// Go on to the vote after a pre-vote, and to the office after a vote,
     /// each with a majority of the region.
-    pub(super) fn check_domain_election(&mut self) {
+    pub(super) fn advance_domain_election(&mut self) {
         let voters = self.region_voters(self.region());
         let won =
             |election: &Election| quorum::has_majority(&voters, |id| election.votes.contains(&id));
--- a/sorreldoor/src/consensus/election.rs
+++ b/sorreldoor/src/consensus/election.rs
@@ -23,7 +23,7 @@
         }
         self.tick_domain();
         self.tick_global();
-        self.check_elections();
+        self.advance_elections();
         self.tick_proposals();
         self.tick_reads();
     }
@@ -96,7 +96,7 @@
         self.election = self.new_election();
         self.election.since = since.unwrap_or(self.now);
         self.request_votes(self.hard_state.term + 1, true);
-        self.check_elections();
+        self.advance_elections();
     }
 
     fn new_election(&self) -> Election {
@@ -252,7 +252,7 @@
         if granted {
             self.election.votes.insert(from);
         }
-        self.check_elections();
+        self.advance_elections();
     }
 
     /// Whether this node's campaign has succeeded: N-1 Domain Leaders took
@@ -276,8 +276,8 @@
     }
 
     /// Take the next step in any election that has been won.
-    pub(super) fn check_elections(&mut self) {
-        self.check_domain_election();
+    pub(super) fn advance_elections(&mut self) {
+        self.advance_domain_election();
         if self.role == Role::PreCandidate && self.has_won_election() {
             self.become_candidate();
         }
--- a/sorreldoor/src/consensus/leader_transfer.rs
+++ b/sorreldoor/src/consensus/leader_transfer.rs
@@ -123,7 +123,7 @@
     pub(super) fn handle_timeout_now(&mut self, term: u64) {
         if term == self.hard_state.term && self.role != Role::Leader && self.promotable() {
             self.become_candidate();
-            self.check_elections();
+            self.advance_elections();
         }
     }
 }
--- a/sorreldoor/src/consensus/persistence.rs
+++ b/sorreldoor/src/consensus/persistence.rs
@@ -98,7 +98,7 @@
             self.maybe_fast_return();
         }
         self.replicate();
-        self.check_elections();
+        self.advance_elections();
     }
 
     /// Step aside: nothing this node says could be relied on.
