--- a/sorreldoor/src/consensus/leader_transfer.rs
+++ b/sorreldoor/src/consensus/leader_transfer.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Transfer the leadership to the region with clearly less latency, or to
+    /// OutgoingTransfer the leadership to the region with clearly less latency, or to
     /// the Domain Leader of the own region.
     fn reconsider_placement(&mut self) {
         let own = self.region();
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Transfer the leadership to a voter that has caught up: a Domain Leader
+    /// OutgoingTransfer the leadership to a voter that has caught up: a Domain Leader
     /// before others, then the one heard from last.
     fn transfer_leader_before_stop(&mut self) {
         let live = self.now.saturating_sub(self.timing.region_timeout);
--- a/sorreldoor/src/consensus/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -44,7 +44,7 @@
 mod status;
 mod term;
 mod timing;
-mod transfer;
+mod transfer_state;
 
 pub use entry::{Body, Entry, HardState, LogPosition, Member, Snapshot};
 pub use errors::ProposalError;
@@ -58,4 +58,4 @@
 pub use save::{ClaimRecord, RecoveredState, Save};
 pub use state_machine::StateMachine;
 pub use timing::{InjectedFault, Timing};
-pub use transfer::{TRANSFER_CHUNK_BYTES, TRANSFER_WINDOW_BYTES};
+pub use transfer_state::{TRANSFER_CHUNK_BYTES, TRANSFER_WINDOW_BYTES};
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -14,7 +14,7 @@
 use super::save::{RecoveredState, Save};
 use super::state_machine::StateMachine;
 use super::timing::Timing;
-use super::transfer::IncomingTransfer;
+use super::transfer_state::IncomingTransfer;
 use crate::types::{Millis, NodeId, ProposalId, RegionId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
--- a/sorreldoor/src/consensus/progress.rs
+++ b/sorreldoor/src/consensus/progress.rs
@@ -1,7 +1,7 @@
 //! Progress of a replica, as tracked by the node that sends it the log.
 
 use super::messages::ContentHeader;
-use super::transfer::Transfer;
+use super::transfer_state::OutgoingTransfer;
 use crate::types::Millis;
 use std::collections::VecDeque;
 
@@ -26,7 +26,7 @@
     pub sent_at: Millis,
     in_flight: VecDeque<InFlightAppend>,
     /// A snapshot or a large entry that is being sent in chunks.
-    pub transfer: Option<Transfer>,
+    pub transfer: Option<OutgoingTransfer>,
 }
 
 impl Progress {
@@ -58,7 +58,7 @@
         {
             self.in_flight.pop_front();
         }
-        let arrived = |t: &Transfer| t.header().last().index <= matched;
+        let arrived = |t: &OutgoingTransfer| t.header().last().index <= matched;
         if self.transfer.as_ref().is_some_and(arrived) {
             self.transfer = None;
         }
@@ -69,7 +69,7 @@
     pub fn decrease_next_index(&mut self, hint: u64) {
         self.next_index = hint.max(self.matched) + 1;
         self.in_flight.clear();
-        let is_entry = |t: &Transfer| matches!(t.header(), ContentHeader::Entry { .. });
+        let is_entry = |t: &OutgoingTransfer| matches!(t.header(), ContentHeader::Entry { .. });
         if self.transfer.as_ref().is_some_and(is_entry) {
             self.transfer = None;
         }
--- a/sorreldoor/src/consensus/snapshot_transfer.rs
+++ b/sorreldoor/src/consensus/snapshot_transfer.rs
@@ -10,8 +10,9 @@
 use super::node::Consensus;
 use super::state_machine::StateMachine;
 use super::timing::InjectedFault;
-use super::transfer::{
-    IncomingTransfer, Transfer, MAX_CONTENT_BYTES, TRANSFER_CHUNK_BYTES, TRANSFER_WINDOW_BYTES,
+use super::transfer_state::{
+    IncomingTransfer, OutgoingTransfer, MAX_CONTENT_BYTES, TRANSFER_CHUNK_BYTES,
+    TRANSFER_WINDOW_BYTES,
 };
 use crate::types::NodeId;
 use std::sync::Arc;
@@ -52,7 +53,13 @@
         }
     }
 
-    fn send_chunk(&mut self, to: NodeId, transfer: &Transfer, offset: usize, data: Vec<u8>) {
+    fn send_chunk(
+        &mut self,
+        to: NodeId,
+        transfer: &OutgoingTransfer,
+        offset: usize,
+        data: Vec<u8>,
+    ) {
         let contact = self.forwarded_leader();
         let chunk = Chunk {
             term: contact.term,
@@ -112,7 +119,7 @@
     }
 
     fn begin_transfer(&mut self, to: NodeId, header: ContentHeader, bytes: Arc<Vec<u8>>) {
-        let transfer = Transfer::new(header, bytes, self.now);
+        let transfer = OutgoingTransfer::new(header, bytes, self.now);
         if let Some(progress) = self.progress.get_mut(&to) {
             progress.transfer = Some(transfer);
         }
--- a/sorreldoor/src/consensus/transfer.rs
+++ b/sorreldoor/src/consensus/transfer_state.rs
@@ -14,7 +14,7 @@
 
 /// A snapshot or large entry being sent to one member.
 #[derive(Clone, Debug)]
-pub(super) struct Transfer {
+pub(super) struct OutgoingTransfer {
     header: ContentHeader,
     bytes: Arc<Vec<u8>>,
     id: u64,
@@ -28,10 +28,10 @@
     stalled: bool,
 }
 
-impl Transfer {
-    pub fn new(header: ContentHeader, bytes: Arc<Vec<u8>>, now: Millis) -> Transfer {
+impl OutgoingTransfer {
+    pub fn new(header: ContentHeader, bytes: Arc<Vec<u8>>, now: Millis) -> OutgoingTransfer {
         let id = content_id(&header, &bytes);
-        Transfer {
+        OutgoingTransfer {
             header,
             bytes,
             id,
