--- a/sorreldoor/src/consensus/replication.rs
+++ b/sorreldoor/src/consensus/replication.rs
@@ -122,7 +122,7 @@
         }
         let Some(prev) = self.log.at(next - 1) else {
             // compacted entries are in the snapshot only
-            self.begin_snapshot(to);
+            self.begin_snapshot_transfer(to);
             self.send_chunks(to, heartbeat);
             return;
         };
@@ -130,7 +130,7 @@
         if let Some(entry) = large.cloned() {
             progress.probe_index = prev.index;
             progress.sent_at = self.now;
-            self.begin_entry(to, prev, &entry);
+            self.begin_entry_transfer(to, prev, &entry);
             self.send_chunks(to, heartbeat);
             return;
         }
--- a/sorreldoor/src/consensus/snapshot_transfer.rs
+++ b/sorreldoor/src/consensus/snapshot_transfer.rs
@@ -90,11 +90,11 @@
                 && self.log.at(t.header().last().index).is_none()
         });
         if outdated {
-            self.begin_snapshot(to);
+            self.begin_snapshot_transfer(to);
         }
     }
 
-    pub(super) fn begin_snapshot(&mut self, to: NodeId) {
+    pub(super) fn begin_snapshot_transfer(&mut self, to: NodeId) {
         let Some(snapshot) = self.snapshot.clone() else {
             return;
         };
@@ -105,7 +105,7 @@
         self.begin_transfer(to, header, snapshot.image);
     }
 
-    pub(super) fn begin_entry(&mut self, to: NodeId, prev: LogPosition, entry: &Entry) {
+    pub(super) fn begin_entry_transfer(&mut self, to: NodeId, prev: LogPosition, entry: &Entry) {
         let Body::Data(bytes) = &entry.body else {
             return;
         };
