--- a/sorreldoor/src/consensus/domain_election.rs
+++ b/sorreldoor/src/consensus/domain_election.rs
@@ -215,7 +215,7 @@
         self.domain_leader_known = true;
         self.broadcast_domain_heartbeat();
         if self.no_active_leader() {
-            let soon = self.now + self.rand(self.timing.election_timeout / 16);
+            let soon = self.now + self.random_below(self.timing.election_timeout / 16);
             self.election_deadline = self.election_deadline.min(soon);
         }
     }
--- a/sorreldoor/src/consensus/election.rs
+++ b/sorreldoor/src/consensus/election.rs
@@ -43,7 +43,7 @@
     }
 
     fn handle_election_timeout(&mut self) {
-        self.reset_initial_election_deadline();
+        self.reset_adaptive_election_deadline();
         if self.now >= self.missed_election_at + self.timing.election_timeout {
             self.missed_election_at = self.now;
             self.missed_elections += 1;
@@ -56,7 +56,7 @@
     /// The last connection to a core was closed: its process has ended, or
     /// will connect again soon.
     pub(super) fn handle_disconnect(&mut self, id: NodeId) {
-        let soon = self.now + self.rand(self.timing.election_timeout / 8);
+        let soon = self.now + self.random_below(self.timing.election_timeout / 8);
         let domain_leader = self.domain_leaders.get(&self.region());
         if domain_leader.is_some_and(|leader| leader.id == id) {
             self.domain_leader_known = false;
@@ -136,7 +136,7 @@
         self.election = self.new_election();
         self.election.vote_save_seq = self.save_seq;
         let timeout = self.timing.election_timeout;
-        self.election_deadline = self.now + timeout + self.rand(timeout);
+        self.election_deadline = self.now + timeout + self.random_below(timeout);
         self.request_votes(self.hard_state.term, false);
     }
 
@@ -208,7 +208,7 @@
             self.reset_election_deadline();
         } else if since_first <= self.timing.region_rule_timeout {
             self.role = Role::Follower;
-            self.reset_initial_election_deadline();
+            self.reset_adaptive_election_deadline();
         }
     }
 
--- a/sorreldoor/src/consensus/election_timer.rs
+++ b/sorreldoor/src/consensus/election_timer.rs
@@ -7,7 +7,7 @@
 
 impl<M: StateMachine> Consensus<M> {
     /// A random number below `span` (xorshift64).
-    pub(super) fn rand(&mut self, span: Millis) -> Millis {
+    pub(super) fn random_below(&mut self, span: Millis) -> Millis {
         self.rng_state ^= self.rng_state << 13;
         self.rng_state ^= self.rng_state >> 7;
         self.rng_state ^= self.rng_state << 17;
@@ -16,18 +16,18 @@
 
     pub(super) fn reset_election_deadline(&mut self) {
         let timeout = self.timing.election_timeout;
-        self.election_deadline = self.now + timeout + self.rand(timeout / 2);
+        self.election_deadline = self.now + timeout + self.random_below(timeout / 2);
     }
 
     /// As `reset_election_deadline`, but sooner while there is no active
     /// leader. The pre-vote that follows can't depose one that others know.
-    pub(super) fn reset_initial_election_deadline(&mut self) {
+    pub(super) fn reset_adaptive_election_deadline(&mut self) {
         if !self.no_active_leader() {
             self.reset_election_deadline();
             return;
         }
         let span = self.timing.election_timeout / 4;
-        self.election_deadline = self.now + span + self.rand(span);
+        self.election_deadline = self.now + span + self.random_below(span);
     }
 
     pub(super) fn reset_domain_election_deadline(&mut self) {
@@ -38,7 +38,7 @@
         } else {
             half / 4
         };
-        self.domain_election_deadline = self.now + span + self.rand(span);
+        self.domain_election_deadline = self.now + span + self.random_below(span);
     }
 
     /// Whether this node has no contact to a Global Leader: none known yet,
--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -200,7 +200,7 @@
             effects: Vec::new(),
         };
         node.next_placement_at = now + node.timing.placement_interval;
-        node.reset_initial_election_deadline();
+        node.reset_adaptive_election_deadline();
         node.reset_domain_election_deadline();
         // a committed entry stays committed, so applying it needs no leader
         node.commit_to(node.hard_state.committed);
