--- a/sorreldoor/src/consensus/append_reply.rs
+++ b/sorreldoor/src/consensus/append_reply.rs
@@ -65,7 +65,7 @@
             self.retry_rejected_append(from, hint);
         }
         if self.role == Role::Leader {
-            self.learn_from_region(from, &reply);
+            self.record_region_report(from, &reply);
         } else if let Some(leader) = self.global_leader.filter(|_| advanced) {
             self.send_append_reply(leader, None);
         }
@@ -104,7 +104,7 @@
     }
 
     /// What a Domain Leader reports of its region.
-    fn learn_from_region(&mut self, from: NodeId, reply: &AppendReply) {
+    fn record_region_report(&mut self, from: NodeId, reply: &AppendReply) {
         let Some(region) = quorum::region_of(self.log.members(), from) else {
             return;
         };
--- a/sorreldoor/src/consensus/compaction.rs
+++ b/sorreldoor/src/consensus/compaction.rs
@@ -55,6 +55,6 @@
         }
         let bytes = snapshot.image.len() + SPARE_LOG_BYTES;
         let count = self.timing.snapshot_entries * TAIL_FACTOR;
-        self.log.tail(last, count, bytes)
+        self.log.index_before_tail(last, count, bytes)
     }
 }
--- a/sorreldoor/src/consensus/confchange.rs
+++ b/sorreldoor/src/consensus/confchange.rs
@@ -79,7 +79,7 @@
             return self.append_configuration(quorum::without_outgoing(members));
         }
         if committed && !self.is_voter() {
-            self.step_down(StepDownReason::NoVoter);
+            self.step_down(StepDownReason::NotAVoter);
         }
     }
 }
--- a/sorreldoor/src/consensus/event.rs
+++ b/sorreldoor/src/consensus/event.rs
@@ -172,7 +172,7 @@
     /// A save was refused by the disk.
     DiskFailed,
     /// A change of the members took its vote.
-    NoVoter,
+    NotAVoter,
 }
 
 impl fmt::Display for StepDownReason {
@@ -187,7 +187,7 @@
             }
             StepDownReason::DiskStalled => f.write_str("disk does not sync in time"),
             StepDownReason::DiskFailed => f.write_str("disk failed"),
-            StepDownReason::NoVoter => f.write_str("no longer a voter"),
+            StepDownReason::NotAVoter => f.write_str("no longer a voter"),
         }
     }
 }
--- a/sorreldoor/src/consensus/raft_log.rs
+++ b/sorreldoor/src/consensus/raft_log.rs
@@ -91,7 +91,7 @@
 
     /// The last index to compact so that the entries after it up to `last` are
     /// no more than `count` and `max_bytes`.
-    pub fn tail(&self, last: u64, count: u64, max_bytes: usize) -> u64 {
+    pub fn index_before_tail(&self, last: u64, count: u64, max_bytes: usize) -> u64 {
         let mut from = last;
         let mut remaining = max_bytes;
         while from > self.base.index && last - from < count {
--- a/sorreldoor/src/consensus/replication.rs
+++ b/sorreldoor/src/consensus/replication.rs
@@ -80,7 +80,7 @@
     }
 
     /// The leader whose log this node sends, itself or as a Domain Leader.
-    pub(super) fn forwarded_leader(&self) -> LeaderContact {
+    pub(super) fn sender_contact(&self) -> LeaderContact {
         let (global_leader, round) = if self.role == Role::Leader {
             (self.id, self.heartbeat_round)
         } else {
@@ -143,7 +143,7 @@
 
     fn send_entries(&mut self, to: NodeId, prev: LogPosition, entries: Vec<Entry>) {
         let commit = self.committed.min(self.last_sendable_index());
-        let contact = self.forwarded_leader();
+        let contact = self.sender_contact();
         if let Some(progress) = self.progress.get_mut(&to) {
             progress.next_index = prev.index + 1 + entries.len() as u64;
             if !entries.is_empty() {
--- a/sorreldoor/src/consensus/snapshot_transfer.rs
+++ b/sorreldoor/src/consensus/snapshot_transfer.rs
@@ -60,7 +60,7 @@
         offset: usize,
         data: Vec<u8>,
     ) {
-        let contact = self.forwarded_leader();
+        let contact = self.sender_contact();
         let chunk = Chunk {
             term: contact.term,
             global_leader: contact.global_leader,
--- a/sorreldoor/src/consensus/status.rs
+++ b/sorreldoor/src/consensus/status.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// Election time-outs without a leader after which a node counts as partitioned.
-const PARTITIONED_ELECTIONS: Millis = 4;
+const PARTITION_ELECTION_TIMEOUTS: Millis = 4;
 /// Entries that a replica may lack and still count as caught up.
 const CAUGHT_UP_ENTRIES: u64 = 8;
 
@@ -121,7 +121,7 @@
     /// Whether this process had a leader and has been without one for longer
     /// than an election takes: others may have a leader that it can't reach.
     pub fn is_partitioned(&self) -> bool {
-        let limit = self.timing.election_timeout * PARTITIONED_ELECTIONS;
+        let limit = self.timing.election_timeout * PARTITION_ELECTION_TIMEOUTS;
         let known_at = self.leader_known_at.filter(|_| self.role != Role::Leader);
         known_at.is_some_and(|known_at| self.now.saturating_sub(known_at) >= limit)
     }
