--- a/sorreldoor/src/consensus/election.rs
+++ b/sorreldoor/src/consensus/election.rs
@@ -1,8 +1,10 @@
 //! Election of the Global Leader, with pre-vote (thesis, sections 3.4 and 9.6).
 //!
-//! On top of Raft's majority of all voters, the CD-Raft paper (section III-C)
-//! wants N-1 of N Domain Leaders to take part; that rule is waived after a
-//! time-out.
+//! In addition to Raft's majority of all voters, the CD-Raft paper (section
+//! III-C) requires N-1 of N Domain Leaders to take part. That rule is waived
+//! after `region_rule_timeout`; the majority of all voters never is.
+//!
+//! Also contains the tick of a node, which drives all timers.
 
 use super::entry::LogPosition;
 use super::messages::{Msg, VoteReply};
@@ -13,10 +15,12 @@
 use super::timing::InjectedFault;
 use crate::types::NodeId;
 
-/// Missed election time-outs after which any voter may campaign.
+/// A voter other than the Domain Leader may campaign after more consecutive
+/// election timeouts without a Global Leader than this.
 const MISSED_ELECTIONS_BEFORE_ANY_VOTER: u32 = 1;
 
 impl<M: StateMachine> Consensus<M> {
+    /// Run all timers that are due.
     pub(super) fn tick(&mut self) {
         if self.disk_failed {
             return;
@@ -53,8 +57,8 @@
         }
     }
 
-    /// The last connection to a core was closed: its process has ended, or
-    /// will connect again soon.
+    /// The last connection to a core was closed: its process has exited, or it
+    /// is about to reconnect. Brings forward the elections that replace it.
     pub(super) fn handle_disconnect(&mut self, id: NodeId) {
         let soon = self.now + self.random_below(self.timing.election_timeout / 8);
         let domain_leader = self.domain_leaders.get(&self.region());
@@ -62,7 +66,7 @@
             self.domain_leader_known = false;
             self.domain_election_deadline = self.domain_election_deadline.min(soon);
         }
-        // what it would have relayed goes to its region directly
+        // its region gets appends directly until it sends a heartbeat again
         if self.role == Role::Leader {
             self.domain_leaders.retain(|_, leader| leader.id != id);
         }
@@ -72,12 +76,12 @@
         }
     }
 
-    /// Domain Leaders campaign. Any other voter may where its region has none,
-    /// or after missed elections.
+    /// Whether this node may campaign: as a Domain Leader always, as any other
+    /// voter if its region has no Domain Leader, or after missed elections.
     ///
-    /// A region without its majority elects no Domain Leader, yet may have the
-    /// newest log. And a Domain Leader whose log or configuration is older than
-    /// another core's cannot win, so that other core must be able to.
+    /// A region without a majority elects no Domain Leader, yet may have the
+    /// newest log. A Domain Leader whose log or configuration is older than
+    /// that of another core cannot win, so the other core must be able to.
     fn may_campaign(&self) -> bool {
         let domain_leader = self.domain_leaders.get(&self.region());
         let contact_at = domain_leader.map_or(0, |leader| leader.last_contact_at);
@@ -90,7 +94,7 @@
     }
 
     fn start_pre_vote(&mut self) {
-        // a repeated pre-vote must not put off the waiver of the region rule
+        // a repeated pre-vote must not delay the waiver of the region rule
         let since = Some(self.election.since).filter(|_| self.role == Role::PreCandidate);
         self.role = Role::PreCandidate;
         self.election = self.new_election();
@@ -147,7 +151,7 @@
         last: LogPosition,
         pre_vote: bool,
     ) {
-        // what the reply says of this node is from before it grants anything
+        // the reply describes this node as it was before it granted the vote
         let is_domain_leader = self.domain_role == Role::Leader;
         let own_last = self.log.last();
         let granted = if pre_vote {
@@ -176,8 +180,8 @@
     }
 
     fn grant_pre_vote(&mut self, from: NodeId, term: u64, last: LogPosition) -> bool {
-        // of two simultaneous campaigns only one may go on, or they would
-        // split the votes again and again
+        // of two simultaneous campaigns only one may continue, or they would
+        // split the votes repeatedly
         let rival = match self.role {
             Role::PreCandidate => self.log.last() == last && self.id > from,
             role => role == Role::Candidate,
@@ -193,10 +197,11 @@
         granted
     }
 
-    /// Give up a campaign of this node's own for that of `rival`, which was
-    /// granted a pre-vote. A rival that comes again may wait for the region rule
-    /// to be waived, so this node tries again soon; one that comes still later
-    /// hears no answers, and must not keep others from campaigning.
+    /// Abandon this node's own pre-vote in favour of `rival`, which was granted
+    /// one. If the rival asks again, it may be waiting for the region rule to be
+    /// waived, so this node retries with a shorter deadline. If it still asks
+    /// after `region_rule_timeout`, it is assumed not to receive the replies, and
+    /// this node continues its own campaign.
     fn yield_to(&mut self, rival: NodeId) {
         let first_at = *self.pre_votes_granted.entry(rival).or_insert(self.now);
         if self.role != Role::PreCandidate {
@@ -255,9 +260,10 @@
         self.advance_elections();
     }
 
-    /// Whether this node's campaign has succeeded: N-1 Domain Leaders took
-    /// part, its log is as new as N-2 others', and a majority of all voters
-    /// granted their vote. Only the last rule is never waived.
+    /// Whether this node's campaign has succeeded: a majority of all voters
+    /// granted their vote, N-1 Domain Leaders took part, and this node's log is
+    /// at least as new as those of N-2 other Domain Leaders. The last two rules
+    /// are waived after `region_rule_timeout`.
     fn has_won_election(&self) -> bool {
         let election = &self.election;
         if !self.quorum().is_reached(|id| election.votes.contains(&id)) {
@@ -271,17 +277,18 @@
             .filter(|(id, last)| **id != self.id && own_last >= **last)
             .count();
         let region_rule = election.domain_leaders.len() + 1 >= regions && not_newer + 2 >= regions;
-        // a region without its majority has no Domain Leader to take part
+        // a region without a majority has no Domain Leader that could take part
         region_rule || self.now.saturating_sub(election.since) >= self.timing.region_rule_timeout
     }
 
-    /// Take the next step in any election that has been won.
+    /// Advance each campaign of this node that has enough votes: from pre-vote
+    /// to vote, and from vote to leader.
     pub(super) fn advance_elections(&mut self) {
         self.advance_domain_election();
         if self.role == Role::PreCandidate && self.has_won_election() {
             self.become_candidate();
         }
-        // the own vote counts only once it is synced, like any other's
+        // this node's own vote counts once it is synced, as any other voter's does
         let synced = self.synced_seq >= self.election.vote_save_seq;
         if self.role == Role::Candidate && synced && self.has_won_election() {
             self.become_leader();
