--- a/sorreldoor/src/consensus/commit.rs
+++ b/sorreldoor/src/consensus/commit.rs
@@ -1,10 +1,11 @@
 //! The commit index of the Global Leader.
 //!
 //! An entry of the current term is committed once a majority of all voters has
-//! it, as in Raft (thesis, section 3.6.2). The CD-Raft paper's region rules
-//! (section III-C) come on top: the leader's region and one other must have a
-//! majority each. They add disaster tolerance, not safety, so they are waived
-//! for a region that is unavailable and for entries that have waited too long.
+//! it, as in Raft (thesis, section 3.6.2). In addition, the region rules of the
+//! CD-Raft paper (section III-C) require a majority in the leader's region and
+//! in one other region. They add disaster tolerance, not safety, so they are
+//! waived for a region that is unavailable and for entries that have waited
+//! for `region_rule_timeout`.
 
 use super::event::StateChange;
 use super::node::Consensus;
@@ -15,7 +16,8 @@
 use crate::types::{NodeId, RegionId};
 
 impl<M: StateMachine> Consensus<M> {
-    /// Highest index of this term's log that `id` is known to have synced.
+    /// Highest index up to which the log of `id` is synced and known to match
+    /// the Global Leader's log of this term; zero if unknown.
     pub(super) fn matched_index(&self, id: NodeId) -> u64 {
         if id != self.id {
             return self.progress.get(&id).map_or(0, |p| p.matched);
@@ -27,12 +29,13 @@
         }
     }
 
-    /// Highest index that a majority of the region's voters has.
+    /// Highest index that a majority of the region's voters has synced.
     fn region_majority_index(&self, region: RegionId) -> u64 {
         quorum::majority_index(&self.region_voters(region), |id| self.matched_index(id))
     }
 
-    /// Whether a majority of the region's voters was heard from lately.
+    /// Whether a majority of the region's voters, counting this node, was in contact
+    /// with this leader within `region_timeout`.
     pub(super) fn region_available(&self, region: RegionId) -> bool {
         let live = self.now.saturating_sub(self.timing.region_timeout);
         quorum::has_majority(&self.region_voters(region), |id| {
@@ -55,7 +58,7 @@
 
     /// The in-domain commit index of the CD-Raft paper, section III-B: the
     /// highest index of this term that a majority of the Global Leader's region
-    /// has.
+    /// has. The commit index if that is higher, or if the region is unavailable.
     pub(super) fn in_domain_commit_index(&self) -> u64 {
         let region = self.region();
         let index = self.region_majority_index(region);
@@ -67,7 +70,8 @@
         }
     }
 
-    /// Advance the commit index if the rules allow it.
+    /// Advance the commit index as far as the majority of all voters and the
+    /// region rules allow, then send the confirmations for Fast Return.
     pub(super) fn maybe_commit(&mut self) {
         let index = self.voter_majority_index().min(self.region_rules_index());
         if index > self.committed && self.log.term_at(index) == Some(self.hard_state.term) {
@@ -79,8 +83,8 @@
         self.send_confirmations();
     }
 
-    /// Highest index that a majority of all voters has: what safety rests on,
-    /// and never waived.
+    /// Highest index that a majority of all voters has. This rule ensures safety
+    /// and is never waived.
     fn voter_majority_index(&self) -> u64 {
         if self.timing.injected_fault == InjectedFault::SkipVoterMajority {
             return self.region_majority_index(self.region()).max(1);
@@ -88,7 +92,8 @@
         self.quorum().committed_index(|id| self.matched_index(id))
     }
 
-    /// Highest index that the region rules allow to commit.
+    /// Highest index that the region rules allow to commit; `u64::MAX` if they are
+    /// waived.
     fn region_rules_index(&self) -> u64 {
         let own = self.region();
         let mut others = quorum::regions(self.log.members());
@@ -108,8 +113,8 @@
         own_limit.min(others_limit)
     }
 
-    /// Highest index that has waited for so long that the region rules are
-    /// waived for it.
+    /// Highest index appended at least `region_rule_timeout` ago, for which the
+    /// region rules are waived; zero if there is none.
     fn waived_index(&self) -> u64 {
         let limit = self.now.saturating_sub(self.timing.region_rule_timeout);
         self.appended_at
