--- a/sorreldoor/src/consensus/leader.rs
+++ b/sorreldoor/src/consensus/leader.rs
@@ -1,4 +1,5 @@
-//! The Global Leader's term of office: taking it up, appending, and its tick.
+//! The Global Leader: its state at the start of a term, appends, its tick, and
+//! the check quorum by which it steps down.
 
 use super::entry::{Body, Entry};
 use super::event::{SilentVoter, StateChange, StepDownReason};
@@ -12,7 +13,8 @@
 use crate::types::{Millis, NodeId};
 
 impl<M: StateMachine> Consensus<M> {
-    /// Become the Global Leader after a won election.
+    /// Become the Global Leader after winning an election, and append a no-op entry
+    /// so that the term has an entry to commit.
     pub(super) fn become_leader(&mut self) {
         let next_index = self.log.last().index + 1;
         self.role = Role::Leader;
@@ -33,8 +35,8 @@
         }
     }
 
-    /// Begin to track all other members, and the uncommitted entries that
-    /// earlier leaders left.
+    /// Begin to track the progress of all other members, and the uncommitted
+    /// entries of earlier leaders.
     fn reset_leader_state(&mut self, next_index: u64) {
         self.progress.clear();
         self.appended_at.clear();
@@ -53,9 +55,9 @@
         }
     }
 
-    /// When a member counts as heard from as this node's term of office begins. One
-    /// that took no part in the election has a quarter of the time-out left to
-    /// answer, so that commits don't wait for a region that was lost before.
+    /// The time of last contact that a new leader assumes for a member. One that
+    /// did not vote for this node has a quarter of `region_timeout` left to reply,
+    /// so that commits don't wait for a region that failed before the election.
     fn initial_contact_at(&self, id: NodeId) -> Millis {
         let granted_vote = self.election.votes.contains(&id);
         if granted_vote || self.timing.injected_fault == InjectedFault::WaitForSilentRegions {
@@ -108,8 +110,9 @@
         }
     }
 
-    /// Check quorum (thesis, section 6.2): without a majority heard from for an
-    /// election time-out, the others may have elected another leader.
+    /// Check quorum (thesis, section 6.2): whether a majority of all voters has
+    /// replied within an election timeout. If not, another leader may have been
+    /// elected.
     fn has_live_quorum(&self) -> bool {
         let live = self.now.saturating_sub(self.timing.election_timeout);
         self.quorum().is_reached(|id| {
@@ -118,7 +121,7 @@
         })
     }
 
-    /// The voters that were not heard from for an election time-out, for the
+    /// The voters that have not replied for an election timeout, for the
     /// operator's log.
     fn silent_voters(&self) -> Vec<SilentVoter> {
         let silent_for = |id: NodeId| {
