--- a/sorreldoor/src/consensus/replication.rs
+++ b/sorreldoor/src/consensus/replication.rs
@@ -1,5 +1,6 @@
-//! Log replication on the sending side: Global Leader to Domain Leaders and
-//! its own region, Domain Leaders to theirs (CD-Raft paper, section III-B).
+//! Log replication on the sending side: the Global Leader sends to its own
+//! region and to the other Domain Leaders, which relay to their regions (CD-Raft
+//! paper, section III-B).
 
 use super::entry::{Entry, LogPosition};
 use super::event::Effect;
@@ -13,12 +14,13 @@
 use super::timing::InjectedFault;
 use crate::types::{Millis, NodeId};
 
-/// Bytes of entries in flight to one member at most.
+/// Maximum bytes of entries in flight to one member.
 const APPEND_WINDOW_BYTES: usize = 64 * 1024;
 
 impl<M: StateMachine> Consensus<M> {
-    /// Adapt to a configuration that has just been appended, truncated or
-    /// installed; it counts at once (thesis, section 4.1).
+    /// Adapt to a change of the newest configuration by an append, a truncation
+    /// or a snapshot. A configuration takes effect once it is in the log,
+    /// committed or not (thesis, section 4.1).
     pub(super) fn members_changed(&mut self) {
         let members = self.log.members().to_vec();
         let (next_index, now) = (self.log.last().index, self.now);
@@ -38,8 +40,9 @@
         self.effects.push(Effect::MembersChanged(members));
     }
 
-    /// The members that the Global Leader sends to itself: its own region, the
-    /// other Domain Leaders, and regions without one.
+    /// The members to which the Global Leader sends directly: those of its own
+    /// region, the other Domain Leaders, and all members of regions without a
+    /// live Domain Leader.
     fn replication_targets(&self) -> Vec<NodeId> {
         let own = self.region();
         let live = self.now.saturating_sub(self.relay_timeout());
@@ -59,9 +62,9 @@
             .collect()
     }
 
-    /// Silence after which a Domain Leader isn't relied on to relay: early enough
-    /// for its region to answer a direct append before this leader steps down for
-    /// want of a quorum.
+    /// Time without a heartbeat after which a Domain Leader is no longer used as a
+    /// relay: short enough for its region to acknowledge a direct append before
+    /// this leader steps down for lack of a quorum.
     fn relay_timeout(&self) -> Millis {
         if self.timing.injected_fault == InjectedFault::KeepSilentRelay {
             return self.timing.region_timeout;
@@ -69,7 +72,8 @@
         self.timing.region_timeout * 2 / 3
     }
 
-    /// Send a new round of heartbeats, by whose echo reads are proved.
+    /// Start a new round of heartbeats. Its echo by a majority confirms the
+    /// leadership for pending reads.
     pub(super) fn broadcast_heartbeat(&mut self) {
         self.heartbeat_round += 1;
         self.last_heartbeat_at = self.now;
@@ -79,7 +83,8 @@
         }
     }
 
-    /// The leader whose log this node sends, itself or as a Domain Leader.
+    /// The leader and the round to put into replication messages: this node's own
+    /// as Global Leader, otherwise those of the leader that it relays for.
     pub(super) fn sender_contact(&self) -> LeaderContact {
         let (global_leader, round) = if self.role == Role::Leader {
             (self.id, self.heartbeat_round)
@@ -93,7 +98,7 @@
         }
     }
 
-    /// The last index that this node may send: a Domain Leader only sends what
+    /// The last index that this node may send. A Domain Leader relays only what
     /// is known to match the Global Leader's log.
     fn last_sendable_index(&self) -> u64 {
         if self.role == Role::Leader {
@@ -103,8 +108,8 @@
         }
     }
 
-    /// Send the entries that a member lacks, as far as the window allows; as a
-    /// heartbeat, an empty append at least.
+    /// Send the entries that a member lacks, as far as the window allows. If
+    /// `heartbeat`, an append is sent even if it is empty.
     pub(super) fn send_append(&mut self, to: NodeId, heartbeat: bool) {
         let last = self.last_sendable_index();
         let progress = self
@@ -121,7 +126,7 @@
             return;
         }
         let Some(prev) = self.log.at(next - 1) else {
-            // compacted entries are in the snapshot only
+            // the entries before `next` are compacted
             self.begin_snapshot_transfer(to);
             self.send_chunks(to, heartbeat);
             return;
@@ -164,8 +169,8 @@
         self.send(to, Msg::Append(request));
     }
 
-    /// Send new entries to the members that lack them, then check what can be
-    /// committed and read.
+    /// Send new entries to the members that lack them, then advance the commit
+    /// index and answer the reads whose leadership is confirmed.
     pub(super) fn replicate(&mut self) {
         if self.role == Role::Leader {
             for to in self.replication_targets() {
@@ -179,7 +184,7 @@
         }
     }
 
-    /// As Domain Leader: send the Global Leader's entries on to the region.
+    /// As Domain Leader: relay the Global Leader's entries to the region.
     pub(super) fn replicate_in_domain(&mut self, heartbeat: bool) {
         if !self.relays_to_region() {
             return;
@@ -197,8 +202,8 @@
         }
     }
 
-    /// Whether this Domain Leader follows a live Global Leader of another
-    /// region. In its own region the Global Leader replicates itself.
+    /// Whether this node is a Domain Leader that follows a live Global Leader of
+    /// another region. The Global Leader sends to its own region directly.
     fn relays_to_region(&self) -> bool {
         let silence = self.now.saturating_sub(self.leader_contact_at);
         self.domain_role == Role::Leader
