--- a/sorreldoor/src/consensus/read_index.rs
+++ b/sorreldoor/src/consensus/read_index.rs
@@ -1,8 +1,9 @@
 //! Linearizable reads by read index (thesis, section 6.4).
 //!
-//! The Global Leader gives its in-domain commit index, so that a read sees what
-//! Fast Return has answered already, and proves its leadership by a round of
-//! heartbeats that a majority of all voters echoes.
+//! The read index is the Global Leader's in-domain commit index, so that a read
+//! includes every write that Fast Return has already answered. The leader sends
+//! it after a majority of all voters has echoed a round of heartbeats, which
+//! confirms its leadership.
 
 use super::event::Effect;
 use super::messages::Msg;
@@ -14,7 +15,8 @@
 use crate::types::NodeId;
 
 impl<M: StateMachine> Consensus<M> {
-    /// Accept a read of a client of this node.
+    /// Accept a read of a client of this node. It fails at once if the disk has
+    /// failed or `max_pending` reads are pending.
     pub(super) fn read_index(&mut self, request_id: u64) {
         if self.disk_failed || self.pending_reads.len() >= self.timing.max_pending {
             self.effects.push(Effect::ReadResult {
@@ -60,7 +62,7 @@
             self.respond_read_index(from, request_id, index);
             return;
         }
-        let round = self.proving_round();
+        let round = self.read_round();
         self.read_index_queue.push_back(PendingReadIndex {
             from,
             request_id,
@@ -70,9 +72,9 @@
         self.advance_read_index();
     }
 
-    /// The round of heartbeats that proves the leadership for a read that
-    /// arrives now. Only one that is sent afterwards does.
-    fn proving_round(&mut self) -> u64 {
+    /// The round of heartbeats that confirms the leadership for a read that arrives
+    /// now. It has to be sent after the read arrived.
+    fn read_round(&mut self) -> u64 {
         let batch_interval = self.timing.read_batch_interval;
         if batch_interval == 0 {
             self.broadcast_heartbeat();
@@ -83,15 +85,15 @@
         self.heartbeat_round + 1
     }
 
-    /// Answer the reads whose round a majority of all voters has echoed.
+    /// Answer the reads whose heartbeat round a majority of all voters has echoed.
     pub(super) fn advance_read_index(&mut self) {
         let quorum = self.quorum();
         while let Some(read) = self.read_index_queue.front().cloned() {
-            let proved = quorum.is_reached(|id| {
+            let round_echoed = quorum.is_reached(|id| {
                 let progress = self.progress.get(&id);
                 id == self.id || progress.is_some_and(|p| p.round >= read.round)
             });
-            if !proved {
+            if !round_echoed {
                 break;
             }
             self.read_index_queue.pop_front();
@@ -114,7 +116,7 @@
         self.release_applied_reads();
     }
 
-    /// Release the reads whose read index is applied here.
+    /// End the reads whose read index is applied here with success.
     pub(super) fn release_applied_reads(&mut self) {
         let applied = self.applied;
         self.end_reads(true, |read| {
@@ -122,7 +124,7 @@
         });
     }
 
-    /// End the reads that satisfy `condition`.
+    /// End the reads that satisfy `condition` with the result `ok`.
     fn end_reads(&mut self, ok: bool, condition: impl Fn(&PendingRead) -> bool) {
         for request_id in self.reads_where(condition) {
             self.pending_reads.remove(&request_id);
@@ -135,8 +137,8 @@
         matching.map(|(request_id, _)| *request_id).collect()
     }
 
-    /// Fail the reads that have timed out, for their clients to try another
-    /// core, and resend the requests without an answer.
+    /// Fail the reads that have timed out, so that their clients try another core,
+    /// and resend the requests without a reply.
     pub(super) fn tick_reads(&mut self) {
         let now = self.now;
         let (timeout, resend) = (self.timing.read_timeout, self.timing.resend_interval);
@@ -150,7 +152,8 @@
         }
     }
 
-    /// Ask a new leader for what its predecessor has not answered.
+    /// Request from a new leader the read indexes that its predecessor has not
+    /// sent.
     pub(super) fn resend_read_index(&mut self) {
         for request_id in self.reads_where(|read| read.index.is_none()) {
             self.send_read_index(request_id);
