--- a/sorreldoor/src/consensus/members.rs
+++ b/sorreldoor/src/consensus/members.rs
@@ -7,7 +7,7 @@
 use crate::types::{NodeId, RegionId};
 
 impl<M: StateMachine> Consensus<M> {
-    /// The own region; `RegionId::MAX` if this node is no member.
+    /// This node's region; `RegionId::MAX` if it is not a member.
     pub(super) fn region(&self) -> RegionId {
         self.region_of(self.id).unwrap_or(RegionId::MAX)
     }
@@ -29,7 +29,7 @@
         quorum::voters(self.log.members()).map(|m| m.id).collect()
     }
 
-    /// The quorum for commits, elections and proofs of leadership.
+    /// The quorum for commits, elections and confirmations of leadership.
     pub(super) fn quorum(&self) -> Quorum {
         let quorum = Quorum::from_members(self.log.members());
         if self.timing.injected_fault == InjectedFault::IgnoreOutgoingVoters {
