--- a/sorreldoor/src/consensus/domain_election.rs
+++ b/sorreldoor/src/consensus/domain_election.rs
@@ -1,5 +1,5 @@
 //! Election of a region's Domain Leader by the region's voters, and the
-//! heartbeats by which it stays in office (CD-Raft paper, sections III-B and
+//! heartbeats that maintain its leadership (CD-Raft paper, sections III-B and
 //! III-C).
 
 use super::entry::LogPosition;
@@ -11,7 +11,7 @@
 use super::state_machine::StateMachine;
 use crate::types::{Millis, NodeId, RegionId};
 
-/// A measured delay counts for one part of this many in the smoothed one, so
+/// Each measured delay has a weight of one in this many in the moving average, so
 /// that one slow reply doesn't move the Global Leader.
 const LATENCY_SMOOTHING: Millis = 8;
 
@@ -34,7 +34,7 @@
                     .get(&id)
                     .is_some_and(|contact_at| *contact_at >= live)
         });
-        // without its region's quorum it must not block another election
+        // without a quorum of the region, it must not block the next election
         if !has_quorum || self.disk_stalled() || !self.is_voter() {
             self.domain_role = Role::Follower;
             self.reset_domain_election_deadline();
@@ -44,8 +44,8 @@
     }
 
     fn broadcast_domain_heartbeat(&mut self) {
-        // a timer of its own: reads bring the Global Leader's heartbeats
-        // forward, which must not put off the Domain Leader's
+        // a separate timer: reads bring the Global Leader's heartbeats forward,
+        // which must not delay those of the Domain Leader
         self.next_domain_heartbeat_at = self.now + self.timing.heartbeat_interval;
         let domain_term = self.hard_state.domain_term;
         let sent_at = self.now;
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Go on to the vote after a pre-vote, and to the office after a vote,
-    /// each with a majority of the region.
+    /// With a majority of the region's voters, advance this node's campaign: from
+    /// pre-vote to vote, and from vote to Domain Leader.
     pub(super) fn advance_domain_election(&mut self) {
         let voters = self.region_voters(self.region());
         let won =
@@ -183,7 +183,7 @@
         if self.domain_role == Role::PreCandidate && won(&self.domain_election) {
             self.become_domain_candidate();
         }
-        // the own vote counts only once it is synced, like any other's
+        // this node's own vote counts once it is synced, as any other voter's does
         let synced = self.synced_seq >= self.domain_election.vote_save_seq;
         if self.domain_role == Role::Candidate && won(&self.domain_election) && synced {
             self.become_domain_leader(&voters);
@@ -208,7 +208,7 @@
         });
         let now = self.now;
         self.domain_peer_contact_at = voters.iter().map(|id| (*id, now)).collect();
-        // a Global Leader tracks more than its region, and that stays valid
+        // a Global Leader's progress covers all regions and stays valid
         if self.role != Role::Leader {
             self.progress.clear();
         }
