--- a/sorreldoor/src/consensus/election_timer.rs
+++ b/sorreldoor/src/consensus/election_timer.rs
@@ -1,4 +1,4 @@
-//! Randomized election time-outs (thesis, section 3.4).
+//! Randomized election timeouts (thesis, section 3.4).
 
 use super::node::Consensus;
 use super::role::Role;
@@ -6,7 +6,7 @@
 use crate::types::Millis;
 
 impl<M: StateMachine> Consensus<M> {
-    /// A random number below `span` (xorshift64).
+    /// A pseudo-random number below `span`, zero if `span` is zero (xorshift64).
     pub(super) fn random_below(&mut self, span: Millis) -> Millis {
         self.rng_state ^= self.rng_state << 13;
         self.rng_state ^= self.rng_state >> 7;
@@ -19,8 +19,9 @@
         self.election_deadline = self.now + timeout + self.random_below(timeout / 2);
     }
 
-    /// As `reset_election_deadline`, but sooner while there is no active
-    /// leader. The pre-vote that follows can't depose one that others know.
+    /// As `reset_election_deadline`, but with a shorter timeout while there is no
+    /// active leader. A leader that others are in contact with isn't deposed by
+    /// that, as the campaign begins with a pre-vote.
     pub(super) fn reset_adaptive_election_deadline(&mut self) {
         if !self.no_active_leader() {
             self.reset_election_deadline();
@@ -32,7 +33,7 @@
 
     pub(super) fn reset_domain_election_deadline(&mut self) {
         let half = self.timing.election_timeout / 2;
-        // without a known Domain Leader there is none to depose
+        // a shorter timeout if no known Domain Leader could be deposed by it
         let span = if self.domain_leader_known {
             half
         } else {
@@ -41,8 +42,9 @@
         self.domain_election_deadline = self.now + span + self.random_below(span);
     }
 
-    /// Whether this node has no contact to a Global Leader: none known yet,
-    /// silent for an election time-out, or its connection was closed.
+    /// Whether this node has no contact with a Global Leader: none is known, the
+    /// known one has sent nothing for an election timeout, or its connection was
+    /// closed.
     pub(super) fn no_active_leader(&self) -> bool {
         let silence = self.now.saturating_sub(self.leader_contact_at);
         let silent = silence >= self.timing.election_timeout;
