--- a/sorreldoor/src/consensus/event.rs
+++ b/sorreldoor/src/consensus/event.rs
@@ -11,10 +11,9 @@
 /// An input of the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Graceful shutdown: the node campaigns in no election any more and
-    /// transfers its leadership.
+    /// Graceful shutdown: the node stops campaigning and transfers its leadership.
     Stop,
-    /// Time has passed; due every few milliseconds.
+    /// Run the timers that are due; the driver sends this every few milliseconds.
     Tick,
     /// A message has arrived.
     Received {
@@ -33,13 +32,13 @@
         /// The core at the other end.
         id: NodeId,
     },
-    /// The disk failed a save, which the store retries.
+    /// A save failed on the disk; the store retries it.
     SaveFailed,
     /// The save that had failed is durable now.
     SaveRecovered,
     /// A client of this node proposes an entry.
     Propose {
-        /// Drawn by the client. A retry carries the same id, so that the
+        /// Chosen at random by the client. A retry carries the same id, so that the
         /// proposal is applied once.
         proposal_id: ProposalId,
         /// The payload of the entry to append.
@@ -80,8 +79,8 @@
         /// there is none.
         outcome: Result<Arc<Vec<u8>>, ProposalError>,
     },
-    /// The state machine may serve the read; if not `ok`, it timed out or this
-    /// node could not take it.
+    /// A read has ended: the state machine may serve it if `ok`; otherwise it timed
+    /// out or this node did not accept it.
     ReadResult {
         /// The id from [`Event::Read`].
         request_id: u64,
@@ -97,7 +96,7 @@
     },
     /// The configuration has changed, not necessarily committed yet.
     MembersChanged(Vec<Member>),
-    /// Something that operators want in the log.
+    /// A change to write to the operator's log.
     StateChanged(StateChange),
 }
 
@@ -118,60 +117,60 @@
         /// This node.
         id: NodeId,
     },
-    /// This node gave up being the Global Leader.
+    /// This node, the Global Leader, stepped down.
     SteppedDown {
         /// The term that it led.
         term: u64,
         /// Why.
         reason: StepDownReason,
     },
-    /// As Global Leader, this node has not heard from a majority of a region's
-    /// voters for `region_timeout`. Commits depend on that region only where
-    /// no majority of all voters exists without it.
+    /// This node, the Global Leader, has had no contact with a majority of a
+    /// region's voters for `region_timeout`. The region rules are waived for that
+    /// region; a majority of all voters is still required.
     RegionUnavailable {
-        /// The silent region.
+        /// The unavailable region.
         region: RegionId,
     },
-    /// A majority of the region's voters answers again.
+    /// A majority of the region's voters replies again.
     RegionAvailable {
-        /// The region that answers.
+        /// The region that is available again.
         region: RegionId,
     },
-    /// This node, the Global Leader, began to hand over its leadership. It
-    /// accepts no proposals until that succeeds or times out.
+    /// This node, the Global Leader, began a leadership transfer. It accepts no
+    /// proposals until the transfer succeeds or times out.
     TransferringLeadership {
-        /// The core that is to campaign next.
+        /// The core that is to become the leader.
         to: NodeId,
     },
-    /// A save failed, so this node takes no part until the store's retry
-    /// succeeds.
+    /// A save failed. This node ignores messages and does not campaign until the
+    /// store's retry succeeds.
     DiskFailed,
 }
 
-/// A voter that a leader has not heard from.
+/// A voter that has not replied to the leader for an election timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SilentVoter {
     /// The voter.
     pub id: NodeId,
-    /// Milliseconds since its last message.
+    /// Milliseconds since the last contact with it.
     pub silent_ms: Millis,
 }
 
-/// Why a Global Leader stepped down, or a candidate gave up its campaign.
+/// Why a Global Leader stepped down, or a candidate abandoned its campaign.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StepDownReason {
-    /// Another core has a newer term: an ordinary change of leaders.
+    /// Another core has a newer term, as in any change of leaders.
     NewerTerm,
-    /// No majority was heard from for an election time-out.
+    /// No majority of all voters has replied for an election timeout.
     NoQuorum {
-        /// The voters that were not heard from.
+        /// The voters that have not replied.
         silent: Vec<SilentVoter>,
     },
     /// A save was not synced in time.
     DiskStalled,
-    /// A save was refused by the disk.
+    /// A save failed on the disk.
     DiskFailed,
-    /// A change of the members took its vote.
+    /// A configuration change removed its vote.
     NotAVoter,
 }
 
@@ -180,7 +179,7 @@
         match self {
             StepDownReason::NewerTerm => f.write_str("a newer term"),
             StepDownReason::NoQuorum { silent } => {
-                f.write_str("no majority of cores heard; silent:")?;
+                f.write_str("no contact with a majority of voters; silent:")?;
                 silent
                     .iter()
                     .try_for_each(|v| write!(f, " {:x} for {} ms", v.id, v.silent_ms))
