--- a/sorreldoor/src/consensus/entry.rs
+++ b/sorreldoor/src/consensus/entry.rs
@@ -1,5 +1,5 @@
-//! Log entries, members and what is durable of them: the data of Raft (Ongaro,
-//! "Consensus: Bridging Theory and Practice", chapters 3 to 5).
+//! The data types of Raft: log entries, members, hard state and snapshots
+//! (thesis, chapters 3 to 5).
 //!
 //! All of these are written to disk and sent to other cores. Field names that
 //! differ from the stored ones carry a serde rename.
@@ -29,10 +29,10 @@
     pub zone: u16,
     /// `IP:PORT` where the core listens for frames of other nodes.
     pub addr: String,
-    /// Votes in the newest set of voters.
+    /// Whether the member votes in the newest set of voters.
     pub voter: bool,
-    /// Voted in the set that the change under way replaces. Only members of a
-    /// joint configuration have it set (thesis, section 4.3).
+    /// Whether the member votes in the outgoing set, which the change under way
+    /// replaces. False outside of a joint configuration (thesis, section 4.3).
     #[serde(default, skip_serializing_if = "is_false")]
     pub outgoing: bool,
 }
@@ -49,7 +49,7 @@
     Noop,
     /// A command for the state machine.
     Data(#[serde(serialize_with = "shared_bytes")] Arc<Vec<u8>>),
-    /// A configuration change: all members from this entry on.
+    /// A configuration change: the members that are in effect from this entry on.
     Members(Vec<Member>),
 }
 
@@ -85,14 +85,14 @@
         self.body.bytes()
     }
 
-    /// Whether the entry exceeds one message and is sent in chunks.
+    /// Whether the entry is too large for an append and is sent in chunks.
     pub fn is_large(&self) -> bool {
         matches!(&self.body, Body::Data(data) if data.len() > super::TRANSFER_CHUNK_BYTES)
     }
 }
 
-/// Term and index of an entry. The order is the one by which votes compare
-/// logs: the last term first, then the length (thesis, section 3.6.1).
+/// Term and index of an entry. Ordered by term, then by index, which is how votes
+/// compare the last entries of two logs (thesis, section 3.6.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
     /// Term of the entry; zero before the first entry.
@@ -103,27 +103,27 @@
     pub index: u64,
 }
 
-/// What a node must sync before it answers: terms and votes.
+/// The terms and votes that a node must sync before it replies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term that this node has seen (`currentTerm` of Raft).
     pub term: u64,
     /// The node that got this node's vote in `term`; `None` if none did.
     pub vote: Option<NodeId>,
-    /// Term of the elections of Domain Leaders in the own region.
+    /// The latest term of Domain Leader elections in this node's region.
     #[serde(rename = "dterm")]
     pub domain_term: u64,
     /// The node that got this node's vote in `domain_term`; `None` if none did.
     #[serde(rename = "dvote")]
     pub domain_vote: Option<NodeId>,
-    /// Commit index known when this was saved. Raft doesn't need it; a
-    /// restarted core can apply that far without a leader.
+    /// Commit index when this was saved. Raft doesn't require it; it allows a
+    /// restarted core to apply entries up to there without a leader.
     #[serde(default, rename = "commit")]
     pub committed: u64,
 }
 
-/// The state machine's image at a log position, which replaces the entries up
-/// to there.
+/// The state machine's image at a log position, which replaces the entries up to
+/// and including that position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Position of the last entry that the image includes.
