--- a/sorreldoor/src/consensus/append_reply.rs
+++ b/sorreldoor/src/consensus/append_reply.rs
@@ -1,4 +1,5 @@
-//! Acknowledgements of appends, and what a sender learns from them.
+//! Replies to appends: sent by the receiver, and handled by the sender to update
+//! the progress of replicas.
 
 use super::messages::{AppendReply, Msg, ReplicaProgress};
 use super::node::Consensus;
@@ -8,8 +9,8 @@
 use crate::types::NodeId;
 
 impl<M: StateMachine> Consensus<M> {
-    /// Acknowledge the progress of this node and, as a Domain Leader, of its
-    /// region; with a `conflict_hint` the reply is a rejection.
+    /// Report the progress of this node and, as a Domain Leader, of its region;
+    /// with a `conflict_hint` the reply rejects an append. Sent once synced.
     pub(super) fn send_append_reply(&mut self, to: NodeId, conflict_hint: Option<u64>) {
         let mut replicas = vec![ReplicaProgress {
             id: self.id,
@@ -56,7 +57,7 @@
             return;
         }
         let replicates = self.leads_globally() || self.leads_domain();
-        // an acknowledgement of an older term proves nothing about this log
+        // a reply of an older term says nothing about the log of this term
         if reply.term < self.hard_state.term || !replicates {
             return;
         }
@@ -72,7 +73,7 @@
         self.replicate();
     }
 
-    /// Whether any replica advanced.
+    /// Record the reported progress; returns whether any replica has advanced.
     fn update_progress(&mut self, from: NodeId, replicas: &[ReplicaProgress]) -> bool {
         let mut any_advanced = false;
         for replica in replicas.iter().filter(|r| r.id != self.id) {
@@ -94,8 +95,8 @@
         };
         progress.decrease_next_index(hint);
         let since_sent = self.now.saturating_sub(progress.sent_at);
-        // a replica that lost what it had acknowledged would otherwise reject
-        // the same append at once for ever; the next heartbeat retries it
+        // a replica that lost acknowledged entries rejects the same append each
+        // time, so an identical one waits for `resend_interval` or a heartbeat
         if progress.probe_index != progress.next_index - 1
             || since_sent >= self.timing.resend_interval
         {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// What a Domain Leader reports of its region.
+    /// As Global Leader: record what a reply reports on the sender's region.
     fn record_region_report(&mut self, from: NodeId, reply: &AppendReply) {
         let Some(region) = quorum::region_of(self.log.members(), from) else {
             return;
