--- a/sorreldoor/src/consensus/apply.rs
+++ b/sorreldoor/src/consensus/apply.rs
@@ -1,4 +1,4 @@
-//! Applying committed entries and answering their proposers.
+//! Application of committed entries, and the results for their proposers.
 
 use super::entry::{Body, Entry};
 use super::errors::ProposalError;
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 
 impl<M: StateMachine> Consensus<M> {
-    /// Advance the commit index to `index`, apply up to there, and send the
-    /// results that this node is responsible for.
+    /// Advance the commit index to `index`, apply the entries up to there, and send
+    /// the results for which this node is responsible.
     pub(super) fn commit_to(&mut self, index: u64) {
         if index <= self.committed {
             return;
@@ -84,7 +84,7 @@
         self.send(to, result);
     }
 
-    /// Send the results that no Domain Leader is known to have sent in time.
+    /// Send the deferred results that are overdue from Fast Return.
     pub(super) fn send_overdue_results(&mut self) {
         self.drop_fast_returned_results();
         let overdue: Vec<u64> = self
@@ -117,7 +117,7 @@
             || self.now.saturating_sub(result.since) >= self.timing.resend_interval
     }
 
-    /// The outcome of a proposal that has been applied here.
+    /// The outcome of a proposal that is applied on this node.
     pub(super) fn applied_outcome(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
         self.state_machine.recorded_outcome(proposal_id)
     }
