--- a/sorreldoor/src/consensus/compaction.rs
+++ b/sorreldoor/src/consensus/compaction.rs
@@ -7,14 +7,16 @@
 use super::timing::InjectedFault;
 use std::sync::Arc;
 
-/// Bytes by which the log may outgrow its snapshot before the next one.
+/// Bytes by which the entries after a snapshot may exceed its size before the next
+/// one is taken.
 const SPARE_LOG_BYTES: usize = 256 * 1024;
-/// Entries kept behind a snapshot, as a multiple of those between two.
+/// Maximum entries retained up to a snapshot, as a multiple of `snapshot_entries`.
 const TAIL_FACTOR: u64 = 4;
 
 impl<M: StateMachine> Consensus<M> {
-    /// A snapshot is due once the log has grown by about the snapshot's size,
-    /// so that the cost of snapshots stays proportional to what is appended.
+    /// Whether a snapshot is due: after `snapshot_entries` entries, or once the log has
+    /// grown by about the size of the last snapshot, so that the cost of snapshots
+    /// stays proportional to the bytes appended.
     fn snapshot_due(&self) -> bool {
         let (index, bytes) = self
             .snapshot
@@ -25,7 +27,7 @@
             || (entries > 0 && self.log.bytes_after(index) > bytes + SPARE_LOG_BYTES)
     }
 
-    /// Take a snapshot if one is due, and truncate the log before it.
+    /// Take a snapshot if one is due, and compact the log except for a tail.
     pub(super) fn compact(&mut self) {
         if !self.snapshot_due() {
             return;
@@ -46,8 +48,8 @@
         });
     }
 
-    /// Last index to compact. A replica that is being sent the snapshot before
-    /// still needs the entries that follow that one.
+    /// Last index to compact. A replica that is receiving the previous snapshot still
+    /// needs the entries after that one.
     fn compaction_index(&self, snapshot: &Snapshot) -> u64 {
         let last = snapshot.last.index;
         if self.timing.injected_fault == InjectedFault::CompactWithoutTail {
