--- a/sorreldoor/src/consensus/confchange.rs
+++ b/sorreldoor/src/consensus/confchange.rs
@@ -1,10 +1,10 @@
 //! Configuration changes by joint consensus (thesis, section 4.3).
 //!
-//! One entry makes the old and the new set of voters count together; once both
-//! have a majority that has it, a second entry removes the old set. Between the
-//! two, commits and elections need a majority of each, so a change never
-//! tolerates fewer failures than the sets it leads from and to. A new leader
-//! finishes a change that its predecessor left unfinished.
+//! The first entry is a joint configuration of the old and the new set of voters.
+//! Once it is committed, a second entry removes the old set. Between the two,
+//! commits and elections require a majority of each set, so a change tolerates
+//! at least as many failures as the smaller set. A new leader completes the unfinished change
+//! of its predecessor.
 
 use super::entry::{Body, Entry, Member};
 use super::event::StepDownReason;
@@ -14,9 +14,9 @@
 use super::state_machine::StateMachine;
 
 impl<M: StateMachine> Consensus<M> {
-    /// The configuration to append for a change to the members `next`: a joint
-    /// one if the voters change. None while another change is under way, before
-    /// this term has committed an entry, or if no voter would be left.
+    /// The configuration to append for a change to the members `next`: a joint one if
+    /// the voters change. `None` while another change is in progress, before an entry
+    /// of this term is committed, or if no voter would remain.
     pub(super) fn next_configuration(&self, next: &[Member]) -> Option<Vec<Member>> {
         let term_has_committed = self.log.term_at(self.committed) == Some(self.hard_state.term);
         if !term_has_committed || !self.has_stable_membership() {
@@ -34,9 +34,9 @@
         Some(quorum::enter_joint(current, &next))
     }
 
-    /// The configuration for an operator's proposal to remove one member. As
-    /// proposals are retried, one made for an older configuration must not add
-    /// members again, so it has to be the current one less one member.
+    /// The configuration for an operator's proposal to remove one member; `None` unless
+    /// `next` is the current configuration without one member. Proposals are retried,
+    /// and one for an older configuration must not add removed members again.
     pub(super) fn removal_configuration(&self, next: &[Member]) -> Option<Vec<Member>> {
         let current = self.log.members();
         let common = current.iter().filter(|m| next.contains(m)).count();
@@ -44,7 +44,8 @@
         self.next_configuration(next).filter(|_| removes_one)
     }
 
-    /// A change that the leader's own process decides on; it isn't retried.
+    /// Handle a change that the leader's own process requests. Ignored, and not
+    /// retried, if the change isn't possible now.
     pub(super) fn reconfigure(&mut self, next: &[Member]) {
         if self.role != Role::Leader || self.leader_transfer.is_some() {
             return;
@@ -66,8 +67,8 @@
         });
     }
 
-    /// Append the final configuration once the joint one is committed. A leader
-    /// that is no voter any more steps down then.
+    /// Append the final configuration once the joint one is committed. A leader that is
+    /// not a voter in the final one steps down once that is committed.
     pub(super) fn leave_joint(&mut self) {
         if self.role != Role::Leader || self.leader_transfer.is_some() {
             return;
