--- a/sorreldoor/src/consensus/fast_return.rs
+++ b/sorreldoor/src/consensus/fast_return.rs
@@ -1,5 +1,5 @@
-//! Fast Return (CD-Raft paper, section III-B): the Domain Leader of a proposer's region
-//! commits and answers after one round trip between regions.
+//! Fast Return (CD-Raft paper, section III-B): the Domain Leader of a proposer's
+//! region commits and sends the result after one round trip between regions.
 
 use super::messages::Msg;
 use super::node::Consensus;
@@ -11,8 +11,8 @@
 use std::collections::BTreeSet;
 
 impl<M: StateMachine> Consensus<M> {
-    /// As Global Leader: confirm to the Domain Leader of each region with
-    /// waiting proposers that a majority of the own region has the entries.
+    /// As Global Leader: confirm new entries, which a majority of this region has, to
+    /// the Domain Leaders of the regions that proposed them.
     pub(super) fn send_confirmations(&mut self) {
         let index = self.in_domain_commit_index();
         if index <= self.confirmed_index || !self.timing.fast_return {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Other regions that the proposals in entries `first` to `last` are from.
+    /// The other regions whose cores proposed any of the entries `first` to `last`.
     fn other_proposing_regions(&self, first: u64, last: u64) -> BTreeSet<RegionId> {
         let own = self.region();
         let members = self.log.members();
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn handle_confirm(&mut self, term: u64, confirmation: Confirmation) {
-        // the late confirmation of a deposed Global Leader proves nothing
+        // a confirmation of another term's leader is not valid for this log
         if term != self.hard_state.term || self.role == Role::Leader {
             return;
         }
@@ -65,8 +65,9 @@
         self.maybe_fast_return();
     }
 
-    /// As Domain Leader: commit what majorities of both regions and of all
-    /// voters have in this term, without waiting for the Global Leader.
+    /// As Domain Leader: commit the entries of this term that majorities of the
+    /// leader's region, of this region and of all voters have, without waiting for
+    /// the Global Leader's commit index.
     pub(super) fn maybe_fast_return(&mut self) {
         if self.domain_role != Role::Leader || self.role == Role::Leader {
             return;
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Whether the confirmation and the own region's progress together show
-    /// that `index` is committed.
+    /// Whether the confirmation and the progress of this region's voters together
+    /// show that `index` is committed.
     fn proves_commit(&self, confirmation: &Confirmation, index: u64) -> bool {
         let holders = &confirmation.holders;
         let leader_region = self.leader_region();
