--- a/sorreldoor/src/consensus/follower.rs
+++ b/sorreldoor/src/consensus/follower.rs
@@ -10,8 +10,8 @@
 use super::timing::InjectedFault;
 use crate::types::NodeId;
 
-/// The leader that a replication message comes from, directly or through a
-/// Domain Leader, and its round of heartbeats.
+/// The Global Leader on whose behalf a replication message was sent, by itself or
+/// by a Domain Leader, and its heartbeat round.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaderContact {
     pub term: u64,
@@ -30,12 +30,14 @@
 }
 
 impl<M: StateMachine> Consensus<M> {
-    /// Whether a replication message of `term` is to be rejected.
+    /// Whether a replication message of `term` has to be rejected: the term is older,
+    /// or this node itself is its Global Leader.
     pub(super) fn is_stale(&self, term: u64) -> bool {
         term < self.hard_state.term || (self.role == Role::Leader && term == self.hard_state.term)
     }
 
-    /// Follow the leader of the current or a newer term.
+    /// Follow the leader of the current or a newer term, and resend pending
+    /// proposals and reads to it if it is a new one.
     pub(super) fn accept_leader(&mut self, contact: LeaderContact) {
         let LeaderContact {
             term,
@@ -87,7 +89,7 @@
             .saturating_sub(prev.index)
             .min(entries.len() as u64);
         let (prev, entries) = if prev.index < base.index {
-            // what the snapshot covers is committed, so it needs no check
+            // entries that the snapshot covers are committed, so they match
             (base, entries[skip as usize..].to_vec())
         } else {
             (prev, entries)
@@ -108,8 +110,8 @@
         self.maybe_fast_return();
     }
 
-    /// The index after which the sender of a rejected append should continue:
-    /// it skips the whole conflicting term (thesis, section 3.5).
+    /// The index after which the sender of a rejected append should continue. It
+    /// skips all entries of the conflicting term (thesis, section 3.5).
     pub(super) fn conflict_hint(&self, rejected: u64) -> u64 {
         let last = self.log.last().index;
         if rejected > last {
@@ -123,8 +125,8 @@
         index
     }
 
-    /// Append entries after index `prev` and truncate conflicting ones; false
-    /// if that would remove a committed entry.
+    /// Append entries after index `prev` and truncate conflicting ones; returns false
+    /// without a change if that would remove a committed entry.
     fn append_entries_after(&mut self, prev: u64, entries: Vec<Entry>) -> bool {
         let first_new = entries
             .iter()
@@ -170,14 +172,15 @@
         self.send_append_reply(from, None);
     }
 
-    /// Replace the state machine's state; false if the image is invalid.
+    /// Replace the state machine's state; returns false without a change if the image
+    /// is invalid.
     fn install_snapshot(&mut self, snapshot: Snapshot) -> bool {
         if !self.state_machine.load(&snapshot.image) {
             return false;
         }
         let last = snapshot.last;
         let fault = self.timing.injected_fault;
-        // entries behind the snapshot stay if they follow on it
+        // entries after the snapshot stay if they follow it
         let keep_log = self.log.term_at(last.index) == Some(last.term)
             || (fault == InjectedFault::KeepConflictingLog && last.index <= self.log.last().index);
         if keep_log {
