--- a/sorreldoor/src/consensus/leader_position.rs
+++ b/sorreldoor/src/consensus/leader_position.rs
@@ -1,7 +1,5 @@
-//! The region of the Global Leader: the one with the least total latency Ls.
-//!
-//! The model is that of the CD-Raft paper, section III-E, whose symbols the
-//! comments give.
+//! Choice of the Global Leader's region: the one with the lowest total latency Ls.
+//! The latency model and its symbols are those of the CD-Raft paper, section III-E.
 
 use crate::types::{Millis, RegionId};
 use std::collections::BTreeMap;
@@ -16,23 +14,23 @@
     pub writes: u64,
 }
 
-/// Predicts the latency that clients see, by the region of the leader.
+/// Predicts the total latency of all clients for a given region of the leader.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyModel<'a> {
     /// Reads and writes by the region that they came from; a region that is
     /// absent has none.
     pub load: &'a BTreeMap<RegionId, RegionLoad>,
-    /// One-way delay between two regions, where known, in one direction or
-    /// both.
+    /// One-way delay between two regions in milliseconds, where known; measured in one
+    /// direction or in both.
     pub latencies: &'a BTreeMap<(RegionId, RegionId), Millis>,
-    /// Regions whose majority answers.
+    /// Regions with contact with a majority of their voters.
     pub available: &'a [RegionId],
-    /// All regions with members, available or not.
+    /// All regions with voters, available or not.
     pub regions: &'a [RegionId],
 }
 
 impl LatencyModel<'_> {
-    /// One-way delay between two regions.
+    /// One-way delay between two regions in milliseconds.
     fn delay(&self, from: RegionId, to: RegionId) -> Option<Millis> {
         if from == to {
             return Some(0);
@@ -42,7 +40,7 @@
         delay.copied()
     }
 
-    /// Delay from `leader` to the nearest other region that can vote.
+    /// Delay from `leader` to the nearest other available region.
     fn nearest_delay(&self, leader: RegionId) -> Option<Millis> {
         self.available
             .iter()
@@ -51,8 +49,8 @@
             .min()
     }
 
-    /// Total latency of a region's clients with the leader in `leader`: Li of
-    /// the paper, equations 1 to 3. None while the delay is unknown.
+    /// Total latency of a region's clients in milliseconds with the leader in `leader`:
+    /// Li of the paper, equations 1 to 3. `None` while the delay is unknown.
     pub fn region_latency(&self, region: RegionId, leader: RegionId) -> Option<Millis> {
         let load = self.load.get(&region).copied().unwrap_or_default();
         let commit_delay = self.nearest_delay(leader).unwrap_or(0);
@@ -67,8 +65,8 @@
         Some(2 * (delay + commit_delay) * load.writes + 2 * delay * load.reads)
     }
 
-    /// Total latency of all clients with the leader in `leader`: Ls of the
-    /// paper, equation 4. None while a delay is unknown.
+    /// Total latency of all clients in milliseconds with the leader in `leader`: Ls of
+    /// the paper, equation 4. `None` while a delay is unknown.
     pub fn total_latency(&self, leader: RegionId) -> Option<Millis> {
         let regions = self.regions.iter();
         regions
@@ -77,8 +75,10 @@
     }
 }
 
-/// The region to move the leader to from `current`, if that reduces the total
-/// latency by more than `min_gain_percent`.
+/// The region to move the leader to from `current`: the available one with the lowest
+/// total latency, if that reduces the latency by more than `min_gain_percent`, or in
+/// any case if `current` is unavailable. `None` if the leader should stay, or while a
+/// delay to `current` is unknown.
 pub fn best_region(
     model: &LatencyModel,
     current: RegionId,
@@ -94,7 +94,7 @@
                 .map(|latency| (latency, *region))
         })
         .min()?;
-    // an unavailable region is left whatever the latency
+    // the leader moves out of an unavailable region at any latency
     let must_leave = !model.available.contains(&current);
     let gains = latency * 100 < current_latency * limit_percent;
     (must_leave || gains).then_some(region)
