--- a/sorreldoor/src/consensus/leader_transfer.rs
+++ b/sorreldoor/src/consensus/leader_transfer.rs
@@ -1,5 +1,5 @@
-//! Leadership transfer (thesis, section 3.10): to the region with the least
-//! latency, or to any voter before a shutdown.
+//! Leadership transfer (thesis, section 3.10): to the region with the lowest total
+//! latency, or before a shutdown to a voter that has caught up.
 
 use super::event::StateChange;
 use super::leader_position::{best_region, LatencyModel, RegionLoad};
@@ -12,7 +12,7 @@
 use crate::types::{NodeId, RegionId};
 
 impl<M: StateMachine> Consensus<M> {
-    /// Whether this node may become a leader.
+    /// Whether this node may become a Global or Domain Leader.
     pub(super) fn promotable(&self) -> bool {
         self.is_voter() && !self.stopping && !self.disk_stalled()
     }
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Continue a transfer, or begin one if it is due.
+    /// Continue a transfer, or begin one if a shutdown or the placement interval
+    /// requires it.
     pub(super) fn tick_leader_transfer(&mut self) {
         if let Some(transfer) = self.leader_transfer {
             self.continue_leader_transfer(transfer);
@@ -36,8 +37,8 @@
         }
     }
 
-    /// OutgoingTransfer the leadership to the region with clearly less latency, or to
-    /// the Domain Leader of the own region.
+    /// Transfer the leadership to the Domain Leader of the best region, or of this
+    /// region if no other is better.
     fn reconsider_placement(&mut self) {
         let own = self.region();
         let region = self.better_region().unwrap_or(own);
@@ -56,6 +57,8 @@
         }
     }
 
+    /// The region to which moving the leadership reduces the total latency by more
+    /// than `min_placement_gain_percent`.
     fn better_region(&self) -> Option<RegionId> {
         let regions: Vec<RegionId> = quorum::regions(self.log.members()).into_iter().collect();
         let available: Vec<RegionId> = regions
@@ -76,8 +79,8 @@
         )
     }
 
-    /// Begin a transfer. No entry is appended from here on, so that the
-    /// other's log catches up; what is proposed meanwhile is retried.
+    /// Begin a transfer. Until it ends, no proposals are appended, so that the
+    /// target's log catches up; proposers retry.
     fn transfer_leader(&mut self, to: NodeId) {
         let transfer = LeaderTransfer {
             to,
@@ -88,8 +91,8 @@
         self.continue_leader_transfer(transfer);
     }
 
-    /// Let the other campaign once it has the whole log; give up after two
-    /// election time-outs.
+    /// Send `TimeoutNow` once the target has the whole log and all of it is
+    /// committed; cancel the transfer after two election timeouts.
     fn continue_leader_transfer(&mut self, transfer: LeaderTransfer) {
         let last = self.log.last().index;
         let elapsed = self.now.saturating_sub(transfer.since);
@@ -101,8 +104,8 @@
         }
     }
 
-    /// OutgoingTransfer the leadership to a voter that has caught up: a Domain Leader
-    /// before others, then the one heard from last.
+    /// Transfer the leadership to a voter that has caught up: preferably a Domain
+    /// Leader, then the one with the most recent contact.
     fn transfer_leader_before_stop(&mut self) {
         let live = self.now.saturating_sub(self.timing.region_timeout);
         let is_domain_leader = |id| self.domain_leaders.values().any(|leader| leader.id == id);
@@ -119,7 +122,8 @@
         }
     }
 
-    /// The leader transfers its leadership to this node.
+    /// The leader transfers its leadership to this node: campaign without a
+    /// pre-vote.
     pub(super) fn handle_timeout_now(&mut self, term: u64) {
         if term == self.hard_state.term && self.role != Role::Leader && self.promotable() {
             self.become_candidate();
