--- a/sorreldoor/src/consensus/messages.rs
+++ b/sorreldoor/src/consensus/messages.rs
@@ -1,16 +1,16 @@
-//! Messages between cores. Variants and fields are on the wire; those renamed
-//! since keep their old wire name by a serde rename.
+//! Messages between cores. Variants and fields are serialized by name; a serde
+//! rename keeps the name on the wire where it differs from the one here.
 //!
 //! Message numbers in the comments are those of the CD-Raft paper, figure 6(a)
-//! and section III-D2 (Wang, Cheng, Dong and Xu, arXiv 2603.10555).
+//! and section III-D2.
 
 use super::entry::{shared_bytes, Body, Entry, LogPosition, Member};
 use crate::types::{Millis, NodeId, ProposalId, RegionId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The log position that one core is known to have replicated and synced, in
-/// the term of the message that carries it.
+/// The log index that one core is known to have replicated and synced, in the term
+/// of the message that carries it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaProgress {
     /// The core whose progress this is.
@@ -18,7 +18,7 @@
     /// Highest index known to match the leader's log.
     #[serde(rename = "upto")]
     pub matched: u64,
-    /// The newest round of heartbeats that the core has received.
+    /// The newest heartbeat round that the core has received.
     pub round: u64,
 }
 
@@ -41,7 +41,7 @@
     pub last: LogPosition,
 }
 
-/// Entries that follow on `prev`; without any, a heartbeat.
+/// Entries that follow `prev`; without entries, a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AppendRequest {
     /// Term of the Global Leader.
@@ -54,9 +54,10 @@
     pub prev: LogPosition,
     /// Entries in the order of the log, without gaps.
     pub entries: Vec<Entry>,
-    /// Commit index of the sender, for what its receiver then has.
+    /// Commit index of the sender. The receiver applies it to the entries that are
+    /// known to match.
     pub commit: u64,
-    /// Round of heartbeats, by which reads prove the leadership.
+    /// Heartbeat round; its echo confirms the leadership for reads.
     pub round: u64,
 }
 
@@ -68,19 +69,21 @@
     /// Progress of the sender and, if it is a Domain Leader, of its region.
     #[serde(rename = "rows")]
     pub replicas: Vec<ReplicaProgress>,
-    /// Set if the append was rejected: the index to continue after.
+    /// The index after which to continue if the append was rejected, otherwise
+    /// `None`.
     #[serde(rename = "hint")]
     pub conflict_hint: Option<u64>,
-    /// Index up to which the sender, a Domain Leader, has answered the
-    /// proposals of its region; zero from any other core.
+    /// Index up to which the sender, a Domain Leader, has sent the results of its
+    /// region's proposals; zero from any other core.
     #[serde(rename = "fast")]
     pub fast_returned: u64,
-    /// One-way delays from the sender's region to others, as it measured them.
+    /// One-way delays from the sender's region to others in milliseconds, as the
+    /// sender measured them.
     #[serde(rename = "lat")]
     pub latencies: Vec<(RegionId, Millis)>,
 }
 
-/// The content that the chunks of one transfer add up to.
+/// Describes the content that the chunks of one transfer make up.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ContentHeader {
     /// The bytes are the state machine's image.
@@ -129,9 +132,9 @@
     /// The Global Leader, also if a Domain Leader sends the chunk.
     #[serde(rename = "gl")]
     pub global_leader: NodeId,
-    /// Round of heartbeats, as in [`AppendRequest`].
+    /// Heartbeat round, as in [`AppendRequest`].
     pub round: u64,
-    /// Commit index of the sender, for what its receiver then has.
+    /// Commit index of the sender, as in [`AppendRequest`].
     pub commit: u64,
     /// What the content is and where it belongs in the log.
     pub header: ContentHeader,
@@ -182,8 +185,8 @@
         #[serde(rename = "sent")]
         sent_at: Millis,
     },
-    /// The answer to a [`Msg::DomainHeartbeat`], which also shows the Domain
-    /// Leader that this core is alive.
+    /// The answer to a [`Msg::DomainHeartbeat`]. Also counts towards the Domain
+    /// Leader's check quorum.
     DomainHeartbeatReply {
         /// Echoed from the heartbeat.
         #[serde(rename = "dterm")]
@@ -240,7 +243,7 @@
         /// The same for each retry of the proposal.
         #[serde(rename = "pid")]
         proposal_id: ProposalId,
-        /// The core that received the proposal, to which the result goes.
+        /// The core that received the proposal; the result is sent to it.
         origin: NodeId,
         /// The payload of the entry to append.
         body: Body,
