--- a/sorreldoor/src/consensus/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -1,5 +1,5 @@
-//! CD-Raft as a pure reducer: an event and the time go in, effects come out.
-//! Nothing in here reads a clock, does I/O or starts a thread.
+//! CD-Raft as a pure reducer: an event and the current time in, effects out.
+//! Nothing in this module reads a clock, does I/O or starts a thread.
 //!
 //! Raft follows Ongaro, "Consensus: Bridging Theory and Practice" ("the thesis"
 //! in the comments). The hierarchy of Domain Leaders below one Global Leader
