--- a/sorreldoor/src/consensus/node.rs
+++ b/sorreldoor/src/consensus/node.rs
@@ -1,4 +1,4 @@
-//! The reducer: all state of a node, and the dispatch of its events.
+//! The reducer: the state of one node, and the dispatch of its events.
 
 use super::entry::{HardState, LogPosition, Member, Snapshot};
 use super::event::{Effect, Event};
@@ -19,7 +19,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// One node of the consensus group.
+/// One node of the consensus group, driven by [`Consensus::step`]. The other
+/// modules implement its methods, one mechanism each.
 pub struct Consensus<M: StateMachine> {
     pub(super) id: NodeId,
     pub(super) timing: Timing,
@@ -37,41 +38,43 @@
     pub(super) global_leader: Option<NodeId>,
     pub(super) domain_leaders: BTreeMap<RegionId, DomainLeader>,
     pub(super) leader_contact_at: Millis,
-    /// When this process last had contact with a Global Leader, or was it.
+    /// When this process last had contact with a Global Leader, or was the Global
+    /// Leader; `None` until then.
     pub(super) leader_known_at: Option<Millis>,
     pub(super) domain_leader_contact_at: Millis,
-    /// The connection to the Global Leader was closed, and nothing has come
-    /// from it since.
+    /// The connection to the Global Leader was closed, and no message from it has
+    /// arrived since.
     pub(super) leader_suspected: bool,
-    /// The own region has a Domain Leader that isn't known to have ended.
+    /// This node's region has a Domain Leader whose connection was not closed since
+    /// its last heartbeat.
     pub(super) domain_leader_known: bool,
 
     // elections
-    /// Election time-outs in a row without contact to a Global Leader.
+    /// Consecutive election timeouts without contact with a Global Leader.
     pub(super) missed_elections: u32,
     pub(super) missed_election_at: Millis,
     pub(super) election_deadline: Millis,
     pub(super) domain_election_deadline: Millis,
     pub(super) election: Election,
-    /// Nodes that were granted a pre-vote since this one last had contact with a
-    /// Global Leader, and when they first were.
+    /// Nodes to which this one granted a pre-vote since its last contact with a
+    /// Global Leader, with the time of the first grant.
     pub(super) pre_votes_granted: BTreeMap<NodeId, Millis>,
     pub(super) domain_election: Election,
 
     // replication
-    /// Of all other nodes at the Global Leader, of the region's at a Domain
-    /// Leader.
+    /// Progress of all other members on the Global Leader, of the region's members
+    /// on a Domain Leader.
     pub(super) progress: BTreeMap<NodeId, Progress>,
-    /// Transfers to this node, by sender.
+    /// Chunked transfers to this node, by sender.
     pub(super) incoming_transfers: BTreeMap<NodeId, IncomingTransfer>,
-    /// When this Domain Leader last had a heartbeat reply of each node.
+    /// When this Domain Leader last received a heartbeat reply from each node.
     pub(super) domain_peer_contact_at: BTreeMap<NodeId, Millis>,
-    /// Index up to which this log is known to match the Global Leader's of
-    /// this term.
+    /// Index up to which this log is known to match the log of this term's Global
+    /// Leader.
     pub(super) verified_index: u64,
-    /// The Global Leader's own round of heartbeats.
+    /// As Global Leader: the round of the last heartbeats sent.
     pub(super) heartbeat_round: u64,
-    /// The newest round received from the Global Leader.
+    /// The newest heartbeat round received from the Global Leader.
     pub(super) leader_round: u64,
     pub(super) next_heartbeat_at: Millis,
     pub(super) last_heartbeat_at: Millis,
@@ -82,9 +85,10 @@
     pub(super) confirmation: Option<Confirmation>,
     /// Index up to which this Global Leader has sent confirmations.
     pub(super) confirmed_index: u64,
-    /// Index up to which each region's Domain Leader has answered proposals.
+    /// Index up to which each region's Domain Leader has sent the results of
+    /// proposals.
     pub(super) fast_returned: BTreeMap<RegionId, u64>,
-    /// By the index of their entry.
+    /// By the index of the proposal's entry.
     pub(super) deferred_results: BTreeMap<u64, DeferredResult>,
 
     // proposals and reads
@@ -108,7 +112,7 @@
     pub(super) stopping: bool,
 
     // durable writes
-    /// Number of the last save ordered.
+    /// Number of the last save passed to the store.
     pub(super) save_seq: u64,
     /// Number of the last save synced.
     pub(super) synced_seq: u64,
@@ -124,8 +128,8 @@
 }
 
 impl<M: StateMachine> Consensus<M> {
-    /// A node that starts from what its store has recovered. `seed` is for the
-    /// random part of election time-outs.
+    /// A node that starts from the state recovered by its store. `seed` determines
+    /// the random part of election timeouts.
     pub fn new(
         id: NodeId,
         timing: Timing,
@@ -202,12 +206,13 @@
         node.next_placement_at = now + node.timing.placement_interval;
         node.reset_adaptive_election_deadline();
         node.reset_domain_election_deadline();
-        // a committed entry stays committed, so applying it needs no leader
+        // committed entries are final, so applying them needs no leader
         node.commit_to(node.hard_state.committed);
         node
     }
 
-    /// A first member of a new group; the founding snapshot is its first save.
+    /// A member of a new group. Its first save is a snapshot at position zero, with
+    /// the initial members and state.
     pub fn bootstrap(
         id: NodeId,
         timing: Timing,
@@ -235,7 +240,8 @@
         node
     }
 
-    /// Handle an event at `now`; the effects are to be carried out in order.
+    /// Handle an event at `now`, and return the effects, which the driver has to
+    /// carry out in order.
     pub fn step(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
@@ -254,7 +260,7 @@
     }
 
     fn handle_message(&mut self, from: NodeId, msg: Msg) {
-        // after a failed save, no reply of this node could be relied on
+        // after a failed save, a reply could promise state that isn't durable
         if self.disk_failed {
             return;
         }
