--- a/sorreldoor/src/consensus/pending.rs
+++ b/sorreldoor/src/consensus/pending.rs
@@ -1,4 +1,5 @@
-//! Operations of this node that wait for something.
+//! Records of unfinished operations: proposals, reads, deferred results and
+//! messages, unsynced saves, and leadership transfers.
 
 use super::entry::Body;
 use super::messages::Msg;
@@ -18,12 +19,12 @@
 pub(super) struct PendingRead {
     pub since: Millis,
     pub sent_at: Option<Millis>,
-    /// The read index, once the Global Leader has given it.
+    /// The read index, once the Global Leader has sent it.
     pub index: Option<u64>,
 }
 
-/// A read index that the Global Leader gives once it has proved, by the
-/// heartbeats of `round`, that it still is the leader.
+/// A read index that the Global Leader sends once a majority has echoed heartbeat
+/// round `round` or a newer one.
 #[derive(Clone, Debug)]
 pub(super) struct PendingReadIndex {
     pub from: NodeId,
@@ -32,8 +33,9 @@
     pub round: u64,
 }
 
-/// An outcome that the proposer's Domain Leader should send. The Global Leader
-/// sends it if that is overdue (CD-Raft paper, section III-D).
+/// A result that the Domain Leader of the proposer's region should send by Fast
+/// Return. The Global Leader sends it if that is overdue (CD-Raft paper, section
+/// III-D).
 #[derive(Clone, Debug)]
 pub(super) struct DeferredResult {
     pub since: Millis,
@@ -42,7 +44,7 @@
     pub outcome: Arc<Vec<u8>>,
 }
 
-/// A message that relies on the saves up to `after_seq`.
+/// A message to send once all saves up to number `after_seq` are synced.
 #[derive(Clone, Debug)]
 pub(super) struct DeferredMessage {
     pub after_seq: u64,
@@ -55,21 +57,22 @@
 pub(super) struct UnsyncedSave {
     pub seq: u64,
     pub since: Millis,
-    /// First log index that it writes; zero if it writes none.
+    /// First log index that it writes; zero if it doesn't write to the log.
     pub from_index: u64,
 }
 
-/// A leadership transfer under way.
+/// A leadership transfer in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaderTransfer {
     pub to: NodeId,
     pub since: Millis,
 }
 
-/// The Global Leader's word that a majority of its region, `holders`, has the
-/// log up to `index`.
+/// The Global Leader's confirmation that a majority of its region has the log up
+/// to `index`.
 #[derive(Clone, Debug)]
 pub(super) struct Confirmation {
     pub index: u64,
+    /// The voters of that region that have it.
     pub holders: Vec<NodeId>,
 }
