--- a/sorreldoor/src/consensus/persistence.rs
+++ b/sorreldoor/src/consensus/persistence.rs
@@ -1,8 +1,8 @@
-//! Durable writes, and messages that wait for them.
+//! Durable writes, and the messages that are deferred until these are synced.
 //!
 //! A node that grants a vote or acknowledges entries must have synced them
-//! first (thesis, section 3.8). Saves are asynchronous here, so such messages
-//! are deferred until all saves ordered before them are synced.
+//! first (thesis, section 3.8). Saves are asynchronous, so such messages are
+//! deferred until all saves issued before them are synced.
 
 use super::errors::ProposalError;
 use super::event::{Effect, StateChange, StepDownReason};
@@ -22,7 +22,7 @@
 
     pub(super) fn save(&mut self, save: Save) {
         self.save_seq += 1;
-        // from this index on the own log doesn't count as replicated
+        // from this index on, this node's log doesn't count as replicated
         let from_index = match &save {
             Save::Append { from, .. } => *from,
             Save::Snapshot {
@@ -41,8 +41,8 @@
         });
     }
 
-    /// Order a save that isn't part of the log, such as claims. Returns its
-    /// number, for [`Event::Saved`](super::Event::Saved).
+    /// Issue a save that isn't part of the log, such as claims. Returns its number,
+    /// for [`Event::Saved`](super::Event::Saved), and the effects to carry out.
     pub fn save_outside_log(&mut self, save: Save) -> (u64, Vec<Effect>) {
         self.save(save);
         (self.save_seq, std::mem::take(&mut self.effects))
@@ -59,12 +59,12 @@
         self.save(Save::HardState(hard_state));
     }
 
-    /// Send at once, for messages that rely on no save of this node.
+    /// Send at once. For messages that don't depend on a save of this node.
     pub(super) fn send(&mut self, to: NodeId, msg: Msg) {
         self.effects.push(Effect::Send { to, msg });
     }
 
-    /// Send once every save ordered so far is synced.
+    /// Send once every save issued so far is synced.
     pub(super) fn send_after_sync(&mut self, to: NodeId, msg: Msg) {
         let fault = self.timing.injected_fault;
         if self.unsynced_saves.is_empty() || fault == InjectedFault::SendBeforeSync {
@@ -92,8 +92,8 @@
                 self.send(to, msg);
             }
         }
-        // the Global Leader learns of a Domain Leader's own sync by the
-        // deferred messages, which have just been sent
+        // a Domain Leader's own sync may complete a Fast Return; the Global Leader
+        // gets it from the deferred messages, which have just been sent
         if self.role != Role::Leader && self.domain_role == Role::Leader {
             self.maybe_fast_return();
         }
@@ -101,7 +101,8 @@
         self.advance_elections();
     }
 
-    /// Step aside: nothing this node says could be relied on.
+    /// Step down and fail all pending operations, as this node can't acknowledge
+    /// anything until the save is retried with success.
     pub(super) fn handle_save_failed(&mut self) {
         self.disk_failed = true;
         self.deferred_messages.clear();
@@ -120,9 +121,9 @@
         }
     }
 
-    /// Participate again, as a follower without a leader. While the disk
-    /// failed, nothing was accepted or answered, so the state in memory is
-    /// still the one that the store was given.
+    /// Participate again, as a follower without a leader. Since the failure no
+    /// message was handled, so the state in memory is still the one that was passed
+    /// to the store.
     pub(super) fn handle_save_recovered(&mut self) {
         self.disk_failed = false;
         self.global_leader = None;
@@ -130,7 +131,7 @@
         self.reset_domain_election_deadline();
     }
 
-    /// The highest index of the own log that is synced.
+    /// The highest index up to which this node's log is synced.
     pub(super) fn synced_index(&self) -> u64 {
         self.unsynced_saves
             .iter()
@@ -141,7 +142,8 @@
             .min(self.log.last().index)
     }
 
-    /// Whether the disk has failed, or has not synced in time.
+    /// Whether the last save failed, or one is not synced within
+    /// `disk_stall_timeout`.
     pub(super) fn disk_stalled(&self) -> bool {
         let oldest = self.unsynced_saves.front();
         let limit = self.timing.disk_stall_timeout;
