--- a/sorreldoor/src/consensus/progress.rs
+++ b/sorreldoor/src/consensus/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of a replica, as tracked by the node that sends it the log.
+//! Progress of a replica, as tracked by a leader.
 
 use super::messages::ContentHeader;
 use super::transfer_state::OutgoingTransfer;
@@ -12,15 +12,16 @@
     bytes: usize,
 }
 
-/// What a leader knows of one replica in the current term.
+/// Replication state of one replica in the current term, kept by the Global Leader
+/// or by the replica's Domain Leader.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Progress {
-    /// Highest index known to match the sender's log, synced.
+    /// Highest index that the replica has synced and that matches the leader's log.
     pub matched: u64,
     pub next_index: u64,
-    /// `prev` index of the last append sent.
+    /// Index of `prev` in the last append sent.
     pub probe_index: u64,
-    /// The newest round of heartbeats that the replica has echoed.
+    /// The newest heartbeat round that the replica has echoed.
     pub round: u64,
     pub last_contact_at: Millis,
     pub sent_at: Millis,
@@ -30,7 +31,7 @@
 }
 
 impl Progress {
-    /// Progress of a replica that is taken to need entries from `next_index`.
+    /// Progress of a replica that is assumed to need the entries from `next_index` on.
     pub fn starting_at(next_index: u64) -> Progress {
         Progress {
             next_index,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// As `starting_at`, counted as heard from at `now`.
+    /// As `starting_at`, with `now` as the time of the last contact.
     pub fn active_from(next_index: u64, now: Millis) -> Progress {
         Progress {
             last_contact_at: now,
