--- a/sorreldoor/src/consensus/proposal.rs
+++ b/sorreldoor/src/consensus/proposal.rs
@@ -1,4 +1,5 @@
-//! Proposals: from the client's core to the Global Leader, with retries.
+//! Proposals: forwarded with retries from the core that the client reached to the
+//! Global Leader, which appends them.
 
 use super::entry::{Body, Entry};
 use super::errors::ProposalError;
@@ -10,11 +11,12 @@
 use super::state_machine::StateMachine;
 use crate::types::{Millis, NodeId, ProposalId};
 
-/// Throughput that even a slow, busy link has, in bytes per millisecond.
-const MIN_BYTES_PER_MS: Millis = 500;
+/// Assumed minimum throughput of a link, in bytes per millisecond.
+const MIN_LINK_BYTES_PER_MS: Millis = 500;
 
 impl<M: StateMachine> Consensus<M> {
-    /// Accept a proposal of a client of this node.
+    /// Accept a proposal of a client of this node. Dropped if the disk has failed or
+    /// `max_pending` proposals are pending.
     pub(super) fn propose(&mut self, proposal_id: ProposalId, body: Body) {
         let full = self.pending_proposals.len() >= self.timing.max_pending;
         let outcome = match self.applied_outcome(proposal_id) {
@@ -64,7 +66,8 @@
         self.send(leader, message);
     }
 
-    /// As Global Leader: append the proposal, or answer what was applied.
+    /// As Global Leader: append the proposal, or send the outcome if it was applied
+    /// before. Ignored while it can't be appended; the proposer retries.
     pub(super) fn handle_propose(&mut self, proposal_id: ProposalId, origin: NodeId, body: Body) {
         if self.role != Role::Leader {
             return;
@@ -102,8 +105,8 @@
         });
     }
 
-    /// Resend proposals without an answer, and give up the ones that are too
-    /// old.
+    /// Resend the proposals without a result, and fail those that are older than
+    /// twice `ack_ms`.
     pub(super) fn tick_proposals(&mut self) {
         let due: Vec<(ProposalId, Option<ProposalError>)> = self
             .pending_proposals
@@ -120,19 +123,19 @@
     }
 
     fn resend_due(&self, pending: &PendingProposal) -> bool {
-        // a large body may still be in flight when a small one would be late
-        let transmission = pending.body.bytes() as Millis / MIN_BYTES_PER_MS;
+        // a large body takes longer to transmit
+        let transmission = pending.body.bytes() as Millis / MIN_LINK_BYTES_PER_MS;
         let wait = self.timing.resend_interval * 2 + transmission;
         let sent_at = pending.sent_at;
         sent_at.is_none_or(|sent_at| self.now.saturating_sub(sent_at) >= wait)
     }
 
-    /// The error that an expired proposal ends with.
+    /// The error for a proposal that has expired; `None` if it has not.
     fn expiry(&self, pending: &PendingProposal) -> Option<ProposalError> {
         if self.now.saturating_sub(pending.since) < self.timing.ack_ms * 2 {
             return None;
         }
-        // without a send it cannot have been appended anywhere
+        // a proposal that was never sent can't have been appended
         Some(match pending.sent_at {
             Some(_) => ProposalError::OutcomeUnknown,
             None => ProposalError::Dropped,
