--- a/sorreldoor/src/consensus/raft_log.rs
+++ b/sorreldoor/src/consensus/raft_log.rs
@@ -1,8 +1,10 @@
-//! The log in memory: the position of a snapshot and the entries after it.
+//! The log in memory: the position up to which it is compacted, and the entries
+//! after that.
 
 use super::entry::{Body, Entry, LogPosition, Member, Snapshot};
 
-/// The part of the log that follows a snapshot. Indexes start at 1.
+/// The uncompacted part of the log, with the configurations in it. Indexes start at
+/// 1. The base is the position of the last compacted entry.
 #[derive(Clone, Debug, Default)]
 pub struct RaftLog {
     base: LogPosition,
@@ -21,7 +23,7 @@
         }
     }
 
-    /// A recovered log.
+    /// The log of a snapshot and the entries that follow it.
     pub fn from_parts(snap: &Snapshot, entries: Vec<Entry>) -> RaftLog {
         let mut log = RaftLog {
             base: snap.last,
@@ -52,19 +54,20 @@
             .and_then(|i| self.entries.get(i as usize))
     }
 
-    /// Term of the entry at `index`, or of the base.
+    /// Term of the entry at `index`, which may be the base; `None` if it is compacted
+    /// or not appended yet.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         (index == self.base.index)
             .then_some(self.base.term)
             .or_else(|| self.get(index).map(|e| e.term))
     }
 
-    /// Position of the entry at `index`, or of the base.
+    /// Position of the entry at `index`, as for `term_at`.
     pub fn at(&self, index: u64) -> Option<LogPosition> {
         self.term_at(index).map(|term| LogPosition { term, index })
     }
 
-    /// Entries from `from` to `last`, up to the first large one and to
+    /// Entries from `from` to `last`, ending before the first large one and at
     /// `max_bytes` in total.
     pub fn range(&self, from: u64, last: u64, max_bytes: usize) -> Vec<Entry> {
         let start = from.saturating_sub(self.base.index + 1) as usize;
@@ -89,8 +92,8 @@
         self.entries.iter().skip(skip).map(Entry::bytes).sum()
     }
 
-    /// The last index to compact so that the entries after it up to `last` are
-    /// no more than `count` and `max_bytes`.
+    /// The index to compact up to so that the entries after it, up to `last`, are as
+    /// many as `count` and `max_bytes` allow.
     pub fn index_before_tail(&self, last: u64, count: u64, max_bytes: usize) -> u64 {
         let mut from = last;
         let mut remaining = max_bytes;
@@ -105,7 +108,7 @@
         from
     }
 
-    /// Append entries.
+    /// Append entries after the last one.
     pub fn push(&mut self, entries: Vec<Entry>) {
         let mut index = self.last().index;
         for e in entries {
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Drop `from` and everything after it.
+    /// Remove the entries from index `from` on.
     pub fn truncate_from(&mut self, from: u64) {
         let remaining = from.saturating_sub(self.base.index + 1) as usize;
         self.entries.truncate(remaining);
@@ -131,7 +134,7 @@
             .map_or(&self.base_members, |(_, m)| m)
     }
 
-    /// The configuration at `index`.
+    /// The configuration in effect at `index`.
     pub fn members_at(&self, index: u64) -> &[Member] {
         self.configurations
             .iter()
@@ -147,7 +150,8 @@
             .map_or(self.base.index, |(i, _)| *i)
     }
 
-    /// Drop the entries up to and including `upto`, the new base.
+    /// Remove the entries up to and including `upto`, which becomes the base. No
+    /// effect if `upto` is not in the log.
     pub fn compact(&mut self, upto: u64) {
         let Some(position) = self.at(upto) else {
             return;
@@ -169,7 +173,7 @@
         self.entries.len()
     }
 
-    /// Whether there are no entries after the base, whatever was compacted.
+    /// Whether there are no entries after the base.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
