--- a/sorreldoor/src/consensus/role.rs
+++ b/sorreldoor/src/consensus/role.rs
@@ -4,12 +4,12 @@
 use crate::types::{Millis, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The role of a node in its term. A node has two: among all cores, and among
-/// those of its region.
+/// The role of a node in a term. Each node has two roles: one among all cores, in
+/// the election of the Global Leader, and one in its region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     Follower,
-    /// Asks whether it could win an election, without raising its term.
+    /// Collects pre-votes without incrementing its term (thesis, section 9.6).
     PreCandidate,
     Candidate,
     Leader,
@@ -21,9 +21,11 @@
     pub since: Millis,
     /// The voters that granted their vote.
     pub votes: BTreeSet<NodeId>,
-    /// Domain Leaders that took part, with the last entries of their logs.
+    /// Domain Leaders that replied, with the positions of their last entries;
+    /// includes this node if it is one.
     pub domain_leaders: BTreeMap<NodeId, LogPosition>,
-    /// The own vote counts once this save is synced.
+    /// Number of the save that records this node's own vote. The vote counts once
+    /// that is synced.
     pub vote_save_seq: u64,
 }
 
