--- a/sorreldoor/src/consensus/save.rs
+++ b/sorreldoor/src/consensus/save.rs
@@ -1,12 +1,12 @@
-//! Durable writes that the reducer orders, and the state recovered from them.
+//! Durable writes that the reducer issues, and the state recovered from them.
 
 use super::entry::{Entry, HardState, Snapshot};
 use super::raft_log::RaftLog;
 use crate::types::Millis;
 use serde::{Deserialize, Serialize};
 
-/// One durable write. A store applies them in the given order, and stores them
-/// under the names of these variants.
+/// One durable write. The store applies writes in the order of their numbers. Each
+/// is stored under its serialized name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Save {
     /// Replace the terms, the votes and the stored commit index.
@@ -22,21 +22,22 @@
         #[serde(default)]
         commit: u64,
     },
-    /// Replace the log up to the snapshot; `discard_log` drops the rest too.
+    /// Replace the log up to the snapshot, or all of it if `discard_log`.
     #[serde(rename = "Snap")]
     Snapshot {
         /// The newest snapshot, taken here or received.
         #[serde(rename = "snap")]
         snapshot: Snapshot,
-        /// Drop the entries after the snapshot, which don't follow on it.
+        /// Remove also the entries after the snapshot, which don't follow it.
         #[serde(rename = "reset")]
         discard_log: bool,
     },
-    /// Claims on request ids, which aren't part of the log but stored beside
-    /// it. Written by the release before; still read.
+    /// Claims in the format of earlier releases: request id and claimant. Still read,
+    /// not written.
     #[serde(rename = "Claims")]
     LegacyClaims(Vec<(String, u128)>),
-    /// Claims on request ids; each replaces an earlier one on the same id.
+    /// Claims on request ids, which are stored beside the log. Each replaces an
+    /// earlier one on the same id.
     #[serde(rename = "Noted")]
     ClaimRecords(Vec<ClaimRecord>),
     /// The claims on these request ids have ended.
@@ -44,8 +45,8 @@
     ReleasedClaims(Vec<String>),
 }
 
-/// A claim on an idempotency key: the id of a request, who may send it, and
-/// for how many milliseconds the claim is retained.
+/// A claim on an idempotency key: only the claimant may send the request with this
+/// id while the claim is retained.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// The request id that the client chose.
@@ -53,7 +54,7 @@
     /// One request attempt of one incarnation of an edge.
     #[serde(rename = "by")]
     pub claimant: u128,
-    /// Counted from when the claim was stored or loaded.
+    /// Retention in milliseconds, from when the claim was stored or loaded.
     #[serde(rename = "keep_ms")]
     pub retention_ms: Millis,
 }
