--- a/sorreldoor/src/consensus/snapshot_transfer.rs
+++ b/sorreldoor/src/consensus/snapshot_transfer.rs
@@ -1,8 +1,8 @@
 //! Chunked transfer of snapshots and large entries: the protocol.
 //!
-//! Few chunks are in flight to one member, so that heartbeats never wait long
-//! behind them. After an interruption the transfer resumes at the offset that
-//! the receiver has.
+//! The chunks in flight are limited, so that they don't delay heartbeats by much.
+//! After an interruption the transfer resumes at the offset up to which the
+//! receiver has the content.
 
 use super::entry::{Body, Entry, LogPosition, Snapshot};
 use super::follower::LeaderContact;
@@ -18,8 +18,8 @@
 use std::sync::Arc;
 
 impl<M: StateMachine> Consensus<M> {
-    /// Send the chunks that the window allows; as a heartbeat, an empty one at
-    /// least.
+    /// Send the chunks that the window allows. If `heartbeat` and there are none, send
+    /// an empty one.
     pub(super) fn send_chunks(&mut self, to: NodeId, heartbeat: bool) {
         self.refresh_transfer(to);
         let unchunked = self.timing.injected_fault == InjectedFault::SendUnchunked;
@@ -75,14 +75,15 @@
         self.send(to, Msg::Chunk(Box::new(chunk)));
     }
 
-    /// The share of one transfer in the bytes in flight of all.
+    /// Maximum bytes in flight for each transfer: an equal share of the total window,
+    /// at least one chunk.
     fn transfer_window(&self) -> usize {
         let transfers = self.progress.values().filter(|p| p.transfer.is_some());
         (TRANSFER_WINDOW_BYTES / transfers.count().max(1)).max(TRANSFER_CHUNK_BYTES)
     }
 
-    /// Replace a snapshot by the newest one if the entries that follow it are
-    /// compacted.
+    /// Restart the transfer with the newest snapshot if the entries after the one in
+    /// transfer are compacted.
     fn refresh_transfer(&mut self, to: NodeId) {
         let transfer = self.progress.get(&to).and_then(|p| p.transfer.as_ref());
         let outdated = transfer.is_some_and(|t| {
@@ -94,6 +95,7 @@
         }
     }
 
+    /// Begin to send the newest snapshot.
     pub(super) fn begin_snapshot_transfer(&mut self, to: NodeId) {
         let Some(snapshot) = self.snapshot.clone() else {
             return;
@@ -154,7 +156,7 @@
         let heartbeat = chunk.round > self.leader_round || chunk.term > self.hard_state.term;
         self.accept_leader(LeaderContact::of_chunk(&chunk));
         if heartbeat {
-            // as an empty append does: echo the round and pass it on
+            // as for an empty append: echo the round and relay it to the region
             self.send_append_reply(from, None);
             self.commit_to(chunk.commit.min(self.verified_index));
             self.replicate_in_domain(true);
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Tell the sender that the whole content is here.
+    /// Acknowledge the whole content, which this node has already.
     fn skip_transfer(&mut self, from: NodeId, chunk: &Chunk) {
         self.incoming_transfers.retain(|_, i| i.id() != chunk.id);
         self.verified_index = self.verified_index.max(chunk.header.last().index);
@@ -213,7 +215,8 @@
         self.commit_to(chunk.commit.min(self.verified_index));
     }
 
-    /// Set if an entry does not follow on this log.
+    /// The index after which the sender should continue if the content is an entry
+    /// whose predecessor this log lacks.
     fn entry_conflict_hint(&self, header: &ContentHeader) -> Option<u64> {
         let ContentHeader::Entry { prev, .. } = header else {
             return None;
@@ -222,9 +225,9 @@
         (!follows).then(|| self.conflict_hint(prev.index))
     }
 
-    /// Track one transfer per sender, which may be the Global Leader or the
-    /// Domain Leader of the own region. A new sender continues what another
-    /// has sent of the same content.
+    /// Track one transfer per sender, which may be the Global Leader or the Domain
+    /// Leader of this region. A transfer from a new sender starts with the bytes of
+    /// the same content that were received from another.
     fn track_incoming(&mut self, from: NodeId, chunk: &Chunk) {
         let current = self.incoming_transfers.get(&from);
         if current.is_some_and(|i| i.id() == chunk.id) {
@@ -243,7 +246,7 @@
         self.incoming_transfers.insert(from, incoming);
     }
 
-    /// Handle the content as if it had come in one message.
+    /// Handle the complete content like a snapshot or an append in one message.
     fn finish_transfer(&mut self, from: NodeId, chunk: Chunk) {
         let Some(incoming) = self.incoming_transfers.remove(&from) else {
             return;
