--- a/sorreldoor/src/consensus/status.rs
+++ b/sorreldoor/src/consensus/status.rs
@@ -1,4 +1,4 @@
-//! What the driver can observe of the reducer.
+//! Read access to the state of the reducer, for its driver.
 
 use super::entry::Member;
 use super::node::Consensus;
@@ -9,9 +9,10 @@
 use crate::types::{Millis, NodeId, RegionId};
 use std::collections::BTreeMap;
 
-/// Election time-outs without a leader after which a node counts as partitioned.
+/// Number of election timeouts without a leader after which a node counts as
+/// partitioned.
 const PARTITION_ELECTION_TIMEOUTS: Millis = 4;
-/// Entries that a replica may lack and still count as caught up.
+/// Maximum entries that a replica may lack to count as caught up.
 const CAUGHT_UP_ENTRIES: u64 = 8;
 
 impl<M: StateMachine> Consensus<M> {
@@ -36,8 +37,8 @@
         self.hard_state.term
     }
 
-    /// Whether this node is the Global Leader of its term. A newer one may
-    /// exist already, so this alone doesn't allow a read.
+    /// Whether this node is the Global Leader of its term. A newer term may have
+    /// another one already, so this alone doesn't allow a read.
     pub fn leads_globally(&self) -> bool {
         self.role == Role::Leader
     }
@@ -47,8 +48,7 @@
         self.domain_role == Role::Leader
     }
 
-    /// The Global Leader of the current term, if this node knows it; it may be
-    /// gone.
+    /// The Global Leader of the current term, if known; it may have failed since.
     pub fn global_leader(&self) -> Option<NodeId> {
         self.global_leader
     }
@@ -78,18 +78,19 @@
         self.log.members()
     }
 
-    /// Regions whose majority this node, as Global Leader, does not hear from.
+    /// Regions without contact with a majority of their voters, on the Global Leader.
     pub fn unavailable_regions(&self) -> Vec<RegionId> {
         self.unavailable_regions.iter().copied().collect()
     }
 
-    /// The last known Domain Leader of each region; it may be gone.
+    /// The last known Domain Leader of each region; it may have failed since.
     pub fn domain_leaders(&self) -> BTreeMap<RegionId, NodeId> {
         let leaders = self.domain_leaders.iter();
         leaders.map(|(region, l)| (*region, l.id)).collect()
     }
 
-    /// Milliseconds since this node, as Global Leader, heard from `id`.
+    /// Milliseconds since this node, as Global Leader, last had contact with `id`;
+    /// `None` on any other node.
     pub fn silence_of(&self, id: NodeId) -> Option<Millis> {
         let progress = self.progress.get(&id);
         progress
@@ -103,7 +104,7 @@
         committed && !quorum::is_joint(self.log.members())
     }
 
-    /// Whether the replica lacks few entries at most.
+    /// Whether the replica lacks at most `CAUGHT_UP_ENTRIES` of this leader's log.
     pub fn caught_up(&self, id: NodeId) -> bool {
         let last = self.log.last().index;
         self.progress
@@ -111,22 +112,23 @@
             .is_some_and(|p| p.matched > 0 && p.matched + CAUGHT_UP_ENTRIES >= last)
     }
 
-    /// Whether a Global Leader was heard from lately, or is this node.
+    /// Whether this node is the Global Leader, or follows one with which it had contact
+    /// within two election timeouts.
     pub fn has_leader(&self) -> bool {
         let silence = self.now.saturating_sub(self.leader_contact_at);
         let live = silence < self.timing.election_timeout * 2;
         self.role == Role::Leader || (self.global_leader.is_some() && live)
     }
 
-    /// Whether this process had a leader and has been without one for longer
-    /// than an election takes: others may have a leader that it can't reach.
+    /// Whether this process had a leader and has been without one for longer than an
+    /// election takes: the other cores may have a leader that it can't reach.
     pub fn is_partitioned(&self) -> bool {
         let limit = self.timing.election_timeout * PARTITION_ELECTION_TIMEOUTS;
         let known_at = self.leader_known_at.filter(|_| self.role != Role::Leader);
         known_at.is_some_and(|known_at| self.now.saturating_sub(known_at) >= limit)
     }
 
-    /// Whether the last save has failed and not been retried with success.
+    /// Whether a save has failed and its retry has not succeeded yet.
     pub fn disk_failed(&self) -> bool {
         self.disk_failed
     }
