--- a/sorreldoor/src/consensus/term.rs
+++ b/sorreldoor/src/consensus/term.rs
@@ -34,7 +34,7 @@
         self.reset_election_deadline();
     }
 
-    /// Give up the leadership, or a campaign, within the term.
+    /// Become a follower without a known leader, in the same term.
     pub(super) fn step_down(&mut self, reason: StepDownReason) {
         self.report_step_down(reason);
         self.role = Role::Follower;
