--- a/sorreldoor/src/consensus/timing.rs
+++ b/sorreldoor/src/consensus/timing.rs
@@ -1,46 +1,49 @@
-//! Time-outs, intervals and limits of the protocol.
+//! Timeouts, intervals and limits of the protocol.
 
 use crate::types::Millis;
 
-/// Time-outs, intervals and limits; all follow from `ack_ms` by default.
+/// Timeouts, intervals and limits. [`Timing::for_ack`] derives the defaults from
+/// `ack_ms`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// Time between two heartbeats of a leader.
     pub heartbeat_interval: Millis,
-    /// The least election time-out; a random part is added.
+    /// Minimum election timeout; a random part is added.
     pub election_timeout: Millis,
-    /// Time within which a change should be acknowledged.
+    /// Target time for acknowledging a change; a proposal expires after twice this.
     pub ack_ms: Millis,
-    /// Silence after which a region counts as unavailable for commits.
+    /// Time without contact with a majority of a region's voters after which the
+    /// region is unavailable, so that the region rules are waived for it.
     pub region_timeout: Millis,
-    /// Time after which a region rule that cannot be met is waived.
+    /// Time after which a region rule that is not met is waived, in elections and for
+    /// entries.
     pub region_rule_timeout: Millis,
-    /// Time without an answer after which a proposal, a read, an append or a
-    /// result is sent again.
+    /// Base interval for resending proposals, reads, appends, chunks and results.
     pub resend_interval: Millis,
-    /// A read without a proven read index after this long fails.
+    /// Time after which a pending read fails.
     pub read_timeout: Millis,
     /// Age of an unsynced save after which the disk counts as stalled.
     pub disk_stall_timeout: Millis,
     /// How often the leader's region is reconsidered: Tp of the CD-Raft paper,
     /// section III-E.
     pub placement_interval: Millis,
-    /// Reads within this time share a heartbeat; zero: each sends its own.
+    /// Reads that arrive within this time share a round of heartbeats; at zero, each
+    /// read starts a round.
     pub read_batch_interval: Millis,
-    /// The least latency that moving the leader must save, in percent.
+    /// Minimum reduction of the total latency for moving the leader, in percent.
     pub min_placement_gain_percent: u64,
-    /// Entries between two snapshots at most.
+    /// Maximum entries between two snapshots.
     pub snapshot_entries: u64,
-    /// Proposals, reads and uncommitted entries at most, each.
+    /// Maximum of pending proposals, of pending reads and of uncommitted entries.
     pub max_pending: usize,
-    /// Fast Return of the CD-Raft paper, section III-B; off only to measure its
+    /// Fast Return of the CD-Raft paper, section III-B; disabled only to measure its
     /// effect.
     pub fast_return: bool,
-    /// A rule broken on purpose, by tests that show that a checker can fail.
+    /// A rule to break on purpose, in tests that show that a check detects it.
     pub injected_fault: InjectedFault,
 }
 
-/// A rule of the protocol to break, for tests of the tests.
+/// A rule of the protocol to break, for tests that show that a check detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
     /// The protocol is followed.
@@ -48,24 +51,26 @@
     None,
     /// Commit without a majority of all voters.
     SkipVoterMajority,
-    /// Send what depends on a save before it is synced.
+    /// Send messages before the saves that they depend on are synced.
     SendBeforeSync,
-    /// Answer reads without proof of leadership.
+    /// Answer reads without confirming the leadership.
     SkipReadProof,
-    /// Vote for logs older than the own.
+    /// Vote for candidates whose log is older than this node's.
     VoteForStaleLog,
     /// Send snapshots and large entries in one message, and resend them while
     /// the first is still in flight.
     SendUnchunked,
-    /// Keep entries behind an installed snapshot that conflict with it.
+    /// Keep the entries after an installed snapshot that conflict with it.
     KeepConflictingLog,
-    /// Keep no entries behind a new snapshot for receivers of the last one.
+    /// Compact all entries up to a new snapshot, also those that receivers of the
+    /// previous one need.
     CompactWithoutTail,
-    /// Rely on a silent Domain Leader to relay for as long as on its region.
+    /// Use a silent Domain Leader as a relay for the whole of `region_timeout`.
     KeepSilentRelay,
-    /// Give up a campaign for the same rival again and again.
+    /// Abandon a campaign each time that the same rival asks for a pre-vote.
     YieldAlways,
-    /// After an election, wait for regions that took no part in it.
+    /// After an election, wait the whole of `region_timeout` for regions that did not
+    /// vote.
     WaitForSilentRegions,
     /// During a change of voters, require a majority of the new set only.
     IgnoreOutgoingVoters,
