--- a/sorreldoor/src/consensus/transfer_state.rs
+++ b/sorreldoor/src/consensus/transfer_state.rs
@@ -1,15 +1,16 @@
-//! State of one chunked transfer, on the sending and on the receiving side.
+//! State of one chunked transfer, on the sending and on the receiving side. The
+//! protocol is in `snapshot_transfer`.
 
 use super::messages::{Chunk, ContentHeader};
 use crate::types::Millis;
 use std::sync::Arc;
 
-/// Bytes of content in one message at most.
+/// Maximum bytes of content in one message.
 pub const TRANSFER_CHUNK_BYTES: usize = 32 * 1024;
-/// Bytes of content in flight to all members together; one chunk to each is
-/// always allowed. At 10 Mbit/s this takes about a tenth of a second.
+/// Maximum bytes of content in flight to all members together; one chunk to each is
+/// always allowed. Takes about a tenth of a second at 10 Mbit/s.
 pub const TRANSFER_WINDOW_BYTES: usize = 128 * 1024;
-/// The largest content that a receiver accepts, in bytes.
+/// Maximum bytes of a content that a receiver accepts.
 pub(super) const MAX_CONTENT_BYTES: u64 = 16 << 20;
 
 /// A snapshot or large entry being sent to one member.
@@ -24,7 +25,8 @@
     sent: usize,
     /// When the acknowledged offset last advanced.
     progressed_at: Millis,
-    /// No progress for a while: one chunk at a time until there is some.
+    /// The acknowledged offset has timed out, so only one chunk is in flight at a
+    /// time until it advances.
     stalled: bool,
 }
 
@@ -77,7 +79,7 @@
             self.sent = self.sent.max(received);
         }
         if received < self.acknowledged {
-            // the receiver has restarted
+            // the receiver restarted and lost what it had received
             self.sent = received;
         }
         self.acknowledged = received;
@@ -128,7 +130,7 @@
         self.bytes.len() as u64
     }
 
-    /// Append a chunk that follows on what was received; others are ignored.
+    /// Append a chunk that continues the received bytes; ignore any other.
     pub fn add(&mut self, chunk: &Chunk) {
         let within_total = self.received() + chunk.data.len() as u64 <= self.total;
         if chunk.offset == self.received() && within_total {
@@ -144,15 +146,15 @@
         self.received() == self.total
     }
 
-    /// The content, if it is the one that `header` and the transfer's id name.
-    /// Otherwise chunks of two contents got mixed.
+    /// The content, if its hash is the transfer's id; otherwise chunks of different
+    /// contents were mixed.
     pub fn into_verified_bytes(self, header: &ContentHeader) -> Option<Vec<u8>> {
         (content_id(header, &self.bytes) == self.id).then_some(self.bytes)
     }
 }
 
-/// Identity and checksum of a content: FNV-1a over the header's position and
-/// the bytes.
+/// Identity and checksum of a content: a hash in the manner of FNV-1a over the
+/// header's kind and last position, and the bytes.
 fn content_id(header: &ContentHeader, bytes: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
