--- a/sorreldoor/src/consensus/election.rs
+++ b/sorreldoor/src/consensus/election.rs
@@ -182,13 +182,13 @@
     fn grant_pre_vote(&mut self, from: NodeId, term: u64, last: LogPosition) -> bool {
         // of two simultaneous campaigns only one may continue, or they would
         // split the votes repeatedly
-        let rival = match self.role {
+        let outranks_candidate = match self.role {
             Role::PreCandidate => self.log.last() == last && self.id > from,
             role => role == Role::Candidate,
         };
         let granted = self.is_up_to_date(last)
             && self.no_active_leader()
-            && !rival
+            && !outranks_candidate
             && term > self.hard_state.term
             && !self.disk_stalled();
         if granted {
