--- a/sorreldoor/src/balancer/authentication.rs
+++ b/sorreldoor/src/balancer/authentication.rs
@@ -3,7 +3,7 @@
 
 use crate::configuration::hosted::{Hosted, Route};
 use crate::configuration::tenants::{ApiKey, Tenant};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use std::sync::Arc;
 
 /// The result of authentication.
@@ -28,7 +28,7 @@
         let tenant = key.and_then(|key| hosted.tenants.holder_of(key));
         match tenant {
             Some(tenant) => Caller::Tenant(tenant.clone()),
-            None if route.public || broken(Invariant::Authenticated) => Caller::Anonymous,
+            None if route.public || is_disabled(Invariant::Authenticated) => Caller::Anonymous,
             None => Caller::Unauthenticated,
         }
     }
--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -7,7 +7,7 @@
 use super::RequestId;
 use crate::configuration::hosted::{Hosted, Route};
 use crate::error::ErrorCode;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::proxy::attempt::{Event, Repeatability, RequestProgress};
 use crate::proxy::RequestMetadata;
 use crate::types::Millis;
@@ -77,7 +77,7 @@
             return true;
         };
         let nodes = self.nodes.count();
-        self.admission.admit(id, quota, nodes, now) || broken(Invariant::Quota)
+        self.admission.admit(id, quota, nodes, now) || is_disabled(Invariant::Quota)
     }
 
     fn count_request(&mut self, request: &Request, route: &Route, now: Millis) {
--- a/sorreldoor/src/consensus/leader.rs
+++ b/sorreldoor/src/consensus/leader.rs
@@ -9,7 +9,7 @@
 use super::save::Save;
 use super::state_machine::StateMachine;
 use super::timing::InjectedFault;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::types::{Millis, NodeId};
 
 impl<M: StateMachine> Consensus<M> {
@@ -88,7 +88,7 @@
     }
 
     pub(super) fn tick_leader(&mut self) {
-        if !self.has_live_quorum() && !broken(Invariant::StepDown) {
+        if !self.has_live_quorum() && !is_disabled(Invariant::StepDown) {
             let silent = self.silent_voters();
             self.step_down(StepDownReason::NoQuorum { silent });
             return;
--- a/sorreldoor/src/control_plane/connections.rs
+++ b/sorreldoor/src/control_plane/connections.rs
@@ -1,7 +1,7 @@
 //! Open connections to other nodes: who is at the other end of each, and when
 //! it last carried a frame in either direction.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::types::{Millis, NodeId};
 use crate::wire::Hello;
@@ -82,7 +82,7 @@
     #[must_use]
     pub fn identify(&mut self, conn: Conn, hello: Hello) -> Vec<Conn> {
         let is_superseded = |other: &Hello| {
-            if broken(Invariant::Superseded) {
+            if is_disabled(Invariant::SupersededConnection) {
                 return false;
             }
             let same_identity = other.id == hello.id;
@@ -134,7 +134,8 @@
         let last_received = to_node.clone().map(|(_, c)| c.received_at).max()?;
         let live_since = last_received.saturating_sub(LIVE_MS);
         let preference = |connection: &Connection| {
-            let is_live = connection.received_at >= live_since || broken(Invariant::LiveConnection);
+            let is_live =
+                connection.received_at >= live_since || is_disabled(Invariant::LiveConnection);
             let is_dialled = connection.dialled.is_some();
             (is_live, is_dialled, connection.received_at)
         };
--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -5,7 +5,7 @@
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::reads::Read;
 use crate::control_plane::sessions::{SessionChange, SESSION_TIMEOUT_MS};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
 use crate::types::{Millis, NodeId};
@@ -49,7 +49,7 @@
     /// [`Controller::flush_sessions`].
     fn sessions_changed(&mut self) {
         self.sessions.changed();
-        if broken(Invariant::SessionsGathered) {
+        if is_disabled(Invariant::SessionsBatched) {
             self.merge_sessions();
             self.report_sessions(true);
         }
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn on_session_report(&mut self, from: NodeId, report: SessionReport) {
-        if self.sessions.on_report(from, report) && broken(Invariant::SessionsGathered) {
+        if self.sessions.on_report(from, report) && is_disabled(Invariant::SessionsBatched) {
             self.merge_sessions();
         }
     }
@@ -123,10 +123,13 @@
             SessionChange::Status => {}
         }
         let consensus = self.consensus.as_ref();
-        let led = consensus.is_some_and(|c| c.has_leader()) || broken(Invariant::Proof);
+        let led = consensus.is_some_and(|c| c.has_leader())
+            || is_disabled(Invariant::QuorumConfirmedRead);
         let offered = match renewal.unverified {
             Unverified::None => false,
-            Unverified::FromStarting => !self.reads.ever_proved() || broken(Invariant::Unverified),
+            Unverified::FromStarting => {
+                !self.reads.ever_proved() || is_disabled(Invariant::ConfirmedStateOnly)
+            }
             Unverified::FromAny => !led,
         };
         if offered {
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -4,7 +4,7 @@
 use crate::consensus::{Event, StateMachine};
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::reads::Read;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::replicated_state::decode;
 use crate::types::ProposalId;
 use crate::wire::{OpOutcome, StateDelta};
@@ -12,7 +12,7 @@
 impl Controller {
     pub(super) fn read(&mut self, read: Read) {
         let cut_off = self.consensus.as_ref().is_some_and(|c| c.is_partitioned());
-        if cut_off && !broken(Invariant::Proof) {
+        if cut_off && !is_disabled(Invariant::QuorumConfirmedRead) {
             // the requester does better to try another core at once
             return self.answer_reads(vec![read], false);
         }
@@ -29,7 +29,7 @@
             let reads = self.reads.take_queued();
             return self.answer_reads(reads, false);
         }
-        if broken(Invariant::Proof) {
+        if is_disabled(Invariant::QuorumConfirmedRead) {
             let reads = self.reads.take_queued();
             return self.answer_reads(reads, true);
         }
--- a/sorreldoor/src/control_plane/distribution.rs
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -4,7 +4,7 @@
 use super::updates::{NextUpdate, Updates};
 use crate::consensus::Member;
 use crate::discovery::{Loads, WorkerRegistry};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::replicated_state::{encode, ReplicatedState};
 use crate::types::Millis;
@@ -51,7 +51,7 @@
         let interval = (bytes / ENDPOINT_BYTES_PER_MS) as Millis;
         let sent_at = self.endpoints_sent_at.get(&conn);
         let due = sent_at.is_none_or(|sent_at| now.saturating_sub(*sent_at) >= interval);
-        if due || broken(Invariant::EndpointsPaced) {
+        if due || is_disabled(Invariant::EndpointListRate) {
             self.endpoints_sent_at.insert(conn, now);
             return true;
         }
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -4,7 +4,7 @@
 use crate::configuration::Site;
 use crate::consensus::*;
 use crate::discovery::{Load, WorkerRegistry};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::pacing::Pacing;
@@ -196,7 +196,7 @@
             | ControllerEvent::SaveFailed(_)
             | ControllerEvent::SaveRecovered => true,
             ControllerEvent::Net(NetEvent::Frame { payload, .. }) => {
-                payload.is_consensus() && !broken(Invariant::UrgentLane)
+                payload.is_consensus() && !is_disabled(Invariant::ConsensusPriority)
             }
             _ => false,
         }
--- a/sorreldoor/src/control_plane/idempotency/mod.rs
+++ b/sorreldoor/src/control_plane/idempotency/mod.rs
@@ -20,7 +20,7 @@
 pub use pending::ReplyTo;
 
 use crate::consensus::Save;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::types::Millis;
 use crate::wire::{Payload, SentRequest, VoteId};
@@ -163,7 +163,7 @@
     /// these claims, and earlier ones that may still be on their way to disk.
     fn save_then(&mut self, claims: Vec<ClaimRecord>, action: AfterSync, context: &Context) {
         let relies_on_save = !claims.is_empty() || context.has_unsynced_saves;
-        if context.joined && relies_on_save && !broken(Invariant::ClaimSynced) {
+        if context.joined && relies_on_save && !is_disabled(Invariant::ClaimSynced) {
             self.effects.push(Effect::SaveThen(claims, action));
         } else {
             self.run_action(action, context);
--- a/sorreldoor/src/control_plane/idempotency/peer_reads.rs
+++ b/sorreldoor/src/control_plane/idempotency/peer_reads.rs
@@ -4,7 +4,7 @@
 use super::claim_table::{ClaimOutcome, ClaimRecord};
 use super::event::{AfterSync, Context, Effect};
 use super::Idempotency;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
 use crate::types::Millis;
@@ -15,7 +15,7 @@
 
 impl Idempotency {
     pub(super) fn read_peers(&mut self, peers: &[Peer], now: Millis) {
-        if broken(Invariant::Learned) && self.catch_up.is_due(now) {
+        if is_disabled(Invariant::ClaimsCaughtUp) && self.catch_up.is_due(now) {
             return self.finish_catch_up();
         }
         match self.catch_up.pace(now) {
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -1,7 +1,7 @@
 //! Updates of the record for edges: encoded once for all that lack the same
 //! revisions, with flow control for large ones.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
@@ -69,7 +69,7 @@
         }
         let update = self.encoded(record, known);
         let bytes = update.bytes.len();
-        if bytes > LARGE_UPDATE && !broken(Invariant::CopiesBounded) {
+        if bytes > LARGE_UPDATE && !is_disabled(Invariant::LargeUpdatesBounded) {
             if !self.has_capacity(bytes) {
                 return NextUpdate::Withheld;
             }
--- a/sorreldoor/src/gateway/attempt.rs
+++ b/sorreldoor/src/gateway/attempt.rs
@@ -7,7 +7,7 @@
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{AttemptEvent, AttemptReport, AttemptToken, RequestId};
 use crate::http::{self, Broke, Call};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::json;
 use crate::runtime::EventSender;
 use async_std::channel::{bounded, Receiver, Sender};
@@ -115,7 +115,7 @@
     fn validate(&self, response: &http::Called) -> Result<(), ErrorCode> {
         let id = response.request.as_deref();
         let other_id = id.is_some_and(|id| id != self.request.id);
-        if other_id && !broken(Invariant::ResultOwner) {
+        if other_id && !is_disabled(Invariant::ResponseRequestId) {
             return Err(ErrorCode::MismatchedRequestId);
         }
         if !self.request.model {
--- a/sorreldoor/src/gateway/request_table/budgets.rs
+++ b/sorreldoor/src/gateway/request_table/budgets.rs
@@ -1,7 +1,7 @@
 //! Budgets that bound the load an edge adds by retries and the traffic that
 //! it sends to other regions.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use std::collections::BTreeMap;
 
 /// One request, in the unit of both budgets (hundredths of a request).
@@ -28,7 +28,7 @@
     /// Takes one retry from the budget; false if it is exhausted.
     #[must_use]
     pub fn try_withdraw(&mut self) -> bool {
-        let allowed = self.balance >= ONE_REQUEST || broken(Invariant::Budget);
+        let allowed = self.balance >= ONE_REQUEST || is_disabled(Invariant::RetryBudget);
         let cost = if allowed { ONE_REQUEST } else { 0 };
         self.balance = self.balance.saturating_sub(cost);
         allowed
--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -5,7 +5,7 @@
 use crate::configuration::{self, Configuration, Group, Site};
 use crate::discovery::{Loads, Worker, WorkerRegistry};
 use crate::error::ErrorCode;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::placement::{self, Candidate};
 use crate::replicated_state::{Recovery, View};
 use crate::wire::EdgeEndpoint;
@@ -128,7 +128,7 @@
 
     /// Whether the zone is evacuated, so that it takes no new requests.
     pub fn is_evacuated(&self, zone: u16) -> bool {
-        self.snapshot.view.evacuated.contains(&zone) && !broken(Invariant::Evacuated)
+        self.snapshot.view.evacuated.contains(&zone) && !is_disabled(Invariant::EvacuatedZone)
     }
 
     /// The recovery state of a region.
@@ -201,7 +201,7 @@
         let loads = &self.snapshot.loads;
         let load = loads.of(&worker.name);
         let slots = load.map_or(0, |load| load.slots).max(1).min(group.slots);
-        let draining = worker.leaving && !broken(Invariant::Leaving);
+        let draining = worker.leaving && !is_disabled(Invariant::DrainingWorker);
         let live = load.is_some_and(|load| load.live);
         let ConcurrencyLimit { per_edge, total } = slow_start::concurrency_limit(
             &self.edges,
--- a/sorreldoor/src/gateway/request_table/completion.rs
+++ b/sorreldoor/src/gateway/request_table/completion.rs
@@ -3,7 +3,7 @@
 use super::eligibility::is_idempotent;
 use super::{ClusterView, RequestEffect, RequestId, RequestTable, Stage};
 use crate::error::ErrorCode;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::types::Millis;
 
 /// How long a worker is skipped after a failed attempt.
@@ -149,7 +149,7 @@
             return;
         };
         let idempotent = request.idempotent && is_idempotent(cluster, request);
-        let retryable = idempotent || broken(Invariant::Repeat);
+        let retryable = idempotent || is_disabled(Invariant::RetryOnlyIdempotent);
         let in_time = now < request.deadline && request.attempts < MAX_IDEMPOTENT_ATTEMPTS;
         let id = request.spec.id.clone();
         self.skip_for_a_while(worker, now);
@@ -167,7 +167,7 @@
         self.effects
             .push(RequestEffect::OutcomeUnknown { id, worker });
         // it may have run, so the response must not say that it was rejected
-        let reported = if broken(Invariant::Unknown) {
+        let reported = if is_disabled(Invariant::UnknownOutcome) {
             ErrorCode::NoWorker
         } else {
             ErrorCode::OutcomeUnknown
--- a/sorreldoor/src/gateway/request_table/eligibility.rs
+++ b/sorreldoor/src/gateway/request_table/eligibility.rs
@@ -3,7 +3,7 @@
 
 use super::{ClusterView, Request, RequestProfile};
 use crate::configuration::{Configuration, Route, Share};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::placement::Candidate;
 use crate::weight_tuning;
 
@@ -16,7 +16,7 @@
 
 /// Whether requests of the route must stay in their home region.
 pub(super) fn is_home_bound(route: &Route) -> bool {
-    route.home && !broken(Invariant::Home)
+    route.home && !is_disabled(Invariant::HomeRegion)
 }
 
 /// Whether the current configuration calls the request idempotent.
@@ -29,7 +29,7 @@
 pub(super) fn may_send_to(cluster: &ClusterView, request: &Request, worker: usize) -> bool {
     let candidate = cluster.candidate(worker);
     candidate.is_some_and(|candidate| {
-        broken(Invariant::Allowed)
+        is_disabled(Invariant::AllowedWorker)
             || is_eligible(cluster, request, candidate, Some(&request.service))
     })
 }
@@ -89,7 +89,7 @@
     let limit = configuration.spill.get(&regions);
     candidate.region == cluster.region
         || limit.is_some_and(|percent| *percent > 0)
-        || broken(Invariant::Spill)
+        || is_disabled(Invariant::SpillLimit)
 }
 
 fn share_allows(
--- a/sorreldoor/src/gateway/request_table/sending.rs
+++ b/sorreldoor/src/gateway/request_table/sending.rs
@@ -8,7 +8,7 @@
 };
 use crate::control_plane::RETENTION_MS;
 use crate::error::ErrorCode;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::types::Millis;
 
 impl RequestTable {
@@ -132,7 +132,7 @@
         };
         // until the id is claimed for this edge, another may be sending it
         let claim_pending = matches!(request.claim, ClaimState::Pending(_));
-        if claim_pending && !broken(Invariant::Claim) {
+        if claim_pending && !is_disabled(Invariant::ClaimBeforeSend) {
             request.connected = true;
             return;
         }
@@ -162,16 +162,17 @@
             return;
         };
         let token = request.token;
-        self.effects.push(if broken(Invariant::Refusal) {
-            let adapter = None;
-            RequestEffect::Send {
-                request_id,
-                token,
-                adapter,
-            }
-        } else {
-            RequestEffect::Abort { request_id, token }
-        });
+        self.effects
+            .push(if is_disabled(Invariant::AbandonedNotSent) {
+                let adapter = None;
+                RequestEffect::Send {
+                    request_id,
+                    token,
+                    adapter,
+                }
+            } else {
+                RequestEffect::Abort { request_id, token }
+            });
     }
 
     fn send(&mut self, cluster: &ClusterView, request_id: RequestId, worker: usize, now: Millis) {
--- a/sorreldoor/src/gateway/request_table/slow_start.rs
+++ b/sorreldoor/src/gateway/request_table/slow_start.rs
@@ -2,7 +2,7 @@
 //! just started takes few requests until it has finished some.
 
 use crate::configuration::Warm;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::placement;
 use crate::wire::EdgeEndpoint;
 
@@ -73,7 +73,7 @@
 pub(super) fn concurrency_limit(edges: &EdgeSet, worker: &WorkerWarmup) -> ConcurrencyLimit {
     let warmed = worker.finished / u64::from(worker.warm.after.max(1));
     let limit = u64::from(worker.warm.first) + warmed;
-    if limit >= u64::from(worker.slots) || broken(Invariant::Warm) {
+    if limit >= u64::from(worker.slots) || is_disabled(Invariant::SlowStart) {
         warm_limit(edges, worker)
     } else {
         warming_limit(edges, worker, limit as u32)
--- a/sorreldoor/src/gateway/stream_relay.rs
+++ b/sorreldoor/src/gateway/stream_relay.rs
@@ -2,7 +2,7 @@
 
 use super::worker_exchange::{AttemptCommand, StreamPart, WorkerRequest};
 use crate::error::ErrorCode;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::json;
 use async_std::channel::{Receiver, RecvError, Sender};
 use async_std::future::timeout;
@@ -74,7 +74,7 @@
         let in_order = event.get("seq").and_then(|v| v.as_u64()) == Some(sequence);
         let id = event.get("errand").and_then(|v| v.as_str());
         let other_id = id.is_some_and(|id| id != self.request.id);
-        if (!in_order || other_id) && !broken(Invariant::Sequence) {
+        if (!in_order || other_id) && !is_disabled(Invariant::StreamSequence) {
             return Err(ErrorCode::InvalidWorkerResponse);
         }
         Ok(event.get("done").and_then(|v| v.as_bool()) == Some(true))
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -1,7 +1,7 @@
 //! The HTTP client: a connection for each request, and responses read to their
 //! stated end.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use http_types::headers::HeaderValue;
@@ -157,7 +157,7 @@
             return Err(Broke::Garbage);
         }
         // async-h1 takes an early end of a counted body for its end
-        if want.is_some_and(|n| n != b.len()) && !broken(Invariant::ResultLength) {
+        if want.is_some_and(|n| n != b.len()) && !is_disabled(Invariant::CompleteBody) {
             return Err(Broke::Short);
         }
     }
--- a/sorreldoor/src/invariants.rs
+++ b/sorreldoor/src/invariants.rs
@@ -28,17 +28,17 @@
     // An edge serves only while it holds a lease.
     Lease "permit";
     // The lease is void after the process was suspended or the clock jumped.
-    Woken "woken";
+    LeaseVoidAfterSuspension "woken";
     // A core answers reads as current only once a majority has confirmed it.
-    Proof "proof";
+    QuorumConfirmedRead "proof";
     // A renewal without an answer goes to one more core.
-    Hedge "hedge";
+    HedgedRenewal "hedge";
     // A leader without a live quorum steps down.
     StepDown "step-down";
     // Once a core has confirmed its state, it offers none unconfirmed to edges that start.
-    Unverified "unverified";
+    ConfirmedStateOnly "unverified";
     // A request goes only to workers that the current configuration allows.
-    Allowed "allowed";
+    AllowedWorker "allowed";
     // A request runs only with a key of a tenant, unless its route is public.
     Authenticated "authenticated";
     // The key of a tenant is withheld from workers.
@@ -50,88 +50,88 @@
     // A proxy applies each update of the configuration that it is sent.
     UpdatesApplied "updates-applied";
     // A home-bound request stays in its home region.
-    Home "home";
+    HomeRegion "home";
     // Requests go to another region only where a spill limit allows it.
-    Spill "spill";
+    SpillLimit "spill";
     // A draining worker takes no new requests.
-    Leaving "leaving";
+    DrainingWorker "leaving";
     // An evacuated zone takes no new requests.
-    Evacuated "emptied";
+    EvacuatedZone "emptied";
     // A worker in slow start takes a growing number of requests.
-    Warm "warm";
+    SlowStart "warm";
     // Retries stay within the retry budget.
-    Budget "budget";
+    RetryBudget "budget";
     // A request that may have run is retried only if it is idempotent.
-    Repeat "repeat";
+    RetryOnlyIdempotent "repeat";
     // A request that may have run is not reported as rejected.
-    Unknown "unknown";
+    UnknownOutcome "unknown";
     // An attempt that was given up before sending is not sent.
-    Refusal "refusal";
+    AbandonedNotSent "refusal";
     // A request with a claim pending is not sent.
-    Claim "claim";
+    ClaimBeforeSend "claim";
     // A claim is answered only once it is synced to disk.
     ClaimSynced "claim-synced";
     // A core votes on claims only once it has read those of its peers.
-    Learned "learned";
+    ClaimsCaughtUp "learned";
     // Of two changes based on one version, only the first is applied.
-    Base "base";
+    BaseVersion "base";
     // A change that is rejected leaves no trace in the state.
-    Loser "loser";
+    RejectionLeavesNoTrace "loser";
     // A change based on a future version is undecided, not rejected for good.
-    NotYet "not-yet";
+    FutureBase "not-yet";
     // A proposal is applied at most once.
     AppliedOnce "applied-once";
     // A rejected proposal is not recorded as applied, so it may be decided anew.
-    RefusalKept "refusal-kept";
+    RejectionNotRecorded "refusal-kept";
     // Snapshots contain the ids of applied proposals.
-    TakenInImage "taken-in-image";
+    AppliedIdsInSnapshot "taken-in-image";
     // A conditional evacuation that was superseded is not applied.
-    EvacuateOnce "evacuate-once";
+    ConditionalEvacuation "evacuate-once";
     // A body shorter than its Content-Length is not a complete response.
-    ResultLength "result-length";
+    CompleteBody "result-length";
     // A response that names another request is not forwarded.
-    ResultOwner "result-owner";
+    ResponseRequestId "result-owner";
     // Events of a stream are relayed in sequence, and only this request's.
-    Sequence "sequence";
+    StreamSequence "sequence";
     // An attempt that may have run is followed by another only if that is harmless.
-    SendOnce "send-once";
+    SafeReattempt "send-once";
     // A client is told that its request did not run only if that is certain.
-    HonestRefusal "honest-refusal";
+    CertainNotRun "honest-refusal";
     // A proxied response must name the attempt that it belongs to.
-    AnswerId "answer-id";
+    ResponseAttemptId "answer-id";
     // A connection with unexpected bytes on it is not reused.
     CleanConnection "clean-connection";
     // A successful response ended only by the close of its connection is not trusted.
-    WholeAnswer "whole-answer";
+    DelimitedResponse "whole-answer";
     // Replicas get updates as deltas, unless they are empty or too far behind.
-    Differences "differences";
+    DeltaUpdates "differences";
     // Updates of item lists contain the deletions.
-    Deletions "deletions";
+    DeltaDeletions "deletions";
     // Connections to an earlier incarnation of a core, or to the identity whose disk
     // was lost, are closed once the next one introduces itself.
-    Superseded "superseded";
+    SupersededConnection "superseded";
     // Frames go on a connection that still receives, if there is one.
     LiveConnection "live-connection";
     // Changes of many sessions are merged and reported together.
-    SessionsGathered "sessions-gathered";
+    SessionsBatched "sessions-gathered";
     // Messages of consensus are handled before the work for edges.
-    UrgentLane "urgent-lane";
+    ConsensusPriority "urgent-lane";
     // An edge that has state renews no more often than others.
-    Unhurried "unhurried";
+    UniformRenewalRate "unhurried";
     // The bytes of endpoint lists that a core sends per time are bounded.
-    EndpointsPaced "endpoints-paced";
+    EndpointListRate "endpoints-paced";
     // The bytes of large updates in flight are bounded.
-    CopiesBounded "copies-bounded";
+    LargeUpdatesBounded "copies-bounded";
 }
 
 /// Whether a test has disabled this invariant.
 #[cfg(not(feature = "mutants"))]
-pub const fn broken(_: Invariant) -> bool {
+pub const fn is_disabled(_: Invariant) -> bool {
     false
 }
 
 #[cfg(feature = "mutants")]
-pub use switch::{break_only, broken};
+pub use switch::{disable_only, is_disabled};
 
 #[cfg(feature = "mutants")]
 mod switch {
@@ -155,12 +155,12 @@
     }
 
     /// Whether a test has disabled this invariant.
-    pub fn broken(invariant: Invariant) -> bool {
+    pub fn is_disabled(invariant: Invariant) -> bool {
         ON_THIS_THREAD.get() == Some(invariant) || from_environment().contains(&invariant)
     }
 
     /// Disables this invariant on this thread from now on, and no other.
-    pub fn break_only(invariant: Option<Invariant>) {
+    pub fn disable_only(invariant: Option<Invariant>) {
         ON_THIS_THREAD.set(invariant);
     }
 }
--- a/sorreldoor/src/proxy/attempt/retry_decision.rs
+++ b/sorreldoor/src/proxy/attempt/retry_decision.rs
@@ -3,7 +3,7 @@
 
 use super::progress::Delivered;
 use super::{Repeatability, RequestProgress, State};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 
 /// The proxy's own answer when no worker's response can be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -33,7 +33,7 @@
 
     /// Whether a second run is harmless, whatever the state of the current one.
     pub fn may_run_twice(&self) -> bool {
-        if broken(Invariant::SendOnce) {
+        if is_disabled(Invariant::SafeReattempt) {
             return true;
         }
         let resumable = self.kind == Repeatability::ResumableStream;
@@ -51,7 +51,7 @@
         if self.delivered != Delivered::Nothing || self.state == State::Done {
             return ClientAnswer::CutConnection;
         }
-        if !self.may_have_run() || broken(Invariant::HonestRefusal) {
+        if !self.may_have_run() || is_disabled(Invariant::CertainNotRun) {
             return ClientAnswer::Refused;
         }
         match self.deadline_passed {
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -6,7 +6,7 @@
 use crate::configuration::hosted::Hosted;
 use crate::configuration::Site;
 use crate::discovery::WorkerRegistry;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::log_events::LogEvent;
 use crate::metrics::EdgeFigures;
 use crate::net::{Conn, NetEvent};
@@ -336,7 +336,7 @@
 
     fn apply_update(&mut self, encoded: &EncodedUpdate) {
         let applies = |u: &StateUpdate| u.from_revision <= self.view.revision;
-        if self.view.revision > 0 && broken(Invariant::UpdatesApplied) {
+        if self.view.revision > 0 && is_disabled(Invariant::UpdatesApplied) {
             self.subscription.have.record = encoded.revision;
             return;
         }
--- a/sorreldoor/src/proxy/dialect.rs
+++ b/sorreldoor/src/proxy/dialect.rs
@@ -3,7 +3,7 @@
 
 use crate::balancer::LoadReport;
 use crate::configuration::tenants::ApiKey;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 
 /// One segment of a prompt, shared with all requests that name the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
         let (scheme, key) = value.and_then(|v| v.split_once(' ')).unwrap_or_default();
         let valid = scheme.eq_ignore_ascii_case("bearer") && !repeated;
         self.api_key = Some(ApiKey::new(if valid { key.trim() } else { "" }));
-        !broken(Invariant::KeyWithheld)
+        !is_disabled(Invariant::KeyWithheld)
     }
 }
 
--- a/sorreldoor/src/proxy/drain.rs
+++ b/sorreldoor/src/proxy/drain.rs
@@ -3,7 +3,7 @@
 
 use super::dialect::Dialect;
 use super::shared_state::SharedState;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::runtime::Clock;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -37,7 +37,7 @@
 
     /// Advances the shutdown; true once the process may end.
     pub fn advance<D: Dialect, C: Clock>(&self, shared: &SharedState<D, C>) -> bool {
-        if broken(Invariant::GracefulDrain) {
+        if is_disabled(Invariant::GracefulDrain) {
             return true;
         }
         let elapsed = self.started_at.elapsed();
--- a/sorreldoor/src/proxy/upstream/connection_pool.rs
+++ b/sorreldoor/src/proxy/upstream/connection_pool.rs
@@ -2,7 +2,7 @@
 //! idle connection on which any byte arrives is closed: such a byte belongs to
 //! no request.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::proxy::http1::ReadBuffer;
 use async_std::net::TcpStream;
 use std::collections::HashMap;
@@ -50,7 +50,7 @@
 
     /// Whether neither bytes nor the end arrived while it was idle.
     fn is_clean(&self) -> bool {
-        if broken(Invariant::CleanConnection) {
+        if is_disabled(Invariant::CleanConnection) {
             return true;
         }
         let mut byte = [0; 1];
--- a/sorreldoor/src/proxy/upstream/exchange.rs
+++ b/sorreldoor/src/proxy/upstream/exchange.rs
@@ -4,7 +4,7 @@
 use super::connection_pool::Connection;
 use crate::balancer::{AttemptOutcome, RequestId, Target};
 use crate::configuration::hosted::Route;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::proxy::attempt::Event;
 use crate::proxy::dialect::Dialect;
 use crate::proxy::http1::{BodyDecoder, Head};
@@ -102,7 +102,7 @@
     /// cannot be used again.
     pub fn release(&self, connection: Connection, head: &Head, decoder: &BodyDecoder) {
         // bytes after a complete response belong to no request
-        let clean = connection.buffer.is_empty() || broken(Invariant::CleanConnection);
+        let clean = connection.buffer.is_empty() || is_disabled(Invariant::CleanConnection);
         let reusable = decoder.is_complete() && connection.request_sent && !head.closes() && clean;
         if !reusable {
             return self.close(connection);
--- a/sorreldoor/src/proxy/upstream/response_class.rs
+++ b/sorreldoor/src/proxy/upstream/response_class.rs
@@ -1,6 +1,6 @@
 //! Whose response a worker's head is, and whether it can be used. Pure.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::proxy::attempt::Event;
 use crate::proxy::dialect::ResponseMetadata;
 use crate::proxy::http1::{Framing, Head};
@@ -34,7 +34,7 @@
     expected: &ExpectedRequest,
 ) -> ResponseClass {
     let success = is_success(head);
-    if !is_own(metadata, expected, success) && !broken(Invariant::AnswerId) {
+    if !is_own(metadata, expected, success) && !is_disabled(Invariant::ResponseAttemptId) {
         return ResponseClass::Unusable(Event::MismatchedHead);
     }
     if metadata.misdirected {
@@ -44,7 +44,7 @@
         return ResponseClass::Unusable(Event::Malformed);
     };
     // a broken connection would look like the end of such a body
-    if framing == Framing::Close && success && !broken(Invariant::WholeAnswer) {
+    if framing == Framing::Close && success && !is_disabled(Invariant::DelimitedResponse) {
         return ResponseClass::Unusable(Event::Malformed);
     }
     match (metadata.not_run, success) {
--- a/sorreldoor/src/replicated_state/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -6,7 +6,7 @@
 use super::{decode, encode, Command, Outcome, ReplicatedState, Version};
 use crate::configuration;
 use crate::consensus::StateMachine;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::types::ProposalId;
 use std::sync::Arc;
 
@@ -17,8 +17,8 @@
     /// The outcome of a proposal that was applied before.
     fn applied_before(&self, id: ProposalId) -> Option<Outcome> {
         let known = self.data.applied_requests.version_of(id);
-        let version = known.filter(|_| !broken(Invariant::AppliedOnce))?;
-        if broken(Invariant::RefusalKept) && version == REJECTED {
+        let version = known.filter(|_| !is_disabled(Invariant::AppliedOnce))?;
+        if is_disabled(Invariant::RejectionNotRecorded) && version == REJECTED {
             let version = self.data.version;
             return Some(Outcome::Stale { version });
         }
@@ -38,7 +38,9 @@
         match (&outcome, base) {
             (Outcome::Applied { version }, Some(_)) => applied.insert_request(id, *version),
             (Outcome::Applied { version }, None) => applied.insert_proposal(id, *version),
-            (_, Some(_)) if broken(Invariant::RefusalKept) => applied.insert_request(id, REJECTED),
+            (_, Some(_)) if is_disabled(Invariant::RejectionNotRecorded) => {
+                applied.insert_request(id, REJECTED)
+            }
             _ => {}
         }
         outcome
@@ -98,7 +100,7 @@
             return false;
         };
         data.upgrade();
-        if broken(Invariant::TakenInImage) {
+        if is_disabled(Invariant::AppliedIdsInSnapshot) {
             data.applied_requests = Default::default();
         }
         self.restore(data)
--- a/sorreldoor/src/replicated_state/change.rs
+++ b/sorreldoor/src/replicated_state/change.rs
@@ -4,7 +4,7 @@
 use super::{Epoch, Recovery, RegionIndex, TunedWeight, Version, ZoneIndex};
 use crate::configuration::hosted_change::{HostedChange, ListChange};
 use crate::configuration::{self, Configuration};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::json::{self, Value};
 use std::sync::Arc;
 
@@ -76,8 +76,8 @@
         change: impl FnOnce(&mut ReplicatedState) -> Result<(), Faults>,
     ) -> Outcome {
         // of two changes that build on one version, only the first may win
-        if base != self.data.version && !broken(Invariant::Base) {
-            if broken(Invariant::Loser) && change(self).is_ok() {
+        if base != self.data.version && !is_disabled(Invariant::BaseVersion) {
+            if is_disabled(Invariant::RejectionLeavesNoTrace) && change(self).is_ok() {
                 self.data.revision += 1;
             }
             return self.base_mismatch(base);
@@ -102,7 +102,7 @@
         let version = self.data.version;
         // a base that is still to come may be current when a duplicate of the
         // request is applied, so this one must not be rejected for good
-        if base > version && !broken(Invariant::NotYet) {
+        if base > version && !is_disabled(Invariant::FutureBase) {
             return Outcome::BaseAhead { version };
         }
         Outcome::Stale { version }
@@ -184,7 +184,8 @@
 
     fn evacuate_if_unchanged(&mut self, zone: ZoneIndex, evacuated: bool, changes: u64) -> Outcome {
         let done = self.data.evacuated.contains(&zone) == evacuated;
-        let superseded = changes != self.zone_changes(zone) && !broken(Invariant::EvacuateOnce);
+        let superseded =
+            changes != self.zone_changes(zone) && !is_disabled(Invariant::ConditionalEvacuation);
         if superseded && !done {
             let version = self.data.version;
             return Outcome::Unknown { version };
--- a/sorreldoor/src/replicated_state/item_list.rs
+++ b/sorreldoor/src/replicated_state/item_list.rs
@@ -2,7 +2,7 @@
 //! each, from which deltas are made.
 
 use super::Revision;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::json::{self, Value};
 use im::OrdMap;
 use serde::{Deserialize, Serialize};
@@ -233,7 +233,7 @@
         });
         let deleted = self.deleted.iter().filter(|(_, at)| **at > from);
         let deleted = deleted.filter(|(name, _)| !self.positions.contains_key(*name));
-        let deleted = deleted.filter(|_| !broken(Invariant::Deletions));
+        let deleted = deleted.filter(|_| !is_disabled(Invariant::DeltaDeletions));
         Some(ListDelta {
             present: self.present,
             set: set.collect(),
--- a/sorreldoor/src/replicated_state/state_update.rs
+++ b/sorreldoor/src/replicated_state/state_update.rs
@@ -4,7 +4,7 @@
 use super::{
     Recovery, RegionIndex, ReplicatedState, Revision, TunedWeight, Version, View, ZoneIndex,
 };
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -41,7 +41,7 @@
         let changes = document.map(|d| d.delta_since(from_revision));
         // an empty replica, or one too far behind, needs the complete state
         let complete = from_revision == 0 || from_revision > data.revision || changes == Some(None);
-        let complete = complete || broken(Invariant::Differences);
+        let complete = complete || is_disabled(Invariant::DeltaUpdates);
         let from_revision = if complete { 0 } else { from_revision };
         let new_weights = complete || data.weights_revision > from_revision;
         let view = self.view_without_document();
--- a/sorreldoor/src/subscription/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -2,7 +2,7 @@
 //! where a renewal is not granted in time.
 
 use super::{Pull, SubscriptionEffect};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::types::Millis;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 
     /// Hedges: tries one more core if no renewal was granted in time.
     pub(super) fn hedge_alarm(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
-        if now < self.hedge_at || broken(Invariant::Hedge) {
+        if now < self.hedge_at || is_disabled(Invariant::HedgedRenewal) {
             return;
         }
         self.hedge_at = now + self.hedge();
--- a/sorreldoor/src/subscription/lease.rs
+++ b/sorreldoor/src/subscription/lease.rs
@@ -1,6 +1,6 @@
 //! An edge's lease, and the renewals in flight that extend it.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::types::Millis;
 
@@ -34,7 +34,7 @@
     }
 
     pub fn holds(&self, now: Millis) -> bool {
-        now < self.until || broken(Invariant::Lease)
+        now < self.until || is_disabled(Invariant::Lease)
     }
 
     pub fn left(&self, now: Millis) -> Millis {
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -6,7 +6,7 @@
 mod candidates;
 mod lease;
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::pacing::Pacing;
 use crate::types::Millis;
@@ -172,7 +172,7 @@
     fn every(&self, now: Millis) -> Millis {
         let age = now.saturating_sub(self.began);
         let young = age < YOUNG_MS || (!self.proved && age < YOUNG_MS * 4);
-        let hurries = !self.has_state() || broken(Invariant::Unhurried);
+        let hurries = !self.has_state() || is_disabled(Invariant::UniformRenewalRate);
         if young && hurries {
             SOON_MS.min(self.renew_ms)
         } else {
@@ -182,7 +182,7 @@
 
     /// Milliseconds until a renewal is hedged.
     fn hedge(&self) -> Millis {
-        let hurries = !self.has_state() || broken(Invariant::Unhurried);
+        let hurries = !self.has_state() || is_disabled(Invariant::UniformRenewalRate);
         if !self.proved && hurries {
             SOON_HEDGE_MS.min(self.hedge_ms)
         } else {
@@ -225,7 +225,7 @@
         self.last_wall = wall;
         // while it slept the world may have moved on, and a monotonic
         // clock may have stood still with the machine
-        if (gap > GAP || jump > JUMP) && !broken(Invariant::Woken) {
+        if (gap > GAP || jump > JUMP) && !is_disabled(Invariant::LeaseVoidAfterSuspension) {
             self.lease.void();
             self.renew_at = now;
             self.hedge_at = now + self.hedge();
--- a/testbed/src/site/inbox.rs
+++ b/testbed/src/site/inbox.rs
@@ -2,7 +2,7 @@
 //! product's event queue.
 
 use super::Action;
-use sorreldoor::invariants::{broken, Invariant};
+use sorreldoor::invariants::{is_disabled, Invariant};
 use sorreldoor::wire::Payload;
 use std::collections::VecDeque;
 
@@ -16,7 +16,7 @@
 impl Lane {
     /// The lane of a frame.
     pub fn of(payload: &Payload) -> Lane {
-        if payload.is_consensus() && !broken(Invariant::UrgentLane) {
+        if payload.is_consensus() && !is_disabled(Invariant::ConsensusPriority) {
             Lane::Urgent
         } else {
             Lane::Ordinary
--- a/testbed/tests/large_config.rs
+++ b/testbed/tests/large_config.rs
@@ -4,7 +4,7 @@
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::StateMachine;
 use sorreldoor::control_plane::updates::{NextUpdate, Updates, MAX_IN_FLIGHT};
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::replicated_state::{encode, Command, ReplicatedState, StateReplica};
 use sorreldoor::wire::EncodedUpdate;
 use std::sync::Arc;
@@ -66,7 +66,7 @@
 #[test]
 fn telling_the_whole_grows_with_the_routes() {
     assert!(bytes_of_a_change(5000) < bytes_of_a_change(100) + 64);
-    break_only(Some(Invariant::Differences));
+    disable_only(Some(Invariant::DeltaUpdates));
     assert!(bytes_of_a_change(5000) > 20 * bytes_of_a_change(100));
 }
 
@@ -85,7 +85,7 @@
 fn deletions_untold_leave_another_copy() {
     let (copy, record) = copy_after_a_deletion();
     assert_eq!(copy.view(), record.view());
-    break_only(Some(Invariant::Deletions));
+    disable_only(Some(Invariant::DeltaDeletions));
     let (copy, record) = copy_after_a_deletion();
     assert_ne!(copy.view(), record.view());
 }
@@ -113,6 +113,6 @@
 #[test]
 fn copies_unbounded_pile_up() {
     assert!(sent_to_slow(93, 20) <= MAX_IN_FLIGHT);
-    break_only(Some(Invariant::CopiesBounded));
+    disable_only(Some(Invariant::LargeUpdatesBounded));
     assert!(sent_to_slow(93, 20) > 50 * MAX_IN_FLIGHT);
 }
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -1,7 +1,7 @@
 //! Exhaustive exploration of the request state machine: every state under every
 //! event, for every repeatability, against a model of what physically happened.
 
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::proxy::attempt::{ClientAnswer, Event, Repeatability, RequestProgress, State};
 use std::collections::HashSet;
 
@@ -204,10 +204,10 @@
 
 #[test]
 fn without_the_rules_the_walk_finds_a_fault() {
-    for rule in [Invariant::SendOnce, Invariant::HonestRefusal] {
-        break_only(Some(rule));
+    for rule in [Invariant::SafeReattempt, Invariant::CertainNotRun] {
+        disable_only(Some(rule));
         let found = explore(30);
-        break_only(None);
+        disable_only(None);
         assert!(found.is_err(), "{rule:?} is not seen to be broken");
     }
 }
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -9,7 +9,7 @@
 use monitor::FreshnessMonitor;
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::freshness::FreshnessBudget;
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::log_events::LogEvent;
 use sorreldoor::pacing::Pacing;
 use sorreldoor::types::{Millis, ProposalId};
@@ -178,13 +178,13 @@
 #[test]
 fn each_part_of_freshness_is_needed() {
     for (rule, word) in [
-        (Invariant::Hedge, "stale"),
-        (Invariant::Proof, "old"),
+        (Invariant::HedgedRenewal, "stale"),
+        (Invariant::QuorumConfirmedRead, "old"),
         (Invariant::StepDown, "stale"),
     ] {
-        break_only(Some(rule));
+        disable_only(Some(rule));
         let over = bounds_exceeded(Partition::InboundBlocked, 1, 9000..9003);
-        break_only(None);
+        disable_only(None);
         let received_events = over.iter().find(|o| o.starts_with(word));
         println!("{}: {received_events:?}", rule.name());
         assert!(
--- a/testbed/tests/site/freshness/halves.rs
+++ b/testbed/tests/site/freshness/halves.rs
@@ -74,8 +74,8 @@
 
 #[test]
 fn a_half_that_answers_reads_without_proof_is_seen() {
-    break_only(Some(Invariant::Proof));
+    disable_only(Some(Invariant::QuorumConfirmedRead));
     let over = halves_exceeded(5, 9300..9304);
-    break_only(None);
+    disable_only(None);
     assert!(over.iter().any(|line| line.starts_with("old")), "{over:#?}");
 }
--- a/testbed/tests/site/freshness/starts.rs
+++ b/testbed/tests/site/freshness/starts.rs
@@ -65,9 +65,9 @@
     let restarted = most(Partition::Restarted);
     println!("Restarted: old for {restarted:?} ms");
     assert!(restarted <= Some(UNVERIFIED_MS));
-    break_only(Some(Invariant::Unverified));
+    disable_only(Some(Invariant::ConfirmedStateOnly));
     let broken = most(Partition::Blackhole);
-    break_only(None);
+    disable_only(None);
     println!("any record: old for {broken:?} ms");
     assert!(broken > Some(0));
 }
--- a/testbed/tests/site/half_open.rs
+++ b/testbed/tests/site/half_open.rs
@@ -4,7 +4,7 @@
 
 use super::growth::grown;
 use super::*;
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::types::Millis;
 use testbed::site::HalfOpenFaults;
 
@@ -108,9 +108,9 @@
 /// lost for as long as the old connection counts as open.
 #[test]
 fn superseded_connections_must_be_closed() {
-    break_only(Some(Invariant::Superseded));
+    disable_only(Some(Invariant::SupersededConnection));
     let recovered = recoveries(SILENT);
-    break_only(None);
+    disable_only(None);
     assert!(
         recovered.iter().any(|ms| *ms > RECOVERY_MS),
         "{recovered:?}"
@@ -153,8 +153,8 @@
 
 #[test]
 fn a_silent_connection_must_not_be_preferred() {
-    break_only(Some(Invariant::LiveConnection));
+    disable_only(Some(Invariant::LiveConnection));
     let longest = silently_closed_longest_ms();
-    break_only(None);
+    disable_only(None);
     assert!(longest > OTHER_CONNECTION_MS, "{longest}");
 }
--- a/testbed/tests/site/herd.rs
+++ b/testbed/tests/site/herd.rs
@@ -2,7 +2,7 @@
 //! elect a leader: the work for the edges must not keep the cores from each other.
 
 use super::*;
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::types::Millis;
 use testbed::site::CpuCosts;
 
@@ -156,9 +156,9 @@
 
 #[test]
 fn consensus_that_waits_behind_the_edges_is_seen() {
-    break_only(Some(Invariant::UrgentLane));
+    disable_only(Some(Invariant::ConsensusPriority));
     let recovery = recover(43_010, MORE_EDGES_PER_ZONE);
-    break_only(None);
+    disable_only(None);
     println!(
         "a leader after {} ms, {} elections",
         recovery.led_ms, recovery.elections
@@ -169,9 +169,9 @@
 /// As it was: each change of a session was merged and reported by itself.
 #[test]
 fn sessions_that_are_reported_one_by_one_are_seen() {
-    break_only(Some(Invariant::SessionsGathered));
+    disable_only(Some(Invariant::SessionsBatched));
     let one_by_one = recover(43_000, EDGES_PER_ZONE);
-    break_only(None);
+    disable_only(None);
     let gathered = recover(43_000, EDGES_PER_ZONE);
     println!("{} ms, gathered {} ms", one_by_one.ms, gathered.ms);
     assert!(one_by_one.longest_backlog_ms > 3 * gathered.longest_backlog_ms);
--- a/testbed/tests/site/linearizability.rs
+++ b/testbed/tests/site/linearizability.rs
@@ -2,7 +2,7 @@
 //! that of one register with compare-and-set by version.
 
 use super::*;
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::wire::OpOutcome;
 use testbed::site::linearizability::{violation, Answer, Call, Operation};
@@ -144,9 +144,9 @@
 /// same run is linearizable.
 fn assert_detected(rule: Invariant, run: fn(u64) -> World) {
     let detected = |seed: &u64| {
-        break_only(Some(rule));
+        disable_only(Some(rule));
         let violations = violations(&run(*seed));
-        break_only(None);
+        disable_only(None);
         violations.map(|violation| println!("{}: seed {seed}: {violation}", rule.name()))
     };
     let seed = (0..30).find(|seed| detected(seed).is_some());
@@ -156,7 +156,7 @@
 
 #[test]
 fn an_unchecked_base_is_detected() {
-    assert_detected(Invariant::Base, with_lost_answers);
+    assert_detected(Invariant::BaseVersion, with_lost_answers);
 }
 
 #[test]
@@ -166,17 +166,17 @@
 
 #[test]
 fn a_remembered_rejection_is_detected() {
-    assert_detected(Invariant::RefusalKept, with_lost_answers);
+    assert_detected(Invariant::RejectionNotRecorded, with_lost_answers);
 }
 
 #[test]
 fn an_early_rejection_is_detected() {
-    assert_detected(Invariant::NotYet, with_lost_answers);
+    assert_detected(Invariant::FutureBase, with_lost_answers);
 }
 
 #[test]
 fn committed_proposals_lost_with_a_snapshot_are_detected() {
-    assert_detected(Invariant::TakenInImage, with_restarts);
+    assert_detected(Invariant::AppliedIdsInSnapshot, with_restarts);
 }
 
 /// One copy of an evacuation waits at a partitioned core, another is
@@ -235,9 +235,9 @@
         let world = with_delayed_evacuation(seed);
         assert!(!is_evacuated(&world), "seed {seed}: emptied again");
     }
-    break_only(Some(Invariant::EvacuateOnce));
+    disable_only(Some(Invariant::ConditionalEvacuation));
     let detected = (5400..5420).find(|seed| is_evacuated(&with_delayed_evacuation(*seed)));
-    break_only(None);
+    disable_only(None);
     println!("evacuate-once: seen by seed {detected:?}");
     assert!(detected.is_some(), "evacuate-once broken was not seen");
 }
--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -4,7 +4,7 @@
 
 use super::configurations::configuration_changes;
 use super::*;
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::types::Millis;
 use testbed::site::FaultMix;
 
@@ -12,7 +12,7 @@
 
 /// The first seed by which the word shows up, with the rule broken.
 fn assert_detected(invariant: Invariant, expected: &str, run: Run) {
-    break_only(Some(invariant));
+    disable_only(Some(invariant));
     let all_violations = |world: &World| {
         let mut all = all_violations(world);
         // other configurations warm workers up otherwise
@@ -20,7 +20,7 @@
             world
                 .slow_start_violations()
                 .into_iter()
-                .filter(|_| invariant == Invariant::Warm),
+                .filter(|_| invariant == Invariant::SlowStart),
         );
         all
     };
@@ -29,7 +29,7 @@
             .iter()
             .any(|violation| violation.contains(expected))
     });
-    break_only(None);
+    disable_only(None);
     println!("{}: caught by seed {seed:?} ({expected})", invariant.name());
     let seed = seed.unwrap_or_else(|| panic!("{} broken was not detected", invariant.name()));
     let with_invariant = all_violations(&run(seed));
@@ -264,35 +264,43 @@
         evacuation_behind_a_partition,
     );
     assert_detected(
-        Invariant::Woken,
+        Invariant::LeaseVoidAfterSuspension,
         "acted on version",
         evacuation_behind_a_partition,
     );
-    assert_detected(Invariant::Proof, "acted on version", partitioned_core);
     assert_detected(
-        Invariant::Evacuated,
+        Invariant::QuorumConfirmedRead,
+        "acted on version",
+        partitioned_core,
+    );
+    assert_detected(
+        Invariant::EvacuatedZone,
         "evacuated zone",
         evacuation_behind_a_partition,
     );
-    assert_detected(Invariant::Leaving, "draining", draining_workers);
+    assert_detected(Invariant::DrainingWorker, "draining", draining_workers);
 }
 
 #[test]
 fn what_a_configuration_allows() {
-    assert_detected(Invariant::Allowed, "no share of", changes_without_faults);
-    assert_detected(Invariant::Spill, "no spill", changes_without_faults);
-    assert_detected(Invariant::Home, "bound to", changes_without_faults);
-    assert_detected(Invariant::Home, "body of", changes_without_faults);
+    assert_detected(
+        Invariant::AllowedWorker,
+        "no share of",
+        changes_without_faults,
+    );
+    assert_detected(Invariant::SpillLimit, "no spill", changes_without_faults);
+    assert_detected(Invariant::HomeRegion, "bound to", changes_without_faults);
+    assert_detected(Invariant::HomeRegion, "body of", changes_without_faults);
 }
 
 #[test]
 fn what_executes_once() {
-    assert_detected(Invariant::Repeat, "times", crashing_workers);
-    assert_detected(Invariant::Unknown, "was rejected", crashing_workers);
-    assert_detected(Invariant::Refusal, "was rejected", late_claims);
-    assert_detected(Invariant::Claim, "times", retries_elsewhere);
+    assert_detected(Invariant::RetryOnlyIdempotent, "times", crashing_workers);
+    assert_detected(Invariant::UnknownOutcome, "was rejected", crashing_workers);
+    assert_detected(Invariant::AbandonedNotSent, "was rejected", late_claims);
+    assert_detected(Invariant::ClaimBeforeSend, "times", retries_elsewhere);
     assert_detected(
-        Invariant::Learned,
+        Invariant::ClaimsCaughtUp,
         "times",
         super::claims::blank_core_reaches_one_peer_only,
     );
@@ -301,14 +309,18 @@
 
 #[test]
 fn what_is_bounded() {
-    assert_detected(Invariant::Budget, "retries", unreachable_workers);
-    assert_detected(Invariant::Warm, "beyond slow start", returning_region);
+    assert_detected(Invariant::RetryBudget, "retries", unreachable_workers);
+    assert_detected(Invariant::SlowStart, "beyond slow start", returning_region);
 }
 
 #[test]
 fn which_change_wins() {
-    assert_detected(Invariant::Base, "committed as", races);
-    assert_detected(Invariant::Loser, "nobody acknowledged", races);
+    assert_detected(Invariant::BaseVersion, "committed as", races);
+    assert_detected(
+        Invariant::RejectionLeavesNoTrace,
+        "nobody acknowledged",
+        races,
+    );
 }
 
 /// A yes that is nowhere to be read back, written by hand.
--- a/testbed/tests/tenants.rs
+++ b/testbed/tests/tenants.rs
@@ -4,7 +4,7 @@
 use sorreldoor::balancer::{Balancer, Locality, SiteLimits};
 use sorreldoor::configuration::tenants::ApiKey;
 use sorreldoor::configuration::{self, Site};
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::proxy::{Dialect, PlainDialect, RequestMetadata};
 use sorreldoor::quota::{AdmissionShare, AdmissionUpdate};
 
@@ -81,9 +81,9 @@
     ];
     for (invariant, holds) in checks {
         assert!(holds(), "{}", invariant.name());
-        break_only(Some(invariant));
+        disable_only(Some(invariant));
         let broken = holds();
-        break_only(None);
+        disable_only(None);
         assert!(!broken, "{} is off, and nothing notices", invariant.name());
     }
 }
