--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -195,8 +195,8 @@
     events: &EventSender<ControllerEvent>,
 ) -> Result<(), StartError> {
     let interval = Duration::from_millis(settings.pacing.tick_ms);
-    crate::run::ticker(events.clone(), interval, || ControllerEvent::Tick);
-    crate::run::on_term(events.clone(), || ControllerEvent::Stop).context(SignalsSnafu)?;
+    crate::run::start_ticker(events.clone(), interval, || ControllerEvent::Tick);
+    crate::run::on_termination(events.clone(), || ControllerEvent::Stop).context(SignalsSnafu)?;
     if let Some(source) = source.filter(|source| source.is_versioned()) {
         task::spawn(watch_workers(source.clone(), events.clone()));
     }
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -77,8 +77,8 @@
     ));
     log_event(LogEvent::Started, format!("edge {}", settings.node));
     log_event(LogEvent::Listening, format!("http {}", settings.http));
-    crate::run::ticker(events.clone(), TICK, || EdgeEvent::Tick);
-    crate::run::on_term(events.clone(), || EdgeEvent::Shutdown).context(SignalsSnafu)?;
+    crate::run::start_ticker(events.clone(), TICK, || EdgeEvent::Tick);
+    crate::run::on_termination(events.clone(), || EdgeEvent::Shutdown).context(SignalsSnafu)?;
     let mut daemon = Daemon {
         net,
         settings,
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -68,7 +68,7 @@
         ControllerEvent::Net as fn(NetEvent) -> ControllerEvent,
         settings.max_connections,
     );
-    crate::run::on_term(events, || ControllerEvent::Stop).context(SignalsSnafu)?;
+    crate::run::on_termination(events, || ControllerEvent::Stop).context(SignalsSnafu)?;
     task::block_on(async move {
         let clients = bind("http", settings.http).await?;
         for endpoint in endpoints {
--- a/sorreldoor/src/run.rs
+++ b/sorreldoor/src/run.rs
@@ -12,7 +12,7 @@
 /// Starts a thread that sends the event made by `tick` to the queue at a fixed
 /// interval. A tick is skipped while the queue is full; the thread ends when the
 /// queue is closed.
-pub fn ticker<E>(events: EventSender<E>, interval: Duration, tick: fn() -> E)
+pub fn start_ticker<E>(events: EventSender<E>, interval: Duration, tick: fn() -> E)
 where
     E: Prioritized + Send + 'static,
 {
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// The signal handlers could not be installed.
-pub fn on_term<E>(events: EventSender<E>, stop: fn() -> E) -> io::Result<()>
+pub fn on_termination<E>(events: EventSender<E>, stop: fn() -> E) -> io::Result<()>
 where
     E: Prioritized + Send + 'static,
 {
