--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -60,7 +60,7 @@
         if request.method() == Method::Get && path == "/ready" {
             return self.ready().await;
         }
-        match operator_api::read(&mut request, &self.settings.names).await {
+        match operator_api::parse_request(&mut request, &self.settings.names).await {
             None => http::shed(ErrorCode::UnknownPath, &path, RETRY_AFTER_S),
             Some(Err(code)) => http::shed(code, "", RETRY_AFTER_S),
             Some(Ok(request)) => self.handle_operator(request).await,
@@ -83,18 +83,18 @@
 
     async fn handle_operator(&self, request: OperatorRequest) -> Response {
         match request {
-            OperatorRequest::Check { faults } => operator_api::checked(&faults),
+            OperatorRequest::Check { faults } => operator_api::check_response(&faults),
             OperatorRequest::Change { proposal_id, cmd } => {
                 let outcome = self.client.change(proposal_id, cmd).await;
-                operator_api::result(proposal_id, &outcome)
+                operator_api::change_response(proposal_id, &outcome)
             }
             OperatorRequest::DropCore { proposal_id, id } => {
                 let outcome = self.client.remove_core(proposal_id, id).await;
-                operator_api::result(proposal_id, &outcome)
+                operator_api::change_response(proposal_id, &outcome)
             }
             OperatorRequest::Proposal(proposal_id) => {
                 let outcome = self.client.find_outcome(proposal_id).await;
-                operator_api::result(proposal_id, &outcome)
+                operator_api::change_response(proposal_id, &outcome)
             }
             OperatorRequest::Configuration => self.configuration().await,
             OperatorRequest::Status => match self.client.read_status().await {
@@ -102,7 +102,7 @@
                 None => unreachable_core(),
             },
             OperatorRequest::Metrics => match self.client.read_status().await {
-                Some(state) => operator_api::metrics(&state.status),
+                Some(state) => operator_api::metrics_response(&state.status),
                 None => unreachable_core(),
             },
         }
@@ -117,7 +117,7 @@
         let document = view.doc.as_ref().map(|document| document.as_str());
         let zone_name = |zone: &u16| self.settings.names.zone_name(*zone).to_string();
         let evacuated: Vec<String> = view.evacuated.iter().map(zone_name).collect();
-        operator_api::configuration_view(view.version, document, &evacuated)
+        operator_api::configuration_response(view.version, document, &evacuated)
     }
 }
 
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -195,7 +195,7 @@
         let record = self.consensus.map(|c| c.state_machine());
         let evacuated = record.map(|record| record.view().evacuated);
         let sessions = self.edge_sessions.iter();
-        crate::operator_api::zones(
+        crate::operator_api::zone_rows(
             self.site,
             &evacuated.unwrap_or_default(),
             self.worker_list.workers(),
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -90,7 +90,7 @@
 
     async fn metrics(&self) -> Response {
         match self.query_status().await {
-            Some((json, _)) => operator_api::metrics(&json),
+            Some((json, _)) => operator_api::metrics_response(&json),
             None => http::shed(ErrorCode::ShuttingDown, "", 1),
         }
     }
@@ -146,7 +146,7 @@
     }
 
     async fn serve_operator(&self, request: &mut Request, path: &str) -> Response {
-        match operator_api::read(request, &self.settings.names).await {
+        match operator_api::parse_request(request, &self.settings.names).await {
             None => http::shed(ErrorCode::UnknownPath, path, 1),
             Some(Err(error_code)) => http::shed(error_code, "", 1),
             Some(Ok(operation)) => self.operate(operation).await,
@@ -155,7 +155,7 @@
 
     async fn operate(&self, operation: OperatorRequest) -> Response {
         match operation {
-            OperatorRequest::Check { faults } => operator_api::checked(&faults),
+            OperatorRequest::Check { faults } => operator_api::check_response(&faults),
             OperatorRequest::Change { proposal_id, cmd } => {
                 let reply = self.query(|request_id| EdgeEvent::Propose {
                     request_id,
@@ -195,13 +195,15 @@
             .iter()
             .map(|zone| self.settings.names.zone_name(*zone).to_string())
             .collect();
-        operator_api::configuration_view(view.version, document, &evacuated)
+        operator_api::configuration_response(view.version, document, &evacuated)
     }
 }
 
 fn proposal_response(proposal_id: ProposalId, reply: Option<Reply>) -> Response {
     match reply {
-        Some(Reply::ProposalResult(outcome)) => operator_api::result(proposal_id, &outcome),
-        _ => operator_api::result(proposal_id, &OpOutcome::Unknown),
+        Some(Reply::ProposalResult(outcome)) => {
+            operator_api::change_response(proposal_id, &outcome)
+        }
+        _ => operator_api::change_response(proposal_id, &OpOutcome::Unknown),
     }
 }
--- a/sorreldoor/src/gateway/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -28,7 +28,7 @@
     fn zones_json(&self) -> Vec<Value> {
         let snapshot = &self.cluster.snapshot;
         let edges = snapshot.edge_sessions.1.iter();
-        operator_api::zones(
+        operator_api::zone_rows(
             &self.cluster.site,
             &snapshot.view.evacuated,
             &snapshot.registry.workers,
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -66,7 +66,10 @@
 ///
 /// # Errors
 /// The method, a parameter or the body is not valid.
-pub async fn read(req: &mut Request, site: &Site) -> Option<Result<OperatorRequest, ErrorCode>> {
+pub async fn parse_request(
+    req: &mut Request,
+    site: &Site,
+) -> Option<Result<OperatorRequest, ErrorCode>> {
     let path = req.url().path().to_string();
     let rest = path.strip_prefix("/v1/")?;
     let parts: Vec<&str> = rest.split('/').collect();
@@ -161,7 +164,7 @@
 }
 
 /// The response to a change: applied, rejected, or outcome unknown.
-pub fn result(proposal_id: ProposalId, outcome: &OpOutcome) -> Response {
+pub fn change_response(proposal_id: ProposalId, outcome: &OpOutcome) -> Response {
     let mut v = Value::object();
     let _ = v.insert("proposal", format_proposal_id(proposal_id));
     let error_code = match outcome {
@@ -209,7 +212,7 @@
 }
 
 /// The response to a check of a document.
-pub fn checked(faults: &[String]) -> Response {
+pub fn check_response(faults: &[String]) -> Response {
     let mut v = Value::object();
     let _ = v.insert("good", faults.is_empty());
     let _ = v.insert("faults", list(faults));
@@ -217,7 +220,7 @@
 }
 
 /// The numbers and flags of a status as flat metrics.
-pub fn metrics(status: &str) -> Response {
+pub fn metrics_response(status: &str) -> Response {
     let v = crate::json::parse(status.as_bytes(), usize::MAX).unwrap_or_default();
     let mut out = Value::object();
     let mut put = |prefix: &str, v: &Value| {
@@ -238,7 +241,7 @@
 }
 
 /// The configuration in force, as any node shows it.
-pub fn configuration_view(version: u64, doc: Option<&str>, evacuated: &[String]) -> Response {
+pub fn configuration_response(version: u64, doc: Option<&str>, evacuated: &[String]) -> Response {
     let mut v = Value::object();
     let _ = v.insert("serial", version);
     let doc = doc.and_then(|d| crate::json::parse(d.as_bytes(), usize::MAX).ok());
@@ -248,7 +251,7 @@
 }
 
 /// For each zone, whether it is evacuated and the requests in flight there.
-pub fn zones(
+pub fn zone_rows(
     site: &Site,
     evacuated: &[u16],
     workers: &[Worker],
