--- a/sorreldoor/src/ctl/args.rs
+++ b/sorreldoor/src/ctl/args.rs
@@ -1,5 +1,4 @@
-//! Options and operations of the client. Names of operations and flags are
-//! public.
+//! Command line of `sorreldoor ctl`. Names of operations and flags are public.
 
 use gumdrop::Options;
 
@@ -8,9 +7,12 @@
 pub struct Args {
     #[options(help = "show this help")]
     help: bool,
-    #[options(help = "a node's HTTP address; repeat to try others", meta = "IP:PORT")]
+    #[options(
+        help = "HTTP address of a node; repeatable, tried in order",
+        meta = "IP:PORT"
+    )]
     pub(super) at: Vec<String>,
-    #[options(help = "print the node's JSON as it came")]
+    #[options(help = "print the JSON of the node's response")]
     pub(super) json: bool,
     #[options(command)]
     pub(super) operation: Option<Operation>,
@@ -18,96 +20,103 @@
 
 #[derive(Debug, Options)]
 pub(super) enum Operation {
-    #[options(help = "print the setup in force")]
+    #[options(help = "print the current configuration")]
     Get(NoArguments),
-    #[options(help = "put a whole setup: put FILE --base N")]
+    #[options(help = "replace the whole configuration: put FILE --base N")]
     Put(FileArgs),
-    #[options(help = "edit the setup by a merge patch: edit FILE --base N")]
+    #[options(help = "change the configuration by a JSON merge patch: edit FILE --base N")]
     Edit(FileArgs),
-    #[options(help = "check a setup without effect: check FILE")]
+    #[options(help = "validate a configuration without applying it: check FILE")]
     Check(FileArgs),
-    #[options(help = "show what a setup would change: diff FILE")]
+    #[options(help = "compare a configuration with the current one: diff FILE")]
     Diff(FileArgs),
-    #[options(help = "empty a zone: evacuate ZONE --base N")]
+    #[options(help = "stop sending new requests to a zone: evacuate ZONE --base N")]
     Evacuate(ZoneArgs),
-    #[options(help = "empty a zone, the same as evacuate: drain ZONE --base N")]
+    #[options(help = "the same as evacuate: drain ZONE --base N")]
     Drain(ZoneArgs),
-    #[options(help = "take a zone back: return ZONE --base N")]
+    #[options(help = "end the evacuation of a zone: return ZONE --base N")]
     Return(ZoneArgs),
-    #[options(help = "ask what became of a change: ask PROPOSAL")]
-    Ask(Id),
-    #[options(help = "give up a core that is lost for good: drop-core ID")]
-    DropCore(Id),
-    #[options(help = "show nodes, leaders, workers")]
+    #[options(help = "print the outcome of a change: ask PROPOSAL")]
+    Ask(IdArgs),
+    #[options(help = "remove a permanently lost core from the members: drop-core ID")]
+    DropCore(IdArgs),
+    #[options(help = "print the status of nodes, leaders and workers")]
     Status(NoArguments),
-    #[options(help = "show where an errand would go, and why: placement --route R")]
+    #[options(help = "print which worker a request would go to, and why: placement --route R")]
     Placement(PlacementArgs),
 }
 
 #[derive(Debug, Options)]
 pub(super) struct PlacementArgs {
     help: bool,
-    #[options(no_short, help = "print the node's JSON as it came")]
+    #[options(no_short, help = "print the JSON of the node's response")]
     pub(super) json: bool,
-    #[options(no_short, help = "the errand's route", meta = "R")]
+    #[options(no_short, help = "route of the request", meta = "R")]
     pub(super) route: Option<String>,
-    #[options(no_short, help = "what prefix it shares", meta = "K")]
+    #[options(no_short, help = "prefix key of the request", meta = "K")]
     pub(super) key: Option<String>,
-    #[options(no_short, help = "the caller's region", meta = "X")]
+    #[options(no_short, help = "region of the caller", meta = "X")]
     pub(super) region: Option<String>,
 }
 
 #[derive(Debug, Options)]
 pub(super) struct NoArguments {
     help: bool,
-    #[options(no_short, help = "print the node's JSON as it came")]
+    #[options(no_short, help = "print the JSON of the node's response")]
     pub(super) json: bool,
 }
 
 #[derive(Debug, Options)]
 pub(super) struct FileArgs {
     help: bool,
-    #[options(no_short, help = "print the node's JSON as it came")]
+    #[options(no_short, help = "print the JSON of the node's response")]
     pub(super) json: bool,
     #[options(free)]
     pub(super) file: String,
-    #[options(help = "serial this builds on", meta = "N")]
+    #[options(help = "version that the change is based on", meta = "N")]
     pub(super) base: Option<u64>,
-    #[options(no_short, help = "proposal id, to ask again under it", meta = "HEX")]
+    #[options(
+        no_short,
+        help = "proposal id; a retry under the same id is applied once",
+        meta = "HEX"
+    )]
     pub(super) id: Option<String>,
 }
 
 #[derive(Debug, Options)]
 pub(super) struct ZoneArgs {
     help: bool,
-    #[options(no_short, help = "print the node's JSON as it came")]
+    #[options(no_short, help = "print the JSON of the node's response")]
     pub(super) json: bool,
     #[options(free)]
     pub(super) zone: String,
     #[options(
         no_short,
-        help = "wait so long for the zone's running work to end",
+        help = "wait up to this long until no requests are in flight in the zone",
         meta = "SECONDS"
     )]
     pub(super) wait: Option<u64>,
-    #[options(help = "serial this builds on", meta = "N")]
+    #[options(help = "version that the change is based on", meta = "N")]
     pub(super) base: Option<u64>,
-    #[options(no_short, help = "proposal id, to ask again under it", meta = "HEX")]
+    #[options(
+        no_short,
+        help = "proposal id; a retry under the same id is applied once",
+        meta = "HEX"
+    )]
     pub(super) id: Option<String>,
 }
 
 #[derive(Debug, Options)]
-pub(super) struct Id {
+pub(super) struct IdArgs {
     help: bool,
-    #[options(no_short, help = "print the node's JSON as it came")]
+    #[options(no_short, help = "print the JSON of the node's response")]
     pub(super) json: bool,
     #[options(free)]
     pub(super) id: String,
 }
 
 impl Args {
-    /// Whether JSON is asked for; the flag may stand before or after the
-    /// operation.
+    /// Whether `--json` is given before or after the operation.
     pub(super) fn wants_json(&self) -> bool {
         self.json || self.operation.as_ref().is_some_and(Operation::json)
     }
--- a/sorreldoor/src/ctl/client.rs
+++ b/sorreldoor/src/ctl/client.rs
@@ -1,6 +1,6 @@
-//! Calls to the nodes, and reports of those that failed.
+//! HTTP calls to the nodes, and messages about failed ones.
 
-use super::{show, Failure, REFUSED, UNKNOWN, UNREACHED};
+use super::{show, ExitCode, EXIT_OUTCOME_UNKNOWN, EXIT_REJECTED, EXIT_UNREACHABLE};
 use crate::http::{self, Broke, Call, Called};
 use crate::json::{self, Value};
 use async_std::task;
@@ -8,19 +8,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long one call may take.
-const TIMEOUT: Duration = Duration::from_secs(15);
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// The status of an answer that leaves the outcome open.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longer responses are treated as failed calls.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// HTTP status of a response that leaves the outcome of a change unknown.
 const GATEWAY_TIMEOUT: u16 = 504;
 
-/// A request to any node.
+/// An HTTP request to a node.
 pub(super) struct Request {
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) body: Vec<u8>,
-    /// The id under which the outcome of a change can be asked for.
+    /// The id by which the outcome of a change can be queried; `None` for reads.
     pub(super) proposal_id: Option<String>,
 }
 
@@ -46,14 +45,14 @@
     }
 }
 
-/// A successful answer.
-pub(super) struct Answer {
+/// A response with status 200.
+pub(super) struct Success {
     text: Vec<u8>,
-    /// Its text parsed; null if it is no JSON.
+    /// `text` as JSON; null if it is not valid JSON.
     pub(super) body: Value,
 }
 
-/// A client of the nodes at some addresses.
+/// Sends requests to the first reachable of some nodes and prints responses.
 pub(super) struct Client {
     nodes: Vec<SocketAddr>,
     json: bool,
@@ -64,35 +63,37 @@
         Client { nodes, json }
     }
 
-    /// Whether answers are printed as JSON.
+    /// Whether responses are printed as JSON.
     pub(super) fn json(&self) -> bool {
         self.json
     }
 
-    /// Sends a request; reports a failure.
-    pub(super) fn fetch(&self, request: &Request) -> Result<Answer, Failure> {
+    /// Sends a request. A failed call and any status other than 200 are
+    /// reported on stderr and returned as an exit code.
+    pub(super) fn fetch(&self, request: &Request) -> Result<Success, ExitCode> {
         let called = self.call(request);
-        let called =
-            called.map_err(|error| self.report_unreached(error, request.proposal_id.as_deref()))?;
+        let called = called
+            .map_err(|error| self.report_failed_call(error, request.proposal_id.as_deref()))?;
         let body = json::parse(&called.body, usize::MAX).unwrap_or_default();
         if called.status != 200 {
             return Err(self.report_rejection(&called, &body));
         }
-        Ok(Answer {
+        Ok(Success {
             text: called.body,
             body,
         })
     }
 
-    /// The parsed answer of any status; reports that no node answered.
-    pub(super) fn fetch_any(&self, request: &Request) -> Result<Value, Failure> {
+    /// Sends a request and returns the response body as JSON, whatever its
+    /// status. A failed call is reported on stderr.
+    pub(super) fn fetch_any(&self, request: &Request) -> Result<Value, ExitCode> {
         let called = self.call(request);
-        let called =
-            called.map_err(|error| self.report_unreached(error, request.proposal_id.as_deref()))?;
+        let called = called
+            .map_err(|error| self.report_failed_call(error, request.proposal_id.as_deref()))?;
         Ok(json::parse(&called.body, usize::MAX).unwrap_or_default())
     }
 
-    /// Tries the nodes in order until one is reached.
+    /// Sends a request to the first node that accepts a connection.
     pub(super) fn call(&self, request: &Request) -> Result<Called, Broke> {
         for node in &self.nodes {
             let call = Call {
@@ -101,8 +102,8 @@
                 heads: Vec::new(),
                 body: request.body.clone(),
             };
-            match task::block_on(http::call(*node, call, MAX_ANSWER_BYTES, TIMEOUT)) {
-                // only what was surely not sent may simply go to the next
+            match task::block_on(http::call(*node, call, MAX_RESPONSE_BYTES, CALL_TIMEOUT)) {
+                // a request that may have been sent could run twice on another node
                 Err(Broke::Unsent) => {}
                 result => return result,
             }
@@ -110,39 +111,41 @@
         Err(Broke::Unsent)
     }
 
-    /// Prints an answer as it came, or formatted.
-    pub(super) fn print(&self, answer: &Answer, format: impl FnOnce(&Value) -> String) {
+    /// Prints a response as JSON or formatted, as `--json` says.
+    pub(super) fn print(&self, response: &Success, format: impl FnOnce(&Value) -> String) {
         if self.json {
-            println!("{}", String::from_utf8_lossy(&answer.text));
+            println!("{}", String::from_utf8_lossy(&response.text));
         } else {
-            print!("{}", format(&answer.body));
+            print!("{}", format(&response.body));
         }
     }
 
-    fn report_unreached(&self, error: Broke, proposal_id: Option<&str>) -> Failure {
+    fn report_failed_call(&self, error: Broke, proposal_id: Option<&str>) -> ExitCode {
         let nodes = &self.nodes;
         if error == Broke::Unsent {
-            eprintln!("ctl: no node was reached at {nodes:?}; nothing was sent");
-            return UNREACHED;
+            eprintln!("ctl: cannot connect to any node of {nodes:?}; nothing was sent");
+            return EXIT_UNREACHABLE;
         }
         let Some(id) = proposal_id else {
-            eprintln!("ctl: the node broke off ({error:?})");
-            return UNREACHED;
+            eprintln!("ctl: no complete response from the node ({error:?})");
+            return EXIT_UNREACHABLE;
         };
-        eprintln!("ctl: outcome not known ({error:?}); ask with: ctl ask {id}");
-        UNKNOWN
+        eprintln!(
+            "ctl: the outcome of the change is unknown ({error:?}); query it with: ctl ask {id}"
+        );
+        EXIT_OUTCOME_UNKNOWN
     }
 
-    fn report_rejection(&self, called: &Called, body: &Value) -> Failure {
+    fn report_rejection(&self, called: &Called, body: &Value) -> ExitCode {
         if self.json {
             println!("{}", String::from_utf8_lossy(&called.body));
         } else {
-            eprint!("{}", show::refusal(body));
+            eprint!("{}", show::rejection(body));
         }
         if called.status == GATEWAY_TIMEOUT {
-            UNKNOWN
+            EXIT_OUTCOME_UNKNOWN
         } else {
-            REFUSED
+            EXIT_REJECTED
         }
     }
 }
--- a/sorreldoor/src/ctl/placement.rs
+++ b/sorreldoor/src/ctl/placement.rs
@@ -1,30 +1,30 @@
-//! The placement of a request, as a gateway of the caller's region decides it.
+//! `ctl placement`: which worker a gateway in the caller's region would choose.
 
 use super::args::PlacementArgs;
 use super::client::{Client, Request};
-use super::{show, usage, Failure};
+use super::{show, usage_error, ExitCode};
 use simd_json::prelude::*;
 
 impl Client {
-    pub(super) fn placement(&self, args: PlacementArgs) -> Result<(), Failure> {
+    pub(super) fn placement(&self, args: PlacementArgs) -> Result<(), ExitCode> {
         let Some(route) = args.route else {
-            return Err(usage("--route: name the errand's route"));
+            return Err(usage_error("--route: the route of the request is required"));
         };
         let mut path = format!("/v1/placement?route={route}");
         for (key, value) in [("key", args.key), ("region", args.region)] {
             path += &value.map_or(String::new(), |value| format!("&{key}={value}"));
         }
         match self.referral(&path)? {
-            // only a gateway of the caller's region can say what it would do
+            // the node names a gateway in the caller's region, which computes the placement
             Some(gateway) => Client::new(vec![gateway], self.json()).show(&path, show::placement),
             None => self.show(&path, show::placement),
         }
     }
 
-    /// The gateway that a node refers to, if it cannot answer itself.
-    fn referral(&self, path: &str) -> Result<Option<std::net::SocketAddr>, Failure> {
-        let answer = self.fetch_any(&Request::get(path))?;
-        let address = answer.get("ask").and_then(|address| address.as_str());
+    /// The gateway that a node names if it cannot compute the placement itself.
+    fn referral(&self, path: &str) -> Result<Option<std::net::SocketAddr>, ExitCode> {
+        let response = self.fetch_any(&Request::get(path))?;
+        let address = response.get("ask").and_then(|address| address.as_str());
         Ok(address.and_then(|address| address.parse().ok()))
     }
 }
--- a/sorreldoor/src/ctl/show.rs
+++ b/sorreldoor/src/ctl/show.rs
@@ -1,131 +1,151 @@
-//! The text that the client prints for people.
+//! Formats responses as text.
 
 use crate::json::{canonical, join, Value};
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
 
-fn text(v: &Value, k: &str) -> String {
-    v.get(k).map_or("-".to_string(), plain)
+fn text(value: &Value, key: &str) -> String {
+    value.get(key).map_or("-".to_string(), plain)
 }
 
-fn plain(v: &Value) -> String {
-    v.as_str().map_or_else(|| canonical(v), str::to_string)
+fn plain(value: &Value) -> String {
+    value
+        .as_str()
+        .map_or_else(|| canonical(value), str::to_string)
 }
 
-fn rows<'v>(v: &'v Value, k: &str) -> &'v [Value] {
-    v.get(k).and_then(|a| a.as_array()).map_or(&[], |a| &a[..])
+fn rows<'v>(value: &'v Value, key: &str) -> &'v [Value] {
+    value
+        .get(key)
+        .and_then(|list| list.as_array())
+        .map_or(&[], |list| &list[..])
 }
 
-pub fn configuration(v: &Value) -> String {
-    let mut s = format!("serial {}\n", text(v, "serial"));
-    let evacuated: Vec<String> = rows(v, "emptied").iter().map(plain).collect();
+pub fn configuration(value: &Value) -> String {
+    let mut output = format!("version {}\n", text(value, "serial"));
+    let evacuated: Vec<String> = rows(value, "emptied").iter().map(plain).collect();
     if !evacuated.is_empty() {
-        s += &format!("emptied zones: {}\n", evacuated.join(", "));
+        output += &format!("evacuated zones: {}\n", evacuated.join(", "));
     }
-    let doc = v.get("setup").filter(|d| d.is_object());
-    let pretty = doc.and_then(|d| simd_json::to_string_pretty(&sorted(d)).ok());
-    s + &pretty.map_or("no setup yet\n".to_string(), |p| p + "\n")
+    let document = value.get("setup").filter(|document| document.is_object());
+    let pretty = document.and_then(|document| simd_json::to_string_pretty(&sorted(document)).ok());
+    output + &pretty.map_or("no configuration yet\n".to_string(), |text| text + "\n")
 }
 
-/// The same value with its keys in order, so that it prints alike every time.
-fn sorted(v: &Value) -> simd_json::BorrowedValue<'static> {
-    let mut b = canonical(v).into_bytes();
-    simd_json::to_owned_value(&mut b).unwrap_or_default().into()
+/// The same value with sorted keys, so that the output is deterministic.
+fn sorted(value: &Value) -> simd_json::BorrowedValue<'static> {
+    let mut text = canonical(value).into_bytes();
+    simd_json::to_owned_value(&mut text)
+        .unwrap_or_default()
+        .into()
 }
 
-pub fn refusal(v: &Value) -> String {
-    let mut s = format!("refused: {} ({})\n", text(v, "text"), text(v, "problem"));
-    if v.get("serial").is_some() {
-        s += &format!("the serial in force is {}\n", text(v, "serial"));
+pub fn rejection(value: &Value) -> String {
+    let mut output = format!(
+        "rejected: {} ({})\n",
+        text(value, "text"),
+        text(value, "problem")
+    );
+    if value.get("serial").is_some() {
+        output += &format!("the current version is {}\n", text(value, "serial"));
     }
-    if v.get("proposal").is_some() {
-        s += &format!("proposal {}\n", text(v, "proposal"));
+    if value.get("proposal").is_some() {
+        output += &format!("proposal {}\n", text(value, "proposal"));
     }
-    for f in rows(v, "faults") {
-        s += &format!("  {}\n", plain(f));
+    for fault in rows(value, "faults") {
+        output += &format!("  {}\n", plain(fault));
     }
-    s
+    output
 }
 
-pub fn checked(v: &Value) -> String {
-    let faults = rows(v, "faults");
+pub fn check(value: &Value) -> String {
+    let faults = rows(value, "faults");
     if faults.is_empty() {
-        return "the setup is good\n".to_string();
+        return "the configuration is valid\n".to_string();
     }
-    let n = faults.len();
-    let list: String = faults.iter().map(|f| format!("  {}\n", plain(f))).collect();
-    format!("{n} faults:\n{list}")
+    let count = faults.len();
+    let list: String = faults
+        .iter()
+        .map(|fault| format!("  {}\n", plain(fault)))
+        .collect();
+    format!("{count} faults:\n{list}")
 }
 
-/// Every leaf that differs, as `- path: old` and `+ path: new`.
-pub fn differ(path: &str, old: &Value, new: &Value, out: &mut Vec<String>) {
+/// Appends each differing leaf as `- path: old` and `+ path: new`.
+pub fn diff(path: &str, old: &Value, new: &Value, rows: &mut Vec<String>) {
     if let (Some(a), Some(b)) = (old.as_object(), new.as_object()) {
-        let ks: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
-        for k in ks {
-            let (x, y) = (a.get(k.as_str()), b.get(k.as_str()));
+        let keys: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
+        for key in keys {
+            let (x, y) = (a.get(key.as_str()), b.get(key.as_str()));
             let none = Value::default();
-            differ(&join(path, k), x.unwrap_or(&none), y.unwrap_or(&none), out);
+            diff(
+                &join(path, key),
+                x.unwrap_or(&none),
+                y.unwrap_or(&none),
+                rows,
+            );
         }
         return;
     }
     if canonical(old) != canonical(new) {
         if !old.is_null() {
-            out.push(format!("- {path}: {}", canonical(old)));
+            rows.push(format!("- {path}: {}", canonical(old)));
         }
         if !new.is_null() {
-            out.push(format!("+ {path}: {}", canonical(new)));
+            rows.push(format!("+ {path}: {}", canonical(new)));
         }
     }
 }
 
-fn table(title: &str, cols: &[&str], rows: &[Value]) -> String {
-    let mut cells: Vec<Vec<String>> = vec![cols.iter().map(|c| c.to_string()).collect()];
+fn table(title: &str, columns: &[&str], rows: &[Value]) -> String {
+    let mut cells: Vec<Vec<String>> =
+        vec![columns.iter().map(|column| column.to_string()).collect()];
     cells.extend(
         rows.iter()
-            .map(|r| cols.iter().map(|c| text(r, c)).collect()),
+            .map(|row| columns.iter().map(|column| text(row, column)).collect()),
     );
-    let wide: Vec<usize> = (0..cols.len())
-        .map(|i| cells.iter().map(|r| r[i].len()).max().unwrap_or(0))
+    let widths: Vec<usize> = (0..columns.len())
+        .map(|i| cells.iter().map(|row| row[i].len()).max().unwrap_or(0))
         .collect();
-    let mut s = format!("{title} ({})\n", rows.len());
-    for r in cells {
-        let line: Vec<String> = r
+    let mut output = format!("{title} ({})\n", rows.len());
+    for row in cells {
+        let line: Vec<String> = row
             .iter()
-            .zip(&wide)
-            .map(|(c, w)| format!("{c:<w$}"))
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:<width$}"))
             .collect();
-        s += &format!("  {}\n", line.join("  ").trim_end());
+        output += &format!("  {}\n", line.join("  ").trim_end());
     }
-    s
+    output
 }
 
-pub fn placement(v: &Value) -> String {
-    let mut s = String::new();
-    for k in ["route", "key", "region", "serial", "service", "why"] {
-        s += &format!("{k}: {}\n", text(v, k));
+pub fn placement(value: &Value) -> String {
+    let mut output = String::new();
+    for key in ["route", "key", "region", "serial", "service", "why"] {
+        output += &format!("{key}: {}\n", text(value, key));
     }
     let none = Value::default();
-    let w = v.get("worker").unwrap_or(&none);
-    if w.is_object() {
-        let part = |k: &str| text(w, k);
+    let worker = value.get("worker").unwrap_or(&none);
+    if worker.is_object() {
+        let part = |key: &str| text(worker, key);
         let (name, zone, region) = (part("name"), part("zone"), part("region"));
         let (busy, slots) = (part("busy"), part("slots"));
-        s += &format!("worker: {name} in {zone} ({region}), {busy} of {slots} busy\n");
+        output += &format!("worker: {name} in {zone} ({region}), {busy} of {slots} busy\n");
     }
-    s += &format!(
+    output += &format!(
         "spilt: {} (limits {})\n",
-        text(v, "spilt"),
-        text(v, "spill")
+        text(value, "spilt"),
+        text(value, "spill")
     );
-    let edges: Vec<String> = rows(v, "edges").iter().map(plain).collect();
-    s += &format!("edges: {}\n", edges.join(", "));
-    let cols = ["service", "weight", "set", "least", "most"];
-    s + &table("services, in order", &cols, rows(v, "services"))
+    let edges: Vec<String> = rows(value, "edges").iter().map(plain).collect();
+    output += &format!("edges: {}\n", edges.join(", "));
+    let columns = ["service", "weight", "set", "least", "most"];
+    output + &table("services, in order", &columns, rows(value, "services"))
 }
 
-pub fn status(v: &Value) -> String {
-    let mut s = String::new();
-    for k in [
+pub fn status(value: &Value) -> String {
+    let mut output = String::new();
+    for key in [
         "node",
         "serial",
         "term",
@@ -144,27 +164,27 @@
         "claims",
         "roster_problem",
     ] {
-        if v.get(k).is_some_and(|x| !x.is_null()) {
-            s += &format!("{k}: {}\n", text(v, k));
+        if value.get(key).is_some_and(|field| !field.is_null()) {
+            output += &format!("{key}: {}\n", text(value, key));
         }
     }
-    let cols = ["zone", "emptied", "at_workers", "at_edges"];
-    s += &table("zones", &cols, rows(v, "zones"));
-    if !rows(v, "weights").is_empty() {
-        let cols = [
+    let columns = ["zone", "emptied", "at_workers", "at_edges"];
+    output += &table("zones", &columns, rows(value, "zones"));
+    if !rows(value, "weights").is_empty() {
+        let columns = [
             "route", "service", "weight", "set", "least", "most", "took_ms",
         ];
-        s += &table("weights", &cols, rows(v, "weights"));
+        output += &table("weights", &columns, rows(value, "weights"));
     }
-    if v.get("cores").is_some() {
-        let cols = ["id", "zone", "addr", "voter", "live"];
-        s += &table("cores", &cols, rows(v, "cores"));
-        let cols = ["node", "zone", "http", "serial", "permit", "running"];
-        s += &table("edges", &cols, rows(v, "edges"));
-        let cols = [
+    if value.get("cores").is_some() {
+        let columns = ["id", "zone", "addr", "voter", "live"];
+        output += &table("cores", &columns, rows(value, "cores"));
+        let columns = ["node", "zone", "http", "serial", "permit", "running"];
+        output += &table("edges", &columns, rows(value, "edges"));
+        let columns = [
             "name", "group", "zone", "addr", "live", "leaving", "running", "queued", "finished",
         ];
-        s += &table("workers", &cols, rows(v, "workers"));
+        output += &table("workers", &columns, rows(value, "workers"));
     }
-    s
+    output
 }
--- a/sorreldoor/src/ctl/watch.rs
+++ b/sorreldoor/src/ctl/watch.rs
@@ -1,15 +1,14 @@
-//! Waiting until nothing runs in an evacuated zone any more.
+//! `--wait`: polls the status until an evacuated zone has no requests in flight.
 
 use super::client::{Client, Request};
-use super::{Failure, REFUSED};
+use super::{ExitCode, EXIT_REJECTED};
 use crate::json::{self, Value};
 use simd_json::prelude::*;
 use std::time::{Duration, Instant};
 
-/// From an acknowledged change until no gateway acts on an older
-/// configuration and all load reports have come in.
+/// Time after an acknowledged change by which every gateway applies it and
+/// all load reports have arrived.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
-/// Between two reads of the status.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Requests in flight in a zone.
@@ -20,10 +19,11 @@
 }
 
 impl Client {
-    /// Waits until nothing runs in a zone; prints what is left on each change.
-    pub(super) fn wait_until_empty(&self, zone: &str, limit: Duration) -> Result<(), Failure> {
-        // until then a gateway may not know of the change yet, and what it
-        // sends may not be in any report
+    /// Waits until a zone has no requests in flight; prints the counts whenever
+    /// they change. Fails after `limit`, but not before `SETTLE_TIME`.
+    pub(super) fn wait_until_empty(&self, zone: &str, limit: Duration) -> Result<(), ExitCode> {
+        // until then a gateway may still send requests to the zone that no
+        // report counts yet
         let settled = Instant::now() + SETTLE_TIME;
         let deadline = settled.max(Instant::now() + limit);
         let mut printed = None;
@@ -39,19 +39,20 @@
                     at_edges,
                 } = in_flight.unwrap_or_default();
                 println!(
-                    "zone {zone}: {at_workers} errands at its workers, {at_edges} at its edges"
+                    "zone {zone}: {at_workers} requests at its workers, {at_edges} at its edges"
                 );
                 printed = in_flight;
             }
             if Instant::now() >= deadline {
-                eprintln!("ctl: zone {zone} was not empty in time; the change stands");
-                return Err(REFUSED);
+                eprintln!("ctl: zone {zone} still has requests in flight after the wait; the change stays in effect");
+                return Err(EXIT_REJECTED);
             }
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Requests at a zone's workers and gateways, if it is evacuated.
+    /// Requests at a zone's workers and gateways; `None` if the status cannot
+    /// be read or the zone is not evacuated.
     fn in_flight(&self, zone: &str) -> Option<InFlight> {
         let called = self.call(&Request::get("/v1/status")).ok()?;
         let status = json::parse(&called.body, usize::MAX).ok()?;
--- a/sorreldoor/tests/cli.rs
+++ b/sorreldoor/tests/cli.rs
@@ -68,7 +68,10 @@
     let (code, _, stderr) = exit_and_output(&run(&["ctl", "get"]));
     assert_eq!(
         (code, &stderr[..]),
-        (2, "ctl: --at: name at least one node\n")
+        (
+            2,
+            "ctl: --at: the address of at least one node is required\n"
+        )
     );
     let (code, _, stderr) = exit_and_output(&run(&["ctl", "--at", "127.0.0.1:1", "get"]));
     assert!(code == 3 && stderr.contains("nothing was sent"), "{stderr}");
--- a/testbed/tests/doors/operators.rs
+++ b/testbed/tests/doors/operators.rs
@@ -5,7 +5,10 @@
 pub(super) fn operators(fleet: &Fleet) {
     let edge = fleet.edges()[1];
     let (code, text) = fleet.ctl(edge, &["get"]);
-    assert!(code == 0 && text.starts_with("serial 1\n"), "{code} {text}");
+    assert!(
+        code == 0 && text.starts_with("version 1\n"),
+        "{code} {text}"
+    );
     let patch = fleet.root.join("patch.json");
     std::fs::write(&patch, r#"{"retry":{"percent":12}}"#).unwrap();
     let file = patch.display().to_string();
@@ -13,17 +16,17 @@
     assert!(code == 2 && text.contains("--base"), "{code} {text}");
     let (code, text) = fleet.ctl(edge, &["edit", &file, "--base", "7"]);
     assert!(
-        code == 1 && text.contains("the serial in force is 1"),
+        code == 1 && text.contains("the current version is 1"),
         "{text}"
     );
     let (code, text) = fleet.ctl(edge, &["edit", &file, "--base", "1", "--id", "c0ffee"]);
-    assert_eq!((code, &text[..]), (0, "taken as serial 2\n"));
+    assert_eq!((code, &text[..]), (0, "accepted as version 2\n"));
     // a retry under the same id gets the first answer, also at another node
     let core = fleet.cores()[1];
     let (code, text) = fleet.ctl(core, &["edit", &file, "--base", "1", "--id", "c0ffee"]);
-    assert_eq!((code, &text[..]), (0, "taken as serial 2\n"));
+    assert_eq!((code, &text[..]), (0, "accepted as version 2\n"));
     let (code, text) = fleet.ctl(edge, &["ask", "c0ffee"]);
-    assert_eq!((code, &text[..]), (0, "taken as serial 2\n"));
+    assert_eq!((code, &text[..]), (0, "accepted as version 2\n"));
     for i in 0..fleet.nodes.len() {
         let (status, document) = fleet.get(i, "/v1/setup").unwrap();
         let percent = document
@@ -63,7 +66,7 @@
     let (code, text) = fleet.ctl(core, &["evacuate", "s1", "--base", "2", "--wait", "30"]);
     assert_eq!(code, 0, "{text}");
     assert!(
-        text.starts_with("taken as serial 3\n") && text.ends_with("zone s1 is empty\n"),
+        text.starts_with("accepted as version 3\n") && text.ends_with("zone s1 is empty\n"),
         "{text}"
     );
     // the evacuated region's traffic moves to the other; the status shows why
