--- a/sorreldoor/src/doctor/checks/members.rs
+++ b/sorreldoor/src/doctor/checks/members.rs
@@ -1,4 +1,4 @@
-//! Checks on the members of the consensus group, as a core's status has them.
+//! Checks on the members of the consensus group.
 
 use super::status::{flag, number, rows, text};
 use crate::doctor::rules::Finding;
@@ -20,10 +20,13 @@
     let voters = voters.count() as u64;
     let wanted = number(status, "voters_wanted");
     if voters < wanted {
-        findings.push(Finding::new(14, format!("{voters} of {wanted}")));
+        findings.push(Finding::new(14, format!("{voters} of {wanted} voters")));
     }
     let shortfall = status.get("voters_differ").and_then(|value| value.as_str());
     if let Some(reason) = shortfall {
-        findings.push(Finding::new(27, format!("{voters} of {wanted}: {reason}")));
+        findings.push(Finding::new(
+            27,
+            format!("{voters} of {wanted} voters: {reason}"),
+        ));
     }
 }
--- a/sorreldoor/src/doctor/checks/mod.rs
+++ b/sorreldoor/src/doctor/checks/mod.rs
@@ -1,4 +1,4 @@
-//! Checks on what was observed; pure, so that tests can run them on anything.
+//! The checks: pure functions of the observations, without input or output.
 
 mod members;
 mod node;
@@ -10,7 +10,7 @@
 use crate::json::Value;
 use std::cmp::Reverse;
 
-/// All findings, the worst ones first.
+/// All findings, the most severe ones first.
 #[must_use]
 pub fn check(observations: &Observations) -> Vec<Finding> {
     let mut findings = Vec::new();
@@ -19,13 +19,13 @@
     for (name, status) in &observations.cores {
         node::check_core(name, status, observations.wall_ms, &mut findings);
     }
-    for name in &observations.unread {
+    for name in &observations.unreadable {
         findings.push(Finding::new(23, name.clone()));
     }
-    // only the leader knows which regions answer, so its status is preferred
-    let leads = |status: &Value| status::flag(status, "leads") == Some(true);
+    // only the leader knows which regions are available, so its status is preferred
+    let is_leader = |status: &Value| status::flag(status, "leads") == Some(true);
     let mut cores = observations.cores.iter();
-    let leader = cores.find(|(_, status)| leads(status));
+    let leader = cores.find(|(_, status)| is_leader(status));
     if let Some((_, status)) = leader.or(observations.cores.first()) {
         site::check_site(status, &mut findings);
     }
--- a/sorreldoor/src/doctor/checks/site.rs
+++ b/sorreldoor/src/doctor/checks/site.rs
@@ -1,4 +1,4 @@
-//! Checks on the site, as one core's status has it.
+//! Checks on the whole site, by the status of one core.
 
 use super::members::check_members;
 use super::status::{flag, number, rows, text};
@@ -8,14 +8,14 @@
 
 pub(super) fn check_site(status: &Value, findings: &mut Vec<Finding>) {
     if flag(status, "quorum") != Some(true) {
-        let subject = format!("as {} sees it", text(status, "node"));
+        let subject = format!("according to {}", text(status, "node"));
         findings.push(Finding::new(10, subject));
     }
     report_names(12, rows(status, "regions_down"), findings);
     check_members(status, findings);
     let version = number(status, "serial");
     if version == 0 {
-        findings.push(Finding::new(15, "serial 0"));
+        findings.push(Finding::new(15, "version 0"));
     }
     check_edges(status, version, findings);
     check_workers(status, findings);
@@ -34,14 +34,14 @@
 fn check_edges(status: &Value, version: u64, findings: &mut Vec<Finding>) {
     let edges = rows(status, "edges");
     if edges.is_empty() {
-        findings.push(Finding::new(18, "no session at any core"));
+        findings.push(Finding::new(18, "no edge session at any core"));
     }
     let evacuated = rows(status, "emptied");
     for edge in edges {
         let node = text(edge, "node");
         let applied = number(edge, "serial");
         if applied < version {
-            let subject = format!("{node} is at {applied} of {version}");
+            let subject = format!("{node} has version {applied}, the current one is {version}");
             findings.push(Finding::new(16, subject));
         }
         let zone = edge.get("zone");
@@ -71,9 +71,9 @@
     let none = Value::default();
     let claims = status.get("claims").unwrap_or(&none);
     let (count, capacity) = (number(claims, "remembered"), number(claims, "most"));
-    // nine tenths of the capacity
+    // 90 % of the capacity
     if capacity > 0 && count * 10 >= capacity * 9 {
-        findings.push(Finding::new(24, format!("{count} of {capacity}")));
+        findings.push(Finding::new(24, format!("{count} of {capacity} claims")));
     }
     if flag(claims, "sure") == Some(false) {
         findings.push(Finding::new(26, text(status, "node")));
@@ -86,7 +86,10 @@
         let bounds = [number(row, "least"), number(row, "most")];
         if tuned != configured && bounds.contains(&tuned) {
             let (route, service) = (text(row, "route"), text(row, "service"));
-            findings.push(Finding::new(25, format!("{route} to {service}: {tuned}")));
+            findings.push(Finding::new(
+                25,
+                format!("route {route} to service {service}: weight {tuned}"),
+            ));
         }
     }
 }
--- a/sorreldoor/src/doctor/checks/status.rs
+++ b/sorreldoor/src/doctor/checks/status.rs
@@ -1,4 +1,4 @@
-//! Reading fields of a core's status; what is missing has a default.
+//! Readers of status fields, with defaults for missing ones.
 
 use crate::json::Value;
 use simd_json::prelude::*;
@@ -13,7 +13,7 @@
     value.unwrap_or(0)
 }
 
-/// A text; `?` if missing.
+/// A string; `?` if missing.
 pub(super) fn text(status: &Value, key: &str) -> String {
     let value = status.get(key).and_then(|value| value.as_str());
     value.unwrap_or("?").to_string()
--- a/sorreldoor/src/doctor/mod.rs
+++ b/sorreldoor/src/doctor/mod.rs
@@ -1,5 +1,5 @@
-//! The doctor: checks a node's settings, its disk and the site around it for
-//! common faults. Each finding has a number, a subject and a remedy.
+//! `sorreldoor doctor`: checks a node's settings, its disk and its site for
+//! common faults. Each finding has a rule number, a subject and a remedy.
 
 mod checks;
 mod observe;
@@ -15,7 +15,7 @@
 use simd_json::prelude::*;
 use std::path::{Path, PathBuf};
 
-/// The rule that faults of the settings are reported under.
+/// The rule under which faults of the settings are reported.
 const SETTINGS_FAULT: u8 = 1;
 
 /// Options of `sorreldoor doctor`.
@@ -27,12 +27,12 @@
     settings: Option<PathBuf>,
     #[options(no_short, help = "print the findings as JSON")]
     json: bool,
-    #[options(no_short, help = "list what is looked for, and exit")]
+    #[options(no_short, help = "list all rules and exit")]
     list: bool,
 }
 
-/// Prints the findings. Exit codes: 0 no fault, 1 a warning, 2 something is
-/// broken.
+/// Prints the findings and returns the exit code of the most severe one: 0 for
+/// none or notes only, 1 for warnings, 2 if something is broken.
 pub fn run(args: Args) -> i32 {
     if args.list {
         print_rules();
@@ -45,7 +45,9 @@
     } else {
         print_findings(&findings);
     }
-    let codes = findings.iter().map(|f| f.rule.severity.exit_code());
+    let codes = findings
+        .iter()
+        .map(|finding| finding.rule.severity.exit_code());
     codes.max().unwrap_or(0)
 }
 
@@ -58,7 +60,7 @@
 
 fn print_findings(findings: &[Finding]) {
     if findings.is_empty() {
-        println!("nothing found");
+        println!("no findings");
     }
     for Finding { rule, subject } in findings {
         let (number, severity) = (rule.number, rule.severity.name());
@@ -69,20 +71,23 @@
 }
 
 fn examine(file: &Path) -> Vec<Finding> {
-    // an edge's file is a core's without `listen` and `data`, so a file with
-    // `listen` is read as a core's
-    let as_edge = Settings::load(file, &Overrides::default(), Role::Edge);
-    let is_core = as_edge.as_ref().is_ok_and(|s| s.listen.is_some());
+    // only cores have `listen`, so a file with that key is read as a core's
+    let edge_settings = Settings::load(file, &Overrides::default(), Role::Edge);
+    let is_core = edge_settings
+        .as_ref()
+        .is_ok_and(|settings| settings.listen.is_some());
     let settings = if is_core {
         Settings::load(file, &Overrides::default(), Role::Core)
     } else {
-        as_edge
+        edge_settings
     };
     match settings {
         Ok(settings) => check(&observe(&settings)),
         Err(faults) => {
             let findings = faults.into_iter();
-            findings.map(|f| Finding::new(SETTINGS_FAULT, f)).collect()
+            findings
+                .map(|fault| Finding::new(SETTINGS_FAULT, fault))
+                .collect()
         }
     }
 }
--- a/sorreldoor/src/doctor/observe.rs
+++ b/sorreldoor/src/doctor/observe.rs
@@ -1,5 +1,5 @@
-//! Gathering what the checks need: the first frame of each seed, a probe of
-//! the disk, and each core's status over HTTP.
+//! Collects the input of the checks: the first frame that each seed sends, a
+//! probe of the disk, and the status of each core over HTTP.
 
 use crate::http::{self, Call};
 use crate::json::{self, Value};
@@ -14,36 +14,36 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long one connection may take.
-const TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest status that is read, in bytes.
+/// Limit of probing one seed, from connecting to the end of its first frame.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longer statuses count as unreadable.
 const MAX_STATUS_BYTES: usize = 16 << 20;
-/// A status may take this many times as long as an acknowledgement.
+/// Limit of a status call beyond `PROBE_TIMEOUT`, in multiples of `ack_ms`.
 const ACKS_PER_STATUS: u64 = 3;
 
-/// What was found at a seed address.
+/// The result of probing a seed address.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SeedStatus {
-    /// No connection, or no frame that can be read, within the time-out.
-    Unreached,
-    /// A core of another site; the fingerprint of that site as text.
+    /// No connection or no valid frame within the timeout.
+    Unreachable,
+    /// A core of another site, with the fingerprint of that site as text.
     OtherSite(String),
-    /// A core of another version of the protocol, with that version.
+    /// A core that uses another protocol version.
     OtherProtocol(u16),
-    /// A core of this site, as it introduces itself.
+    /// A core of this site, with the `Hello` that it sent.
     Core(Box<Hello>),
 }
 
-/// What was found of the data folder.
+/// The result of probing the data folder.
 #[derive(Clone, Debug)]
 pub struct DiskStatus {
     /// How long a sync of one file took, in milliseconds, or why it failed.
     pub sync_ms: Result<u64, String>,
-    /// Free space that unprivileged processes may use; none: unknown.
+    /// Free space for unprivileged processes; `None` if unknown.
     pub free_percent: Option<u64>,
 }
 
-/// All that was observed, for the checks.
+/// The input of the checks.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// Each seed by its address.
@@ -53,12 +53,13 @@
     /// The status of each core, by name.
     pub cores: Vec<(String, Value)>,
     /// Cores whose status could not be read.
-    pub unread: Vec<String>,
+    pub unreadable: Vec<String>,
     /// This machine's clock, in milliseconds since the Unix epoch.
     pub wall_ms: i64,
 }
 
-/// Observes the site around a node with these settings; blocks.
+/// Probes the seeds, the disk and the cores of a node with these settings.
+/// Blocks until all probes have ended.
 #[must_use]
 pub fn observe(settings: &Settings) -> Observations {
     let mut observations = Observations {
@@ -81,7 +82,7 @@
     for core in cores {
         match read_status(settings, &core) {
             Some(status) => observations.cores.push((core.node, status)),
-            None => observations.unread.push(core.node),
+            None => observations.unreadable.push(core.node),
         }
     }
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -91,12 +92,15 @@
 
 /// Reads the `Hello` that a core sends first on any connection.
 async fn probe_seed(address: SocketAddr, site: &str) -> SeedStatus {
-    let frame = timeout(TIMEOUT, read_frame(address)).await.ok().flatten();
+    let frame = timeout(PROBE_TIMEOUT, read_frame(address))
+        .await
+        .ok()
+        .flatten();
     match frame.map(|frame| wire::unpack(site, &frame)) {
         Some(Ok(Payload::Hello(hello))) => SeedStatus::Core(Box::new(hello)),
-        Some(Err(Refused::Site(hash))) => SeedStatus::OtherSite(format!("mark {hash:x}")),
+        Some(Err(Refused::Site(hash))) => SeedStatus::OtherSite(format!("fingerprint {hash:x}")),
         Some(Err(Refused::Protocol(version))) => SeedStatus::OtherProtocol(version),
-        _ => SeedStatus::Unreached,
+        _ => SeedStatus::Unreachable,
     }
 }
 
@@ -113,7 +117,7 @@
 fn read_status(settings: &Settings, core: &Hello) -> Option<Value> {
     let address: SocketAddr = core.http.parse().ok()?;
     let address = settings.dial_address(address);
-    let limit = TIMEOUT + Duration::from_millis(settings.ack_ms * ACKS_PER_STATUS);
+    let limit = PROBE_TIMEOUT + Duration::from_millis(settings.ack_ms * ACKS_PER_STATUS);
     let call = http::call(address, Call::get("/v1/status"), MAX_STATUS_BYTES, limit);
     let response = task::block_on(call).ok()?;
     if response.status != 200 {
--- a/sorreldoor/src/doctor/rules.rs
+++ b/sorreldoor/src/doctor/rules.rs
@@ -1,11 +1,11 @@
-//! The closed list of rules that the doctor checks, and its findings.
+//! The rules that `doctor` checks, and its findings.
 
 use Severity::{Broken, Note, Warn};
 
-/// How bad a finding is; the variants rise.
+/// How severe a finding is, in rising order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// To be known; nothing is wrong.
+    /// Worth knowing, but no fault.
     Note,
     /// Degraded, or about to fail.
     Warn,
@@ -14,7 +14,7 @@
 }
 
 impl Severity {
-    /// The exit code of a run whose worst finding this is.
+    /// The exit code of a run whose most severe finding has this severity.
     #[must_use]
     pub fn exit_code(self) -> i32 {
         match self {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The name as it is printed.
+    /// The printed name.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -35,16 +35,16 @@
     }
 }
 
-/// A fault that the doctor knows, with its remedy.
+/// A condition that `doctor` checks for, with its remedy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
     /// Never reused; printed as `D01` and so on.
     pub number: u8,
-    /// How bad a finding of this rule is.
+    /// Severity of its findings.
     pub severity: Severity,
-    /// The fault, as it is printed.
+    /// The printed condition.
     pub text: &'static str,
-    /// What an operator should do, as it is printed.
+    /// The printed instruction to the operator.
     pub remedy: &'static str,
 }
 
@@ -57,124 +57,124 @@
     }
 }
 
-/// Stands for a number that is not listed.
+/// Used for a number that is missing in `RULES`.
 const UNLISTED: Rule = rule(0, Broken, "unlisted", "report this");
 
-/// All rules, by rising numbers.
+/// All rules, in the order of their numbers.
 pub const RULES: &[Rule] = &[
     rule(
         1,
         Broken,
-        "the settings have a fault",
-        "correct the key that is named; --check tells when it is good",
+        "the settings are not valid",
+        "correct the key that is named; verify with --check",
     ),
     rule(
         2,
         Warn,
-        "a seed address is not reached",
-        "start that core, or correct the address here and its way",
+        "a seed address cannot be reached",
+        "start that core, or correct the address or the network path to it",
     ),
     rule(
         3,
         Broken,
-        "no seed address is reached",
+        "no seed address can be reached",
         "check this machine's network, and that cores run at the seeds",
     ),
     rule(
         4,
         Broken,
         "a seed belongs to another site",
-        "give both the same site, regions and zones, or another seed",
+        "give both nodes the same site, regions and zones, or correct the seed",
     ),
     rule(
         5,
         Broken,
-        "a seed speaks another protocol",
-        "bring all nodes to neighbouring releases, one after the other",
+        "a seed uses another protocol version",
+        "bring all nodes to adjacent releases, one after the other",
     ),
     rule(
         6,
         Warn,
-        "a clock is far from this machine's",
-        "set the clocks by one source; they are slewed, not stepped",
+        "a core's clock differs too much from this machine's",
+        "synchronize all clocks to one source, slewed rather than stepped",
     ),
     rule(
         7,
         Broken,
-        "the data folder does not sync",
+        "the data folder cannot be synced",
         "replace the disk, then the core",
     ),
     rule(
         8,
         Warn,
-        "the data folder syncs slowly",
-        "look for what else uses the disk",
+        "syncing the data folder is slow",
+        "look for other processes that use the disk",
     ),
     rule(
         9,
         Warn,
         "the disk is nearly full",
-        "free space; a core whose disk is full stands aside",
+        "free space; a core with a full disk stops taking part",
     ),
     rule(
         10,
         Broken,
         "there is no global leader",
-        "bring back cores until a majority of all is up and connected",
+        "restore cores until a majority of all is up and connected",
     ),
     rule(
         11,
         Broken,
-        "a core has stood aside over its disk",
+        "a core does not take part because its disk failed",
         "replace its disk, then the core",
     ),
     rule(
         12,
         Warn,
-        "a region is without its majority",
-        "bring back that region's cores; commits go on without the region",
+        "a region lacks a majority of its cores",
+        "restore that region's cores; commits continue without the region",
     ),
     rule(
         13,
         Warn,
-        "a core is a member and not heard of",
-        "start it, or replace it as the page on replacing says",
+        "a member core does not respond",
+        "start it, or replace it as in replacing.md",
     ),
     rule(
         14,
         Warn,
-        "the core has too few voters",
+        "the consensus group has too few voters",
         "start a blank core in the zone that lacks one",
     ),
     rule(
         15,
         Broken,
-        "no setup has been adopted",
+        "no configuration is in force",
         "put one: ctl put FILE --base 0",
     ),
     rule(
         16,
         Warn,
-        "an edge lags behind the setup in force",
+        "an edge has not applied the current configuration",
         "if it lasts over 3 s, restart the edge",
     ),
     rule(
         17,
         Warn,
-        "an edge has no permit and serves nothing",
-        "look for a leader first, then for the edge's way to the cores",
+        "an edge has no lease and serves nothing",
+        "look for a global leader first, then at the edge's network path to the cores",
     ),
     rule(
         18,
         Broken,
-        "no edge has a session",
+        "no edge has a session with a core",
         "start edges, or correct their seeds",
     ),
     rule(
         19,
         Warn,
-        "a worker is dark",
-        "look at the worker, or have the platform take it off the list",
+        "a worker does not report its load",
+        "look at the worker, or have the platform remove it from the list",
     ),
     rule(
         20,
@@ -185,53 +185,53 @@
     rule(
         21,
         Note,
-        "a zone is left emptied",
-        "if its work is done: ctl return ZONE --base SERIAL",
+        "a zone is evacuated",
+        "if the work on it is done: ctl return ZONE --base N",
     ),
     rule(
         22,
         Warn,
-        "a region is lost or not yet served in full",
-        "look at its workers; it comes back by itself",
+        "a region is lost or still recovering",
+        "look at its workers; it recovers by itself",
     ),
     rule(
         23,
         Warn,
         "a core's status cannot be read over HTTP",
-        "look at that core, and at the way to its http address",
+        "look at that core and at the network path to its http address",
     ),
     rule(
         24,
         Warn,
-        "the room for claims on errand ids is nearly used up",
-        "raise max_claims on every core, or find who sends so many ids",
+        "the claim table for request ids is nearly full",
+        "raise max_claims on every core, or find the client that sends so many ids",
     ),
     rule(
         25,
         Note,
-        "a tuned weight stands at its bound",
-        "if the service should bear more or less, widen its least or most",
+        "a tuned weight is at its bound",
+        "if the service should get more or less traffic, widen its least or most",
     ),
     rule(
         26,
         Warn,
-        "a core has no say on claims yet",
-        "wait until it has read the other cores; if it lasts, look at their ways",
+        "a core does not vote on claims yet",
+        "wait until it has read the other cores' claims; if it lasts, look at the network paths to them",
     ),
     rule(
         27,
         Warn,
-        "the voters are not what is wanted",
-        "wait some seconds; if it lasts, bring back cores, or start a blank one",
+        "the number of voters is not the wanted one, or is changing",
+        "wait some seconds; if it lasts, restore cores, or start a blank one",
     ),
 ];
 
-/// A rule that applies, and to what.
+/// A rule whose condition is met, and the subject that meets it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The rule that applies.
+    /// The rule.
     pub rule: Rule,
-    /// The node, address or value concerned.
+    /// The node, address or value that meets the condition.
     pub subject: String,
 }
 
--- a/sorreldoor/tests/doctor.rs
+++ b/sorreldoor/tests/doctor.rs
@@ -1,10 +1,10 @@
-//! The doctor's rules, on observations that a test cannot safely bring about.
+//! Rules of `doctor`, on constructed observations.
 
 use simd_json::prelude::*;
 use sorreldoor::doctor::{check, DiskStatus, Observations, SeedStatus, RULES};
 use sorreldoor::json::{self, Value};
 
-const SOUND: &str = r#"{"node":"c1","quorum":true,"wall_ms":1000000,"disk_failed":false,
+const HEALTHY_STATUS: &str = r#"{"node":"c1","quorum":true,"wall_ms":1000000,"disk_failed":false,
  "voters_wanted":3,"voters":3,"voters_differ":null,"serial":4,"regions_down":[],"emptied":[],"roster_problem":null,
  "cores":[{"id":"1","voter":true,"live":true},{"id":"2","voter":true,"live":true},{"id":"3","voter":true,"live":true}],
  "edges":[{"node":"e1","zone":"z","serial":4,"permit":true}],"regions":{"a":"served"},
@@ -31,7 +31,10 @@
 
 #[test]
 fn each_condition_has_its_finding() {
-    assert_eq!(rule_numbers(&observations_of(SOUND)), Vec::<u8>::new());
+    assert_eq!(
+        rule_numbers(&observations_of(HEALTHY_STATUS)),
+        Vec::<u8>::new()
+    );
     let table: [(&str, &str, u8); 16] = [
         (
             "\"voters_differ\":null",
@@ -79,9 +82,9 @@
         ("\"a\":\"served\"", "\"a\":\"lost\"", 22),
     ];
     for (from, to, number) in table {
-        assert!(SOUND.contains(from), "{from}");
+        assert!(HEALTHY_STATUS.contains(from), "{from}");
         assert_eq!(
-            rule_numbers(&observations_of(&SOUND.replace(from, to))),
+            rule_numbers(&observations_of(&HEALTHY_STATUS.replace(from, to))),
             vec![number],
             "{to}"
         );
@@ -110,13 +113,16 @@
     };
     assert_eq!(
         rule_numbers(&seeds(vec![
-            SeedStatus::Unreached,
+            SeedStatus::Unreachable,
             SeedStatus::OtherProtocol(9)
         ])),
         vec![5, 2]
     );
     assert_eq!(
-        rule_numbers(&seeds(vec![SeedStatus::Unreached, SeedStatus::Unreached])),
+        rule_numbers(&seeds(vec![
+            SeedStatus::Unreachable,
+            SeedStatus::Unreachable
+        ])),
         vec![3]
     );
     assert_eq!(
--- a/testbed/tests/doctor.rs
+++ b/testbed/tests/doctor.rs
@@ -43,14 +43,14 @@
     let mut f = Fleet::start(&d, small());
     f.wait_until_founded();
     let edge = f.edges()[0];
-    finds(&f, edge, &["D15 broken no setup"], 2);
+    finds(&f, edge, &["D15 broken no configuration"], 2);
     let file = f.root.join("setup.json");
     std::fs::write(&file, configuration(&f.preset)).unwrap();
     f.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
     f.wait_until_serving();
-    finds(&f, edge, &["nothing found"], 0);
+    finds(&f, edge, &["no findings"], 0);
     f.ctl(0, &["evacuate", "n2", "--base", "1"]);
-    finds(&f, edge, &["D21 note a zone is left emptied"], 0);
+    finds(&f, edge, &["D21 note a zone is evacuated"], 0);
     f.ctl(0, &["return", "n2", "--base", "2"]);
     // a worker goes dark, and with it the region that has no other
     let k = f
@@ -64,7 +64,11 @@
     finds(
         &f,
         edge,
-        &["D19 warn a worker is dark", &addr.to_string(), "D22 warn"],
+        &[
+            "D19 warn a worker does not report its load",
+            &addr.to_string(),
+            "D22 warn",
+        ],
         1,
     );
     // other settings: another site, and faults
