--- a/sorreldoor/src/log_events.rs
+++ b/sorreldoor/src/log_events.rs
@@ -1,7 +1,8 @@
-//! Numbered log events: every line a daemon logs starts with `E` and a number.
+//! Numbered log events: every line that a daemon logs starts with `E` and the
+//! number of its event.
 //!
-//! The table below is the source of `docs/events.md`; a test holds the page
-//! against it. Numbers are never reused, so that alerts built on them last.
+//! The table below is the source of `docs/events.md`; a test compares the page
+//! with it. Numbers are never reused, so that alerts stay valid.
 
 use std::fmt;
 
@@ -27,13 +28,13 @@
                 match self { $(LogEvent::$event => log::Level::$level),* }
             }
 
-            /// What happened, without the particulars of one occurrence.
+            /// What happened, without the details of one occurrence.
             #[must_use]
             pub fn message(self) -> &'static str {
                 match self { $(LogEvent::$event => $message),* }
             }
 
-            /// What an engineer on call does about it.
+            /// What an engineer on call should do.
             #[must_use]
             pub fn action(self) -> &'static str {
                 match self { $(LogEvent::$event => $action),* }
@@ -45,8 +46,8 @@
 log_events! {
     Started 100 Info "node started"
         "nothing";
-    ShuttingDown 101 Info "shutdown requested; accepting nothing new"
-        "nothing; it exits 0 when running requests have ended or `drain_ms` has passed";
+    ShuttingDown 101 Info "shutdown requested; no new requests are accepted"
+        "nothing; the node exits with 0 when running requests have ended or `drain_ms` has passed";
     Stopped 102 Info "stopped cleanly"
         "nothing";
     Listening 103 Info "listening"
@@ -54,11 +55,11 @@
     ClockJump 104 Warn "clock jumped or process was frozen; lease dropped"
         "if frequent, look for a starved or paused machine";
     QueueFull 105 Warn "an event queue between threads is full; its newest entry is dropped"
-        "look for a thread that does not keep up: a stuck disk, a flood of frames";
+        "find the thread that falls behind: the disk may be stuck, or frames may arrive too fast";
     IdentityCreated 200 Info "node identity created and synced"
-        "nothing; once in the life of a data folder";
+        "nothing; expected once per data folder";
     ClusterBootstrapped 201 Info "cluster bootstrapped"
-        "nothing; once in the life of a site";
+        "nothing; expected once per site";
     JoiningAsLearner 202 Info "blank core joins an existing cluster as a learner"
         "nothing; see replacing.md";
     BootstrapPromised 203 Info "promised to bootstrap with these cores"
@@ -78,53 +79,53 @@
     MembershipChanged 216 Info "core membership changed"
         "nothing";
     MembershipChangeStarted 217 Warn "membership change started"
-        "nothing if planned; else check that the core it names is really gone";
+        "nothing if planned; else check that the core named is permanently lost";
     DiskFailed 220 Error "disk cannot be written or synced; this core does not take part until it can"
         "free space or repair the disk (E224 follows); else replace the core as in replacing.md";
     DiskSlow 221 Warn "a write to disk was slow"
         "look at the disk if it persists";
-    DiskCorrupt 222 Error "data folder is damaged; its state is discarded and this core joins anew"
-        "look at the disk: synced bytes were lost; the core rejoins by itself as a blank one";
+    DiskCorrupt 222 Error "data folder is corrupt; its state is discarded and this core joins again"
+        "look at the disk: synced data was lost; the core rejoins by itself as a blank one";
     TornWrite 223 Warn "an incomplete write at the end of the log was truncated"
-        "nothing; what was truncated had never been acknowledged";
+        "nothing; the truncated write was never acknowledged";
     DiskRecovered 224 Info "disk accepts writes again; this core takes part again"
         "nothing";
-    FrameRejected 230 Warn "closed a connection because of a rejected frame"
-        "another site, an older release or a stranger connects to this port";
+    FrameRejected 230 Warn "connection closed because of a rejected frame"
+        "find the peer: a node of another site or an older release, or another program";
     SessionEstablished 240 Info "session with a core established"
         "nothing";
     SessionLost 241 Warn "session with a core lost"
-        "look at the core it was with";
+        "look at the core that the session was with";
     EdgeConnected 242 Info "session of an edge established"
         "nothing";
     EdgeDisconnected 243 Warn "session of an edge lost"
         "nothing if the edge was stopped";
     SingletonAcquired 244 Info "acquired the singleton role under a new epoch"
         "nothing";
-    ClaimsLearned 245 Info "has read the claims on request ids; votes on new ones"
-        "nothing; once after a blank core joined";
+    ClaimsLearned 245 Info "claims on request ids read from the other cores; this core votes on new claims"
+        "nothing; expected once after a blank core joined";
     ClaimTableFull 246 Warn "claim table is full; new request ids are rejected"
-        "raise `max_claims`, or have callers send fewer requests under ids of their own";
-    LeaseExpired 250 Warn "lease expired; serving nothing"
-        "this edge sheds load; look at its path to the cores and at the Global Leader";
-    LeaseRenewed 251 Info "lease renewed; serving"
+        "raise `max_claims`, or have clients send fewer requests under ids of their own";
+    LeaseExpired 250 Warn "lease expired; new requests are rejected"
+        "look at this edge's network path to the cores and at the Global Leader";
+    LeaseRenewed 251 Info "lease renewed; requests are accepted"
         "nothing";
     ConfigurationApplied 252 Info "configuration applied"
         "nothing";
-    ConfigurationUnreadable 253 Error "a received configuration could not be read; keeping none"
-        "bring this node to the release of the others";
+    ConfigurationUnreadable 253 Error "a received configuration could not be read and is not applied"
+        "run this node with the release of the other nodes";
     WorkerListChanged 260 Info "worker list changed"
         "nothing";
     WorkerListUnavailable 261 Warn "worker list of the platform cannot be read"
         "look at the platform; the last list read stays in force";
     WorkerUnresponsive 262 Warn "a worker does not report its load"
-        "look at the worker; it gets nothing new meanwhile";
+        "look at the worker; it gets no new requests meanwhile";
     WorkerResponsive 263 Info "a worker reports its load again"
         "nothing";
     OutcomeUnknown 270 Warn "outcome of a non-idempotent request is unknown"
-        "the caller was told so; look at the worker named";
+        "look at the worker named; the caller received `outcome-unknown`";
     StreamInterrupted 271 Warn "a stream of a worker was interrupted"
-        "the reader was shown the break";
+        "look at the worker named; the client was sent an incomplete stream";
     WorkerResponseRejected 272 Warn "a response of a worker was rejected"
         "look at the worker named";
     ChangeCommitted 280 Info "a change of an operator was committed"
@@ -141,10 +142,10 @@
     }
 }
 
-/// Log target of all events but those of the audit log.
+/// Log target of all events outside the audit log.
 const TARGET: &str = "sorreldoor";
-/// Log target of operators' changes, so that a filter can keep them where it
-/// drops other events of their level.
+/// Log target of the audit log, so that a filter can keep it and drop other
+/// events of the same level.
 pub const AUDIT_TARGET: &str = "sorreldoor::audit";
 
 impl LogEvent {
@@ -155,7 +156,7 @@
     }
 }
 
-/// Logs one event with the particulars of this occurrence.
+/// Logs one event with the details of this occurrence.
 pub fn log_event(event: LogEvent, details: impl fmt::Display) {
     let target = if event.is_audited() {
         AUDIT_TARGET
