--- a/sorreldoor/src/invariants.rs
+++ b/sorreldoor/src/invariants.rs
@@ -1,11 +1,11 @@
-//! The invariants of the system, for mutation testing: each is named where the
-//! code upholds it. Builds with the feature `mutants` can disable one, to show
-//! that a check notices; shipped builds have no such switch.
+//! The invariants of the system, for mutation testing: the code that upholds an
+//! invariant names it. Builds with the feature `mutants` can disable invariants,
+//! to show that tests detect the violation; released builds cannot.
 
 macro_rules! invariants {
     ($($rule:ident $name:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-        /// A property that the code upholds, and that a mutant can give up.
+        /// A property that the code upholds and that a mutant can disable.
         pub enum Invariant {
             $(
                 /// Described by the comment on its name in `invariants!`.
@@ -25,17 +25,17 @@
 }
 
 invariants! {
-    // An edge serves only while it holds a lease.
+    // An edge serves requests only while it holds a lease.
     Lease "permit";
     // The lease is void after the process was suspended or the clock jumped.
     LeaseVoidAfterSuspension "woken";
-    // A core answers reads as current only once a majority has confirmed it.
+    // A read is answered as current only after a majority has confirmed the leader.
     QuorumConfirmedRead "proof";
-    // A renewal without an answer goes to one more core.
+    // A lease renewal without a timely response is hedged to one more core.
     HedgedRenewal "hedge";
     // A leader without a live quorum steps down.
     StepDown "step-down";
-    // Once a core has confirmed its state, it offers none unconfirmed to edges that start.
+    // After its first confirmation, a core sends starting edges only confirmed state.
     ConfirmedStateOnly "unverified";
     // A request goes only to workers that the current configuration allows.
     AllowedWorker "allowed";
@@ -43,11 +43,11 @@
     Authenticated "authenticated";
     // The key of a tenant is withheld from workers.
     KeyWithheld "key-withheld";
-    // The requests of a tenant, over all nodes, stay within its quota.
+    // The requests of a tenant over all nodes stay within its quota.
     Quota "quota";
-    // A proxy that is told to stop answers what it has read.
+    // A proxy that shuts down responds to the requests that it has read.
     GracefulDrain "graceful-drain";
-    // A proxy applies each update of the configuration that it is sent.
+    // A proxy applies each configuration update that it receives.
     UpdatesApplied "updates-applied";
     // A home-bound request stays in its home region.
     HomeRegion "home";
@@ -63,25 +63,25 @@
     RetryBudget "budget";
     // A request that may have run is retried only if it is idempotent.
     RetryOnlyIdempotent "repeat";
-    // A request that may have run is not reported as rejected.
+    // A request that may have run is not reported as not run.
     UnknownOutcome "unknown";
-    // An attempt that was given up before sending is not sent.
+    // An attempt that was abandoned before sending is not sent.
     AbandonedNotSent "refusal";
     // A request with a claim pending is not sent.
     ClaimBeforeSend "claim";
-    // A claim is answered only once it is synced to disk.
+    // A claim is acknowledged only after it is synced to disk.
     ClaimSynced "claim-synced";
-    // A core votes on claims only once it has read those of its peers.
+    // A core votes on claims only after it has read those of its peers.
     ClaimsCaughtUp "learned";
     // Of two changes based on one version, only the first is applied.
     BaseVersion "base";
     // A change that is rejected leaves no trace in the state.
     RejectionLeavesNoTrace "loser";
-    // A change based on a future version is undecided, not rejected for good.
+    // A change based on a future version may be retried; it is not rejected for good.
     FutureBase "not-yet";
     // A proposal is applied at most once.
     AppliedOnce "applied-once";
-    // A rejected proposal is not recorded as applied, so it may be decided anew.
+    // A rejected proposal is not recorded as applied, so a retry is decided again.
     RejectionNotRecorded "refusal-kept";
     // Snapshots contain the ids of applied proposals.
     AppliedIdsInSnapshot "taken-in-image";
@@ -93,7 +93,7 @@
     ResponseRequestId "result-owner";
     // Events of a stream are relayed in sequence, and only this request's.
     StreamSequence "sequence";
-    // An attempt that may have run is followed by another only if that is harmless.
+    // An attempt that may have run is retried only if running twice is harmless.
     SafeReattempt "send-once";
     // A client is told that its request did not run only if that is certain.
     CertainNotRun "honest-refusal";
@@ -101,24 +101,24 @@
     ResponseAttemptId "answer-id";
     // A connection with unexpected bytes on it is not reused.
     CleanConnection "clean-connection";
-    // A successful response ended only by the close of its connection is not trusted.
+    // A successful response that only the close of its connection ends is rejected.
     DelimitedResponse "whole-answer";
-    // Replicas get updates as deltas, unless they are empty or too far behind.
+    // Replicas receive deltas unless they are empty or too far behind.
     DeltaUpdates "differences";
-    // Updates of item lists contain the deletions.
+    // Delta updates of item lists include deletions.
     DeltaDeletions "deletions";
-    // Connections to an earlier incarnation of a core, or to the identity whose disk
-    // was lost, are closed once the next one introduces itself.
+    // When a core connects with a new incarnation, or a new identity after losing its
+    // disk, connections to the previous one are closed.
     SupersededConnection "superseded";
-    // Frames go on a connection that still receives, if there is one.
+    // Frames are sent on a connection that still receives, if there is one.
     LiveConnection "live-connection";
-    // Changes of many sessions are merged and reported together.
+    // Changes of many sessions are reported in one batch.
     SessionsBatched "sessions-gathered";
     // Messages of consensus are handled before the work for edges.
     ConsensusPriority "urgent-lane";
-    // An edge that has state renews no more often than others.
+    // An edge that has state renews at the normal rate.
     UniformRenewalRate "unhurried";
-    // The bytes of endpoint lists that a core sends per time are bounded.
+    // The rate of endpoint list bytes that a core sends is bounded.
     EndpointListRate "endpoints-paced";
     // The bytes of large updates in flight are bounded.
     LargeUpdatesBounded "copies-bounded";
@@ -140,11 +140,11 @@
     use std::sync::OnceLock;
 
     thread_local! {
-        // tests run side by side, each on a thread of its own
-        static ON_THIS_THREAD: Cell<Option<Invariant>> = const { Cell::new(None) };
+        // tests run in parallel, each on its own thread
+        static DISABLED_HERE: Cell<Option<Invariant>> = const { Cell::new(None) };
     }
 
-    /// The invariants that this process was started without.
+    /// The invariants that `SORRELDOOR_BREAK` disables for this process.
     fn from_environment() -> &'static [Invariant] {
         static DISABLED: OnceLock<Vec<Invariant>> = OnceLock::new();
         DISABLED.get_or_init(|| {
@@ -156,11 +156,11 @@
 
     /// Whether a test has disabled this invariant.
     pub fn is_disabled(invariant: Invariant) -> bool {
-        ON_THIS_THREAD.get() == Some(invariant) || from_environment().contains(&invariant)
+        DISABLED_HERE.get() == Some(invariant) || from_environment().contains(&invariant)
     }
 
-    /// Disables this invariant on this thread from now on, and no other.
+    /// Disables this invariant, and no other, on the current thread.
     pub fn disable_only(invariant: Option<Invariant>) {
-        ON_THIS_THREAD.set(invariant);
+        DISABLED_HERE.set(invariant);
     }
 }
