--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs a whole fleet of the product on one machine, with stand-ins.
+//! Test programs: fleets of real processes with stub workers, soak tests, and
+//! simulations in virtual time.
 
 use gumdrop::Options;
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -13,10 +14,12 @@
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Bytes that are allocated now.
+/// Bytes currently allocated.
 fn heap_in_use() -> usize {
-    let s = HEAP.stats();
-    s.bytes_allocated.saturating_sub(s.bytes_deallocated)
+    let stats = HEAP.stats();
+    stats
+        .bytes_allocated
+        .saturating_sub(stats.bytes_deallocated)
 }
 
 #[derive(Debug, Options)]
@@ -24,22 +27,30 @@
     #[options(help = "show this help")]
     help: bool,
     #[options(command)]
-    what: Option<What>,
+    command: Option<Command>,
 }
 
 #[derive(Debug, Options)]
-enum What {
-    #[options(help = "start twelve processes with workers and a platform, until told to stop")]
+enum Command {
+    #[options(
+        help = "run a site of node processes with stub workers and a stub platform until a signal"
+    )]
     Fleet(FleetArgs),
-    #[options(help = "hosted routes over kept connections, while troubles overlap")]
+    #[options(
+        help = "soak test of hosted routes over persistent connections, with overlapping faults"
+    )]
     Soak(SoakArgs),
-    #[options(help = "a deployment's mix on a gateway's own routes, while nodes fail")]
+    #[options(
+        help = "soak test of a gateway's own routes with a deployment's mix, while nodes fail"
+    )]
     GatewaySoak(GatewaySoakArgs),
-    #[options(help = "one node whose clock and disk misbehave as a file says")]
+    #[options(help = "run one node with the clock and disk faults that a file gives")]
     Node(NodeArgs),
-    #[options(help = "a site of hollow nodes in virtual time: what control costs, and slopes")]
+    #[options(
+        help = "simulate a site of hollow nodes in virtual time: costs of the control plane, and fits"
+    )]
     Hollow(HollowArgs),
-    #[options(help = "policies of placement compared in virtual time")]
+    #[options(help = "compare placement policies in virtual time")]
     Experiment(testbed::experiment::Args),
 }
 
@@ -49,9 +60,13 @@
     help: bool,
     #[options(help = "core or edge", meta = "ROLE", required)]
     role: String,
-    #[options(help = "the node's settings", meta = "FILE", required)]
+    #[options(help = "settings file of the node", meta = "FILE", required)]
     settings: Option<PathBuf>,
-    #[options(help = "what misbehaves, and how", meta = "FILE", required)]
+    #[options(
+        help = "file of clock and disk faults; may change while the node runs",
+        meta = "FILE",
+        required
+    )]
     tricks: Option<PathBuf>,
 }
 
@@ -63,11 +78,11 @@
     root: Option<PathBuf>,
     #[options(help = "press or archive", meta = "SITE", default = "press")]
     site: String,
-    #[options(help = "how long", meta = "SECONDS", default = "30")]
+    #[options(help = "duration", meta = "SECONDS", default = "30")]
     seconds: u64,
     #[options(
         no_short,
-        help = "seed of faults and callers",
+        help = "seed of faults and clients",
         meta = "N",
         default = "1"
     )]
@@ -85,35 +100,36 @@
 }
 
 fn main() {
-    let a = Args::parse_args_default_or_exit();
-    match a.what {
-        Some(What::Fleet(f)) => fleet(f),
-        Some(What::Soak(args)) => std::process::exit(soak_command::run_command(&args)),
-        Some(What::GatewaySoak(args)) => gateway_soak(args),
-        Some(What::Node(n)) => {
+    let args = Args::parse_args_default_or_exit();
+    match args.command {
+        Some(Command::Fleet(args)) => fleet(args),
+        Some(Command::Soak(args)) => std::process::exit(soak_command::run_command(&args)),
+        Some(Command::GatewaySoak(args)) => gateway_soak(args),
+        Some(Command::Node(args)) => {
             env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
                 .init();
-            let (set, tricks) = (n.settings.unwrap_or_default(), n.tricks.unwrap_or_default());
-            if let Err(e) = testbed::faulty_node::run(&n.role, &set, &tricks) {
-                eprintln!("testbed: {e}");
+            let settings = args.settings.unwrap_or_default();
+            let faults = args.tricks.unwrap_or_default();
+            if let Err(error) = testbed::faulty_node::run(&args.role, &settings, &faults) {
+                eprintln!("testbed: {error}");
                 std::process::exit(1);
             }
         }
-        Some(What::Hollow(h)) => {
-            if let Err(e) = hollow(&h, heap_in_use) {
-                eprintln!("testbed: {e}");
+        Some(Command::Hollow(args)) => {
+            if let Err(error) = hollow(&args, heap_in_use) {
+                eprintln!("testbed: {error}");
                 std::process::exit(2);
             }
         }
-        Some(What::Experiment(a)) => match testbed::experiment::run(&a) {
-            Ok(whole) => std::process::exit(i32::from(!whole)),
-            Err(e) => {
-                eprintln!("testbed: {e}");
+        Some(Command::Experiment(args)) => match testbed::experiment::run(&args) {
+            Ok(passed) => std::process::exit(i32::from(!passed)),
+            Err(error) => {
+                eprintln!("testbed: {error}");
                 std::process::exit(2);
             }
         },
         None => {
-            eprintln!("testbed: say what to run: fleet; see --help");
+            eprintln!("testbed: a subcommand is required, e.g. fleet; see --help");
             std::process::exit(2);
         }
     }
@@ -123,44 +139,48 @@
     match name {
         "press" => press(),
         "archive" => archive(),
-        s => {
-            eprintln!("testbed: no site {s:?}; press or archive");
+        unknown => {
+            eprintln!("testbed: unknown site {unknown:?}; expected press or archive");
             std::process::exit(2);
         }
     }
 }
 
-fn gateway_soak(a: GatewaySoakArgs) {
-    let root = a.root.unwrap_or_default();
-    let mut f = Fleet::start(&root, preset(&a.site));
-    f.serve();
-    let t = testbed::gateway_soak::soak(&mut f, a.seed, 24, Duration::from_secs(a.seconds));
+fn gateway_soak(args: GatewaySoakArgs) {
+    let root = args.root.unwrap_or_default();
+    let mut fleet = Fleet::start(&root, preset(&args.site));
+    fleet.serve();
+    let tally =
+        testbed::gateway_soak::soak(&mut fleet, args.seed, 24, Duration::from_secs(args.seconds));
     println!(
-        "asked {}, served {}, refused {}, unsure {}",
-        t.requests, t.served, t.refused, t.unsure
+        "requests {}, served {}, rejected {}, unknown {}",
+        tally.requests, tally.served, tally.refused, tally.unsure
     );
-    t.violations.iter().for_each(|w| println!("violation: {w}"));
-    drop(f);
-    std::process::exit(i32::from(!t.violations.is_empty()));
+    tally
+        .violations
+        .iter()
+        .for_each(|violation| println!("violation: {violation}"));
+    drop(fleet);
+    std::process::exit(i32::from(!tally.violations.is_empty()));
 }
 
-fn fleet(a: FleetArgs) {
-    let preset = preset(&a.site);
-    let root = a.root.unwrap_or_default();
+fn fleet(args: FleetArgs) {
+    let preset = preset(&args.site);
+    let root = args.root.unwrap_or_default();
     let mut stop = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
     ])
-    .expect("signals can be watched");
-    let mut f = Fleet::start(&root, preset);
-    f.wait_until_founded();
+    .expect("signal handlers can be installed");
+    let mut fleet = Fleet::start(&root, preset);
+    fleet.wait_until_founded();
     let file = root.join("setup.json");
-    std::fs::write(&file, configuration(&f.preset)).expect("the fleet's folder can be written");
-    for n in &f.nodes {
-        println!("{:<14} zone {:<4} http {}", n.name, n.zone, n.http);
+    std::fs::write(&file, configuration(&fleet.preset)).expect("the fleet's folder can be written");
+    for node in &fleet.nodes {
+        println!("{:<14} zone {:<4} http {}", node.name, node.zone, node.http);
     }
-    let at = f.nodes[0].http;
-    println!("adopt the setup with:");
+    let at = fleet.nodes[0].http;
+    println!("put the configuration with:");
     println!("  sorreldoor ctl --at {at} put {} --base 0", file.display());
     stop.forever().next();
 }
