--- a/sorreldoor/src/lib.rs
+++ b/sorreldoor/src/lib.rs
@@ -1,6 +1,7 @@
-//! sorreldoor: serving of a language model across regions.
+//! sorreldoor routes requests for a language model across regions.
 //!
-//! docs/architecture.md says who owns which state; docs/glossary.md has the terms.
+//! docs/architecture.md describes the programs and the owners of state;
+//! docs/glossary.md defines the terms.
 
 #![deny(missing_docs)]
 
--- a/sorreldoor/src/main.rs
+++ b/sorreldoor/src/main.rs
@@ -1,4 +1,5 @@
-//! The `sorreldoor` program; the role is a subcommand.
+//! The `sorreldoor` program: runs a core or an edge node, the operators' client or
+//! the doctor.
 
 use gumdrop::Options;
 use sorreldoor::settings::{Overrides, Role, Settings};
@@ -13,18 +14,18 @@
     #[options(help = "show the version")]
     version: bool,
     #[options(command)]
-    role: Option<Command>,
+    command: Option<Command>,
 }
 
 #[derive(Debug, Options)]
 enum Command {
-    #[options(help = "run a core node: consensus, sessions, delivery; needs a data folder")]
+    #[options(help = "run a core node: consensus and distribution of state; needs a data folder")]
     Core(NodeArgs),
-    #[options(help = "run an edge node: takes callers' errands to workers")]
+    #[options(help = "run an edge node: routes requests to workers")]
     Edge(NodeArgs),
-    #[options(help = "operators' client")]
+    #[options(help = "read and change the configuration and the status of a site")]
     Ctl(ctl::Args),
-    #[options(help = "look for common faults around a node")]
+    #[options(help = "check a node's settings, disk and site for common faults")]
     Doctor(doctor::Args),
 }
 
@@ -34,31 +35,43 @@
     help: bool,
     #[options(help = "settings file (JSON)", meta = "FILE", required)]
     settings: Option<PathBuf>,
-    #[options(help = "check the settings, say what is wrong, and start nothing")]
+    #[options(help = "check the settings, print faults, and exit")]
     check: bool,
-    #[options(no_short, help = "node's name, over the file's", meta = "NAME")]
+    #[options(
+        no_short,
+        help = "node name; overrides the settings file",
+        meta = "NAME"
+    )]
     node: Option<String>,
-    #[options(no_short, help = "node's zone, over the file's", meta = "ZONE")]
+    #[options(no_short, help = "zone; overrides the settings file", meta = "ZONE")]
     zone: Option<String>,
     #[options(
         no_short,
-        help = "address for frames, over the file's",
+        help = "address for connections between nodes; overrides the settings file",
         meta = "IP:PORT"
     )]
     listen: Option<String>,
-    #[options(no_short, help = "address for HTTP, over the file's", meta = "IP:PORT")]
+    #[options(
+        no_short,
+        help = "HTTP address; overrides the settings file",
+        meta = "IP:PORT"
+    )]
     http: Option<String>,
-    #[options(no_short, help = "data folder, over the file's", meta = "DIR")]
+    #[options(
+        no_short,
+        help = "data folder; overrides the settings file",
+        meta = "DIR"
+    )]
     data: Option<String>,
     #[options(
         no_short,
-        help = "platform's address, over the file's",
+        help = "address of the platform; overrides the settings file",
         meta = "IP:PORT"
     )]
     platform: Option<String>,
     #[options(
         no_short,
-        help = "a seed address, repeatable, over the file's",
+        help = "seed address; repeatable; overrides the settings file",
         meta = "IP:PORT"
     )]
     seed: Vec<String>,
@@ -73,13 +86,15 @@
         println!("sorreldoor {}", env!("CARGO_PKG_VERSION"));
         return;
     }
-    let code = match args.role {
+    let code = match args.command {
         Some(Command::Core(args)) => run_node(args, Role::Core),
         Some(Command::Edge(args)) => run_node(args, Role::Edge),
         Some(Command::Ctl(args)) => ctl::run(args),
         Some(Command::Doctor(args)) => doctor::run(args),
         None => {
-            eprintln!("sorreldoor: name a role: core, edge, ctl or doctor; see --help");
+            eprintln!(
+                "sorreldoor: a subcommand is required: core, edge, ctl or doctor; see --help"
+            );
             2
         }
     };
@@ -116,8 +131,8 @@
         Role::Edge => sorreldoor::gateway::run(settings),
     };
     result.map_or_else(
-        |e| {
-            eprintln!("sorreldoor: {e}");
+        |error| {
+            eprintln!("sorreldoor: {error}");
             1
         },
         |()| 0,
--- a/sorreldoor/src/run.rs
+++ b/sorreldoor/src/run.rs
@@ -1,5 +1,5 @@
-//! What daemons need around their reducers: ticks, termination signals and an
-//! edge's introduction.
+//! Parts that daemons share: timer ticks, termination signals and the `Hello` of
+//! an edge.
 
 use crate::order_id;
 use crate::runtime::{EventSender, Prioritized, SendError};
@@ -24,8 +24,8 @@
     });
 }
 
-/// Sends the event made by `stop` to the queue at the first SIGTERM or SIGINT; a
-/// second one ends the process at once, with exit code 1.
+/// Starts a thread that sends the event made by `stop` to the queue at the first
+/// SIGTERM or SIGINT; a second signal ends the process at once with exit code 1.
 ///
 /// # Errors
 /// The signal handlers could not be installed.
@@ -36,8 +36,8 @@
     use signal_hook::consts::{SIGINT, SIGTERM};
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT])?;
     thread::spawn(move || {
-        for (earlier, _) in signals.forever().enumerate() {
-            if earlier > 0 {
+        for (earlier_signals, _) in signals.forever().enumerate() {
+            if earlier_signals > 0 {
                 std::process::exit(1);
             }
             let _ = events.send_blocking(stop());
@@ -46,8 +46,8 @@
     Ok(())
 }
 
-/// The introduction of an edge to the control plane. Each call makes a new
-/// random id and incarnation.
+/// The first message of an edge to a core. Each call makes a new random id and
+/// incarnation.
 pub fn edge_hello(settings: &Settings) -> Hello {
     Hello {
         id: order_id::random_id() >> 1,
--- a/sorreldoor/src/start_error.rs
+++ b/sorreldoor/src/start_error.rs
@@ -1,17 +1,17 @@
-//! Why a node cannot start.
+//! Errors that prevent a node from starting.
 
 use snafu::Snafu;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a node cannot start. Each needs a change of the settings or of the
-/// machine; to start it again unchanged is of no use.
+/// The reason why a node cannot start. A retry fails again unless the settings or
+/// the machine change.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StartError {
     /// The data folder is missing or not accessible.
-    #[snafu(display("data: cannot use {}: {source}", folder.display()))]
+    #[snafu(display("data: cannot use folder {}: {source}", folder.display()))]
     OpenStore {
         /// The data folder.
         folder: PathBuf,
@@ -19,7 +19,7 @@
         source: io::Error,
     },
 
-    /// The settings give no address for frames.
+    /// The settings have no listen address for connections between nodes.
     #[snafu(display("listen: is missing"))]
     NoListenAddress,
 
@@ -35,7 +35,7 @@
     },
 
     /// The handler for the stop signals cannot be installed.
-    #[snafu(display("signals: {source}"))]
+    #[snafu(display("signals: cannot install handlers: {source}"))]
     Signals {
         /// Why it cannot be installed.
         source: io::Error,
