--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP interface as both roles serve it: parsing of requests
-//! and responses for their outcomes.
+//! The operators' HTTP interface that core and edge nodes serve: parses requests
+//! and builds responses.
 
 use crate::configuration::{self, Site};
 use crate::discovery::{Loads, Worker};
@@ -14,18 +14,17 @@
 use simd_json::prelude::*;
 use std::time::Duration;
 
-/// A request of an operator.
+/// A parsed operator request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
     /// Propose a change of the configuration or of the evacuated zones.
     Change {
-        /// Given by the operator, so that a retry is applied once, or else
-        /// random.
+        /// Idempotency key: given by the operator, or else random.
         proposal_id: ProposalId,
         /// The change.
         cmd: Command,
     },
-    /// Check a configuration without applying it; it has been checked already.
+    /// Validate a configuration without applying it; parsing has done so.
     Check {
         /// The faults found; none if it is valid.
         faults: Vec<String>,
@@ -34,31 +33,31 @@
     Configuration,
     /// Show the status of the node.
     Status,
-    /// Show the status as flat metrics.
+    /// Show the numbers and flags of the status as a flat JSON object.
     Metrics,
     /// Show the outcome of a proposal.
     Proposal(ProposalId),
-    /// Remove a core from the members; only cores accept it.
+    /// Remove a core from the members; edges reject it.
     DropCore {
-        /// As for a change.
+        /// Idempotency key, as for a change.
         proposal_id: ProposalId,
-        /// Identity of the core.
+        /// Identity of the core to remove.
         id: u64,
     },
 }
 
-/// How long the body of a request may take.
+/// Limit of receiving the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn base(req: &Request) -> Result<u64, ErrorCode> {
-    let base = http::query(req, "base").ok_or(ErrorCode::MissingBaseVersion)?;
+fn base_version(request: &Request) -> Result<u64, ErrorCode> {
+    let base = http::query(request, "base").ok_or(ErrorCode::MissingBaseVersion)?;
     base.parse().map_err(|_| ErrorCode::MissingBaseVersion)
 }
 
-fn given_proposal_id(req: &Request) -> Result<ProposalId, ErrorCode> {
-    http::query(req, "id").map_or_else(
+fn given_proposal_id(request: &Request) -> Result<ProposalId, ErrorCode> {
+    http::query(request, "id").map_or_else(
         || Ok(random_proposal_id()),
-        |s| parse_proposal_id(&s).ok_or(ErrorCode::InvalidRequestField),
+        |id| parse_proposal_id(&id).ok_or(ErrorCode::InvalidRequestField),
     )
 }
 
@@ -67,13 +66,13 @@
 /// # Errors
 /// The method, a parameter or the body is not valid.
 pub async fn parse_request(
-    req: &mut Request,
+    request: &mut Request,
     site: &Site,
 ) -> Option<Result<OperatorRequest, ErrorCode>> {
-    let path = req.url().path().to_string();
+    let path = request.url().path().to_string();
     let rest = path.strip_prefix("/v1/")?;
     let parts: Vec<&str> = rest.split('/').collect();
-    let method = req.method();
+    let method = request.method();
     Some(match (method, parts.as_slice()) {
         (Method::Get, ["setup"]) => Ok(OperatorRequest::Configuration),
         (Method::Get, ["status"]) => Ok(OperatorRequest::Status),
@@ -82,23 +81,23 @@
             .map(OperatorRequest::Proposal)
             .ok_or(ErrorCode::InvalidRequestField),
         (Method::Put, ["setup"]) => {
-            document_change(req, |base, doc| Command::Put {
+            document_change(request, |base, document| Command::Put {
                 base,
                 new_version: None,
-                document: doc,
+                document,
             })
             .await
         }
         (Method::Patch, ["setup"]) => {
-            document_change(req, |base, patch| Command::MergePatch { base, patch }).await
+            document_change(request, |base, patch| Command::MergePatch { base, patch }).await
         }
-        (Method::Post, ["check"]) => check(req, site).await,
-        (Method::Post, ["zones", z, "empty"]) => zone(req, site, z, true),
-        (Method::Post, ["zones", z, "return"]) => zone(req, site, z, false),
+        (Method::Post, ["check"]) => validate(request, site).await,
+        (Method::Post, ["zones", zone, "empty"]) => evacuation(request, site, zone, true),
+        (Method::Post, ["zones", zone, "return"]) => evacuation(request, site, zone, false),
         (Method::Post, ["cores", id, "drop"]) => u64::from_str_radix(id, 16)
             .map_err(|_| ErrorCode::InvalidRequestField)
             .and_then(|id| {
-                given_proposal_id(req)
+                given_proposal_id(request)
                     .map(|proposal_id| OperatorRequest::DropCore { proposal_id, id })
             }),
         (_, ["setup" | "status" | "metrics" | "check"] | ["proposals", _])
@@ -109,42 +108,42 @@
     })
 }
 
-async fn body_text(req: &mut Request) -> Result<String, ErrorCode> {
-    let body = http::body(req, configuration::MAX_BYTES, BODY_TIMEOUT).await?;
+async fn body_text(request: &mut Request) -> Result<String, ErrorCode> {
+    let body = http::body(request, configuration::MAX_BYTES, BODY_TIMEOUT).await?;
     String::from_utf8(body).map_err(|_| ErrorCode::InvalidJson)
 }
 
-/// A change whose body is a document or a patch.
+/// Reads a change whose body is a configuration or a merge patch.
 async fn document_change(
-    req: &mut Request,
+    request: &mut Request,
     command: impl Fn(u64, String) -> Command,
 ) -> Result<OperatorRequest, ErrorCode> {
-    let base = base(req)?;
-    let proposal_id = given_proposal_id(req)?;
-    let text = body_text(req).await?;
+    let base = base_version(request)?;
+    let proposal_id = given_proposal_id(request)?;
+    let text = body_text(request).await?;
     Ok(OperatorRequest::Change {
         proposal_id,
         cmd: command(base, text),
     })
 }
 
-async fn check(req: &mut Request, site: &Site) -> Result<OperatorRequest, ErrorCode> {
-    let text = body_text(req).await?;
+async fn validate(request: &mut Request, site: &Site) -> Result<OperatorRequest, ErrorCode> {
+    let text = body_text(request).await?;
     let faults = configuration::parse(text.as_bytes(), site)
         .err()
         .unwrap_or_default();
     Ok(OperatorRequest::Check { faults })
 }
 
-fn zone(
-    req: &Request,
+fn evacuation(
+    request: &Request,
     site: &Site,
-    z: &str,
+    zone_name: &str,
     evacuated: bool,
 ) -> Result<OperatorRequest, ErrorCode> {
-    let zone = site.zone(z).ok_or(ErrorCode::UnknownZone)?;
-    let base = base(req)?;
-    let proposal_id = given_proposal_id(req)?;
+    let zone = site.zone(zone_name).ok_or(ErrorCode::UnknownZone)?;
+    let base = base_version(request)?;
+    let proposal_id = given_proposal_id(request)?;
     Ok(OperatorRequest::Change {
         proposal_id,
         cmd: Command::EvacuateZone {
@@ -155,38 +154,40 @@
     })
 }
 
-fn list(v: &[String]) -> Value {
+fn string_list(texts: &[String]) -> Value {
     Value::from(
-        v.iter()
-            .map(|s| Value::from(s.as_str()))
+        texts
+            .iter()
+            .map(|text| Value::from(text.as_str()))
             .collect::<Vec<_>>(),
     )
 }
 
-/// The response to a change: applied, rejected, or outcome unknown.
+/// The response to a change: applied, rejected, or outcome unknown. It carries
+/// `Retry-After` if a retry is safe.
 pub fn change_response(proposal_id: ProposalId, outcome: &OpOutcome) -> Response {
-    let mut v = Value::object();
-    let _ = v.insert("proposal", format_proposal_id(proposal_id));
+    let mut body = Value::object();
+    let _ = body.insert("proposal", format_proposal_id(proposal_id));
     let error_code = match outcome {
         OpOutcome::Got(Outcome::Applied { version }) => {
-            let _ = v.insert("taken", true);
-            let _ = v.insert("serial", *version);
-            return http::ok(v);
+            let _ = body.insert("taken", true);
+            let _ = body.insert("serial", *version);
+            return http::ok(body);
         }
         OpOutcome::Got(Outcome::Stale { version }) => {
-            let _ = v.insert("serial", *version);
+            let _ = body.insert("serial", *version);
             ErrorCode::StaleVersion
         }
         OpOutcome::Got(Outcome::Invalid { faults }) => {
-            let _ = v.insert("faults", list(faults));
+            let _ = body.insert("faults", string_list(faults));
             ErrorCode::InvalidConfiguration
         }
         OpOutcome::Got(Outcome::StaleEpoch { epoch }) => {
-            let _ = v.insert("epoch", *epoch);
+            let _ = body.insert("epoch", *epoch);
             ErrorCode::StaleVersion
         }
         OpOutcome::Got(Outcome::BaseAhead { version }) => {
-            let _ = v.insert("serial", *version);
+            let _ = body.insert("serial", *version);
             ErrorCode::BaseVersionAhead
         }
         OpOutcome::Got(Outcome::Unknown { .. }) | OpOutcome::Unknown => {
@@ -200,57 +201,63 @@
         error_code,
         ErrorCode::ChangeOutcomeUnknown | ErrorCode::BaseVersionAhead
     ) {
-        let _ = v.insert("taken", false);
+        let _ = body.insert("taken", false);
     }
-    let _ = v.insert("problem", error_code.code());
-    let _ = v.insert("text", error_code.message());
-    let mut r = http::json(error_code.status(), v.encode());
+    let _ = body.insert("problem", error_code.code());
+    let _ = body.insert("text", error_code.message());
+    let mut response = http::json(error_code.status(), body.encode());
     if error_code.is_retryable() {
-        r.insert_header("retry-after", "1");
+        response.insert_header("retry-after", "1");
     }
-    r
+    response
 }
 
-/// The response to a check of a document.
+/// The response to a validation of a configuration.
 pub fn check_response(faults: &[String]) -> Response {
-    let mut v = Value::object();
-    let _ = v.insert("good", faults.is_empty());
-    let _ = v.insert("faults", list(faults));
-    http::ok(v)
+    let mut body = Value::object();
+    let _ = body.insert("good", faults.is_empty());
+    let _ = body.insert("faults", string_list(faults));
+    http::ok(body)
 }
 
-/// The numbers and flags of a status as flat metrics.
+/// The numbers and flags of a status as a flat JSON object: a flag as 0 or 1, a
+/// list as its length.
 pub fn metrics_response(status: &str) -> Response {
-    let v = crate::json::parse(status.as_bytes(), usize::MAX).unwrap_or_default();
-    let mut out = Value::object();
-    let mut put = |prefix: &str, v: &Value| {
-        for (k, x) in v.as_object().into_iter().flatten() {
-            let name = format!("{prefix}{k}");
-            if x.is_number() {
-                let _ = out.insert(name, x.clone());
-            } else if let Some(b) = x.as_bool() {
-                let _ = out.insert(name, u64::from(b));
-            } else if let Some(a) = x.as_array() {
-                let _ = out.insert(name, a.len());
+    let status = crate::json::parse(status.as_bytes(), usize::MAX).unwrap_or_default();
+    let mut metrics = Value::object();
+    let mut put = |prefix: &str, fields: &Value| {
+        for (key, field) in fields.as_object().into_iter().flatten() {
+            let name = format!("{prefix}{key}");
+            if field.is_number() {
+                let _ = metrics.insert(name, field.clone());
+            } else if let Some(flag) = field.as_bool() {
+                let _ = metrics.insert(name, u64::from(flag));
+            } else if let Some(list) = field.as_array() {
+                let _ = metrics.insert(name, list.len());
             }
         }
     };
-    put("", &v);
-    put("count_", v.get("counts").unwrap_or(&Value::default()));
-    http::ok(out)
+    put("", &status);
+    put("count_", status.get("counts").unwrap_or(&Value::default()));
+    http::ok(metrics)
 }
 
-/// The configuration in force, as any node shows it.
-pub fn configuration_response(version: u64, doc: Option<&str>, evacuated: &[String]) -> Response {
-    let mut v = Value::object();
-    let _ = v.insert("serial", version);
-    let doc = doc.and_then(|d| crate::json::parse(d.as_bytes(), usize::MAX).ok());
-    let _ = v.insert("setup", doc.unwrap_or_default());
-    let _ = v.insert("emptied", list(evacuated));
-    http::ok(v)
+/// The response to a read of the configuration in force.
+pub fn configuration_response(
+    version: u64,
+    document: Option<&str>,
+    evacuated: &[String],
+) -> Response {
+    let mut body = Value::object();
+    let _ = body.insert("serial", version);
+    let document = document.and_then(|text| crate::json::parse(text.as_bytes(), usize::MAX).ok());
+    let _ = body.insert("setup", document.unwrap_or_default());
+    let _ = body.insert("emptied", string_list(evacuated));
+    http::ok(body)
 }
 
-/// For each zone, whether it is evacuated and the requests in flight there.
+/// For each zone, whether it is evacuated, and the numbers of requests in flight
+/// at its workers and at its edges. `at_edges` has zones with their numbers.
 pub fn zone_rows(
     site: &Site,
     evacuated: &[u16],
@@ -258,22 +265,28 @@
     loads: &Loads,
     at_edges: impl Iterator<Item = (u16, u32)>,
 ) -> Vec<Value> {
-    let mut busy_edges = vec![0u32; site.zones.len()];
-    for (z, n) in at_edges {
-        if let Some(all) = busy_edges.get_mut(usize::from(z)) {
-            *all += n;
+    let mut in_flight_at_edges = vec![0u32; site.zones.len()];
+    for (zone, count) in at_edges {
+        if let Some(total) = in_flight_at_edges.get_mut(usize::from(zone)) {
+            *total += count;
         }
     }
-    let row = |z: u16, name: &str| {
-        let mine = workers.iter().filter(|w| w.zone == z);
-        let busy = |w: &Worker| loads.of(&w.name).map_or(0, |l| l.running + l.queued);
+    let row = |zone: u16, name: &str| {
+        let in_zone = workers.iter().filter(|worker| worker.zone == zone);
+        let in_flight = |worker: &Worker| {
+            loads
+                .of(&worker.name)
+                .map_or(0, |load| load.running + load.queued)
+        };
         let mut status = Value::object();
         let _ = status.insert("zone", name);
-        let _ = status.insert("emptied", evacuated.contains(&z));
-        let _ = status.insert("at_workers", mine.map(busy).sum::<u32>());
-        let _ = status.insert("at_edges", busy_edges[usize::from(z)]);
+        let _ = status.insert("emptied", evacuated.contains(&zone));
+        let _ = status.insert("at_workers", in_zone.map(in_flight).sum::<u32>());
+        let _ = status.insert("at_edges", in_flight_at_edges[usize::from(zone)]);
         status
     };
     let names = site.zones.iter().enumerate();
-    names.map(|(z, (n, _))| row(z as u16, n)).collect()
+    names
+        .map(|(zone, (name, _))| row(zone as u16, name))
+        .collect()
 }
