--- a/sorreldoor/tests/cli.rs
+++ b/sorreldoor/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the binary: exit codes, exact messages, a corrupt data folder.
+//! Exit codes and messages of the binary, and its start on corrupt data folders.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -64,7 +64,7 @@
         "{stderr}"
     );
     assert_eq!(exit_and_output(&run(&[])).0, 2);
-    assert_eq!(exit_and_output(&run(&["baker"])).0, 2);
+    assert_eq!(exit_and_output(&run(&["unknown-command"])).0, 2);
     let (code, _, stderr) = exit_and_output(&run(&["ctl", "get"]));
     assert_eq!(
         (code, &stderr[..]),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_occupied_port_or_a_bad_data_folder_exits_with_1() {
+fn an_occupied_port_exits_with_1_and_an_unusable_data_folder_fails() {
     let directory = temp_dir("port");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let occupied = listener.local_addr().unwrap().to_string();
@@ -98,10 +98,10 @@
     assert!(code != 0 && stderr.contains("data"), "{stderr}");
 }
 
-/// The core continues as a blank one, under a new identity, and logs that once; it
-/// exits here only because its port is occupied.
+/// The core continues blank under a new identity. It exits here only because its
+/// port is occupied.
 #[test]
-fn a_corrupt_state_is_discarded_once() {
+fn a_corrupt_state_is_discarded_and_logged_once() {
     let directory = temp_dir("damaged");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let occupied = listener.local_addr().unwrap().to_string();
@@ -112,9 +112,9 @@
     let mut bytes = std::fs::read(&state).unwrap();
     bytes[50] ^= 1;
     std::fs::write(&state, bytes).unwrap();
-    let damaged = start_core();
-    assert!(damaged.contains("E222"), "{damaged}");
-    assert!(damaged.contains("E200"), "{damaged}");
+    let first_start = start_core();
+    assert!(first_start.contains("E222"), "{first_start}");
+    assert!(first_start.contains("E200"), "{first_start}");
     let later_start = start_core();
     assert!(
         !later_start.contains("E222") && !later_start.contains("E200"),
@@ -122,7 +122,7 @@
     );
 }
 
-/// A data folder of the previous release with an unreadable image.
+/// The file `image` is where the previous release stored its snapshot.
 #[test]
 fn a_corrupt_image_of_the_previous_release_is_discarded() {
     let directory = temp_dir("image");
--- a/sorreldoor/tests/doctor.rs
+++ b/sorreldoor/tests/doctor.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_condition_has_its_finding() {
+fn each_faulty_status_has_its_finding_and_a_healthy_one_none() {
     assert_eq!(
         rule_numbers(&observations_of(HEALTHY_STATUS)),
         Vec::<u8>::new()
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn disk_and_seed_conditions_have_their_findings() {
+fn disk_and_seed_faults_have_their_findings_and_rule_numbers_are_distinct() {
     let with = |sync_ms: Result<u64, String>, free: u64| Observations {
         disk: Some(DiskStatus {
             sync_ms,
