--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -10,7 +10,7 @@
 use super::{AttemptOutcome, Decision, RequestId};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
-use crate::proxy::attempt::{ClientAnswer, Event, Repeatability};
+use crate::proxy::request_state::{ClientAnswer, Event, Repeatability};
 use crate::types::Millis;
 
 /// With less time left no attempt is sent.
--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -8,7 +8,7 @@
 use super::{Decision, Target};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
-use crate::proxy::attempt::{Event, Repeatability};
+use crate::proxy::request_state::{Event, Repeatability};
 use crate::types::Millis;
 
 /// An endpoint that was active within this time is alive.
--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -7,7 +7,7 @@
 use crate::configuration::hosted::{Hosted, Route};
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
-use crate::proxy::attempt::{Event, Repeatability, RequestProgress};
+use crate::proxy::request_state::{Event, Repeatability, RequestProgress};
 use crate::proxy::RequestMetadata;
 use crate::types::Millis;
 
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -7,7 +7,7 @@
 use super::state::Balancer;
 use super::{AttemptOutcome, LoadReport, RequestId};
 use crate::error::ErrorCode;
-use crate::proxy::attempt::Event;
+use crate::proxy::request_state::Event;
 use crate::types::Millis;
 
 impl AttemptOutcome {
--- a/sorreldoor/src/balancer/request_table.rs
+++ b/sorreldoor/src/balancer/request_table.rs
@@ -8,7 +8,7 @@
 use super::RequestId;
 use crate::configuration::tenants::ApiKey;
 use crate::error::ErrorCode;
-use crate::proxy::attempt::RequestProgress;
+use crate::proxy::request_state::RequestProgress;
 use crate::proxy::PromptSegment;
 use crate::types::Millis;
 
--- a/sorreldoor/src/proxy/forward_request.rs
+++ b/sorreldoor/src/proxy/forward_request.rs
@@ -2,10 +2,10 @@
 //! the other, as the balancer decides, until the client has its response or an
 //! error answer.
 
-use super::attempt::Event;
 use super::client::Client;
 use super::delivery::Delivery;
 use super::dialect::Dialect;
+use super::request_state::Event;
 use super::shared_state::SharedState;
 use super::upstream::{run_attempt, AttemptResult, ClientRequest, Exchange};
 use crate::balancer::{Decision, RequestId};
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -5,7 +5,6 @@
 //! The way of a request: [`accept`] → `serve_connection` → `request_reader` →
 //! `forward_request` (one round per attempt) → `upstream::run_attempt`.
 
-pub mod attempt;
 mod client;
 mod controller;
 mod daemon;
@@ -17,6 +16,7 @@
 mod listener;
 mod plain_dialect;
 mod request_reader;
+pub mod request_state;
 mod response_writer;
 mod serve_connection;
 mod shared_state;
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -4,9 +4,9 @@
 use super::connection_pool::{Connection, MAX_IDLE_NON_IDEMPOTENT};
 use super::exchange::Exchange;
 use super::response_head::take_final_head;
-use crate::proxy::attempt::Event;
 use crate::proxy::dialect::{Dialect, ForwardHeaders};
 use crate::proxy::http1::Head;
+use crate::proxy::request_state::Event;
 use crate::runtime::Clock;
 use crate::types::Millis;
 use async_std::future::timeout;
--- a/sorreldoor/src/proxy/upstream/response_body.rs
+++ b/sorreldoor/src/proxy/upstream/response_body.rs
@@ -3,10 +3,10 @@
 use super::connection_pool::Connection;
 use super::exchange::Exchange;
 use super::worker_wait::{wait_for_worker, Wakeup};
-use crate::proxy::attempt::Event;
 use crate::proxy::client::Client;
 use crate::proxy::dialect::Dialect;
 use crate::proxy::http1::{BodyDecoder, Framing, Head};
+use crate::proxy::request_state::Event;
 use crate::runtime::Clock;
 use crate::types::Millis;
 
--- a/sorreldoor/src/proxy/upstream/response_class.rs
+++ b/sorreldoor/src/proxy/upstream/response_class.rs
@@ -1,9 +1,9 @@
 //! Whose response a worker's head is, and whether it can be used. Pure.
 
 use crate::invariants::{broken, Invariant};
-use crate::proxy::attempt::Event;
 use crate::proxy::dialect::ResponseMetadata;
 use crate::proxy::http1::{Framing, Head};
+use crate::proxy::request_state::Event;
 
 /// The request that a response should belong to.
 #[derive(Clone, Copy, Debug)]
--- a/sorreldoor/src/proxy/upstream/response_head.rs
+++ b/sorreldoor/src/proxy/upstream/response_head.rs
@@ -4,10 +4,10 @@
 use super::exchange::{Exchange, FAILOVER_CHECK_MS};
 use super::worker_wait::{wait_for_worker, Wakeup};
 use crate::configuration::hosted::{Kind, Route};
-use crate::proxy::attempt::Event;
 use crate::proxy::client::Client;
 use crate::proxy::dialect::Dialect;
 use crate::proxy::http1::{parse_response_head, Head, ReadBuffer};
+use crate::proxy::request_state::Event;
 use crate::runtime::Clock;
 use crate::types::Millis;
 
--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -2,8 +2,8 @@
 
 use super::harness::block_on_test;
 use proptest::prelude::*;
-use sorreldoor::proxy::attempt::Event;
 use sorreldoor::proxy::http1::{parse_response_head, BodyDecoder, ReadBuffer, ReadError};
+use sorreldoor::proxy::request_state::Event;
 use sorreldoor::proxy::response_class::{classify_response, ExpectedRequest, ResponseClass};
 use sorreldoor::proxy::{Dialect, PlainDialect, ResponseMetadata};
 
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -2,7 +2,9 @@
 //! event, for every repeatability, against a model of what physically happened.
 
 use sorreldoor::invariants::{break_only, Invariant};
-use sorreldoor::proxy::attempt::{ClientAnswer, Event, Repeatability, RequestProgress, State};
+use sorreldoor::proxy::request_state::{
+    ClientAnswer, Event, Repeatability, RequestProgress, State,
+};
 use std::collections::HashSet;
 
 const KINDS: [Repeatability; 3] = [
