--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -10,7 +10,7 @@
 use super::{AttemptOutcome, Decision, RequestId};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
-use crate::proxy::request_state::{ClientAnswer, Event, Repeatability};
+use crate::proxy::request_state::{ClientAnswer, Repeatability, RequestEvent};
 use crate::types::Millis;
 
 /// With less time left no attempt is sent.
@@ -91,7 +91,9 @@
     ) -> Decision {
         // without a route nothing says that it is idempotent
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
-        request.progress.on(Event::ConfigurationChanged(kind));
+        request
+            .progress
+            .on(RequestEvent::ConfigurationChanged(kind));
         if !request.progress.may_send() {
             return self.reject(request, ErrorCode::ShuttingDown, now);
         }
--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -8,7 +8,7 @@
 use super::{Decision, Target};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
-use crate::proxy::request_state::{Event, Repeatability};
+use crate::proxy::request_state::{Repeatability, RequestEvent};
 use crate::types::Millis;
 
 /// An endpoint that was active within this time is alive.
@@ -56,7 +56,7 @@
         self.count_attempt(request, service, choice, now);
         request
             .progress
-            .on(Event::WorkerChosen(Repeatability::from(route)));
+            .on(RequestEvent::WorkerChosen(Repeatability::from(route)));
         request.tried.push(choice.endpoint);
         request.attempts += 1;
         request.attempt = Some(Attempt {
--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -7,7 +7,7 @@
 use crate::configuration::hosted::{Hosted, Route};
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
-use crate::proxy::request_state::{Event, Repeatability, RequestProgress};
+use crate::proxy::request_state::{Repeatability, RequestEvent, RequestProgress};
 use crate::proxy::RequestMetadata;
 use crate::types::Millis;
 
@@ -123,7 +123,7 @@
     }
 
     /// Records an event that only the request's own progress depends on.
-    pub fn record_event(&mut self, request_id: RequestId, event: Event) {
+    pub fn record_event(&mut self, request_id: RequestId, event: RequestEvent) {
         if let Some(request) = self.requests.get_mut(request_id) {
             request.progress.on(event);
         }
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -7,7 +7,7 @@
 use super::state::Balancer;
 use super::{AttemptOutcome, LoadReport, RequestId};
 use crate::error::ErrorCode;
-use crate::proxy::request_state::Event;
+use crate::proxy::request_state::RequestEvent;
 use crate::types::Millis;
 
 impl AttemptOutcome {
@@ -40,7 +40,7 @@
             AttemptOutcome::Completed(status) => {
                 self.record_completed(request_id, attempt, status, now);
                 self.close_attempt(request_id, true);
-                self.end_attempt(request_id, Event::ResponseComplete, None);
+                self.end_attempt(request_id, RequestEvent::ResponseComplete, None);
             }
             AttemptOutcome::Rejected(load) => self.attempt_rejected(request_id, attempt, load, now),
             AttemptOutcome::Misdirected => self.attempt_misdirected(request_id, attempt),
@@ -50,13 +50,13 @@
                 self.record_health(attempt, HealthSignal::Failure, now);
                 self.end_attempt(
                     request_id,
-                    Event::Closed,
+                    RequestEvent::Closed,
                     Some(ErrorCode::WorkerDisconnected),
                 );
             }
             AttemptOutcome::Canceled => {
                 self.close_attempt(request_id, true);
-                self.end_attempt(request_id, Event::Closed, None);
+                self.end_attempt(request_id, RequestEvent::Closed, None);
             }
         }
         self.remove_if_unused(attempt.endpoint);
@@ -86,7 +86,7 @@
         }
         // an answer shows that the endpoint is healthy, however loaded
         self.record_health(attempt, HealthSignal::Success, now);
-        self.end_attempt(request_id, Event::NotRun, Some(ErrorCode::NoWorker));
+        self.end_attempt(request_id, RequestEvent::NotRun, Some(ErrorCode::NoWorker));
     }
 
     fn attempt_misdirected(&mut self, request_id: RequestId, attempt: Attempt) {
@@ -96,7 +96,7 @@
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             endpoint.misdirected_at = Some(version);
         }
-        self.end_attempt(request_id, Event::NotRun, Some(ErrorCode::NotSent));
+        self.end_attempt(request_id, RequestEvent::NotRun, Some(ErrorCode::NotSent));
         // the endpoint it was meant for is gone, so no endpoint has had it
         self.uncount_attempt(request_id);
     }
@@ -106,10 +106,19 @@
         self.close_attempt(request_id, false);
         self.cancel_attempt(request_id, attempt);
         self.record_health(attempt, HealthSignal::ConnectFailure, now);
-        self.end_attempt(request_id, Event::ConnectFailed, Some(ErrorCode::NotSent));
+        self.end_attempt(
+            request_id,
+            RequestEvent::ConnectFailed,
+            Some(ErrorCode::NotSent),
+        );
     }
 
-    fn end_attempt(&mut self, request_id: RequestId, event: Event, error: Option<ErrorCode>) {
+    fn end_attempt(
+        &mut self,
+        request_id: RequestId,
+        event: RequestEvent,
+        error: Option<ErrorCode>,
+    ) {
         if let Some(request) = self.requests.get_mut(request_id) {
             request.progress.on(event);
             request.last_error = error;
--- a/sorreldoor/src/proxy/forward_request.rs
+++ b/sorreldoor/src/proxy/forward_request.rs
@@ -5,7 +5,7 @@
 use super::client::Client;
 use super::delivery::Delivery;
 use super::dialect::Dialect;
-use super::request_state::Event;
+use super::request_state::RequestEvent;
 use super::shared_state::SharedState;
 use super::upstream::{run_attempt, AttemptResult, ClientRequest, Exchange};
 use crate::balancer::{Decision, RequestId};
@@ -68,7 +68,7 @@
     let mut controller = shared.lock();
     let balancer = &mut controller.balancer;
     if shared.is_queue_closed() {
-        balancer.record_event(request_id, Event::Shutdown);
+        balancer.record_event(request_id, RequestEvent::Shutdown);
     }
     let decision = balancer.pick(request_id, now);
     Placement {
--- a/sorreldoor/src/proxy/request_state/event.rs
+++ b/sorreldoor/src/proxy/request_state/event.rs
@@ -4,7 +4,7 @@
 
 /// An input of [`RequestProgress`](super::RequestProgress).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Event {
+pub enum RequestEvent {
     /// The balancer chose a worker, under a route of this kind.
     WorkerChosen(Repeatability),
     /// No connection was established, or it failed before any byte was written.
--- a/sorreldoor/src/proxy/request_state/mod.rs
+++ b/sorreldoor/src/proxy/request_state/mod.rs
@@ -1,6 +1,6 @@
 //! The states of one client request at the proxy, from its arrival to its end.
 //!
-//! This module is pure: [`Event`]s go in, and two questions can be asked at any
+//! This module is pure: [`RequestEvent`]s go in, and two questions can be asked at any
 //! moment. [`RequestProgress::may_send`] says whether the request may be sent to
 //! a worker, for the first time or as a retry; [`RequestProgress::client_answer`]
 //! says what the client may be answered if no worker's response can be forwarded.
@@ -15,7 +15,7 @@
 mod repeatability;
 mod retry_decision;
 
-pub use event::Event;
+pub use event::RequestEvent;
 pub use progress::{RequestProgress, State};
 pub use repeatability::Repeatability;
 pub use retry_decision::ClientAnswer;
--- a/sorreldoor/src/proxy/request_state/progress.rs
+++ b/sorreldoor/src/proxy/request_state/progress.rs
@@ -1,6 +1,6 @@
 //! The state machine of one client request.
 
-use super::{Event, Repeatability};
+use super::{Repeatability, RequestEvent};
 
 /// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -67,44 +67,44 @@
     }
 
     /// Applies an event.
-    pub fn on(&mut self, event: Event) {
+    pub fn on(&mut self, event: RequestEvent) {
         match event {
-            Event::ConfigurationChanged(kind) => self.kind = kind,
-            Event::Shutdown => self.shutting_down = true,
-            Event::DeadlinePassed => {
+            RequestEvent::ConfigurationChanged(kind) => self.kind = kind,
+            RequestEvent::Shutdown => self.shutting_down = true,
+            RequestEvent::DeadlinePassed => {
                 self.deadline_passed = true;
                 self.end_attempt();
             }
-            Event::ClientDone => {
+            RequestEvent::ClientDone => {
                 self.end_attempt();
                 self.state = State::Done;
             }
-            Event::PartDelivered { resumable } => self.on_part_delivered(resumable),
-            Event::WorkerChosen(kind) => self.on_worker_chosen(kind),
-            Event::Connected => {
+            RequestEvent::PartDelivered { resumable } => self.on_part_delivered(resumable),
+            RequestEvent::WorkerChosen(kind) => self.on_worker_chosen(kind),
+            RequestEvent::Connected => {
                 if self.state == State::Connecting {
                     self.state = State::Sending { bytes_written: 0 };
                 }
             }
-            Event::BytesWritten(count) => self.on_bytes_written(count),
-            Event::RequestSent => {
+            RequestEvent::BytesWritten(count) => self.on_bytes_written(count),
+            RequestEvent::RequestSent => {
                 if matches!(self.state, State::Connecting | State::Sending { .. }) {
                     self.state = State::AwaitingHead;
                 }
             }
-            Event::HeadReceived => {
+            RequestEvent::HeadReceived => {
                 if self.awaiting_response() {
                     self.state = State::Relaying;
                 }
             }
-            Event::ConnectFailed => self.on_connect_failed(),
-            Event::NotRun => self.on_not_run(),
-            Event::MismatchedHead
-            | Event::Malformed
-            | Event::ResponseComplete
-            | Event::Reset
-            | Event::Closed
-            | Event::IdleTimeout => self.end_attempt(),
+            RequestEvent::ConnectFailed => self.on_connect_failed(),
+            RequestEvent::NotRun => self.on_not_run(),
+            RequestEvent::MismatchedHead
+            | RequestEvent::Malformed
+            | RequestEvent::ResponseComplete
+            | RequestEvent::Reset
+            | RequestEvent::Closed
+            | RequestEvent::IdleTimeout => self.end_attempt(),
         }
     }
 
--- a/sorreldoor/src/proxy/upstream/attempt_runner.rs
+++ b/sorreldoor/src/proxy/upstream/attempt_runner.rs
@@ -14,7 +14,7 @@
 use crate::proxy::delivery::Delivery;
 use crate::proxy::dialect::{Dialect, ResponseMetadata};
 use crate::proxy::http1::{Framing, Head};
-use crate::proxy::request_state::Event;
+use crate::proxy::request_state::RequestEvent;
 use crate::proxy::response_writer::complete_response;
 use crate::runtime::Clock;
 use crate::types::Millis;
@@ -60,9 +60,9 @@
     exchange: &Exchange<'_, D, C>,
     client: &mut Client,
     delivery: &Delivery,
-    event: Event,
+    event: RequestEvent,
 ) -> AttemptResult {
-    if event == Event::ClientDone {
+    if event == RequestEvent::ClientDone {
         return exchange.client_disconnected();
     }
     let result = exchange.worker_failed(event);
@@ -115,7 +115,7 @@
             AttemptResult::Ended
         }
         ResponseClass::Own(framing) => {
-            exchange.record_event(Event::HeadReceived);
+            exchange.record_event(RequestEvent::HeadReceived);
             exchange.record_outcome(AttemptOutcome::HeadReceived {
                 load: metadata.load,
                 slow_start_ms: metadata.warmup_remaining_ms,
@@ -140,7 +140,7 @@
     if delivery.head_sent {
         // only a stream can continue a stream
         exchange.close(connection);
-        return exchange.worker_failed(Event::Malformed);
+        return exchange.worker_failed(RequestEvent::Malformed);
     }
     let timeout_ms = exchange.time_left();
     let body = read_response_body(exchange, client, connection, &head, framing, timeout_ms).await;
@@ -156,7 +156,7 @@
         delivery.error_response = Some(response);
         return AttemptResult::Ended;
     }
-    exchange.record_event(Event::ClientDone);
+    exchange.record_event(RequestEvent::ClientDone);
     let keep_alive = client.write(&response).await;
     AttemptResult::Finished { keep_alive }
 }
--- a/sorreldoor/src/proxy/upstream/exchange.rs
+++ b/sorreldoor/src/proxy/upstream/exchange.rs
@@ -7,7 +7,7 @@
 use crate::invariants::{broken, Invariant};
 use crate::proxy::dialect::Dialect;
 use crate::proxy::http1::{BodyDecoder, Head};
-use crate::proxy::request_state::Event;
+use crate::proxy::request_state::RequestEvent;
 use crate::proxy::shared_state::SharedState;
 use crate::runtime::Clock;
 use crate::types::Millis;
@@ -60,7 +60,7 @@
     }
 
     /// Reports an event to the request's state machine.
-    pub fn record_event(&self, event: Event) {
+    pub fn record_event(&self, event: RequestEvent) {
         let mut controller = self.shared.lock();
         controller
             .balancer
@@ -79,7 +79,7 @@
     }
 
     /// Ends the attempt: the worker failed, in the way that `event` names.
-    pub fn worker_failed(&self, event: Event) -> AttemptResult {
+    pub fn worker_failed(&self, event: RequestEvent) -> AttemptResult {
         self.record_event(event);
         self.record_outcome(AttemptOutcome::Failed);
         AttemptResult::Ended
@@ -87,7 +87,7 @@
 
     /// Ends the attempt and the request: the client has disconnected.
     pub fn client_disconnected(&self) -> AttemptResult {
-        self.record_event(Event::ClientDone);
+        self.record_event(RequestEvent::ClientDone);
         self.record_outcome(AttemptOutcome::Canceled);
         AttemptResult::Finished { keep_alive: false }
     }
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -6,7 +6,7 @@
 use super::response_head::take_final_head;
 use crate::proxy::dialect::{Dialect, ForwardHeaders};
 use crate::proxy::http1::Head;
-use crate::proxy::request_state::Event;
+use crate::proxy::request_state::RequestEvent;
 use crate::runtime::Clock;
 use crate::types::Millis;
 use async_std::future::timeout;
@@ -31,7 +31,7 @@
     /// Nothing can have left: no connection, or it failed before any byte.
     NothingSent,
     /// It failed after some bytes may have left.
-    Failed(Event),
+    Failed(RequestEvent),
 }
 
 /// What one step of writing did.
@@ -55,7 +55,7 @@
                 None => return SendResult::NothingSent,
             },
         };
-        exchange.record_event(Event::Connected);
+        exchange.record_event(RequestEvent::Connected);
         let replaceable = connection.reused;
         match write_request(exchange, connection, last_event).await {
             SendResult::NothingSent if replaceable => {
@@ -134,7 +134,7 @@
         let failure = match step {
             Ok(WriteStep::Wrote(Ok(count))) if count > 0 => {
                 written += count;
-                exchange.record_event(Event::BytesWritten(count as u64));
+                exchange.record_event(RequestEvent::BytesWritten(count as u64));
                 continue;
             }
             // bytes received before the first one was sent answer no request
@@ -145,9 +145,9 @@
                     Err(event) => event,
                 }
             }
-            Ok(WriteStep::Wrote(_)) => Event::Reset,
-            Ok(WriteStep::Read(_)) => Event::Closed,
-            Err(_) => Event::DeadlinePassed,
+            Ok(WriteStep::Wrote(_)) => RequestEvent::Reset,
+            Ok(WriteStep::Read(_)) => RequestEvent::Closed,
+            Err(_) => RequestEvent::DeadlinePassed,
         };
         exchange.close(connection);
         return match written {
@@ -156,7 +156,7 @@
         };
     }
     connection.request_sent = true;
-    exchange.record_event(Event::RequestSent);
+    exchange.record_event(RequestEvent::RequestSent);
     SendResult::Sent(connection)
 }
 
--- a/sorreldoor/src/proxy/upstream/response_body.rs
+++ b/sorreldoor/src/proxy/upstream/response_body.rs
@@ -6,7 +6,7 @@
 use crate::proxy::client::Client;
 use crate::proxy::dialect::Dialect;
 use crate::proxy::http1::{BodyDecoder, Framing, Head};
-use crate::proxy::request_state::Event;
+use crate::proxy::request_state::RequestEvent;
 use crate::runtime::Clock;
 use crate::types::Millis;
 
@@ -25,7 +25,7 @@
     head: &Head,
     framing: Framing,
     timeout_ms: Millis,
-) -> Result<Vec<u8>, Event> {
+) -> Result<Vec<u8>, RequestEvent> {
     let deadline = exchange.now().saturating_add(timeout_ms);
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
@@ -38,13 +38,13 @@
                     Wakeup::BytesRead => continue,
                     // a reset may have lost bytes, a close has not
                     Wakeup::WorkerClosed if decoder.is_complete_at_close() => break,
-                    Wakeup::WorkerClosed => Event::Closed,
-                    Wakeup::WorkerReset => Event::Reset,
-                    Wakeup::ClientDisconnected => Event::ClientDone,
-                    Wakeup::TimedOut => Event::DeadlinePassed,
+                    Wakeup::WorkerClosed => RequestEvent::Closed,
+                    Wakeup::WorkerReset => RequestEvent::Reset,
+                    Wakeup::ClientDisconnected => RequestEvent::ClientDone,
+                    Wakeup::TimedOut => RequestEvent::DeadlinePassed,
                 }
             }
-            Ok(false) | Err(_) => Event::Malformed,
+            Ok(false) | Err(_) => RequestEvent::Malformed,
         };
         exchange.close(connection);
         return Err(failure);
--- a/sorreldoor/src/proxy/upstream/response_class.rs
+++ b/sorreldoor/src/proxy/upstream/response_class.rs
@@ -3,7 +3,7 @@
 use crate::invariants::{broken, Invariant};
 use crate::proxy::dialect::ResponseMetadata;
 use crate::proxy::http1::{Framing, Head};
-use crate::proxy::request_state::Event;
+use crate::proxy::request_state::RequestEvent;
 
 /// The request that a response should belong to.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
     /// Another worker has this address; the request did not run.
     Misdirected,
     /// Neither the response nor the connection can be used.
-    Unusable(Event),
+    Unusable(RequestEvent),
 }
 
 /// Classifies a head before any byte of it may be forwarded to the client.
@@ -35,21 +35,21 @@
 ) -> ResponseClass {
     let success = is_success(head);
     if !is_own(metadata, expected, success) && !broken(Invariant::AnswerId) {
-        return ResponseClass::Unusable(Event::MismatchedHead);
+        return ResponseClass::Unusable(RequestEvent::MismatchedHead);
     }
     if metadata.misdirected {
         return ResponseClass::Misdirected;
     }
     let Ok(framing) = head.response_framing(expected.method) else {
-        return ResponseClass::Unusable(Event::Malformed);
+        return ResponseClass::Unusable(RequestEvent::Malformed);
     };
     // a broken connection would look like the end of such a body
     if framing == Framing::Close && success && !broken(Invariant::WholeAnswer) {
-        return ResponseClass::Unusable(Event::Malformed);
+        return ResponseClass::Unusable(RequestEvent::Malformed);
     }
     match (metadata.not_run, success) {
         // it cannot both have succeeded and not have run
-        (true, true) => ResponseClass::Unusable(Event::Malformed),
+        (true, true) => ResponseClass::Unusable(RequestEvent::Malformed),
         (true, false) => ResponseClass::NotRun(framing),
         (false, _) => ResponseClass::Own(framing),
     }
--- a/sorreldoor/src/proxy/upstream/response_head.rs
+++ b/sorreldoor/src/proxy/upstream/response_head.rs
@@ -7,7 +7,7 @@
 use crate::proxy::client::Client;
 use crate::proxy::dialect::Dialect;
 use crate::proxy::http1::{parse_response_head, Head, ReadBuffer};
-use crate::proxy::request_state::Event;
+use crate::proxy::request_state::RequestEvent;
 use crate::runtime::Clock;
 use crate::types::Millis;
 
@@ -23,13 +23,13 @@
 /// The next head in the buffer that is no interim (1xx) one.
 ///
 /// # Errors
-/// [`Event::Malformed`].
-pub fn take_final_head(buffer: &mut ReadBuffer) -> Result<Option<Head>, Event> {
+/// [`RequestEvent::Malformed`].
+pub fn take_final_head(buffer: &mut ReadBuffer) -> Result<Option<Head>, RequestEvent> {
     loop {
         match parse_response_head(buffer) {
             Ok(Some(head)) if (100..200).contains(&head.status) => {}
             Ok(head) => return Ok(head),
-            Err(_) => return Err(Event::Malformed),
+            Err(_) => return Err(RequestEvent::Malformed),
         }
     }
 }
@@ -56,7 +56,7 @@
     exchange: &Exchange<'_, D, C>,
     client: &Client,
     connection: &mut Connection,
-) -> Result<Head, Event> {
+) -> Result<Head, RequestEvent> {
     let idempotent = exchange.route.kind == Kind::Idempotent;
     let timeout = head_timeout(exchange.route);
     let started_at = exchange.now();
@@ -67,22 +67,22 @@
         }
         let now = exchange.now();
         if now >= exchange.deadline {
-            return Err(Event::DeadlinePassed);
+            return Err(RequestEvent::DeadlinePassed);
         }
         if now >= check_at {
             // a worker that responds to others is slow, but not for twice as long
             let overdue = idempotent || now >= started_at.saturating_add(2 * timeout);
             if exchange.may_fail_over(if overdue { 0 } else { timeout }) {
-                return Err(Event::IdleTimeout);
+                return Err(RequestEvent::IdleTimeout);
             }
             check_at = now + FAILOVER_CHECK_MS;
         }
         let wait_ms = check_at.min(exchange.deadline) - now;
         match wait_for_worker(connection, Some(client), wait_ms).await {
             Wakeup::BytesRead | Wakeup::TimedOut => {}
-            Wakeup::WorkerClosed => return Err(Event::Closed),
-            Wakeup::WorkerReset => return Err(Event::Reset),
-            Wakeup::ClientDisconnected => return Err(Event::ClientDone),
+            Wakeup::WorkerClosed => return Err(RequestEvent::Closed),
+            Wakeup::WorkerReset => return Err(RequestEvent::Reset),
+            Wakeup::ClientDisconnected => return Err(RequestEvent::ClientDone),
         }
     }
 }
--- a/sorreldoor/src/proxy/upstream/stream_relay.rs
+++ b/sorreldoor/src/proxy/upstream/stream_relay.rs
@@ -12,7 +12,7 @@
 use crate::proxy::delivery::Delivery;
 use crate::proxy::dialect::Dialect;
 use crate::proxy::http1::{BodyDecoder, Framing, Head};
-use crate::proxy::request_state::Event;
+use crate::proxy::request_state::RequestEvent;
 use crate::proxy::response_writer::{complete_response, stream_head};
 use crate::runtime::Clock;
 use crate::types::Millis;
@@ -69,7 +69,7 @@
     let mut quiet = false;
     loop {
         let Ok(complete) = decoder.decode(&mut connection.buffer, &mut received) else {
-            return relay.fail(connection, Event::Malformed);
+            return relay.fail(connection, RequestEvent::Malformed);
         };
         let events = take_events(&mut received, relay.delivery.last_event, complete);
         if !events.bytes.is_empty() || complete {
@@ -91,7 +91,7 @@
             // a worker that responds to others is slow, but not for twice as long
             let overdue = now >= relay.forwarded_at.saturating_add(2 * timeout);
             if exchange.may_fail_over(if overdue { 0 } else { timeout }) {
-                return relay.fail(connection, Event::IdleTimeout);
+                return relay.fail(connection, RequestEvent::IdleTimeout);
             }
             check_at = now + FAILOVER_CHECK_MS;
         }
@@ -105,8 +105,8 @@
         match wakeup {
             Wakeup::BytesRead => exchange.record_worker_activity(),
             Wakeup::TimedOut => {}
-            Wakeup::WorkerReset => return relay.fail(connection, Event::Reset),
-            Wakeup::WorkerClosed => return relay.fail(connection, Event::Closed),
+            Wakeup::WorkerReset => return relay.fail(connection, RequestEvent::Reset),
+            Wakeup::WorkerClosed => return relay.fail(connection, RequestEvent::Closed),
             Wakeup::ClientDisconnected => {
                 exchange.close(connection);
                 return exchange.client_disconnected();
@@ -150,7 +150,7 @@
         if complete {
             out.extend_from_slice(LAST_CHUNK);
         }
-        self.exchange.record_event(Event::PartDelivered {
+        self.exchange.record_event(RequestEvent::PartDelivered {
             resumable: events.resumable,
         });
         self.client.write(&out).await
@@ -171,14 +171,14 @@
     fn finish(self) -> AttemptResult {
         self.exchange
             .record_outcome(AttemptOutcome::Completed(self.head.status));
-        self.exchange.record_event(Event::ClientDone);
+        self.exchange.record_event(RequestEvent::ClientDone);
         let keep_alive = !self.client.close;
         AttemptResult::Finished { keep_alive }
     }
 
     /// The stream failed at this worker; the balancer decides whether it is
     /// resumed at another.
-    fn fail(self, connection: Connection, event: Event) -> AttemptResult {
+    fn fail(self, connection: Connection, event: RequestEvent) -> AttemptResult {
         self.exchange.close(connection);
         self.delivery.discard_buffered();
         self.exchange.worker_failed(event)
@@ -187,7 +187,7 @@
     /// The deadline has passed; that is no failure of the worker.
     async fn deadline_passed(self, connection: Connection) -> AttemptResult {
         self.exchange.close(connection);
-        self.exchange.record_event(Event::DeadlinePassed);
+        self.exchange.record_event(RequestEvent::DeadlinePassed);
         self.exchange.record_outcome(AttemptOutcome::Canceled);
         let head_sent = self.delivery.head_sent;
         let keep_alive = !head_sent
--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -3,7 +3,7 @@
 use super::harness::block_on_test;
 use proptest::prelude::*;
 use sorreldoor::proxy::http1::{parse_response_head, BodyDecoder, ReadBuffer, ReadError};
-use sorreldoor::proxy::request_state::Event;
+use sorreldoor::proxy::request_state::RequestEvent;
 use sorreldoor::proxy::response_class::{classify_response, ExpectedRequest, ResponseClass};
 use sorreldoor::proxy::{Dialect, PlainDialect, ResponseMetadata};
 
@@ -85,7 +85,7 @@
     },
     NotRun,
     Misdirected,
-    Unusable(Event),
+    Unusable(RequestEvent),
     /// The connection ended before the response did.
     Truncated,
 }
@@ -120,7 +120,7 @@
             Ok(Some(head)) => break head,
             Ok(None) if feed(&mut buffer) => {}
             Ok(None) => return ParseOutcome::Truncated,
-            Err(_) => return ParseOutcome::Unusable(Event::Malformed),
+            Err(_) => return ParseOutcome::Unusable(RequestEvent::Malformed),
         }
     };
     let mut metadata = ResponseMetadata::default();
@@ -140,8 +140,8 @@
             Ok(true) => break,
             Ok(false) if feed(&mut buffer) => {}
             Ok(false) => return ParseOutcome::Truncated,
-            Err(ReadError::Malformed) => return ParseOutcome::Unusable(Event::Malformed),
-            Err(_) => return ParseOutcome::Unusable(Event::Closed),
+            Err(ReadError::Malformed) => return ParseOutcome::Unusable(RequestEvent::Malformed),
+            Err(_) => return ParseOutcome::Unusable(RequestEvent::Closed),
         }
     }
     let nothing_buffered = buffer.is_empty();
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -3,7 +3,7 @@
 
 use sorreldoor::invariants::{break_only, Invariant};
 use sorreldoor::proxy::request_state::{
-    ClientAnswer, Event, Repeatability, RequestProgress, State,
+    ClientAnswer, Repeatability, RequestEvent, RequestProgress, State,
 };
 use std::collections::HashSet;
 
@@ -13,28 +13,28 @@
     Repeatability::ResumableStream,
 ];
 
-fn events() -> Vec<Event> {
+fn events() -> Vec<RequestEvent> {
     let mut all = vec![
-        Event::ConnectFailed,
-        Event::Connected,
-        Event::BytesWritten(1),
-        Event::RequestSent,
-        Event::NotRun,
-        Event::HeadReceived,
-        Event::MismatchedHead,
-        Event::Malformed,
-        Event::ResponseComplete,
-        Event::PartDelivered { resumable: true },
-        Event::PartDelivered { resumable: false },
-        Event::Reset,
-        Event::Closed,
-        Event::IdleTimeout,
-        Event::DeadlinePassed,
-        Event::ClientDone,
-        Event::Shutdown,
+        RequestEvent::ConnectFailed,
+        RequestEvent::Connected,
+        RequestEvent::BytesWritten(1),
+        RequestEvent::RequestSent,
+        RequestEvent::NotRun,
+        RequestEvent::HeadReceived,
+        RequestEvent::MismatchedHead,
+        RequestEvent::Malformed,
+        RequestEvent::ResponseComplete,
+        RequestEvent::PartDelivered { resumable: true },
+        RequestEvent::PartDelivered { resumable: false },
+        RequestEvent::Reset,
+        RequestEvent::Closed,
+        RequestEvent::IdleTimeout,
+        RequestEvent::DeadlinePassed,
+        RequestEvent::ClientDone,
+        RequestEvent::Shutdown,
     ];
-    all.extend(KINDS.map(Event::WorkerChosen));
-    all.extend(KINDS.map(Event::ConfigurationChanged));
+    all.extend(KINDS.map(RequestEvent::WorkerChosen));
+    all.extend(KINDS.map(RequestEvent::ConfigurationChanged));
     all
 }
 
@@ -82,41 +82,41 @@
         self.head_received = false;
     }
 
-    fn on(&mut self, event: Event) {
+    fn on(&mut self, event: RequestEvent) {
         // without a report of the connection, bytes count as sent
         let may_have_sent = self.bytes_sent || !self.connected;
         match event {
-            Event::WorkerChosen(kind) if !self.attempt_open && !self.client_done => {
+            RequestEvent::WorkerChosen(kind) if !self.attempt_open && !self.client_done => {
                 self.kind = kind;
                 self.attempt_open = true;
                 self.sent_non_idempotent |= kind == Repeatability::NonIdempotent;
             }
-            Event::WorkerChosen(_) => {}
-            Event::ConfigurationChanged(kind) => self.kind = kind,
-            Event::Connected => self.connected |= self.attempt_open,
-            Event::BytesWritten(_) => self.bytes_sent |= self.connected,
-            Event::RequestSent | Event::HeadReceived if self.attempt_open => {
+            RequestEvent::WorkerChosen(_) => {}
+            RequestEvent::ConfigurationChanged(kind) => self.kind = kind,
+            RequestEvent::Connected => self.connected |= self.attempt_open,
+            RequestEvent::BytesWritten(_) => self.bytes_sent |= self.connected,
+            RequestEvent::RequestSent | RequestEvent::HeadReceived if self.attempt_open => {
                 self.connected = true;
                 self.bytes_sent = true;
-                self.head_received |= event == Event::HeadReceived;
+                self.head_received |= event == RequestEvent::HeadReceived;
             }
-            Event::RequestSent | Event::HeadReceived => {}
-            Event::ConnectFailed => self.end(self.bytes_sent),
-            Event::NotRun => self.end(self.head_received),
-            Event::PartDelivered { resumable } if self.head_received => {
+            RequestEvent::RequestSent | RequestEvent::HeadReceived => {}
+            RequestEvent::ConnectFailed => self.end(self.bytes_sent),
+            RequestEvent::NotRun => self.end(self.head_received),
+            RequestEvent::PartDelivered { resumable } if self.head_received => {
                 self.client_received_part = true;
                 self.client_part_resumable &= resumable;
             }
-            Event::PartDelivered { .. } => {}
-            Event::DeadlinePassed => {
+            RequestEvent::PartDelivered { .. } => {}
+            RequestEvent::DeadlinePassed => {
                 self.deadline_passed = true;
                 self.end(may_have_sent);
             }
-            Event::ClientDone => {
+            RequestEvent::ClientDone => {
                 self.end(may_have_sent);
                 self.client_done = true;
             }
-            Event::Shutdown => self.shutting_down = true,
+            RequestEvent::Shutdown => self.shutting_down = true,
             _ => self.end(may_have_sent),
         }
     }
@@ -217,31 +217,31 @@
 #[test]
 fn only_a_proof_of_not_running_allows_a_retry() {
     let uncertain_ends = [
-        Event::Reset,
-        Event::Closed,
-        Event::IdleTimeout,
-        Event::Malformed,
-        Event::MismatchedHead,
-        Event::Shutdown,
-        Event::ConfigurationChanged(Repeatability::Idempotent),
+        RequestEvent::Reset,
+        RequestEvent::Closed,
+        RequestEvent::IdleTimeout,
+        RequestEvent::Malformed,
+        RequestEvent::MismatchedHead,
+        RequestEvent::Shutdown,
+        RequestEvent::ConfigurationChanged(Repeatability::Idempotent),
     ];
     for end in uncertain_ends {
         let mut p = RequestProgress::new(Repeatability::NonIdempotent);
         for event in [
-            Event::WorkerChosen(Repeatability::NonIdempotent),
-            Event::Connected,
-            Event::BytesWritten(1),
+            RequestEvent::WorkerChosen(Repeatability::NonIdempotent),
+            RequestEvent::Connected,
+            RequestEvent::BytesWritten(1),
             end,
-            Event::Closed,
+            RequestEvent::Closed,
         ] {
             p.on(event);
         }
         assert!(!p.may_send(), "{end:?}");
         assert_eq!(p.client_answer(), ClientAnswer::BadGateway, "{end:?}");
     }
-    for proof in [Event::NotRun, Event::ConnectFailed] {
+    for proof in [RequestEvent::NotRun, RequestEvent::ConnectFailed] {
         let mut p = RequestProgress::new(Repeatability::NonIdempotent);
-        p.on(Event::WorkerChosen(Repeatability::NonIdempotent));
+        p.on(RequestEvent::WorkerChosen(Repeatability::NonIdempotent));
         p.on(proof);
         assert!(p.may_send(), "{proof:?}");
         assert_eq!(p.client_answer(), ClientAnswer::Refused, "{proof:?}");
