--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -10,7 +10,7 @@
 use super::{AttemptOutcome, Decision, RequestId};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
-use crate::proxy::request_state::{ClientAnswer, Repeatability, RequestEvent};
+use crate::proxy::request_state::{FallbackResponse, Repeatability, RequestEvent};
 use crate::types::Millis;
 
 /// With less time left no attempt is sent.
@@ -188,9 +188,9 @@
     }
 
     fn reject(&mut self, request: &Request, error: ErrorCode, now: Millis) -> Decision {
-        let error = match request.progress.client_answer() {
-            ClientAnswer::Refused => error,
-            ClientAnswer::GatewayTimeout => ErrorCode::DeadlineExceeded,
+        let error = match request.progress.fallback_response() {
+            FallbackResponse::ServiceUnavailable => error,
+            FallbackResponse::GatewayTimeout => ErrorCode::DeadlineExceeded,
             _ if request.progress.may_run_twice() => ErrorCode::WorkerDisconnected,
             _ => ErrorCode::OutcomeUnknown,
         };
--- a/sorreldoor/src/proxy/request_state/mod.rs
+++ b/sorreldoor/src/proxy/request_state/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! This module is pure: [`RequestEvent`]s go in, and two questions can be asked at any
 //! moment. [`RequestProgress::may_send`] says whether the request may be sent to
-//! a worker, for the first time or as a retry; [`RequestProgress::client_answer`]
+//! a worker, for the first time or as a retry; [`RequestProgress::fallback_response`]
 //! says what the client may be answered if no worker's response can be forwarded.
 //! Nothing else in the proxy decides either of them.
 //!
@@ -18,4 +18,4 @@
 pub use event::RequestEvent;
 pub use progress::{RequestProgress, State};
 pub use repeatability::Repeatability;
-pub use retry_decision::ClientAnswer;
+pub use retry_decision::FallbackResponse;
--- a/sorreldoor/src/proxy/request_state/retry_decision.rs
+++ b/sorreldoor/src/proxy/request_state/retry_decision.rs
@@ -7,15 +7,15 @@
 
 /// The proxy's own answer when no worker's response can be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum ClientAnswer {
+pub enum FallbackResponse {
     /// 503: a promise that the request did not and will not run.
-    Refused,
+    ServiceUnavailable,
     /// 502: it may have run.
     BadGateway,
     /// 504: it may have run, and its deadline has passed.
     GatewayTimeout,
     /// The connection is closed, so that the client sees a truncated response.
-    CutConnection,
+    CloseConnection,
 }
 
 impl RequestProgress {
@@ -47,16 +47,16 @@
     }
 
     /// The answer that is true now if no worker's response is forwarded.
-    pub fn client_answer(&self) -> ClientAnswer {
+    pub fn fallback_response(&self) -> FallbackResponse {
         if self.delivered != Delivered::Nothing || self.state == State::Done {
-            return ClientAnswer::CutConnection;
+            return FallbackResponse::CloseConnection;
         }
         if !self.may_have_run() || broken(Invariant::HonestRefusal) {
-            return ClientAnswer::Refused;
+            return FallbackResponse::ServiceUnavailable;
         }
         match self.deadline_passed {
-            true => ClientAnswer::GatewayTimeout,
-            false => ClientAnswer::BadGateway,
+            true => FallbackResponse::GatewayTimeout,
+            false => FallbackResponse::BadGateway,
         }
     }
 }
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -3,7 +3,7 @@
 
 use sorreldoor::invariants::{break_only, Invariant};
 use sorreldoor::proxy::request_state::{
-    ClientAnswer, Repeatability, RequestEvent, RequestProgress, State,
+    FallbackResponse, Repeatability, RequestEvent, RequestProgress, State,
 };
 use std::collections::HashSet;
 
@@ -135,7 +135,7 @@
 /// How the state differs from what the model expects, if it does.
 fn mismatch(progress: &RequestProgress, model: &Model) -> Option<String> {
     let may_send = progress.may_send();
-    let client_answer = progress.client_answer();
+    let fallback_response = progress.fallback_response();
     let ran = model.may_have_run();
     let idle = !model.attempt_open && !model.client_done && !model.deadline_passed;
     let expected_may_send = idle
@@ -143,22 +143,22 @@
             true => model.retry_allowed(),
             false => !model.shutting_down,
         };
-    let expected_client_answer = match (
+    let expected_fallback_response = match (
         model.client_received_part || model.client_done,
         ran,
         model.deadline_passed,
     ) {
-        (true, _, _) => ClientAnswer::CutConnection,
-        (_, false, _) => ClientAnswer::Refused,
-        (_, true, false) => ClientAnswer::BadGateway,
-        (_, true, true) => ClientAnswer::GatewayTimeout,
+        (true, _, _) => FallbackResponse::CloseConnection,
+        (_, false, _) => FallbackResponse::ServiceUnavailable,
+        (_, true, false) => FallbackResponse::BadGateway,
+        (_, true, true) => FallbackResponse::GatewayTimeout,
     };
     if may_send != expected_may_send {
         return Some(format!("may_send is {may_send}, not {expected_may_send}"));
     }
-    if client_answer != expected_client_answer {
+    if fallback_response != expected_fallback_response {
         return Some(format!(
-            "client_answer is {client_answer:?}, not {expected_client_answer:?}"
+            "fallback_response is {fallback_response:?}, not {expected_fallback_response:?}"
         ));
     }
     (progress.may_have_run() != ran).then(|| format!("may_have_run is not {ran}"))
@@ -237,13 +237,21 @@
             p.on(event);
         }
         assert!(!p.may_send(), "{end:?}");
-        assert_eq!(p.client_answer(), ClientAnswer::BadGateway, "{end:?}");
+        assert_eq!(
+            p.fallback_response(),
+            FallbackResponse::BadGateway,
+            "{end:?}"
+        );
     }
     for proof in [RequestEvent::NotRun, RequestEvent::ConnectFailed] {
         let mut p = RequestProgress::new(Repeatability::NonIdempotent);
         p.on(RequestEvent::WorkerChosen(Repeatability::NonIdempotent));
         p.on(proof);
         assert!(p.may_send(), "{proof:?}");
-        assert_eq!(p.client_answer(), ClientAnswer::Refused, "{proof:?}");
+        assert_eq!(
+            p.fallback_response(),
+            FallbackResponse::ServiceUnavailable,
+            "{proof:?}"
+        );
     }
 }
