--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -93,7 +93,7 @@
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
         request
             .progress
-            .on(RequestEvent::ConfigurationChanged(kind));
+            .apply(RequestEvent::ConfigurationChanged(kind));
         if !request.progress.may_send() {
             return self.reject(request, ErrorCode::ShuttingDown, now);
         }
--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -56,7 +56,7 @@
         self.count_attempt(request, service, choice, now);
         request
             .progress
-            .on(RequestEvent::WorkerChosen(Repeatability::from(route)));
+            .apply(RequestEvent::WorkerChosen(Repeatability::from(route)));
         request.tried.push(choice.endpoint);
         request.attempts += 1;
         request.attempt = Some(Attempt {
--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -125,7 +125,7 @@
     /// Records an event that only the request's own progress depends on.
     pub fn record_event(&mut self, request_id: RequestId, event: RequestEvent) {
         if let Some(request) = self.requests.get_mut(request_id) {
-            request.progress.on(event);
+            request.progress.apply(event);
         }
     }
 
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -120,7 +120,7 @@
         error: Option<ErrorCode>,
     ) {
         if let Some(request) = self.requests.get_mut(request_id) {
-            request.progress.on(event);
+            request.progress.apply(event);
             request.last_error = error;
         }
     }
--- a/sorreldoor/src/proxy/request_state/progress.rs
+++ b/sorreldoor/src/proxy/request_state/progress.rs
@@ -67,7 +67,7 @@
     }
 
     /// Applies an event.
-    pub fn on(&mut self, event: RequestEvent) {
+    pub fn apply(&mut self, event: RequestEvent) {
         match event {
             RequestEvent::ConfigurationChanged(kind) => self.kind = kind,
             RequestEvent::Shutdown => self.shutting_down = true,
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -176,7 +176,7 @@
         for (progress, model) in frontier {
             for event in events() {
                 let (mut p, mut s) = (progress, model);
-                p.on(event);
+                p.apply(event);
                 s.on(event);
                 if let Some(difference) = mismatch(&p, &s) {
                     return Err(format!(
@@ -234,7 +234,7 @@
             end,
             RequestEvent::Closed,
         ] {
-            p.on(event);
+            p.apply(event);
         }
         assert!(!p.may_send(), "{end:?}");
         assert_eq!(
@@ -245,8 +245,8 @@
     }
     for proof in [RequestEvent::NotRun, RequestEvent::ConnectFailed] {
         let mut p = RequestProgress::new(Repeatability::NonIdempotent);
-        p.on(RequestEvent::WorkerChosen(Repeatability::NonIdempotent));
-        p.on(proof);
+        p.apply(RequestEvent::WorkerChosen(Repeatability::NonIdempotent));
+        p.apply(proof);
         assert!(p.may_send(), "{proof:?}");
         assert_eq!(
             p.fallback_response(),
