--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -46,7 +46,7 @@
             arrived_at,
             client_timeout_ms: metadata.deadline_ms,
             deadline: deadline(route, metadata.deadline_ms, arrived_at),
-            prompt_tokens: metadata.tokens_in,
+            prompt_tokens: metadata.prompt_tokens,
             segments: metadata.prompt_segments.into(),
             api_key: metadata.api_key,
             route: Some(route_index),
--- a/sorreldoor/src/proxy/dialect.rs
+++ b/sorreldoor/src/proxy/dialect.rs
@@ -18,16 +18,16 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
     /// The client's id of this attempt.
-    pub id: String,
+    pub client_attempt_id: String,
     /// How long the client will wait, in milliseconds, from when it sent the
     /// request.
     pub deadline_ms: Option<u64>,
     /// Name of the model asked for; empty: not stated.
     pub model: String,
     /// Tokens of the prompt; 0: not stated.
-    pub tokens_in: u32,
+    pub prompt_tokens: u32,
     /// The most tokens to generate; 0: not stated.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
     /// Segments of the prompt in order; the last is the request's own.
     pub prompt_segments: Vec<PromptSegment>,
     /// The client resumes a stream after this event.
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseMetadata {
     /// The id of the request that it answers.
-    pub id: Option<String>,
+    pub client_attempt_id: Option<String>,
     /// The worker promises that the request did not and will not run.
     pub not_run: bool,
     /// Another worker than the intended one responded.
--- a/sorreldoor/src/proxy/plain_dialect.rs
+++ b/sorreldoor/src/proxy/plain_dialect.rs
@@ -57,10 +57,12 @@
     ) -> bool {
         let value = text(value);
         match name.to_ascii_lowercase().as_str() {
-            "x-request-id" => metadata.id = value.to_string(),
+            "x-request-id" => metadata.client_attempt_id = value.to_string(),
             "x-model" => metadata.model = value.to_string(),
             "x-prompt-parts" => metadata.prompt_segments = prompt_segments(value),
-            "x-tokens" => (metadata.tokens_in, metadata.tokens_out) = token_counts(value),
+            "x-tokens" => {
+                (metadata.prompt_tokens, metadata.max_output_tokens) = token_counts(value)
+            }
             "x-deadline-ms" => {
                 metadata.deadline_ms = value.parse().ok();
                 return true;
@@ -108,7 +110,7 @@
         let value = text(value);
         metadata.misdirected |= status == MISDIRECTED_REQUEST;
         match name.to_ascii_lowercase().as_str() {
-            "x-request-id" => metadata.id = Some(value.to_string()),
+            "x-request-id" => metadata.client_attempt_id = Some(value.to_string()),
             "x-not-run" => metadata.not_run = true,
             "x-stamp" => metadata.signed_by_worker = true,
             "x-cold-ms" => metadata.warmup_remaining_ms = value.parse().ok(),
--- a/sorreldoor/src/proxy/serve_connection.rs
+++ b/sorreldoor/src/proxy/serve_connection.rs
@@ -75,7 +75,7 @@
     let request = ClientRequest {
         request_id,
         method: head.method().to_string(),
-        attempt_id: metadata.id,
+        client_attempt_id: metadata.client_attempt_id,
         head: forwarded_head,
         body,
         last_event: metadata.last_event,
--- a/sorreldoor/src/proxy/upstream/attempt_runner.rs
+++ b/sorreldoor/src/proxy/upstream/attempt_runner.rs
@@ -94,7 +94,7 @@
 ) -> AttemptResult {
     let metadata = response_metadata(&exchange.shared.dialect, &head);
     let expected = ExpectedRequest {
-        attempt_id: &exchange.request.attempt_id,
+        client_attempt_id: &exchange.request.client_attempt_id,
         method: &exchange.request.method,
     };
     match classify_response(&head, &metadata, &expected) {
--- a/sorreldoor/src/proxy/upstream/exchange.rs
+++ b/sorreldoor/src/proxy/upstream/exchange.rs
@@ -21,7 +21,7 @@
     pub request_id: RequestId,
     pub method: String,
     /// The client's own id of this attempt; empty if it gave none.
-    pub attempt_id: String,
+    pub client_attempt_id: String,
     /// Request line and forwarded headers, without the empty line.
     pub head: Vec<u8>,
     pub body: Vec<u8>,
--- a/sorreldoor/src/proxy/upstream/response_class.rs
+++ b/sorreldoor/src/proxy/upstream/response_class.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ExpectedRequest<'a> {
     /// The client's id of the attempt; empty if it gave none.
-    pub attempt_id: &'a str,
+    pub client_attempt_id: &'a str,
     /// The request's method; it decides whether a response has a body.
     pub method: &'a str,
 }
@@ -63,8 +63,8 @@
 /// Every response names its request, a rejection too: a late response may
 /// arrive in place of this one, and its promise would be another request's.
 fn is_own(metadata: &ResponseMetadata, expected: &ExpectedRequest, success: bool) -> bool {
-    match &metadata.id {
-        Some(id) => id == expected.attempt_id && (metadata.signed_by_worker || !success),
-        None => expected.attempt_id.is_empty() && !success,
+    match &metadata.client_attempt_id {
+        Some(id) => id == expected.client_attempt_id && (metadata.signed_by_worker || !success),
+        None => expected.client_attempt_id.is_empty() && !success,
     }
 }
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -143,7 +143,7 @@
 fn metadata(parts: &[(u64, u32)]) -> RequestMetadata {
     RequestMetadata {
         deadline_ms: Some(5000),
-        tokens_in: parts.iter().map(|part| part.1).sum(),
+        prompt_tokens: parts.iter().map(|part| part.1).sum(),
         prompt_segments: parts
             .iter()
             .map(|(id, tokens)| PromptSegment {
--- a/testbed/src/emulator/node.rs
+++ b/testbed/src/emulator/node.rs
@@ -111,11 +111,11 @@
         let a = &self.client_requests[tr.ask];
         let c = &self.mix.classes[a.class];
         let requested = RequestMetadata {
-            id: format!("{t:x}"),
+            client_attempt_id: format!("{t:x}"),
             deadline_ms: Some((tr.deadline.saturating_sub(tr.sent)) / 1000),
             model: "m".into(),
-            tokens_in: a.parts.iter().map(|p| p.tokens).sum(),
-            tokens_out: 0,
+            prompt_tokens: a.parts.iter().map(|p| p.tokens).sum(),
+            max_output_tokens: 0,
             prompt_segments: a.parts.clone(),
             last_event: Some(u64::from(tr.from)).filter(|l| *l > 0),
             api_key: None,
--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -91,7 +91,7 @@
 }
 
 const EXPECTED: ExpectedRequest<'static> = ExpectedRequest {
-    attempt_id: OWN_ID,
+    client_attempt_id: OWN_ID,
     method: "POST",
 };
 
