--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -63,7 +63,7 @@
 
 impl ReadyEdge {
     /// The ready ones of the announced edges.
-    pub fn among(endpoints: &[EdgeEndpoint]) -> Vec<ReadyEdge> {
+    pub fn from_endpoints(endpoints: &[EdgeEndpoint]) -> Vec<ReadyEdge> {
         let ready = endpoints.iter().filter(|e| e.ready);
         ready.map(ReadyEdge::from).collect()
     }
@@ -391,7 +391,7 @@
     }
 
     fn update_edges(&mut self, endpoints: Vec<EdgeEndpoint>) {
-        self.ready_edges = ReadyEdge::among(&endpoints);
+        self.ready_edges = ReadyEdge::from_endpoints(&endpoints);
         let nodes = endpoints.iter().map(|e| (e.node.clone(), e.zone));
         self.pending_nodes = nodes.collect();
         self.membership_settled_at
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -3,7 +3,7 @@
 use super::controller::{ControllerEffect, ControllerEvent, ProxyController};
 use super::dialect::Dialect;
 use super::drain::Drain;
-use super::listener::accept;
+use super::listener::accept_connections;
 use super::shared_state::SharedState;
 use super::status_endpoint::{
     serve_status_endpoint, NodeStatus, RequestHandler, StatusEndpoint, StatusHandler,
@@ -83,7 +83,11 @@
             task::spawn(metrics::serve(listener, endpoint, encode));
         }
         log_event(LogEvent::Started, format!("edge {}", settings.node));
-        task::spawn(accept(clients, shared.clone(), settings.max_connections));
+        task::spawn(accept_connections(
+            clients,
+            shared.clone(),
+            settings.max_connections,
+        ));
         run_controller(shared, net, received, grace, &settings).await;
         log_event(LogEvent::Stopped, "edge");
         Ok(())
--- a/sorreldoor/src/proxy/listener.rs
+++ b/sorreldoor/src/proxy/listener.rs
@@ -15,7 +15,7 @@
 
 /// Serves clients' connections, `max_connections` at once, for as long as it
 /// is polled.
-pub async fn accept<D: Dialect, C: Clock + Send + Sync + 'static>(
+pub async fn accept_connections<D: Dialect, C: Clock + Send + Sync + 'static>(
     listener: TcpListener,
     shared: Arc<SharedState<D, C>>,
     max_connections: usize,
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -2,7 +2,7 @@
 //! byte, the balancer decides where each attempt goes, and a [`Dialect`] knows
 //! the names of headers.
 //!
-//! The way of a request: [`accept`] → `serve_connection` → `request_reader` →
+//! The way of a request: [`accept_connections`] → `serve_connection` → `request_reader` →
 //! `forward_request` (one round per attempt) → `upstream::run_attempt`.
 
 mod client;
@@ -27,7 +27,7 @@
 pub use controller::{ControllerEffect, ControllerEvent, ProxyController, ReadyEdge};
 pub use daemon::{run, ProxyOptions};
 pub use dialect::{Dialect, ForwardHeaders, PromptSegment, RequestMetadata, ResponseMetadata};
-pub use listener::accept;
+pub use listener::accept_connections;
 pub use plain_dialect::PlainDialect;
 pub use shared_state::SharedState;
 pub use status_endpoint::{
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -8,7 +8,7 @@
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use sorreldoor::proxy::http1::*;
-use sorreldoor::proxy::{accept, PlainDialect, ProxyController, SharedState};
+use sorreldoor::proxy::{accept_connections, PlainDialect, ProxyController, SharedState};
 use sorreldoor::runtime::{Clock, Now, SystemClock};
 use sorreldoor::subscription::Pull;
 use sorreldoor::wire::Hello;
@@ -281,7 +281,7 @@
     ));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    task::spawn(accept(listener, shared.clone(), 100));
+    task::spawn(accept_connections(listener, shared.clone(), 100));
     Proxy { addr, shared }
 }
 
