--- a/sorreldoor/src/proxy/forward_request.rs
+++ b/sorreldoor/src/proxy/forward_request.rs
@@ -7,7 +7,7 @@
 use super::dialect::Dialect;
 use super::request_state::RequestEvent;
 use super::shared_state::SharedState;
-use super::upstream::{run_attempt, AttemptResult, ClientRequest, Exchange};
+use super::upstream::{run_attempt, Attempt, AttemptResult, ClientRequest};
 use crate::balancer::{Decision, RequestId};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
@@ -49,14 +49,14 @@
         let Some(route) = placement.route else {
             return client.answer_error(ErrorCode::UnknownRoute, 0).await;
         };
-        let exchange = Exchange {
+        let attempt = Attempt {
             shared,
             request,
             target: &target,
             route: &route,
             deadline: placement.deadline,
         };
-        match run_attempt(&exchange, client, &mut delivery).await {
+        match run_attempt(&attempt, client, &mut delivery).await {
             AttemptResult::Finished { keep_alive } => return keep_alive,
             AttemptResult::Ended => {}
         }
--- a/sorreldoor/src/proxy/upstream/exchange.rs
+++ b/sorreldoor/src/proxy/upstream/attempt.rs
@@ -40,16 +40,16 @@
 }
 
 /// One attempt in progress.
-pub struct Exchange<'a, D, C> {
+pub struct Attempt<'a, D, C> {
     pub shared: &'a SharedState<D, C>,
     pub request: &'a ClientRequest,
     pub target: &'a Target,
     pub route: &'a Route,
-    /// On the clock of [`Exchange::now`].
+    /// On the clock of [`Attempt::now`].
     pub deadline: Millis,
 }
 
-impl<D: Dialect, C: Clock> Exchange<'_, D, C> {
+impl<D: Dialect, C: Clock> Attempt<'_, D, C> {
     pub fn now(&self) -> Millis {
         self.shared.now()
     }
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -1,8 +1,8 @@
 //! Sending a request to a worker: the connection, the bytes written to it, and
 //! whether any of them may have left.
 
+use super::attempt::Attempt;
 use super::connection_pool::{Connection, MAX_IDLE_NON_IDEMPOTENT};
-use super::exchange::Exchange;
 use super::response_head::take_final_head;
 use crate::proxy::dialect::{Dialect, ForwardHeaders};
 use crate::proxy::http1::Head;
@@ -43,51 +43,51 @@
 /// Sends the request to its worker. A pooled connection that fails before its
 /// first byte is replaced by a new one.
 pub async fn send_request<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     last_event: Option<u64>,
 ) -> SendResult {
-    let mut pooled = pooled_connection(exchange);
+    let mut pooled = pooled_connection(attempt);
     loop {
         let connection = match pooled.take() {
             Some(connection) => connection,
-            None => match new_connection(exchange).await {
+            None => match new_connection(attempt).await {
                 Some(connection) => connection,
                 None => return SendResult::NothingSent,
             },
         };
-        exchange.record_event(RequestEvent::Connected);
+        attempt.record_event(RequestEvent::Connected);
         let replaceable = connection.reused;
-        match write_request(exchange, connection, last_event).await {
+        match write_request(attempt, connection, last_event).await {
             SendResult::NothingSent if replaceable => {
-                exchange
+                attempt
                     .shared
                     .connections
-                    .acquire_new(exchange.target.worker);
+                    .acquire_new(attempt.target.worker);
             }
             result => return result,
         }
     }
 }
 
-fn pooled_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
-    let max_idle = match (exchange.target.new_connection, exchange.route.repeatable()) {
+fn pooled_connection<D: Dialect, C: Clock>(attempt: &Attempt<'_, D, C>) -> Option<Connection> {
+    let max_idle = match (attempt.target.new_connection, attempt.route.repeatable()) {
         (true, _) => Duration::ZERO,
         (false, true) => MAX_IDLE_IDEMPOTENT,
         // the worker may be closing an older connection right now
         (false, false) => MAX_IDLE_NON_IDEMPOTENT,
     };
-    exchange
+    attempt
         .shared
         .connections
-        .acquire(exchange.target.worker, max_idle)
+        .acquire(attempt.target.worker, max_idle)
 }
 
-async fn new_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
-    let connections = &exchange.shared.connections;
-    let worker = exchange.target.worker;
-    connections.evict_surplus(worker, exchange.target.max_conns);
-    let within = Duration::from_millis(CONNECT_TIMEOUT_MS.min(exchange.time_left().max(1)));
-    let addr = exchange.shared.dial_addr(exchange.target.addr);
+async fn new_connection<D: Dialect, C: Clock>(attempt: &Attempt<'_, D, C>) -> Option<Connection> {
+    let connections = &attempt.shared.connections;
+    let worker = attempt.target.worker;
+    connections.evict_surplus(worker, attempt.target.max_conns);
+    let within = Duration::from_millis(CONNECT_TIMEOUT_MS.min(attempt.time_left().max(1)));
+    let addr = attempt.shared.dial_addr(attempt.target.addr);
     match timeout(within, Connection::connect(addr)).await {
         Ok(Ok(connection)) => Some(connection),
         Ok(Err(_)) | Err(_) => {
@@ -98,21 +98,21 @@
 }
 
 fn encode_request<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     last_event: Option<u64>,
 ) -> Vec<u8> {
-    let request = exchange.request;
+    let request = attempt.request;
     let capacity = request.head.len() + request.body.len() + ADDED_HEADERS_BYTES;
     let mut bytes = Vec::with_capacity(capacity);
     bytes.extend_from_slice(&request.head);
     let headers = ForwardHeaders {
-        worker: &exchange.target.name,
-        remaining_ms: exchange.time_left(),
-        priority: exchange.target.priority,
+        worker: &attempt.target.name,
+        remaining_ms: attempt.time_left(),
+        priority: attempt.target.priority,
         last_event,
-        tenant: exchange.target.tenant.as_deref(),
+        tenant: attempt.target.tenant.as_deref(),
     };
-    exchange
+    attempt
         .shared
         .dialect
         .write_forward_headers(&headers, &mut bytes);
@@ -122,19 +122,19 @@
 }
 
 async fn write_request<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     mut connection: Connection,
     last_event: Option<u64>,
 ) -> SendResult {
-    let bytes = encode_request(exchange, last_event);
+    let bytes = encode_request(attempt, last_event);
     let mut written = 0;
     while written < bytes.len() {
-        let within = Duration::from_millis(exchange.time_left().max(1));
+        let within = Duration::from_millis(attempt.time_left().max(1));
         let step = timeout(within, write_step(&mut connection, &bytes[written..])).await;
         let failure = match step {
             Ok(WriteStep::Wrote(Ok(count))) if count > 0 => {
                 written += count;
-                exchange.record_event(RequestEvent::BytesWritten(count as u64));
+                attempt.record_event(RequestEvent::BytesWritten(count as u64));
                 continue;
             }
             // bytes received before the first one was sent answer no request
@@ -149,14 +149,14 @@
             Ok(WriteStep::Read(_)) => RequestEvent::Closed,
             Err(_) => RequestEvent::DeadlinePassed,
         };
-        exchange.close(connection);
+        attempt.close(connection);
         return match written {
             0 => SendResult::NothingSent,
             _ => SendResult::Failed(failure),
         };
     }
     connection.request_sent = true;
-    exchange.record_event(RequestEvent::RequestSent);
+    attempt.record_event(RequestEvent::RequestSent);
     SendResult::Sent(connection)
 }
 
--- a/sorreldoor/src/proxy/upstream/response_body.rs
+++ b/sorreldoor/src/proxy/upstream/response_body.rs
@@ -1,7 +1,7 @@
 //! Reading a response body completely, before the client gets any of it.
 
+use super::attempt::Attempt;
 use super::connection_pool::Connection;
-use super::exchange::Exchange;
 use super::worker_wait::{wait_for_worker, Wakeup};
 use crate::proxy::client::Client;
 use crate::proxy::dialect::Dialect;
@@ -19,21 +19,21 @@
 /// # Errors
 /// The event that ended the reading; the connection is closed then.
 pub async fn read_response_body<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     client: &Client,
     mut connection: Connection,
     head: &Head,
     framing: Framing,
     timeout_ms: Millis,
 ) -> Result<Vec<u8>, RequestEvent> {
-    let deadline = exchange.now().saturating_add(timeout_ms);
+    let deadline = attempt.now().saturating_add(timeout_ms);
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
     loop {
         let failure = match decoder.decode(&mut connection.buffer, &mut body) {
             Ok(true) => break,
             Ok(false) if body.len() <= MAX_BODY_BYTES => {
-                let left = deadline.saturating_sub(exchange.now());
+                let left = deadline.saturating_sub(attempt.now());
                 match wait_for_worker(&mut connection, Some(client), left).await {
                     Wakeup::BytesRead => continue,
                     // a reset may have lost bytes, a close has not
@@ -46,9 +46,9 @@
             }
             Ok(false) | Err(_) => RequestEvent::Malformed,
         };
-        exchange.close(connection);
+        attempt.close(connection);
         return Err(failure);
     }
-    exchange.release(connection, head, &decoder);
+    attempt.release(connection, head, &decoder);
     Ok(body)
 }
--- a/sorreldoor/src/proxy/upstream/response_head.rs
+++ b/sorreldoor/src/proxy/upstream/response_head.rs
@@ -1,7 +1,7 @@
 //! Waiting for the head of a worker's response.
 
+use super::attempt::{Attempt, FAILOVER_CHECK_MS};
 use super::connection_pool::Connection;
-use super::exchange::{Exchange, FAILOVER_CHECK_MS};
 use super::worker_wait::{wait_for_worker, Wakeup};
 use crate::configuration::hosted::{Kind, Route};
 use crate::proxy::client::Client;
@@ -53,31 +53,31 @@
 /// # Errors
 /// The event that ended the wait.
 pub async fn await_head<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     client: &Client,
     connection: &mut Connection,
 ) -> Result<Head, RequestEvent> {
-    let idempotent = exchange.route.kind == Kind::Idempotent;
-    let timeout = head_timeout(exchange.route);
-    let started_at = exchange.now();
+    let idempotent = attempt.route.kind == Kind::Idempotent;
+    let timeout = head_timeout(attempt.route);
+    let started_at = attempt.now();
     let mut check_at = started_at.saturating_add(timeout);
     loop {
         if let Some(head) = take_final_head(&mut connection.buffer)? {
             return Ok(head);
         }
-        let now = exchange.now();
-        if now >= exchange.deadline {
+        let now = attempt.now();
+        if now >= attempt.deadline {
             return Err(RequestEvent::DeadlinePassed);
         }
         if now >= check_at {
             // a worker that responds to others is slow, but not for twice as long
             let overdue = idempotent || now >= started_at.saturating_add(2 * timeout);
-            if exchange.may_fail_over(if overdue { 0 } else { timeout }) {
+            if attempt.may_fail_over(if overdue { 0 } else { timeout }) {
                 return Err(RequestEvent::IdleTimeout);
             }
             check_at = now + FAILOVER_CHECK_MS;
         }
-        let wait_ms = check_at.min(exchange.deadline) - now;
+        let wait_ms = check_at.min(attempt.deadline) - now;
         match wait_for_worker(connection, Some(client), wait_ms).await {
             Wakeup::BytesRead | Wakeup::TimedOut => {}
             Wakeup::WorkerClosed => return Err(RequestEvent::Closed),
--- a/sorreldoor/src/proxy/upstream/attempt_runner.rs
+++ b/sorreldoor/src/proxy/upstream/run_attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt from the chosen worker to the end of its response.
 
+use super::attempt::{Attempt, AttemptResult};
 use super::connection_pool::Connection;
-use super::exchange::{AttemptResult, Exchange};
 use super::request_sender::{send_request, SendResult};
 use super::response_body::read_response_body;
 use super::response_class::{classify_response, is_success, ExpectedRequest, ResponseClass};
@@ -27,46 +27,44 @@
 
 /// Runs one attempt at the worker that the balancer chose.
 pub async fn run_attempt<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     client: &mut Client,
     delivery: &mut Delivery,
 ) -> AttemptResult {
-    let (mut connection, early_head) = match send_request(exchange, delivery.last_event).await {
+    let (mut connection, early_head) = match send_request(attempt, delivery.last_event).await {
         SendResult::Sent(connection) => (connection, None),
         SendResult::EarlyResponse(connection, head) => (connection, Some(head)),
         SendResult::NothingSent => {
-            exchange.record_outcome(AttemptOutcome::ConnectFailed);
+            attempt.record_outcome(AttemptOutcome::ConnectFailed);
             return AttemptResult::Ended;
         }
-        SendResult::Failed(event) => {
-            return attempt_failed(exchange, client, delivery, event).await
-        }
+        SendResult::Failed(event) => return attempt_failed(attempt, client, delivery, event).await,
     };
     let head = match early_head {
         Some(head) => Ok(head),
-        None => await_head(exchange, client, &mut connection).await,
+        None => await_head(attempt, client, &mut connection).await,
     };
     match head {
-        Ok(head) => handle_response(exchange, client, delivery, connection, head).await,
+        Ok(head) => handle_response(attempt, client, delivery, connection, head).await,
         Err(event) => {
-            exchange.close(connection);
-            attempt_failed(exchange, client, delivery, event).await
+            attempt.close(connection);
+            attempt_failed(attempt, client, delivery, event).await
         }
     }
 }
 
 /// Ends an attempt without a usable response.
 async fn attempt_failed<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     client: &mut Client,
     delivery: &Delivery,
     event: RequestEvent,
 ) -> AttemptResult {
     if event == RequestEvent::ClientDone {
-        return exchange.client_disconnected();
+        return attempt.client_disconnected();
     }
-    let result = exchange.worker_failed(event);
-    if exchange.time_left() > 0 || delivery.head_sent {
+    let result = attempt.worker_failed(event);
+    if attempt.time_left() > 0 || delivery.head_sent {
         return result;
     }
     let keep_alive = client.answer_error(ErrorCode::DeadlineExceeded, 0).await;
@@ -86,77 +84,77 @@
 
 /// Decides what a received head means, and acts on it.
 async fn handle_response<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     client: &mut Client,
     delivery: &mut Delivery,
     connection: Connection,
     head: Head,
 ) -> AttemptResult {
-    let metadata = response_metadata(&exchange.shared.dialect, &head);
+    let metadata = response_metadata(&attempt.shared.dialect, &head);
     let expected = ExpectedRequest {
-        client_attempt_id: &exchange.request.client_attempt_id,
-        method: &exchange.request.method,
+        client_attempt_id: &attempt.request.client_attempt_id,
+        method: &attempt.request.method,
     };
     match classify_response(&head, &metadata, &expected) {
         ResponseClass::Unusable(event) => {
-            exchange.close(connection);
-            exchange.worker_failed(event)
+            attempt.close(connection);
+            attempt.worker_failed(event)
         }
         ResponseClass::Misdirected => {
-            exchange.close(connection);
-            exchange.record_outcome(AttemptOutcome::Misdirected);
+            attempt.close(connection);
+            attempt.record_outcome(AttemptOutcome::Misdirected);
             AttemptResult::Ended
         }
         ResponseClass::NotRun(framing) => {
-            let timeout_ms = REJECTION_BODY_TIMEOUT_MS.min(exchange.time_left());
+            let timeout_ms = REJECTION_BODY_TIMEOUT_MS.min(attempt.time_left());
             let _ =
-                read_response_body(exchange, client, connection, &head, framing, timeout_ms).await;
-            exchange.record_outcome(AttemptOutcome::Rejected(metadata.load));
+                read_response_body(attempt, client, connection, &head, framing, timeout_ms).await;
+            attempt.record_outcome(AttemptOutcome::Rejected(metadata.load));
             AttemptResult::Ended
         }
         ResponseClass::Own(framing) => {
-            exchange.record_event(RequestEvent::HeadReceived);
-            exchange.record_outcome(AttemptOutcome::HeadReceived {
+            attempt.record_event(RequestEvent::HeadReceived);
+            attempt.record_outcome(AttemptOutcome::HeadReceived {
                 load: metadata.load,
                 slow_start_ms: metadata.warmup_remaining_ms,
             });
-            forward_response(exchange, client, delivery, connection, head, framing).await
+            forward_response(attempt, client, delivery, connection, head, framing).await
         }
     }
 }
 
 /// Forwards the request's own response to the client.
 async fn forward_response<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     client: &mut Client,
     delivery: &mut Delivery,
     connection: Connection,
     head: Head,
     framing: Framing,
 ) -> AttemptResult {
-    if is_success(&head) && exchange.route.kind == Kind::Stream {
-        return relay_stream(exchange, client, delivery, connection, head, framing).await;
+    if is_success(&head) && attempt.route.kind == Kind::Stream {
+        return relay_stream(attempt, client, delivery, connection, head, framing).await;
     }
     if delivery.head_sent {
         // only a stream can continue a stream
-        exchange.close(connection);
-        return exchange.worker_failed(RequestEvent::Malformed);
+        attempt.close(connection);
+        return attempt.worker_failed(RequestEvent::Malformed);
     }
-    let timeout_ms = exchange.time_left();
-    let body = read_response_body(exchange, client, connection, &head, framing, timeout_ms).await;
+    let timeout_ms = attempt.time_left();
+    let body = read_response_body(attempt, client, connection, &head, framing, timeout_ms).await;
     let body = match body {
         Ok(body) => body,
-        Err(event) => return attempt_failed(exchange, client, delivery, event).await,
+        Err(event) => return attempt_failed(attempt, client, delivery, event).await,
     };
     let response = complete_response(client, &head, &body);
     // a worker's error is the response, unless another worker may do better
-    let try_another = head.status >= 500 && exchange.may_fail_over(0);
-    exchange.record_outcome(AttemptOutcome::Completed(head.status));
+    let try_another = head.status >= 500 && attempt.may_fail_over(0);
+    attempt.record_outcome(AttemptOutcome::Completed(head.status));
     if try_another {
         delivery.error_response = Some(response);
         return AttemptResult::Ended;
     }
-    exchange.record_event(RequestEvent::ClientDone);
+    attempt.record_event(RequestEvent::ClientDone);
     let keep_alive = client.write(&response).await;
     AttemptResult::Finished { keep_alive }
 }
--- a/sorreldoor/src/proxy/upstream/stream_relay.rs
+++ b/sorreldoor/src/proxy/upstream/stream_relay.rs
@@ -2,9 +2,9 @@
 //! resumed at another worker where the route allows, and an incomplete stream
 //! never looks complete to the client.
 
+use super::attempt::{Attempt, AttemptResult, FAILOVER_CHECK_MS};
 use super::connection_pool::Connection;
 use super::event_stream::{take_events, ForwardedEvents};
-use super::exchange::{AttemptResult, Exchange, FAILOVER_CHECK_MS};
 use super::worker_wait::{wait_for_worker, Wakeup};
 use crate::balancer::AttemptOutcome;
 use crate::error::ErrorCode;
@@ -36,7 +36,7 @@
 
 /// A stream between a worker and the client.
 struct StreamRelay<'a, 'b, D, C> {
-    exchange: &'a Exchange<'b, D, C>,
+    attempt: &'a Attempt<'b, D, C>,
     client: &'a mut Client,
     delivery: &'a mut Delivery,
     head: Head,
@@ -47,7 +47,7 @@
 
 /// Forwards a stream until it ends, breaks, or is left for another worker.
 pub async fn relay_stream<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     client: &mut Client,
     delivery: &mut Delivery,
     mut connection: Connection,
@@ -56,13 +56,13 @@
 ) -> AttemptResult {
     let mut decoder = BodyDecoder::new(framing);
     let mut received = Vec::new();
-    let timeout = event_timeout(exchange);
+    let timeout = event_timeout(attempt);
     let mut relay = StreamRelay {
-        exchange,
+        attempt,
         client,
         delivery,
         head,
-        forwarded_at: exchange.now(),
+        forwarded_at: attempt.now(),
         first: true,
     };
     let mut check_at = relay.forwarded_at.saturating_add(timeout);
@@ -74,28 +74,28 @@
         let events = take_events(&mut received, relay.delivery.last_event, complete);
         if !events.bytes.is_empty() || complete {
             if !relay.forward(events, complete).await {
-                exchange.close(connection);
-                return exchange.client_disconnected();
+                attempt.close(connection);
+                return attempt.client_disconnected();
             }
             check_at = relay.forwarded_at.saturating_add(timeout);
         }
         if complete {
-            exchange.release(connection, &relay.head, &decoder);
+            attempt.release(connection, &relay.head, &decoder);
             return relay.finish();
         }
-        let now = exchange.now();
-        if now >= exchange.deadline {
+        let now = attempt.now();
+        if now >= attempt.deadline {
             return relay.deadline_passed(connection).await;
         }
         if now >= check_at {
             // a worker that responds to others is slow, but not for twice as long
             let overdue = now >= relay.forwarded_at.saturating_add(2 * timeout);
-            if exchange.may_fail_over(if overdue { 0 } else { timeout }) {
+            if attempt.may_fail_over(if overdue { 0 } else { timeout }) {
                 return relay.fail(connection, RequestEvent::IdleTimeout);
             }
             check_at = now + FAILOVER_CHECK_MS;
         }
-        let until_check = check_at.min(exchange.deadline) - now;
+        let until_check = check_at.min(attempt.deadline) - now;
         let wakeup = if quiet {
             wait_for_worker(&mut connection, Some(relay.client), until_check).await
         } else {
@@ -103,13 +103,13 @@
         };
         quiet = wakeup == Wakeup::TimedOut;
         match wakeup {
-            Wakeup::BytesRead => exchange.record_worker_activity(),
+            Wakeup::BytesRead => attempt.record_worker_activity(),
             Wakeup::TimedOut => {}
             Wakeup::WorkerReset => return relay.fail(connection, RequestEvent::Reset),
             Wakeup::WorkerClosed => return relay.fail(connection, RequestEvent::Closed),
             Wakeup::ClientDisconnected => {
-                exchange.close(connection);
-                return exchange.client_disconnected();
+                attempt.close(connection);
+                return attempt.client_disconnected();
             }
         }
     }
@@ -117,8 +117,8 @@
 
 /// How long a worker may send no event: there is no reason to fail over before
 /// the stream misses its latency target.
-fn event_timeout<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Millis {
-    let route = exchange.route;
+fn event_timeout<D: Dialect, C: Clock>(attempt: &Attempt<'_, D, C>) -> Millis {
+    let route = attempt.route;
     if route.gap_ms == 0 || !route.resume {
         return NO_TIMEOUT_MS;
     }
@@ -134,9 +134,9 @@
             false => self.forward_chunk(&events, complete).await,
         };
         if std::mem::take(&mut self.first) {
-            self.exchange.record_outcome(AttemptOutcome::FirstEvent);
+            self.attempt.record_outcome(AttemptOutcome::FirstEvent);
         }
-        self.forwarded_at = self.exchange.now();
+        self.forwarded_at = self.attempt.now();
         written
     }
 
@@ -150,7 +150,7 @@
         if complete {
             out.extend_from_slice(LAST_CHUNK);
         }
-        self.exchange.record_event(RequestEvent::PartDelivered {
+        self.attempt.record_event(RequestEvent::PartDelivered {
             resumable: events.resumable,
         });
         self.client.write(&out).await
@@ -169,9 +169,9 @@
     }
 
     fn finish(self) -> AttemptResult {
-        self.exchange
+        self.attempt
             .record_outcome(AttemptOutcome::Completed(self.head.status));
-        self.exchange.record_event(RequestEvent::ClientDone);
+        self.attempt.record_event(RequestEvent::ClientDone);
         let keep_alive = !self.client.close;
         AttemptResult::Finished { keep_alive }
     }
@@ -179,16 +179,16 @@
     /// The stream failed at this worker; the balancer decides whether it is
     /// resumed at another.
     fn fail(self, connection: Connection, event: RequestEvent) -> AttemptResult {
-        self.exchange.close(connection);
+        self.attempt.close(connection);
         self.delivery.discard_buffered();
-        self.exchange.worker_failed(event)
+        self.attempt.worker_failed(event)
     }
 
     /// The deadline has passed; that is no failure of the worker.
     async fn deadline_passed(self, connection: Connection) -> AttemptResult {
-        self.exchange.close(connection);
-        self.exchange.record_event(RequestEvent::DeadlinePassed);
-        self.exchange.record_outcome(AttemptOutcome::Canceled);
+        self.attempt.close(connection);
+        self.attempt.record_event(RequestEvent::DeadlinePassed);
+        self.attempt.record_outcome(AttemptOutcome::Canceled);
         let head_sent = self.delivery.head_sent;
         let keep_alive = !head_sent
             && self
