--- a/sorreldoor/src/proxy/http1/head.rs
+++ b/sorreldoor/src/proxy/http1/head.rs
@@ -30,7 +30,7 @@
     /// 0 in requests.
     pub status: u16,
     /// The minor version: 0 for HTTP/1.0, 1 for HTTP/1.1.
-    pub minor: u8,
+    pub minor_version: u8,
 }
 
 impl Head {
@@ -78,9 +78,9 @@
     }
 
     /// Whether the sender closes the connection after this message.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.has_token("connection", "close")
-            || (self.minor == 0 && !self.has_token("connection", "keep-alive"))
+            || (self.minor_version == 0 && !self.has_token("connection", "keep-alive"))
     }
 
     /// Whether a header must not be forwarded.
@@ -90,7 +90,7 @@
     }
 
     /// Seconds that the peer keeps an idle connection open, if it says so.
-    pub fn keep_alive_s(&self) -> Option<u64> {
+    pub fn keep_alive_timeout_s(&self) -> Option<u64> {
         let value = self.get("keep-alive")?;
         value
             .split(',')
--- a/sorreldoor/src/proxy/http1/parse.rs
+++ b/sorreldoor/src/proxy/http1/parse.rs
@@ -32,7 +32,7 @@
     let raw = buffer.unread();
     let method = range_in(raw, request.method.unwrap_or("").as_bytes());
     let target = range_in(raw, request.path.unwrap_or("").as_bytes());
-    let minor = request.version.unwrap_or(1);
+    let minor_version = request.version.unwrap_or(1);
     let headers = header_ranges(raw, request.headers);
     Ok(Some(Head {
         raw: buffer.take(length),
@@ -40,7 +40,7 @@
         method,
         target,
         status: 0,
-        minor,
+        minor_version,
     }))
 }
 
@@ -60,7 +60,7 @@
     };
     let raw = buffer.unread();
     let status = response.code.unwrap_or(0);
-    let minor = response.version.unwrap_or(1);
+    let minor_version = response.version.unwrap_or(1);
     let headers = header_ranges(raw, response.headers);
     Ok(Some(Head {
         raw: buffer.take(length),
@@ -68,7 +68,7 @@
         method: 0..0,
         target: 0..0,
         status,
-        minor,
+        minor_version,
     }))
 }
 
--- a/sorreldoor/src/proxy/serve_connection.rs
+++ b/sorreldoor/src/proxy/serve_connection.rs
@@ -36,8 +36,8 @@
             Err(RequestError::Rejected(error)) => return client.reject_and_close(error).await,
             Err(RequestError::ConnectionEnded) => return,
         };
-        client.http10 = head.minor == 0;
-        client.close = head.closes();
+        client.http10 = head.minor_version == 0;
+        client.close = head.closes_connection();
         shared.requests_in_flight.fetch_add(1, Ordering::Relaxed);
         let keep_alive = serve_request(&shared, &mut client, head, body).await;
         shared.requests_in_flight.fetch_sub(1, Ordering::Relaxed);
--- a/sorreldoor/src/proxy/status_endpoint.rs
+++ b/sorreldoor/src/proxy/status_endpoint.rs
@@ -92,7 +92,7 @@
         return false;
     }
     let response = handler(head.method(), head.target());
-    let close = head.closes();
+    let close = head.closes_connection();
     let bytes = encode_response(&response, close);
     stream.write_all(bytes.as_bytes()).await.is_ok() && !close
 }
--- a/sorreldoor/src/proxy/upstream/attempt.rs
+++ b/sorreldoor/src/proxy/upstream/attempt.rs
@@ -103,13 +103,16 @@
     pub fn release(&self, connection: Connection, head: &Head, decoder: &BodyDecoder) {
         // bytes after a complete response belong to no request
         let clean = connection.buffer.is_empty() || broken(Invariant::CleanConnection);
-        let reusable = decoder.is_complete() && connection.request_sent && !head.closes() && clean;
+        let reusable =
+            decoder.is_complete() && connection.request_sent && !head.closes_connection() && clean;
         if !reusable {
             return self.close(connection);
         }
-        self.shared
-            .connections
-            .release(self.target.worker, connection, head.keep_alive_s());
+        self.shared.connections.release(
+            self.target.worker,
+            connection,
+            head.keep_alive_timeout_s(),
+        );
     }
 
     /// Whether another worker could take over the request, its own having sent
--- a/testbed/src/hosted_soak/clients.rs
+++ b/testbed/src/hosted_soak/clients.rs
@@ -93,7 +93,7 @@
             let (record, head) = self.exchange(&mut connection, &draft).await;
             let kept = matches!(record.ending, Ending::Answered { .. });
             lock(&self.records.requests).push(record);
-            let closes = head.as_ref().is_none_or(Head::closes);
+            let closes = head.as_ref().is_none_or(Head::closes_connection);
             if kept && !closes {
                 self.connection = Some(connection);
             }
