--- a/sorreldoor/src/proxy/client.rs
+++ b/sorreldoor/src/proxy/client.rs
@@ -18,7 +18,7 @@
     pub stream: TcpStream,
     pub buffer: ReadBuffer,
     /// The next response announces the end of the connection.
-    pub close: bool,
+    pub close_after_response: bool,
     /// The client speaks HTTP/1.0, and cannot read chunks.
     pub http10: bool,
 }
@@ -29,7 +29,7 @@
         Client {
             stream,
             buffer: ReadBuffer::default(),
-            close: false,
+            close_after_response: false,
             http10: false,
         }
     }
@@ -69,7 +69,7 @@
             let seconds = retry_after_ms as f64 / 1000.0;
             response.push_str(&format!("Retry-After: {seconds:.3}\r\n"));
         }
-        if self.close {
+        if self.close_after_response {
             response.push_str("Connection: close\r\n");
         }
         response.push_str("\r\n");
@@ -80,7 +80,7 @@
     /// Answers a request that was not read completely, and closes the
     /// connection without losing the answer.
     pub async fn reject_and_close(&mut self, error: ErrorCode) {
-        self.close = true;
+        self.close_after_response = true;
         if !self.answer_error(error, 0).await {
             return;
         }
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -20,7 +20,7 @@
 
 /// Milliseconds after its first membership update until a node assumes that
 /// all nodes are listed.
-const MEMBERSHIP_SETTLE_MS: Millis = 1000;
+const MEMBERSHIP_DELAY_MS: Millis = 1000;
 
 /// An input of [`ProxyController`].
 #[derive(Debug)]
@@ -88,7 +88,7 @@
     /// Places requests, under the configuration that is applied here.
     pub balancer: Balancer,
     /// Requests in flight, as reported to cores.
-    pub running: u32,
+    pub requests_in_flight: u32,
     /// Ready edges, by the sessions that cores announce.
     ready_edges: Vec<ReadyEdge>,
     view: View,
@@ -98,9 +98,9 @@
     reported_ready: bool,
     usage_reporter: UsageReporter,
     /// All edges and their zones, ready or not, until the balancer is given them.
-    pending_nodes: Vec<(String, u16)>,
+    pending_members: Vec<(String, u16)>,
     /// When the membership counts as complete; set by its first update.
-    membership_settled_at: Option<Millis>,
+    membership_complete_at: Option<Millis>,
     effects: Vec<ControllerEffect>,
 }
 
@@ -144,15 +144,15 @@
             site,
             subscription,
             balancer,
-            running: 0,
+            requests_in_flight: 0,
             ready_edges: Vec::new(),
             view: View::default(),
             draining: false,
             now: 0,
             reported_ready: false,
             usage_reporter: UsageReporter::default(),
-            pending_nodes: Vec::new(),
-            membership_settled_at: None,
+            pending_members: Vec::new(),
+            membership_complete_at: None,
             effects: Vec::new(),
         }
     }
@@ -222,9 +222,9 @@
     /// The nodes that share limits: once all had time to start, also those
     /// that are not ready yet.
     fn apply_membership(&mut self) {
-        let settled = self.membership_settled_at.is_some_and(|t| self.now >= t);
-        if settled && !self.pending_nodes.is_empty() {
-            let nodes = std::mem::take(&mut self.pending_nodes);
+        let complete = self.membership_complete_at.is_some_and(|t| self.now >= t);
+        if complete && !self.pending_members.is_empty() {
+            let nodes = std::mem::take(&mut self.pending_members);
             self.balancer.update_nodes(nodes);
         }
     }
@@ -253,7 +253,7 @@
         let edge_status = EdgeStatus {
             version: self.view.version,
             lease: self.ready(),
-            running: self.running,
+            running: self.requests_in_flight,
             ..EdgeStatus::default()
         };
         let renewal = Payload::Renew {
@@ -393,8 +393,8 @@
     fn update_edges(&mut self, endpoints: Vec<EdgeEndpoint>) {
         self.ready_edges = ReadyEdge::from_endpoints(&endpoints);
         let nodes = endpoints.iter().map(|e| (e.node.clone(), e.zone));
-        self.pending_nodes = nodes.collect();
-        self.membership_settled_at
-            .get_or_insert(self.now + MEMBERSHIP_SETTLE_MS);
+        self.pending_members = nodes.collect();
+        self.membership_complete_at
+            .get_or_insert(self.now + MEMBERSHIP_DELAY_MS);
     }
 }
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -59,8 +59,13 @@
         grace,
     } = options;
     let controller = new_controller(&settings, bounds, &clock);
-    let dial_addrs = settings.reach.clone();
-    let shared = Arc::new(SharedState::new(controller, dialect, clock, dial_addrs));
+    let address_overrides = settings.reach.clone();
+    let shared = Arc::new(SharedState::new(
+        controller,
+        dialect,
+        clock,
+        address_overrides,
+    ));
     let (events, received) = event_queue(EVENT_QUEUE_LENGTH);
     let net = Net::new(
         settings.site_fingerprint(),
@@ -179,7 +184,7 @@
 ) -> Vec<ControllerEffect> {
     let now = shared.clock.now();
     let mut controller = shared.lock();
-    controller.running = shared.requests_in_flight.load(Ordering::Relaxed) as u32;
+    controller.requests_in_flight = shared.requests_in_flight.load(Ordering::Relaxed) as u32;
     controller.step(event, now)
 }
 
--- a/sorreldoor/src/proxy/response_writer.rs
+++ b/sorreldoor/src/proxy/response_writer.rs
@@ -30,7 +30,7 @@
     if !matches!(head.status, 204 | 304) {
         out.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
     }
-    if client.close {
+    if client.close_after_response {
         out.extend_from_slice(CONNECTION_CLOSE);
     }
     out.extend_from_slice(b"\r\n");
@@ -42,7 +42,7 @@
 pub fn stream_head(client: &Client, head: &Head) -> Vec<u8> {
     let mut out = write_head(head);
     out.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
-    if client.close {
+    if client.close_after_response {
         out.extend_from_slice(CONNECTION_CLOSE);
     }
     out.extend_from_slice(b"\r\n");
--- a/sorreldoor/src/proxy/serve_connection.rs
+++ b/sorreldoor/src/proxy/serve_connection.rs
@@ -37,11 +37,11 @@
             Err(RequestError::ConnectionEnded) => return,
         };
         client.http10 = head.minor_version == 0;
-        client.close = head.closes_connection();
+        client.close_after_response = head.closes_connection();
         shared.requests_in_flight.fetch_add(1, Ordering::Relaxed);
         let keep_alive = serve_request(&shared, &mut client, head, body).await;
         shared.requests_in_flight.fetch_sub(1, Ordering::Relaxed);
-        if !keep_alive || client.close {
+        if !keep_alive || client.close_after_response {
             return;
         }
         // a connection that always has bytes must let others run
@@ -57,7 +57,7 @@
     body: Vec<u8>,
 ) -> bool {
     let now = shared.now();
-    client.close |= shared.is_draining();
+    client.close_after_response |= shared.is_draining();
     let mut metadata = RequestMetadata::default();
     let forwarded_head = encode_head(&shared.dialect, &head, body.len(), &mut metadata);
     let host = host(&head);
--- a/sorreldoor/src/proxy/shared_state.rs
+++ b/sorreldoor/src/proxy/shared_state.rs
@@ -19,7 +19,7 @@
     pub(super) dialect: D,
     pub(super) clock: C,
     /// Where to dial instead of an announced address.
-    dial_addrs: BTreeMap<SocketAddr, SocketAddr>,
+    address_overrides: BTreeMap<SocketAddr, SocketAddr>,
     /// Requests queued for a worker, and how each is woken.
     queued: Mutex<HashMap<RequestId, Sender<()>>>,
     /// The node shuts down: responses close their connections.
@@ -34,20 +34,20 @@
 }
 
 impl<D: Dialect, C: Clock> SharedState<D, C> {
-    /// The state of a node that starts; `dial_addrs` maps announced addresses
+    /// The state of a node that starts; `address_overrides` maps announced addresses
     /// to those that are dialled instead.
     pub fn new(
         controller: ProxyController,
         dialect: D,
         clock: C,
-        dial_addrs: BTreeMap<SocketAddr, SocketAddr>,
+        address_overrides: BTreeMap<SocketAddr, SocketAddr>,
     ) -> Self {
         SharedState {
             controller: Mutex::new(controller),
             connections: ConnectionPool::default(),
             dialect,
             clock,
-            dial_addrs,
+            address_overrides,
             queued: Mutex::default(),
             draining: AtomicBool::new(false),
             queue_closed: AtomicBool::new(false),
@@ -132,8 +132,8 @@
     }
 
     /// The address to dial for an announced one.
-    pub fn dial_addr(&self, announced: SocketAddr) -> SocketAddr {
-        self.dial_addrs
+    pub fn connect_address(&self, announced: SocketAddr) -> SocketAddr {
+        self.address_overrides
             .get(&announced)
             .copied()
             .unwrap_or(announced)
--- a/sorreldoor/src/proxy/upstream/attempt.rs
+++ b/sorreldoor/src/proxy/upstream/attempt.rs
@@ -93,20 +93,20 @@
     }
 
     /// Closes a connection that cannot be used again.
-    pub fn close(&self, connection: Connection) {
+    pub fn close_connection(&self, connection: Connection) {
         drop(connection);
         self.shared.connections.discard(self.target.worker);
     }
 
     /// Pools the connection after a complete response, or closes it if it
     /// cannot be used again.
-    pub fn release(&self, connection: Connection, head: &Head, decoder: &BodyDecoder) {
+    pub fn release_connection(&self, connection: Connection, head: &Head, decoder: &BodyDecoder) {
         // bytes after a complete response belong to no request
         let clean = connection.buffer.is_empty() || broken(Invariant::CleanConnection);
         let reusable =
             decoder.is_complete() && connection.request_sent && !head.closes_connection() && clean;
         if !reusable {
-            return self.close(connection);
+            return self.close_connection(connection);
         }
         self.shared.connections.release(
             self.target.worker,
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -87,7 +87,7 @@
     let worker = attempt.target.worker;
     connections.evict_surplus(worker, attempt.target.max_conns);
     let within = Duration::from_millis(CONNECT_TIMEOUT_MS.min(attempt.time_left().max(1)));
-    let addr = attempt.shared.dial_addr(attempt.target.addr);
+    let addr = attempt.shared.connect_address(attempt.target.addr);
     match timeout(within, Connection::connect(addr)).await {
         Ok(Ok(connection)) => Some(connection),
         Ok(Err(_)) | Err(_) => {
@@ -149,7 +149,7 @@
             Ok(WriteStep::Read(_)) => RequestEvent::Closed,
             Err(_) => RequestEvent::DeadlinePassed,
         };
-        attempt.close(connection);
+        attempt.close_connection(connection);
         return match written {
             0 => SendResult::NothingSent,
             _ => SendResult::Failed(failure),
--- a/sorreldoor/src/proxy/upstream/response_body.rs
+++ b/sorreldoor/src/proxy/upstream/response_body.rs
@@ -46,9 +46,9 @@
             }
             Ok(false) | Err(_) => RequestEvent::Malformed,
         };
-        attempt.close(connection);
+        attempt.close_connection(connection);
         return Err(failure);
     }
-    attempt.release(connection, head, &decoder);
+    attempt.release_connection(connection, head, &decoder);
     Ok(body)
 }
--- a/sorreldoor/src/proxy/upstream/run_attempt.rs
+++ b/sorreldoor/src/proxy/upstream/run_attempt.rs
@@ -47,7 +47,7 @@
     match head {
         Ok(head) => handle_response(attempt, client, delivery, connection, head).await,
         Err(event) => {
-            attempt.close(connection);
+            attempt.close_connection(connection);
             attempt_failed(attempt, client, delivery, event).await
         }
     }
@@ -97,11 +97,11 @@
     };
     match classify_response(&head, &metadata, &expected) {
         ResponseClass::Unusable(event) => {
-            attempt.close(connection);
+            attempt.close_connection(connection);
             attempt.worker_failed(event)
         }
         ResponseClass::Misdirected => {
-            attempt.close(connection);
+            attempt.close_connection(connection);
             attempt.record_outcome(AttemptOutcome::Misdirected);
             AttemptResult::Ended
         }
@@ -137,7 +137,7 @@
     }
     if delivery.head_sent {
         // only a stream can continue a stream
-        attempt.close(connection);
+        attempt.close_connection(connection);
         return attempt.worker_failed(RequestEvent::Malformed);
     }
     let timeout_ms = attempt.time_left();
--- a/sorreldoor/src/proxy/upstream/stream_relay.rs
+++ b/sorreldoor/src/proxy/upstream/stream_relay.rs
@@ -74,13 +74,13 @@
         let events = take_events(&mut received, relay.delivery.last_event, complete);
         if !events.bytes.is_empty() || complete {
             if !relay.forward(events, complete).await {
-                attempt.close(connection);
+                attempt.close_connection(connection);
                 return attempt.client_disconnected();
             }
             check_at = relay.forwarded_at.saturating_add(timeout);
         }
         if complete {
-            attempt.release(connection, &relay.head, &decoder);
+            attempt.release_connection(connection, &relay.head, &decoder);
             return relay.finish();
         }
         let now = attempt.now();
@@ -108,7 +108,7 @@
             Wakeup::WorkerReset => return relay.fail(connection, RequestEvent::Reset),
             Wakeup::WorkerClosed => return relay.fail(connection, RequestEvent::Closed),
             Wakeup::ClientDisconnected => {
-                attempt.close(connection);
+                attempt.close_connection(connection);
                 return attempt.client_disconnected();
             }
         }
@@ -172,21 +172,21 @@
         self.attempt
             .record_outcome(AttemptOutcome::Completed(self.head.status));
         self.attempt.record_event(RequestEvent::ClientDone);
-        let keep_alive = !self.client.close;
+        let keep_alive = !self.client.close_after_response;
         AttemptResult::Finished { keep_alive }
     }
 
     /// The stream failed at this worker; the balancer decides whether it is
     /// resumed at another.
     fn fail(self, connection: Connection, event: RequestEvent) -> AttemptResult {
-        self.attempt.close(connection);
+        self.attempt.close_connection(connection);
         self.delivery.discard_buffered();
         self.attempt.worker_failed(event)
     }
 
     /// The deadline has passed; that is no failure of the worker.
     async fn deadline_passed(self, connection: Connection) -> AttemptResult {
-        self.attempt.close(connection);
+        self.attempt.close_connection(connection);
         self.attempt.record_event(RequestEvent::DeadlinePassed);
         self.attempt.record_outcome(AttemptOutcome::Canceled);
         let head_sent = self.delivery.head_sent;
