--- a/sorreldoor/src/proxy/forward_request.rs
+++ b/sorreldoor/src/proxy/forward_request.rs
@@ -1,6 +1,5 @@
-//! One client request from its first attempt to its end: attempts one after
-//! the other, as the balancer decides, until the client has its response or an
-//! error answer.
+//! Forwarding one client request: the balancer chooses a worker for each
+//! attempt, until the client has received a response.
 
 use super::client::Client;
 use super::delivery::Delivery;
@@ -17,11 +16,12 @@
 use futures_lite::future::or;
 use std::time::Duration;
 
-/// What the balancer knows of a request at one moment.
+/// The balancer's decision on a request, and what an attempt needs beside it.
 struct Placement {
     decision: Decision,
-    /// None once the configuration has no route for it.
+    /// `None` if the current configuration has no route for the request.
     route: Option<Route>,
+    /// Milliseconds of the monotonic clock.
     deadline: Millis,
 }
 
@@ -78,7 +78,8 @@
     }
 }
 
-/// Ends a request that is not sent to any (other) worker.
+/// Ends a request of which no further attempt is made; returns whether the
+/// client's connection stays open.
 async fn reject(
     client: &mut Client,
     mut delivery: Delivery,
@@ -86,7 +87,7 @@
     retry_after_ms: Millis,
 ) -> bool {
     if delivery.head_sent {
-        // closing without a last chunk shows that the stream is incomplete
+        // closing without the last chunk marks the stream as incomplete
         return false;
     }
     if let Some(response) = delivery.error_response.take() {
@@ -95,7 +96,8 @@
     client.answer_error(error, retry_after_ms).await
 }
 
-/// Waits until woken or the time-out; false once the client has disconnected.
+/// Waits until the balancer may have a worker for the request, or for
+/// `timeout_ms`. Returns false if the client has disconnected.
 async fn wait_in_queue<D: Dialect, C: Clock>(
     shared: &SharedState<D, C>,
     client: &Client,
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -1,9 +1,10 @@
-//! The reverse proxy of hosted routes: requests and responses pass byte for
-//! byte, the balancer decides where each attempt goes, and a [`Dialect`] knows
-//! the names of headers.
+//! The reverse proxy of hosted routes. It forwards requests and responses byte
+//! for byte, except for hop-by-hop headers and those that a [`Dialect`] defines.
+//! The balancer chooses a worker for each attempt and decides on retries.
 //!
-//! The way of a request: [`accept_connections`] → `serve_connection` → `request_reader` →
-//! `forward_request` (one round per attempt) → `upstream::run_attempt`.
+//! A request passes through [`accept_connections`], `serve_connection`,
+//! `request_reader`, `forward_request` (a loop over the attempts), and
+//! `upstream::run_attempt`.
 
 mod client;
 mod controller;
--- a/sorreldoor/src/proxy/request_state/event.rs
+++ b/sorreldoor/src/proxy/request_state/event.rs
@@ -1,11 +1,11 @@
-//! Inputs of the state machine of one request.
+//! The events that change the state of a request.
 
 use super::Repeatability;
 
 /// An input of [`RequestProgress`](super::RequestProgress).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestEvent {
-    /// The balancer chose a worker, under a route of this kind.
+    /// The balancer chose a worker; the route has this repeatability.
     WorkerChosen(Repeatability),
     /// No connection was established, or it failed before any byte was written.
     ConnectFailed,
@@ -21,28 +21,27 @@
     HeadReceived,
     /// A response was received that belongs to another request, or to none.
     MismatchedHead,
-    /// The bytes received are no valid HTTP response.
+    /// The received bytes are not a valid HTTP response.
     Malformed,
     /// The worker's response was read to its end.
     ResponseComplete,
-    /// The head and perhaps part of the body was forwarded to the client.
-    /// `resumable` is false if the part ends where no other worker can resume.
+    /// The head, and possibly part of the body, was forwarded to the client.
     PartDelivered {
-        /// Whether another worker can resume after this part.
+        /// Whether another worker can resume the stream after this part.
         resumable: bool,
     },
     /// The connection to the worker failed.
     Reset,
     /// The worker closed the connection.
     Closed,
-    /// The worker sent nothing within the time-out.
+    /// The worker sent nothing within the idle time-out.
     IdleTimeout,
     /// The request's deadline has passed.
     DeadlinePassed,
     /// The client disconnected, or has its complete response.
     ClientDone,
-    /// This node shuts down; queued requests are not sent any more.
+    /// This node is shutting down and sends no more queued requests.
     Shutdown,
-    /// A new configuration gives the route this kind.
+    /// A new configuration gives the route this repeatability.
     ConfigurationChanged(Repeatability),
 }
--- a/sorreldoor/src/proxy/request_state/mod.rs
+++ b/sorreldoor/src/proxy/request_state/mod.rs
@@ -1,14 +1,15 @@
-//! The states of one client request at the proxy, from its arrival to its end.
+//! The state machine of one client request, over all its attempts.
 //!
-//! This module is pure: [`RequestEvent`]s go in, and two questions can be asked at any
-//! moment. [`RequestProgress::may_send`] says whether the request may be sent to
-//! a worker, for the first time or as a retry; [`RequestProgress::fallback_response`]
-//! says what the client may be answered if no worker's response can be forwarded.
-//! Nothing else in the proxy decides either of them.
+//! [`RequestProgress`] is a pure function of its [`RequestEvent`]s. It is the only
+//! place that decides
+//! - whether a request may be sent to a worker, for the first time or as a retry
+//!   ([`RequestProgress::may_send`]), and
+//! - how the proxy responds if it forwards no worker's response
+//!   ([`RequestProgress::fallback_response`]).
 //!
-//! A request *may have run* from the moment its first byte may have left this
-//! process until a worker promises that it did not run. Neither a time-out, a
-//! reset, a close, a shutdown nor a new configuration takes that back.
+//! An attempt *may have run* the request once its first byte may have left this
+//! process, unless the worker states that it did not and will not run it. A
+//! time-out, reset, close, shutdown or new configuration does not change that.
 
 mod event;
 mod progress;
--- a/sorreldoor/src/proxy/request_state/progress.rs
+++ b/sorreldoor/src/proxy/request_state/progress.rs
@@ -1,22 +1,22 @@
-//! The state machine of one client request.
+//! [`RequestProgress`]: the state of a request and its transitions.
 
 use super::{Repeatability, RequestEvent};
 
 /// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// At no worker: not sent yet, or the last attempt has ended.
+    /// No attempt is in progress: the first has not begun, or the last has ended.
     Queued,
-    /// A worker is chosen; no connection to it is known to be established.
+    /// A worker was chosen; whether the connection is established is not known.
     Connecting,
-    /// The connection is established; `bytes_written` bytes may have left.
+    /// The connection is established and the request is being written.
     Sending {
         /// Bytes that the operating system accepted.
         bytes_written: u64,
     },
     /// The complete request was written.
     AwaitingHead,
-    /// The head of its own response was received.
+    /// The head of the request's own response was received.
     Relaying,
     /// Final: the client has its response, or has disconnected.
     Done,
@@ -26,21 +26,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Delivered {
     Nothing,
-    /// Complete events only; another worker can resume after the last one.
+    /// Complete events; another worker can resume the stream after the last one.
     Resumable,
-    /// Data after which no worker can resume.
+    /// Data after which no worker can resume the stream.
     Unresumable,
 }
 
-/// The state machine of one request, from arrival to end.
+/// The state machine of one request, from arrival to end. The balancer owns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestProgress {
     pub(super) state: State,
-    /// The kind of its route in the configuration in force.
-    pub(super) kind: Repeatability,
-    /// It was sent at least once under a non-idempotent route.
+    /// From its route in the current configuration.
+    pub(super) repeatability: Repeatability,
+    /// Whether an attempt began while its route was non-idempotent.
     pub(super) sent_as_non_idempotent: bool,
-    /// An earlier attempt may have run it.
+    /// Whether an attempt that has ended may have run it.
     pub(super) may_have_run: bool,
     pub(super) delivered: Delivered,
     pub(super) deadline_passed: bool,
@@ -48,11 +48,11 @@
 }
 
 impl RequestProgress {
-    /// A request that has just arrived, on a route of this kind.
-    pub fn new(kind: Repeatability) -> RequestProgress {
+    /// A request that has just arrived.
+    pub fn new(repeatability: Repeatability) -> RequestProgress {
         RequestProgress {
             state: State::Queued,
-            kind,
+            repeatability,
             sent_as_non_idempotent: false,
             may_have_run: false,
             delivered: Delivered::Nothing,
@@ -61,15 +61,16 @@
         }
     }
 
-    /// Its current state.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Applies an event.
+    /// Applies an event. An event that does not fit the state has no effect, or
+    /// ends the attempt.
     pub fn apply(&mut self, event: RequestEvent) {
         match event {
-            RequestEvent::ConfigurationChanged(kind) => self.kind = kind,
+            RequestEvent::ConfigurationChanged(updated) => self.repeatability = updated,
             RequestEvent::Shutdown => self.shutting_down = true,
             RequestEvent::DeadlinePassed => {
                 self.deadline_passed = true;
@@ -80,7 +81,7 @@
                 self.state = State::Done;
             }
             RequestEvent::PartDelivered { resumable } => self.on_part_delivered(resumable),
-            RequestEvent::WorkerChosen(kind) => self.on_worker_chosen(kind),
+            RequestEvent::WorkerChosen(repeatability) => self.on_worker_chosen(repeatability),
             RequestEvent::Connected => {
                 if self.state == State::Connecting {
                     self.state = State::Sending { bytes_written: 0 };
@@ -108,12 +109,12 @@
         }
     }
 
-    /// Whether a worker may have started to run it, in this attempt or an earlier one.
+    /// Whether the current attempt or an earlier one may have run the request.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run || self.bytes_may_have_left()
     }
 
-    /// Whether any part of its response was forwarded to the client.
+    /// Whether any part of a response was forwarded to the client.
     pub fn part_delivered(&self) -> bool {
         self.delivered != Delivered::Nothing
     }
@@ -125,8 +126,8 @@
         )
     }
 
-    /// Whether the current attempt can have reached the worker. Only a reported
-    /// failure of the connection shows that a `Connecting` one did not.
+    /// Whether bytes of the current attempt may have left this process. True for
+    /// `Connecting`: only [`RequestEvent::ConnectFailed`] shows that none did.
     fn bytes_may_have_left(&self) -> bool {
         match self.state {
             State::Queued | State::Done => false,
@@ -135,12 +136,12 @@
         }
     }
 
-    fn on_worker_chosen(&mut self, kind: Repeatability) {
+    fn on_worker_chosen(&mut self, repeatability: Repeatability) {
         if self.state != State::Queued {
             return;
         }
-        self.kind = kind;
-        self.sent_as_non_idempotent |= kind == Repeatability::NonIdempotent;
+        self.repeatability = repeatability;
+        self.sent_as_non_idempotent |= repeatability == Repeatability::NonIdempotent;
         self.state = State::Connecting;
     }
 
@@ -162,8 +163,8 @@
         }
     }
 
-    /// A promise of the worker counts only before the head of a response to this
-    /// request was received.
+    /// The worker's statement is valid only before a response head. After one, the
+    /// attempt ends as one that may have run the request.
     fn on_not_run(&mut self) {
         if self.awaiting_response() {
             self.state = State::Queued;
--- a/sorreldoor/src/proxy/request_state/repeatability.rs
+++ b/sorreldoor/src/proxy/request_state/repeatability.rs
@@ -1,15 +1,15 @@
-//! How often a request may run, as configured by its route.
+//! Whether a request may be repeated, as its route configures it.
 
 use crate::configuration::hosted::{Kind, Route};
 
-/// How often a request may run without harm.
+/// Whether a request may be sent again after a worker may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Repeatability {
     /// It may run any number of times.
     Idempotent,
     /// It may run at most once.
     NonIdempotent,
-    /// A stream that another worker can resume after the last event.
+    /// A stream; another worker can resume it after the last delivered event.
     ResumableStream,
 }
 
--- a/sorreldoor/src/proxy/request_state/retry_decision.rs
+++ b/sorreldoor/src/proxy/request_state/retry_decision.rs
@@ -1,20 +1,21 @@
-//! What follows from a request's state: whether it may be sent to a worker,
-//! and which answer of the proxy's own is honest.
+//! The decisions that follow from a request's state: whether it may be sent to
+//! a worker, and the proxy's own response.
 
 use super::progress::Delivered;
 use super::{Repeatability, RequestProgress, State};
 use crate::invariants::{broken, Invariant};
 
-/// The proxy's own answer when no worker's response can be forwarded.
+/// The proxy's own response when it forwards no worker's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FallbackResponse {
-    /// 503: a promise that the request did not and will not run.
+    /// 503: the request did not run and will not run.
     ServiceUnavailable,
     /// 502: it may have run.
     BadGateway,
     /// 504: it may have run, and its deadline has passed.
     GatewayTimeout,
-    /// The connection is closed, so that the client sees a truncated response.
+    /// None: the connection is closed, so that the client detects a truncated
+    /// response.
     CloseConnection,
 }
 
@@ -31,13 +32,14 @@
         }
     }
 
-    /// Whether a second run is harmless, whatever the state of the current one.
+    /// Whether the request may run again after an attempt may have run it. Does
+    /// not depend on the state of the current attempt.
     pub fn may_run_twice(&self) -> bool {
         if broken(Invariant::SendOnce) {
             return true;
         }
-        let resumable = self.kind == Repeatability::ResumableStream;
-        let retryable = resumable || self.kind == Repeatability::Idempotent;
+        let resumable = self.repeatability == Repeatability::ResumableStream;
+        let retryable = resumable || self.repeatability == Repeatability::Idempotent;
         let can_continue = match self.delivered {
             Delivered::Nothing => retryable,
             Delivered::Resumable => resumable,
@@ -46,7 +48,7 @@
         can_continue && !self.sent_as_non_idempotent
     }
 
-    /// The answer that is true now if no worker's response is forwarded.
+    /// The proxy's own response if the request ends now.
     pub fn fallback_response(&self) -> FallbackResponse {
         if self.delivered != Delivered::Nothing || self.state == State::Done {
             return FallbackResponse::CloseConnection;
--- a/sorreldoor/src/proxy/upstream/attempt.rs
+++ b/sorreldoor/src/proxy/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! What all steps of one attempt share: the request, the chosen worker, and
-//! how the attempt's progress is reported to the balancer.
+//! [`Attempt`]: the context that all steps of one attempt share, and the reports
+//! to the balancer.
 
 use super::connection_pool::Connection;
 use crate::balancer::{AttemptOutcome, RequestId, Target};
@@ -12,49 +12,52 @@
 use crate::runtime::Clock;
 use crate::types::Millis;
 
-/// Milliseconds between checks whether to leave an unresponsive worker.
+/// Milliseconds between checks whether to fail over from an unresponsive worker.
 pub const FAILOVER_CHECK_MS: Millis = 100;
 
-/// A client's request as all its attempts send it.
+/// A client's request. Its attempts differ only in the headers that the dialect
+/// adds.
 pub struct ClientRequest {
-    /// Its id in the balancer.
+    /// The balancer's id of the request.
     pub request_id: RequestId,
     pub method: String,
-    /// The client's own id of this attempt; empty if it gave none.
+    /// The client's id of its own attempt; empty if it gave none.
     pub client_attempt_id: String,
-    /// Request line and forwarded headers, without the empty line.
+    /// Request line and forwarded headers, without the empty line at the end.
     pub head: Vec<u8>,
     pub body: Vec<u8>,
-    /// The client resumes a stream after this event.
+    /// The client's `Last-Event-ID`: it resumes a stream after this event.
     pub last_event: Option<u64>,
 }
 
 /// The result of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The client has its response, or gets none; `keep_alive` tells whether
-    /// its connection stays open.
+    /// The request has ended; `keep_alive` is whether the client's connection
+    /// stays open.
     Finished { keep_alive: bool },
-    /// The attempt has ended; the balancer decides whether there is another.
+    /// The attempt has ended without a response for the client; the balancer
+    /// decides whether to retry.
     Ended,
 }
 
-/// One attempt in progress.
+/// One attempt in progress: the request, the chosen worker, and the time limits.
 pub struct Attempt<'a, D, C> {
     pub shared: &'a SharedState<D, C>,
     pub request: &'a ClientRequest,
     pub target: &'a Target,
     pub route: &'a Route,
-    /// On the clock of [`Attempt::now`].
+    /// Milliseconds of the clock of [`Attempt::now`].
     pub deadline: Millis,
 }
 
 impl<D: Dialect, C: Clock> Attempt<'_, D, C> {
+    /// Milliseconds of the monotonic clock.
     pub fn now(&self) -> Millis {
         self.shared.now()
     }
 
-    /// Milliseconds until the deadline.
+    /// Milliseconds until the deadline; 0 once it has passed.
     pub fn time_left(&self) -> Millis {
         self.deadline.saturating_sub(self.now())
     }
@@ -67,8 +70,8 @@
             .record_event(self.request.request_id, event);
     }
 
-    /// Reports to the balancer how the attempt goes or ends, and wakes
-    /// queued requests that may be sent now.
+    /// Reports progress or the end of the attempt to the balancer, and wakes queued
+    /// requests that may be sent now.
     pub fn record_outcome(&self, outcome: AttemptOutcome) {
         let now = self.now();
         self.shared
@@ -78,30 +81,30 @@
         self.shared.wake_queued();
     }
 
-    /// Ends the attempt: the worker failed, in the way that `event` names.
+    /// Ends the attempt as failed; `event` is how the worker failed.
     pub fn worker_failed(&self, event: RequestEvent) -> AttemptResult {
         self.record_event(event);
         self.record_outcome(AttemptOutcome::Failed);
         AttemptResult::Ended
     }
 
-    /// Ends the attempt and the request: the client has disconnected.
+    /// Ends the attempt and the request, as the client has disconnected.
     pub fn client_disconnected(&self) -> AttemptResult {
         self.record_event(RequestEvent::ClientDone);
         self.record_outcome(AttemptOutcome::Canceled);
         AttemptResult::Finished { keep_alive: false }
     }
 
-    /// Closes a connection that cannot be used again.
+    /// Closes a connection that cannot be reused.
     pub fn close_connection(&self, connection: Connection) {
         drop(connection);
         self.shared.connections.discard(self.target.worker);
     }
 
-    /// Pools the connection after a complete response, or closes it if it
-    /// cannot be used again.
+    /// Returns a connection to the pool after a complete response, or closes it if
+    /// it cannot be reused.
     pub fn release_connection(&self, connection: Connection, head: &Head, decoder: &BodyDecoder) {
-        // bytes after a complete response belong to no request
+        // bytes after the response belong to no request
         let clean = connection.buffer.is_empty() || broken(Invariant::CleanConnection);
         let reusable =
             decoder.is_complete() && connection.request_sent && !head.closes_connection() && clean;
@@ -115,8 +118,8 @@
         );
     }
 
-    /// Whether another worker could take over the request, its own having sent
-    /// nothing for `idle_ms`.
+    /// Whether the request may be sent to another worker after this one has sent
+    /// nothing for `idle_ms` milliseconds (0: regardless of what it sent).
     pub fn may_fail_over(&self, idle_ms: Millis) -> bool {
         let now = self.now();
         let mut controller = self.shared.lock();
--- a/sorreldoor/src/proxy/upstream/connection_pool.rs
+++ b/sorreldoor/src/proxy/upstream/connection_pool.rs
@@ -1,6 +1,5 @@
-//! Keep-alive connections to workers, pooled by incarnation of a worker. An
-//! idle connection on which any byte arrives is closed: such a byte belongs to
-//! no request.
+//! The pool of keep-alive connections, for each incarnation of a worker. An idle
+//! connection on which bytes arrive is closed, as they belong to no request.
 
 use crate::invariants::{broken, Invariant};
 use crate::proxy::http1::ReadBuffer;
@@ -13,22 +12,22 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// Idle time-out assumed for a worker that announces none.
+/// Idle time-out of workers that announce none in `Keep-Alive`.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A connection is dropped this many milliseconds before the worker's own
-/// time-out, as the worker may close it while a request is in flight.
+/// Subtracted from the worker's own idle time-out, so that the worker does not
+/// close a connection while a request is being sent on it.
 const IDLE_TIMEOUT_MARGIN_MS: u64 = 300;
-/// Non-idempotent requests use connections idle for less than this.
+/// Non-idempotent requests use only connections that were idle for less than this.
 pub const MAX_IDLE_NON_IDEMPOTENT: Duration = Duration::from_millis(1500);
 
-/// One connection to a worker, idle or used by one request.
+/// One connection to a worker, idle in the pool or used by one attempt.
 #[derive(Debug)]
 pub struct Connection {
     pub stream: TcpStream,
     pub buffer: ReadBuffer,
-    /// It has carried a request before.
+    /// Whether an earlier request was sent on it.
     pub reused: bool,
-    /// The current request was written completely.
+    /// Whether the current request was written completely.
     pub request_sent: bool,
 }
 
@@ -48,7 +47,7 @@
         })
     }
 
-    /// Whether neither bytes nor the end arrived while it was idle.
+    /// Whether the connection is open and has no unread bytes.
     fn is_clean(&self) -> bool {
         if broken(Invariant::CleanConnection) {
             return true;
@@ -73,7 +72,7 @@
     busy: u32,
 }
 
-/// The connections of this node to all workers, by the balancer's worker index.
+/// This node's connections to workers, by the balancer's index of each worker.
 #[derive(Default)]
 pub struct ConnectionPool {
     workers: Mutex<HashMap<u32, WorkerConnections>>,
@@ -84,9 +83,9 @@
         self.workers.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// Counts one more connection as busy, and returns one that was idle for
-    /// less than `max_idle`, if there is any. Each call is matched by one of
-    /// [`ConnectionPool::release`] and [`ConnectionPool::discard`].
+    /// Returns a connection that was idle for less than `max_idle`, or `None` if the
+    /// caller must open one. Either counts as busy until the caller passes it to
+    /// [`ConnectionPool::release`] or calls [`ConnectionPool::discard`].
     pub fn acquire(&self, worker: u32, max_idle: Duration) -> Option<Connection> {
         let mut workers = self.lock();
         let connections = workers.entry(worker).or_default();
@@ -97,7 +96,7 @@
             if age < timeout.min(max_idle) && candidate.connection.is_clean() {
                 return Some(candidate.connection);
             }
-            // those further down were idle for even longer
+            // the remaining ones were idle for even longer
             if age >= max_idle && age < timeout {
                 connections.idle.push(candidate);
                 return None;
@@ -106,13 +105,13 @@
         None
     }
 
-    /// Counts one more connection as busy, which the caller opens itself.
+    /// Counts a connection that the caller opens itself as busy.
     pub fn acquire_new(&self, worker: u32) {
         self.lock().entry(worker).or_default().busy += 1;
     }
 
-    /// Closes the longest idle connections to a worker beyond `max_connections`
-    /// in all, busy ones included, before a new one is opened.
+    /// Closes the longest idle connections to a worker until idle and busy ones
+    /// together are at most `max_connections`, or none is idle.
     pub fn evict_surplus(&self, worker: u32, max_connections: u32) {
         if let Some(connections) = self.lock().get_mut(&worker) {
             let capacity = max_connections.saturating_sub(connections.busy) as usize;
@@ -121,8 +120,8 @@
         }
     }
 
-    /// Pools a connection after a complete response; `keep_alive_s` is the
-    /// worker's own idle time-out in seconds.
+    /// Returns a connection to the pool after a complete response. `keep_alive_s` is
+    /// the idle time-out in seconds that the worker announced.
     pub fn release(&self, worker: u32, mut connection: Connection, keep_alive_s: Option<u64>) {
         connection.reused = true;
         connection.request_sent = false;
@@ -140,14 +139,14 @@
         });
     }
 
-    /// Uncounts an acquired connection that is closed.
+    /// Stops counting a connection as busy that was closed or not established.
     pub fn discard(&self, worker: u32) {
         if let Some(connections) = self.lock().get_mut(&worker) {
             connections.busy = connections.busy.saturating_sub(1);
         }
     }
 
-    /// Closes connections past their idle time-out.
+    /// Closes connections that were idle for their time-out or longer.
     pub fn evict_expired(&self) {
         self.lock().retain(|_, connections| {
             connections
--- a/sorreldoor/src/proxy/upstream/mod.rs
+++ b/sorreldoor/src/proxy/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! One attempt at a worker: its connection, the request written to it, and the
-//! response checked and forwarded.
+//! One attempt at a worker: acquires a pooled or new connection, writes the
+//! request, and validates and forwards the response.
 
 mod attempt;
 mod connection_pool;
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -1,5 +1,5 @@
-//! Sending a request to a worker: the connection, the bytes written to it, and
-//! whether any of them may have left.
+//! Sending a request to a worker: acquires a connection, writes the request, and
+//! records whether any of its bytes may have left.
 
 use super::attempt::Attempt;
 use super::connection_pool::{Connection, MAX_IDLE_NON_IDEMPOTENT};
@@ -14,34 +14,36 @@
 use futures_lite::future::or;
 use std::time::Duration;
 
-/// Milliseconds within which a connection must be established.
+/// Time-out for establishing a connection.
 const CONNECT_TIMEOUT_MS: Millis = 400;
-/// Idempotent requests use pooled connections of any age.
+/// Idempotent requests may use any pooled connection: they can be retried if the
+/// worker has closed it.
 const MAX_IDLE_IDEMPOTENT: Duration = Duration::from_secs(3600);
 /// Bytes reserved for the headers that the dialect adds.
 const ADDED_HEADERS_BYTES: usize = 192;
 
-/// How the sending ended.
+/// The result of [`send_request`].
 pub enum SendResult {
     /// The complete request was written.
     Sent(Connection),
-    /// The head of a response came before that; the connection must not be
-    /// used for another request.
+    /// The head of the response was received before the request was written
+    /// completely; the connection must not be reused.
     EarlyResponse(Connection, Head),
-    /// Nothing can have left: no connection, or it failed before any byte.
+    /// No byte has left: no connection was established, or it failed before the
+    /// first byte.
     NothingSent,
     /// It failed after some bytes may have left.
     Failed(RequestEvent),
 }
 
-/// What one step of writing did.
+/// The result of one [`write_step`], in bytes.
 enum WriteStep {
     Wrote(std::io::Result<usize>),
     Read(std::io::Result<usize>),
 }
 
-/// Sends the request to its worker. A pooled connection that fails before its
-/// first byte is replaced by a new one.
+/// Sends the request to its worker. A pooled connection that fails before the
+/// first byte is written is replaced by a new one.
 pub async fn send_request<D: Dialect, C: Clock>(
     attempt: &Attempt<'_, D, C>,
     last_event: Option<u64>,
@@ -73,7 +75,7 @@
     let max_idle = match (attempt.target.new_connection, attempt.route.repeatable()) {
         (true, _) => Duration::ZERO,
         (false, true) => MAX_IDLE_IDEMPOTENT,
-        // the worker may be closing an older connection right now
+        // the worker may be closing a connection that has been idle for longer
         (false, false) => MAX_IDLE_NON_IDEMPOTENT,
     };
     attempt
@@ -137,7 +139,7 @@
                 attempt.record_event(RequestEvent::BytesWritten(count as u64));
                 continue;
             }
-            // bytes received before the first one was sent answer no request
+            // bytes received before the first one is written belong to no request
             Ok(WriteStep::Read(Ok(count))) if count > 0 && written > 0 => {
                 match take_final_head(&mut connection.buffer) {
                     Ok(None) => continue,
@@ -160,7 +162,7 @@
     SendResult::Sent(connection)
 }
 
-/// Writes what can be written, or reads where the worker responds early.
+/// Writes some bytes, or reads an early response if the worker accepts none.
 async fn write_step(connection: &mut Connection, bytes: &[u8]) -> WriteStep {
     let mut writer = connection.stream.clone();
     let write = async { WriteStep::Wrote(writer.write(bytes).await) };
--- a/sorreldoor/src/proxy/upstream/run_attempt.rs
+++ b/sorreldoor/src/proxy/upstream/run_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt from the chosen worker to the end of its response.
+//! The steps of one attempt, from the connection to the end of the response.
 
 use super::attempt::{Attempt, AttemptResult};
 use super::connection_pool::Connection;
@@ -19,13 +19,13 @@
 use crate::runtime::Clock;
 use crate::types::Millis;
 
-/// Milliseconds to read the body of a rejection, so that its connection can be
-/// pooled.
+/// Time-out for reading the body of a rejection. Only then can the connection be
+/// reused.
 const REJECTION_BODY_TIMEOUT_MS: Millis = 100;
 /// Status 421: the request was directed at another worker.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// Runs one attempt at the worker that the balancer chose.
+/// Sends the request to the chosen worker and forwards its response.
 pub async fn run_attempt<D: Dialect, C: Clock>(
     attempt: &Attempt<'_, D, C>,
     client: &mut Client,
@@ -53,7 +53,8 @@
     }
 }
 
-/// Ends an attempt without a usable response.
+/// Ends an attempt that failed without a usable response. Responds to the client
+/// if the deadline has passed.
 async fn attempt_failed<D: Dialect, C: Clock>(
     attempt: &Attempt<'_, D, C>,
     client: &mut Client,
@@ -82,7 +83,7 @@
     metadata
 }
 
-/// Decides what a received head means, and acts on it.
+/// Classifies the response by its head, and forwards it or ends the attempt.
 async fn handle_response<D: Dialect, C: Clock>(
     attempt: &Attempt<'_, D, C>,
     client: &mut Client,
@@ -136,7 +137,7 @@
         return relay_stream(attempt, client, delivery, connection, head, framing).await;
     }
     if delivery.head_sent {
-        // only a stream can continue a stream
+        // the client has part of a stream, and this response is none
         attempt.close_connection(connection);
         return attempt.worker_failed(RequestEvent::Malformed);
     }
@@ -147,7 +148,7 @@
         Err(event) => return attempt_failed(attempt, client, delivery, event).await,
     };
     let response = complete_response(client, &head, &body);
-    // a worker's error is the response, unless another worker may do better
+    // another worker may still succeed; otherwise the client gets this error
     let try_another = head.status >= 500 && attempt.may_fail_over(0);
     attempt.record_outcome(AttemptOutcome::Completed(head.status));
     if try_another {
--- a/sorreldoor/src/proxy/upstream/worker_wait.rs
+++ b/sorreldoor/src/proxy/upstream/worker_wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for a worker's bytes, its client and a timer at once.
+//! Waiting for bytes of a worker, a disconnect of the client, or a time-out.
 
 use super::connection_pool::Connection;
 use crate::proxy::client::Client;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wakeup {
     BytesRead,
-    /// The worker closed the connection in order.
+    /// The worker closed the connection without a reset.
     WorkerClosed,
     /// The connection failed.
     WorkerReset,
@@ -19,8 +19,8 @@
     TimedOut,
 }
 
-/// Waits for bytes of a worker, for the client to disconnect, or for the
-/// time-out; bytes take precedence over the client, and it over the timer.
+/// Waits for bytes of the worker, a disconnect of the client if one is given, or
+/// `timeout_ms`. If several are ready, the first of this list is returned.
 pub async fn wait_for_worker(
     connection: &mut Connection,
     client: Option<&Client>,
