--- a/sorreldoor/src/proxy/client.rs
+++ b/sorreldoor/src/proxy/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection: what is read from it and written to it.
+//! A client's connection, and the proxy's own responses to it.
 
 use super::http1::ReadBuffer;
 use crate::error::ErrorCode;
@@ -9,17 +9,17 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// How long the client gets to read an answer before the connection with
-/// unread bytes is closed (lingering close).
-const LINGER: Duration = Duration::from_millis(500);
+/// How long input is discarded after an error response before the connection is
+/// closed (lingering close).
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// One connection of a client.
 pub struct Client {
     pub stream: TcpStream,
     pub buffer: ReadBuffer,
-    /// The next response announces the end of the connection.
+    /// Whether the connection is closed after the next response, which says so.
     pub close_after_response: bool,
-    /// The client speaks HTTP/1.0, and cannot read chunks.
+    /// Whether the client uses HTTP/1.0, which has no chunked coding.
     pub http10: bool,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Writes all bytes; false if the client is disconnected.
+    /// Writes all bytes; false if the client has disconnected.
     pub async fn write(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).await.is_ok()
     }
@@ -42,14 +42,14 @@
     /// Resolves once the client has disconnected.
     pub async fn disconnected(&self) {
         let mut byte = [0; 1];
-        // pending bytes belong to the next request; only an end counts
+        // pending bytes belong to the next request
         if !matches!(self.stream.peek(&mut byte).await, Ok(0) | Err(_)) {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Writes an error answer of this node's own, with `Retry-After` if
-    /// `retry_after_ms` is above 0; false if the client is disconnected.
+    /// Writes an error response of the proxy's own, with `Retry-After` if
+    /// `retry_after_ms` is above 0; false if the client has disconnected.
     pub async fn answer_error(&mut self, error: ErrorCode, retry_after_ms: Millis) -> bool {
         let body = format!(
             "{{\"problem\":\"{}\",\"text\":\"{}\"}}",
@@ -77,16 +77,16 @@
         self.write(response.as_bytes()).await
     }
 
-    /// Answers a request that was not read completely, and closes the
-    /// connection without losing the answer.
+    /// Rejects a request that was not read completely, and lets the client receive
+    /// the response before the connection is closed.
     pub async fn reject_and_close(&mut self, error: ErrorCode) {
         self.close_after_response = true;
         if !self.answer_error(error, 0).await {
             return;
         }
         let _ = self.stream.shutdown(Shutdown::Write);
-        // closing with unread bytes sends a reset, and the answer could be lost
-        let _ = timeout(LINGER, self.discard_input()).await;
+        // closing with unread bytes sends a reset, which can discard the response
+        let _ = timeout(LINGER_TIMEOUT, self.discard_input()).await;
     }
 
     async fn discard_input(&mut self) {
--- a/sorreldoor/src/proxy/delivery.rs
+++ b/sorreldoor/src/proxy/delivery.rs
@@ -1,22 +1,23 @@
-//! How much of its response one client has received, over all attempts.
+//! What a client has received of its response, over all attempts.
 
-/// How much of its response a client has received, and what is buffered for it.
+/// What a client has received of its response, and what is buffered for it.
 #[derive(Debug, Default)]
 pub struct Delivery {
-    /// The head of a stream was written to the client.
+    /// Whether the head of a stream was written to the client.
     pub head_sent: bool,
-    /// The last event that the client has, or said it has.
+    /// The last event that the client has received, from this response or an earlier
+    /// one (`Last-Event-ID`).
     pub last_event: Option<u64>,
-    /// A worker's error response, kept in case no other worker does better.
+    /// A worker's error response, sent to the client if no other attempt succeeds.
     pub error_response: Option<Vec<u8>>,
-    /// The stream so far of a client that cannot read chunks.
+    /// Events for a client without chunked coding, until the stream is complete.
     buffered_stream: Vec<u8>,
     /// The `Last-Event-ID` of the client's request.
     requested_last_event: Option<u64>,
 }
 
 impl Delivery {
-    /// Nothing delivered yet, to a client that resumes after `last_event`.
+    /// Before the first attempt; the client resumes after `last_event`.
     pub fn new(last_event: Option<u64>) -> Delivery {
         Delivery {
             last_event,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Buffers events for a client that needs the complete stream at once.
+    /// Buffers events for a client without chunked coding.
     pub fn buffer(&mut self, events: &[u8]) {
         self.buffered_stream.extend_from_slice(events);
     }
@@ -36,8 +37,8 @@
         std::mem::take(&mut self.buffered_stream)
     }
 
-    /// Drops buffered events after a broken stream, so that the next worker
-    /// starts where the client's request did; no effect once the head was sent.
+    /// Discards buffered events after a failed stream, so that the next attempt
+    /// starts from the client's own `Last-Event-ID`. No effect once the head was sent.
     pub fn discard_buffered(&mut self) {
         if !self.head_sent {
             self.buffered_stream.clear();
--- a/sorreldoor/src/proxy/drain.rs
+++ b/sorreldoor/src/proxy/drain.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdown: clients get time to learn of other nodes, requests in
-//! flight are finished, and queued ones rejected while that can still arrive.
+//! Graceful shutdown: new connections are accepted until clients have newer endpoint
+//! lists, requests in flight are completed, and queued ones rejected in time for
+//! their responses to be sent.
 
 use super::dialect::Dialect;
 use super::shared_state::SharedState;
@@ -8,25 +9,24 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// New connections are accepted for so long after the signal, as clients hold
-/// older endpoint lists.
+/// How long new connections are accepted after the signal to stop, while clients
+/// still use older endpoint lists.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2500);
-/// Queued requests are rejected so long before the grace period is over, while
-/// their answers can still arrive.
+/// How long before the end of the grace period queued requests are rejected.
 const QUEUE_MARGIN: Duration = Duration::from_millis(1000);
-/// The process ends so long before the grace period is over.
+/// How long before the end of the grace period the process exits.
 const EXIT_MARGIN: Duration = Duration::from_millis(200);
 
 /// A shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     started_at: Instant,
-    /// From the signal until the process must have ended.
+    /// From the signal to stop until the process must have exited.
     grace: Duration,
 }
 
 impl Drain {
-    /// Starts a shutdown now.
+    /// Starts the shutdown now.
     pub fn start<D: Dialect, C: Clock>(shared: &SharedState<D, C>, grace: Duration) -> Drain {
         shared.start_draining();
         Drain {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Advances the shutdown; true once the process may end.
+    /// Advances the shutdown; returns true once the process may exit.
     pub fn advance<D: Dialect, C: Clock>(&self, shared: &SharedState<D, C>) -> bool {
         if broken(Invariant::GracefulDrain) {
             return true;
--- a/sorreldoor/src/proxy/listener.rs
+++ b/sorreldoor/src/proxy/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting clients' connections, up to a limit.
+//! The listener of clients' connections, with a limit on open ones.
 
 use super::dialect::Dialect;
 use super::serve_connection::serve_connection;
@@ -13,8 +13,8 @@
 /// How long to wait after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Serves clients' connections, `max_connections` at once, for as long as it
-/// is polled.
+/// Accepts and serves clients' connections, at most `max_connections` at a time.
+/// Never returns.
 pub async fn accept_connections<D: Dialect, C: Clock + Send + Sync + 'static>(
     listener: TcpListener,
     shared: Arc<SharedState<D, C>>,
@@ -25,7 +25,7 @@
             task::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        // a connection closed at once sends the client to another node
+        // closed at once, so that the client tries another node
         if shared.open_connections.load(Ordering::Relaxed) >= max_connections {
             continue;
         }
--- a/sorreldoor/src/proxy/request_reader.rs
+++ b/sorreldoor/src/proxy/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reading one request completely, within the operator's limits.
+//! Reading a complete request within the configured limits on size and time.
 
 use super::client::Client;
 use super::dialect::Dialect;
@@ -11,12 +11,13 @@
 use futures_lite::future::or;
 use std::time::Duration;
 
-/// Why there is no (further) request on a connection.
+/// Why no request was read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The connection has ended, or must end; nothing is answered.
+    /// The client closed the connection, or it was idle for too long; it is closed
+    /// without a response.
     ConnectionEnded,
-    /// The request is answered with this error, and the connection closed.
+    /// The proxy responds with this error and closes the connection.
     Rejected(ErrorCode),
 }
 
@@ -34,7 +35,8 @@
 /// Reads the next request with its body.
 ///
 /// # Errors
-/// Why there is none.
+/// [`RequestError`] if the connection ends, a limit is exceeded, or the request is
+/// malformed.
 pub async fn read_request<D: Dialect, C: Clock>(
     shared: &SharedState<D, C>,
     client: &mut Client,
--- a/sorreldoor/src/proxy/serve_connection.rs
+++ b/sorreldoor/src/proxy/serve_connection.rs
@@ -1,5 +1,5 @@
-//! Serving one client's connection: requests are read one after the other, and
-//! each is answered before the next.
+//! Serving one client's connection: its requests are read and forwarded one after
+//! the other.
 
 use super::client::Client;
 use super::dialect::{Dialect, RequestMetadata};
@@ -16,14 +16,14 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// The longest `Retry-After` of a node without configuration, in milliseconds.
+/// The longest `Retry-After` of a request that the balancer does not accept.
 const MAX_RETRY_AFTER_MS: Millis = 700;
-/// Assumed where the client states no deadline, in milliseconds.
+/// Assumed for clients that state no deadline.
 const DEFAULT_CLIENT_DEADLINE_MS: Millis = 3000;
-/// Bytes reserved for a request line and `Content-Length` beyond the head's own.
+/// Bytes reserved for headers that are added to those received.
 const ADDED_HEAD_BYTES: usize = 64;
 
-/// Serves one connection until either side ends it.
+/// Serves one connection until either side closes it.
 pub async fn serve_connection<D: Dialect, C: Clock + Send + Sync + 'static>(
     shared: Arc<SharedState<D, C>>,
     stream: TcpStream,
@@ -44,12 +44,12 @@
         if !keep_alive || client.close_after_response {
             return;
         }
-        // a connection that always has bytes must let others run
+        // lets other tasks run if this connection always has bytes
         task::yield_now().await;
     }
 }
 
-/// Answers one request; returns whether the connection stays open.
+/// Responds to one request; returns whether the connection stays open.
 async fn serve_request<D: Dialect, C: Clock>(
     shared: &SharedState<D, C>,
     client: &mut Client,
@@ -87,7 +87,8 @@
     keep_alive
 }
 
-/// The request line and the forwarded headers; reads the metadata on the way.
+/// Returns the request line and the headers for the worker, without the empty line
+/// at the end, and fills `metadata` from the headers.
 fn encode_head<D: Dialect>(
     dialect: &D,
     head: &Head,
@@ -121,8 +122,8 @@
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-/// A node that has just started needs a while for its configuration, and
-/// clients wait a third of their deadline at most.
+/// Milliseconds after which the client should retry, at most a third of its
+/// deadline; 0 if it must not retry.
 fn retry_after_ms(error: ErrorCode, client_deadline_ms: Option<Millis>) -> Millis {
     if !error.is_retryable() {
         return 0;
--- a/sorreldoor/src/proxy/upstream/event_stream.rs
+++ b/sorreldoor/src/proxy/upstream/event_stream.rs
@@ -1,17 +1,20 @@
 //! Server-sent events of a `text/event-stream` body (HTML standard, section
-//! 9.2): where one ends, and which of them the client has already.
+//! 9.2): splits a body into events, and drops those that the client already has.
 
 /// Events to be forwarded to the client.
 #[derive(Debug, Default)]
 pub struct ForwardedEvents {
+    /// The events as received.
     pub bytes: Vec<u8>,
-    /// The id of the last of them that has one.
+    /// The id of the last event that has one.
     pub last_event: Option<u64>,
-    /// Another worker can resume after them: each that holds data has an id.
+    /// Whether each event with data has an id, so that another worker can resume
+    /// the stream after them.
     pub resumable: bool,
 }
 
-/// The length of the first complete event, with its empty line.
+/// The length in bytes of the first complete event, with the empty line that ends
+/// it; `None` if there is none.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut start = 0;
     while let Some(length) = bytes[start..].iter().position(|b| *b == b'\n') {
@@ -38,8 +41,9 @@
         .any(|line| line.starts_with(b"data"))
 }
 
-/// Removes the complete events at the front of `received`, and returns those
-/// that a client with `last_event` lacks; at the end of the body also the rest.
+/// Removes the complete events from the front of `received`, and returns those
+/// with no id or one above `last_event`. At the end of the body (`at_end`) it also
+/// returns the bytes after the last complete event.
 pub fn take_events(
     received: &mut Vec<u8>,
     last_event: Option<u64>,
@@ -55,7 +59,7 @@
         let event = &received[start..start + length];
         let id = event_id(event);
         start += length;
-        // a worker that resumes from an older event must not repeat one
+        // a worker may resume from an older event than requested
         let duplicate = id.is_some_and(|id| delivered.is_some_and(|last| id <= last));
         if duplicate {
             continue;
--- a/sorreldoor/src/proxy/upstream/response_body.rs
+++ b/sorreldoor/src/proxy/upstream/response_body.rs
@@ -1,4 +1,4 @@
-//! Reading a response body completely, before the client gets any of it.
+//! Reading a complete response body before any of it is forwarded.
 
 use super::attempt::Attempt;
 use super::connection_pool::Connection;
@@ -10,14 +10,14 @@
 use crate::runtime::Clock;
 use crate::types::Millis;
 
-/// The largest body of a response, in bytes.
+/// Limit on the body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 32 << 20;
 
-/// Reads the body within `timeout_ms`, and pools the connection if it can be
-/// used again.
+/// Reads the body within `timeout_ms`, and returns the connection to the pool if it
+/// can be reused.
 ///
 /// # Errors
-/// The event that ended the reading; the connection is closed then.
+/// The event that ended the reading; the connection is closed.
 pub async fn read_response_body<D: Dialect, C: Clock>(
     attempt: &Attempt<'_, D, C>,
     client: &Client,
@@ -36,7 +36,7 @@
                 let left = deadline.saturating_sub(attempt.now());
                 match wait_for_worker(&mut connection, Some(client), left).await {
                     Wakeup::BytesRead => continue,
-                    // a reset may have lost bytes, a close has not
+                    // unlike a close, a reset may have lost bytes
                     Wakeup::WorkerClosed if decoder.is_complete_at_close() => break,
                     Wakeup::WorkerClosed => RequestEvent::Closed,
                     Wakeup::WorkerReset => RequestEvent::Reset,
--- a/sorreldoor/src/proxy/upstream/response_head.rs
+++ b/sorreldoor/src/proxy/upstream/response_head.rs
@@ -1,4 +1,4 @@
-//! Waiting for the head of a worker's response.
+//! Waiting for the head of a worker's response, with a time-out for failover.
 
 use super::attempt::{Attempt, FAILOVER_CHECK_MS};
 use super::connection_pool::Connection;
@@ -11,19 +11,20 @@
 use crate::runtime::Clock;
 use crate::types::Millis;
 
-/// The shortest time-out for a response head.
+/// The shortest time-out for the response head of a non-idempotent request.
 const MIN_HEAD_TIMEOUT_MS: Millis = 400;
-/// The same for idempotent requests, whose responses are small.
+/// The shortest time-out for the response head of an idempotent request.
 const MIN_IDEMPOTENT_HEAD_TIMEOUT_MS: Millis = 150;
-/// An idempotent request's time-out, in tenths of the route's latency target.
+/// An idempotent request's time-out, as tenths of the route's latency target.
 const IDEMPOTENT_TIMEOUT_TENTHS: Millis = 6;
-/// The time-out without a latency target: far beyond any deadline.
+/// The time-out without a latency target: beyond any deadline, and safe to double.
 const NO_TIMEOUT_MS: Millis = Millis::MAX / 4;
 
-/// The next head in the buffer that is no interim (1xx) one.
+/// Removes response heads from the buffer up to the first final one, and returns
+/// it. Interim (1xx) responses are skipped; `None` while the head is incomplete.
 ///
 /// # Errors
-/// [`RequestEvent::Malformed`].
+/// [`RequestEvent::Malformed`] for a malformed or too large head.
 pub fn take_final_head(buffer: &mut ReadBuffer) -> Result<Option<Head>, RequestEvent> {
     loop {
         match parse_response_head(buffer) {
@@ -34,13 +35,13 @@
     }
 }
 
-/// How long a worker may send nothing before its head.
+/// Milliseconds without a response head after which failover is considered.
 fn head_timeout(route: &Route) -> Millis {
     if route.aim_ms == 0 {
         return NO_TIMEOUT_MS;
     }
     match route.kind {
-        // a lost small response is best retried while that is in time
+        // early enough for a retry to meet the latency target
         Kind::Idempotent => {
             (route.aim_ms * IDEMPOTENT_TIMEOUT_TENTHS / 10).max(MIN_IDEMPOTENT_HEAD_TIMEOUT_MS)
         }
@@ -48,7 +49,8 @@
     }
 }
 
-/// Waits for the head of the response.
+/// Waits for the head of the response. After its time-out, the attempt is given up
+/// as soon as the balancer allows failover.
 ///
 /// # Errors
 /// The event that ended the wait.
@@ -70,7 +72,7 @@
             return Err(RequestEvent::DeadlinePassed);
         }
         if now >= check_at {
-            // a worker that responds to others is slow, but not for twice as long
+            // a worker that sends other responses gets twice the time-out
             let overdue = idempotent || now >= started_at.saturating_add(2 * timeout);
             if attempt.may_fail_over(if overdue { 0 } else { timeout }) {
                 return Err(RequestEvent::IdleTimeout);
--- a/sorreldoor/src/proxy/upstream/run_attempt.rs
+++ b/sorreldoor/src/proxy/upstream/run_attempt.rs
@@ -19,8 +19,8 @@
 use crate::runtime::Clock;
 use crate::types::Millis;
 
-/// Time-out for reading the body of a rejection. Only then can the connection be
-/// reused.
+/// Time-out for reading the body of a rejection; unless it is read, the connection
+/// cannot be reused.
 const REJECTION_BODY_TIMEOUT_MS: Millis = 100;
 /// Status 421: the request was directed at another worker.
 const MISDIRECTED_REQUEST: u16 = 421;
--- a/sorreldoor/src/proxy/upstream/stream_relay.rs
+++ b/sorreldoor/src/proxy/upstream/stream_relay.rs
@@ -1,6 +1,6 @@
-//! Relaying an event stream: events are forwarded as they arrive, the stream is
-//! resumed at another worker where the route allows, and an incomplete stream
-//! never looks complete to the client.
+//! Forwarding an event stream to the client, event by event. A stream that fails
+//! is resumed at another worker if the route allows it; otherwise the client can
+//! detect that it is incomplete.
 
 use super::attempt::{Attempt, AttemptResult, FAILOVER_CHECK_MS};
 use super::connection_pool::Connection;
@@ -19,13 +19,14 @@
 
 /// The shortest time-out between events, in milliseconds.
 const MIN_EVENT_TIMEOUT_MS: Millis = 400;
-/// A stream that has been quiet for so long is watched for its client's leaving,
-/// too; while events flow, writing them shows it.
+/// Milliseconds without bytes after which the relay also waits for a disconnect of
+/// the client. While events arrive, writing them detects it.
 const QUIET_MS: Millis = 150;
-/// The time-out without a latency target: far beyond any deadline.
+/// The time-out without a latency target: beyond any deadline, and safe to double.
 const NO_TIMEOUT_MS: Millis = Millis::MAX / 4;
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
+/// Appends a chunk; an empty one would end the chunked body.
 fn write_chunk(bytes: &[u8], out: &mut Vec<u8>) {
     if !bytes.is_empty() {
         out.extend_from_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
@@ -34,18 +35,19 @@
     }
 }
 
-/// A stream between a worker and the client.
+/// A stream that is being forwarded from a worker to the client.
 struct StreamRelay<'a, 'b, D, C> {
     attempt: &'a Attempt<'b, D, C>,
     client: &'a mut Client,
     delivery: &'a mut Delivery,
     head: Head,
-    /// When events were last forwarded.
+    /// When events were last forwarded, in milliseconds of the monotonic clock.
     forwarded_at: Millis,
-    first: bool,
+    /// Whether no events of this worker were forwarded yet.
+    awaiting_first_event: bool,
 }
 
-/// Forwards a stream until it ends, breaks, or is left for another worker.
+/// Forwards a stream until it ends, fails, or the attempt fails over.
 pub async fn relay_stream<D: Dialect, C: Clock>(
     attempt: &Attempt<'_, D, C>,
     client: &mut Client,
@@ -63,7 +65,7 @@
         delivery,
         head,
         forwarded_at: attempt.now(),
-        first: true,
+        awaiting_first_event: true,
     };
     let mut check_at = relay.forwarded_at.saturating_add(timeout);
     let mut quiet = false;
@@ -88,7 +90,7 @@
             return relay.deadline_passed(connection).await;
         }
         if now >= check_at {
-            // a worker that responds to others is slow, but not for twice as long
+            // a worker that sends other responses gets twice the time-out
             let overdue = now >= relay.forwarded_at.saturating_add(2 * timeout);
             if attempt.may_fail_over(if overdue { 0 } else { timeout }) {
                 return relay.fail(connection, RequestEvent::IdleTimeout);
@@ -115,8 +117,8 @@
     }
 }
 
-/// How long a worker may send no event: there is no reason to fail over before
-/// the stream misses its latency target.
+/// Milliseconds without an event after which failover is considered. Before that,
+/// the stream still meets its latency target.
 fn event_timeout<D: Dialect, C: Clock>(attempt: &Attempt<'_, D, C>) -> Millis {
     let route = attempt.route;
     if route.gap_ms == 0 || !route.resume {
@@ -126,14 +128,14 @@
 }
 
 impl<D: Dialect, C: Clock> StreamRelay<'_, '_, D, C> {
-    /// Forwards events to the client; false once it has disconnected.
+    /// Forwards events to the client; false if it has disconnected.
     async fn forward(&mut self, events: ForwardedEvents, complete: bool) -> bool {
         self.delivery.last_event = events.last_event.or(self.delivery.last_event);
         let written = match self.client.http10 {
             true => self.forward_buffered(&events, complete).await,
             false => self.forward_chunk(&events, complete).await,
         };
-        if std::mem::take(&mut self.first) {
+        if std::mem::take(&mut self.awaiting_first_event) {
             self.attempt.record_outcome(AttemptOutcome::FirstEvent);
         }
         self.forwarded_at = self.attempt.now();
@@ -156,8 +158,8 @@
         self.client.write(&out).await
     }
 
-    /// Without chunks only a length shows that a stream is complete, so an
-    /// HTTP/1.0 client gets it at its end.
+    /// Buffers events for an HTTP/1.0 client, which receives the complete stream
+    /// with its `Content-Length`. Without chunks it could not detect truncation.
     async fn forward_buffered(&mut self, events: &ForwardedEvents, complete: bool) -> bool {
         self.delivery.buffer(&events.bytes);
         if !complete {
@@ -176,15 +178,15 @@
         AttemptResult::Finished { keep_alive }
     }
 
-    /// The stream failed at this worker; the balancer decides whether it is
-    /// resumed at another.
+    /// Ends the attempt after a failure of the worker. The balancer decides whether
+    /// the stream is resumed at another.
     fn fail(self, connection: Connection, event: RequestEvent) -> AttemptResult {
         self.attempt.close_connection(connection);
         self.delivery.discard_buffered();
         self.attempt.worker_failed(event)
     }
 
-    /// The deadline has passed; that is no failure of the worker.
+    /// Ends the request at its deadline, which is not a failure of the worker.
     async fn deadline_passed(self, connection: Connection) -> AttemptResult {
         self.attempt.close_connection(connection);
         self.attempt.record_event(RequestEvent::DeadlinePassed);
