--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -1,5 +1,5 @@
-//! The controller of a node that serves hosted routes: its subscription to a
-//! core, the updates it applies, and the balancer that they configure.
+//! The control loop of a proxy node as a pure reducer: it subscribes to a core,
+//! applies replicated state to the balancer, and reports readiness and usage.
 
 use super::usage_reporter::UsageReporter;
 use crate::balancer::Balancer;
@@ -18,8 +18,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Milliseconds after its first membership update until a node assumes that
-/// all nodes are listed.
+/// Milliseconds after the first membership update until the list of nodes is taken
+/// as complete.
 const MEMBERSHIP_DELAY_MS: Millis = 1000;
 
 /// An input of [`ProxyController`].
@@ -29,7 +29,7 @@
     Tick,
     /// A connection to a core was opened or closed, or a frame arrived.
     Net(NetEvent),
-    /// The node was told to shut down.
+    /// The process was signalled to shut down.
     Stop,
 }
 
@@ -40,20 +40,20 @@
 pub enum ControllerEffect {
     /// Send a frame to a core.
     Send(Conn, Payload),
-    /// Keep a connection to this core open, and reconnect when it is lost.
+    /// Connect to this core, and reconnect whenever the connection is lost.
     Connect(SocketAddr),
-    /// Stop connecting to this core.
+    /// Close the connection to this core, and do not reconnect.
     Disconnect(SocketAddr),
-    /// Write a line to the event log: the event and its details.
+    /// Write an event and its details to the event log.
     Log(LogEvent, String),
 }
 
-/// A ready edge as clients are sent to it.
+/// A ready edge, as clients are given its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadyEdge {
     /// Name of the node.
     pub node: String,
-    /// `IP:PORT` of its clients' listener.
+    /// `IP:PORT` of its listener for clients.
     pub addr: String,
     /// Index of its zone.
     pub zone: u16,
@@ -62,7 +62,7 @@
 }
 
 impl ReadyEdge {
-    /// The ready ones of the announced edges.
+    /// The ready edges among `endpoints`.
     pub fn from_endpoints(endpoints: &[EdgeEndpoint]) -> Vec<ReadyEdge> {
         let ready = endpoints.iter().filter(|e| e.ready);
         ready.map(ReadyEdge::from).collect()
@@ -80,26 +80,27 @@
     }
 }
 
-/// The control half of a proxy node; the daemon feeds it events.
+/// The controller of a proxy node, owned and driven by its daemon.
 pub struct ProxyController {
     identity: Hello,
     site: Arc<Site>,
     subscription: Pull,
-    /// Places requests, under the configuration that is applied here.
+    /// Chooses workers for requests; configured from the replicated state.
     pub balancer: Balancer,
-    /// Requests in flight, as reported to cores.
+    /// Requests in flight, as reported to cores; set by the daemon before each step.
     pub requests_in_flight: u32,
-    /// Ready edges, by the sessions that cores announce.
+    /// The ready edges that a core last announced.
     ready_edges: Vec<ReadyEdge>,
+    /// The replicated state last applied, without its document.
     view: View,
     draining: bool,
     now: Millis,
     /// The readiness that was last reported to cores.
     reported_ready: bool,
     usage_reporter: UsageReporter,
-    /// All edges and their zones, ready or not, until the balancer is given them.
+    /// All edges and their zones, ready or not, for the balancer's next update.
     pending_members: Vec<(String, u16)>,
-    /// When the membership counts as complete; set by its first update.
+    /// When the list of nodes is taken as complete; set by its first update.
     membership_complete_at: Option<Millis>,
     effects: Vec<ControllerEffect>,
 }
@@ -132,7 +133,7 @@
 }
 
 impl ProxyController {
-    /// A node that starts, without configuration or workers yet.
+    /// A node that starts, without configuration and workers.
     pub fn new(
         identity: Hello,
         site: Arc<Site>,
@@ -166,12 +167,12 @@
         self.effects.push(ControllerEffect::Send(conn, payload));
     }
 
-    /// Whether it has a configuration and workers, and is not shutting down.
+    /// Whether the node has a configuration and workers, and is not shutting down.
     pub fn ready(&self) -> bool {
         !self.draining && self.balancer.hosted().is_some() && self.subscription.have.registry > 0
     }
 
-    /// What this node's metrics are read from.
+    /// The values of this node's metrics.
     pub fn figures(&self) -> EdgeFigures {
         EdgeFigures {
             ready: self.ready(),
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The ready edges as this one knows them, with itself.
+    /// The ready edges that a core announced, and this one if it is ready.
     pub fn ready_edges(&self) -> Vec<ReadyEdge> {
         let own = ReadyEdge {
             node: self.identity.node.clone(),
@@ -194,15 +195,15 @@
         self.ready_edges.iter().cloned().chain(own).collect()
     }
 
-    /// A change of readiness is reported at once: clients must be sent here
-    /// soon, and elsewhere before the listener closes.
+    /// Reports a change of readiness at once, so that clients are sent elsewhere
+    /// before the listener closes.
     fn report_readiness(&mut self) {
         if self.ready() != self.reported_ready {
             self.renew();
         }
     }
 
-    /// Renews the lease now, which also acknowledges what was applied.
+    /// Renews the lease now, which also acknowledges the state applied so far.
     fn renew(&mut self) {
         if let Some(conn) = self.subscription.conn {
             let effect = self.subscription.renew(conn, self.now);
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Reports to a core what tenants have requested.
+    /// Reports the tenants' usage of their quotas to a core.
     fn report_usage(&mut self) {
         let admission = &mut self.balancer.admission;
         let session = self.subscription.conn;
@@ -219,8 +220,7 @@
         }
     }
 
-    /// The nodes that share limits: once all had time to start, also those
-    /// that are not ready yet.
+    /// Gives the balancer the nodes that share limits, once their list is complete.
     fn apply_membership(&mut self) {
         let complete = self.membership_complete_at.is_some_and(|t| self.now >= t);
         if complete && !self.pending_members.is_empty() {
@@ -242,7 +242,7 @@
                 no,
                 unverified,
             } => self.send_renewal(conn, no, unverified),
-            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
+            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "no answer in time"),
             SubscriptionEffect::Woken(detail) => self.log_event(LogEvent::ClockJump, detail),
             SubscriptionEffect::LeaseExpired | SubscriptionEffect::LeaseRenewed => {}
         }
@@ -299,8 +299,7 @@
             self.subscription.withheld(no, self.now);
             return;
         }
-        // an update of a core that could not prove itself current may be
-        // stale, and is applied only by a node that has none at all
+        // an unverified update is granted only while no confirmed state is known
         let granted = self.subscription.granted(no, ok, has_document, self.now);
         if granted != Granted::No {
             self.apply_delta(delta);
@@ -308,7 +307,7 @@
     }
 
     fn apply_delta(&mut self, delta: StateDelta) {
-        // a late answer must not undo a newer one
+        // a late grant must not replace newer state
         let known = self.subscription.have.record;
         if let Some(update) = delta.record.filter(|u| u.revision > known) {
             self.apply_update(&update);
@@ -327,7 +326,7 @@
     }
 
     fn apply_registry(&mut self, registry: &WorkerRegistry) {
-        // lists arrive by more than one way, and an older one may arrive later
+        // registries arrive in grants and on their own, possibly out of order
         if registry.version > self.subscription.have.registry {
             self.subscription.have.registry = registry.version;
             self.balancer.update_registry(registry, self.now);
@@ -355,7 +354,7 @@
         self.subscription.have.record = update.revision;
         self.balancer
             .set_evacuated_zones(update.evacuated.clone(), self.now);
-        // the text is parsed; keeping it would only cost its memory
+        // the document is not needed after it was parsed; this saves its memory
         self.view = View {
             revision: update.revision,
             version: update.version,
@@ -365,17 +364,18 @@
             regions: update.regions,
         };
         if encoded.bytes.len() > LARGE_UPDATE {
-            // the core sends nothing more until this is acknowledged
+            // the core sends no more state until a large update is acknowledged
             self.renew();
         }
     }
 
-    /// Has the next renewal ask for the complete state.
+    /// Makes the next renewal request the complete state.
     fn request_snapshot(&mut self, reason: &str) {
         self.subscription.have.record = 0;
         self.log_event(LogEvent::ConfigurationUnreadable, reason);
     }
 
+    /// Applies the document or its changes; fails with the faults of the result.
     fn apply_document(
         &mut self,
         complete: bool,
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -1,4 +1,5 @@
-//! The proxy's daemon: sockets, timers and signals around its controller.
+//! The proxy daemon: sockets, timers and signals, and the loop that drives the
+//! controller.
 
 use super::controller::{ControllerEffect, ControllerEvent, ProxyController};
 use super::dialect::Dialect;
@@ -26,27 +27,27 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Events that may wait for the controller.
+/// Capacity of the controller's event queue.
 const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Between ticks of the controller.
+/// Time between ticks of the controller.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Between evictions of expired connections to workers.
+/// Time between evictions of expired connections to workers.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// What a proxy node needs beside the settings that all nodes have.
+/// The settings of a proxy node.
 pub struct ProxyOptions {
     /// The settings that all nodes have.
     pub settings: Settings,
     /// Limits on retries and slow start, for all nodes together.
     pub bounds: Bounds,
-    /// From the signal to stop until the process must have ended.
+    /// Grace period: from the signal to stop until the process must have exited.
     pub grace: Duration,
 }
 
-/// Runs a proxy node until it is told to stop and has drained.
+/// Runs a proxy node until it receives the signal to stop and has drained.
 ///
 /// # Errors
-/// What could not be set up: a signal handler, or a listener.
+/// [`StartError`] if a signal handler or a listener could not be set up.
 pub fn run<D: Dialect, C: Clock + Send + Sync + 'static>(
     options: ProxyOptions,
     dialect: D,
@@ -141,7 +142,7 @@
     })
 }
 
-/// Feeds the controller until the node has drained.
+/// Steps the controller with events and ticks until the node has drained.
 async fn run_controller<D: Dialect, C: Clock>(
     shared: Arc<SharedState<D, C>>,
     net: Net<ControllerEvent>,
--- a/sorreldoor/src/proxy/plain_dialect.rs
+++ b/sorreldoor/src/proxy/plain_dialect.rs
@@ -1,12 +1,12 @@
-//! The product's own header names, all beginning with `x-` (docs/hosted.md).
+//! The default [`Dialect`]: header names that begin with `x-` (docs/hosted.md).
 
 use super::dialect::{Dialect, ForwardHeaders, PromptSegment, RequestMetadata, ResponseMetadata};
 use crate::balancer::LoadReport;
 
-/// Status 421: the request was directed at another worker.
+/// HTTP status 421 (RFC 9110, section 15.5.20).
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// The product's own header names.
+/// The default dialect, with header names that begin with `x-`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainDialect;
 
@@ -14,7 +14,7 @@
     std::str::from_utf8(value).map_or("", str::trim)
 }
 
-/// `ID:TOKENS`, with the id in hex, joined by commas; malformed ones are skipped.
+/// Parses a list `ID:TOKENS,...` with hexadecimal ids; skips malformed entries.
 fn prompt_segments(value: &str) -> Vec<PromptSegment> {
     value.split(',').filter_map(prompt_segment).collect()
 }
@@ -27,12 +27,14 @@
     })
 }
 
-/// Prompt tokens and the most to generate, joined by a comma.
+/// Parses `PROMPT,OUTPUT`: the length of the prompt and the limit on generated
+/// tokens; 0 for a number that is missing or malformed.
 fn token_counts(value: &str) -> (u32, u32) {
     let mut counts = value.split(',').map(|n| n.trim().parse().unwrap_or(0));
     (counts.next().unwrap_or(0), counts.next().unwrap_or(0))
 }
 
+/// Parses `RUNNING,WAITING,SLOTS`.
 fn worker_load(value: &str) -> Option<LoadReport> {
     let numbers: Vec<u32> = value
         .split(',')
--- a/sorreldoor/src/proxy/shared_state.rs
+++ b/sorreldoor/src/proxy/shared_state.rs
@@ -1,4 +1,4 @@
-//! State that all connections of one proxy node share.
+//! State that the daemon and all connections of one proxy node share.
 
 use super::controller::ProxyController;
 use super::dialect::Dialect;
@@ -12,30 +12,30 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// State that all connections of one proxy node share.
+/// State that the daemon and all connections of one proxy node share.
 pub struct SharedState<D, C> {
     controller: Mutex<ProxyController>,
     pub(super) connections: ConnectionPool,
     pub(super) dialect: D,
     pub(super) clock: C,
-    /// Where to dial instead of an announced address.
+    /// The address to connect to, by announced address, where they differ.
     address_overrides: BTreeMap<SocketAddr, SocketAddr>,
-    /// Requests queued for a worker, and how each is woken.
+    /// The requests that are queued for a worker, each with its wakeup channel.
     queued: Mutex<HashMap<RequestId, Sender<()>>>,
-    /// The node shuts down: responses close their connections.
+    /// Whether the node is shutting down, and responses close their connections.
     draining: AtomicBool,
-    /// Queued requests are rejected from now on.
+    /// Whether queued requests are rejected.
     queue_closed: AtomicBool,
-    /// Client connections, and requests in flight.
+    /// Open connections of clients.
     pub(super) open_connections: AtomicUsize,
     pub(super) requests_in_flight: AtomicUsize,
-    /// Closed once idle client connections must end.
+    /// A channel that is closed once idle client connections must end.
     idle_close: (Sender<()>, Receiver<()>),
 }
 
 impl<D: Dialect, C: Clock> SharedState<D, C> {
     /// The state of a node that starts; `address_overrides` maps announced addresses
-    /// to those that are dialled instead.
+    /// to those that are connected to instead.
     pub fn new(
         controller: ProxyController,
         dialect: D,
@@ -62,7 +62,8 @@
         self.clock.now().monotonic_ms
     }
 
-    /// Locks the controller with its balancer; never held across an await.
+    /// Locks the controller with its balancer. The guard must not be held across an
+    /// await.
     pub fn lock(&self) -> MutexGuard<'_, ProxyController> {
         self.controller.lock().unwrap_or_else(|p| p.into_inner())
     }
@@ -71,7 +72,7 @@
         self.queued.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// Queues a request; the receiver resolves when it may find a worker.
+    /// Queues a request; the receiver resolves when a worker may be available.
     pub fn enqueue(&self, request_id: RequestId) -> Receiver<()> {
         let (waker, wakeup) = bounded(1);
         self.queued().insert(request_id, waker);
@@ -83,7 +84,7 @@
         self.queued().remove(&request_id);
     }
 
-    /// Wakes queued requests that may find a worker now.
+    /// Wakes queued requests for which a worker may be available.
     pub fn wake_queued(&self) {
         if self.queued().is_empty() {
             return;
@@ -96,12 +97,12 @@
         }
     }
 
-    /// Whether the node shuts down.
+    /// Whether the node is shutting down.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// From now on each response announces the end of its connection.
+    /// From now on, connections are closed after their next response.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
@@ -111,8 +112,7 @@
         self.queue_closed.load(Ordering::Relaxed)
     }
 
-    /// Rejects all queued requests: they have not run, and there is no time
-    /// left for them to run here.
+    /// Rejects all queued requests from now on; none of them has run.
     pub fn close_queue(&self) {
         if !self.queue_closed.swap(true, Ordering::Relaxed) {
             for waker in self.queued().values() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Ends idle client connections.
+    /// Closes idle client connections, now and from now on.
     pub fn close_idle_connections(&self) {
         self.idle_close.0.close();
     }
@@ -131,7 +131,7 @@
         let _ = self.idle_close.1.recv().await;
     }
 
-    /// The address to dial for an announced one.
+    /// The address to connect to for an announced one.
     pub fn connect_address(&self, announced: SocketAddr) -> SocketAddr {
         self.address_overrides
             .get(&announced)
--- a/sorreldoor/src/proxy/status_endpoint.rs
+++ b/sorreldoor/src/proxy/status_endpoint.rs
@@ -1,5 +1,5 @@
-//! Small HTTP endpoints beside the clients' listener: a method and target in,
-//! a JSON document out.
+//! HTTP endpoints with JSON documents on the status of the node, on listeners of
+//! their own.
 
 use super::controller::ReadyEdge;
 use super::http1::{parse_request_head, read_body, Framing, Head, ReadBuffer};
@@ -11,23 +11,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Within this a request must arrive and be answered.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time-out for receiving a request and sending its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long to wait after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_HEAD_BYTES: usize = 8 << 10;
 const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// What endpoints may show of the node.
+/// The status of the node, as endpoints show it.
 #[derive(Clone, Debug, Default)]
 pub struct NodeStatus {
-    /// Whether it has a configuration and workers, and is not shutting down.
+    /// Whether the node has a configuration and workers, and is not shutting down.
     pub ready: bool,
-    /// The edges that clients are sent to.
+    /// The edges that serve clients.
     pub ready_edges: Vec<ReadyEdge>,
 }
 
-/// Status code and JSON text of an answer.
+/// A response of a status endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusResponse {
     /// HTTP status code; a 503 is sent with `Retry-After: 1`.
@@ -36,21 +36,21 @@
     pub body: String,
 }
 
-/// Answers a method and target from the node's status.
+/// Returns the response to a method and target, from the node's status.
 pub type StatusHandler = Box<dyn Fn(&NodeStatus, &str, &str) -> StatusResponse + Send + Sync>;
 
-/// A small endpoint: its address, and how it answers.
+/// A status endpoint: its address and its handler.
 pub struct StatusEndpoint {
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
-    /// Computes the answer to each request.
+    /// Returns the response to each request.
     pub handler: StatusHandler,
 }
 
-/// Answers a method and target.
+/// Returns the response to a method and target.
 pub type RequestHandler = Arc<dyn Fn(&str, &str) -> StatusResponse + Send + Sync>;
 
-/// Serves an endpoint's connections for as long as it is polled.
+/// Accepts and serves an endpoint's connections. Never returns.
 pub async fn serve_status_endpoint(listener: TcpListener, handler: RequestHandler) {
     loop {
         match listener.accept().await {
@@ -67,14 +67,14 @@
     let mut buffer = ReadBuffer::default();
     loop {
         let request = serve_request(&mut stream, &mut buffer, &handler);
-        let Ok(true) = timeout(IDLE_TIMEOUT, request).await else {
+        let Ok(true) = timeout(REQUEST_TIMEOUT, request).await else {
             return;
         };
         buffer.shrink();
     }
 }
 
-/// Answers one request; returns whether the connection stays open.
+/// Responds to one request; returns whether the connection stays open.
 async fn serve_request(
     stream: &mut TcpStream,
     buffer: &mut ReadBuffer,
--- a/sorreldoor/src/proxy/upstream/run_attempt.rs
+++ b/sorreldoor/src/proxy/upstream/run_attempt.rs
@@ -22,7 +22,7 @@
 /// Time-out for reading the body of a rejection; unless it is read, the connection
 /// cannot be reused.
 const REJECTION_BODY_TIMEOUT_MS: Millis = 100;
-/// Status 421: the request was directed at another worker.
+/// HTTP status 421 (RFC 9110, section 15.5.20).
 const MISDIRECTED_REQUEST: u16 = 421;
 
 /// Sends the request to the chosen worker and forwards its response.
--- a/sorreldoor/src/proxy/usage_reporter.rs
+++ b/sorreldoor/src/proxy/usage_reporter.rs
@@ -1,38 +1,38 @@
-//! Which core an edge reports the usage of quotas to.
+//! Choice of the core to which an edge reports the usage of quotas.
 
 use crate::net::Conn;
 use crate::quota::{Admission, AdmissionUpdate, UsageReport};
 use crate::types::Millis;
 
-/// Chooses the connection for reports. The core of the edge's session may be
-/// cut off without the connection having ended, while others still speak to
-/// the edge.
+/// Chooses the connection for usage reports. It fails over to another core when
+/// reports are not answered, since the core of the edge's session may be
+/// partitioned while the connection to it stays open.
 #[derive(Debug, Default)]
 pub struct UsageReporter {
-    /// The connection of the reports that are unanswered.
+    /// The connection on which reports are sent.
     reported_to: Option<Conn>,
     /// The connection of the edge's session at the last report.
     session: Option<Conn>,
-    /// The connection on which a core last told anything.
+    /// The connection of the last update from any core.
     last_update_from: Option<Conn>,
 }
 
 impl UsageReporter {
-    /// Takes what a core tells on a connection.
+    /// Applies an update that a core sent on `conn`.
     pub fn on_update(&mut self, conn: Conn, update: &AdmissionUpdate, admission: &mut Admission) {
         self.last_update_from = Some(conn);
         admission.apply(update);
     }
 
-    /// A connection has ended.
+    /// Forgets a connection that has ended.
     pub fn on_closed(&mut self, conn: Conn) {
-        let others = |known: &Conn| *known != conn;
-        self.last_update_from = self.last_update_from.filter(others);
-        self.session = self.session.filter(others);
+        let still_open = |known: &Conn| *known != conn;
+        self.last_update_from = self.last_update_from.filter(still_open);
+        self.session = self.session.filter(still_open);
     }
 
-    /// The report that is due now, and the connection to send it on. `session`:
-    /// the connection of this edge's session.
+    /// Returns the report that is due now and the connection to send it on, if there
+    /// are both. `session` is the connection of this edge's session.
     pub fn report(
         &mut self,
         session: Option<Conn>,
@@ -44,7 +44,7 @@
         let conn = match admission.is_stalled(now) {
             true => self.last_update_from.or(session),
             false if session_changed => session,
-            // a core that answers is kept, also if the session's does not
+            // stays at a core that answers, also after a failover
             false => self.reported_to,
         };
         if conn != self.reported_to {
