--- a/sorreldoor/src/proxy/forward_request.rs
+++ b/sorreldoor/src/proxy/forward_request.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// Obtains the balancer's decision on the request.
 fn place<D: Dialect, C: Clock>(shared: &SharedState<D, C>, request_id: RequestId) -> Placement {
     let now = shared.now();
     let mut controller = shared.lock();
--- a/sorreldoor/src/proxy/http1/framing.rs
+++ b/sorreldoor/src/proxy/http1/framing.rs
@@ -80,6 +80,8 @@
         }
     }
 
+    /// The value of `Content-Length`; fails if it is invalid or repeated with another
+    /// value.
     fn content_length(&self) -> Result<Option<u64>, ReadError> {
         let mut found = None;
         for (name, value) in self.iter() {
@@ -95,6 +97,7 @@
         Ok(found)
     }
 
+    /// Whether the body is chunked; fails for any other transfer coding.
     fn is_chunked(&self) -> Result<bool, ReadError> {
         let mut codings = self
             .iter()
--- a/sorreldoor/src/proxy/request_state/progress.rs
+++ b/sorreldoor/src/proxy/request_state/progress.rs
@@ -152,6 +152,7 @@
         }
     }
 
+    /// An attempt of which no byte was written has no effect on `may_have_run`.
     fn on_connect_failed(&mut self) {
         if matches!(
             self.state,
@@ -183,6 +184,7 @@
         };
     }
 
+    /// Ends the current attempt, and records whether it may have run the request.
     fn end_attempt(&mut self) {
         self.may_have_run |= self.bytes_may_have_left();
         if self.state != State::Done {
--- a/sorreldoor/src/proxy/upstream/attempt.rs
+++ b/sorreldoor/src/proxy/upstream/attempt.rs
@@ -13,7 +13,7 @@
 use crate::types::Millis;
 
 /// Milliseconds between checks whether to fail over from an unresponsive worker.
-pub const FAILOVER_CHECK_MS: Millis = 100;
+pub const FAILOVER_CHECK_INTERVAL_MS: Millis = 100;
 
 /// A client's request. Its attempts differ only in the headers that the dialect
 /// adds.
--- a/sorreldoor/src/proxy/upstream/connection_pool.rs
+++ b/sorreldoor/src/proxy/upstream/connection_pool.rs
@@ -69,6 +69,7 @@
 struct WorkerConnections {
     /// The most recently used is last.
     idle: Vec<IdleConnection>,
+    /// Number of connections in use by attempts or being opened.
     busy: u32,
 }
 
--- a/sorreldoor/src/proxy/upstream/event_stream.rs
+++ b/sorreldoor/src/proxy/upstream/event_stream.rs
@@ -28,6 +28,7 @@
     None
 }
 
+/// The first `id` field of the event that is a number.
 fn event_id(event: &[u8]) -> Option<u64> {
     event
         .split(|b| *b == b'\n')
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -123,6 +123,7 @@
     bytes
 }
 
+/// Writes the request to `connection`, and closes the connection if that fails.
 async fn write_request<D: Dialect, C: Clock>(
     attempt: &Attempt<'_, D, C>,
     mut connection: Connection,
--- a/sorreldoor/src/proxy/upstream/response_head.rs
+++ b/sorreldoor/src/proxy/upstream/response_head.rs
@@ -1,6 +1,6 @@
 //! Waiting for the head of a worker's response, with a time-out for failover.
 
-use super::attempt::{Attempt, FAILOVER_CHECK_MS};
+use super::attempt::{Attempt, FAILOVER_CHECK_INTERVAL_MS};
 use super::connection_pool::Connection;
 use super::worker_wait::{wait_for_worker, Wakeup};
 use crate::configuration::hosted::{Kind, Route};
@@ -77,7 +77,7 @@
             if attempt.may_fail_over(if overdue { 0 } else { timeout }) {
                 return Err(RequestEvent::IdleTimeout);
             }
-            check_at = now + FAILOVER_CHECK_MS;
+            check_at = now + FAILOVER_CHECK_INTERVAL_MS;
         }
         let wait_ms = check_at.min(attempt.deadline) - now;
         match wait_for_worker(connection, Some(client), wait_ms).await {
--- a/sorreldoor/src/proxy/upstream/stream_relay.rs
+++ b/sorreldoor/src/proxy/upstream/stream_relay.rs
@@ -2,7 +2,7 @@
 //! is resumed at another worker if the route allows it; otherwise the client can
 //! detect that it is incomplete.
 
-use super::attempt::{Attempt, AttemptResult, FAILOVER_CHECK_MS};
+use super::attempt::{Attempt, AttemptResult, FAILOVER_CHECK_INTERVAL_MS};
 use super::connection_pool::Connection;
 use super::event_stream::{take_events, ForwardedEvents};
 use super::worker_wait::{wait_for_worker, Wakeup};
@@ -95,7 +95,7 @@
             if attempt.may_fail_over(if overdue { 0 } else { timeout }) {
                 return relay.fail(connection, RequestEvent::IdleTimeout);
             }
-            check_at = now + FAILOVER_CHECK_MS;
+            check_at = now + FAILOVER_CHECK_INTERVAL_MS;
         }
         let until_check = check_at.min(attempt.deadline) - now;
         let wakeup = if quiet {
@@ -142,6 +142,7 @@
         written
     }
 
+    /// Writes events as one chunk, after the head if that was not sent before.
     async fn forward_chunk(&mut self, events: &ForwardedEvents, complete: bool) -> bool {
         let mut out = Vec::new();
         if !self.delivery.head_sent {
@@ -170,6 +171,7 @@
         self.client.write(&response).await
     }
 
+    /// Ends the request after a complete stream.
     fn finish(self) -> AttemptResult {
         self.attempt
             .record_outcome(AttemptOutcome::Completed(self.head.status));
