--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -53,7 +53,7 @@
                 let seq = if claims.is_empty() {
                     self.consensus.as_ref().and_then(|c| c.last_unsynced_save())
                 } else {
-                    self.save_claims(Save::ClaimRecord(claims))
+                    self.save_claims(Save::ClaimRecords(claims))
                 };
                 if let Some(seq) = seq {
                     self.idempotency.defer(seq, action);
@@ -69,7 +69,7 @@
 
     /// Saves with the log's own saves; the sequence number of the save.
     fn save_claims(&mut self, save: Save) -> Option<u64> {
-        let (seq, effects) = self.consensus.as_mut()?.save_beside_log(save);
+        let (seq, effects) = self.consensus.as_mut()?.save_outside_log(save);
         for effect in effects {
             self.apply_consensus_effect(effect);
         }
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -19,7 +19,7 @@
         let Some(consensus) = &self.consensus else {
             return;
         };
-        if !consensus.leads_globally() || !consensus.members_settled() || self.leaving {
+        if !consensus.leads_globally() || !consensus.has_stable_membership() || self.leaving {
             return;
         }
         let members = consensus.members().to_vec();
@@ -41,7 +41,7 @@
     fn health_of(&self, id: NodeId) -> Health {
         let consensus = self.consensus.as_ref();
         Health {
-            silent_ms: consensus.and_then(|c| c.silent_for(id)).unwrap_or(0),
+            silent_ms: consensus.and_then(|c| c.silence_of(id)).unwrap_or(0),
             caught_up: consensus.is_some_and(|c| c.caught_up(id)),
         }
     }
--- a/sorreldoor/src/proxy/upstream/attempt.rs
+++ b/sorreldoor/src/proxy/upstream/attempt.rs
@@ -98,7 +98,7 @@
     /// Closes a connection that cannot be reused.
     pub fn close_connection(&self, connection: Connection) {
         drop(connection);
-        self.shared.connections.discard(self.target.worker);
+        self.shared.connections.discard(self.target.endpoint_index);
     }
 
     /// Returns a connection to the pool after a complete response, or closes it if
@@ -112,7 +112,7 @@
             return self.close_connection(connection);
         }
         self.shared.connections.release(
-            self.target.worker,
+            self.target.endpoint_index,
             connection,
             head.keep_alive_timeout_s(),
         );
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -64,7 +64,7 @@
                 attempt
                     .shared
                     .connections
-                    .acquire_new(attempt.target.worker);
+                    .acquire_new(attempt.target.endpoint_index);
             }
             result => return result,
         }
@@ -81,12 +81,12 @@
     attempt
         .shared
         .connections
-        .acquire(attempt.target.worker, max_idle)
+        .acquire(attempt.target.endpoint_index, max_idle)
 }
 
 async fn new_connection<D: Dialect, C: Clock>(attempt: &Attempt<'_, D, C>) -> Option<Connection> {
     let connections = &attempt.shared.connections;
-    let worker = attempt.target.worker;
+    let worker = attempt.target.endpoint_index;
     connections.evict_surplus(worker, attempt.target.max_conns);
     let within = Duration::from_millis(CONNECT_TIMEOUT_MS.min(attempt.time_left().max(1)));
     let addr = attempt.shared.connect_address(attempt.target.addr);
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -1,7 +1,7 @@
-//! The load balancer: each mechanism on its own, and many nodes together.
+//! The load balancer: single mechanisms, and simulations of many nodes.
 
 use sorreldoor::balancer::{
-    AttemptOutcome, Balancer, Bounds, Decision, LoadReport, Locality, RequestId, Target,
+    AttemptOutcome, Balancer, Decision, LoadReport, Locality, RequestId, SiteLimits, Target,
 };
 use sorreldoor::configuration::hosted::{Engine, Hosted, Kind, Route, Service};
 use sorreldoor::discovery::{Worker, WorkerRegistry};
@@ -33,8 +33,8 @@
 /// Two regions: zones 0 and 1 in the first, 2 in the second.
 const REGIONS: [u8; 3] = [0, 0, 1];
 
-fn bounds() -> Bounds {
-    Bounds {
+fn site_limits() -> SiteLimits {
+    SiteLimits {
         retry_ratio: 0.2,
         retry_window_ms: 10_000,
         retry_slack: 64.0,
@@ -123,9 +123,10 @@
     }
 }
 
+/// One worker for each of `zones`, named by group and number.
 fn workers_in(group: &str, slots: u32, zones: &[u16]) -> Vec<Worker> {
-    let worker_row = |(i, z): (usize, &u16)| worker(&format!("{group}{i}"), group, *z, slots);
-    zones.iter().enumerate().map(worker_row).collect()
+    let numbered = |(i, zone): (usize, &u16)| worker(&format!("{group}{i}"), group, *zone, slots);
+    zones.iter().enumerate().map(numbered).collect()
 }
 
 fn registry(version: u64, workers: Vec<Worker>) -> WorkerRegistry {
@@ -133,18 +134,19 @@
 }
 
 fn new_balancer(hosted: Arc<Hosted>, workers: Vec<Worker>) -> Balancer {
-    let mut balancer = Balancer::new(locality("n0", 0), bounds(), 7);
+    let mut balancer = Balancer::new(locality("n0", 0), site_limits(), 7);
     balancer.apply_configuration(hosted, 0);
     balancer.update_nodes(vec![("n0".into(), 0)]);
     balancer.update_registry(&registry(1, workers), 0);
     balancer
 }
 
-fn metadata(parts: &[(u64, u32)]) -> RequestMetadata {
+/// Metadata with prompt segments, given as id and tokens.
+fn metadata(segments: &[(u64, u32)]) -> RequestMetadata {
     RequestMetadata {
         deadline_ms: Some(5000),
-        prompt_tokens: parts.iter().map(|part| part.1).sum(),
-        prompt_segments: parts
+        prompt_tokens: segments.iter().map(|segment| segment.1).sum(),
+        prompt_segments: segments
             .iter()
             .map(|(id, tokens)| PromptSegment {
                 id: *id,
@@ -155,6 +157,7 @@
     }
 }
 
+/// Begins a request without a prompt.
 fn begin(balancer: &mut Balancer, path: &str, now: u64) -> RequestId {
     balancer.begin("h", path, metadata(&[]), now, now).unwrap()
 }
@@ -162,12 +165,13 @@
 fn expect_send(decision: Decision) -> Target {
     match decision {
         Decision::Send(target) => target,
-        decision => panic!("not sent: {decision:?}"),
+        decision => panic!("expected Decision::Send, got {decision:?}"),
     }
 }
 
+/// Begins a request and decides on it; panics unless it is sent.
 fn send(balancer: &mut Balancer, path: &str, now: u64) -> (RequestId, Target) {
     let request_id = begin(balancer, path, now);
-    let target = expect_send(balancer.pick(request_id, now));
+    let target = expect_send(balancer.decide(request_id, now));
     (request_id, target)
 }
--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -253,12 +253,12 @@
         if frozen || self.stopping.contains(&node) {
             return;
         }
-        if !consensus.leads_globally() || !consensus.members_settled() {
+        if !consensus.leads_globally() || !consensus.has_stable_membership() {
             return;
         }
         let members = consensus.members().to_vec();
         let health = |id: NodeId| Health {
-            silent_ms: consensus.silent_for(id).unwrap_or(0),
+            silent_ms: consensus.silence_of(id).unwrap_or(0),
             caught_up: consensus.caught_up(id),
         };
         let others = members.iter().filter(|m| m.id != consensus.id());
