--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -9,7 +9,7 @@
 use super::{Decision, Target};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
-use crate::proxy::attempt::{Event, Repeatability};
+use crate::proxy::request_state::{Repeatability, RequestEvent};
 use crate::types::Millis;
 
 /// An endpoint that sent something within this time is taken to be alive.
@@ -58,7 +58,7 @@
         self.count_attempt(request, service, choice, now);
         request
             .progress
-            .on(Event::WorkerChosen(Repeatability::from(route)));
+            .apply(RequestEvent::WorkerChosen(Repeatability::from(route)));
         request.tried.push(choice.endpoint);
         request.attempts += 1;
         request.attempt = Some(Attempt {
--- a/sorreldoor/src/balancer/lifecycle.rs
+++ b/sorreldoor/src/balancer/lifecycle.rs
@@ -8,7 +8,7 @@
 use crate::configuration::hosted::{Hosted, Route};
 use crate::error::ErrorCode;
 use crate::invariants::{broken, Invariant};
-use crate::proxy::attempt::{Event, Repeatability, RequestProgress};
+use crate::proxy::request_state::{Repeatability, RequestEvent, RequestProgress};
 use crate::proxy::RequestMetadata;
 use crate::types::Millis;
 
@@ -47,7 +47,7 @@
             arrived_at,
             client_timeout_ms: metadata.deadline_ms,
             deadline: deadline(route, metadata.deadline_ms, arrived_at),
-            prompt_tokens: metadata.tokens_in,
+            prompt_tokens: metadata.prompt_tokens,
             segments: metadata.prompt_segments.into(),
             api_key: metadata.api_key,
             route: Some(route_index),
@@ -126,9 +126,9 @@
     }
 
     /// Records an event that affects the request's progress, but no endpoint.
-    pub fn record_event(&mut self, request_id: RequestId, event: Event) {
+    pub fn record_event(&mut self, request_id: RequestId, event: RequestEvent) {
         if let Some(request) = self.requests.get_mut(request_id) {
-            request.progress.on(event);
+            request.progress.apply(event);
         }
     }
 
--- a/sorreldoor/src/balancer/outcomes.rs
+++ b/sorreldoor/src/balancer/outcomes.rs
@@ -7,7 +7,7 @@
 use super::state::Balancer;
 use super::{AttemptOutcome, LoadReport, RequestId};
 use crate::error::ErrorCode;
-use crate::proxy::attempt::Event;
+use crate::proxy::request_state::RequestEvent;
 use crate::types::Millis;
 
 impl AttemptOutcome {
@@ -40,7 +40,7 @@
             AttemptOutcome::Completed(status) => {
                 self.record_completed(request_id, attempt, status, now);
                 self.release_attempt(request_id, true);
-                self.record_attempt_end(request_id, Event::ResponseComplete, None);
+                self.record_attempt_end(request_id, RequestEvent::ResponseComplete, None);
             }
             AttemptOutcome::Rejected(load) => self.attempt_rejected(request_id, attempt, load, now),
             AttemptOutcome::Misdirected => self.attempt_misdirected(request_id, attempt),
@@ -50,13 +50,13 @@
                 self.record_health(attempt, HealthSignal::Failure, now);
                 self.record_attempt_end(
                     request_id,
-                    Event::Closed,
+                    RequestEvent::Closed,
                     Some(ErrorCode::WorkerDisconnected),
                 );
             }
             AttemptOutcome::Canceled => {
                 self.release_attempt(request_id, true);
-                self.record_attempt_end(request_id, Event::Closed, None);
+                self.record_attempt_end(request_id, RequestEvent::Closed, None);
             }
         }
         self.remove_if_unused(attempt.endpoint);
@@ -86,7 +86,7 @@
         }
         // a refusal (429 or 503) shows overload, not a failed endpoint
         self.record_health(attempt, HealthSignal::Success, now);
-        self.record_attempt_end(request_id, Event::NotRun, Some(ErrorCode::NoWorker));
+        self.record_attempt_end(request_id, RequestEvent::NotRun, Some(ErrorCode::NoWorker));
     }
 
     fn attempt_misdirected(&mut self, request_id: RequestId, attempt: Attempt) {
@@ -96,7 +96,7 @@
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             endpoint.misdirected_version = Some(version);
         }
-        self.record_attempt_end(request_id, Event::NotRun, Some(ErrorCode::NotSent));
+        self.record_attempt_end(request_id, RequestEvent::NotRun, Some(ErrorCode::NotSent));
         // the intended endpoint is gone, so the attempt reached none
         self.decrement_attempts(request_id);
     }
@@ -106,18 +106,22 @@
         self.release_attempt(request_id, false);
         self.revert_unsent_attempt(request_id, attempt);
         self.record_health(attempt, HealthSignal::ConnectFailure, now);
-        self.record_attempt_end(request_id, Event::ConnectFailed, Some(ErrorCode::NotSent));
+        self.record_attempt_end(
+            request_id,
+            RequestEvent::ConnectFailed,
+            Some(ErrorCode::NotSent),
+        );
     }
 
     /// Updates the request's progress and last error after its attempt has ended.
     fn record_attempt_end(
         &mut self,
         request_id: RequestId,
-        event: Event,
+        event: RequestEvent,
         error: Option<ErrorCode>,
     ) {
         if let Some(request) = self.requests.get_mut(request_id) {
-            request.progress.on(event);
+            request.progress.apply(event);
             request.last_error = error;
         }
     }
--- a/sorreldoor/src/proxy/upstream/request_sender.rs
+++ b/sorreldoor/src/proxy/upstream/request_sender.rs
@@ -1,12 +1,12 @@
-//! Sending a request to a worker: the connection, the bytes written to it, and
-//! whether any of them may have left.
+//! Sending a request to a worker: acquires a connection, writes the request, and
+//! records whether any of its bytes may have left.
 
+use super::attempt::Attempt;
 use super::connection_pool::{Connection, MAX_IDLE_NON_IDEMPOTENT};
-use super::exchange::Exchange;
 use super::response_head::take_final_head;
-use crate::proxy::attempt::Event;
 use crate::proxy::dialect::{Dialect, ForwardHeaders};
 use crate::proxy::http1::Head;
+use crate::proxy::request_state::RequestEvent;
 use crate::runtime::Clock;
 use crate::types::Millis;
 use async_std::future::timeout;
@@ -14,80 +14,82 @@
 use futures_lite::future::or;
 use std::time::Duration;
 
-/// Milliseconds within which a connection must be established.
+/// Time-out for establishing a connection.
 const CONNECT_TIMEOUT_MS: Millis = 400;
-/// Idempotent requests use pooled connections of any age.
+/// Idempotent requests may use any pooled connection: they can be retried if the
+/// worker has closed it.
 const MAX_IDLE_IDEMPOTENT: Duration = Duration::from_secs(3600);
 /// Bytes reserved for the headers that the dialect adds.
 const ADDED_HEADERS_BYTES: usize = 192;
 
-/// How the sending ended.
+/// The result of [`send_request`].
 pub enum SendResult {
     /// The complete request was written.
     Sent(Connection),
-    /// The head of a response came before that; the connection must not be
-    /// used for another request.
+    /// The head of the response was received before the request was written
+    /// completely; the connection must not be reused.
     EarlyResponse(Connection, Head),
-    /// Nothing can have left: no connection, or it failed before any byte.
+    /// No byte has left: no connection was established, or it failed before the
+    /// first byte.
     NothingSent,
     /// It failed after some bytes may have left.
-    Failed(Event),
+    Failed(RequestEvent),
 }
 
-/// What one step of writing did.
+/// The result of one [`write_step`], in bytes.
 enum WriteStep {
     Wrote(std::io::Result<usize>),
     Read(std::io::Result<usize>),
 }
 
-/// Sends the request to its worker. A pooled connection that fails before its
-/// first byte is replaced by a new one.
+/// Sends the request to its worker. A pooled connection that fails before the
+/// first byte is written is replaced by a new one.
 pub async fn send_request<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     last_event: Option<u64>,
 ) -> SendResult {
-    let mut pooled = pooled_connection(exchange);
+    let mut pooled = pooled_connection(attempt);
     loop {
         let connection = match pooled.take() {
             Some(connection) => connection,
-            None => match new_connection(exchange).await {
+            None => match new_connection(attempt).await {
                 Some(connection) => connection,
                 None => return SendResult::NothingSent,
             },
         };
-        exchange.record_event(Event::Connected);
+        attempt.record_event(RequestEvent::Connected);
         let replaceable = connection.reused;
-        match write_request(exchange, connection, last_event).await {
+        match write_request(attempt, connection, last_event).await {
             SendResult::NothingSent if replaceable => {
-                exchange
+                attempt
                     .shared
                     .connections
-                    .acquire_new(exchange.target.endpoint_index);
+                    .acquire_new(attempt.target.endpoint_index);
             }
             result => return result,
         }
     }
 }
 
-fn pooled_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
-    let max_idle = match (exchange.target.new_connection, exchange.route.repeatable()) {
+fn pooled_connection<D: Dialect, C: Clock>(attempt: &Attempt<'_, D, C>) -> Option<Connection> {
+    let max_idle = match (attempt.target.new_connection, attempt.route.repeatable()) {
         (true, _) => Duration::ZERO,
         (false, true) => MAX_IDLE_IDEMPOTENT,
-        // the worker may be closing an older connection right now
+        // the worker may be closing a connection that has been idle for longer
         (false, false) => MAX_IDLE_NON_IDEMPOTENT,
     };
-    exchange
+    attempt
         .shared
         .connections
-        .acquire(exchange.target.endpoint_index, max_idle)
+        .acquire(attempt.target.endpoint_index, max_idle)
 }
 
-async fn new_connection<D: Dialect, C: Clock>(exchange: &Exchange<'_, D, C>) -> Option<Connection> {
-    let connections = &exchange.shared.connections;
-    let worker = exchange.target.endpoint_index;
-    connections.evict_surplus(worker, exchange.target.max_conns);
-    let within = Duration::from_millis(CONNECT_TIMEOUT_MS.min(exchange.time_left().max(1)));
-    let addr = exchange.shared.dial_addr(exchange.target.addr);
+async fn new_connection<D: Dialect, C: Clock>(attempt: &Attempt<'_, D, C>) -> Option<Connection> {
+    let connections = &attempt.shared.connections;
+    let worker = attempt.target.endpoint_index;
+    connections.evict_surplus(worker, attempt.target.max_conns);
+    let within = Duration::from_millis(CONNECT_TIMEOUT_MS.min(attempt.time_left().max(1)));
+    let addr = attempt.shared.connect_address(attempt.target.addr);
     match timeout(within, Connection::connect(addr)).await {
         Ok(Ok(connection)) => Some(connection),
         Ok(Err(_)) | Err(_) => {
@@ -98,21 +100,21 @@
 }
 
 fn encode_request<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     last_event: Option<u64>,
 ) -> Vec<u8> {
-    let request = exchange.request;
+    let request = attempt.request;
     let capacity = request.head.len() + request.body.len() + ADDED_HEADERS_BYTES;
     let mut bytes = Vec::with_capacity(capacity);
     bytes.extend_from_slice(&request.head);
     let headers = ForwardHeaders {
-        worker: &exchange.target.name,
-        remaining_ms: exchange.time_left(),
-        priority: exchange.target.priority,
+        worker: &attempt.target.name,
+        remaining_ms: attempt.time_left(),
+        priority: attempt.target.priority,
         last_event,
-        tenant: exchange.target.tenant.as_deref(),
+        tenant: attempt.target.tenant.as_deref(),
     };
-    exchange
+    attempt
         .shared
         .dialect
         .write_forward_headers(&headers, &mut bytes);
@@ -121,23 +123,24 @@
     bytes
 }
 
+/// Writes the request to `connection`, and closes the connection if that fails.
 async fn write_request<D: Dialect, C: Clock>(
-    exchange: &Exchange<'_, D, C>,
+    attempt: &Attempt<'_, D, C>,
     mut connection: Connection,
     last_event: Option<u64>,
 ) -> SendResult {
-    let bytes = encode_request(exchange, last_event);
+    let bytes = encode_request(attempt, last_event);
     let mut written = 0;
     while written < bytes.len() {
-        let within = Duration::from_millis(exchange.time_left().max(1));
+        let within = Duration::from_millis(attempt.time_left().max(1));
         let step = timeout(within, write_step(&mut connection, &bytes[written..])).await;
         let failure = match step {
             Ok(WriteStep::Wrote(Ok(count))) if count > 0 => {
                 written += count;
-                exchange.record_event(Event::BytesWritten(count as u64));
+                attempt.record_event(RequestEvent::BytesWritten(count as u64));
                 continue;
             }
-            // bytes received before the first one was sent answer no request
+            // bytes received before the first one is written belong to no request
             Ok(WriteStep::Read(Ok(count))) if count > 0 && written > 0 => {
                 match take_final_head(&mut connection.buffer) {
                     Ok(None) => continue,
@@ -145,22 +148,22 @@
                     Err(event) => event,
                 }
             }
-            Ok(WriteStep::Wrote(_)) => Event::Reset,
-            Ok(WriteStep::Read(_)) => Event::Closed,
-            Err(_) => Event::DeadlinePassed,
+            Ok(WriteStep::Wrote(_)) => RequestEvent::Reset,
+            Ok(WriteStep::Read(_)) => RequestEvent::Closed,
+            Err(_) => RequestEvent::DeadlinePassed,
         };
-        exchange.close(connection);
+        attempt.close_connection(connection);
         return match written {
             0 => SendResult::NothingSent,
             _ => SendResult::Failed(failure),
         };
     }
     connection.request_sent = true;
-    exchange.record_event(Event::RequestSent);
+    attempt.record_event(RequestEvent::RequestSent);
     SendResult::Sent(connection)
 }
 
-/// Writes what can be written, or reads where the worker responds early.
+/// Writes some bytes, or reads an early response if the worker accepts none.
 async fn write_step(connection: &mut Connection, bytes: &[u8]) -> WriteStep {
     let mut writer = connection.stream.clone();
     let write = async { WriteStep::Wrote(writer.write(bytes).await) };
