--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -5,7 +5,7 @@
 use super::controller::Controller;
 use super::events::{ControllerConfig, ControllerEffect, ControllerEvent};
 use super::integration::{bind, HttpWorkerSource, OperatorServer, WorkerSource};
-use super::membership::Policy;
+use super::membership::MembershipPolicy;
 use super::polling::{poll_loads, read_workers, watch_workers};
 use super::storage_driver::{self, StorageDriver};
 use crate::consensus::Member;
@@ -161,7 +161,7 @@
         site: settings.names.clone(),
         seeds: settings.seeds.clone(),
         cores: settings.cores,
-        membership: Policy::from(settings),
+        membership: MembershipPolicy::from(settings),
         timing: settings.pacing.timing(settings.ack_ms),
         seed: random_id(),
         promise: store.value("promise").and_then(decode::<Vec<Member>>),
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -1,6 +1,6 @@
 //! Inputs and outputs of the controller's reducer.
 
-use super::membership::Policy;
+use super::membership::MembershipPolicy;
 use crate::configuration::Site;
 use crate::consensus::*;
 use crate::discovery::{Load, WorkerRegistry};
@@ -165,7 +165,7 @@
     /// Number of cores that bootstrap the site.
     pub cores: usize,
     /// How many voters there should be, and how they are spread.
-    pub membership: Policy,
+    pub membership: MembershipPolicy,
     /// Time-outs of consensus.
     pub timing: Timing,
     /// Seed of the random election time-outs.
--- a/sorreldoor/src/control_plane/membership/from_settings.rs
+++ b/sorreldoor/src/control_plane/membership/from_settings.rs
@@ -1,14 +1,14 @@
 //! The membership policy that a core's settings ask for.
 
-use super::Policy;
+use super::MembershipPolicy;
 use crate::settings::Settings;
 
-impl From<&Settings> for Policy {
-    fn from(settings: &Settings) -> Policy {
+impl From<&Settings> for MembershipPolicy {
+    fn from(settings: &Settings) -> MembershipPolicy {
         let (zones, silent_ms) = (settings.tolerate_zones, settings.replace_ms);
         match settings.tolerate_nodes {
-            Some(nodes) => Policy::tolerating(nodes, zones, silent_ms),
-            None => Policy {
+            Some(nodes) => MembershipPolicy::tolerating(nodes, zones, silent_ms),
+            None => MembershipPolicy {
                 voters: settings.cores,
                 zones,
                 silent_ms,
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -10,6 +10,6 @@
 
 pub use change::{MembershipChange, Reason};
 pub use observed::{Health, Observed};
-pub use policy::{Policy, Shortfall};
+pub use policy::{MembershipPolicy, Shortfall};
 pub use reducer::{learner, Membership};
 pub use spread::Spread;
--- a/sorreldoor/src/control_plane/membership/policy.rs
+++ b/sorreldoor/src/control_plane/membership/policy.rs
@@ -8,7 +8,7 @@
 
 /// What the deployment asks of the set of voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Policy {
+pub struct MembershipPolicy {
     /// Voters wanted: twice the number of machines that may be lost at once, plus
     /// one.
     pub voters: usize,
@@ -18,12 +18,12 @@
     pub silent_ms: Millis,
 }
 
-impl Policy {
+impl MembershipPolicy {
     /// As many voters as tolerate the loss of `nodes` machines at once.
     #[must_use]
-    pub fn tolerating(nodes: usize, zones: usize, silent_ms: Millis) -> Policy {
+    pub fn tolerating(nodes: usize, zones: usize, silent_ms: Millis) -> MembershipPolicy {
         let voters = 2 * nodes + 1;
-        Policy {
+        MembershipPolicy {
             voters,
             zones,
             silent_ms,
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -3,7 +3,7 @@
 
 use super::change::{MembershipChange, Reason};
 use super::observed::Observed;
-use super::policy::Policy;
+use super::policy::MembershipPolicy;
 use crate::consensus::Member;
 use crate::types::{Millis, NodeId};
 use crate::wire::Hello;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Membership {
     /// The set of voters that the deployment asks for.
-    pub policy: Policy,
+    pub policy: MembershipPolicy,
     /// Cores whose process is shutting down and has not restarted.
     stopping: BTreeSet<NodeId>,
     next_check_at: Millis,
@@ -34,7 +34,7 @@
 
 impl Membership {
     /// No core is known to be stopping.
-    pub fn new(policy: Policy) -> Membership {
+    pub fn new(policy: MembershipPolicy) -> Membership {
         Membership {
             policy,
             stopping: BTreeSet::new(),
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -1,6 +1,6 @@
 //! A core's status document: leaders, members, sessions and workers, as JSON.
 
-use super::membership::Policy;
+use super::membership::MembershipPolicy;
 use super::worker_list::WorkerList;
 use crate::configuration::{Configuration, Route, Share, Site};
 use crate::consensus::{Consensus, Member};
@@ -33,7 +33,7 @@
     pub quorum: bool,
     /// Wall-clock time in milliseconds since the Unix epoch.
     pub wall_ms: i64,
-    pub policy: &'a Policy,
+    pub policy: &'a MembershipPolicy,
     /// None while this core is part of no site.
     pub consensus: Option<&'a Consensus<ReplicatedState>>,
     pub live_cores: BTreeSet<NodeId>,
--- a/sorreldoor/tests/membership.rs
+++ b/sorreldoor/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::{
-    learner, Health, Membership, MembershipChange, Observed, Policy, Reason,
+    learner, Health, Membership, MembershipChange, MembershipPolicy, Observed, Reason,
 };
 use sorreldoor::types::{Millis, NodeId};
 use sorreldoor::wire::Hello;
@@ -45,7 +45,7 @@
         members: live.iter().map(member).collect(),
         health: (2..=cores).map(|id| (id, healthy)).collect(),
         live,
-        state: Membership::new(Policy::tolerating(losses, 1, SILENT_MS)),
+        state: Membership::new(MembershipPolicy::tolerating(losses, 1, SILENT_MS)),
     }
 }
 
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -4,7 +4,7 @@
 use super::{workload, Pending, Process, Role, SimEvent, World};
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Timing};
-use sorreldoor::control_plane::membership::Policy;
+use sorreldoor::control_plane::membership::MembershipPolicy;
 use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEffect, ControllerEvent};
 use sorreldoor::discovery;
 use sorreldoor::pacing::Pacing;
@@ -29,7 +29,7 @@
             site: self.site.clone(),
             seeds: self.seeds(),
             cores: self.size.cores,
-            membership: Policy {
+            membership: MembershipPolicy {
                 voters: self.size.cores,
                 zones: 1,
                 silent_ms: 30_000,
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -5,7 +5,7 @@
 use super::World;
 use crate::disk::Disk;
 use sorreldoor::consensus::Member;
-use sorreldoor::control_plane::membership::Policy;
+use sorreldoor::control_plane::membership::MembershipPolicy;
 use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEvent};
 use sorreldoor::gateway::request_table::ClusterView;
 use sorreldoor::gateway::{EdgeController, EdgeEvent};
@@ -188,7 +188,7 @@
             site: self.site.clone(),
             seeds: (0..SEED_CORES).map(seed_address).collect(),
             cores: usize::from(SEED_CORES),
-            membership: Policy::tolerating(self.tolerate, 1, self.replace_ms),
+            membership: MembershipPolicy::tolerating(self.tolerate, 1, self.replace_ms),
             timing,
             seed,
             promise: state.promise.clone(),
--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -2,7 +2,7 @@
 //! real reducers, with a schedule of faults.
 
 use sorreldoor::consensus::{Event, InjectedFault, Timing};
-use sorreldoor::control_plane::membership::{Health, Membership, Observed, Policy};
+use sorreldoor::control_plane::membership::{Health, Membership, MembershipPolicy, Observed};
 use sorreldoor::types::{Millis, NodeId, RegionId};
 use sorreldoor::wire::Hello;
 use std::collections::{BTreeMap, BTreeSet};
@@ -275,7 +275,7 @@
             .filter(reachable)
             .map(|other| self.hello(other))
             .collect();
-        let mut policy = Policy::tolerating(1, 1, SILENCE_LIMIT_MS);
+        let mut policy = MembershipPolicy::tolerating(1, 1, SILENCE_LIMIT_MS);
         if self.unbounded_voters {
             policy.voters = members.len();
             policy.silent_ms *= 10;
