--- a/sorreldoor/src/control_plane/membership/from_settings.rs
+++ b/sorreldoor/src/control_plane/membership/from_settings.rs
@@ -9,8 +9,8 @@
         match settings.tolerate_nodes {
             Some(nodes) => MembershipPolicy::tolerating(nodes, zones, silent_ms),
             None => MembershipPolicy {
-                voters: settings.cores,
-                zones,
+                target_voters: settings.cores,
+                tolerated_zones: zones,
                 silent_ms,
             },
         }
--- a/sorreldoor/src/control_plane/membership/policy.rs
+++ b/sorreldoor/src/control_plane/membership/policy.rs
@@ -11,9 +11,9 @@
 pub struct MembershipPolicy {
     /// Voters wanted: twice the number of machines that may be lost at once, plus
     /// one.
-    pub voters: usize,
+    pub target_voters: usize,
     /// Zones that may be lost at once; 0 or 1.
-    pub zones: usize,
+    pub tolerated_zones: usize,
     /// Silence after which a voter counts as lost.
     pub silent_ms: Millis,
 }
@@ -22,10 +22,10 @@
     /// As many voters as tolerate the loss of `nodes` machines at once.
     #[must_use]
     pub fn tolerating(nodes: usize, zones: usize, silent_ms: Millis) -> MembershipPolicy {
-        let voters = 2 * nodes + 1;
+        let target_voters = 2 * nodes + 1;
         MembershipPolicy {
-            voters,
-            zones,
+            target_voters,
+            tolerated_zones: zones,
             silent_ms,
         }
     }
@@ -38,7 +38,7 @@
         }
         let voters = members.iter().filter(|m| m.voter).count();
         let learners = members.len() - voters;
-        match voters.cmp(&self.voters) {
+        match voters.cmp(&self.target_voters) {
             Ordering::Equal => None,
             Ordering::Greater => Some(Shortfall::TooMany),
             Ordering::Less if learners == 0 => Some(Shortfall::NoLearner),
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -138,7 +138,7 @@
 
     /// Fewer voters than wanted: the learner that spreads them best is one more.
     fn fill(&self, observed: &Observed) -> Option<MembershipChange> {
-        if observed.voters().count() >= self.policy.voters {
+        if observed.voters().count() >= self.policy.target_voters {
             return None;
         }
         let next = |s: &&Member| observed.spread(|m| m.voter || m.id == s.id);
@@ -149,7 +149,7 @@
     /// More voters than wanted: first one that fails, else the one without
     /// which the others are spread best.
     fn remove_surplus(&self, observed: &Observed) -> Option<MembershipChange> {
-        if observed.voters().count() <= self.policy.voters {
+        if observed.voters().count() <= self.policy.target_voters {
             return None;
         }
         let rank = |m: &&Member| {
@@ -167,7 +167,10 @@
     fn balance_zones(&self, observed: &Observed) -> Option<MembershipChange> {
         let voters = observed.voters().count();
         let now = observed.spread(|m| m.voter);
-        if self.policy.zones == 0 || voters < MIN_VOTERS || now.tolerates_zone_loss(voters) {
+        if self.policy.tolerated_zones == 0
+            || voters < MIN_VOTERS
+            || now.tolerates_zone_loss(voters)
+        {
             return None;
         }
         let pairs = observed.others().filter(|m| m.voter).flat_map(|out| {
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -67,7 +67,7 @@
         let _ = doc.insert("leaving", self.leaving);
         let _ = doc.insert("quorum", self.quorum);
         let _ = doc.insert("wall_ms", self.wall_ms);
-        let _ = doc.insert("voters_wanted", self.policy.voters);
+        let _ = doc.insert("voters_wanted", self.policy.target_voters);
         if let Some(consensus) = self.consensus {
             self.put_consensus(&mut doc, consensus);
             self.put_members(&mut doc, consensus.members());
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -30,8 +30,8 @@
             seeds: self.seeds(),
             cores: self.size.cores,
             membership: MembershipPolicy {
-                voters: self.size.cores,
-                zones: 1,
+                target_voters: self.size.cores,
+                tolerated_zones: 1,
                 silent_ms: 30_000,
             },
             timing: Timing::for_ack(2000),
--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -277,7 +277,7 @@
             .collect();
         let mut policy = MembershipPolicy::tolerating(1, 1, SILENCE_LIMIT_MS);
         if self.unbounded_voters {
-            policy.voters = members.len();
+            policy.target_voters = members.len();
             policy.silent_ms *= 10;
         }
         let entry = self.members.entry(node);
