--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -5,7 +5,7 @@
 use crate::consensus::{Body, Event, Member};
 use crate::control_plane::connections::LIVE_MS;
 use crate::control_plane::events::{ControllerEffect, Requester};
-use crate::control_plane::membership::{Health, Observed};
+use crate::control_plane::membership::{Health, Observation};
 use crate::log_events::LogEvent;
 use crate::types::{NodeId, ProposalId};
 use crate::wire::{OpOutcome, Payload};
@@ -26,7 +26,7 @@
         let others = members.iter().filter(|member| member.id != self.me.id);
         let health = others.map(|member| (member.id, self.health_of(member.id)));
         let since = self.now.saturating_sub(LIVE_MS);
-        let observed = Observed {
+        let observed = Observation {
             leader: self.me.id,
             members: &members,
             health: health.collect(),
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -9,7 +9,7 @@
 mod spread;
 
 pub use change::{MembershipChange, Reason};
-pub use observed::{Health, Observed};
+pub use observed::{Health, Observation};
 pub use policy::{MembershipPolicy, Shortfall};
 pub use reducer::{learner, Membership};
 pub use spread::Spread;
--- a/sorreldoor/src/control_plane/membership/observed.rs
+++ b/sorreldoor/src/control_plane/membership/observed.rs
@@ -18,7 +18,7 @@
 /// All that a decision depends on. The members are committed, and no change of
 /// them is in flight.
 #[derive(Clone, Debug)]
-pub struct Observed<'a> {
+pub struct Observation<'a> {
     /// The leader, which decides.
     pub leader: NodeId,
     /// All members, the leader among them.
@@ -29,7 +29,7 @@
     pub live: &'a [Hello],
 }
 
-impl Observed<'_> {
+impl Observation<'_> {
     pub(super) fn others(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| m.id != self.leader)
     }
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -2,7 +2,7 @@
 //! observes. Pure: nothing here sends, saves or reads a clock.
 
 use super::change::{MembershipChange, Reason};
-use super::observed::Observed;
+use super::observed::Observation;
 use super::policy::MembershipPolicy;
 use crate::consensus::Member;
 use crate::types::{Millis, NodeId};
@@ -61,7 +61,7 @@
     }
 
     /// The change that is due, if any.
-    pub fn decide(&mut self, observed: &Observed) -> Option<MembershipChange> {
+    pub fn decide(&mut self, observed: &Observation) -> Option<MembershipChange> {
         let known = |id: &NodeId| observed.members.iter().any(|m| m.id == *id);
         self.stopping.retain(known);
         self.join(observed)
@@ -75,7 +75,7 @@
     }
 
     /// A core that is no member becomes a learner.
-    fn join(&self, observed: &Observed) -> Option<MembershipChange> {
+    fn join(&self, observed: &Observation) -> Option<MembershipChange> {
         if observed.members.len() >= MAX_MEMBERS {
             return None;
         }
@@ -88,7 +88,7 @@
 
     /// Another identity answers at a member's address: the member was lost for
     /// certain, and its successor replaces it once it can.
-    fn replace_wiped(&self, observed: &Observed) -> Option<MembershipChange> {
+    fn replace_wiped(&self, observed: &Observation) -> Option<MembershipChange> {
         let wiped = observed.others().filter_map(|m| {
             let next = observed
                 .live
@@ -112,7 +112,7 @@
 
     /// A voter that is lost or shutting down is replaced by a learner that has
     /// caught up.
-    fn replace_failing(&self, observed: &Observed) -> Option<MembershipChange> {
+    fn replace_failing(&self, observed: &Observation) -> Option<MembershipChange> {
         let mut failing: Vec<(&Member, Reason)> = observed
             .others()
             .filter(|m| m.voter)
@@ -129,7 +129,7 @@
         })
     }
 
-    fn failing(&self, observed: &Observed, m: &Member) -> Option<Reason> {
+    fn failing(&self, observed: &Observation, m: &Member) -> Option<Reason> {
         if observed.health_of(m.id).silent_ms >= self.policy.silent_ms {
             return Some(Reason::Silent);
         }
@@ -137,7 +137,7 @@
     }
 
     /// Fewer voters than wanted: the learner that spreads them best is one more.
-    fn fill(&self, observed: &Observed) -> Option<MembershipChange> {
+    fn fill(&self, observed: &Observation) -> Option<MembershipChange> {
         if observed.voters().count() >= self.policy.target_voters {
             return None;
         }
@@ -148,7 +148,7 @@
 
     /// More voters than wanted: first one that fails, else the one without
     /// which the others are spread best.
-    fn remove_surplus(&self, observed: &Observed) -> Option<MembershipChange> {
+    fn remove_surplus(&self, observed: &Observation) -> Option<MembershipChange> {
         if observed.voters().count() <= self.policy.target_voters {
             return None;
         }
@@ -164,7 +164,7 @@
 
     /// The loss of one zone would take the majority: a learner of another zone
     /// changes places with a voter of that one.
-    fn balance_zones(&self, observed: &Observed) -> Option<MembershipChange> {
+    fn balance_zones(&self, observed: &Observation) -> Option<MembershipChange> {
         let voters = observed.voters().count();
         let now = observed.spread(|m| m.voter);
         if self.policy.tolerated_zones == 0
@@ -189,7 +189,7 @@
     /// Two voters lost for long: without them the rest tolerates one more loss.
     /// Without only one of them it would tolerate no more, so a single one
     /// keeps its vote.
-    fn demote_lost(&self, observed: &Observed) -> Option<MembershipChange> {
+    fn demote_lost(&self, observed: &Observation) -> Option<MembershipChange> {
         let long = self.policy.silent_ms * DEMOTE_AFTER;
         let lost = observed
             .others()
@@ -201,7 +201,7 @@
         pair.then_some(MembershipChange::Demote { ids, reason })
     }
 
-    fn remove_lost_learner(&self, observed: &Observed) -> Option<MembershipChange> {
+    fn remove_lost_learner(&self, observed: &Observation) -> Option<MembershipChange> {
         let long = self.policy.silent_ms * REMOVE_AFTER;
         let lost = |m: &&Member| !m.voter && observed.health_of(m.id).silent_ms >= long;
         let id = observed.others().find(lost)?.id;
@@ -210,7 +210,7 @@
     }
 
     /// Learners that can become voters at once.
-    fn standbys<'a>(&'a self, observed: &'a Observed) -> impl Iterator<Item = &'a Member> + 'a {
+    fn standbys<'a>(&'a self, observed: &'a Observation) -> impl Iterator<Item = &'a Member> + 'a {
         let is_able = |m: &&Member| {
             let health = observed.health_of(m.id);
             let recent = health.silent_ms <= RECENT_MS && health.caught_up;
@@ -222,7 +222,7 @@
 
     /// The standby that best replaces this voter: by the spread that it leads
     /// to, then one of the same zone.
-    fn best_standby<'a>(&'a self, observed: &'a Observed, out: &Member) -> Option<&'a Member> {
+    fn best_standby<'a>(&'a self, observed: &'a Observation, out: &Member) -> Option<&'a Member> {
         let rank = |s: &&Member| {
             let spread = observed.spread(|m| (m.voter && m.id != out.id) || m.id == s.id);
             (spread, s.zone != out.zone, s.id)
--- a/sorreldoor/tests/membership.rs
+++ b/sorreldoor/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::{
-    learner, Health, Membership, MembershipChange, MembershipPolicy, Observed, Reason,
+    learner, Health, Membership, MembershipChange, MembershipPolicy, Observation, Reason,
 };
 use sorreldoor::types::{Millis, NodeId};
 use sorreldoor::wire::Hello;
@@ -51,7 +51,7 @@
 
 impl TestSite {
     fn due_change(&mut self) -> Option<MembershipChange> {
-        self.state.decide(&Observed {
+        self.state.decide(&Observation {
             leader: LEADER,
             members: &self.members,
             health: self.health.clone(),
--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -2,7 +2,7 @@
 //! real reducers, with a schedule of faults.
 
 use sorreldoor::consensus::{Event, InjectedFault, Timing};
-use sorreldoor::control_plane::membership::{Health, Membership, MembershipPolicy, Observed};
+use sorreldoor::control_plane::membership::{Health, Membership, MembershipPolicy, Observation};
 use sorreldoor::types::{Millis, NodeId, RegionId};
 use sorreldoor::wire::Hello;
 use std::collections::{BTreeMap, BTreeSet};
@@ -291,7 +291,7 @@
                 state.on_hello(&hello);
             }
         }
-        let observed = Observed {
+        let observed = Observation {
             leader: self.sim.nodes[node].id,
             members: &members,
             health,
