--- a/sorreldoor/src/control_plane/bootstrap/mod.rs
+++ b/sorreldoor/src/control_plane/bootstrap/mod.rs
@@ -11,7 +11,7 @@
 
 pub use peer_addresses::PeerAddresses;
 
-use super::membership::learner;
+use super::membership::joining_learner;
 use crate::consensus::Member;
 use crate::log_events::LogEvent;
 use crate::net::Conn;
@@ -248,7 +248,7 @@
 fn founding_voter(hello: &Hello) -> Member {
     Member {
         voter: true,
-        ..learner(hello)
+        ..joining_learner(hello)
     }
 }
 
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -11,5 +11,5 @@
 pub use change::{MembershipChange, Reason};
 pub use observed::{Health, Observation};
 pub use policy::{MembershipPolicy, Shortfall};
-pub use reducer::{learner, Membership};
+pub use reducer::{joining_learner, Membership};
 pub use spread::Spread;
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -82,7 +82,7 @@
         let new = |h: &&Hello| !h.stopping && observed.members.iter().all(|m| m.id != h.id);
         let hello = observed.live.iter().find(new)?;
         let node = hello.node.clone();
-        let member = learner(hello);
+        let member = joining_learner(hello);
         Some(MembershipChange::AddLearner { node, member })
     }
 
@@ -232,7 +232,7 @@
 }
 
 /// A core as it joins.
-pub fn learner(hello: &Hello) -> Member {
+pub fn joining_learner(hello: &Hello) -> Member {
     Member {
         id: hello.id,
         region: hello.region,
--- a/sorreldoor/tests/membership.rs
+++ b/sorreldoor/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use sorreldoor::consensus::Member;
 use sorreldoor::control_plane::membership::{
-    learner, Health, Membership, MembershipChange, MembershipPolicy, Observation, Reason,
+    joining_learner, Health, Membership, MembershipChange, MembershipPolicy, Observation, Reason,
 };
 use sorreldoor::types::{Millis, NodeId};
 use sorreldoor::wire::Hello;
@@ -35,7 +35,7 @@
     let live: Vec<Hello> = (1..=cores).map(|id| hello(id, id as u16)).collect();
     let member = |hello: &Hello| Member {
         voter: hello.id <= voters,
-        ..learner(hello)
+        ..joining_learner(hello)
     };
     let healthy = Health {
         silent_ms: 0,
