--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -25,8 +25,8 @@
     /// If this release cannot read the stored snapshot: to go on with an empty
     /// record would be to lead with old state.
     pub fn new(config: ControllerConfig, kept: Option<RecoveredState>, now: Millis) -> Controller {
-        let promised = config.promise.is_some();
-        let sure = config.sure;
+        let promised = config.promised_founders.is_some();
+        let sure = config.claims_caught_up;
         let claim_options = Options::from(&config);
         let mut controller = Controller::blank(config, now);
         if let Some(kept) = kept {
@@ -44,16 +44,16 @@
         Controller {
             idempotency: Idempotency::new(Options::from(&config), &[], false, now),
             bootstrap: Bootstrap::new(bootstrap_options(&config)),
-            ids: IdSequence::new(&config.me),
-            sessions: Sessions::new(&config.me, config.pacing.accounts, now),
-            me: config.me,
+            ids: IdSequence::new(&config.own_hello),
+            sessions: Sessions::new(&config.own_hello, config.pacing.accounts, now),
+            me: config.own_hello,
             site: config.site,
-            membership: Membership::new(config.membership),
+            membership: Membership::new(config.membership_policy),
             pacing: config.pacing,
             timing: config.timing,
             seed: config.seed,
             consensus: None,
-            peer_addresses: PeerAddresses::new(config.seeds),
+            peer_addresses: PeerAddresses::new(config.seed_addresses),
             connections: Connections::default(),
             distribution: Distribution::default(),
             worker_list: WorkerList::new(config.worker_poll_ms, now),
@@ -88,20 +88,20 @@
 }
 
 fn bootstrap_options(config: &ControllerConfig) -> bootstrap::Options {
-    let seeds = config.seeds.iter().copied();
+    let seeds = config.seed_addresses.iter().copied();
     bootstrap::Options {
-        enabled: config.bootstrap,
-        seeds_only: config.grow.then(|| seeds.collect()),
-        cores: config.cores,
-        promise: config.promise.clone(),
+        enabled: config.may_bootstrap,
+        seeds_only: config.only_seeds_bootstrap.then(|| seeds.collect()),
+        cores: config.founder_count,
+        promise: config.promised_founders.clone(),
     }
 }
 
 impl From<&ControllerConfig> for Options {
     fn from(config: &ControllerConfig) -> Options {
         Options {
-            capacity: config.most_claims,
-            founding_cores: config.cores,
+            capacity: config.max_claims,
+            founding_cores: config.founder_count,
             reads_peers: config.pacing.claims,
         }
     }
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -145,7 +145,7 @@
 ) -> ControllerConfig {
     let unversioned = source.filter(|source| !source.is_versioned());
     ControllerConfig {
-        me: Hello {
+        own_hello: Hello {
             id,
             node: settings.node.clone(),
             core: true,
@@ -159,17 +159,17 @@
             ..Hello::default()
         },
         site: settings.names.clone(),
-        seeds: settings.seeds.clone(),
-        cores: settings.cores,
-        membership: MembershipPolicy::from(settings),
+        seed_addresses: settings.seeds.clone(),
+        founder_count: settings.cores,
+        membership_policy: MembershipPolicy::from(settings),
         timing: settings.pacing.timing(settings.ack_ms),
         seed: random_id(),
-        promise: store.value("promise").and_then(decode::<Vec<Member>>),
-        sure: store.value("sure").is_some(),
-        most_claims: settings.max_claims,
+        promised_founders: store.value("promise").and_then(decode::<Vec<Member>>),
+        claims_caught_up: store.value("sure").is_some(),
+        max_claims: settings.max_claims,
         // a core that lost its state to damage was a member once
-        bootstrap: settings.bootstrap && !store.must_rejoin(),
-        grow: settings.grow,
+        may_bootstrap: settings.bootstrap && !store.must_rejoin(),
+        only_seeds_bootstrap: settings.grow,
         pacing: settings.pacing.clone(),
         worker_poll_ms: unversioned.map(|source| source.poll_interval_ms()),
     }
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -157,29 +157,29 @@
 /// What a controller starts from.
 pub struct ControllerConfig {
     /// How this node introduces itself.
-    pub me: Hello,
+    pub own_hello: Hello,
     /// Names of the site's regions and zones.
     pub site: Arc<Site>,
     /// Addresses to connect to before the members are known.
-    pub seeds: Vec<SocketAddr>,
+    pub seed_addresses: Vec<SocketAddr>,
     /// Number of cores that bootstrap the site.
-    pub cores: usize,
+    pub founder_count: usize,
     /// How many voters there should be, and how they are spread.
-    pub membership: MembershipPolicy,
+    pub membership_policy: MembershipPolicy,
     /// Time-outs of consensus.
     pub timing: Timing,
     /// Seed of the random election time-outs.
     pub seed: u64,
     /// The bootstrap members that an earlier incarnation promised to join.
-    pub promise: Option<Vec<Member>>,
+    pub promised_founders: Option<Vec<Member>>,
     /// An earlier incarnation has caught up on the idempotency claims.
-    pub sure: bool,
+    pub claims_caught_up: bool,
     /// Idempotency keys remembered at most.
-    pub most_claims: usize,
+    pub max_claims: usize,
     /// Whether a blank core may bootstrap a site; otherwise it only joins one.
-    pub bootstrap: bool,
+    pub may_bootstrap: bool,
     /// Whether the seeds bootstrap the site and further cores join it.
-    pub grow: bool,
+    pub only_seeds_bootstrap: bool,
     /// Intervals of periodic work.
     pub pacing: Pacing,
     /// Interval at which the holder of the singleton role reads the list of
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -25,22 +25,22 @@
     /// The only constructor of a core's controller.
     fn new_controller(&mut self, process: usize, incarnation: u64) -> Controller {
         let start = ControllerConfig {
-            me: self.hello(process, incarnation),
+            own_hello: self.hello(process, incarnation),
             site: self.site.clone(),
-            seeds: self.seeds(),
-            cores: self.size.cores,
-            membership: MembershipPolicy {
+            seed_addresses: self.seeds(),
+            founder_count: self.size.cores,
+            membership_policy: MembershipPolicy {
                 target_voters: self.size.cores,
                 tolerated_zones: 1,
                 silent_ms: 30_000,
             },
             timing: Timing::for_ack(2000),
             seed: self.rng.draw(),
-            promise: None,
-            sure: false,
-            most_claims: self.size.most_claims,
-            bootstrap: true,
-            grow: false,
+            promised_founders: None,
+            claims_caught_up: false,
+            max_claims: self.size.most_claims,
+            may_bootstrap: true,
+            only_seeds_bootstrap: false,
             pacing: Pacing::default(),
             worker_poll_ms: None,
         };
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -184,18 +184,18 @@
         state.disk.open();
         let stored = Some(&state.disk.durable).filter(|stored| !stored.has_no_saves());
         let config = ControllerConfig {
-            me,
+            own_hello: me,
             site: self.site.clone(),
-            seeds: (0..SEED_CORES).map(seed_address).collect(),
-            cores: usize::from(SEED_CORES),
-            membership: MembershipPolicy::tolerating(self.tolerate, 1, self.replace_ms),
+            seed_addresses: (0..SEED_CORES).map(seed_address).collect(),
+            founder_count: usize::from(SEED_CORES),
+            membership_policy: MembershipPolicy::tolerating(self.tolerate, 1, self.replace_ms),
             timing,
             seed,
-            promise: state.promise.clone(),
-            sure: state.sure,
-            most_claims: self.max_claims,
-            bootstrap: state.bootstrap,
-            grow: self.grow,
+            promised_founders: state.promise.clone(),
+            claims_caught_up: state.sure,
+            max_claims: self.max_claims,
+            may_bootstrap: state.bootstrap,
+            only_seeds_bootstrap: self.grow,
             pacing: self.pacing.clone(),
             worker_poll_ms: self.singleton_poll_ms,
         };
