--- a/sorreldoor/src/control_plane/client.rs
+++ b/sorreldoor/src/control_plane/client.rs
@@ -135,7 +135,7 @@
         self.request_outcome(|request_id| ControllerEvent::Change {
             request_id,
             proposal_id,
-            cmd: command,
+            command,
         })
         .await
     }
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -142,8 +142,8 @@
             ControllerEvent::Change {
                 request_id,
                 proposal_id,
-                cmd,
-            } => self.change(Requester::Http { request_id }, proposal_id, cmd),
+                command,
+            } => self.change(Requester::Http { request_id }, proposal_id, command),
             ControllerEvent::RemoveCore {
                 request_id,
                 proposal_id,
@@ -161,8 +161,8 @@
                     proposal_id,
                 });
             }
-            ControllerEvent::WorkerRegistry(result) => self.on_worker_list(result),
-            ControllerEvent::Loads { epoch, rows } => self.on_loads_polled(epoch, rows),
+            ControllerEvent::WorkerListRead(result) => self.on_worker_list(result),
+            ControllerEvent::LoadsPolled { epoch, loads } => self.on_loads_polled(epoch, loads),
             ControllerEvent::Stop => self.stop(),
         }
     }
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -63,7 +63,7 @@
         /// Id of the proposal; repeats of it are applied once.
         proposal_id: ProposalId,
         /// The change.
-        cmd: Command,
+        command: Command,
     },
     /// Remove a core from the membership; from `ctl`.
     RemoveCore {
@@ -92,13 +92,13 @@
         proposal_id: ProposalId,
     },
     /// A read of the worker list has ended.
-    WorkerRegistry(Result<WorkerRegistry, String>),
+    WorkerListRead(Result<WorkerRegistry, String>),
     /// A poll of the workers' loads has ended.
-    Loads {
+    LoadsPolled {
         /// Epoch of the singleton role that the poll was started under.
         epoch: u64,
         /// The load of each worker polled.
-        rows: Vec<Load>,
+        loads: Vec<Load>,
     },
     /// The process received a signal to stop.
     Stop,
@@ -140,9 +140,9 @@
         /// Whether a majority confirmed that the state is current.
         proved: bool,
     },
-    /// Read the list of workers; it comes as `ControllerEvent::WorkerRegistry`.
+    /// Read the list of workers; it comes as `ControllerEvent::WorkerListRead`.
     ReadWorkerList,
-    /// Poll these workers' loads; they come as `ControllerEvent::Loads` under
+    /// Poll these workers' loads; they come as `ControllerEvent::LoadsPolled` under
     /// the same epoch.
     PollLoads {
         /// Epoch of the singleton role that the poll runs under.
--- a/sorreldoor/src/control_plane/polling.rs
+++ b/sorreldoor/src/control_plane/polling.rs
@@ -23,7 +23,7 @@
     events: EventSender<ControllerEvent>,
 ) -> bool {
     let result = source.poll().await;
-    let event = ControllerEvent::WorkerRegistry(result);
+    let event = ControllerEvent::WorkerListRead(result);
     events.send(event).await.is_ok()
 }
 
@@ -49,11 +49,13 @@
         task::spawn(poll_load(address, worker.name))
     };
     let polls: Vec<_> = workers.into_iter().map(poll).collect();
-    let mut rows = Vec::new();
+    let mut loads = Vec::new();
     for poll in polls {
-        rows.push(poll.await);
+        loads.push(poll.await);
     }
-    let _ = events.send(ControllerEvent::Loads { epoch, rows }).await;
+    let _ = events
+        .send(ControllerEvent::LoadsPolled { epoch, loads })
+        .await;
 }
 
 /// The load of one worker; not live if it gives no valid report.
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -175,7 +175,7 @@
         self.controller(
             process,
             "registry",
-            ControllerEvent::WorkerRegistry(registry),
+            ControllerEvent::WorkerListRead(registry),
         );
         self.after(500, SimEvent::PollRegistry(process, incarnation));
     }
@@ -190,14 +190,18 @@
         for text in &texts {
             meter.flow("in", "worker", "load", text.len());
         }
-        let rows = meter.time("parse", || {
+        let loads = meter.time("parse", || {
             let all = texts.iter().enumerate();
             all.filter_map(|(i, text)| {
                 discovery::read_load(text.as_bytes(), &workload::worker(i)).ok()
             })
             .collect()
         });
-        self.controller(process, "loads", ControllerEvent::Loads { epoch, rows });
+        self.controller(
+            process,
+            "loads",
+            ControllerEvent::LoadsPolled { epoch, loads },
+        );
     }
 
     /// Proposes an operator's change at a random core, and schedules the next.
@@ -240,7 +244,7 @@
             ControllerEvent::Change {
                 request_id,
                 proposal_id,
-                cmd: command,
+                command,
             },
         );
     }
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -63,7 +63,7 @@
                 let event = ControllerEvent::Change {
                     request_id,
                     proposal_id,
-                    cmd,
+                    command: cmd,
                 };
                 world.core_step(process, event);
             } else {
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -171,16 +171,16 @@
         registry: WorkerRegistry,
     ) {
         self.deliver_to_process(process, incarnation, move |world| {
-            world.core_step(process, ControllerEvent::WorkerRegistry(Ok(registry)))
+            world.core_step(process, ControllerEvent::WorkerListRead(Ok(registry)))
         });
     }
 
     fn check_workers(&mut self, process: usize, epoch: u64, names: Vec<String>) {
         let incarnation = self.processes[process].incarnation;
         self.after(HEALTH_CHECK_MS, move |world| {
-            let rows = names.iter().map(|name| world.worker_load(name)).collect();
+            let loads = names.iter().map(|name| world.worker_load(name)).collect();
             world.deliver_to_process(process, incarnation, move |world| {
-                world.core_step(process, ControllerEvent::Loads { epoch, rows })
+                world.core_step(process, ControllerEvent::LoadsPolled { epoch, loads })
             });
         });
     }
--- a/testbed/tests/site/freshness/monitor.rs
+++ b/testbed/tests/site/freshness/monitor.rs
@@ -47,7 +47,7 @@
         ControllerEvent::Change {
             request_id,
             proposal_id,
-            cmd,
+            command: cmd,
         },
     );
 }
