--- a/sorreldoor/src/control_plane/controller/bootstrap.rs
+++ b/sorreldoor/src/control_plane/controller/bootstrap.rs
@@ -57,7 +57,8 @@
                 Effect::Send(conn, message) => self.send(conn, Payload::Bootstrap(message)),
                 Effect::KeepPromise(founders) => {
                     let value = founders.map_or_else(Vec::new, |founders| encode(&founders));
-                    self.out.push(ControllerEffect::Keep(PROMISE_KEY, value));
+                    self.out
+                        .push(ControllerEffect::StoreValue(PROMISE_KEY, value));
                 }
                 Effect::Log(event, about) => self.log_event(event, about),
                 Effect::Found(founders) => self.found(founders),
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -60,7 +60,7 @@
                 }
             }
             Effect::KeepCaughtUp => {
-                let caught_up = ControllerEffect::Keep(CAUGHT_UP_KEY, vec![1]);
+                let caught_up = ControllerEffect::StoreValue(CAUGHT_UP_KEY, vec![1]);
                 self.out.push(caught_up);
             }
             Effect::Log(event, about) => self.log_event(event, about),
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -238,7 +238,7 @@
     fn handle(&mut self, controller: &mut Controller, effect: ControllerEffect) {
         match effect {
             ControllerEffect::Save(seq, save) => self.storage.save(seq, save),
-            ControllerEffect::Keep(name, value) => self.storage.put(name, &value),
+            ControllerEffect::StoreValue(name, value) => self.storage.put(name, &value),
             ControllerEffect::Send(conn, payload) => {
                 self.net.send(conn, &payload);
             }
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -110,7 +110,7 @@
     /// Append to the store; `ControllerEvent::Saved` reports the number back.
     Save(u64, Save),
     /// Store a small named value, synced before any later effect.
-    Keep(&'static str, Vec<u8>),
+    StoreValue(&'static str, Vec<u8>),
     /// Send a frame; it is dropped where the send queue is full.
     Send(Conn, Payload),
     /// Keep a connection to this address open, and reconnect when it is lost.
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -135,7 +135,7 @@
                     .flow("disk", "own", "save", bytes);
                 self.at(at, SimEvent::Saved(process, incarnation, seq));
             }
-            ControllerEffect::Keep(what, bytes) => {
+            ControllerEffect::StoreValue(what, bytes) => {
                 if let Role::Core(core) = &mut self.processes[process].role {
                     match what {
                         "sure" => core.sure = true,
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -73,8 +73,10 @@
     fn core_effect(&mut self, process: usize, effect: ControllerEffect) {
         match effect {
             ControllerEffect::Save(seq, save) => self.save(process, seq, save),
-            ControllerEffect::Keep("sure", _) => self.processes[process].sure = true,
-            ControllerEffect::Keep(_, bytes) => self.processes[process].promise = decode(&bytes),
+            ControllerEffect::StoreValue("sure", _) => self.processes[process].sure = true,
+            ControllerEffect::StoreValue(_, bytes) => {
+                self.processes[process].promise = decode(&bytes)
+            }
             ControllerEffect::Send(conn, payload) => self.send(process, conn, payload),
             ControllerEffect::Connect(addr) => self.connect(process, addr),
             ControllerEffect::Disconnect(addr) => self.disconnect(process, addr),
