--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -43,7 +43,7 @@
 /// # Errors
 /// Why the core cannot start.
 pub fn run(settings: Settings) -> Result<(), StartError> {
-    run_by(settings, runtime::SystemClock::default(), |store| store)
+    run_with_store(settings, runtime::SystemClock::default(), |store| store)
 }
 
 /// With the product's own list of workers and HTTP interface, another clock,
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// Why the core cannot start.
-pub fn run_by<C, S>(
+pub fn run_with_store<C, S>(
     settings: Settings,
     clock: C,
     wrap_store: impl FnOnce(DurableStore<Directory>) -> S,
@@ -66,7 +66,7 @@
         Arc::new(HttpWorkerSource { settings, address }) as Arc<dyn WorkerSource>
     });
     let server = HttpOperatorServer { settings: shared };
-    run_with(settings, clock, wrap_store, source, server)
+    run_with_integrations(settings, clock, wrap_store, source, server)
 }
 
 /// Runs a core until it is told to stop, with a list of workers from `source`
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// Why the core cannot start.
-pub fn run_with<C, S>(
+pub fn run_with_integrations<C, S>(
     settings: Settings,
     clock: C,
     wrap_store: impl FnOnce(DurableStore<Directory>) -> S,
--- a/sorreldoor/src/control_plane/mod.rs
+++ b/sorreldoor/src/control_plane/mod.rs
@@ -47,7 +47,7 @@
 pub use api::{Api, HttpOperatorServer};
 pub use client::{ControllerClient, ControllerReply, PendingRequests, StateSnapshot};
 pub use controller::Controller;
-pub use daemon::{run, run_by, run_with};
+pub use daemon::{run, run_with_integrations, run_with_store};
 pub use events::{ControllerConfig, ControllerEffect, ControllerEvent, Requester, WorkerAddress};
 pub use idempotency::RETENTION_MS;
 pub use integration::{bind, BoxFuture, HttpWorkerSource, OperatorServer, WorkerSource};
--- a/testbed/src/faulty_node.rs
+++ b/testbed/src/faulty_node.rs
@@ -107,8 +107,10 @@
     };
     let set = Settings::load(settings, &Overrides::default(), role).map_err(|f| f.join("; "))?;
     match role {
-        Role::Core => sorreldoor::control_plane::run_by(set, clock, |s| FaultyStore(s, faults))
-            .map_err(|e| e.to_string()),
+        Role::Core => {
+            sorreldoor::control_plane::run_with_store(set, clock, |s| FaultyStore(s, faults))
+                .map_err(|e| e.to_string())
+        }
         Role::Edge => sorreldoor::gateway::run_with(set, clock).map_err(|e| e.to_string()),
     }
 }
