--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -28,7 +28,7 @@
 use super::reads::{Read, Reads};
 use super::sessions::{EndpointList, Sessions};
 use super::singleton::SingletonRole;
-use super::worker_list::WorkerList;
+use super::worker_list::WorkerListCache;
 use crate::configuration::Site;
 use crate::consensus::{Consensus, Event, Timing};
 use crate::discovery::Loads;
@@ -62,7 +62,7 @@
     membership: Membership,
     sessions: Sessions,
     distribution: Distribution,
-    worker_list: WorkerList,
+    worker_list: WorkerListCache,
     loads: LoadTable,
     reads: Reads,
     proposals: Proposals,
@@ -110,7 +110,7 @@
 
     /// The newest list of workers.
     #[must_use]
-    pub fn worker_list(&self) -> &WorkerList {
+    pub fn worker_list(&self) -> &WorkerListCache {
         &self.worker_list
     }
 
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -13,7 +13,7 @@
 use crate::control_plane::reads::Reads;
 use crate::control_plane::sessions::Sessions;
 use crate::control_plane::singleton::SingletonRole;
-use crate::control_plane::worker_list::WorkerList;
+use crate::control_plane::worker_list::WorkerListCache;
 use crate::quota::UsageLedger;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
@@ -56,7 +56,7 @@
             peer_addresses: PeerAddresses::new(config.seed_addresses),
             connections: Connections::default(),
             distribution: Distribution::default(),
-            worker_list: WorkerList::new(config.worker_poll_ms, now),
+            worker_list: WorkerListCache::new(config.worker_poll_ms, now),
             loads: LoadTable::default(),
             reads: Reads::default(),
             proposals: Proposals::default(),
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -1,7 +1,7 @@
 //! A core's status document: leaders, members, sessions and workers, as JSON.
 
 use super::membership::MembershipPolicy;
-use super::worker_list::WorkerList;
+use super::worker_list::WorkerListCache;
 use crate::configuration::{Configuration, Route, Share, Site};
 use crate::consensus::{Consensus, Member};
 use crate::discovery::{Loads, Worker};
@@ -39,7 +39,7 @@
     pub live_cores: BTreeSet<NodeId>,
     pub claims: ClaimsStatus,
     pub edge_sessions: &'a [EdgeSession],
-    pub worker_list: &'a WorkerList,
+    pub worker_list: &'a WorkerListCache,
     pub loads: &'a Loads,
     pub latencies: &'a Times,
 }
--- a/sorreldoor/src/control_plane/worker_list.rs
+++ b/sorreldoor/src/control_plane/worker_list.rs
@@ -13,7 +13,7 @@
 
 /// The newest list that a core knows, and the schedule of reads.
 #[derive(Clone, Debug)]
-pub struct WorkerList {
+pub struct WorkerListCache {
     /// Interval between reads of a list that this core numbers itself; none
     /// where lists have versions of their own.
     interval: Option<Millis>,
@@ -27,10 +27,10 @@
     last_error: Option<String>,
 }
 
-impl WorkerList {
+impl WorkerListCache {
     /// No list yet; `interval` is given where this core numbers the lists.
-    pub fn new(interval: Option<Millis>, now: Millis) -> WorkerList {
-        WorkerList {
+    pub fn new(interval: Option<Millis>, now: Millis) -> WorkerListCache {
+        WorkerListCache {
             interval,
             next_read_at: now,
             reading_since: None,
--- a/sorreldoor/tests/worker_list.rs
+++ b/sorreldoor/tests/worker_list.rs
@@ -1,6 +1,6 @@
 //! The list of workers at one core: when it is read, and how it is numbered.
 
-use sorreldoor::control_plane::worker_list::WorkerList;
+use sorreldoor::control_plane::worker_list::WorkerListCache;
 use sorreldoor::discovery::{Worker, WorkerRegistry};
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 
 #[test]
 fn reads_do_not_overlap_and_respect_the_interval() {
-    let mut workers = WorkerList::new(Some(INTERVAL_MS), 0);
+    let mut workers = WorkerListCache::new(Some(INTERVAL_MS), 0);
     assert!(workers.begin_read(0));
     assert!(!workers.begin_read(INTERVAL_MS), "one is under way");
     assert!(workers.read_failed("refused".into()));
@@ -36,12 +36,15 @@
     // a read without a result times out after five seconds
     assert!(!workers.begin_read(INTERVAL_MS + 4999));
     assert!(workers.begin_read(INTERVAL_MS + 5000));
-    assert!(!WorkerList::new(None, 0).begin_read(9000), "told by others");
+    assert!(
+        !WorkerListCache::new(None, 0).begin_read(9000),
+        "told by others"
+    );
 }
 
 #[test]
 fn a_lease_holder_versions_lists_above_all_earlier_holders() {
-    let mut workers = WorkerList::new(Some(INTERVAL_MS), 0);
+    let mut workers = WorkerListCache::new(Some(INTERVAL_MS), 0);
     let first_list = workers.read_done(registry(0, &["a"]), None, 0);
     let first_list = first_list.expect("any list is better than none");
     assert!(workers.adopt(first_list, 0));
@@ -60,7 +63,7 @@
 
 #[test]
 fn an_older_list_is_never_adopted() {
-    let mut workers = WorkerList::new(None, 0);
+    let mut workers = WorkerListCache::new(None, 0);
     assert!(workers.adopt(Arc::new(registry(7, &["a"])), 0));
     assert!(!workers.adopt(Arc::new(registry(7, &["b"])), 0));
     assert!(!workers.adopt(Arc::new(registry(6, &["b"])), 0));
