--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -69,7 +69,9 @@
 
     async fn ready(&self) -> Response {
         match self.client.read_status().await {
-            Some(StateSnapshot { proved: true, .. }) => http::json(200, "{\"ready\":true}".into()),
+            Some(StateSnapshot {
+                confirmed: true, ..
+            }) => http::json(200, "{\"ready\":true}".into()),
             Some(StateSnapshot { disk_ok: false, .. }) => {
                 http::shed(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
             }
@@ -110,7 +112,7 @@
 
     async fn configuration(&self) -> Response {
         let state = self.client.read_status().await;
-        let Some(state) = state.filter(|state| state.proved) else {
+        let Some(state) = state.filter(|state| state.confirmed) else {
             return unreachable_core();
         };
         let view = state.view;
--- a/sorreldoor/src/control_plane/client.rs
+++ b/sorreldoor/src/control_plane/client.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct StateSnapshot {
     /// Whether it was proved current after it was requested.
-    pub proved: bool,
+    pub confirmed: bool,
     /// Whether the core's disk works.
     pub disk_ok: bool,
     /// The status document as JSON; empty where it was not requested.
@@ -170,7 +170,7 @@
     /// cannot be had in time.
     pub async fn read_view(&self) -> Option<Box<View>> {
         let state = self.request_state(|request_id| ControllerEvent::ReadView { request_id });
-        let state = state.await.filter(|state| state.proved);
+        let state = state.await.filter(|state| state.confirmed);
         state.map(|state| state.view)
     }
 
--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -38,7 +38,7 @@
                 proposal_id,
                 outcome,
             } => self.on_proposal_result(proposal_id, outcome),
-            Effect::ReadReady { request_id, ok } => self.on_proof(request_id, ok),
+            Effect::ReadReady { request_id, ok } => self.on_confirmation(request_id, ok),
             Effect::Applied { .. } => self.on_applied(),
             Effect::MembersChanged(members) => self.on_members(&members),
             Effect::StateChanged(note) => self.log_note(note),
--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -126,7 +126,9 @@
         let led = consensus.is_some_and(|c| c.has_leader()) || broken(Invariant::Proof);
         let offered = match renewal.unverified {
             Unverified::None => false,
-            Unverified::FromStarting => !self.reads.ever_proved() || broken(Invariant::Unverified),
+            Unverified::FromStarting => {
+                !self.reads.ever_confirmed() || broken(Invariant::Unverified)
+            }
             Unverified::FromAny => !led,
         };
         if offered {
@@ -146,10 +148,10 @@
     }
 
     /// Answer a renewal; `proved` if the state was proved current since.
-    pub(super) fn grant(&mut self, conn: Conn, renewal: u64, proved: bool, delta: StateDelta) {
+    pub(super) fn grant(&mut self, conn: Conn, renewal: u64, confirmed: bool, delta: StateDelta) {
         let grant = Payload::Grant {
             no: renewal,
-            ok: proved,
+            ok: confirmed,
             delta,
         };
         self.send(conn, grant);
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -89,7 +89,7 @@
         self.now = self.now.max(now.monotonic_ms);
         self.wall = now.wall;
         self.route(event);
-        self.start_proof();
+        self.start_confirmation();
         std::mem::take(&mut self.out)
     }
 }
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -20,8 +20,8 @@
     }
 
     /// Begin a proof of leadership for the reads that are queued.
-    pub(super) fn start_proof(&mut self) {
-        if !self.reads.proof_due() {
+    pub(super) fn start_confirmation(&mut self) {
+        if !self.reads.confirmation_due() {
             return;
         }
         let request_id = self.ids.next_request_id();
@@ -33,13 +33,13 @@
             let reads = self.reads.take_queued();
             return self.answer_reads(reads, true);
         }
-        self.reads.proof_started(request_id);
+        self.reads.confirmation_started(request_id);
         self.step_consensus(Event::Read { request_id });
     }
 
-    pub(super) fn on_proof(&mut self, request_id: u64, proved: bool) {
-        let reads = self.reads.proof_ended(request_id, proved);
-        self.answer_reads(reads, proved);
+    pub(super) fn on_confirmation(&mut self, request_id: u64, confirmed: bool) {
+        let reads = self.reads.confirmation_ended(request_id, confirmed);
+        self.answer_reads(reads, confirmed);
     }
 
     /// No read waits longer than a proof may take.
@@ -51,27 +51,33 @@
         self.answer_reads(expired, false);
     }
 
-    fn answer_reads(&mut self, reads: Vec<Read>, proved: bool) {
+    fn answer_reads(&mut self, reads: Vec<Read>, confirmed: bool) {
         for read in reads {
-            self.answer_read(read, proved);
+            self.answer_read(read, confirmed);
         }
     }
 
-    fn answer_read(&mut self, read: Read, proved: bool) {
+    fn answer_read(&mut self, read: Read, confirmed: bool) {
         match read {
             Read::Status { request_id } => {
-                let ready = ControllerEffect::StatusReady { request_id, proved };
+                let ready = ControllerEffect::StatusReady {
+                    request_id,
+                    confirmed,
+                };
                 self.out.push(ready);
             }
             Read::View { request_id } => {
-                let ready = ControllerEffect::ViewReady { request_id, proved };
+                let ready = ControllerEffect::ViewReady {
+                    request_id,
+                    confirmed,
+                };
                 self.out.push(ready);
             }
             Read::Outcome {
                 requester,
                 proposal_id,
             } => {
-                let outcome = self.recorded_outcome(proposal_id, proved);
+                let outcome = self.recorded_outcome(proposal_id, confirmed);
                 self.change_done(requester, outcome);
             }
             Read::Renewal {
@@ -79,23 +85,23 @@
                 renewal,
                 known,
             } => {
-                let delta = if proved {
+                let delta = if confirmed {
                     self.delta(conn, &known)
                 } else {
                     StateDelta::default()
                 };
-                self.grant(conn, renewal, proved, delta);
+                self.grant(conn, renewal, confirmed, delta);
             }
         }
     }
 
     /// The outcome of a proposal as far as the record tells.
-    fn recorded_outcome(&self, proposal_id: ProposalId, proved: bool) -> OpOutcome {
+    fn recorded_outcome(&self, proposal_id: ProposalId, confirmed: bool) -> OpOutcome {
         let record = self.consensus.as_ref().map(|c| c.state_machine());
         let bytes = record.and_then(|record| record.answered(proposal_id));
         match bytes.and_then(|bytes| decode(&bytes)) {
             Some(outcome) => OpOutcome::Got(outcome),
-            None if proved => OpOutcome::Nothing,
+            None if confirmed => OpOutcome::Nothing,
             None => OpOutcome::Unknown,
         }
     }
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -254,12 +254,18 @@
                 let reply = ControllerReply::Change(outcome);
                 self.client.pending.reply(request_id, reply);
             }
-            ControllerEffect::StatusReady { request_id, proved } => {
+            ControllerEffect::StatusReady {
+                request_id,
+                confirmed,
+            } => {
                 let status = controller.status().encode();
-                self.reply_state(controller, request_id, proved, status);
+                self.reply_state(controller, request_id, confirmed, status);
             }
-            ControllerEffect::ViewReady { request_id, proved } => {
-                self.reply_state(controller, request_id, proved, String::new());
+            ControllerEffect::ViewReady {
+                request_id,
+                confirmed,
+            } => {
+                self.reply_state(controller, request_id, confirmed, String::new());
             }
             ControllerEffect::ReadWorkerList => {
                 if let Some(source) = self.source.clone() {
@@ -284,11 +290,17 @@
         }
     }
 
-    fn reply_state(&self, controller: &Controller, request_id: u64, proved: bool, status: String) {
+    fn reply_state(
+        &self,
+        controller: &Controller,
+        request_id: u64,
+        confirmed: bool,
+        status: String,
+    ) {
         let consensus = controller.consensus();
         let view = consensus.map(|consensus| consensus.state_machine().view());
         let state = StateSnapshot {
-            proved,
+            confirmed,
             disk_ok: consensus.is_none_or(|consensus| !consensus.disk_failed()),
             status,
             view: Box::new(view.unwrap_or_default()),
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -131,14 +131,14 @@
         /// Id of the event that requested it.
         request_id: u64,
         /// Whether a majority confirmed that the state is current.
-        proved: bool,
+        confirmed: bool,
     },
     /// Like `StatusReady`, for a read of the replicated state alone.
     ViewReady {
         /// Id of the event that requested it.
         request_id: u64,
         /// Whether a majority confirmed that the state is current.
-        proved: bool,
+        confirmed: bool,
     },
     /// Read the list of workers; it comes as `ControllerEvent::WorkerListRead`.
     ReadWorkerList,
--- a/sorreldoor/src/control_plane/reads.rs
+++ b/sorreldoor/src/control_plane/reads.rs
@@ -46,7 +46,7 @@
     /// By the request id of the proof in flight.
     in_flight: BTreeMap<u64, Vec<PendingRead>>,
     quorum: bool,
-    ever_proved: bool,
+    ever_confirmed: bool,
 }
 
 impl Reads {
@@ -56,8 +56,8 @@
     }
 
     /// Whether any proof has succeeded since this core started.
-    pub fn ever_proved(&self) -> bool {
-        self.ever_proved
+    pub fn ever_confirmed(&self) -> bool {
+        self.ever_confirmed
     }
 
     /// Queue a read for the next proof.
@@ -66,21 +66,21 @@
     }
 
     /// Whether there are reads that a new proof could serve.
-    pub fn proof_due(&self) -> bool {
+    pub fn confirmation_due(&self) -> bool {
         !self.queued.is_empty() && self.in_flight.len() < MAX_IN_FLIGHT
     }
 
     /// All queued reads wait for the proof `request_id`: one proof serves
     /// every read that was requested before it began.
-    pub fn proof_started(&mut self, request_id: u64) {
+    pub fn confirmation_started(&mut self, request_id: u64) {
         let reads = std::mem::take(&mut self.queued);
         self.in_flight.insert(request_id, reads);
     }
 
     /// A proof has ended: the reads that waited for it.
-    pub fn proof_ended(&mut self, request_id: u64, proved: bool) -> Vec<Read> {
-        self.quorum = proved;
-        self.ever_proved |= proved;
+    pub fn confirmation_ended(&mut self, request_id: u64, confirmed: bool) -> Vec<Read> {
+        self.quorum = confirmed;
+        self.ever_confirmed |= confirmed;
         reads(self.in_flight.remove(&request_id).unwrap_or_default())
     }
 
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -85,9 +85,12 @@
                 request_id,
                 outcome,
             } => self.changed(request_id, outcome),
-            ControllerEffect::ViewReady { request_id, proved } => {
-                self.record_read(process, request_id, proved);
-                self.viewed(process, request_id, proved);
+            ControllerEffect::ViewReady {
+                request_id,
+                confirmed,
+            } => {
+                self.record_read(process, request_id, confirmed);
+                self.viewed(process, request_id, confirmed);
             }
             ControllerEffect::StatusReady { .. } => {}
             ControllerEffect::ReadWorkerList => self.read_registry(process),
