--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -18,7 +18,7 @@
         proposal_id: ProposalId,
         command: Command,
     ) {
-        if self.consensus.is_none() || self.leaving {
+        if self.consensus.is_none() || self.stopping {
             return self.change_done(requester, OpOutcome::NotTaken);
         }
         if self.consensus.as_ref().is_some_and(|c| c.is_partitioned()) {
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -19,7 +19,7 @@
         let Some(consensus) = &self.consensus else {
             return;
         };
-        if !consensus.leads_globally() || !consensus.members_settled() || self.leaving {
+        if !consensus.leads_globally() || !consensus.members_settled() || self.stopping {
             return;
         }
         let members = consensus.members().to_vec();
@@ -49,7 +49,7 @@
     /// This process was told to stop: the other cores are notified at once,
     /// and a leader hands over.
     pub(super) fn stop(&mut self) {
-        self.leaving = true;
+        self.stopping = true;
         self.me.stopping = true;
         for conn in self.connections.to_cores() {
             let hello = self.me.clone();
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -75,7 +75,7 @@
     slow_tick_at: Millis,
     /// The configuration version that was logged last.
     logged_version: u64,
-    leaving: bool,
+    stopping: bool,
     wall: i64,
     pub(super) now: Millis,
     pub(super) out: Vec<ControllerEffect>,
@@ -97,8 +97,8 @@
 impl Controller {
     /// Whether this process was told to stop.
     #[must_use]
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_stopping(&self) -> bool {
+        self.stopping
     }
 
     /// The consensus group's state here; none while this core is part of no
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -25,7 +25,7 @@
             return;
         }
         let request_id = self.ids.next_request_id();
-        if self.consensus.is_none() || self.leaving {
+        if self.consensus.is_none() || self.stopping {
             let reads = self.reads.take_queued();
             return self.answer_reads(reads, false);
         }
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -26,7 +26,7 @@
     }
 
     pub(super) fn tick_singleton(&mut self) {
-        if !self.is_preferred_holder() || self.leaving {
+        if !self.is_preferred_holder() || self.stopping {
             return self.singleton.withdraw();
         }
         self.singleton.become_candidate(self.now);
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -66,7 +66,7 @@
             usage_report_at: now,
             slow_tick_at: now,
             logged_version: 0,
-            leaving: false,
+            stopping: false,
             wall: 0,
             now,
             out: Vec::new(),
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -12,7 +12,7 @@
         let sources = StatusSources {
             me: &self.me,
             site: &self.site,
-            leaving: self.leaving,
+            stopping: self.stopping,
             quorum: self.reads.quorum(),
             wall_ms: self.wall,
             policy: &self.membership.policy,
--- a/sorreldoor/src/control_plane/controller/workers.rs
+++ b/sorreldoor/src/control_plane/controller/workers.rs
@@ -19,7 +19,7 @@
     /// A core without any list reads one itself: before there is a leader
     /// nobody holds the singleton role.
     pub(super) fn read_first_worker_list(&mut self) {
-        if self.worker_list.current().is_none() && !self.leaving {
+        if self.worker_list.current().is_none() && !self.stopping {
             self.read_worker_list();
         }
     }
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -223,7 +223,7 @@
         let endpoints = &controller.endpoints().endpoints;
         self.client.publish_endpoints(endpoints);
         self.publish_figures(controller);
-        if controller.is_leaving() && self.stop_at.is_none() {
+        if controller.is_stopping() && self.stop_at.is_none() {
             log_event(LogEvent::ShuttingDown, "core");
             self.stop_at = Some(Instant::now() + STOP_DELAY);
             self.gate.shut();
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -28,7 +28,7 @@
 pub(super) struct StatusSources<'a> {
     pub me: &'a Hello,
     pub site: &'a Site,
-    pub leaving: bool,
+    pub stopping: bool,
     /// Whether the last proof of leadership succeeded.
     pub quorum: bool,
     /// Wall-clock time in milliseconds since the Unix epoch.
@@ -64,7 +64,7 @@
         let _ = doc.insert("node", self.me.node.as_str());
         let _ = doc.insert("id", hex(self.me.id));
         let _ = doc.insert("founded", self.consensus.is_some());
-        let _ = doc.insert("leaving", self.leaving);
+        let _ = doc.insert("leaving", self.stopping);
         let _ = doc.insert("quorum", self.quorum);
         let _ = doc.insert("wall_ms", self.wall_ms);
         let _ = doc.insert("voters_wanted", self.policy.target_voters);
