--- a/sorreldoor/src/control_plane/membership/change.rs
+++ b/sorreldoor/src/control_plane/membership/change.rs
@@ -20,11 +20,11 @@
         id: NodeId,
     },
     /// A learner replaces a voter.
-    Swap {
+    Replace {
         /// The voter, which becomes a learner.
-        out: NodeId,
+        demoted: NodeId,
         /// The learner, which becomes a voter.
-        into: NodeId,
+        promoted: NodeId,
         /// Why the voter is replaced.
         reason: Reason,
     },
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// Another identity answers at its address: its disk was lost for certain.
-    Wiped,
+    DiskLost,
     /// Its process is shutting down.
     Stopping,
     /// It sent nothing for too long.
@@ -62,10 +62,10 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::Wiped => "came back blank",
+            Reason::DiskLost => "restarted with an empty disk",
             Reason::Stopping => "is stopping",
             Reason::Silent => "is silent",
-            Reason::Surplus => "is one voter too many",
+            Reason::Surplus => "exceeds the target number of voters",
             Reason::Zone => "shares its zone with other voters",
         })
     }
@@ -74,17 +74,24 @@
 impl fmt::Display for MembershipChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MembershipChange::AddLearner { node, .. } => write!(f, "{node} joins as a non-voter"),
+            MembershipChange::AddLearner { node, .. } => write!(f, "{node} joins as a learner"),
             MembershipChange::Promote { id } => write!(f, "{id:x} becomes a voter"),
-            MembershipChange::Swap { out, into, reason } => {
-                write!(f, "{out:x} {reason}, {into:x} becomes a voter for it")
+            MembershipChange::Replace {
+                demoted,
+                promoted,
+                reason,
+            } => {
+                write!(
+                    f,
+                    "{demoted:x} {reason}; {promoted:x} replaces it as a voter"
+                )
             }
             MembershipChange::Demote { ids, reason } => {
                 let ids: Vec<String> = ids.iter().map(|id| format!("{id:x}")).collect();
-                write!(f, "{} {reason} and loses its vote", ids.join(" "))
+                write!(f, "{} {reason}; demoted to learner", ids.join(" "))
             }
             MembershipChange::RemoveLearner { id, reason } => {
-                write!(f, "{id:x} {reason} and is removed")
+                write!(f, "{id:x} {reason}; removed")
             }
         }
     }
@@ -101,9 +108,11 @@
         match self {
             MembershipChange::AddLearner { member, .. } => next.push(member.clone()),
             MembershipChange::Promote { id } => vote(*id, true),
-            MembershipChange::Swap { out, into, .. } => {
-                vote(*out, false);
-                vote(*into, true);
+            MembershipChange::Replace {
+                demoted, promoted, ..
+            } => {
+                vote(*demoted, false);
+                vote(*promoted, true);
             }
             MembershipChange::Demote { ids, .. } => ids.iter().for_each(|id| vote(*id, false)),
             MembershipChange::RemoveLearner { id, .. } => next.retain(|m| m.id != *id),
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -65,7 +65,7 @@
         let known = |id: &NodeId| observed.members.iter().any(|m| m.id == *id);
         self.stopping.retain(known);
         self.join(observed)
-            .or_else(|| self.replace_wiped(observed))
+            .or_else(|| self.replace_after_disk_loss(observed))
             .or_else(|| self.replace_failing(observed))
             .or_else(|| self.fill(observed))
             .or_else(|| self.remove_surplus(observed))
@@ -88,7 +88,7 @@
 
     /// Another identity answers at a member's address: the member was lost for
     /// certain, and its successor replaces it once it can.
-    fn replace_wiped(&self, observed: &Observation) -> Option<MembershipChange> {
+    fn replace_after_disk_loss(&self, observed: &Observation) -> Option<MembershipChange> {
         let wiped = observed.others().filter_map(|m| {
             let next = observed
                 .live
@@ -96,16 +96,20 @@
                 .find(|h| h.addr == m.addr && h.id != m.id)?;
             Some((m, next.id))
         });
-        let reason = Reason::Wiped;
+        let reason = Reason::DiskLost;
         wiped
             .filter_map(|(m, successor)| {
                 if !m.voter {
                     return Some(MembershipChange::RemoveLearner { id: m.id, reason });
                 }
                 let standby = self.standbys(observed).find(|s| s.id == successor);
-                let into = standby.or_else(|| self.best_standby(observed, m))?.id;
-                let out = m.id;
-                Some(MembershipChange::Swap { out, into, reason })
+                let promoted = standby.or_else(|| self.best_standby(observed, m))?.id;
+                let demoted = m.id;
+                Some(MembershipChange::Replace {
+                    demoted,
+                    promoted,
+                    reason,
+                })
             })
             .next()
     }
@@ -119,12 +123,12 @@
             .filter_map(|m| Some((m, self.failing(observed, m)?)))
             .collect();
         failing.sort_by_key(|(m, _)| std::cmp::Reverse(observed.health_of(m.id).silent_ms));
-        let (out, reason) = failing.first()?;
-        let into = self.best_standby(observed, out)?.id;
-        let out = out.id;
-        Some(MembershipChange::Swap {
-            out,
-            into,
+        let (demoted, reason) = failing.first()?;
+        let promoted = self.best_standby(observed, demoted)?.id;
+        let demoted = demoted.id;
+        Some(MembershipChange::Replace {
+            demoted,
+            promoted,
             reason: *reason,
         })
     }
@@ -156,9 +160,9 @@
             let healthy = self.failing(observed, m).is_none();
             (healthy, observed.spread(|v| v.voter && v.id != m.id))
         };
-        let out = observed.others().filter(|m| m.voter).min_by_key(rank)?;
-        let reason = self.failing(observed, out).unwrap_or(Reason::Surplus);
-        let ids = vec![out.id];
+        let demoted = observed.others().filter(|m| m.voter).min_by_key(rank)?;
+        let reason = self.failing(observed, demoted).unwrap_or(Reason::Surplus);
+        let ids = vec![demoted.id];
         Some(MembershipChange::Demote { ids, reason })
     }
 
@@ -173,17 +177,21 @@
         {
             return None;
         }
-        let pairs = observed.others().filter(|m| m.voter).flat_map(|out| {
-            let with = move |s: &Member| (out.id, s.id);
+        let pairs = observed.others().filter(|m| m.voter).flat_map(|demoted| {
+            let with = move |s: &Member| (demoted.id, s.id);
             self.standbys(observed).map(with)
         });
-        let after = |(out, into): &(NodeId, NodeId)| {
-            observed.spread(|m| (m.voter && m.id != *out) || m.id == *into)
+        let after = |(demoted, promoted): &(NodeId, NodeId)| {
+            observed.spread(|m| (m.voter && m.id != *demoted) || m.id == *promoted)
         };
-        let (out, into) = pairs.min_by_key(|pair| after(pair))?;
-        let better = after(&(out, into)).max_in_one_zone < now.max_in_one_zone;
+        let (demoted, promoted) = pairs.min_by_key(|pair| after(pair))?;
+        let better = after(&(demoted, promoted)).max_in_one_zone < now.max_in_one_zone;
         let reason = Reason::Zone;
-        better.then_some(MembershipChange::Swap { out, into, reason })
+        better.then_some(MembershipChange::Replace {
+            demoted,
+            promoted,
+            reason,
+        })
     }
 
     /// Two voters lost for long: without them the rest tolerates one more loss.
@@ -222,10 +230,14 @@
 
     /// The standby that best replaces this voter: by the spread that it leads
     /// to, then one of the same zone.
-    fn best_standby<'a>(&'a self, observed: &'a Observation, out: &Member) -> Option<&'a Member> {
+    fn best_standby<'a>(
+        &'a self,
+        observed: &'a Observation,
+        demoted: &Member,
+    ) -> Option<&'a Member> {
         let rank = |s: &&Member| {
-            let spread = observed.spread(|m| (m.voter && m.id != out.id) || m.id == s.id);
-            (spread, s.zone != out.zone, s.id)
+            let spread = observed.spread(|m| (m.voter && m.id != demoted.id) || m.id == s.id);
+            (spread, s.zone != demoted.zone, s.id)
         };
         self.standbys(observed).min_by_key(rank)
     }
--- a/sorreldoor/tests/membership.rs
+++ b/sorreldoor/tests/membership.rs
@@ -66,8 +66,12 @@
     }
 }
 
-fn swap(out: NodeId, into: NodeId, reason: Reason) -> Option<MembershipChange> {
-    Some(MembershipChange::Swap { out, into, reason })
+fn replacement(demoted: NodeId, promoted: NodeId, reason: Reason) -> Option<MembershipChange> {
+    Some(MembershipChange::Replace {
+        demoted,
+        promoted,
+        reason,
+    })
 }
 
 #[test]
@@ -97,7 +101,7 @@
     site.silence(2, SILENT_MS - 1);
     assert_eq!(site.due_change(), None);
     site.silence(2, SILENT_MS);
-    assert_eq!(site.due_change(), swap(2, 4, Reason::Silent));
+    assert_eq!(site.due_change(), replacement(2, 4, Reason::Silent));
     site.health.entry(4).or_default().caught_up = false;
     assert_eq!(site.due_change(), None, "one that lags behind gets no vote");
 }
@@ -108,7 +112,7 @@
     let mut last_hello = hello(3, 3);
     last_hello.stopping = true;
     site.state.on_hello(&last_hello);
-    assert_eq!(site.due_change(), swap(3, 4, Reason::Stopping));
+    assert_eq!(site.due_change(), replacement(3, 4, Reason::Stopping));
     site.state.on_hello(&hello(3, 3));
     assert_eq!(site.due_change(), None, "it has started again");
     let mut site = healthy_site(3, 3, 1);
@@ -126,7 +130,7 @@
     site.silence(2, 0);
     let address = site.members[1].addr.clone();
     site.live[2].addr = address;
-    assert_eq!(site.due_change(), swap(2, 4, Reason::Wiped));
+    assert_eq!(site.due_change(), replacement(2, 4, Reason::DiskLost));
 }
 
 #[test]
@@ -171,8 +175,8 @@
     let change = site.due_change().expect("two of three stand in one zone");
     assert!(matches!(
         change,
-        MembershipChange::Swap {
-            into: 4,
+        MembershipChange::Replace {
+            promoted: 4,
             reason: Reason::Zone,
             ..
         }
