--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -10,6 +10,6 @@
 
 pub use change::{MembershipChange, Reason};
 pub use observed::{Health, Observation};
-pub use policy::{MembershipPolicy, Shortfall};
+pub use policy::{MembershipPolicy, VoterMismatch};
 pub use reducer::{joining_learner, Membership};
 pub use spread::Spread;
--- a/sorreldoor/src/control_plane/membership/policy.rs
+++ b/sorreldoor/src/control_plane/membership/policy.rs
@@ -32,24 +32,24 @@
 
     /// Why the voters are not as wanted; none if they are.
     #[must_use]
-    pub fn shortfall(&self, members: &[Member]) -> Option<Shortfall> {
+    pub fn voter_mismatch(&self, members: &[Member]) -> Option<VoterMismatch> {
         if quorum::is_joint(members) {
-            return Some(Shortfall::ChangeUnderWay);
+            return Some(VoterMismatch::ChangeUnderWay);
         }
         let voters = members.iter().filter(|m| m.voter).count();
         let learners = members.len() - voters;
         match voters.cmp(&self.target_voters) {
             Ordering::Equal => None,
-            Ordering::Greater => Some(Shortfall::TooMany),
-            Ordering::Less if learners == 0 => Some(Shortfall::NoLearner),
-            Ordering::Less => Some(Shortfall::LearnerBehind),
+            Ordering::Greater => Some(VoterMismatch::TooMany),
+            Ordering::Less if learners == 0 => Some(VoterMismatch::NoLearner),
+            Ordering::Less => Some(VoterMismatch::LearnerBehind),
         }
     }
 }
 
 /// Why the number of voters differs from the number wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shortfall {
+pub enum VoterMismatch {
     /// A change of the voters is not finished.
     ChangeUnderWay,
     /// There are more voters than wanted.
@@ -60,13 +60,13 @@
     LearnerBehind,
 }
 
-impl fmt::Display for Shortfall {
+impl fmt::Display for VoterMismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Shortfall::ChangeUnderWay => "a change of voters is not finished",
-            Shortfall::TooMany => "there are more voters than wanted",
-            Shortfall::NoLearner => "no learner is there to become a voter",
-            Shortfall::LearnerBehind => "no learner has caught up",
+            VoterMismatch::ChangeUnderWay => "a change of voters is not finished",
+            VoterMismatch::TooMany => "there are more voters than wanted",
+            VoterMismatch::NoLearner => "there is no learner to promote",
+            VoterMismatch::LearnerBehind => "no learner has caught up",
         })
     }
 }
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -108,8 +108,8 @@
         let _ = doc.insert("cores", cores);
         let voters = members.iter().filter(|member| member.voter).count();
         let _ = doc.insert("voters", voters);
-        let shortfall = self.policy.shortfall(members);
-        let _ = doc.insert("voters_differ", shortfall.map(|why| why.to_string()));
+        let voter_mismatch = self.policy.voter_mismatch(members);
+        let _ = doc.insert("voters_differ", voter_mismatch.map(|why| why.to_string()));
     }
 
     fn member(&self, member: &Member) -> Value {
