--- a/sorreldoor/src/control_plane/client.rs
+++ b/sorreldoor/src/control_plane/client.rs
@@ -84,7 +84,7 @@
     /// Time within which a change should be acknowledged.
     ack_ms: u64,
     endpoints: Arc<Mutex<Arc<Vec<EdgeEndpoint>>>>,
-    figures: Arc<Mutex<CoreFigures>>,
+    metrics: Arc<Mutex<CoreFigures>>,
 }
 
 impl ControllerClient {
@@ -97,7 +97,7 @@
             pending: PendingRequests::default(),
             ack_ms,
             endpoints: Arc::default(),
-            figures: Arc::default(),
+            metrics: Arc::default(),
         }
     }
 
@@ -182,12 +182,12 @@
 
     /// The core's metrics, as last published.
     #[must_use]
-    pub fn figures(&self) -> CoreFigures {
-        *locked(&self.figures)
+    pub fn metrics(&self) -> CoreFigures {
+        *locked(&self.metrics)
     }
 
-    pub(super) fn publish_figures(&self, figures: CoreFigures) {
-        *locked(&self.figures) = figures;
+    pub(super) fn publish_metrics(&self, metrics: CoreFigures) {
+        *locked(&self.metrics) = metrics;
     }
 
     pub(super) fn publish_endpoints(&self, endpoints: &Arc<Vec<EdgeEndpoint>>) {
--- a/sorreldoor/src/control_plane/controller/figures.rs
+++ b/sorreldoor/src/control_plane/controller/metrics.rs
@@ -1,13 +1,13 @@
-//! The figures that the metrics of a core are read from.
+//! The values behind the metrics of a core.
 
 use super::Controller;
 use crate::metrics::CoreFigures;
 
 impl Controller {
-    /// What this core's metrics are read from.
+    /// The current values of this core's metrics.
     #[must_use]
-    pub fn figures(&self) -> CoreFigures {
-        let beside_consensus = CoreFigures {
+    pub fn metrics(&self) -> CoreFigures {
+        let without_consensus = CoreFigures {
             holds_singleton_role: self.holds_singleton_role(),
             epoch: self.epoch(),
             edge_sessions: self.sessions.merged().len() as u64,
@@ -15,7 +15,7 @@
             ..CoreFigures::default()
         };
         let Some(consensus) = &self.consensus else {
-            return beside_consensus;
+            return without_consensus;
         };
         let members = consensus.members();
         CoreFigures {
@@ -31,7 +31,7 @@
             members: members.len() as u64,
             voters: members.iter().filter(|member| member.voter).count() as u64,
             configuration_version: consensus.state_machine().version(),
-            ..beside_consensus
+            ..without_consensus
         }
     }
 }
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -29,7 +29,7 @@
 use std::time::{Duration, Instant};
 
 /// Between two publications of the metrics.
-const FIGURES_INTERVAL: Duration = Duration::from_millis(500);
+const METRICS_INTERVAL: Duration = Duration::from_millis(500);
 /// Events that may wait for the controller.
 const EVENT_QUEUE: usize = 4096;
 /// A stopping core runs on for this long, so that what was just acknowledged
@@ -112,7 +112,7 @@
         events,
         gate,
         stop_at: None,
-        figures_at: Instant::now(),
+        next_metrics_at: Instant::now(),
     };
     runtime::run_event_loop(&mut controller, &clock, &mut daemon, &queue);
     log_event(LogEvent::Stopped, "core");
@@ -182,7 +182,7 @@
     };
     let listener = bind("metrics", endpoint.address(settings.http.ip()))?;
     let client = client.clone();
-    let encode = move || metrics::encode(CORE_METRICS, client.figures());
+    let encode = move || metrics::encode(CORE_METRICS, client.metrics());
     task::spawn(metrics::serve(listener, endpoint, encode));
     Ok(())
 }
@@ -215,14 +215,14 @@
     /// When to end, once the process was told to stop.
     stop_at: Option<Instant>,
     /// When the metrics are published next.
-    figures_at: Instant,
+    next_metrics_at: Instant,
 }
 
 impl<S: Store + 'static> EffectHandler<Controller> for Daemon<S> {
     fn keeps_running(&mut self, controller: &Controller) -> bool {
         let endpoints = &controller.endpoints().endpoints;
         self.client.publish_endpoints(endpoints);
-        self.publish_figures(controller);
+        self.publish_metrics(controller);
         if controller.is_stopping() && self.stop_at.is_none() {
             log_event(LogEvent::ShuttingDown, "core");
             self.stop_at = Some(Instant::now() + STOP_DELAY);
@@ -282,11 +282,11 @@
 }
 
 impl<S> Daemon<S> {
-    fn publish_figures(&mut self, controller: &Controller) {
+    fn publish_metrics(&mut self, controller: &Controller) {
         let now = Instant::now();
-        if self.settings.metrics.is_some() && now >= self.figures_at {
-            self.figures_at = now + FIGURES_INTERVAL;
-            self.client.publish_figures(controller.figures());
+        if self.settings.metrics.is_some() && now >= self.next_metrics_at {
+            self.next_metrics_at = now + METRICS_INTERVAL;
+            self.client.publish_metrics(controller.metrics());
         }
     }
 
--- a/sorreldoor/src/control_plane/membership/spread.rs
+++ b/sorreldoor/src/control_plane/membership/spread.rs
@@ -11,7 +11,7 @@
     /// Voters in the zone that has most of them.
     pub max_in_one_zone: usize,
     /// Difference between the regions with most and with fewest voters.
-    pub imbalance: usize,
+    pub region_imbalance: usize,
 }
 
 impl Spread {
@@ -27,7 +27,7 @@
         let least = shares.values().min().copied().unwrap_or(0);
         Spread {
             max_in_one_zone: zones.values().max().copied().unwrap_or(0),
-            imbalance: most - least,
+            region_imbalance: most - least,
         }
     }
 
