--- a/sorreldoor/src/control_plane/controller/bootstrap.rs
+++ b/sorreldoor/src/control_plane/controller/bootstrap.rs
@@ -20,7 +20,7 @@
     pub(super) fn tick_bootstrap(&mut self) {
         let live = self.live_cores(LIVE_MS);
         let context = Context {
-            own: &self.me,
+            own: &self.own_hello,
             now: self.now,
             members: None,
         };
@@ -43,7 +43,7 @@
     ) {
         let consensus = self.consensus.as_ref();
         let context = Context {
-            own: &self.me,
+            own: &self.own_hello,
             now: self.now,
             members: consensus.map(|consensus| consensus.members()),
         };
@@ -57,10 +57,10 @@
                 Effect::Send(conn, message) => self.send(conn, Payload::Bootstrap(message)),
                 Effect::KeepPromise(founders) => {
                     let value = founders.map_or_else(Vec::new, |founders| encode(&founders));
-                    self.out
+                    self.effects
                         .push(ControllerEffect::StoreValue(PROMISE_KEY, value));
                 }
-                Effect::Log(event, about) => self.log_event(event, about),
+                Effect::Log(event, details) => self.log_event(event, details),
                 Effect::Found(founders) => self.found(founders),
                 Effect::Join => self.join(),
                 Effect::Discover(addresses) => self.peer_addresses.discover(addresses),
@@ -72,7 +72,7 @@
     fn found(&mut self, founders: Vec<Member>) {
         self.log_event(LogEvent::ClusterBootstrapped, names(&founders));
         let record = ReplicatedState::new(self.site.clone());
-        let (id, timing, seed, now) = (self.me.id, self.timing.clone(), self.seed, self.now);
+        let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
         let consensus = Consensus::found(id, timing, founders, record, seed, now);
         self.consensus = Some(consensus);
         self.idempotency_event(idempotency::Event::Founded);
@@ -82,16 +82,16 @@
 
     fn join(&mut self) {
         let record = ReplicatedState::new(self.site.clone());
-        let (id, timing, seed, now) = (self.me.id, self.timing.clone(), self.seed, self.now);
+        let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
         let blank = DurableState::default().to_consensus();
         self.consensus = Some(Consensus::new(id, timing, blank, record, seed, now));
     }
 
     /// Tells all peers that this core is a member, and connects to the others.
     pub(super) fn announce_membership(&mut self) {
-        self.me.founded = true;
+        self.own_hello.founded = true;
         for conn in self.connections.all() {
-            let hello = self.me.clone();
+            let hello = self.own_hello.clone();
             self.send(conn, Payload::Hello(hello));
         }
         self.redial();
@@ -101,13 +101,13 @@
     pub(super) fn redial(&mut self) {
         let consensus = self.consensus.as_ref();
         let members = consensus.map_or(&[][..], |consensus| consensus.members());
-        let changes = self
-            .peer_addresses
-            .reconcile(self.me.id, &self.me.addr, members);
+        let changes =
+            self.peer_addresses
+                .reconcile(self.own_hello.id, &self.own_hello.addr, members);
         let connect = changes.connect.into_iter().map(ControllerEffect::Connect);
-        self.out.extend(connect);
+        self.effects.extend(connect);
         let disconnect = changes.disconnect.into_iter();
-        self.out
+        self.effects
             .extend(disconnect.map(ControllerEffect::Disconnect));
     }
 }
--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -67,14 +67,14 @@
 
     fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &OpOutcome) {
         let id = format_proposal_id(proposal_id);
-        let (event, about) = match outcome {
+        let (event, details) = match outcome {
             OpOutcome::Got(Outcome::Applied { version }) => (
                 LogEvent::ChangeCommitted,
                 format!("{id} as serial {version}: {}", self.document_summary()),
             ),
             other => (LogEvent::ChangeRejected, format!("{id}: {other:?}")),
         };
-        self.log_event(event, about);
+        self.log_event(event, details);
     }
 
     fn document_summary(&self) -> DocumentSummary {
@@ -86,7 +86,7 @@
 
     pub(super) fn change_done(&mut self, requester: Requester, outcome: OpOutcome) {
         match requester {
-            Requester::Http { request_id } => self.out.push(ControllerEffect::ChangeDone {
+            Requester::Http { request_id } => self.effects.push(ControllerEffect::ChangeDone {
                 request_id,
                 outcome,
             }),
--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -28,7 +28,7 @@
 
     pub(in crate::control_plane) fn apply_consensus_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Save { seq, save } => self.out.push(ControllerEffect::Save(seq, save)),
+            Effect::Save { seq, save } => self.effects.push(ControllerEffect::Save(seq, save)),
             Effect::Send { to, msg } => {
                 if let Some(conn) = self.connections.to(to) {
                     self.send(conn, Payload::Consensus(msg));
@@ -52,7 +52,7 @@
         };
         let names: Vec<String> = members.iter().map(name).collect();
         self.log_event(LogEvent::MembershipChanged, names.join(" "));
-        if !self.me.founded && members.iter().any(|member| member.voter) {
+        if !self.own_hello.founded && members.iter().any(|member| member.voter) {
             self.announce_membership();
         }
         self.redial();
@@ -60,7 +60,7 @@
 
     fn log_note(&mut self, note: StateChange) {
         let name = |region: RegionId| self.site.region_name(region).to_string();
-        let (event, about) = match note {
+        let (event, details) = match note {
             StateChange::GlobalLeader { term, .. } => {
                 (LogEvent::GlobalLeader, format!("term {term}"))
             }
@@ -79,7 +79,7 @@
             }
             StateChange::DiskFailed => (LogEvent::DiskFailed, "not participating".to_string()),
         };
-        self.log_event(event, about);
+        self.log_event(event, details);
     }
 
     fn on_applied(&mut self) {
--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -30,7 +30,7 @@
         let node = hello.node.clone();
         for stale in self.sessions.begin(conn, hello) {
             self.distribution.closed(stale);
-            self.out.push(ControllerEffect::Close(stale));
+            self.effects.push(ControllerEffect::Close(stale));
         }
         self.log_event(LogEvent::EdgeConnected, node);
         self.sessions_changed();
@@ -110,7 +110,7 @@
         silent.retain(|conn| self.connections.silent_since(*conn, limit));
         for conn in silent {
             self.end_session(conn);
-            self.out.push(ControllerEffect::Close(conn));
+            self.effects.push(ControllerEffect::Close(conn));
         }
         self.merge_sessions();
         self.report_sessions(false);
--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -14,7 +14,7 @@
         match event {
             NetEvent::Up { conn, dialled } => {
                 self.connections.opened(conn, dialled, self.now);
-                let hello = self.me.clone();
+                let hello = self.own_hello.clone();
                 self.send(conn, Payload::Hello(hello));
             }
             NetEvent::Down { conn } => self.on_closed(conn),
@@ -44,12 +44,12 @@
             // it may have overtaken the introduction, and will be sent again
             None if payload.is_consensus() => {}
             // a node must introduce itself first
-            None => self.out.push(ControllerEffect::Close(conn)),
+            None => self.effects.push(ControllerEffect::Close(conn)),
         }
     }
 
     fn on_hello(&mut self, conn: Conn, hello: Hello) {
-        if hello.id == self.me.id {
+        if hello.id == self.own_hello.id {
             return self.on_own_hello(conn);
         }
         if hello.core {
@@ -64,7 +64,7 @@
 
     fn identify(&mut self, conn: Conn, hello: Hello) {
         for superseded in self.connections.identify(conn, hello) {
-            self.out.push(ControllerEffect::Close(superseded));
+            self.effects.push(ControllerEffect::Close(superseded));
         }
     }
 
@@ -72,9 +72,9 @@
     fn on_own_hello(&mut self, conn: Conn) {
         if let Some(own) = self.connections.dialled(conn) {
             self.peer_addresses.remove_own(own);
-            self.out.push(ControllerEffect::Disconnect(own));
+            self.effects.push(ControllerEffect::Disconnect(own));
         }
-        self.out.push(ControllerEffect::Close(conn));
+        self.effects.push(ControllerEffect::Close(conn));
     }
 
     /// Frames that only cores may send.
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -27,7 +27,7 @@
         let consensus = self.consensus.as_ref();
         let context = Context {
             now: self.now,
-            own_id: self.me.id,
+            own_id: self.own_hello.id,
             voters: self.voter_ids(),
             joined: consensus.is_some(),
             has_unsynced_saves: consensus.is_some_and(|c| c.last_unsynced_save().is_some()),
@@ -61,9 +61,9 @@
             }
             Effect::KeepCaughtUp => {
                 let caught_up = ControllerEffect::StoreValue(CAUGHT_UP_KEY, vec![1]);
-                self.out.push(caught_up);
+                self.effects.push(caught_up);
             }
-            Effect::Log(event, about) => self.log_event(event, about),
+            Effect::Log(event, details) => self.log_event(event, details),
         }
     }
 
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -23,11 +23,13 @@
             return;
         }
         let members = consensus.members().to_vec();
-        let others = members.iter().filter(|member| member.id != self.me.id);
+        let others = members
+            .iter()
+            .filter(|member| member.id != self.own_hello.id);
         let health = others.map(|member| (member.id, self.health_of(member.id)));
         let since = self.now.saturating_sub(LIVE_MS);
         let observed = Observation {
-            leader: self.me.id,
+            leader: self.own_hello.id,
             members: &members,
             health: health.collect(),
             live: &self.connections.newest_core_by_address(since),
@@ -50,9 +52,9 @@
     /// and a leader hands over.
     pub(super) fn stop(&mut self) {
         self.stopping = true;
-        self.me.stopping = true;
+        self.own_hello.stopping = true;
         for conn in self.connections.to_cores() {
-            let hello = self.me.clone();
+            let hello = self.own_hello.clone();
             self.send(conn, Payload::Hello(hello));
         }
         self.step_consensus(Event::Stop);
@@ -62,8 +64,8 @@
     pub(super) fn remove_core(&mut self, request_id: u64, proposal_id: ProposalId, core: NodeId) {
         let rest = self.members().iter().filter(|member| member.id != core);
         let rest: Vec<Member> = rest.cloned().collect();
-        if rest.is_empty() || core == self.me.id {
-            self.out.push(ControllerEffect::ChangeDone {
+        if rest.is_empty() || core == self.own_hello.id {
+            self.effects.push(ControllerEffect::ChangeDone {
                 request_id,
                 outcome: OpOutcome::NotTaken,
             });
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -48,7 +48,7 @@
 
 /// A core node: consensus, and the parts around it.
 pub struct Controller {
-    pub(super) me: Hello,
+    pub(super) own_hello: Hello,
     pub(super) site: Arc<Site>,
     pub(super) pacing: Pacing,
     pub(super) timing: Timing,
@@ -76,9 +76,9 @@
     /// The configuration version that was logged last.
     logged_version: u64,
     stopping: bool,
-    wall: i64,
+    wall_ms: i64,
     pub(super) now: Millis,
-    pub(super) out: Vec<ControllerEffect>,
+    pub(super) effects: Vec<ControllerEffect>,
 }
 
 impl Reducer for Controller {
@@ -87,10 +87,10 @@
 
     fn step(&mut self, event: ControllerEvent, now: Now) -> Vec<ControllerEffect> {
         self.now = self.now.max(now.monotonic_ms);
-        self.wall = now.wall;
+        self.wall_ms = now.wall;
         self.route(event);
         self.start_confirmation();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 }
 
@@ -182,13 +182,14 @@
         self.step_consensus(Event::SaveRecovered);
     }
 
-    pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
-        self.out.push(ControllerEffect::Log(event, about.into()));
+    pub(super) fn log_event(&mut self, event: LogEvent, details: impl Into<String>) {
+        self.effects
+            .push(ControllerEffect::Log(event, details.into()));
     }
 
     pub(super) fn send(&mut self, conn: Conn, payload: Payload) {
         self.connections.sent(conn, self.now);
-        self.out.push(ControllerEffect::Send(conn, payload));
+        self.effects.push(ControllerEffect::Send(conn, payload));
     }
 
     /// Connections to the cores that broadcasts go to.
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -64,14 +64,14 @@
                     request_id,
                     confirmed,
                 };
-                self.out.push(ready);
+                self.effects.push(ready);
             }
             Read::View { request_id } => {
                 let ready = ControllerEffect::ViewReady {
                     request_id,
                     confirmed,
                 };
-                self.out.push(ready);
+                self.effects.push(ready);
             }
             Read::Outcome {
                 requester,
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -17,7 +17,7 @@
     #[must_use]
     pub fn holds_singleton_role(&self) -> bool {
         let record = self.consensus.as_ref().map(|c| c.state_machine());
-        record.is_some_and(|record| self.singleton.is_holder(record, self.me.id))
+        record.is_some_and(|record| self.singleton.is_holder(record, self.own_hello.id))
     }
 
     pub(super) fn epoch(&self) -> u64 {
@@ -45,7 +45,7 @@
     }
 
     fn is_preferred_holder(&self) -> bool {
-        let me = self.me.id;
+        let me = self.own_hello.id;
         let live = self.live_cores(LIVE_MS);
         let is_live = |id| id == me || live.contains_key(&id);
         preferred_holder(self.members(), is_live) == Some(me)
@@ -54,7 +54,7 @@
     fn claim_singleton_role(&mut self) {
         let above = self.epoch();
         let epoch = above + 1;
-        let holder = self.me.id;
+        let holder = self.own_hello.id;
         self.log_event(LogEvent::SingletonAcquired, format!("epoch {epoch}"));
         self.propose(Command::AcquireRole {
             holder,
@@ -78,7 +78,7 @@
             address: worker.addr,
         });
         let workers = workers.collect();
-        self.out
+        self.effects
             .push(ControllerEffect::PollLoads { epoch, workers });
     }
 
@@ -116,8 +116,8 @@
             return;
         };
         let name = self.site.region_name(region);
-        let about = format!("{name}: {}", recovery_text(state));
-        self.log_event(LogEvent::RegionRecoveryChanged, about);
+        let details = format!("{name}: {}", recovery_text(state));
+        self.log_event(LogEvent::RegionRecoveryChanged, details);
         self.propose(Command::SetRegion {
             epoch,
             region,
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -46,7 +46,7 @@
             bootstrap: Bootstrap::new(bootstrap_options(&config)),
             ids: IdSequence::new(&config.own_hello),
             sessions: Sessions::new(&config.own_hello, config.pacing.accounts, now),
-            me: config.own_hello,
+            own_hello: config.own_hello,
             site: config.site,
             membership: Membership::new(config.membership_policy),
             pacing: config.pacing,
@@ -67,9 +67,9 @@
             slow_tick_at: now,
             logged_version: 0,
             stopping: false,
-            wall: 0,
+            wall_ms: 0,
             now,
-            out: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
@@ -81,9 +81,9 @@
                 "this release cannot read the snapshot"
             );
         }
-        let (id, timing, seed, now) = (self.me.id, self.timing.clone(), self.seed, self.now);
+        let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
         self.consensus = Some(Consensus::new(id, timing, kept, record, seed, now));
-        self.me.founded = true;
+        self.own_hello.founded = true;
     }
 }
 
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -10,11 +10,11 @@
     #[must_use]
     pub fn status(&self) -> Value {
         let sources = StatusSources {
-            me: &self.me,
+            own_hello: &self.own_hello,
             site: &self.site,
             stopping: self.stopping,
             quorum: self.reads.quorum(),
-            wall_ms: self.wall,
+            wall_ms: self.wall_ms,
             policy: &self.membership.policy,
             consensus: self.consensus.as_ref(),
             live_cores: self.live_cores(LIVE_MS).into_keys().collect(),
--- a/sorreldoor/src/control_plane/controller/workers.rs
+++ b/sorreldoor/src/control_plane/controller/workers.rs
@@ -12,7 +12,7 @@
     /// does, since a read is expensive for the platform.
     pub(super) fn read_worker_list(&mut self) {
         if self.worker_list.begin_read(self.now) {
-            self.out.push(ControllerEffect::ReadWorkerList);
+            self.effects.push(ControllerEffect::ReadWorkerList);
         }
     }
 
@@ -47,8 +47,8 @@
             return;
         }
         let (version, count) = (list.version, list.workers.len());
-        let about = format!("serial {version}, {count} workers");
-        self.log_event(LogEvent::WorkerListChanged, about);
+        let details = format!("serial {version}, {count} workers");
+        self.log_event(LogEvent::WorkerListChanged, details);
         // edges must know of a leaving worker before their next renewal
         for conn in self.subscribers() {
             self.send(conn, Payload::WorkerRegistry(list.clone()));
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -26,7 +26,7 @@
 
 /// All that the status is made of.
 pub(super) struct StatusSources<'a> {
-    pub me: &'a Hello,
+    pub own_hello: &'a Hello,
     pub site: &'a Site,
     pub stopping: bool,
     /// Whether the last proof of leadership succeeded.
@@ -61,8 +61,8 @@
     /// The complete document.
     pub fn to_json(&self) -> Value {
         let mut doc = Value::object();
-        let _ = doc.insert("node", self.me.node.as_str());
-        let _ = doc.insert("id", hex(self.me.id));
+        let _ = doc.insert("node", self.own_hello.node.as_str());
+        let _ = doc.insert("id", hex(self.own_hello.id));
         let _ = doc.insert("founded", self.consensus.is_some());
         let _ = doc.insert("leaving", self.stopping);
         let _ = doc.insert("quorum", self.quorum);
@@ -113,7 +113,7 @@
     }
 
     fn member(&self, member: &Member) -> Value {
-        let live = member.id == self.me.id || self.live_cores.contains(&member.id);
+        let live = member.id == self.own_hello.id || self.live_cores.contains(&member.id);
         let mut row = Value::object();
         let _ = row.insert("id", hex(member.id));
         let _ = row.insert("zone", self.site.zone_name(member.zone));
