--- a/sorreldoor/src/control_plane/bootstrap/mod.rs
+++ b/sorreldoor/src/control_plane/bootstrap/mod.rs
@@ -1,11 +1,13 @@
-//! Cluster bootstrap: blank cores agree on the first members, once.
+//! Bootstrap of a site: blank cores agree once on the founders, the initial
+//! voters of the consensus group.
 //!
-//! Each blank core promises one set of founders, keeps the promise on disk, and
-//! bootstraps when all founders have promised the same set. A promise binds
-//! across restarts, so two sets that share a core cannot both bootstrap. A core
-//! that meets a founded one joins it instead, as a learner.
+//! Each blank core promises one set of founders, stores the promise on disk, and
+//! bootstraps when all founders have promised the same set. A promise is binding
+//! across restarts, so two sets that share a core cannot both bootstrap. A blank
+//! core that is connected to a core of a bootstrapped site joins that site as a
+//! learner instead.
 //!
-//! [`Bootstrap`] is pure: it takes an event and returns [`Effect`]s.
+//! [`Bootstrap`] is a reducer without I/O: it takes events and returns [`Effect`]s.
 
 mod peer_addresses;
 
@@ -20,10 +22,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Milliseconds after which the next bootstrapped core is asked.
+/// Interval after which the query goes to the next founded core.
 const QUERY_INTERVAL_MS: Millis = 250;
 
-/// Cores that are reachable, each with a connection and its hello.
+/// Live cores by id, each with a connection to it and its hello.
 pub type LiveCores = BTreeMap<NodeId, (Conn, Hello)>;
 
 /// How a core bootstraps a site.
@@ -31,94 +33,95 @@
 pub struct Options {
     /// Whether this core may bootstrap a site; otherwise it only joins one.
     pub enabled: bool,
-    /// Addresses of the only cores that bootstrap the site; without any, the first
-    /// `cores` cores do.
-    pub seeds_only: Option<BTreeSet<SocketAddr>>,
+    /// Addresses of the only cores that may be founders; `None` where any core may
+    /// be one.
+    pub allowed_founders: Option<BTreeSet<SocketAddr>>,
     /// Number of founders where any core may be one.
-    pub cores: usize,
+    pub founder_count: usize,
     /// The founders that this core promised before a restart.
-    pub promise: Option<Vec<Member>>,
+    pub promised_founders: Option<Vec<Member>>,
 }
 
-/// What the controller is to do, in this order.
+/// An action for the controller; actions are carried out in order.
 #[derive(Debug)]
 pub enum Effect {
     /// Send on a connection.
     Send(Conn, BootstrapMessage),
-    /// Keep the promised founders on disk; none takes a promise back.
-    KeepPromise(Option<Vec<Member>>),
+    /// Store the promised founders on disk; `None` withdraws the promise.
+    SavePromise(Option<Vec<Member>>),
     /// Write a log event.
     Log(LogEvent, String),
     /// Bootstrap the site with these founders.
-    Found(Vec<Member>),
-    /// Join the founded site as a learner.
+    Bootstrap(Vec<Member>),
+    /// Join the bootstrapped site as a learner.
     Join,
-    /// Remember where the members are.
+    /// Replace the addresses of the members discovered through a peer.
     Discover(BTreeSet<SocketAddr>),
-    /// Match the connections to the members and seeds.
+    /// Connect to the current members and seeds, and disconnect from others.
     Redial,
 }
 
-/// This core's membership as the part sees it.
+/// The state of this core that decisions depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// This core.
+    /// This core's own hello.
     pub own: &'a Hello,
     /// Time by the monotonic clock, in milliseconds.
     pub now: Millis,
-    /// The members; none while this core is part of no site, empty until it has
-    /// received the log.
+    /// The members: `None` until this core has bootstrapped or joined a site,
+    /// and empty until a joining core has received the log.
     pub members: Option<&'a [Member]>,
 }
 
-/// One core's part in the bootstrap.
+/// The bootstrap state of one core: its promise and those of its peers.
 #[derive(Debug)]
 pub struct Bootstrap {
     enabled: bool,
-    seeds_only: Option<BTreeSet<SocketAddr>>,
-    cores: usize,
-    promise: Option<Vec<Member>>,
+    allowed_founders: Option<BTreeSet<SocketAddr>>,
+    founder_count: usize,
+    promised_founders: Option<Vec<Member>>,
     peer_promises: BTreeMap<NodeId, Vec<Member>>,
 }
 
 impl Bootstrap {
-    /// Starts with the promise that was kept on disk, if any.
+    /// Starts with the promise that was stored on disk, if any.
     #[must_use]
     pub fn new(options: Options) -> Bootstrap {
         Bootstrap {
-            // a core that may not bootstrap must not use what it once promised
-            promise: options.promise.filter(|_| options.enabled),
+            // a promise is void where the settings no longer allow a bootstrap
+            promised_founders: options.promised_founders.filter(|_| options.enabled),
             enabled: options.enabled,
-            seeds_only: options.seeds_only,
-            cores: options.cores,
+            allowed_founders: options.allowed_founders,
+            founder_count: options.founder_count,
             peer_promises: BTreeMap::new(),
         }
     }
 
-    /// Periodic step of a blank core: bootstrap with the others, or join.
+    /// Periodic step of a blank core: asks a founded core to join its site, or
+    /// promises founders and bootstraps once all of them have promised the same.
     #[must_use]
     pub fn tick(&mut self, live: &LiveCores, context: &Context) -> Vec<Effect> {
-        if let Some(query) = self.query(live, context.now) {
+        if let Some(query) = self.query_founded_core(live, context.now) {
             return vec![query];
         }
         if !self.enabled {
             return Vec::new();
         }
         let mut effects = self.make_promise(live, context.own);
-        let Some(founders) = &self.promise else {
+        let Some(founders) = &self.promised_founders else {
             return effects;
         };
-        effects.extend(live.values().map(|(conn, _)| promise(*conn, founders)));
+        effects.extend(live.values().map(|(conn, _)| send_promise(*conn, founders)));
         if self.is_agreed(founders, context.own.id) {
-            effects.push(Effect::Found(founders.clone()));
+            effects.push(Effect::Bootstrap(founders.clone()));
         }
         effects
     }
 
-    /// Asks a founded core for the members and whether this core is one; none
-    /// if no founded core is live.
+    /// Asks a founded core for the members and whether this core is a founder;
+    /// `None` if no founded core is live.
     #[must_use]
-    pub fn query(&self, live: &LiveCores, now: Millis) -> Option<Effect> {
+    pub fn query_founded_core(&self, live: &LiveCores, now: Millis) -> Option<Effect> {
         let founded: Vec<Conn> = live
             .values()
             .filter(|(_, hello)| hello.founded)
@@ -127,13 +130,13 @@
         if founded.is_empty() {
             return None;
         }
-        // one of them may not answer, so another is asked each time
+        // rotates, since one of them may not answer
         let turn = (now / QUERY_INTERVAL_MS) as usize % founded.len();
-        let founders = self.promise.as_deref().unwrap_or_default();
-        Some(promise(founded[turn], founders))
+        let founders = self.promised_founders.as_deref().unwrap_or_default();
+        Some(send_promise(founded[turn], founders))
     }
 
-    /// Reacts to a message of another core.
+    /// Handles a message of another core.
     #[must_use]
     pub fn on_message(
         &mut self,
@@ -148,7 +151,7 @@
                     self.peer_promises.insert(from.id, founders);
                     Vec::new()
                 }
-                // a core that has only just joined does not know the founders
+                // a core that has joined but received no log knows no members
                 Some([]) => Vec::new(),
                 Some(members) => vec![Effect::Send(conn, answer(from.id, founders, members))],
             },
@@ -170,32 +173,33 @@
         let mut effects = vec![Effect::Discover(addresses)];
         if context.members.is_some() {
             effects.push(Effect::Redial);
-        } else if self.promise.as_ref() == Some(&founders) && !founders.is_empty() {
-            effects.push(Effect::Found(founders));
+        } else if self.promised_founders.as_ref() == Some(&founders) && !founders.is_empty() {
+            effects.push(Effect::Bootstrap(founders));
         } else {
-            let about = format!("through {}", from.node);
-            effects.push(Effect::Log(LogEvent::JoiningAsLearner, about));
-            // an unused promise must not look like a founder's
-            self.promise = None;
-            effects.push(Effect::KeepPromise(None));
+            let details = format!("through {}", from.node);
+            effects.push(Effect::Log(LogEvent::JoiningAsLearner, details));
+            // after a restart an unused promise would mark this core as a founder
+            self.promised_founders = None;
+            effects.push(Effect::SavePromise(None));
             effects.push(Effect::Join);
-            // it announces itself as a member only once it has the log
+            // the membership is announced only once the log has been received
             effects.push(Effect::Redial);
         }
         effects
     }
 
-    /// Promises the founders once all of them are live and none are promised.
+    /// Promises founders if all of them are live and this core has not promised
+    /// any yet.
     fn make_promise(&mut self, live: &LiveCores, own: &Hello) -> Vec<Effect> {
         let Some(mut founders) = self.candidate_founders(live, own) else {
             return Vec::new();
         };
         founders.sort_by_key(|member| member.id);
-        self.promise = Some(founders.clone());
-        let about = names(&founders);
+        self.promised_founders = Some(founders.clone());
+        let details = format_member_ids(&founders);
         vec![
-            Effect::KeepPromise(Some(founders)),
-            Effect::Log(LogEvent::BootstrapPromised, about),
+            Effect::SavePromise(Some(founders)),
+            Effect::Log(LogEvent::BootstrapPromised, details),
         ]
     }
 
@@ -206,17 +210,21 @@
             .chain([own])
             .filter(|hello| self.may_found(hello))
             .collect();
-        let wanted = self.seeds_only.as_ref().map_or(self.cores, BTreeSet::len);
-        // a core that is no seed waits until the seeds have bootstrapped
+        let expected = self
+            .allowed_founders
+            .as_ref()
+            .map_or(self.founder_count, BTreeSet::len);
+        // other cores wait until the allowed founders have bootstrapped
         let is_candidate = candidates.iter().any(|hello| hello.id == own.id);
-        let ready = self.promise.is_none() && is_candidate && candidates.len() == wanted;
+        let ready =
+            self.promised_founders.is_none() && is_candidate && candidates.len() == expected;
         ready.then(|| candidates.into_iter().map(founding_voter).collect())
     }
 
     fn may_found(&self, hello: &Hello) -> bool {
-        self.seeds_only
+        self.allowed_founders
             .as_ref()
-            .is_none_or(|seeds| hello.addr.parse().is_ok_and(|a| seeds.contains(&a)))
+            .is_none_or(|allowed| hello.addr.parse().is_ok_and(|a| allowed.contains(&a)))
     }
 
     fn is_agreed(&self, founders: &[Member], own_id: NodeId) -> bool {
@@ -227,20 +235,21 @@
     }
 }
 
-/// A founded core's answer. Only a blank core that is a founder by its own
-/// identity may take its seat as a voter; any other joins as a learner. It gets
-/// all addresses, since it knows only seeds, and the leader may be none.
-fn answer(asker: NodeId, founders: Vec<Member>, members: &[Member]) -> BootstrapMessage {
+/// A founded core's answer to a blank core. It returns the founders only to a
+/// core that is already a voter under its current id; any other must join as a
+/// learner. It contains all members' addresses, since a blank core knows only
+/// the seeds, and the leader need not be one.
+fn answer(peer: NodeId, founders: Vec<Member>, members: &[Member]) -> BootstrapMessage {
     let is_voter = members
         .iter()
-        .any(|member| member.id == asker && member.voter);
+        .any(|member| member.id == peer && member.voter);
     BootstrapMessage::Founded {
         founders: if is_voter { founders } else { Vec::new() },
         addresses: members.iter().map(|member| member.addr.clone()).collect(),
     }
 }
 
-fn promise(conn: Conn, founders: &[Member]) -> Effect {
+fn send_promise(conn: Conn, founders: &[Member]) -> Effect {
     let founders = founders.to_vec();
     Effect::Send(conn, BootstrapMessage::Promise { founders })
 }
@@ -252,9 +261,9 @@
     }
 }
 
-/// The identities of members, as log events show them.
+/// The ids of members in hexadecimal, separated by spaces, for log events.
 #[must_use]
-pub fn names(members: &[Member]) -> String {
-    let names: Vec<String> = members.iter().map(|m| format!("{:x}", m.id)).collect();
-    names.join(" ")
+pub fn format_member_ids(members: &[Member]) -> String {
+    let ids: Vec<String> = members.iter().map(|m| format!("{:x}", m.id)).collect();
+    ids.join(" ")
 }
--- a/sorreldoor/src/control_plane/controller/bootstrap.rs
+++ b/sorreldoor/src/control_plane/controller/bootstrap.rs
@@ -1,8 +1,9 @@
-//! Bootstrap and the connections to other cores: the parts' effects carried out.
+//! Bootstrap of a site and connections to other cores: passes events to
+//! [`super::super::bootstrap`] and carries out its effects.
 
 use super::Controller;
 use crate::consensus::{Consensus, Event, Member};
-use crate::control_plane::bootstrap::{names, Context, Effect};
+use crate::control_plane::bootstrap::{format_member_ids, Context, Effect};
 use crate::control_plane::connections::LIVE_MS;
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::idempotency;
@@ -12,11 +13,11 @@
 use crate::store::DurableState;
 use crate::wire::{BootstrapMessage, Hello, Payload};
 
-/// Name of the stored value that holds the promised founders.
-const PROMISE_KEY: &str = "promise";
+/// Store key of the promised founders.
+const PROMISED_FOUNDERS_KEY: &str = "promise";
 
 impl Controller {
-    /// Periodic step of a core that is part of no site.
+    /// Periodic step of a core that has neither bootstrapped nor joined a site.
     pub(super) fn tick_bootstrap(&mut self) {
         let live = self.live_cores(LIVE_MS);
         let context = Context {
@@ -28,10 +29,10 @@
         self.bootstrap_effects(effects);
     }
 
-    /// Asks a founded core where the members are.
-    pub(super) fn query_founded(&mut self) {
+    /// Asks a core of a bootstrapped site for the members' addresses.
+    pub(super) fn query_founded_core(&mut self) {
         let live = self.live_cores(LIVE_MS);
-        let query = self.bootstrap.query(&live, self.now);
+        let query = self.bootstrap.query_founded_core(&live, self.now);
         self.bootstrap_effects(query.into_iter().collect());
     }
 
@@ -55,13 +56,13 @@
         for effect in effects {
             match effect {
                 Effect::Send(conn, message) => self.send(conn, Payload::Bootstrap(message)),
-                Effect::KeepPromise(founders) => {
+                Effect::SavePromise(founders) => {
                     let value = founders.map_or_else(Vec::new, |founders| encode(&founders));
                     self.effects
-                        .push(ControllerEffect::StoreValue(PROMISE_KEY, value));
+                        .push(ControllerEffect::StoreValue(PROMISED_FOUNDERS_KEY, value));
                 }
                 Effect::Log(event, details) => self.log_event(event, details),
-                Effect::Found(founders) => self.found(founders),
+                Effect::Bootstrap(founders) => self.bootstrap_site(founders),
                 Effect::Join => self.join(),
                 Effect::Discover(addresses) => self.peer_addresses.discover(addresses),
                 Effect::Redial => self.redial(),
@@ -69,11 +70,11 @@
         }
     }
 
-    fn found(&mut self, founders: Vec<Member>) {
-        self.log_event(LogEvent::ClusterBootstrapped, names(&founders));
-        let record = ReplicatedState::new(self.site.clone());
+    fn bootstrap_site(&mut self, founders: Vec<Member>) {
+        self.log_event(LogEvent::ClusterBootstrapped, format_member_ids(&founders));
+        let state = ReplicatedState::new(self.site.clone());
         let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
-        let consensus = Consensus::found(id, timing, founders, record, seed, now);
+        let consensus = Consensus::found(id, timing, founders, state, seed, now);
         self.consensus = Some(consensus);
         self.idempotency_event(idempotency::Event::Founded);
         self.announce_membership();
@@ -81,13 +82,14 @@
     }
 
     fn join(&mut self) {
-        let record = ReplicatedState::new(self.site.clone());
+        let state = ReplicatedState::new(self.site.clone());
         let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
         let blank = DurableState::default().to_consensus();
-        self.consensus = Some(Consensus::new(id, timing, blank, record, seed, now));
+        self.consensus = Some(Consensus::new(id, timing, blank, state, seed, now));
     }
 
-    /// Tells all peers that this core is a member, and connects to the others.
+    /// Announces to all connected nodes that this core belongs to a bootstrapped
+    /// site, and connects to the other members.
     pub(super) fn announce_membership(&mut self) {
         self.own_hello.founded = true;
         for conn in self.connections.all() {
@@ -97,7 +99,8 @@
         self.redial();
     }
 
-    /// Matches the connections to the members and seeds.
+    /// Connects to new members and seeds, and disconnects from addresses that are
+    /// neither any more.
     pub(super) fn redial(&mut self) {
         let consensus = self.consensus.as_ref();
         let members = consensus.map_or(&[][..], |consensus| consensus.members());
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -1,6 +1,6 @@
-//! The core's reducer. It routes each event to the part that owns the state it
-//! concerns and turns what the part returns into effects; see the sibling
-//! modules of this folder's parent for the parts.
+//! The reducer of a core node. [`Controller`] routes each event to the part that
+//! owns the state concerned and converts the part's results into effects. The
+//! parts are the sibling modules of `controller`; none of them depends on it.
 
 mod bootstrap;
 mod changes;
@@ -43,17 +43,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Interval of the work that need not be done at each tick.
+/// Interval of periodic work that need not run on every tick.
 const SLOW_TICK_MS: Millis = 250;
 
-/// A core node: consensus, and the parts around it.
+/// The state of a core node: its consensus replica and the parts around it.
+/// Only [`Reducer::step`] changes it.
 pub struct Controller {
     pub(super) own_hello: Hello,
     pub(super) site: Arc<Site>,
     pub(super) pacing: Pacing,
     pub(super) timing: Timing,
     pub(super) seed: u64,
-    /// None while this core is part of no site.
+    /// `None` until this core has bootstrapped or joined a site.
     pub(super) consensus: Option<Consensus<ReplicatedState>>,
     bootstrap: Bootstrap,
     peer_addresses: PeerAddresses,
@@ -69,11 +70,11 @@
     ids: IdSequence,
     singleton: SingletonRole,
     usage: UsageLedger,
-    /// The revision whose quotas `usage` has.
+    /// Revision of the replicated state that the quotas in `usage` are from.
     quota_revision: u64,
     usage_report_at: Millis,
     slow_tick_at: Millis,
-    /// The configuration version that was logged last.
+    /// The configuration version in the last `ConfigurationApplied` log event.
     logged_version: u64,
     stopping: bool,
     wall_ms: i64,
@@ -95,38 +96,38 @@
 }
 
 impl Controller {
-    /// Whether this process was told to stop.
+    /// Whether this process has received the signal to stop.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping
     }
 
-    /// The consensus group's state here; none while this core is part of no
-    /// site.
+    /// This core's replica of the consensus group; `None` until it has
+    /// bootstrapped or joined a site.
     #[must_use]
     pub fn consensus(&self) -> Option<&Consensus<ReplicatedState>> {
         self.consensus.as_ref()
     }
 
-    /// The newest list of workers.
+    /// The newest list of workers, and the schedule of its reads.
     #[must_use]
     pub fn worker_list(&self) -> &WorkerListCache {
         &self.worker_list
     }
 
-    /// The newest loads of the workers.
+    /// The newest known loads of the workers.
     #[must_use]
     pub fn loads(&self) -> &Arc<Loads> {
         self.loads.loads()
     }
 
-    /// The sessions of all edges, one for each edge.
+    /// The sessions of all edges, one per edge.
     #[must_use]
     pub fn edge_sessions(&self) -> &[EdgeSession] {
         self.sessions.merged()
     }
 
-    /// The edges as other edges are shown them.
+    /// The list of edges in the form that is sent to edges.
     #[must_use]
     pub fn endpoints(&self) -> &EndpointList {
         self.sessions.endpoints()
@@ -192,16 +193,17 @@
         self.effects.push(ControllerEffect::Send(conn, payload));
     }
 
-    /// Connections to the cores that broadcasts go to.
+    /// One connection to each core that receives broadcasts.
     fn reachable_cores(&self) -> Vec<Conn> {
         let cores = self.live_cores(REACHABLE_MS).into_values();
         cores.map(|(conn, _)| conn).collect()
     }
 
-    /// Cores from which a frame came within `ms`, by identity, each with a
-    /// connection to send on.
-    pub(super) fn live_cores(&self, ms: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
-        self.connections.cores_since(self.now.saturating_sub(ms))
+    /// Cores that sent a frame within the last `max_silence_ms`, by id, each with
+    /// a connection to send on.
+    pub(super) fn live_cores(&self, max_silence_ms: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
+        self.connections
+            .cores_since(self.now.saturating_sub(max_silence_ms))
     }
 
     fn tick(&mut self) {
@@ -220,7 +222,7 @@
         match &self.consensus {
             None => self.tick_bootstrap(),
             Some(consensus) if consensus.members().is_empty() => {
-                self.query_founded();
+                self.query_founded_core();
             }
             Some(_) => self.tick_singleton(),
         }
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -1,4 +1,5 @@
-//! A controller as it starts: blank, or from what its store has kept.
+//! Construction of a controller, with blank state or with state recovered from
+//! its store.
 
 use super::Controller;
 use crate::consensus::{Consensus, RecoveredState, StateMachine};
@@ -19,22 +20,27 @@
 use crate::types::Millis;
 
 impl Controller {
-    /// A core with the state `kept` by its store; blank without any.
+    /// A core with the state recovered from its store; `None` starts it blank.
     ///
     /// # Panics
-    /// If this release cannot read the stored snapshot: to go on with an empty
-    /// record would be to lead with old state.
-    pub fn new(config: ControllerConfig, kept: Option<RecoveredState>, now: Millis) -> Controller {
-        let promised = config.promised_founders.is_some();
-        let sure = config.claims_caught_up;
+    /// If this release cannot read the stored snapshot: a core that went on with
+    /// an empty state could lead and serve outdated data.
+    pub fn new(
+        config: ControllerConfig,
+        recovered: Option<RecoveredState>,
+        now: Millis,
+    ) -> Controller {
+        let is_founder = config.promised_founders.is_some();
+        let claims_caught_up = config.claims_caught_up;
         let claim_options = Options::from(&config);
         let mut controller = Controller::blank(config, now);
-        if let Some(kept) = kept {
-            // a founder has missed no claim; a core that joined later has kept
-            // on disk whether it caught up
-            let caught_up = sure || promised;
-            controller.idempotency = Idempotency::new(claim_options, &kept.claims, caught_up, now);
-            controller.restore(kept);
+        if let Some(recovered) = recovered {
+            // a founder has missed no claim; a core that joined later has stored
+            // whether it has caught up
+            let caught_up = claims_caught_up || is_founder;
+            controller.idempotency =
+                Idempotency::new(claim_options, &recovered.claims, caught_up, now);
+            controller.restore(recovered);
         }
         controller.redial();
         controller
@@ -73,16 +79,16 @@
         }
     }
 
-    fn restore(&mut self, kept: RecoveredState) {
-        let mut record = ReplicatedState::new(self.site.clone());
-        if let Some(snapshot) = &kept.snapshot {
+    fn restore(&mut self, recovered: RecoveredState) {
+        let mut state = ReplicatedState::new(self.site.clone());
+        if let Some(snapshot) = &recovered.snapshot {
             assert!(
-                record.load(&snapshot.image),
+                state.load(&snapshot.image),
                 "this release cannot read the snapshot"
             );
         }
         let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
-        self.consensus = Some(Consensus::new(id, timing, kept, record, seed, now));
+        self.consensus = Some(Consensus::new(id, timing, recovered, state, seed, now));
         self.own_hello.founded = true;
     }
 }
@@ -91,9 +97,9 @@
     let seeds = config.seed_addresses.iter().copied();
     bootstrap::Options {
         enabled: config.may_bootstrap,
-        seeds_only: config.only_seeds_bootstrap.then(|| seeds.collect()),
-        cores: config.founder_count,
-        promise: config.promised_founders.clone(),
+        allowed_founders: config.only_seeds_bootstrap.then(|| seeds.collect()),
+        founder_count: config.founder_count,
+        promised_founders: config.promised_founders.clone(),
     }
 }
 
