--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -1,4 +1,5 @@
-//! Connections and frames: each frame goes to the part that it concerns.
+//! Dispatch of connection events and received frames to the parts that they
+//! concern.
 
 use super::edges::Renewal;
 use super::idempotency_keys::{edge_event, peer_event};
@@ -41,9 +42,9 @@
         match self.connections.hello(conn).cloned() {
             Some(from) if from.core => self.on_core_frame(conn, from, payload),
             Some(_) => self.on_edge_frame(conn, payload),
-            // it may have overtaken the introduction, and will be sent again
+            // urgent events can overtake the hello in the queue; consensus resends
             None if payload.is_consensus() => {}
-            // a node must introduce itself first
+            // any other frame before the hello is a protocol violation
             None => self.effects.push(ControllerEffect::Close(conn)),
         }
     }
@@ -68,7 +69,8 @@
         }
     }
 
-    /// A connection to oneself, through a seed address, is of no use.
+    /// Closes a connection that this core opened to itself through a seed address,
+    /// and drops the address.
     fn on_own_hello(&mut self, conn: Conn) {
         if let Some(own) = self.connections.dialled(conn) {
             self.peer_addresses.remove_own(own);
