--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -1,4 +1,4 @@
-//! Consensus: its events in, its effects carried out.
+//! Passes events to the consensus replica and carries out its effects.
 
 use super::Controller;
 use crate::consensus::{Effect, Event, Member, StateChange};
@@ -8,14 +8,15 @@
 use crate::wire::Payload;
 
 impl Controller {
-    /// The members of the consensus group; none before this core is part of a
-    /// site.
+    /// The members of the consensus group; empty until this core has bootstrapped
+    /// or joined a site.
     pub(super) fn members(&self) -> &[Member] {
         let consensus = self.consensus.as_ref();
         consensus.map_or(&[], |consensus| consensus.members())
     }
 
-    /// Run one event through the consensus reducer and carry out its effects.
+    /// Passes one event to the consensus reducer and carries out its effects;
+    /// without a replica the event is dropped.
     pub(in crate::control_plane) fn step_consensus(&mut self, event: Event) {
         let now = self.now;
         let Some(consensus) = self.consensus.as_mut() else {
@@ -41,26 +42,26 @@
             Effect::ReadReady { request_id, ok } => self.on_confirmation(request_id, ok),
             Effect::Applied { .. } => self.on_applied(),
             Effect::MembersChanged(members) => self.on_members(&members),
-            Effect::StateChanged(note) => self.log_note(note),
+            Effect::StateChanged(change) => self.log_state_change(change),
         }
     }
 
     fn on_members(&mut self, members: &[Member]) {
-        let name = |member: &Member| {
-            let learner = if member.voter { "" } else { "?" };
-            format!("{:x}{learner}", member.id)
+        let format_member = |member: &Member| {
+            let learner_mark = if member.voter { "" } else { "?" };
+            format!("{:x}{learner_mark}", member.id)
         };
-        let names: Vec<String> = members.iter().map(name).collect();
-        self.log_event(LogEvent::MembershipChanged, names.join(" "));
+        let ids: Vec<String> = members.iter().map(format_member).collect();
+        self.log_event(LogEvent::MembershipChanged, ids.join(" "));
         if !self.own_hello.founded && members.iter().any(|member| member.voter) {
             self.announce_membership();
         }
         self.redial();
     }
 
-    fn log_note(&mut self, note: StateChange) {
+    fn log_state_change(&mut self, change: StateChange) {
         let name = |region: RegionId| self.site.region_name(region).to_string();
-        let (event, details) = match note {
+        let (event, details) = match change {
             StateChange::GlobalLeader { term, .. } => {
                 (LogEvent::GlobalLeader, format!("term {term}"))
             }
