--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -1,4 +1,5 @@
-//! Operators' changes: proposed, and answered with their outcome.
+//! Operators' changes: proposed to the consensus group, and answered with their
+//! outcome once it is known.
 
 use super::Controller;
 use crate::consensus::{Body, Event, ProposalError};
@@ -12,6 +13,8 @@
 use std::sync::Arc;
 
 impl Controller {
+    /// Proposes a change. Answers at once, without a proposal, where this core has
+    /// no replica, is stopping or is partitioned from the quorum.
     pub(super) fn change(
         &mut self,
         requester: Requester,
@@ -22,26 +25,26 @@
             return self.change_done(requester, OpOutcome::NotTaken);
         }
         if self.consensus.as_ref().is_some_and(|c| c.is_partitioned()) {
-            // the operator does better to try another core at once
+            // a wait would time out; another core may reach the quorum
             return self.change_done(requester, OpOutcome::Unknown);
         }
-        self.proposals.wait(proposal_id, requester);
+        self.proposals.add_requester(proposal_id, requester);
         let command = self.bind_to_zone_state(command);
         let body = Body::Data(Arc::new(encode(&command)));
         self.step_consensus(Event::Propose { proposal_id, body });
     }
 
-    /// An evacuation is valid only for the state of its zone that this core
-    /// knows when the call comes: it has no id and no base version, so a
-    /// delayed duplicate could not be told from a new call otherwise.
+    /// Makes an evacuation conditional on the zone's current number of changes.
+    /// It has neither an id nor a base version, so that a delayed duplicate would
+    /// otherwise be applied as a new call.
     fn bind_to_zone_state(&self, command: Command) -> Command {
-        let record = self.consensus.as_ref().map(|c| c.state_machine());
-        match (command, record) {
-            (Command::EvacuateUnversioned { zone, evacuated }, Some(record)) => {
+        let state = self.consensus.as_ref().map(|c| c.state_machine());
+        match (command, state) {
+            (Command::EvacuateUnversioned { zone, evacuated }, Some(state)) => {
                 Command::EvacuateIfUnchanged {
                     zone,
                     evacuated,
-                    changes: record.zone_changes(zone),
+                    changes: state.zone_changes(zone),
                 }
             }
             (command, _) => command,
@@ -56,7 +59,7 @@
         let outcome = proposals::outcome(result);
         let accepted = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
         self.singleton.proposal_ended(proposal_id, accepted);
-        let requesters = self.proposals.finished(proposal_id);
+        let requesters = self.proposals.take_requesters(proposal_id);
         if !requesters.is_empty() {
             self.log_outcome(proposal_id, &outcome);
         }
@@ -84,6 +87,7 @@
             .unwrap_or_default()
     }
 
+    /// Answers the requester of a change, or of the outcome of one.
     pub(super) fn change_done(&mut self, requester: Requester, outcome: OpOutcome) {
         match requester {
             Requester::Http { request_id } => self.effects.push(ControllerEffect::ChangeDone {
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -1,5 +1,5 @@
-//! Membership: the leader's changes, an operator's removal of a core, and the
-//! stop of this process.
+//! Membership: the leader's automatic changes, an operator's removal of a core,
+//! and the shutdown of this process.
 
 use super::Controller;
 use crate::consensus::{Body, Event, Member};
@@ -11,7 +11,7 @@
 use crate::wire::{OpOutcome, Payload};
 
 impl Controller {
-    /// As leader, begin the membership change that is due.
+    /// On the Global Leader, starts the membership change that is due, if any.
     pub(super) fn check_membership(&mut self) {
         if !self.membership.begin_check(self.now) {
             return;
@@ -28,13 +28,13 @@
             .filter(|member| member.id != self.own_hello.id);
         let health = others.map(|member| (member.id, self.health_of(member.id)));
         let since = self.now.saturating_sub(LIVE_MS);
-        let observed = Observation {
+        let observation = Observation {
             leader: self.own_hello.id,
             members: &members,
             health: health.collect(),
             live: &self.connections.newest_core_by_address(since),
         };
-        if let Some(change) = self.membership.decide(&observed) {
+        if let Some(change) = self.membership.decide(&observation) {
             self.log_event(LogEvent::MembershipChangeStarted, change.to_string());
             self.step_consensus(Event::Reconfigure(change.applied(&members)));
         }
@@ -48,8 +48,8 @@
         }
     }
 
-    /// This process was told to stop: the other cores are notified at once,
-    /// and a leader hands over.
+    /// Begins the shutdown of this process: notifies the other cores at once, and
+    /// transfers leadership if this core leads.
     pub(super) fn stop(&mut self) {
         self.stopping = true;
         self.own_hello.stopping = true;
@@ -60,11 +60,12 @@
         self.step_consensus(Event::Stop);
     }
 
-    /// An operator removes a core by id, without waiting for a replacement.
+    /// Proposes the removal of a core for an operator, without waiting for a
+    /// replacement. Rejected where it is this core or the only member.
     pub(super) fn remove_core(&mut self, request_id: u64, proposal_id: ProposalId, core: NodeId) {
-        let rest = self.members().iter().filter(|member| member.id != core);
-        let rest: Vec<Member> = rest.cloned().collect();
-        if rest.is_empty() || core == self.own_hello.id {
+        let remaining = self.members().iter().filter(|member| member.id != core);
+        let remaining: Vec<Member> = remaining.cloned().collect();
+        if remaining.is_empty() || core == self.own_hello.id {
             self.effects.push(ControllerEffect::ChangeDone {
                 request_id,
                 outcome: OpOutcome::NotTaken,
@@ -72,8 +73,8 @@
             return;
         }
         let requester = Requester::Http { request_id };
-        self.proposals.wait(proposal_id, requester);
-        let body = Body::Members(rest);
+        self.proposals.add_requester(proposal_id, requester);
+        let body = Body::Members(remaining);
         self.step_consensus(Event::Propose { proposal_id, body });
     }
 }
--- a/sorreldoor/src/control_plane/proposals.rs
+++ b/sorreldoor/src/control_plane/proposals.rs
@@ -1,5 +1,5 @@
-//! Proposals of configuration changes: who waits for the outcome of each, and
-//! the ids that this core gives to proposals and reads of its own.
+//! Proposals in flight, with the requesters that wait for the outcome of each,
+//! and the ids of this core's own proposals and reads.
 
 use super::events::Requester;
 use crate::consensus::ProposalError;
@@ -9,28 +9,29 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Requesters that wait for the outcome of a proposal.
+/// The requesters that wait for the outcome of each proposal.
 #[derive(Debug, Default)]
 pub(super) struct Proposals {
     waiting: BTreeMap<ProposalId, Vec<Requester>>,
 }
 
 impl Proposals {
-    /// `requester` waits for the outcome of a proposal; several may.
-    pub fn wait(&mut self, proposal_id: ProposalId, requester: Requester) {
+    /// Adds a requester that waits for the outcome of a proposal; there may be
+    /// several.
+    pub fn add_requester(&mut self, proposal_id: ProposalId, requester: Requester) {
         self.waiting.entry(proposal_id).or_default().push(requester);
     }
 
-    /// The outcome is known: whoever waited for it.
-    pub fn finished(&mut self, proposal_id: ProposalId) -> Vec<Requester> {
+    /// Removes and returns the requesters that wait for the outcome of a proposal.
+    pub fn take_requesters(&mut self, proposal_id: ProposalId) -> Vec<Requester> {
         self.waiting.remove(&proposal_id).unwrap_or_default()
     }
 }
 
-/// The outcome of a proposal, from the result that consensus gives.
+/// Converts the result of a proposal in the consensus group to its outcome.
 pub(super) fn outcome(result: Result<Arc<Vec<u8>>, ProposalError>) -> OpOutcome {
     match result {
-        // a membership change has no outcome of its own but having happened
+        // a membership change has no result value; it was applied
         Ok(bytes) if bytes.is_empty() => OpOutcome::Got(Outcome::Applied { version: 0 }),
         Ok(bytes) => decode(&bytes).map_or(OpOutcome::Unknown, OpOutcome::Got),
         Err(ProposalError::OutcomeUnknown) => OpOutcome::Unknown,
@@ -38,7 +39,8 @@
     }
 }
 
-/// Ids of this core's own reads and proposals, unique over restarts.
+/// Generates the ids of this core's own reads and proposals. Proposal ids are
+/// unique across restarts.
 #[derive(Clone, Debug)]
 pub(super) struct IdSequence {
     node: NodeId,
@@ -47,11 +49,11 @@
 }
 
 impl IdSequence {
-    /// Ids of this incarnation of the node that `me` describes.
-    pub fn new(me: &Hello) -> IdSequence {
+    /// Ids for the incarnation of the node that `own_hello` describes.
+    pub fn new(own_hello: &Hello) -> IdSequence {
         IdSequence {
-            node: me.id,
-            incarnation: me.incarnation,
+            node: own_hello.id,
+            incarnation: own_hello.incarnation,
             last: 1,
         }
     }
