--- a/sorreldoor/src/control_plane/controller/workers.rs
+++ b/sorreldoor/src/control_plane/controller/workers.rs
@@ -1,4 +1,5 @@
-//! Worker discovery: when the list of workers is read, and who is sent it.
+//! Worker discovery: reads of the list of workers, and its distribution to other
+//! cores and edges.
 
 use super::Controller;
 use crate::control_plane::events::ControllerEffect;
@@ -8,23 +9,23 @@
 use std::sync::Arc;
 
 impl Controller {
-    /// Read the list if that is due. Only the holder of the singleton role
-    /// does, since a read is expensive for the platform.
+    /// Reads the list if that is due. Called on the holder of the singleton role
+    /// only, since a read is expensive for the platform.
     pub(super) fn read_worker_list(&mut self) {
         if self.worker_list.begin_read(self.now) {
             self.effects.push(ControllerEffect::ReadWorkerList);
         }
     }
 
-    /// A core without any list reads one itself: before there is a leader
-    /// nobody holds the singleton role.
+    /// Reads the list on a core that has none, whether or not it holds the
+    /// singleton role: without a leader no core holds it.
     pub(super) fn read_first_worker_list(&mut self) {
         if self.worker_list.current().is_none() && !self.stopping {
             self.read_worker_list();
         }
     }
 
-    /// A read of the list has ended.
+    /// Handles the result of a read of the list.
     pub(super) fn on_worker_list(&mut self, result: Result<WorkerRegistry, String>) {
         match result {
             Ok(list) => {
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Applies a newer list, from the platform or from another core.
+    /// Applies a list from the platform or from another core if it is newer, and
+    /// sends it on.
     pub(super) fn adopt_worker_list(&mut self, list: Arc<WorkerRegistry>) {
         if !self.worker_list.adopt(list.clone(), self.now) {
             return;
@@ -49,7 +51,7 @@
         let (version, count) = (list.version, list.workers.len());
         let details = format!("serial {version}, {count} workers");
         self.log_event(LogEvent::WorkerListChanged, details);
-        // edges must know of a leaving worker before their next renewal
+        // not left to the next renewal: a worker on the list may be leaving
         for conn in self.subscribers() {
             self.send(conn, Payload::WorkerRegistry(list.clone()));
         }
