--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -1,4 +1,5 @@
-//! Reads: proofs of leadership, and the answers that follow.
+//! Linearizable reads: starts the confirmation of leadership and answers the
+//! reads that wait for it.
 
 use super::Controller;
 use crate::consensus::{Event, StateMachine};
@@ -10,16 +11,18 @@
 use crate::wire::{OpOutcome, StateDelta};
 
 impl Controller {
+    /// Queues a read for the next confirmation; answers it as not confirmed at once
+    /// where this core is partitioned from the quorum.
     pub(super) fn read(&mut self, read: Read) {
-        let cut_off = self.consensus.as_ref().is_some_and(|c| c.is_partitioned());
-        if cut_off && !broken(Invariant::Proof) {
-            // the requester does better to try another core at once
+        let partitioned = self.consensus.as_ref().is_some_and(|c| c.is_partitioned());
+        if partitioned && !broken(Invariant::Proof) {
+            // a wait would time out; another core may reach the quorum
             return self.answer_reads(vec![read], false);
         }
         self.reads.queue(read, self.now);
     }
 
-    /// Begin a proof of leadership for the reads that are queued.
+    /// Starts a confirmation of leadership for the queued reads, if one is due.
     pub(super) fn start_confirmation(&mut self) {
         if !self.reads.confirmation_due() {
             return;
@@ -42,7 +45,7 @@
         self.answer_reads(reads, confirmed);
     }
 
-    /// No read waits longer than a proof may take.
+    /// Answers the reads that have waited for `read_timeout` as not confirmed.
     pub(super) fn expire_reads(&mut self) {
         let Some(limit) = self.now.checked_sub(self.timing.read_timeout) else {
             return;
@@ -95,10 +98,11 @@
         }
     }
 
-    /// The outcome of a proposal as far as the record tells.
+    /// The outcome of a proposal as the replicated state has it. `Nothing` if it
+    /// has none and is confirmed current, `Unknown` if it has none otherwise.
     fn recorded_outcome(&self, proposal_id: ProposalId, confirmed: bool) -> OpOutcome {
-        let record = self.consensus.as_ref().map(|c| c.state_machine());
-        let bytes = record.and_then(|record| record.answered(proposal_id));
+        let state = self.consensus.as_ref().map(|c| c.state_machine());
+        let bytes = state.and_then(|state| state.answered(proposal_id));
         match bytes.and_then(|bytes| decode(&bytes)) {
             Some(outcome) => OpOutcome::Got(outcome),
             None if confirmed => OpOutcome::Nothing,
--- a/sorreldoor/src/control_plane/reads.rs
+++ b/sorreldoor/src/control_plane/reads.rs
@@ -1,7 +1,7 @@
 //! Linearizable reads of this core's state (the ReadIndex scheme of section 6.4
-//! of Ongaro's thesis): each is answered after a leader has proved, later than
-//! the read was requested, that it still leads; or within a time limit as not
-//! proved.
+//! of Ongaro's thesis). A read is answered as confirmed once a quorum has confirmed
+//! the leader after the read was requested, or else as not confirmed when it times
+//! out.
 
 use super::events::Requester;
 use crate::net::Conn;
@@ -9,15 +9,15 @@
 use crate::wire::KnownVersions;
 use std::collections::BTreeMap;
 
-/// Leadership proofs in flight at once, at most.
+/// Maximum number of leadership confirmations in flight.
 const MAX_IN_FLIGHT: usize = 4;
 
-/// What is read once this core's state is proved current.
+/// What is read once this core's state is confirmed current.
 #[derive(Clone, Debug)]
 pub(super) enum Read {
-    /// The status and the record, for a local HTTP request.
+    /// The status document and the replicated state, for a local HTTP request.
     Status { request_id: u64 },
-    /// The replicated state alone.
+    /// The replicated state alone, for a local HTTP request.
     View { request_id: u64 },
     /// The outcome of a proposal.
     Outcome {
@@ -38,46 +38,46 @@
     since: Millis,
 }
 
-/// All reads that are not answered yet.
+/// The reads that are not answered yet.
 #[derive(Debug, Default)]
 pub(super) struct Reads {
-    /// Not part of any proof yet.
+    /// Reads that no confirmation has been started for.
     queued: Vec<PendingRead>,
-    /// By the request id of the proof in flight.
+    /// Reads by the request id of the confirmation that they wait for.
     in_flight: BTreeMap<u64, Vec<PendingRead>>,
     quorum: bool,
     ever_confirmed: bool,
 }
 
 impl Reads {
-    /// Whether the last proof succeeded in time.
+    /// Whether the last confirmation that ended succeeded.
     pub fn quorum(&self) -> bool {
         self.quorum
     }
 
-    /// Whether any proof has succeeded since this core started.
+    /// Whether any confirmation has succeeded since this core started.
     pub fn ever_confirmed(&self) -> bool {
         self.ever_confirmed
     }
 
-    /// Queue a read for the next proof.
+    /// Queues a read for the next confirmation.
     pub fn queue(&mut self, read: Read, now: Millis) {
         self.queued.push(PendingRead { read, since: now });
     }
 
-    /// Whether there are reads that a new proof could serve.
+    /// Whether a new confirmation should be started.
     pub fn confirmation_due(&self) -> bool {
         !self.queued.is_empty() && self.in_flight.len() < MAX_IN_FLIGHT
     }
 
-    /// All queued reads wait for the proof `request_id`: one proof serves
-    /// every read that was requested before it began.
+    /// Assigns all queued reads to the confirmation `request_id`: it serves every
+    /// read that was requested before it started.
     pub fn confirmation_started(&mut self, request_id: u64) {
         let reads = std::mem::take(&mut self.queued);
         self.in_flight.insert(request_id, reads);
     }
 
-    /// A proof has ended: the reads that waited for it.
+    /// Records the result of a confirmation; returns the reads that waited for it.
     pub fn confirmation_ended(&mut self, request_id: u64, confirmed: bool) -> Vec<Read> {
         self.quorum = confirmed;
         self.ever_confirmed |= confirmed;
