--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -1,4 +1,5 @@
-//! Edges: their sessions, and the leases and state they are granted.
+//! Edges: their sessions, the renewal of their leases, and the state that they
+//! are sent with a renewal.
 
 use super::Controller;
 use crate::control_plane::distribution::Sources;
@@ -12,8 +13,8 @@
 use crate::wire::{EdgeStatus, Hello, KnownVersions, Payload, SessionReport};
 use crate::wire::{StateDelta, Unverified};
 
-/// Added to two renewal intervals, the time after which a silent edge has no
-/// session.
+/// Added to two renewal intervals gives the silence after which an edge's
+/// session ends, where that is longer than `SESSION_TIMEOUT_MS`.
 const RENEWAL_SLACK_MS: Millis = 500;
 
 /// An edge's request to renew its lease.
@@ -21,41 +22,44 @@
     pub id: u64,
     pub known: KnownVersions,
     pub status: EdgeStatus,
-    /// Whether it takes state that is not proved current.
+    /// Whether the edge accepts state that is not confirmed current.
     pub unverified: Unverified,
 }
 
 impl Controller {
+    /// Starts the session of an edge that has sent its hello, and closes the
+    /// connections of its older sessions.
     pub(super) fn begin_session(&mut self, conn: Conn, hello: Hello) {
         let node = hello.node.clone();
         for stale in self.sessions.begin(conn, hello) {
-            self.distribution.closed(stale);
+            self.distribution.connection_closed(stale);
             self.effects.push(ControllerEffect::Close(stale));
         }
         self.log_event(LogEvent::EdgeConnected, node);
         self.sessions_changed();
     }
 
+    /// Ends the session of a connection, if it has one.
     pub(super) fn end_session(&mut self, conn: Conn) {
-        self.distribution.closed(conn);
+        self.distribution.connection_closed(conn);
         if let Some(session) = self.sessions.end(conn) {
             self.log_event(LogEvent::EdgeDisconnected, session.hello.node);
             self.sessions_changed();
         }
     }
 
-    /// Take note of changed sessions. Many edges may come at the same moment, and
-    /// each merge and report takes in all sessions, so they wait for
-    /// [`Controller::flush_sessions`].
+    /// Marks this core's sessions as changed. [`Controller::flush_sessions`] merges
+    /// and reports them, since each merge and report covers all sessions and many
+    /// edges may connect at the same time.
     fn sessions_changed(&mut self) {
-        self.sessions.changed();
+        self.sessions.mark_changed();
         if broken(Invariant::SessionsGathered) {
             self.merge_sessions();
             self.report_sessions(true);
         }
     }
 
-    /// Merge and report the sessions that have changed since the last time.
+    /// Merges and reports changed sessions, at limited rates.
     pub(super) fn flush_sessions(&mut self) {
         if self.sessions.begin_merge(self.now) {
             self.merge_sessions();
@@ -66,10 +70,10 @@
     }
 
     fn merge_sessions(&mut self) {
-        // an edge next to a dead core must not be listed longer than others
+        // sessions that a dead core reported expire as early as local ones
         let live = self.live_cores(SESSION_TIMEOUT_MS);
-        let record = self.consensus.as_ref().map(|c| c.state_machine());
-        let is_evacuated = |zone| record.is_some_and(|record| record.evacuated(zone));
+        let state = self.consensus.as_ref().map(|c| c.state_machine());
+        let is_evacuated = |zone| state.is_some_and(|state| state.evacuated(zone));
         self.sessions
             .merge(|id| live.contains_key(&id), is_evacuated);
     }
@@ -88,7 +92,8 @@
         self.send(conn, Payload::SessionReport(report));
     }
 
-    /// What a core that has just connected needs to know at once.
+    /// Sends this core's sessions and worker list to a core that has just
+    /// connected.
     pub(super) fn send_initial_state(&mut self, conn: Conn) {
         self.send_session_report(conn);
         if let Some(registry) = self.worker_list.at(self.now) {
@@ -102,7 +107,7 @@
         }
     }
 
-    /// End the sessions of silent edges, and report the others.
+    /// Ends the sessions of silent edges, and reports the others.
     pub(super) fn tick_sessions(&mut self) {
         let timeout = SESSION_TIMEOUT_MS.max(self.pacing.renew_ms * 2 + RENEWAL_SLACK_MS);
         let limit = self.now.saturating_sub(timeout);
@@ -116,6 +121,9 @@
         self.report_sessions(false);
     }
 
+    /// Handles a lease renewal: queues a confirmation of this core's state where a
+    /// leader is known, and sends unconfirmed state at once where the edge accepts
+    /// it. Without a leader the edge gets an unconfirmed grant at once.
     pub(super) fn on_renewal(&mut self, conn: Conn, renewal: Renewal) {
         match self.sessions.update(conn, renewal.status) {
             SessionChange::NoSession => return,
@@ -123,22 +131,22 @@
             SessionChange::Status => {}
         }
         let consensus = self.consensus.as_ref();
-        let led = consensus.is_some_and(|c| c.has_leader()) || broken(Invariant::Proof);
-        let offered = match renewal.unverified {
+        let has_leader = consensus.is_some_and(|c| c.has_leader()) || broken(Invariant::Proof);
+        let sends_unverified = match renewal.unverified {
             Unverified::None => false,
             Unverified::FromStarting => {
                 !self.reads.ever_confirmed() || broken(Invariant::Unverified)
             }
-            Unverified::FromAny => !led,
+            Unverified::FromAny => !has_leader,
         };
-        if offered {
+        if sends_unverified {
             let delta = self.delta(conn, &renewal.known);
             self.grant(conn, renewal.id, false, delta);
-        } else if !led {
-            // no proof will come from here; the edge should ask elsewhere
+        } else if !has_leader {
+            // this core cannot confirm its state; the edge should ask another
             self.grant(conn, renewal.id, false, StateDelta::default());
         }
-        if led {
+        if has_leader {
             self.read(Read::Renewal {
                 conn,
                 renewal: renewal.id,
@@ -147,7 +155,8 @@
         }
     }
 
-    /// Answer a renewal; `proved` if the state was proved current since.
+    /// Answers a renewal. `confirmed` says whether the state was confirmed current
+    /// after the renewal was received; only then does it renew the lease.
     pub(super) fn grant(&mut self, conn: Conn, renewal: u64, confirmed: bool, delta: StateDelta) {
         let grant = Payload::Grant {
             no: renewal,
@@ -157,21 +166,22 @@
         self.send(conn, grant);
     }
 
+    /// The state that an edge with the versions `known` lacks.
     pub(super) fn delta(&mut self, conn: Conn, known: &KnownVersions) -> StateDelta {
         let consensus = self.consensus.as_ref();
         let sources = Sources {
-            record: consensus.map(|c| c.state_machine()),
+            replicated_state: consensus.map(|c| c.state_machine()),
             members: consensus.map_or(&[], |c| c.members()),
             registry: self.worker_list.at(self.now),
             loads: self.loads.loads(),
             endpoints: self.sessions.endpoints(),
-            subscribers: self.sessions.local_count(),
+            subscriber_count: self.sessions.local_count(),
         };
         self.distribution.delta(conn, known, sources, self.now)
     }
 
-    /// Connections to which a newer list of workers goes: the reachable cores
-    /// and then this core's edges.
+    /// The connections that newer worker lists are pushed on: first those to the
+    /// reachable cores, then those of this core's edges.
     pub(super) fn subscribers(&self) -> Vec<Conn> {
         let mut subscribers = self.reachable_cores();
         subscribers.extend(self.sessions.local_connections());
--- a/sorreldoor/src/control_plane/distribution.rs
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -1,4 +1,5 @@
-//! Distribution of state to edges: what each lacks, source by source.
+//! Distribution of state to edges: computes the delta that an edge lacks of each
+//! source, and limits the rate of endpoint lists.
 
 use super::sessions::EndpointList;
 use super::updates::{NextUpdate, Updates};
@@ -12,42 +13,42 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The newest state of each source that edges subscribe to.
+/// The newest state of each source that edges are sent.
 pub(super) struct Sources<'a> {
-    /// None before this core is part of a site.
-    pub record: Option<&'a ReplicatedState>,
+    /// `None` until this core has bootstrapped or joined a site.
+    pub replicated_state: Option<&'a ReplicatedState>,
     pub members: &'a [Member],
     pub registry: Option<Arc<WorkerRegistry>>,
     pub loads: &'a Arc<Loads>,
     pub endpoints: &'a EndpointList,
-    /// Edges that subscribe here.
-    pub subscribers: usize,
+    /// Number of edges that have a session on this core.
+    pub subscriber_count: usize,
 }
 
-/// Bytes of endpoint lists that one core sends per millisecond at most, about:
-/// while many edges come and go, the list changes with each of them, and each
-/// of them lacks it.
+/// Approximate limit of the bytes of endpoint lists that one core sends per
+/// millisecond. While many edges connect or disconnect, the list changes with
+/// each of them and has to go to all of them.
 const ENDPOINT_BYTES_PER_MS: usize = 1000;
 
-/// Deltas to edges, and the large ones that are still in flight.
+/// The updates in flight to edges, and when each was last sent endpoints.
 #[derive(Default)]
 pub(super) struct Distribution {
     updates: Updates,
-    /// When each connection was last sent a list of endpoints.
+    /// When an endpoint list was last sent on each connection.
     endpoints_sent_at: BTreeMap<Conn, Millis>,
 }
 
 impl Distribution {
-    /// A connection has closed; nothing is in flight on it any more.
-    pub fn closed(&mut self, conn: Conn) {
+    /// Forgets a connection that has closed.
+    pub fn connection_closed(&mut self, conn: Conn) {
         self.updates.closed(conn);
         self.endpoints_sent_at.remove(&conn);
     }
 
-    /// Whether a connection may be sent a newer list of endpoints now; the first
-    /// one always. If so it counts as sent.
+    /// Whether a newer endpoint list may be sent on a connection now; always true
+    /// for its first one. If true, the time of sending is recorded.
     fn begin_endpoints(&mut self, conn: Conn, sources: &Sources, now: Millis) -> bool {
-        let bytes = sources.endpoints.encoded_bytes * sources.subscribers;
+        let bytes = sources.endpoints.encoded_bytes * sources.subscriber_count;
         let interval = (bytes / ENDPOINT_BYTES_PER_MS) as Millis;
         let sent_at = self.endpoints_sent_at.get(&conn);
         let due = sent_at.is_none_or(|sent_at| now.saturating_sub(*sent_at) >= interval);
@@ -58,7 +59,8 @@
         false
     }
 
-    /// All that a subscriber with the versions `known` lacks.
+    /// The delta from the versions `known` to the newest state, as far as rate and
+    /// flow limits allow; the rest follows with a later delta.
     pub fn delta(
         &mut self,
         conn: Conn,
@@ -66,9 +68,11 @@
         sources: Sources,
         now: Millis,
     ) -> StateDelta {
-        let update = sources.record.map_or(NextUpdate::UpToDate, |record| {
-            self.updates.next(record, conn, known.record, now)
-        });
+        let update = sources
+            .replicated_state
+            .map_or(NextUpdate::UpToDate, |state| {
+                self.updates.next(state, conn, known.record, now)
+            });
         let (record, record_withheld) = match update {
             NextUpdate::UpToDate => (None, false),
             NextUpdate::Send(update) => (Some(update), false),
@@ -91,8 +95,8 @@
     }
 }
 
-/// Addresses and regions of the voters under a hash of them, unless they are
-/// the ones that the subscriber knows.
+/// The voters' addresses and regions, with their hash as a version; `None` if
+/// `known` is that version or there are no voters.
 fn cores_delta(members: &[Member], known: u64) -> Option<(u64, Vec<(String, u8)>)> {
     let voters = members.iter().filter(|member| member.voter);
     let cores: Vec<(String, u8)> = voters
--- a/sorreldoor/src/control_plane/sessions.rs
+++ b/sorreldoor/src/control_plane/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions of edges: those that are connected to this core, and those that
-//! other cores report.
+//! Sessions of edges: those connected to this core, those that other cores
+//! report, and the list of endpoints that follows from both.
 
 use crate::net::Conn;
 use crate::replicated_state::encode;
@@ -8,32 +8,33 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An edge that was silent for longer has no session.
+/// Least silence after which a session ends, and after which the sessions that a
+/// silent core has reported are left out.
 pub(super) const SESSION_TIMEOUT_MS: Millis = 1500;
-/// Changed sessions are merged at most once in this time, and reported at most
-/// once in `MIN_REPORT_INTERVAL_MS`; the first change is not delayed.
+/// Minimum interval between two merges of changed sessions.
 const MIN_MERGE_INTERVAL_MS: Millis = 50;
+/// Minimum interval between two reports of changed sessions.
 const MIN_REPORT_INTERVAL_MS: Millis = 100;
-/// A report that has not changed is sent again after this time.
+/// An unchanged report is sent again after this time.
 const REPORT_REFRESH_MS: Millis = 5000;
 
-/// The edges as other edges are shown them.
+/// The edges with a session, in the form that is sent to edges.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
     /// A hash of the endpoints: equal lists have equal versions on every core.
     pub version: u64,
-    /// One for each edge, ordered by node name.
+    /// One per edge, ordered by node name.
     pub endpoints: Arc<Vec<EdgeEndpoint>>,
-    /// Bytes of the endpoints as encoded.
+    /// Size of the encoded endpoints in bytes.
     pub encoded_bytes: usize,
 }
 
-/// What a renewal changed.
+/// What the status in a renewal changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SessionChange {
     /// The connection has no session.
     NoSession,
-    /// Counters at most.
+    /// Nothing, or counters only.
     Status,
     /// The edge has gained or lost its lease.
     Lease,
@@ -47,32 +48,34 @@
     at: Millis,
 }
 
-/// All sessions of edges that this core knows of.
+/// The sessions of edges on this core and on the others.
 #[derive(Debug)]
 pub(super) struct Sessions {
     core: NodeId,
     incarnation: u64,
-    /// Whether reports to other cores carry the edges' counters.
+    /// Whether reports to other cores contain the edges' counters.
     report_counters: bool,
+    /// Sessions on this core.
     local: BTreeMap<Conn, EdgeSession>,
     /// The newest report of each other core.
     reports: BTreeMap<NodeId, SessionReport>,
     last_report: LastReport,
-    /// Sessions have changed and wait to be merged, or to be reported.
+    /// Whether sessions have changed since the last merge.
     merge_pending: bool,
+    /// Whether this core's sessions have changed since the last report.
     report_pending: bool,
     last_merge_at: Millis,
-    /// The sessions of all live cores, one for each edge.
+    /// The sessions of all live cores, one per edge, without latencies.
     merged: Vec<EdgeSession>,
     endpoints: EndpointList,
 }
 
 impl Sessions {
-    /// No sessions yet, on the core that `me` describes.
-    pub fn new(me: &Hello, report_counters: bool, now: Millis) -> Sessions {
+    /// No sessions, on the core that `own_hello` describes.
+    pub fn new(own_hello: &Hello, report_counters: bool, now: Millis) -> Sessions {
         Sessions {
-            core: me.id,
-            incarnation: me.incarnation,
+            core: own_hello.id,
+            incarnation: own_hello.incarnation,
             report_counters,
             local: BTreeMap::new(),
             reports: BTreeMap::new(),
@@ -89,13 +92,13 @@
         }
     }
 
-    /// This core's own sessions have changed.
-    pub fn changed(&mut self) {
+    /// Marks this core's own sessions as changed.
+    pub fn mark_changed(&mut self) {
         self.merge_pending = true;
         self.report_pending = true;
     }
 
-    /// Whether the sessions should be merged now; if so it counts as done.
+    /// Whether changed sessions should be merged now; if so the time is recorded.
     pub fn begin_merge(&mut self, now: Millis) -> bool {
         let due = now.saturating_sub(self.last_merge_at) >= MIN_MERGE_INTERVAL_MS;
         let begins = self.merge_pending && due;
@@ -106,7 +109,8 @@
         begins
     }
 
-    /// Whether changed sessions should be reported now; if so it counts as done.
+    /// Whether changed sessions should be reported now; if so they are no longer
+    /// pending.
     pub fn begin_report(&mut self, now: Millis) -> bool {
         let due = now.saturating_sub(self.last_report.at) >= MIN_REPORT_INTERVAL_MS;
         let begins = self.report_pending && due;
@@ -116,28 +120,28 @@
         begins
     }
 
-    /// Connections of the edges that have a session here.
+    /// Connections of the edges that have a session on this core.
     pub fn local_connections(&self) -> Vec<Conn> {
         self.local.keys().copied().collect()
     }
 
-    /// How many edges have a session here.
+    /// Number of edges that have a session on this core.
     pub fn local_count(&self) -> usize {
         self.local.len()
     }
 
-    /// The sessions of all live cores, one for each edge.
+    /// The sessions of all live cores as last merged, one per edge.
     pub fn merged(&self) -> &[EdgeSession] {
         &self.merged
     }
 
-    /// The edges as other edges are shown them.
+    /// The endpoint list as last merged.
     pub fn endpoints(&self) -> &EndpointList {
         &self.endpoints
     }
 
-    /// Start a session. An edge has one session here: returns the connections
-    /// of its older ones, which are stale.
+    /// Starts a session. An edge has at most one on this core: its older ones end,
+    /// and their connections are returned.
     pub fn begin(&mut self, conn: Conn, hello: Hello) -> Vec<Conn> {
         let stale: Vec<Conn> = self
             .local
@@ -159,7 +163,7 @@
         stale
     }
 
-    /// End the session of a connection, if it has one.
+    /// Ends the session of a connection, and returns it if there was one.
     pub fn end(&mut self, conn: Conn) -> Option<EdgeSession> {
         self.local.remove(&conn)
     }
@@ -181,7 +185,8 @@
         }
     }
 
-    /// Applies another core's report; true if it changed anything.
+    /// Applies another core's report unless it is older than the last one; returns
+    /// whether it changed anything.
     pub fn on_report(&mut self, from: NodeId, report: SessionReport) -> bool {
         let old = self.reports.get(&from);
         // frames may overtake each other on two connections
@@ -196,13 +201,13 @@
         changed
     }
 
-    /// Whether a report to the other cores is due. If so it counts as sent.
+    /// Whether a report to the other cores is due: it has changed, is due for a
+    /// refresh, or is `forced`. If so it is recorded as sent now.
     pub fn report_due(&mut self, forced: bool, now: Millis) -> bool {
         let sessions = self.reported_sessions();
         let stale = now.saturating_sub(self.last_report.at) >= REPORT_REFRESH_MS;
         let changed = sessions != self.last_report.sessions;
-        // an unchanged report is repeated now and then, since a full queue
-        // may have dropped it
+        // refreshed because a full send queue may have dropped the last one
         if !(changed || stale || forced) {
             return false;
         }
@@ -214,7 +219,7 @@
         true
     }
 
-    /// This core's newest report.
+    /// The report of this core's sessions, as last recorded.
     pub fn report(&self) -> SessionReport {
         SessionReport {
             core: self.core,
@@ -238,12 +243,13 @@
         sessions.map(without_counters).collect()
     }
 
-    /// Merge the sessions of this core with those of the cores that `is_live`
-    /// accepts; an edge appears once. `is_evacuated` tells zones being emptied.
+    /// Merges the sessions of this core with those of the cores that `is_live`
+    /// accepts, and recomputes the endpoint list. `is_evacuated` is true for zones
+    /// that are being evacuated.
     pub fn merge(&mut self, is_live: impl Fn(NodeId) -> bool, is_evacuated: impl Fn(u16) -> bool) {
         let mut by_node: BTreeMap<String, EdgeSession> = BTreeMap::new();
         for session in self.sessions_of(is_live) {
-            // latencies are for weight tuning, and no edge needs them
+            // only weight tuning uses latencies, and it reads unmerged sessions
             let session = EdgeSession {
                 took: Vec::new(),
                 ..session.clone()
@@ -264,8 +270,8 @@
         self.merged = merged;
     }
 
-    /// Sessions as reported by the cores that `is_live` accepts, then this
-    /// core's own; an edge may appear several times.
+    /// The sessions reported by the cores that `is_live` accepts, then this core's
+    /// own. An edge may appear several times.
     pub fn sessions_of(
         &self,
         is_live: impl Fn(NodeId) -> bool,
@@ -276,18 +282,22 @@
     }
 }
 
-/// An edge as other edges are shown it.
+/// The form of an edge in the endpoint list.
 fn endpoint(session: &EdgeSession, is_evacuated: impl Fn(u16) -> bool) -> EdgeEndpoint {
     let hello = &session.hello;
-    // the running count matters where a zone is being emptied; elsewhere it
-    // would make the list change with each request
-    let counted = is_evacuated(hello.zone);
+    // edges need the running count of evacuated zones only; elsewhere it would
+    // change the list with each request
+    let has_running_count = is_evacuated(hello.zone);
     EdgeEndpoint {
         node: hello.node.clone(),
         zone: hello.zone,
         region: hello.region,
         http: hello.http.clone(),
         ready: session.lease,
-        running: if counted { session.running } else { 0 },
+        running: if has_running_count {
+            session.running
+        } else {
+            0
+        },
     }
 }
