--- a/sorreldoor/src/control_plane/membership/change.rs
+++ b/sorreldoor/src/control_plane/membership/change.rs
@@ -1,15 +1,15 @@
-//! One change of the members, and why it is made.
+//! A change of the members and its reason.
 
 use crate::consensus::Member;
 use crate::types::NodeId;
 use std::fmt;
 
-/// One change of the members.
+/// A change of the members of the consensus group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A core becomes a learner: it receives the log and has no vote.
+    /// A core joins as a learner, which receives the log and has no vote.
     AddLearner {
-        /// Its node name, for the log.
+        /// Its node name, for log events.
         node: String,
         /// The new member.
         member: Member,
@@ -19,7 +19,7 @@
         /// The learner.
         id: NodeId,
     },
-    /// A learner replaces a voter.
+    /// A learner replaces a voter, in one change.
     Replace {
         /// The voter, which becomes a learner.
         demoted: NodeId,
@@ -47,15 +47,15 @@
 /// Why a member is demoted, replaced or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Another identity answers at its address: its disk was lost for certain.
+    /// A core with another id runs at its address: its disk, with its id, was lost.
     DiskLost,
     /// Its process is shutting down.
     Stopping,
-    /// It sent nothing for too long.
+    /// It has sent nothing for longer than the policy allows.
     Silent,
-    /// There are more voters than wanted.
+    /// There are more voters than the target.
     Surplus,
-    /// Too many voters stand in one zone.
+    /// Its zone has so many voters that its loss would take the majority.
     Zone,
 }
 
@@ -64,7 +64,7 @@
         f.write_str(match self {
             Reason::DiskLost => "restarted with an empty disk",
             Reason::Stopping => "is stopping",
-            Reason::Silent => "is silent",
+            Reason::Silent => "has stopped responding",
             Reason::Surplus => "exceeds the target number of voters",
             Reason::Zone => "shares its zone with other voters",
         })
@@ -98,23 +98,23 @@
 }
 
 impl MembershipChange {
-    /// The members after this change.
+    /// The list of members after this change.
     pub fn applied(&self, members: &[Member]) -> Vec<Member> {
         let mut next = members.to_vec();
-        let mut vote = |id: NodeId, voter: bool| {
+        let mut set_voter = |id: NodeId, voter: bool| {
             let found = next.iter_mut().filter(|m| m.id == id);
             found.for_each(|m| m.voter = voter);
         };
         match self {
             MembershipChange::AddLearner { member, .. } => next.push(member.clone()),
-            MembershipChange::Promote { id } => vote(*id, true),
+            MembershipChange::Promote { id } => set_voter(*id, true),
             MembershipChange::Replace {
                 demoted, promoted, ..
             } => {
-                vote(*demoted, false);
-                vote(*promoted, true);
+                set_voter(*demoted, false);
+                set_voter(*promoted, true);
             }
-            MembershipChange::Demote { ids, .. } => ids.iter().for_each(|id| vote(*id, false)),
+            MembershipChange::Demote { ids, .. } => ids.iter().for_each(|id| set_voter(*id, false)),
             MembershipChange::RemoveLearner { id, .. } => next.retain(|m| m.id != *id),
         }
         next
--- a/sorreldoor/src/control_plane/membership/from_settings.rs
+++ b/sorreldoor/src/control_plane/membership/from_settings.rs
@@ -1,4 +1,4 @@
-//! The membership policy that a core's settings ask for.
+//! The membership policy of a core's settings.
 
 use super::MembershipPolicy;
 use crate::settings::Settings;
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Membership of the consensus group: the changes that follow from what the
-//! leader observes.
+//! Membership of the consensus group: the Global Leader compares the members that
+//! it observes with a policy, and proposes one change at a time.
 
 mod change;
 mod from_settings;
--- a/sorreldoor/src/control_plane/membership/observed.rs
+++ b/sorreldoor/src/control_plane/membership/observed.rs
@@ -1,4 +1,4 @@
-//! What the leader observes of the members.
+//! The leader's observation of the members and of the live cores.
 
 use super::spread::Spread;
 use crate::consensus::Member;
@@ -6,26 +6,26 @@
 use crate::wire::Hello;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the leader knows of one member.
+/// The state of one member as the leader observes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    /// Time since its last message.
+    /// Milliseconds since its last message.
     pub silent_ms: Millis,
-    /// Whether its log is close to the leader's.
+    /// Whether its log has nearly reached the end of the leader's.
     pub caught_up: bool,
 }
 
-/// All that a decision depends on. The members are committed, and no change of
-/// them is in flight.
+/// The input of a decision. The members are committed, and no change of them is
+/// in flight.
 #[derive(Clone, Debug)]
 pub struct Observation<'a> {
-    /// The leader, which decides.
+    /// The leader.
     pub leader: NodeId,
     /// All members, the leader among them.
     pub members: &'a [Member],
-    /// Of every member but the leader.
+    /// The health of every member but the leader.
     pub health: BTreeMap<NodeId, Health>,
-    /// Live cores, one for each address.
+    /// Live cores, members or not, one per address.
     pub live: &'a [Hello],
 }
 
@@ -42,6 +42,7 @@
         self.health.get(&id).copied().unwrap_or_default()
     }
 
+    /// The spread that the members accepted by `votes` would have as voters.
     pub(super) fn spread(&self, votes: impl Fn(&Member) -> bool) -> Spread {
         let regions: BTreeSet<RegionId> = self.members.iter().map(|m| m.region).collect();
         let regions: Vec<RegionId> = regions.into_iter().collect();
--- a/sorreldoor/src/control_plane/membership/policy.rs
+++ b/sorreldoor/src/control_plane/membership/policy.rs
@@ -1,25 +1,25 @@
-//! The set of voters that the deployment asks for, and how the actual one
-//! differs from it.
+//! The voters that the settings ask for, and how the actual ones differ from
+//! them.
 
 use crate::consensus::{quorum, Member};
 use crate::types::Millis;
 use std::cmp::Ordering;
 use std::fmt;
 
-/// What the deployment asks of the set of voters.
+/// The required number and distribution of voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipPolicy {
-    /// Voters wanted: twice the number of machines that may be lost at once, plus
-    /// one.
+    /// Target number of voters: `2n + 1` to tolerate the loss of `n` machines.
     pub target_voters: usize,
-    /// Zones that may be lost at once; 0 or 1.
+    /// Number of zones whose simultaneous loss is tolerated; 0 or 1.
     pub tolerated_zones: usize,
-    /// Silence after which a voter counts as lost.
+    /// Milliseconds of silence after which a voter is replaced.
     pub silent_ms: Millis,
 }
 
 impl MembershipPolicy {
-    /// As many voters as tolerate the loss of `nodes` machines at once.
+    /// The policy that tolerates the simultaneous loss of `nodes` machines or of
+    /// `zones` zones.
     #[must_use]
     pub fn tolerating(nodes: usize, zones: usize, silent_ms: Millis) -> MembershipPolicy {
         let target_voters = 2 * nodes + 1;
@@ -30,11 +30,11 @@
         }
     }
 
-    /// Why the voters are not as wanted; none if they are.
+    /// Why the number of voters differs from the target; `None` if it does not.
     #[must_use]
     pub fn voter_mismatch(&self, members: &[Member]) -> Option<VoterMismatch> {
         if quorum::is_joint(members) {
-            return Some(VoterMismatch::ChangeUnderWay);
+            return Some(VoterMismatch::ChangeInProgress);
         }
         let voters = members.iter().filter(|m| m.voter).count();
         let learners = members.len() - voters;
@@ -42,31 +42,31 @@
             Ordering::Equal => None,
             Ordering::Greater => Some(VoterMismatch::TooMany),
             Ordering::Less if learners == 0 => Some(VoterMismatch::NoLearner),
-            Ordering::Less => Some(VoterMismatch::LearnerBehind),
+            Ordering::Less => Some(VoterMismatch::LearnersBehind),
         }
     }
 }
 
-/// Why the number of voters differs from the number wanted.
+/// Why the number of voters differs from the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterMismatch {
-    /// A change of the voters is not finished.
-    ChangeUnderWay,
-    /// There are more voters than wanted.
+    /// A change of the voters is in progress.
+    ChangeInProgress,
+    /// There are more voters than the target.
     TooMany,
     /// There is no learner to promote.
     NoLearner,
     /// There are learners, but none has caught up.
-    LearnerBehind,
+    LearnersBehind,
 }
 
 impl fmt::Display for VoterMismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            VoterMismatch::ChangeUnderWay => "a change of voters is not finished",
-            VoterMismatch::TooMany => "there are more voters than wanted",
+            VoterMismatch::ChangeInProgress => "a change of voters is in progress",
+            VoterMismatch::TooMany => "there are more voters than the target",
             VoterMismatch::NoLearner => "there is no learner to promote",
-            VoterMismatch::LearnerBehind => "no learner has caught up",
+            VoterMismatch::LearnersBehind => "no learner has caught up",
         })
     }
 }
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -1,5 +1,5 @@
-//! The membership change that is due, decided by the leader from what it
-//! observes. Pure: nothing here sends, saves or reads a clock.
+//! Decides which membership change is due, on the leader, from what it observes.
+//! Without I/O: nothing here sends, saves or reads a clock.
 
 use super::change::{MembershipChange, Reason};
 use super::observed::Observation;
@@ -9,31 +9,34 @@
 use crate::wire::Hello;
 use std::collections::BTreeSet;
 
-/// A silent voter without a standby is demoted after this many times
-/// `silent_ms`, and a silent learner is removed after `REMOVE_AFTER` times.
-const DEMOTE_AFTER: Millis = 10;
-const REMOVE_AFTER: Millis = 4;
-/// A learner that was silent for longer cannot replace a voter.
-const RECENT_MS: Millis = 1000;
+/// Two silent voters without standbys are demoted after this many times
+/// [`MembershipPolicy::silent_ms`].
+const DEMOTE_AFTER_PERIODS: Millis = 10;
+/// A silent learner is removed after this many times
+/// [`MembershipPolicy::silent_ms`].
+const REMOVE_AFTER_PERIODS: Millis = 4;
+/// A learner that has been silent for longer is no standby.
+const MAX_STANDBY_SILENCE_MS: Millis = 1000;
 /// Interval of the leader's membership checks.
 const CHECK_MS: Millis = 100;
-/// Members at most, so that joining machines cannot grow the list without bound.
+/// Maximum number of members; further cores do not join.
 const MAX_MEMBERS: usize = 16;
-/// Fewer voters than this tolerate no loss, so no set shrinks below it.
+/// Least number of voters that tolerate the loss of one.
 const MIN_VOTERS: usize = 3;
 
-/// What a core knows about members, whether or not it leads.
+/// The membership policy and the cores that are stopping. Kept on every core, so
+/// that a new leader can decide at once.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    /// The set of voters that the deployment asks for.
+    /// The required number and distribution of voters.
     pub policy: MembershipPolicy,
-    /// Cores whose process is shutting down and has not restarted.
+    /// Cores that have announced their shutdown and have not restarted.
     stopping: BTreeSet<NodeId>,
     next_check_at: Millis,
 }
 
 impl Membership {
-    /// No core is known to be stopping.
+    /// A state in which no core is stopping.
     pub fn new(policy: MembershipPolicy) -> Membership {
         Membership {
             policy,
@@ -42,7 +45,8 @@
         }
     }
 
-    /// Whether the members should be checked now; if so it counts as begun.
+    /// Whether the members should be checked now; if so the next check is
+    /// scheduled.
     pub fn begin_check(&mut self, now: Millis) -> bool {
         let due = now >= self.next_check_at;
         if due {
@@ -51,7 +55,7 @@
         due
     }
 
-    /// A core has introduced itself, or announced its shutdown.
+    /// Records whether a core is stopping, from its hello.
     pub fn on_hello(&mut self, hello: &Hello) {
         if hello.stopping {
             self.stopping.insert(hello.id);
@@ -60,71 +64,71 @@
         }
     }
 
-    /// The change that is due, if any.
-    pub fn decide(&mut self, observed: &Observation) -> Option<MembershipChange> {
-        let known = |id: &NodeId| observed.members.iter().any(|m| m.id == *id);
+    /// The change that is due, if any; of several the first in the order below.
+    pub fn decide(&mut self, observation: &Observation) -> Option<MembershipChange> {
+        let known = |id: &NodeId| observation.members.iter().any(|m| m.id == *id);
         self.stopping.retain(known);
-        self.join(observed)
-            .or_else(|| self.replace_after_disk_loss(observed))
-            .or_else(|| self.replace_failing(observed))
-            .or_else(|| self.fill(observed))
-            .or_else(|| self.remove_surplus(observed))
-            .or_else(|| self.balance_zones(observed))
-            .or_else(|| self.demote_lost(observed))
-            .or_else(|| self.remove_lost_learner(observed))
+        self.add_learner(observation)
+            .or_else(|| self.replace_after_disk_loss(observation))
+            .or_else(|| self.replace_failing(observation))
+            .or_else(|| self.promote_learner(observation))
+            .or_else(|| self.demote_surplus(observation))
+            .or_else(|| self.balance_zones(observation))
+            .or_else(|| self.demote_silent_pair(observation))
+            .or_else(|| self.remove_silent_learner(observation))
     }
 
-    /// A core that is no member becomes a learner.
-    fn join(&self, observed: &Observation) -> Option<MembershipChange> {
-        if observed.members.len() >= MAX_MEMBERS {
+    /// A live core that is not a member becomes a learner.
+    fn add_learner(&self, observation: &Observation) -> Option<MembershipChange> {
+        if observation.members.len() >= MAX_MEMBERS {
             return None;
         }
-        let new = |h: &&Hello| !h.stopping && observed.members.iter().all(|m| m.id != h.id);
-        let hello = observed.live.iter().find(new)?;
+        let is_new = |h: &&Hello| !h.stopping && observation.members.iter().all(|m| m.id != h.id);
+        let hello = observation.live.iter().find(is_new)?;
         let node = hello.node.clone();
         let member = joining_learner(hello);
         Some(MembershipChange::AddLearner { node, member })
     }
 
-    /// Another identity answers at a member's address: the member was lost for
-    /// certain, and its successor replaces it once it can.
-    fn replace_after_disk_loss(&self, observed: &Observation) -> Option<MembershipChange> {
-        let wiped = observed.others().filter_map(|m| {
-            let next = observed
+    /// A core with another id runs at a member's address, so the member's disk was
+    /// lost. A learner is removed; a voter is replaced by the new core if that is a
+    /// standby, else by the best standby.
+    fn replace_after_disk_loss(&self, observation: &Observation) -> Option<MembershipChange> {
+        let lost = observation.others().filter_map(|m| {
+            let successor = observation
                 .live
                 .iter()
                 .find(|h| h.addr == m.addr && h.id != m.id)?;
-            Some((m, next.id))
+            Some((m, successor.id))
         });
         let reason = Reason::DiskLost;
-        wiped
-            .filter_map(|(m, successor)| {
-                if !m.voter {
-                    return Some(MembershipChange::RemoveLearner { id: m.id, reason });
-                }
-                let standby = self.standbys(observed).find(|s| s.id == successor);
-                let promoted = standby.or_else(|| self.best_standby(observed, m))?.id;
-                let demoted = m.id;
-                Some(MembershipChange::Replace {
-                    demoted,
-                    promoted,
-                    reason,
-                })
+        lost.filter_map(|(m, successor)| {
+            if !m.voter {
+                return Some(MembershipChange::RemoveLearner { id: m.id, reason });
+            }
+            let standby = self.standbys(observation).find(|s| s.id == successor);
+            let promoted = standby.or_else(|| self.best_standby(observation, m))?.id;
+            let demoted = m.id;
+            Some(MembershipChange::Replace {
+                demoted,
+                promoted,
+                reason,
             })
-            .next()
+        })
+        .next()
     }
 
-    /// A voter that is lost or shutting down is replaced by a learner that has
-    /// caught up.
-    fn replace_failing(&self, observed: &Observation) -> Option<MembershipChange> {
-        let mut failing: Vec<(&Member, Reason)> = observed
+    /// A voter that is silent or stopping is replaced by a standby; the longest
+    /// silent one first.
+    fn replace_failing(&self, observation: &Observation) -> Option<MembershipChange> {
+        let mut failing: Vec<(&Member, Reason)> = observation
             .others()
             .filter(|m| m.voter)
-            .filter_map(|m| Some((m, self.failing(observed, m)?)))
+            .filter_map(|m| Some((m, self.failure(observation, m)?)))
             .collect();
-        failing.sort_by_key(|(m, _)| std::cmp::Reverse(observed.health_of(m.id).silent_ms));
+        failing.sort_by_key(|(m, _)| std::cmp::Reverse(observation.health_of(m.id).silent_ms));
         let (demoted, reason) = failing.first()?;
-        let promoted = self.best_standby(observed, demoted)?.id;
+        let promoted = self.best_standby(observation, demoted)?.id;
         let demoted = demoted.id;
         Some(MembershipChange::Replace {
             demoted,
@@ -133,117 +137,128 @@
         })
     }
 
-    fn failing(&self, observed: &Observation, m: &Member) -> Option<Reason> {
-        if observed.health_of(m.id).silent_ms >= self.policy.silent_ms {
+    /// Why a member should lose its vote; `None` for a healthy one.
+    fn failure(&self, observation: &Observation, m: &Member) -> Option<Reason> {
+        if observation.health_of(m.id).silent_ms >= self.policy.silent_ms {
             return Some(Reason::Silent);
         }
         self.stopping.contains(&m.id).then_some(Reason::Stopping)
     }
 
-    /// Fewer voters than wanted: the learner that spreads them best is one more.
-    fn fill(&self, observed: &Observation) -> Option<MembershipChange> {
-        if observed.voters().count() >= self.policy.target_voters {
+    /// Where there are fewer voters than the target, promotes the standby that leads
+    /// to the best spread.
+    fn promote_learner(&self, observation: &Observation) -> Option<MembershipChange> {
+        if observation.voters().count() >= self.policy.target_voters {
             return None;
         }
-        let next = |s: &&Member| observed.spread(|m| m.voter || m.id == s.id);
-        let id = self.standbys(observed).min_by_key(next)?.id;
+        let spread_with = |s: &&Member| observation.spread(|m| m.voter || m.id == s.id);
+        let id = self.standbys(observation).min_by_key(spread_with)?.id;
         Some(MembershipChange::Promote { id })
     }
 
-    /// More voters than wanted: first one that fails, else the one without
-    /// which the others are spread best.
-    fn remove_surplus(&self, observed: &Observation) -> Option<MembershipChange> {
-        if observed.voters().count() <= self.policy.target_voters {
+    /// Where there are more voters than the target, demotes a failing one, else the
+    /// one whose demotion leads to the best spread.
+    fn demote_surplus(&self, observation: &Observation) -> Option<MembershipChange> {
+        if observation.voters().count() <= self.policy.target_voters {
             return None;
         }
         let rank = |m: &&Member| {
-            let healthy = self.failing(observed, m).is_none();
-            (healthy, observed.spread(|v| v.voter && v.id != m.id))
+            let healthy = self.failure(observation, m).is_none();
+            (healthy, observation.spread(|v| v.voter && v.id != m.id))
         };
-        let demoted = observed.others().filter(|m| m.voter).min_by_key(rank)?;
-        let reason = self.failing(observed, demoted).unwrap_or(Reason::Surplus);
+        let demoted = observation.others().filter(|m| m.voter).min_by_key(rank)?;
+        let reason = self
+            .failure(observation, demoted)
+            .unwrap_or(Reason::Surplus);
         let ids = vec![demoted.id];
         Some(MembershipChange::Demote { ids, reason })
     }
 
-    /// The loss of one zone would take the majority: a learner of another zone
-    /// changes places with a voter of that one.
-    fn balance_zones(&self, observed: &Observation) -> Option<MembershipChange> {
-        let voters = observed.voters().count();
-        let now = observed.spread(|m| m.voter);
+    /// Where the loss of one zone would take the majority, replaces a voter of that
+    /// zone by a standby of another.
+    fn balance_zones(&self, observation: &Observation) -> Option<MembershipChange> {
+        let voters = observation.voters().count();
+        let current = observation.spread(|m| m.voter);
         if self.policy.tolerated_zones == 0
             || voters < MIN_VOTERS
-            || now.tolerates_zone_loss(voters)
+            || current.tolerates_zone_loss(voters)
         {
             return None;
         }
-        let pairs = observed.others().filter(|m| m.voter).flat_map(|demoted| {
-            let with = move |s: &Member| (demoted.id, s.id);
-            self.standbys(observed).map(with)
-        });
-        let after = |(demoted, promoted): &(NodeId, NodeId)| {
-            observed.spread(|m| (m.voter && m.id != *demoted) || m.id == *promoted)
+        let pairs = observation
+            .others()
+            .filter(|m| m.voter)
+            .flat_map(|demoted| {
+                let pair = move |s: &Member| (demoted.id, s.id);
+                self.standbys(observation).map(pair)
+            });
+        let spread_after = |(demoted, promoted): &(NodeId, NodeId)| {
+            observation.spread(|m| (m.voter && m.id != *demoted) || m.id == *promoted)
         };
-        let (demoted, promoted) = pairs.min_by_key(|pair| after(pair))?;
-        let better = after(&(demoted, promoted)).max_in_one_zone < now.max_in_one_zone;
+        let (demoted, promoted) = pairs.min_by_key(|pair| spread_after(pair))?;
+        let is_better =
+            spread_after(&(demoted, promoted)).max_in_one_zone < current.max_in_one_zone;
         let reason = Reason::Zone;
-        better.then_some(MembershipChange::Replace {
+        is_better.then_some(MembershipChange::Replace {
             demoted,
             promoted,
             reason,
         })
     }
 
-    /// Two voters lost for long: without them the rest tolerates one more loss.
-    /// Without only one of them it would tolerate no more, so a single one
-    /// keeps its vote.
-    fn demote_lost(&self, observed: &Observation) -> Option<MembershipChange> {
-        let long = self.policy.silent_ms * DEMOTE_AFTER;
-        let lost = observed
+    /// Demotes two long silent voters together, so that the rest tolerates one more
+    /// loss. A single one keeps its vote, since its demotion would gain nothing.
+    fn demote_silent_pair(&self, observation: &Observation) -> Option<MembershipChange> {
+        let limit_ms = self.policy.silent_ms * DEMOTE_AFTER_PERIODS;
+        let silent = observation
             .others()
-            .filter(|m| m.voter && observed.health_of(m.id).silent_ms >= long);
-        let ids: Vec<NodeId> = lost.map(|m| m.id).take(2).collect();
-        let enough = observed.voters().count() >= MIN_VOTERS + 2;
+            .filter(|m| m.voter && observation.health_of(m.id).silent_ms >= limit_ms);
+        let ids: Vec<NodeId> = silent.map(|m| m.id).take(2).collect();
+        let enough_voters = observation.voters().count() >= MIN_VOTERS + 2;
         let reason = Reason::Silent;
-        let pair = ids.len() == 2 && enough;
-        pair.then_some(MembershipChange::Demote { ids, reason })
+        let is_due = ids.len() == 2 && enough_voters;
+        is_due.then_some(MembershipChange::Demote { ids, reason })
     }
 
-    fn remove_lost_learner(&self, observed: &Observation) -> Option<MembershipChange> {
-        let long = self.policy.silent_ms * REMOVE_AFTER;
-        let lost = |m: &&Member| !m.voter && observed.health_of(m.id).silent_ms >= long;
-        let id = observed.others().find(lost)?.id;
+    fn remove_silent_learner(&self, observation: &Observation) -> Option<MembershipChange> {
+        let limit_ms = self.policy.silent_ms * REMOVE_AFTER_PERIODS;
+        let is_silent = |m: &&Member| !m.voter && observation.health_of(m.id).silent_ms >= limit_ms;
+        let id = observation.others().find(is_silent)?.id;
         let reason = Reason::Silent;
         Some(MembershipChange::RemoveLearner { id, reason })
     }
 
-    /// Learners that can become voters at once.
-    fn standbys<'a>(&'a self, observed: &'a Observation) -> impl Iterator<Item = &'a Member> + 'a {
-        let is_able = |m: &&Member| {
-            let health = observed.health_of(m.id);
-            let recent = health.silent_ms <= RECENT_MS && health.caught_up;
-            let matches = |h: &Hello| h.id == m.id && !h.learner_only && !h.stopping;
-            recent && !self.stopping.contains(&m.id) && observed.live.iter().any(matches)
+    /// The standbys: live learners that have caught up, are not stopping, and may
+    /// vote.
+    fn standbys<'a>(
+        &'a self,
+        observation: &'a Observation,
+    ) -> impl Iterator<Item = &'a Member> + 'a {
+        let is_standby = |m: &&Member| {
+            let health = observation.health_of(m.id);
+            let is_current = health.silent_ms <= MAX_STANDBY_SILENCE_MS && health.caught_up;
+            let may_vote = |h: &Hello| h.id == m.id && !h.learner_only && !h.stopping;
+            is_current && !self.stopping.contains(&m.id) && observation.live.iter().any(may_vote)
         };
-        observed.others().filter(|m| !m.voter).filter(is_able)
+        observation.others().filter(|m| !m.voter).filter(is_standby)
     }
 
-    /// The standby that best replaces this voter: by the spread that it leads
-    /// to, then one of the same zone.
+    /// The standby that replaces a voter best: by the resulting spread, then one of
+    /// the same zone.
     fn best_standby<'a>(
         &'a self,
-        observed: &'a Observation,
+        observation: &'a Observation,
         demoted: &Member,
     ) -> Option<&'a Member> {
         let rank = |s: &&Member| {
-            let spread = observed.spread(|m| (m.voter && m.id != demoted.id) || m.id == s.id);
+            let spread = observation.spread(|m| (m.voter && m.id != demoted.id) || m.id == s.id);
             (spread, s.zone != demoted.zone, s.id)
         };
-        self.standbys(observed).min_by_key(rank)
+        self.standbys(observation).min_by_key(rank)
     }
 }
 
-/// A core as it joins.
+/// The member that a joining core becomes: a learner.
 pub fn joining_learner(hello: &Hello) -> Member {
     Member {
         id: hello.id,
