--- a/sorreldoor/src/control_plane/membership/from_settings.rs
+++ b/sorreldoor/src/control_plane/membership/from_settings.rs
@@ -5,13 +5,13 @@
 
 impl From<&Settings> for MembershipPolicy {
     fn from(settings: &Settings) -> MembershipPolicy {
-        let (zones, silent_ms) = (settings.tolerate_zones, settings.replace_ms);
+        let (zones, replace_after_ms) = (settings.tolerate_zones, settings.replace_ms);
         match settings.tolerate_nodes {
-            Some(nodes) => MembershipPolicy::tolerating(nodes, zones, silent_ms),
+            Some(nodes) => MembershipPolicy::tolerating(nodes, zones, replace_after_ms),
             None => MembershipPolicy {
                 target_voters: settings.cores,
                 tolerated_zones: zones,
-                silent_ms,
+                replace_after_ms,
             },
         }
     }
--- a/sorreldoor/src/control_plane/membership/policy.rs
+++ b/sorreldoor/src/control_plane/membership/policy.rs
@@ -14,19 +14,19 @@
     /// Number of zones whose simultaneous loss is tolerated; 0 or 1.
     pub tolerated_zones: usize,
     /// Milliseconds of silence after which a voter is replaced.
-    pub silent_ms: Millis,
+    pub replace_after_ms: Millis,
 }
 
 impl MembershipPolicy {
     /// The policy that tolerates the simultaneous loss of `nodes` machines or of
     /// `zones` zones.
     #[must_use]
-    pub fn tolerating(nodes: usize, zones: usize, silent_ms: Millis) -> MembershipPolicy {
+    pub fn tolerating(nodes: usize, zones: usize, replace_after_ms: Millis) -> MembershipPolicy {
         let target_voters = 2 * nodes + 1;
         MembershipPolicy {
             target_voters,
             tolerated_zones: zones,
-            silent_ms,
+            replace_after_ms,
         }
     }
 
--- a/sorreldoor/src/control_plane/membership/reducer.rs
+++ b/sorreldoor/src/control_plane/membership/reducer.rs
@@ -10,10 +10,10 @@
 use std::collections::BTreeSet;
 
 /// Two silent voters without standbys are demoted after this many times
-/// [`MembershipPolicy::silent_ms`].
+/// [`MembershipPolicy::replace_after_ms`].
 const DEMOTE_AFTER_PERIODS: Millis = 10;
 /// A silent learner is removed after this many times
-/// [`MembershipPolicy::silent_ms`].
+/// [`MembershipPolicy::replace_after_ms`].
 const REMOVE_AFTER_PERIODS: Millis = 4;
 /// A learner that has been silent for longer is no standby.
 const MAX_STANDBY_SILENCE_MS: Millis = 1000;
@@ -139,7 +139,7 @@
 
     /// Why a member should lose its vote; `None` for a healthy one.
     fn failure(&self, observation: &Observation, m: &Member) -> Option<Reason> {
-        if observation.health_of(m.id).silent_ms >= self.policy.silent_ms {
+        if observation.health_of(m.id).silent_ms >= self.policy.replace_after_ms {
             return Some(Reason::Silent);
         }
         self.stopping.contains(&m.id).then_some(Reason::Stopping)
@@ -209,7 +209,7 @@
     /// Demotes two long silent voters together, so that the rest tolerates one more
     /// loss. A single one keeps its vote, since its demotion would gain nothing.
     fn demote_silent_pair(&self, observation: &Observation) -> Option<MembershipChange> {
-        let limit_ms = self.policy.silent_ms * DEMOTE_AFTER_PERIODS;
+        let limit_ms = self.policy.replace_after_ms * DEMOTE_AFTER_PERIODS;
         let silent = observation
             .others()
             .filter(|m| m.voter && observation.health_of(m.id).silent_ms >= limit_ms);
@@ -221,7 +221,7 @@
     }
 
     fn remove_silent_learner(&self, observation: &Observation) -> Option<MembershipChange> {
-        let limit_ms = self.policy.silent_ms * REMOVE_AFTER_PERIODS;
+        let limit_ms = self.policy.replace_after_ms * REMOVE_AFTER_PERIODS;
         let is_silent = |m: &&Member| !m.voter && observation.health_of(m.id).silent_ms >= limit_ms;
         let id = observation.others().find(is_silent)?.id;
         let reason = Reason::Silent;
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -32,7 +32,7 @@
             membership_policy: MembershipPolicy {
                 target_voters: self.size.cores,
                 tolerated_zones: 1,
-                silent_ms: 30_000,
+                replace_after_ms: 30_000,
             },
             timing: Timing::for_ack(2000),
             seed: self.rng.draw(),
--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -278,7 +278,7 @@
         let mut policy = MembershipPolicy::tolerating(1, 1, SILENCE_LIMIT_MS);
         if self.unbounded_voters {
             policy.target_voters = members.len();
-            policy.silent_ms *= 10;
+            policy.replace_after_ms *= 10;
         }
         let entry = self.members.entry(node);
         let state = entry.or_insert_with(|| Membership::new(policy.clone()));
