--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -1,4 +1,5 @@
-//! The singleton role: claimed by the preferred core, and the holder's work.
+//! The singleton role: its claim by the preferred core, and the periodic work of
+//! the holder.
 
 use super::Controller;
 use crate::consensus::{Body, Event};
@@ -16,15 +17,19 @@
     /// Whether this incarnation of this core holds the singleton role.
     #[must_use]
     pub fn holds_singleton_role(&self) -> bool {
-        let record = self.consensus.as_ref().map(|c| c.state_machine());
-        record.is_some_and(|record| self.singleton.is_holder(record, self.own_hello.id))
+        let state = self.consensus.as_ref().map(|c| c.state_machine());
+        state.is_some_and(|state| self.singleton.is_holder(state, self.own_hello.id))
     }
 
+    /// The fencing epoch of the singleton role as this core has it; 0 without a
+    /// replica.
     pub(super) fn epoch(&self) -> u64 {
         let consensus = self.consensus.as_ref();
         consensus.map_or(0, |consensus| consensus.state_machine().epoch())
     }
 
+    /// Claims the role if this core should hold it, or does the work that is due on
+    /// the holder.
     pub(super) fn tick_singleton(&mut self) {
         if !self.is_preferred_holder() || self.stopping {
             return self.singleton.withdraw();
@@ -45,27 +50,27 @@
     }
 
     fn is_preferred_holder(&self) -> bool {
-        let me = self.own_hello.id;
+        let own_id = self.own_hello.id;
         let live = self.live_cores(LIVE_MS);
-        let is_live = |id| id == me || live.contains_key(&id);
-        preferred_holder(self.members(), is_live) == Some(me)
+        let is_live = |id| id == own_id || live.contains_key(&id);
+        preferred_holder(self.members(), is_live) == Some(own_id)
     }
 
     fn claim_singleton_role(&mut self) {
-        let above = self.epoch();
-        let epoch = above + 1;
+        let previous_epoch = self.epoch();
+        let epoch = previous_epoch + 1;
         let holder = self.own_hello.id;
         self.log_event(LogEvent::SingletonAcquired, format!("epoch {epoch}"));
         self.propose(Command::AcquireRole {
             holder,
-            previous_epoch: above,
+            previous_epoch,
         });
-        self.singleton.claiming(epoch);
+        self.singleton.claim_started(epoch);
     }
 
     fn propose(&mut self, command: Command) {
         let proposal_id = self.ids.next_proposal_id();
-        self.singleton.proposing(proposal_id);
+        self.singleton.proposal_started(proposal_id);
         let body = Body::Data(Arc::new(encode(&command)));
         self.step_consensus(Event::Propose { proposal_id, body });
     }
@@ -82,11 +87,13 @@
             .push(ControllerEffect::PollLoads { epoch, workers });
     }
 
-    pub(super) fn on_loads_polled(&mut self, epoch: u64, rows: Vec<Load>) {
+    /// Handles the result of this core's own poll, and sends the loads to the other
+    /// cores. Dropped where the role was lost since the poll was started.
+    pub(super) fn on_loads_polled(&mut self, epoch: u64, loads: Vec<Load>) {
         if epoch != self.epoch() || !self.holds_singleton_role() {
             return;
         }
-        for change in self.loads.polled(epoch, rows) {
+        for change in self.loads.record_poll(epoch, loads) {
             let event = if change.live {
                 LogEvent::WorkerResponsive
             } else {
@@ -101,12 +108,12 @@
         }
     }
 
-    /// Applies loads that the holder of the role has polled.
+    /// Applies loads that another core, the holder of the role, has polled.
     pub(super) fn adopt_loads(&mut self, loads: Arc<Loads>) {
         self.loads.adopt(loads, self.epoch());
     }
 
-    /// Propose the next state of the first region that is due for one.
+    /// Proposes the next recovery state of the first region that is due for one.
     fn update_regions(&mut self) {
         let epoch = self.epoch();
         if self.loads.loads().epoch != epoch || self.singleton.is_proposing() {
@@ -140,16 +147,16 @@
         let Some(consensus) = &self.consensus else {
             return;
         };
-        let record = consensus.state_machine();
-        if !self.singleton.begin_tuning(record, self.now) {
+        let state = consensus.state_machine();
+        if !self.singleton.begin_tuning(state, self.now) {
             return;
         }
         let sessions = self.sessions.sessions_of(|id| live.contains_key(&id));
         let sessions: Vec<&EdgeSession> = sessions.collect();
         let registry = self.worker_list.current();
         let loads = self.loads.loads();
-        let weights = self.singleton.tune(&sessions, record, registry, loads);
-        let (epoch, version) = (record.epoch(), record.version());
+        let weights = self.singleton.tune(&sessions, state, registry, loads);
+        let (epoch, version) = (state.epoch(), state.version());
         if !weights.is_empty() && !self.singleton.is_proposing() {
             self.propose(Command::SetWeights {
                 epoch,
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -1,4 +1,4 @@
-//! The status document, from the state of all parts.
+//! Collects the state of all parts for the status document.
 
 use super::Controller;
 use crate::control_plane::connections::LIVE_MS;
@@ -13,7 +13,7 @@
             own_hello: &self.own_hello,
             site: &self.site,
             stopping: self.stopping,
-            quorum: self.reads.quorum(),
+            has_quorum: self.reads.has_quorum(),
             wall_ms: self.wall_ms,
             policy: &self.membership.policy,
             consensus: self.consensus.as_ref(),
--- a/sorreldoor/src/control_plane/load_table.rs
+++ b/sorreldoor/src/control_plane/load_table.rs
@@ -1,4 +1,4 @@
-//! The workers' loads as this core knows them, from its own polls or from the
+//! The newest known loads of the workers, polled by this core or by another
 //! holder of the singleton role.
 
 use crate::discovery::{Load, Loads};
@@ -22,16 +22,17 @@
         &self.loads
     }
 
-    /// Applies loads that another core has polled, if they are newer. Those of
-    /// an epoch before `epoch` come from a deposed holder.
+    /// Applies loads that another core has polled, if they are newer. Loads from
+    /// before `epoch` are dropped: their poller has lost the role since.
     pub fn adopt(&mut self, loads: Arc<Loads>, epoch: u64) {
         if loads.epoch >= epoch && loads.mark() > self.loads.mark() {
             self.loads = loads;
         }
     }
 
-    /// Applies the result of a poll of this core's own under its epoch.
-    pub fn polled(&mut self, epoch: u64, rows: Vec<Load>) -> Vec<LivenessChange> {
+    /// Applies the result of this core's own poll under `epoch`; returns the workers
+    /// whose liveness has changed.
+    pub fn record_poll(&mut self, epoch: u64, rows: Vec<Load>) -> Vec<LivenessChange> {
         let changes = rows.iter().filter_map(|row| self.liveness_change(row));
         let changes = changes.collect();
         let version = self.loads.version + 1;
@@ -43,7 +44,8 @@
         changes
     }
 
-    /// A worker that answers its first poll has not changed.
+    /// The change of one worker's liveness, if any. A worker that answers its first
+    /// poll is not a change.
     fn liveness_change(&self, row: &Load) -> Option<LivenessChange> {
         let was_live = self.loads.of(&row.name).map(|old| old.live);
         let changed = was_live != Some(row.live) && !(row.live && was_live.is_none());
--- a/sorreldoor/src/control_plane/reads.rs
+++ b/sorreldoor/src/control_plane/reads.rs
@@ -45,14 +45,14 @@
     queued: Vec<PendingRead>,
     /// Reads by the request id of the confirmation that they wait for.
     in_flight: BTreeMap<u64, Vec<PendingRead>>,
-    quorum: bool,
+    has_quorum: bool,
     ever_confirmed: bool,
 }
 
 impl Reads {
     /// Whether the last confirmation that ended succeeded.
-    pub fn quorum(&self) -> bool {
-        self.quorum
+    pub fn has_quorum(&self) -> bool {
+        self.has_quorum
     }
 
     /// Whether any confirmation has succeeded since this core started.
@@ -79,7 +79,7 @@
 
     /// Records the result of a confirmation; returns the reads that waited for it.
     pub fn confirmation_ended(&mut self, request_id: u64, confirmed: bool) -> Vec<Read> {
-        self.quorum = confirmed;
+        self.has_quorum = confirmed;
         self.ever_confirmed |= confirmed;
         reads(self.in_flight.remove(&request_id).unwrap_or_default())
     }
--- a/sorreldoor/src/control_plane/singleton/mod.rs
+++ b/sorreldoor/src/control_plane/singleton/mod.rs
@@ -1,7 +1,7 @@
-//! The singleton role: one core at a time polls the workers' loads, reads the
-//! worker list, tracks regions and tunes weights. It is the first live voter
-//! in an agreed order, and its work is fenced by an epoch in the replicated
-//! state.
+//! The singleton role: its holder, one core at a time, polls the workers' loads,
+//! reads the worker list, tracks the recovery of regions and tunes weights. The
+//! first live voter by zone and id claims the role through the consensus group;
+//! the holder's proposals are fenced by the epoch of its claim.
 
 mod regions;
 
@@ -15,43 +15,43 @@
 use regions::{region_capacity, RegionWatch};
 use std::sync::Arc;
 
-/// A core is the first live voter for this long before it claims the role, so
-/// that a core that flaps does not take it to and fro.
+/// A core claims the role once it has been the first live voter for this long, so
+/// that a flapping core does not claim it again and again.
 const CLAIM_DELAY_MS: Millis = 1000;
 /// Interval of load polls.
-const POLL_MS: Millis = 500;
+const POLL_INTERVAL_MS: Millis = 500;
 /// Interval of weight tuning.
-const TUNE_MS: Millis = 2000;
+const TUNE_INTERVAL_MS: Millis = 2000;
 
-/// The proposal by which this core claims the role, and the epoch it would
-/// hold it under.
+/// A proposal that claims the role, and the epoch under which it would be held.
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     proposal_id: ProposalId,
     epoch: u64,
 }
 
-/// A region's recovery state is due to change.
+/// A change of a region's recovery state that is due.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RegionTransition {
     pub region: u8,
     pub state: Recovery,
 }
 
-/// A weight that should change, as route, service and new weight.
+/// A new weight: route index, service index and weight.
 pub(super) type WeightChange = (u16, u16, u32);
 
-/// What this core knows of its own claim to the role, and the holder's work.
+/// This core's claim to the role, its proposals for it, and the state of the
+/// holder's periodic work.
 #[derive(Debug)]
 pub(super) struct SingletonRole {
-    /// Since when this core is the first live voter.
+    /// Since when this core has been the first live voter; `None` if it is not.
     candidate_since: Option<Millis>,
-    poll_at: Millis,
-    tune_at: Millis,
+    next_poll_at: Millis,
+    next_tune_at: Millis,
     claim: Option<Claim>,
-    /// The epoch that was granted to this incarnation.
+    /// The epoch of the last claim of this incarnation that was applied.
     granted_epoch: Option<u64>,
-    /// The holder proposes one change at a time.
+    /// The proposal in flight; there is at most one.
     proposal: Option<ProposalId>,
     regions: RegionWatch,
     smoothed_loads: weight_tuning::Smooth,
@@ -59,12 +59,12 @@
 }
 
 impl SingletonRole {
-    /// The role is not held yet.
+    /// The state of a core that does not hold the role.
     pub fn new(now: Millis) -> SingletonRole {
         SingletonRole {
             candidate_since: None,
-            poll_at: now,
-            tune_at: now,
+            next_poll_at: now,
+            next_tune_at: now,
             claim: None,
             granted_epoch: None,
             proposal: None,
@@ -74,53 +74,54 @@
         }
     }
 
-    /// Request latencies by route and service, as this core gathered them
-    /// while it held the role.
+    /// Request latencies by route and service, as collected while this core held
+    /// the role.
     pub fn latencies(&self) -> &weight_tuning::Times {
         &self.latencies
     }
 
-    /// This core is not the first live voter.
+    /// Records that this core is not the first live voter.
     pub fn withdraw(&mut self) {
         self.candidate_since = None;
     }
 
-    /// This core is the first live voter.
+    /// Records that this core is the first live voter.
     pub fn become_candidate(&mut self, now: Millis) {
         self.candidate_since.get_or_insert(now);
     }
 
-    /// Whether a candidate that does not hold the role should claim it now.
+    /// Whether this core, if it does not hold the role, should claim it now.
     pub fn claim_due(&self, now: Millis) -> bool {
         let stable = |since| now.saturating_sub(since) >= CLAIM_DELAY_MS;
         self.candidate_since.is_some_and(stable) && self.proposal.is_none()
     }
 
-    /// Whether this incarnation of the core `me` holds the role: versions
-    /// numbered under an epoch must not restart within it.
-    pub fn is_holder(&self, record: &ReplicatedState, me: NodeId) -> bool {
-        record.holder() == me && self.granted_epoch == Some(record.epoch())
+    /// Whether this incarnation of the core `own_id` holds the role. An earlier one
+    /// does not count: versions numbered under an epoch must not restart.
+    pub fn is_holder(&self, state: &ReplicatedState, own_id: NodeId) -> bool {
+        state.holder() == own_id && self.granted_epoch == Some(state.epoch())
     }
 
-    /// Whether a proposal of this core's own is in flight.
+    /// Whether a proposal for the role is in flight.
     pub fn is_proposing(&self) -> bool {
         self.proposal.is_some()
     }
 
-    /// A proposal of this core's own is about to be sent.
-    pub fn proposing(&mut self, proposal_id: ProposalId) {
+    /// Records a proposal for the role that is about to be sent.
+    pub fn proposal_started(&mut self, proposal_id: ProposalId) {
         self.proposal = Some(proposal_id);
     }
 
-    /// The proposal in flight, if it has not failed at once, claims the role.
-    pub fn claiming(&mut self, epoch: u64) {
+    /// Records that the proposal in flight claims the role; without effect if it
+    /// has failed already.
+    pub fn claim_started(&mut self, epoch: u64) {
         let claim = |proposal_id| Claim { proposal_id, epoch };
         self.claim = self.proposal.map(claim);
     }
 
-    /// A proposal has ended. After a restart the log may still show the role
-    /// as this core's before it has caught up, so only a claim of this
-    /// incarnation counts.
+    /// Records the end of a proposal. Only a claim of this incarnation grants the
+    /// role: after a restart, a log that has not caught up may still show an
+    /// earlier claim of this core.
     pub fn proposal_ended(&mut self, proposal_id: ProposalId, accepted: bool) {
         if self.proposal == Some(proposal_id) {
             self.proposal = None;
@@ -131,45 +132,48 @@
         }
     }
 
-    /// Whether a poll of loads is due; if so it counts as begun.
+    /// Whether a poll of loads is due; if so the next one is scheduled.
     pub fn begin_poll(&mut self, now: Millis) -> bool {
-        let due = now >= self.poll_at;
+        let due = now >= self.next_poll_at;
         if due {
-            self.poll_at = now + POLL_MS;
+            self.next_poll_at = now + POLL_INTERVAL_MS;
         }
         due
     }
 
-    /// The holder has polled these loads.
+    /// Adds the loads of a poll to the smoothed ones.
     pub fn on_loads(&mut self, loads: &Loads) {
         self.smoothed_loads.take(loads);
     }
 
-    /// The first region whose recovery state should change.
+    /// The transition of the first region whose recovery state should change.
     pub fn region_transition(
         &mut self,
-        record: &ReplicatedState,
+        state: &ReplicatedState,
         registry: Option<&Arc<WorkerRegistry>>,
         loads: &Loads,
         regions: usize,
         now: Millis,
     ) -> Option<RegionTransition> {
-        let configuration = record.configuration()?;
+        let configuration = state.configuration()?;
         let workers = registry.map_or(&[][..], |registry| &registry.workers);
         (0..regions as u8).find_map(|region| {
             let capacity = region_capacity(configuration, workers, loads, region)?;
-            let current = record.region(region);
-            let state = self.regions.next_state(region, capacity, current, now)?;
-            Some(RegionTransition { region, state })
+            let current = state.region(region);
+            let next = self.regions.next_state(region, capacity, current, now)?;
+            Some(RegionTransition {
+                region,
+                state: next,
+            })
         })
     }
 
-    /// Whether weights should be tuned now; if so it counts as begun.
-    pub fn begin_tuning(&mut self, record: &ReplicatedState, now: Millis) -> bool {
-        let configuration = record.configuration();
-        let due = now >= self.tune_at && configuration.is_some_and(|c| has_tunable_shares(c));
+    /// Whether weights should be tuned now; if so the next tuning is scheduled.
+    pub fn begin_tuning(&mut self, state: &ReplicatedState, now: Millis) -> bool {
+        let configuration = state.configuration();
+        let due = now >= self.next_tune_at && configuration.is_some_and(|c| has_tunable_shares(c));
         if due {
-            self.tune_at = now + TUNE_MS;
+            self.next_tune_at = now + TUNE_INTERVAL_MS;
         }
         due
     }
@@ -179,12 +183,12 @@
     pub fn tune(
         &mut self,
         sessions: &[&EdgeSession],
-        record: &ReplicatedState,
+        state: &ReplicatedState,
         registry: Option<&Arc<WorkerRegistry>>,
         loads: &Loads,
     ) -> Vec<WeightChange> {
         self.latencies.take(sessions);
-        let (Some(configuration), Some(registry)) = (record.configuration(), registry) else {
+        let (Some(configuration), Some(registry)) = (state.configuration(), registry) else {
             return Vec::new();
         };
         let by = weight_tuning::Now {
@@ -193,12 +197,12 @@
             smooth: &self.smoothed_loads,
             times: &self.latencies,
         };
-        weight_tuning::step(configuration, &record.view().weights, &by)
+        weight_tuning::step(configuration, &state.view().weights, &by)
     }
 }
 
-/// The core that should hold the role: the first voter by zone and identity
-/// that `is_live` accepts.
+/// The core that should hold the role: the first voter by zone and id that
+/// `is_live` accepts.
 pub(super) fn preferred_holder(
     members: &[Member],
     is_live: impl Fn(NodeId) -> bool,
--- a/sorreldoor/src/control_plane/singleton/regions.rs
+++ b/sorreldoor/src/control_plane/singleton/regions.rs
@@ -1,5 +1,5 @@
-//! Lost and recovering regions: the state that the record should have for each,
-//! by what the holder of the singleton role observes of their workers.
+//! Recovery of regions: which recovery state each region should have, from the
+//! loads of its workers that the holder of the singleton role has polled.
 
 use crate::configuration::Configuration;
 use crate::discovery::{Loads, Worker};
@@ -7,18 +7,18 @@
 use crate::types::Millis;
 use std::collections::BTreeMap;
 
-/// A region without any live model worker for this long is lost.
+/// Time without a live model worker after which a region is lost.
 const LOST_AFTER_MS: Millis = 1500;
-/// This long after its return, a region is served in full in any case.
+/// Maximum time from the first live worker until a region is served in full.
 const MAX_RECOVERY_MS: Millis = 10_000;
-/// A recovering region's share rises by at least this many percent at a time,
-/// so that not each finished request leads to a proposal.
+/// Least increase in the percentage of a returning region, so that not every
+/// finished request leads to a proposal.
 const STEP_PERCENT: u8 = 10;
-/// From this percentage on, a region is served in full.
+/// Percentage from which a region is served in full.
 const NEARLY_FULL_PERCENT: u8 = 95;
 
-/// Slots of a region's live model workers, and how many of them these can use
-/// given how far they have warmed up (slow start).
+/// Slots of a region's live model workers, and how many of them slow start allows
+/// to be used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capacity {
     slots: u64,
@@ -31,15 +31,15 @@
     }
 }
 
-/// The capacity of a region's workers; none for a region that has no model
-/// workers in the list.
+/// The capacity of a region's model workers without those that are leaving;
+/// `None` if none are listed.
 pub fn region_capacity(
     configuration: &Configuration,
     workers: &[Worker],
     loads: &Loads,
     region: u8,
 ) -> Option<Capacity> {
-    let mut listed = false;
+    let mut is_listed = false;
     let mut total = Capacity::default();
     for worker in workers.iter().filter(|w| w.region == region && !w.leaving) {
         let group = configuration.group(&worker.group);
@@ -47,7 +47,7 @@
         let Some(group) = group.filter(|g| g.model) else {
             continue;
         };
-        listed = true;
+        is_listed = true;
         if let Some(load) = loads.of(&worker.name).filter(|l| l.live) {
             let slots = u64::from(load.slots.max(1).min(group.slots));
             let steps = load.finished / u64::from(group.warm.after.max(1));
@@ -56,7 +56,7 @@
             total.warm += warm.min(slots);
         }
     }
-    listed.then_some(total)
+    is_listed.then_some(total)
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -65,14 +65,14 @@
     up_since: Option<Millis>,
 }
 
-/// Since when each region is without live workers, or has them again.
+/// Since when each region has had no live workers, or has had them again.
 #[derive(Clone, Debug, Default)]
 pub struct RegionWatch {
     regions: BTreeMap<u8, Liveness>,
 }
 
 impl RegionWatch {
-    /// The state that is due for a region, if it differs from `current`.
+    /// The state that is due for a region; `None` if it stays in `current`.
     pub fn next_state(
         &mut self,
         region: u8,
@@ -84,8 +84,8 @@
         if capacity.slots == 0 {
             liveness.up_since = None;
             let since = *liveness.down_since.get_or_insert(now);
-            let lost = now.saturating_sub(since) >= LOST_AFTER_MS;
-            return (lost && current != Recovery::Lost).then_some(Recovery::Lost);
+            let is_lost = now.saturating_sub(since) >= LOST_AFTER_MS;
+            return (is_lost && current != Recovery::Lost).then_some(Recovery::Lost);
         }
         liveness.down_since = None;
         if current == Recovery::Served {
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -1,4 +1,4 @@
-//! A core's status document: leaders, members, sessions and workers, as JSON.
+//! The status document of a core as JSON: leaders, members, sessions, workers.
 
 use super::membership::MembershipPolicy;
 use super::worker_list::WorkerListCache;
@@ -13,28 +13,29 @@
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
 
-/// Latencies are kept in tenths of a millisecond.
+/// Units of the latencies in `weight_tuning`: tenths of a millisecond.
 const LATENCY_UNITS_PER_MS: i64 = 10;
 
-/// The state of the idempotency claims.
+/// The part of the status about idempotency claims.
 pub(super) struct ClaimsStatus {
+    /// Number of claims in the table.
     pub remembered: usize,
     pub capacity: usize,
     /// Whether this core may vote on claims.
     pub can_vote: bool,
 }
 
-/// All that the status is made of.
+/// The state that the status document is made from.
 pub(super) struct StatusSources<'a> {
     pub own_hello: &'a Hello,
     pub site: &'a Site,
     pub stopping: bool,
-    /// Whether the last proof of leadership succeeded.
-    pub quorum: bool,
+    /// Whether the last confirmation of leadership succeeded.
+    pub has_quorum: bool,
     /// Wall-clock time in milliseconds since the Unix epoch.
     pub wall_ms: i64,
     pub policy: &'a MembershipPolicy,
-    /// None while this core is part of no site.
+    /// `None` until this core has bootstrapped or joined a site.
     pub consensus: Option<&'a Consensus<ReplicatedState>>,
     pub live_cores: BTreeSet<NodeId>,
     pub claims: ClaimsStatus,
@@ -44,7 +45,7 @@
     pub latencies: &'a Times,
 }
 
-/// A region's recovery state in words.
+/// A region's recovery state as the status document and log events show it.
 pub(super) fn recovery_text(state: Recovery) -> String {
     match state {
         Recovery::Served => "served".into(),
@@ -65,13 +66,13 @@
         let _ = doc.insert("id", hex(self.own_hello.id));
         let _ = doc.insert("founded", self.consensus.is_some());
         let _ = doc.insert("leaving", self.stopping);
-        let _ = doc.insert("quorum", self.quorum);
+        let _ = doc.insert("quorum", self.has_quorum);
         let _ = doc.insert("wall_ms", self.wall_ms);
         let _ = doc.insert("voters_wanted", self.policy.target_voters);
         if let Some(consensus) = self.consensus {
             self.put_consensus(&mut doc, consensus);
             self.put_members(&mut doc, consensus.members());
-            self.put_record(&mut doc, consensus.state_machine());
+            self.put_replicated_state(&mut doc, consensus.state_machine());
         }
         let _ = doc.insert("weights", self.weights());
         let _ = doc.insert("claims", self.claims());
@@ -79,8 +80,8 @@
         let _ = doc.insert("edges", self.edges());
         let _ = doc.insert("workers", self.workers());
         let _ = doc.insert("roster_serial", self.worker_list.version());
-        let problem = self.worker_list.last_error().map(str::to_string);
-        let _ = doc.insert("roster_problem", problem);
+        let read_error = self.worker_list.last_error().map(str::to_string);
+        let _ = doc.insert("roster_problem", read_error);
         doc
     }
 
@@ -108,8 +109,11 @@
         let _ = doc.insert("cores", cores);
         let voters = members.iter().filter(|member| member.voter).count();
         let _ = doc.insert("voters", voters);
-        let voter_mismatch = self.policy.voter_mismatch(members);
-        let _ = doc.insert("voters_differ", voter_mismatch.map(|why| why.to_string()));
+        let mismatch = self.policy.voter_mismatch(members);
+        let _ = doc.insert(
+            "voters_differ",
+            mismatch.map(|mismatch| mismatch.to_string()),
+        );
     }
 
     fn member(&self, member: &Member) -> Value {
@@ -123,32 +127,32 @@
         row
     }
 
-    fn put_record(&self, doc: &mut Value, record: &ReplicatedState) {
-        let _ = doc.insert("serial", record.version());
-        let _ = doc.insert("rev", record.revision());
-        let _ = doc.insert("epoch", record.epoch());
-        let _ = doc.insert("duty", hex(record.holder()));
-        let evacuated = record.view().evacuated;
+    fn put_replicated_state(&self, doc: &mut Value, state: &ReplicatedState) {
+        let _ = doc.insert("serial", state.version());
+        let _ = doc.insert("rev", state.revision());
+        let _ = doc.insert("epoch", state.epoch());
+        let _ = doc.insert("duty", hex(state.holder()));
+        let evacuated = state.view().evacuated;
         let zone_name = |zone: &u16| self.site.zone_name(*zone).to_string();
         let evacuated: Vec<String> = evacuated.iter().map(zone_name).collect();
         let _ = doc.insert("emptied", evacuated);
         let mut regions = Value::object();
         for (region, name) in self.site.regions.iter().enumerate() {
-            let _ = regions.insert(name.clone(), recovery_text(record.region(region as u8)));
+            let _ = regions.insert(name.clone(), recovery_text(state.region(region as u8)));
         }
         let _ = doc.insert("regions", regions);
     }
 
-    /// Every share with bounds of its own: its weight now, and the latency by
-    /// which this core tuned it while it held the singleton role.
+    /// One row per tunable share: its configured, current and limiting weights, and
+    /// the latency that this core measured while it held the singleton role.
     fn weights(&self) -> Vec<Value> {
-        let Some(record) = self.consensus.map(|c| c.state_machine()) else {
+        let Some(state) = self.consensus.map(|c| c.state_machine()) else {
             return Vec::new();
         };
-        let Some(configuration) = record.configuration() else {
+        let Some(configuration) = state.configuration() else {
             return Vec::new();
         };
-        let tuned = record.view().weights;
+        let tuned = state.view().weights;
         let routes = configuration.routes.iter().enumerate();
         let shares = routes.flat_map(|(index, route)| {
             let shares = route.shares.iter();
@@ -192,8 +196,8 @@
     }
 
     fn zones(&self) -> Vec<Value> {
-        let record = self.consensus.map(|c| c.state_machine());
-        let evacuated = record.map(|record| record.view().evacuated);
+        let state = self.consensus.map(|c| c.state_machine());
+        let evacuated = state.map(|state| state.view().evacuated);
         let sessions = self.edge_sessions.iter();
         crate::operator_api::zones(
             self.site,
