--- a/sorreldoor/src/control_plane/worker_list.rs
+++ b/sorreldoor/src/control_plane/worker_list.rs
@@ -1,26 +1,27 @@
-//! The list of workers on one core: when to read it, how a list without
-//! versions of its own is numbered, and the age of its timers.
+//! The newest list of workers on one core: schedules its reads, numbers lists that
+//! come without versions, and counts down their timers.
 
 use crate::discovery::{Worker, WorkerRegistry};
 use crate::types::Millis;
 use std::sync::Arc;
 
-/// A read that has not ended within this time counts as lost.
+/// A read that has not ended within this time no longer delays the next one.
 const READ_TIMEOUT_MS: Millis = 5000;
-/// The version of a list that was read by a core without the singleton role:
-/// below all versions that a holder of the role gives, above no list at all.
+/// Version of a list read by a core without the singleton role: lower than any
+/// version given by a holder of the role.
 const UNNUMBERED_VERSION: u64 = 1;
 
-/// The newest list that a core knows, and the schedule of reads.
+/// The newest known list and the schedule of its reads.
 #[derive(Clone, Debug)]
 pub struct WorkerListCache {
-    /// Interval between reads of a list that this core numbers itself; none
-    /// where lists have versions of their own.
+    /// Interval of reads where the holder of the singleton role numbers the lists;
+    /// `None` where lists have versions of their own and are read elsewhere.
     interval: Option<Millis>,
     next_read_at: Millis,
     reading_since: Option<Millis>,
-    /// Lists numbered by this incarnation, and the epoch of the last of them.
+    /// Number of lists that this incarnation has numbered.
     numbered: u64,
+    /// The epoch of the last list that this incarnation has numbered.
     numbered_epoch: u64,
     current: Option<Arc<WorkerRegistry>>,
     received_at: Millis,
@@ -28,7 +29,7 @@
 }
 
 impl WorkerListCache {
-    /// No list yet; `interval` is given where this core numbers the lists.
+    /// No list; `interval` is `None` where lists have versions of their own.
     pub fn new(interval: Option<Millis>, now: Millis) -> WorkerListCache {
         WorkerListCache {
             interval,
@@ -42,12 +43,12 @@
         }
     }
 
-    /// The newest list, with its timers as they were when it was received.
+    /// The newest list, with its timers as received.
     pub fn current(&self) -> Option<&Arc<WorkerRegistry>> {
         self.current.as_ref()
     }
 
-    /// The version of the newest list, or 0.
+    /// The version of the newest list; 0 without a list.
     pub fn version(&self) -> u64 {
         self.current.as_ref().map_or(0, |list| list.version)
     }
@@ -57,17 +58,17 @@
         self.current.as_ref().map_or(&[], |list| &list.workers)
     }
 
-    /// Why the last read failed.
+    /// Why the last read failed; `None` if it succeeded.
     pub fn last_error(&self) -> Option<&str> {
         self.last_error.as_deref()
     }
 
-    /// The newest list with its timers counted down to `now`.
+    /// The newest list, with its timers counted down to `now`.
     pub fn at(&self, now: Millis) -> Option<Arc<WorkerRegistry>> {
         let age = now.saturating_sub(self.received_at);
-        let timed = |w: &Worker| w.cold_ms > 0 || w.leaves_ms.is_some();
+        let has_timer = |w: &Worker| w.cold_ms > 0 || w.leaves_ms.is_some();
         self.current.as_ref().map(|list| {
-            if list.workers.iter().any(timed) {
+            if list.workers.iter().any(has_timer) {
                 Arc::new(list.aged(age))
             } else {
                 list.clone()
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Whether a read is due now; if so it counts as begun.
+    /// Whether a read is due now; if so it is recorded as started.
     pub fn begin_read(&mut self, now: Millis) -> bool {
         let Some(interval) = self.interval else {
             return false;
@@ -91,14 +92,15 @@
         true
     }
 
-    /// A read failed; true if the one before had not.
+    /// Records a failed read; returns whether the one before had succeeded.
     pub fn read_failed(&mut self, error: String) -> bool {
         self.reading_since = None;
         self.last_error.replace(error).is_none()
     }
 
-    /// A read returned `list`: what is to be adopted and broadcast, if anything.
-    /// `epoch` is that of the singleton role where this core holds it.
+    /// Records a successful read; returns the list to adopt and broadcast, with its
+    /// version, if it is new. `epoch` is that of the singleton role, `None` where
+    /// this core does not hold it.
     pub fn read_done(
         &mut self,
         list: WorkerRegistry,
@@ -119,15 +121,16 @@
         Some(Arc::new(WorkerRegistry { version, workers }))
     }
 
-    /// The version of a list under the holder's epoch, if it is a new list.
+    /// The next version of a list under the holder's epoch; `None` if the list has
+    /// not changed.
     fn next_version(&mut self, list: &WorkerRegistry, epoch: u64, now: Millis) -> Option<u64> {
         let age = now.saturating_sub(self.received_at);
         let same = self
             .current
             .as_ref()
             .is_some_and(|old| old.same(&list.workers, age));
-        // a new holder's first list must be newer than all that an older
-        // holder may still broadcast
+        // a new holder numbers its first list in any case, so that it is newer
+        // than any list that an earlier holder may still broadcast
         if same && self.numbered_epoch == epoch {
             return None;
         }
@@ -136,7 +139,7 @@
         Some((epoch << 32) | self.numbered)
     }
 
-    /// Applies a list if it is newer than the current one; true if so.
+    /// Applies a list if it is newer than the current one; returns whether it was.
     pub fn adopt(&mut self, list: Arc<WorkerRegistry>, now: Millis) -> bool {
         let newer = self
             .current
