--- a/sorreldoor/src/control_plane/connections.rs
+++ b/sorreldoor/src/control_plane/connections.rs
@@ -1,5 +1,5 @@
-//! Open connections to other nodes: who is at the other end of each, and when
-//! it last carried a frame in either direction.
+//! Open connections to other nodes: the node at the other end of each, and when
+//! a frame was last sent or received.
 
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
@@ -8,21 +8,21 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A core from which nothing came for longer is not counted as live.
+/// A core that has sent nothing for longer is not live.
 pub(super) const LIVE_MS: Millis = 1500;
-/// Broadcasts still go to a core that was silent for up to this long.
+/// Broadcasts still go to a core that has sent nothing for up to this time.
 pub(super) const REACHABLE_MS: Millis = 3000;
-/// Heartbeat interval of a connection that nothing depends on.
+/// Least heartbeat interval of a connection on which liveness does not depend.
 const SPARE_HEARTBEAT_MS: Millis = 1000;
-/// A heartbeat due within this time is sent with the current tick.
+/// A heartbeat that is due within this time is sent now.
 const HEARTBEAT_SLACK_MS: Millis = 50;
 
 /// One open connection.
 #[derive(Clone, Debug)]
 struct Connection {
-    /// The address this node dialled; none for an accepted connection.
+    /// The address that this node dialled; `None` for an accepted connection.
     dialled: Option<SocketAddr>,
-    /// The remote node, once it has introduced itself.
+    /// The hello of the remote node, once received.
     hello: Option<Hello>,
     received_at: Millis,
     sent_at: Millis,
@@ -45,7 +45,7 @@
 }
 
 impl Connections {
-    /// Add a connection that was just established.
+    /// Adds a connection that was just established.
     pub fn opened(&mut self, conn: Conn, dialled: Option<SocketAddr>, now: Millis) {
         let connection = Connection {
             dialled,
@@ -56,38 +56,38 @@
         self.connections.insert(conn, connection);
     }
 
-    /// Remove a connection; returns the node it led to, if that was known.
+    /// Removes a connection; returns the hello of its remote node, if received.
     pub fn closed(&mut self, conn: Conn) -> Option<Hello> {
         self.connections.remove(&conn)?.hello
     }
 
-    /// A frame arrived.
+    /// Records that a frame was received.
     pub fn received(&mut self, conn: Conn, now: Millis) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.received_at = now;
         }
     }
 
-    /// A frame is being sent.
+    /// Records that a frame is sent.
     pub fn sent(&mut self, conn: Conn, now: Millis) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.sent_at = now;
         }
     }
 
-    /// The remote node has introduced itself. Returns the connections that are
-    /// dead for certain: those to an earlier incarnation of a core, and those to
-    /// another identity at its address, whose disk was lost. Without a reset
-    /// from the peer's machine this end could not tell.
+    /// Records the hello of a remote node. Returns the connections that it
+    /// supersedes: those to an earlier incarnation of a core, and those to another
+    /// id at its address, whose disk was lost. They are dead, but without a reset
+    /// from the peer's machine they would stay open here.
     #[must_use]
     pub fn identify(&mut self, conn: Conn, hello: Hello) -> Vec<Conn> {
         let is_superseded = |other: &Hello| {
             if broken(Invariant::Superseded) {
                 return false;
             }
-            let same_identity = other.id == hello.id;
-            let restarted = same_identity && other.incarnation != hello.incarnation;
-            restarted || (!same_identity && other.addr == hello.addr)
+            let same_id = other.id == hello.id;
+            let restarted = same_id && other.incarnation != hello.incarnation;
+            restarted || (!same_id && other.addr == hello.addr)
         };
         let superseded = self.connections.iter().filter(|(other, connection)| {
             **other != conn && hello.core && connection.core().is_some_and(is_superseded)
@@ -99,17 +99,17 @@
         superseded
     }
 
-    /// The remote node, once it has introduced itself.
+    /// The hello of the remote node, if received.
     pub fn hello(&self, conn: Conn) -> Option<&Hello> {
         self.connections.get(&conn)?.hello.as_ref()
     }
 
-    /// The address that was dialled to open this connection.
+    /// The address that was dialled to open a connection; `None` if it was accepted.
     pub fn dialled(&self, conn: Conn) -> Option<SocketAddr> {
         self.connections.get(&conn)?.dialled
     }
 
-    /// Whether a connection is gone or received nothing since `limit`.
+    /// Whether a connection is closed or has received nothing since `limit`.
     pub fn silent_since(&self, conn: Conn, limit: Millis) -> bool {
         let connection = self.connections.get(&conn);
         connection.is_none_or(|connection| connection.received_at < limit)
@@ -126,10 +126,10 @@
         cores.map(|(conn, _)| *conn).collect()
     }
 
-    /// The connection to use towards a node: a live one before a silent one,
-    /// which may be dead at the other end; of the live ones one that this node
-    /// dialled; then the one that received a frame last.
-    pub fn to(&self, id: NodeId) -> Option<Conn> {
+    /// The connection to send on to a node: a live one before a silent one, which
+    /// may be dead at the other end; then one that this node dialled; then the one
+    /// that received a frame last.
+    pub fn preferred_to(&self, id: NodeId) -> Option<Conn> {
         let to_node = self.connections.iter().filter(|(_, c)| c.is_to(id));
         let last_received = to_node.clone().map(|(_, c)| c.received_at).max()?;
         let live_since = last_received.saturating_sub(LIVE_MS);
@@ -143,11 +143,11 @@
             .map(|(conn, _)| *conn)
     }
 
-    /// Cores from which a frame came since `limit`, by identity, each with a
-    /// connection to send on.
+    /// Cores that have sent a frame since `limit`, by id, each with a connection to
+    /// send on.
     pub fn cores_since(&self, limit: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
         let mut cores = BTreeMap::new();
-        // a dialled connection is preferred, so it is inserted last
+        // dialled connections are inserted last, which makes them the preferred ones
         for dialled in [false, true] {
             for (conn, connection) in &self.connections {
                 let live = connection.received_at >= limit;
@@ -160,9 +160,9 @@
         cores
     }
 
-    /// Cores from which a frame came since `limit`, one for each address: the
-    /// most recent. The connection of a process that was replaced at the same
-    /// address stays open for a while.
+    /// Cores that have sent a frame since `limit`, one per address: the one with the
+    /// last frame. A process that was replaced at its address may still have an
+    /// open connection.
     pub fn newest_core_by_address(&self, limit: Millis) -> Vec<Hello> {
         let mut newest: BTreeMap<&str, (Millis, &Hello)> = BTreeMap::new();
         for connection in self.connections.values() {
@@ -178,7 +178,8 @@
         newest.into_values().map(|(_, h)| h.clone()).collect()
     }
 
-    /// Connections on which nothing was sent for about `interval`.
+    /// Connections on which nothing was sent for about `interval`, or for at least
+    /// `SPARE_HEARTBEAT_MS` on spare ones.
     pub fn heartbeats_due(&self, interval: Millis, now: Millis) -> Vec<Conn> {
         let due = |conn: Conn, connection: &Connection| {
             let interval = if self.is_spare(conn, connection) {
@@ -195,11 +196,11 @@
             .collect()
     }
 
-    /// Of two connections between the same cores one carries all frames; the
-    /// other only has to stay open. So has an edge's, which gets its grants.
+    /// Whether a connection only has to stay open: of several between two cores, all
+    /// but the preferred one; and an edge's, which carries grants in any case.
     fn is_spare(&self, conn: Conn, connection: &Connection) -> bool {
         match &connection.hello {
-            Some(hello) if hello.core => self.to(hello.id) != Some(conn),
+            Some(hello) if hello.core => self.preferred_to(hello.id) != Some(conn),
             Some(_) => true,
             None => false,
         }
--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -31,7 +31,7 @@
         match effect {
             Effect::Save { seq, save } => self.effects.push(ControllerEffect::Save(seq, save)),
             Effect::Send { to, msg } => {
-                if let Some(conn) = self.connections.to(to) {
+                if let Some(conn) = self.connections.preferred_to(to) {
                     self.send(conn, Payload::Consensus(msg));
                 }
             }
--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -30,7 +30,7 @@
         let hello = self.connections.closed(conn);
         self.end_session(conn);
         let core = hello.filter(|hello| hello.core).map(|hello| hello.id);
-        if let Some(id) = core.filter(|id| self.connections.to(*id).is_none()) {
+        if let Some(id) = core.filter(|id| self.connections.preferred_to(*id).is_none()) {
             self.step_consensus(Event::Disconnected { id });
         }
     }
