--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -1,5 +1,5 @@
-//! Updates of the record for edges: encoded once for all that lack the same
-//! revisions, with flow control for large ones.
+//! Updates of the replicated state for edges: encoded once for all edges with the
+//! same base revision, with flow control for large updates.
 
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
@@ -8,12 +8,13 @@
 use crate::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::collections::BTreeMap;
 
-/// Bytes of large updates in flight from one core, at most: what a link of
-/// 100 Mbit/s carries in a third of a second.
+/// Maximum bytes of large updates in flight from one core: a third of a second on
+/// a link of 100 Mbit/s.
 pub const MAX_IN_FLIGHT: usize = 4 << 20;
-/// A large update that was not acknowledged within this time counts as lost.
+/// A large update that is not acknowledged within this time is no longer in
+/// flight, and is sent again.
 const TRANSFER_TIMEOUT_MS: Millis = 3000;
-/// Base revisions for which an encoded update is cached, at most.
+/// Number of cached updates above which the cache is cleared.
 const MAX_ENCODED: usize = 64;
 
 /// A large update in flight.
@@ -27,30 +28,31 @@
 /// What an edge should be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextUpdate {
-    /// It has the newest revision.
+    /// Nothing: it has the newest revision.
     UpToDate,
     /// Send this update.
     Send(EncodedUpdate),
-    /// There is a newer revision, but the edge should ask again: too much is in
-    /// flight, or it has not acknowledged the previous update.
+    /// Nothing for now, although there is a newer revision: too much is in flight, or
+    /// the edge has not acknowledged the previous update. It should ask again.
     Withheld,
 }
 
-/// Encoded updates, and the large ones that are in flight.
+/// The cache of encoded updates, and the large updates in flight.
 #[derive(Default)]
 pub struct Updates {
     /// The revision that the cached updates lead to.
     revision: u64,
-    /// By base revision.
+    /// Encoded updates by base revision.
     encoded: BTreeMap<u64, EncodedUpdate>,
+    /// Large updates in flight, at most one per connection.
     transfers: BTreeMap<Conn, Transfer>,
 }
 
 impl Updates {
-    /// What an edge that has revision `known` should be sent now.
+    /// The update that an edge with revision `known` should be sent now.
     pub fn next(
         &mut self,
-        record: &ReplicatedState,
+        state: &ReplicatedState,
         conn: Conn,
         known: u64,
         now: Millis,
@@ -59,7 +61,7 @@
         if self.transfers.get(&conn).is_some_and(acknowledged) {
             self.transfers.remove(&conn);
         }
-        if record.revision() <= known {
+        if state.revision() <= known {
             return NextUpdate::UpToDate;
         }
         self.transfers
@@ -67,7 +69,7 @@
         if self.transfers.contains_key(&conn) {
             return NextUpdate::Withheld;
         }
-        let update = self.encoded(record, known);
+        let update = self.encoded(state, known);
         let bytes = update.bytes.len();
         if bytes > LARGE_UPDATE && !broken(Invariant::CopiesBounded) {
             if !self.has_capacity(bytes) {
@@ -83,12 +85,12 @@
         NextUpdate::Send(update)
     }
 
-    /// A connection has closed; nothing is in flight on it any more.
+    /// Forgets a connection that has closed, and what was in flight on it.
     pub fn closed(&mut self, conn: Conn) {
         self.transfers.remove(&conn);
     }
 
-    /// Bytes of large updates that were sent and not acknowledged yet.
+    /// Bytes of large updates in flight.
     pub fn in_flight(&self) -> usize {
         self.transfers.values().map(|t| t.bytes).sum()
     }
@@ -98,12 +100,12 @@
         in_flight == 0 || in_flight + bytes <= MAX_IN_FLIGHT
     }
 
-    fn encoded(&mut self, record: &ReplicatedState, from: u64) -> EncodedUpdate {
-        if self.revision != record.revision() || self.encoded.len() > MAX_ENCODED {
+    fn encoded(&mut self, state: &ReplicatedState, base: u64) -> EncodedUpdate {
+        if self.revision != state.revision() || self.encoded.len() > MAX_ENCODED {
             self.encoded.clear();
-            self.revision = record.revision();
+            self.revision = state.revision();
         }
-        let encode = || EncodedUpdate::new(&record.delta_since(from));
-        self.encoded.entry(from).or_insert_with(encode).clone()
+        let encode = || EncodedUpdate::new(&state.delta_since(base));
+        self.encoded.entry(base).or_insert_with(encode).clone()
     }
 }
