--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys: frames and the timer in, the part's effects carried out.
+//! Idempotency keys: converts frames and timer ticks to events of the part, and
+//! carries out its effects.
 
 use super::Controller;
 use crate::consensus::Save;
@@ -10,7 +11,7 @@
 use crate::wire::{Hello, Payload};
 use std::collections::BTreeSet;
 
-/// Name of the stored value that this core has caught up on the claims.
+/// Store key of the mark that this core has caught up on the claims.
 const CAUGHT_UP_KEY: &str = "sure";
 
 impl Controller {
@@ -23,6 +24,7 @@
         self.idempotency_event(Event::Tick { peers });
     }
 
+    /// Passes one event to the part and carries out its effects.
     pub(in crate::control_plane) fn idempotency_event(&mut self, event: Event) {
         let consensus = self.consensus.as_ref();
         let context = Context {
@@ -67,7 +69,8 @@
         }
     }
 
-    /// Saves with the log's own saves; the sequence number of the save.
+    /// Saves claims in one sequence with the log's saves. Returns the number of the
+    /// save; `None` without a replica.
     fn save_claims(&mut self, save: Save) -> Option<u64> {
         let (seq, effects) = self.consensus.as_mut()?.save_beside_log(save);
         for effect in effects {
@@ -76,7 +79,8 @@
         Some(seq)
     }
 
-    /// Sends to every live peer that votes, or that may vote soon.
+    /// Sends to every live core that is a voter or belongs to the site and may
+    /// become one.
     fn broadcast_claim(&mut self, payload: Payload, except: &BTreeSet<NodeId>) {
         let voters = self.voter_ids();
         let targets: Vec<Conn> = self
@@ -114,7 +118,7 @@
     }
 }
 
-/// The event of a frame that only cores may send; the frame if it is another.
+/// Converts a frame that only cores may send; returns any other frame as error.
 #[allow(clippy::result_large_err)]
 pub(super) fn peer_event(conn: Conn, from: &Hello, payload: Payload) -> Result<Event, Payload> {
     Ok(match payload {
@@ -142,7 +146,7 @@
     })
 }
 
-/// The event of a frame that any node may send, if it concerns claims.
+/// Converts a frame about claims that any node may send; `None` for other frames.
 pub(super) fn edge_event(conn: Conn, payload: Payload) -> Option<Event> {
     match payload {
         Payload::Claim { request_id, claim } => Some(Event::Claim {
--- a/sorreldoor/src/control_plane/controller/quotas.rs
+++ b/sorreldoor/src/control_plane/controller/quotas.rs
@@ -1,5 +1,5 @@
-//! Quotas of tenants: what edges report, what the cores tell one another, and
-//! what edges are answered.
+//! Quotas of tenants: adds up the usage that edges and other cores report, and
+//! sends edges the shares of the tenants that are limited.
 
 use super::Controller;
 use crate::net::Conn;
@@ -8,11 +8,12 @@
 use crate::wire::Payload;
 use std::collections::BTreeSet;
 
-/// Milliseconds between two reports of totals to the other cores.
+/// Interval of the reports of usage totals to the other cores.
 const USAGE_REPORT_MS: Millis = 100;
 
 impl Controller {
-    /// Counts what an edge reports, and answers which tenants are limited.
+    /// Records the usage that an edge reports, and answers with the shares of the
+    /// limited tenants.
     pub(super) fn on_usage_report(&mut self, conn: Conn, report: &UsageReport) {
         self.usage.record(&report.usage, self.now);
         let update = AdmissionUpdate {
@@ -22,17 +23,18 @@
         self.send(conn, Payload::AdmissionUpdate(update));
     }
 
-    /// Follows the configuration and the edges, and reports to other cores.
+    /// Periodic step: applies changed quotas and the current edges, and exchanges
+    /// totals with the other cores.
     pub(super) fn tick_quotas(&mut self) {
         if self.now < self.usage_report_at {
             return;
         }
         self.usage_report_at = self.now + USAGE_REPORT_MS;
-        self.follow_quotas();
+        self.apply_quotas();
         if !self.usage.has_quotas() {
             return;
         }
-        self.count_edges();
+        self.update_edges();
         let totals = self.usage.take_totals();
         for conn in self.reachable_cores() {
             self.send(conn, Payload::UsageTotals(totals.clone()));
@@ -40,18 +42,19 @@
         self.announce_shares();
     }
 
-    /// Edges of a core that was cut off a moment ago still have sessions there,
-    /// and what they use is not heard of any more.
-    fn count_edges(&mut self) {
-        let is_heard = |core| self.usage.hears_from(core, self.now);
-        let sessions = self.sessions.sessions_of(is_heard);
+    /// Sets the edges among which quotas are shared: those with a session on this
+    /// core or on one that reports usage. A core that was partitioned a moment ago
+    /// may still have sessions, but the usage of its edges is missing.
+    fn update_edges(&mut self) {
+        let reports_usage = |core| self.usage.hears_from(core, self.now);
+        let sessions = self.sessions.sessions_of(reports_usage);
         let names: BTreeSet<String> = sessions.map(|s| s.hello.node.clone()).collect();
         let names = names.iter().map(String::as_str);
         self.usage.set_edges(names, self.now);
     }
 
-    /// Tells all edges who is limited: one that has no request of a tenant now
-    /// may have its next.
+    /// Sends new shares to all edges, also to those without requests of the limited
+    /// tenants, which may receive the next one.
     fn announce_shares(&mut self) {
         let Some(shares) = self.usage.announcement(self.now) else {
             return;
@@ -65,7 +68,8 @@
         }
     }
 
-    fn follow_quotas(&mut self) {
+    /// Applies the quotas of the configuration if the replicated state has changed.
+    fn apply_quotas(&mut self) {
         let Some(consensus) = self.consensus.as_ref() else {
             return;
         };
