--- a/sorreldoor/src/control_plane/mod.rs
+++ b/sorreldoor/src/control_plane/mod.rs
@@ -1,25 +1,26 @@
-//! The control plane: the core node, its parts, and the router between them.
+//! The control plane: a core node, its parts, and the reducer that connects them.
 //!
 //! [`Controller`] is a reducer: events in, effects out. It routes each event to
-//! the part that owns the state concerned, and turns what the part returns into
-//! effects, which the daemon carries out. No part knows the controller.
+//! the part that owns the state concerned, and converts the part's results into
+//! effects, which the daemon carries out. No part depends on the controller.
 //!
 //! | part | owns |
 //! | --- | --- |
-//! | `connections` | open connections, and when each was last used |
-//! | `sessions` | edges' sessions here and on other cores; the endpoint list |
-//! | `distribution`, `updates` | deltas to edges, and large updates in flight |
-//! | `reads` | linearizable reads that wait for a proof of leadership |
-//! | `proposals` | who waits for the outcome of a change; ids |
-//! | `bootstrap` | the promised founders; addresses of the other cores |
+//! | `connections` | open connections, and when each last carried a frame |
+//! | `sessions` | sessions of edges on this core and on others; the endpoint list |
+//! | `distribution`, `updates` | the state sent to edges, and large updates in flight |
+//! | `reads` | linearizable reads that wait for a confirmation of leadership |
+//! | `proposals` | requesters that wait for the outcome of a change; ids |
+//! | `bootstrap` | the promised founders; addresses of other cores |
 //! | `idempotency` | claims on request ids: the claim table, votes, catch-up |
-//! | `membership` | the policy of voters, and which cores are stopping |
-//! | `singleton` | the singleton role: polls, regions, weight tuning |
-//! | `worker_list`, `load_table` | the list of workers, and their loads |
+//! | `membership` | the membership policy, and which cores are stopping |
+//! | `singleton` | the singleton role: load polls, region recovery, weight tuning |
+//! | `worker_list`, `load_table` | the list of workers; their loads |
 //!
 //! Around the controller, `daemon` runs the event loop, `storage_driver` writes
-//! the store, `polling` reads the platform and the workers, `client` is the
-//! handle of other tasks, and `api` serves operators over HTTP.
+//! the store, `polling` polls the platform and the workers, `client` is the handle
+//! for other tasks, `integration` has the traits that a platform implements, and
+//! `api` serves operators over HTTP.
 
 mod api;
 mod bootstrap;
