--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the controller's reducer.
+//! The events, effects and configuration of the controller's reducer.
 
 use super::membership::MembershipPolicy;
 use crate::configuration::Site;
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Who waits for the outcome of a change.
+/// The requester that waits for the outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Requester {
     /// A local HTTP request.
@@ -23,7 +23,7 @@
         /// Names the request within this process.
         request_id: u64,
     },
-    /// An edge that has forwarded an operator's request.
+    /// An edge that forwarded an operator's request.
     Edge {
         /// The edge's connection.
         conn: Conn,
@@ -32,12 +32,12 @@
     },
 }
 
-/// Where a worker reports its load.
+/// A worker and the address at which it reports its load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerAddress {
     /// The worker's name in the list of workers.
     pub name: String,
-    /// Where its load is polled.
+    /// Address of its load report.
     pub address: SocketAddr,
 }
 
@@ -56,7 +56,7 @@
     SaveFailed(String),
     /// All pending saves have been synced after all.
     SaveRecovered,
-    /// Propose a change of the configuration, for a local request.
+    /// Propose a change for a local request.
     Change {
         /// Id that `ChangeDone` carries.
         request_id: u64,
@@ -65,7 +65,7 @@
         /// The change.
         command: Command,
     },
-    /// Remove a core from the membership; from `ctl`.
+    /// Remove a core from the membership, for a local request.
     RemoveCore {
         /// Id that `ChangeDone` carries.
         request_id: u64,
@@ -74,28 +74,28 @@
         /// The core to remove.
         core: NodeId,
     },
-    /// Read the status and the replicated state.
+    /// Read the status document and the replicated state.
     ReadStatus {
         /// Id that `StatusReady` carries.
         request_id: u64,
     },
-    /// Read the replicated state alone; the status document is expensive.
+    /// Read the replicated state without the status document, which is expensive.
     ReadView {
         /// Id that `ViewReady` carries.
         request_id: u64,
     },
-    /// Read the outcome of a proposal, once this core is proved current.
+    /// Read the outcome of a proposal, once this core is confirmed current.
     ReadOutcome {
         /// Id that `ChangeDone` carries.
         request_id: u64,
-        /// Id of the proposal asked for.
+        /// Id of the proposal.
         proposal_id: ProposalId,
     },
     /// A read of the worker list has ended.
     WorkerListRead(Result<WorkerRegistry, String>),
     /// A poll of the workers' loads has ended.
     LoadsPolled {
-        /// Epoch of the singleton role that the poll was started under.
+        /// Epoch of the singleton role under which the poll was started.
         epoch: u64,
         /// The load of each worker polled.
         loads: Vec<Load>,
@@ -107,11 +107,12 @@
 /// An action that the controller requests; actions are carried out in order.
 #[derive(Debug)]
 pub enum ControllerEffect {
-    /// Append to the store; `ControllerEvent::Saved` reports the number back.
+    /// Append to the store; `ControllerEvent::Saved` reports this number once it is
+    /// synced.
     Save(u64, Save),
-    /// Store a small named value, synced before any later effect.
+    /// Store a small value under a key, synced before any later effect.
     StoreValue(&'static str, Vec<u8>),
-    /// Send a frame; it is dropped where the send queue is full.
+    /// Send a frame; it is dropped if the send queue is full.
     Send(Conn, Payload),
     /// Keep a connection to this address open, and reconnect when it is lost.
     Connect(SocketAddr),
@@ -123,10 +124,10 @@
     ChangeDone {
         /// Id of the event that requested it.
         request_id: u64,
-        /// The result, or that it is not known.
+        /// The outcome, which may be that it is unknown.
         outcome: OpOutcome,
     },
-    /// The status may be read now; `proved` if the state is proved current.
+    /// The status and the state may be read now.
     StatusReady {
         /// Id of the event that requested it.
         request_id: u64,
@@ -140,12 +141,12 @@
         /// Whether a majority confirmed that the state is current.
         confirmed: bool,
     },
-    /// Read the list of workers; it comes as `ControllerEvent::WorkerListRead`.
+    /// Read the list of workers; `ControllerEvent::WorkerListRead` has the result.
     ReadWorkerList,
-    /// Poll these workers' loads; they come as `ControllerEvent::LoadsPolled` under
-    /// the same epoch.
+    /// Poll these workers' loads; `ControllerEvent::LoadsPolled` has the result,
+    /// under the same epoch.
     PollLoads {
-        /// Epoch of the singleton role that the poll runs under.
+        /// Epoch of the singleton role under which the poll runs.
         epoch: u64,
         /// The workers to poll.
         workers: Vec<WorkerAddress>,
@@ -154,40 +155,43 @@
     Log(LogEvent, String),
 }
 
-/// What a controller starts from.
+/// The settings and stored values that a controller starts with.
 pub struct ControllerConfig {
-    /// How this node introduces itself.
+    /// The hello that this node sends on each connection.
     pub own_hello: Hello,
     /// Names of the site's regions and zones.
     pub site: Arc<Site>,
     /// Addresses to connect to before the members are known.
     pub seed_addresses: Vec<SocketAddr>,
-    /// Number of cores that bootstrap the site.
+    /// Number of cores that bootstrap the site together.
     pub founder_count: usize,
-    /// How many voters there should be, and how they are spread.
+    /// The required number and distribution of voters.
     pub membership_policy: MembershipPolicy,
     /// Time-outs of consensus.
     pub timing: Timing,
     /// Seed of the random election time-outs.
     pub seed: u64,
-    /// The bootstrap members that an earlier incarnation promised to join.
+    /// The founders that an earlier incarnation promised, from the store.
     pub promised_founders: Option<Vec<Member>>,
-    /// An earlier incarnation has caught up on the idempotency claims.
+    /// Whether an earlier incarnation has caught up on the idempotency claims.
     pub claims_caught_up: bool,
-    /// Idempotency keys remembered at most.
+    /// Maximum number of idempotency claims in the table.
     pub max_claims: usize,
-    /// Whether a blank core may bootstrap a site; otherwise it only joins one.
+    /// Whether this core, if blank, may bootstrap a site; otherwise it only joins
+    /// one.
     pub may_bootstrap: bool,
-    /// Whether the seeds bootstrap the site and further cores join it.
+    /// Whether only the cores at the seed addresses bootstrap the site; further ones
+    /// join it.
     pub only_seeds_bootstrap: bool,
     /// Intervals of periodic work.
     pub pacing: Pacing,
-    /// Interval at which the holder of the singleton role reads the list of
-    /// workers and numbers it; none where lists have versions of their own.
+    /// Interval at which the holder of the singleton role reads and numbers the list
+    /// of workers; `None` where lists have versions of their own.
     pub worker_poll_ms: Option<Millis>,
 }
 
-/// Elections and commits go before the work for edges and operators.
+/// Events on which elections and commits depend go before the work for edges and
+/// operators.
 impl Prioritized for ControllerEvent {
     fn is_urgent(&self) -> bool {
         match self {
