--- a/sorreldoor/src/control_plane/polling.rs
+++ b/sorreldoor/src/control_plane/polling.rs
@@ -1,5 +1,5 @@
-//! Polls of the platform and of the workers; each result becomes an event for
-//! the controller.
+//! Polls of the platform's worker list and of the workers' loads. Each result is
+//! sent to the controller as an event.
 
 use super::events::{ControllerEvent, WorkerAddress};
 use super::integration::WorkerSource;
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A worker that does not report its load within this time is not live.
+/// Time within which a live worker reports its load.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(400);
-/// A load report is no longer than this.
+/// Maximum size of a load report.
 const MAX_LOAD_BYTES: usize = 1 << 16;
 
 /// Reads the list of workers once; false if the controller has stopped.
@@ -58,7 +58,7 @@
         .await;
 }
 
-/// The load of one worker; not live if it gives no valid report.
+/// The load of one worker; not live without a valid report in time.
 async fn poll_load(address: SocketAddr, name: String) -> Load {
     let result = http::call(address, Call::get("/load"), MAX_LOAD_BYTES, LOAD_TIMEOUT).await;
     let response = result.ok().filter(|response| response.status == 200);
