--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -1,5 +1,5 @@
-//! Storage: the store is opened with retries, written by a thread of its own,
-//! and retried after an error.
+//! Storage: opens the store, and writes it on a thread of its own. Failed disk
+//! operations are retried.
 
 use super::events::ControllerEvent;
 use crate::consensus::Save;
@@ -16,19 +16,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Saves that may wait for the disk.
+/// Maximum number of queued saves.
 const MAX_QUEUED: usize = 4096;
-/// Saves that share one sync.
+/// Maximum number of saves in one sync.
 const MAX_BATCH: usize = 256;
-/// A save that takes longer is logged.
+/// Duration above which a save is logged as slow.
 const SLOW_SAVE: Duration = Duration::from_millis(200);
 /// Delay before a failed disk operation is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Opens the store; retries while the disk is full or fails.
+/// Opens the store; retries transient errors, such as a full disk, without limit.
 ///
 /// # Errors
-/// Where a retry cannot help: the folder is missing or not accessible.
+/// If the error is permanent, such as a missing or inaccessible folder.
 pub(super) fn open(folder: &Path) -> Result<DurableStore<Directory>, StartError> {
     let mut failed_before = false;
     let opened = loop {
@@ -54,10 +54,10 @@
     if torn {
         log_event(LogEvent::TornWrite, folder.display());
     }
-    if let Some(what) = damage {
+    if let Some(damage) = damage {
         log_event(
             LogEvent::DiskCorrupt,
-            format!("{}: {what}", folder.display()),
+            format!("{}: {damage}", folder.display()),
         );
     }
     Ok(store)
@@ -76,7 +76,8 @@
     )
 }
 
-/// The core's identity: random, drawn once, synced before it is used.
+/// The core's id from the store; a blank store gets a random one, which is synced
+/// before it is used.
 pub(super) fn identity(store: &mut DurableStore<Directory>) -> u64 {
     if let Some(id) = store.value("identity").and_then(decode::<u64>) {
         return id;
@@ -101,14 +102,14 @@
     }
 }
 
-/// Queues saves for the thread that writes the store.
+/// Hands saves to the thread that writes the store.
 pub(super) struct StorageDriver<S> {
     store: Arc<Mutex<S>>,
     saves: Sender<(u64, Save)>,
 }
 
 impl<S: Store + 'static> StorageDriver<S> {
-    /// Starts the thread; it reports the end of each save to `events`.
+    /// Starts the thread, which sends the result of each batch to `events`.
     pub(super) fn start(store: S, events: EventSender<ControllerEvent>) -> StorageDriver<S> {
         let store = Arc::new(Mutex::new(store));
         let (saves, queued) = bounded(MAX_QUEUED);
@@ -117,18 +118,17 @@
         StorageDriver { store, saves }
     }
 
-    /// Queues a save. Where the disk has stalled for so long that the queue is
-    /// full, the process exits: a dropped save must never look like a durable
-    /// one, and the other cores replicate again what was queued.
+    /// Queues a save. If the queue is full, because the disk has stalled for long, the
+    /// process exits: a save must not be dropped while later ones succeed. The other
+    /// cores replicate the queued entries again after a restart.
     pub(super) fn save(&self, seq: u64, save: Save) {
         if self.saves.try_send((seq, save)).is_err() {
-            log_event(LogEvent::DiskFailed, "too many saves are queued; exiting");
+            log_event(LogEvent::DiskFailed, "the queue of saves is full; exiting");
             std::process::exit(1);
         }
     }
 
-    /// Stores a small named value; returns once it is synced, however long that
-    /// takes.
+    /// Stores a small value under a name; retries until it is synced.
     pub(super) fn put(&self, name: &str, value: &[u8]) {
         retry_until_synced(|| locked(&self.store).put(name, value));
     }
@@ -140,8 +140,8 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Writes the queued saves with one sync for all; none once the controller has
-/// stopped.
+/// Writes the queued saves with one sync, retrying until that succeeds; `None`
+/// once the controller has stopped.
 fn save_next<S: Store>(
     store: &Mutex<S>,
     queued: &Receiver<(u64, Save)>,
@@ -176,7 +176,7 @@
     Some(())
 }
 
-/// The lock is released between attempts and while the event queue is full.
+/// One attempt to write a batch. The store is locked for this attempt only.
 fn save_once<S: Store>(store: &Mutex<S>, batch: &[(u64, Save)]) -> io::Result<()> {
     locked(store).save(batch)
 }
