--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -1,4 +1,5 @@
-//! The core's daemon: the threads, tasks and queues around the controller.
+//! The daemon of a core: starts the threads, tasks and queues around the
+//! controller, and carries out its effects.
 
 use super::api::HttpOperatorServer;
 use super::client::{ControllerClient, ControllerReply, StateSnapshot};
@@ -28,29 +29,28 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Between two publications of the metrics.
+/// Interval at which the metrics are published.
 const METRICS_INTERVAL: Duration = Duration::from_millis(500);
-/// Events that may wait for the controller.
-const EVENT_QUEUE: usize = 4096;
-/// A stopping core runs on for this long, so that what was just acknowledged
-/// still reaches the other cores.
+/// Maximum number of events queued for the controller.
+const MAX_QUEUED_EVENTS: usize = 4096;
+/// Time for which a stopping core runs on, so that it can replicate what it has
+/// just acknowledged.
 const STOP_DELAY: Duration = Duration::from_millis(300);
-/// After this further time open HTTP requests are abandoned.
+/// Further time for open HTTP requests to complete.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs a core until it is told to stop.
+/// Runs a core until the process receives a signal to stop.
 ///
 /// # Errors
-/// Why the core cannot start.
+/// If the core cannot start.
 pub fn run(settings: Settings) -> Result<(), StartError> {
     run_with_store(settings, runtime::SystemClock::default(), |store| store)
 }
 
-/// With the product's own list of workers and HTTP interface, another clock,
-/// and a wrapper around the store.
+/// Like [`run`], with the given clock and a wrapper around the store.
 ///
 /// # Errors
-/// Why the core cannot start.
+/// If the core cannot start.
 pub fn run_with_store<C, S>(
     settings: Settings,
     clock: C,
@@ -69,11 +69,11 @@
     run_with_integrations(settings, clock, wrap_store, source, server)
 }
 
-/// Runs a core until it is told to stop, with a list of workers from `source`
-/// and operators' requests served by `server`.
+/// Like [`run_with_store`], with the list of workers from `source`, and operators'
+/// requests served by `server` instead of the product's own HTTP interface.
 ///
 /// # Errors
-/// Why the core cannot start.
+/// If the core cannot start.
 pub fn run_with_integrations<C, S>(
     settings: Settings,
     clock: C,
@@ -88,7 +88,7 @@
     let settings = Arc::new(settings);
     let mut store = storage_driver::open(&settings.data.clone().unwrap_or_default())?;
     let id = storage_driver::identity(&mut store);
-    let (events, queue) = runtime::event_queue(EVENT_QUEUE);
+    let (events, queue) = runtime::event_queue(MAX_QUEUED_EVENTS);
     let address = settings.listen.context(NoListenAddressSnafu)?;
     let listener = bind("listen", address)?;
     let config = controller_config(&settings, &store, id, address, source.as_deref());
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-/// Serves connections of other nodes; what they send becomes events.
+/// Starts to accept connections of other nodes; their frames become events.
 fn start_net(
     settings: &Settings,
     listener: TcpListener,
@@ -135,7 +135,7 @@
     net
 }
 
-/// What the controller starts from, by the settings and the store.
+/// The controller's configuration, from the settings and the store.
 fn controller_config(
     settings: &Settings,
     store: &DurableStore<Directory>,
@@ -167,7 +167,7 @@
         promised_founders: store.value("promise").and_then(decode::<Vec<Member>>),
         claims_caught_up: store.value("sure").is_some(),
         max_claims: settings.max_claims,
-        // a core that lost its state to damage was a member once
+        // a core whose damaged state was discarded had already joined the site
         may_bootstrap: settings.bootstrap && !store.must_rejoin(),
         only_seeds_bootstrap: settings.grow,
         pacing: settings.pacing.clone(),
@@ -175,7 +175,7 @@
     }
 }
 
-/// Serves the core's metrics, where the settings ask for them.
+/// Serves the core's metrics if the settings have an endpoint for them.
 fn start_metrics(settings: &Settings, client: &ControllerClient) -> Result<(), StartError> {
     let Some(endpoint) = settings.metrics.clone() else {
         return Ok(());
@@ -187,8 +187,8 @@
     Ok(())
 }
 
-/// Starts the tasks that send ticks, the stop signal and, where every core
-/// reads them, lists of workers.
+/// Starts the tasks that send ticks, the stop signal and, if `source` has versions
+/// of its own, lists of workers.
 fn start_event_sources(
     settings: &Settings,
     source: Option<&Arc<dyn WorkerSource>>,
@@ -212,7 +212,7 @@
     storage: StorageDriver<S>,
     events: EventSender<ControllerEvent>,
     gate: http::Gate,
-    /// When to end, once the process was told to stop.
+    /// When the event loop may end; set once the controller is stopping.
     stop_at: Option<Instant>,
     /// When the metrics are published next.
     next_metrics_at: Instant,
