--- a/sorreldoor/src/control_plane/client.rs
+++ b/sorreldoor/src/control_plane/client.rs
@@ -1,5 +1,5 @@
-//! The handle by which other tasks use the controller: each request becomes an
-//! event for the reducer, and the task waits for the reply.
+//! The handle by which other tasks use the controller: each request is sent to the
+//! reducer as an event, and the task awaits the reply.
 
 use super::events::ControllerEvent;
 use crate::metrics::CoreFigures;
@@ -14,30 +14,30 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// The reducer replies within a few acknowledgement times by itself; a task
-/// that waits so many of them, and `TIMEOUT_SLACK_MS`, has lost its reply.
+/// A request times out after this many acknowledgement times and
+/// `TIMEOUT_SLACK_MS`; the reducer's own time-outs are shorter.
 const TIMEOUT_ACKS: u64 = 3;
 const TIMEOUT_SLACK_MS: u64 = 1000;
 
 /// A reply of the controller to one request.
 #[derive(Debug)]
 pub enum ControllerReply {
-    /// The outcome of a change, or of a search for one.
+    /// The outcome of a change, new or earlier.
     Change(OpOutcome),
     /// The state that was read.
     State(StateSnapshot),
 }
 
-/// The core's state at one time.
+/// The core's state at the time of a reply.
 #[derive(Debug)]
 pub struct StateSnapshot {
-    /// Whether it was proved current after it was requested.
+    /// Whether it was confirmed current after it was requested.
     pub confirmed: bool,
-    /// Whether the core's disk works.
+    /// False while writes to the core's disk fail.
     pub disk_ok: bool,
     /// The status document as JSON; empty where it was not requested.
     pub status: String,
-    /// The record as edges see it.
+    /// The view of the replicated state that edges receive.
     pub view: Box<View>,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl PendingRequests {
-    /// A new request id, and where its reply arrives.
+    /// A new request id, and the channel on which its reply arrives.
     #[must_use]
     pub fn open(&self) -> (u64, Receiver<ControllerReply>) {
         let request_id = self.last_id.fetch_add(1, Ordering::Relaxed) + 1;
@@ -64,14 +64,14 @@
         (request_id, receiver)
     }
 
-    /// Nobody waits for the reply any more.
+    /// Drops a request whose reply is no longer awaited.
     pub fn close(&self, request_id: u64) {
         locked(&self.waiting).remove(&request_id);
     }
 
     pub(super) fn reply(&self, request_id: u64, reply: ControllerReply) {
         let sender = locked(&self.waiting).remove(&request_id);
-        // a requester that has stopped waiting needs no reply
+        // without effect if the request was closed
         let _ = sender.map(|sender| sender.try_send(reply).is_ok());
     }
 }
@@ -81,7 +81,7 @@
 pub struct ControllerClient {
     events: EventSender<ControllerEvent>,
     pub(super) pending: PendingRequests,
-    /// Time within which a change should be acknowledged.
+    /// Milliseconds within which a change should be acknowledged.
     ack_ms: u64,
     endpoints: Arc<Mutex<Arc<Vec<EdgeEndpoint>>>>,
     metrics: Arc<Mutex<CoreFigures>>,
@@ -140,7 +140,8 @@
         .await
     }
 
-    /// The outcome of an earlier proposal.
+    /// The outcome of an earlier proposal; `Unknown` where there is no reply in
+    /// time.
     pub async fn find_outcome(&self, proposal_id: ProposalId) -> OpOutcome {
         self.request_outcome(|request_id| ControllerEvent::ReadOutcome {
             request_id,
@@ -159,22 +160,22 @@
         .await
     }
 
-    /// The core's state with its status document, proved current or not; none
+    /// The core's state with its status document, confirmed current or not; `None`
     /// where there is no reply in time.
     pub async fn read_status(&self) -> Option<StateSnapshot> {
         self.request_state(|request_id| ControllerEvent::ReadStatus { request_id })
             .await
     }
 
-    /// The record, proved current after this was called; none where that
-    /// cannot be had in time.
+    /// The view of the replicated state, confirmed current after this call; `None`
+    /// where it cannot be confirmed in time.
     pub async fn read_view(&self) -> Option<Box<View>> {
         let state = self.request_state(|request_id| ControllerEvent::ReadView { request_id });
         let state = state.await.filter(|state| state.confirmed);
         state.map(|state| state.view)
     }
 
-    /// The edges that have a session, and whether they serve, as last reported.
+    /// The edges that have a session, and whether they serve, as last published.
     #[must_use]
     pub fn endpoints(&self) -> Arc<Vec<EdgeEndpoint>> {
         locked(&self.endpoints).clone()
