--- a/sorreldoor/src/control_plane/integration.rs
+++ b/sorreldoor/src/control_plane/integration.rs
@@ -1,5 +1,5 @@
-//! The interfaces of a core towards the platform that it runs on: where its
-//! list of workers is read, and who serves its operators.
+//! The interfaces between a core and the platform that it runs on: the source of
+//! the list of workers, and the server of operators' requests.
 
 use super::client::ControllerClient;
 use crate::discovery::{self, WorkerRegistry};
@@ -17,9 +17,9 @@
 
 /// Interval of reads over HTTP.
 const HTTP_POLL_MS: u64 = 500;
-/// A read over HTTP takes no longer.
+/// Time-out of a read over HTTP.
 const HTTP_TIMEOUT: Duration = Duration::from_secs(1);
-/// A list is no longer than this.
+/// Maximum size of a list read over HTTP.
 const MAX_LIST_BYTES: usize = 1 << 20;
 
 /// A future that may be sent between threads.
@@ -33,33 +33,33 @@
     task::block_on(TcpListener::bind(address)).context(BindSnafu { setting, address })
 }
 
-/// Where the list of workers is read.
+/// A source of the list of workers.
 pub trait WorkerSource: Send + Sync + 'static {
     /// Interval between two reads, in milliseconds.
     fn poll_interval_ms(&self) -> u64;
 
-    /// Whether lists carry versions of the source's own. If so every core
-    /// reads them; if not, only the holder of the singleton role does, and
-    /// numbers them, and the version that `poll` gives is ignored.
+    /// Whether lists have versions of the source's own. If so, every core reads
+    /// them. If not, only the holder of the singleton role reads and numbers them,
+    /// and the version that `poll` returns is ignored.
     fn is_versioned(&self) -> bool;
 
     /// Reads the list once; must end within five seconds.
     ///
     /// # Errors
-    /// Why there is no list, in words for the log; there are no partial lists.
+    /// Why there is no list, as text for the log. A list is never partial.
     fn poll(&self) -> BoxFuture<Result<WorkerRegistry, String>>;
 }
 
-/// Serves operators' requests by means of the controller.
+/// A server of operators' requests, which it passes to the controller.
 pub trait OperatorServer: Send + 'static {
     /// Starts to listen before the core runs, and serves until `gate` is shut.
     ///
     /// # Errors
-    /// Why it cannot listen; the core then does not start.
+    /// If it cannot listen; the core then does not start.
     fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), StartError>;
 }
 
-/// The list of workers over HTTP as JSON, under versions of its source.
+/// The list of workers as JSON over HTTP, with versions of its source.
 pub struct HttpWorkerSource {
     /// The settings of this core.
     pub settings: Arc<Settings>,
