--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP interface of a core: each request becomes an event for
-//! the controller.
+//! The operators' HTTP interface of a core. Requests are passed to the controller
+//! through its client.
 
 use super::client::{ControllerClient, StateSnapshot};
 use super::integration::{bind, OperatorServer};
@@ -13,8 +13,9 @@
 use http_types::{Method, Request, Response};
 use std::sync::Arc;
 
-/// Seconds after which a client should retry, in general and with a failed disk.
+/// `Retry-After` of rejected requests, in seconds.
 const RETRY_AFTER_S: u64 = 1;
+/// `Retry-After` while the disk of this core has failed, in seconds.
 const DISK_RETRY_AFTER_S: u64 = 5;
 
 /// The server of the product's own HTTP interface.
@@ -77,7 +78,7 @@
             }
             _ => http::shed(
                 ErrorCode::NoControlPlane,
-                "no quorum is reached from here",
+                "this core cannot reach a quorum",
                 RETRY_AFTER_S,
             ),
         }
@@ -101,11 +102,11 @@
             OperatorRequest::Configuration => self.configuration().await,
             OperatorRequest::Status => match self.client.read_status().await {
                 Some(state) => http::json(200, state.status),
-                None => unreachable_core(),
+                None => no_control_plane(),
             },
             OperatorRequest::Metrics => match self.client.read_status().await {
                 Some(state) => operator_api::metrics(&state.status),
-                None => unreachable_core(),
+                None => no_control_plane(),
             },
         }
     }
@@ -113,7 +114,7 @@
     async fn configuration(&self) -> Response {
         let state = self.client.read_status().await;
         let Some(state) = state.filter(|state| state.confirmed) else {
-            return unreachable_core();
+            return no_control_plane();
         };
         let view = state.view;
         let document = view.doc.as_ref().map(|document| document.as_str());
@@ -123,6 +124,6 @@
     }
 }
 
-fn unreachable_core() -> Response {
+fn no_control_plane() -> Response {
     http::shed(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
 }
