--- a/sorreldoor/src/control_plane/bootstrap/peer_addresses.rs
+++ b/sorreldoor/src/control_plane/bootstrap/peer_addresses.rs
@@ -1,41 +1,42 @@
-//! Addresses of other cores to which this core keeps a connection.
+//! The addresses of other cores to which this core keeps connections.
 
 use crate::consensus::Member;
 use crate::types::NodeId;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What is to be dialled and hung up for the connections to match the members.
+/// The addresses to connect to and to disconnect from after a change of members.
 #[derive(Debug, Default, PartialEq, Eq)]
 #[must_use]
-pub struct DialChanges {
+pub struct AddressChanges {
     /// Addresses to connect to.
     pub connect: Vec<SocketAddr>,
     /// Addresses to disconnect from.
     pub disconnect: Vec<SocketAddr>,
 }
 
-/// The seeds, the discovered members, and the addresses in use.
+/// The seed addresses, the discovered members' addresses, and those in use.
 #[derive(Debug)]
 pub struct PeerAddresses {
     seeds: Vec<SocketAddr>,
-    /// The members' addresses as a founded core gave them.
+    /// The members' addresses as received from a founded core.
     discovered: BTreeSet<SocketAddr>,
-    dialled: BTreeSet<SocketAddr>,
+    /// Addresses to which this core keeps a connection.
+    connected: BTreeSet<SocketAddr>,
 }
 
 impl PeerAddresses {
-    /// Starts with the configured seeds and no connection.
+    /// Starts with the configured seed addresses and no connection.
     #[must_use]
     pub fn new(seeds: Vec<SocketAddr>) -> PeerAddresses {
         PeerAddresses {
             seeds,
             discovered: BTreeSet::new(),
-            dialled: BTreeSet::new(),
+            connected: BTreeSet::new(),
         }
     }
 
-    /// Replaces the members' addresses that were discovered through a peer.
+    /// Replaces the members' addresses by those received from a founded core.
     pub fn discover(&mut self, addresses: BTreeSet<SocketAddr>) {
         self.discovered = addresses;
     }
@@ -43,17 +44,18 @@
     /// Drops a seed that turned out to be this core's own address.
     pub fn remove_own(&mut self, own: SocketAddr) {
         self.seeds.retain(|seed| *seed != own);
-        self.dialled.remove(&own);
+        self.connected.remove(&own);
     }
 
-    /// Aims at the seeds and every other member, or the discovered members
-    /// while this core has no list of its own.
+    /// Recomputes the wanted addresses: the seeds and every other member, or the
+    /// discovered addresses while this core has no list of members. Returns the
+    /// difference to those in use.
     pub fn reconcile(
         &mut self,
         own_id: NodeId,
         own_address: &str,
         members: &[Member],
-    ) -> DialChanges {
+    ) -> AddressChanges {
         let mut wanted: BTreeSet<SocketAddr> = members
             .iter()
             .filter(|member| member.id != own_id)
@@ -66,11 +68,11 @@
         if let Ok(own) = own_address.parse() {
             wanted.remove(&own);
         }
-        let changes = DialChanges {
-            connect: wanted.difference(&self.dialled).copied().collect(),
-            disconnect: self.dialled.difference(&wanted).copied().collect(),
+        let changes = AddressChanges {
+            connect: wanted.difference(&self.connected).copied().collect(),
+            disconnect: self.connected.difference(&wanted).copied().collect(),
         };
-        self.dialled = wanted;
+        self.connected = wanted;
         changes
     }
 }
