--- a/sorreldoor/tests/position.rs
+++ b/sorreldoor/tests/position.rs
@@ -1,4 +1,4 @@
-//! The paper's Ls in its three cases, and the choice of z that follows.
+//! The latency model of CD-Raft, and the choice of the Global Leader's region.
 
 use sorreldoor::consensus::position::{best_region, LatencyModel, Load};
 use std::collections::BTreeMap;
@@ -11,17 +11,17 @@
     rows.iter()
         .enumerate()
         .map(|(region, (reads, writes))| {
-            let load_of_region = Load {
+            let region_load = Load {
                 reads: *reads,
                 writes: *writes,
             };
-            (region as u8, load_of_region)
+            (region as u8, region_load)
         })
         .collect()
 }
 
 #[test]
-fn region_latency_in_its_three_cases() {
+fn region_latency_depends_on_whether_the_region_leads_or_is_available() {
     let (latencies, load) = (latencies(), load(&[(5, 7), (11, 13), (17, 19)]));
     let all = [0, 1, 2];
     let available = [0, 1];
@@ -32,13 +32,15 @@
         regions: &all,
     };
     let table = [
-        // own region: twice the nearest other available one, writes only
+        // the leader's region: writes take a round trip to the nearest other
+        // available region, reads none
         ((0, 0), 2 * 10 * 7),
         ((1, 1), 2 * 10 * 13),
-        // another available region: a round trip for reads and writes
+        // another available region: reads and writes take a round trip to the leader
         ((1, 0), 2 * 10 * (13 + 11)),
         ((0, 1), 2 * 10 * (7 + 5)),
-        // an unavailable region: its writes wait for the nearest as well
+        // an unavailable region: writes take a round trip from the leader to its
+        // nearest available region as well
         ((2, 0), 2 * (30 + 10) * 19 + 2 * 30 * 17),
         ((2, 1), 2 * (25 + 10) * 19 + 2 * 25 * 17),
     ];
@@ -46,7 +48,7 @@
         assert_eq!(
             model.region_latency(region, leader_region),
             Some(expected),
-            "i {region}, z {leader_region}"
+            "region {region}, leader in {leader_region}"
         );
     }
     let sum = (0..3)
@@ -56,28 +58,46 @@
 }
 
 #[test]
-fn the_lowest_total_latency_wins_only_by_a_clear_margin() {
+fn the_leader_moves_only_for_a_total_latency_that_is_lower_by_the_margin() {
     let latencies = latencies();
     let all = [0, 1, 2];
     type Row<'a> = (&'a str, &'a [(u64, u64)], u8, &'a [u8], Option<u8>);
     let table: [Row; 5] = [
         (
-            "askers elsewhere",
+            "most load in another region",
             &[(0, 1), (50, 50), (0, 0)],
             0,
             &all,
             Some(1),
         ),
-        ("askers here", &[(50, 50), (0, 1), (0, 0)], 0, &all, None),
-        ("about even", &[(10, 10), (11, 10), (0, 0)], 0, &all, None),
         (
-            "own region down",
+            "most load in the leader's region",
+            &[(50, 50), (0, 1), (0, 0)],
+            0,
+            &all,
+            None,
+        ),
+        (
+            "nearly equal load",
+            &[(10, 10), (11, 10), (0, 0)],
+            0,
+            &all,
+            None,
+        ),
+        (
+            "leader's region unavailable",
             &[(50, 50), (0, 1), (0, 0)],
             0,
             &[1, 2],
             Some(1),
         ),
-        ("nowhere to go", &[(0, 1), (50, 50), (0, 0)], 0, &[0], None),
+        (
+            "no other region available",
+            &[(0, 1), (50, 50), (0, 0)],
+            0,
+            &[0],
+            None,
+        ),
     ];
     for (name, rows, now, available, expected) in table {
         let load = load(rows);
@@ -92,7 +112,7 @@
 }
 
 #[test]
-fn an_unknown_latency_moves_no_leader() {
+fn the_leader_does_not_move_if_latencies_are_unknown() {
     let load = load(&[(0, 1), (50, 50)]);
     let no_latencies = BTreeMap::new();
     let model = LatencyModel {
