--- a/sorreldoor/tests/return_times.rs
+++ b/sorreldoor/tests/return_times.rs
@@ -1,11 +1,12 @@
-//! The schedule of `Retry-After` times.
+//! The schedule of `Retry-After` times of rejected requests.
 
 use sorreldoor::error::ErrorCode;
 use sorreldoor::gateway::request_table::RetryAfterSchedule;
 
-/// At four times the served load, retries in any second stay a fifth of the arrivals.
+/// Four times the load that is served: the retries scheduled for any one second
+/// stay within a fifth of the arrivals.
 #[test]
-fn retry_after_of_an_overload_is_spread_out() {
+fn retries_of_an_overload_are_spread_over_time() {
     let mut schedule = RetryAfterSchedule::default();
     let mut retries_per_second = [0u64; 400];
     for second in 0..40u64 {
@@ -20,15 +21,15 @@
             }
         }
     }
-    // no retry is scheduled at once, and no second gets more than a fifth
     let peak = retries_per_second.iter().take(60).max().unwrap();
     assert!((30..=80).contains(peak), "{peak}");
     assert_eq!(retries_per_second.iter().sum::<u64>(), 30 * 300);
+    // no retry is scheduled at once
     assert!(retries_per_second[10] == 0 && retries_per_second[11] < 10);
 }
 
 #[test]
-fn a_single_client_may_retry_soon() {
+fn a_single_request_is_to_be_retried_within_three_seconds() {
     let mut schedule = RetryAfterSchedule::default();
     schedule.record_arrival(5000);
     assert!(schedule.schedule(ErrorCode::NoLease, 0, 5000) <= 2);
