--- a/testbed/tests/membership/cluster.rs
+++ b/testbed/tests/membership/cluster.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster of three voters and up to two added nodes, run with the
-//! real reducers, with a schedule of faults.
+//! A simulated cluster of three voters and up to two added nodes, with a schedule
+//! of faults. It runs the consensus and membership reducers of the product.
 
 use sorreldoor::consensus::{Event, InjectedFault, Timing};
 use sorreldoor::control_plane::membership::{Health, Membership, MembershipPolicy, Observation};
@@ -9,23 +9,23 @@
 use testbed::sim::Sim;
 
 pub const STEP_MS: Millis = 20;
-const CONTROLLER_INTERVAL_MS: Millis = 100;
-const SILENCE_LIMIT_MS: Millis = 1500;
-/// Time that a returned or new machine has to catch up.
-pub const SYNC_MS: Millis = 4000;
-/// An entry must commit within this time, with one machine lost.
-const ACK_MS: Millis = 3000;
+const MEMBERSHIP_CHECK_INTERVAL_MS: Millis = 100;
+const REPLACE_AFTER_MS: Millis = 1500;
+/// Time for a restarted or new machine to catch up.
+pub const CATCH_UP_MS: Millis = 4000;
+/// Time within which an entry must commit while one machine is lost.
+const COMMIT_TIMEOUT_MS: Millis = 3000;
 const MAX_ADDED_NODES: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A new machine starts, then this one shuts down gracefully.
+    /// A new machine starts, then the old one shuts down gracefully.
     PlannedReplacement,
-    /// This machine is lost for good, and a new one replaces it.
+    /// The machine is lost permanently, and a new one replaces it.
     ReplacementAfterLoss,
-    /// It restarts at its address with an empty disk.
+    /// The machine restarts at its address with an empty disk.
     DiskWipe,
-    /// It loses power, and restarts.
+    /// The machine loses power and restarts.
     PowerLoss,
     Partition,
     Freeze,
@@ -46,7 +46,7 @@
 enum Action {
     Crash(usize),
     Start(usize),
-    /// A blank node takes this slot, at the given address.
+    /// A blank node at the given address takes over a machine slot.
     AddNode {
         slot: usize,
         addr: String,
@@ -59,26 +59,29 @@
 
 pub struct Cluster {
     pub sim: Sim,
-    /// The current node of each machine slot.
+    /// The current node in each machine slot.
     pub slots: [usize; 3],
     addresses: BTreeMap<usize, String>,
     stopping: BTreeSet<usize>,
+    /// Nodes whose machine is gone; they do not restart.
     removed: BTreeSet<usize>,
     partitioned: BTreeSet<usize>,
-    members: BTreeMap<usize, Membership>,
+    /// The membership reducer of each node.
+    membership: BTreeMap<usize, Membership>,
+    /// Scheduled actions, by time and order of scheduling.
     actions: BTreeMap<(Millis, u64), Action>,
     action_count: u64,
     added_nodes: usize,
     regions: [RegionId; 3],
-    /// Mutant: every new node becomes a voter, and only nodes silent for long
-    /// are removed, as before the policy had a target number of voters.
+    /// Mutant without a target number of voters: every new node becomes a voter, and
+    /// a voter is replaced only after ten times the usual silence.
     pub unbounded_voters: bool,
 }
 
 impl Cluster {
-    pub fn new(seed: u64, regions: [RegionId; 3], broken: InjectedFault) -> Cluster {
+    pub fn new(seed: u64, regions: [RegionId; 3], injected_fault: InjectedFault) -> Cluster {
         let mut timing = Timing::for_ack(2000);
-        timing.injected_fault = broken;
+        timing.injected_fault = injected_fault;
         let mut sim = Sim::new(seed, &regions, timing);
         sim.max_events = 4_000_000;
         let addresses = (0..3).map(|i| (i, format!("address-{i}"))).collect();
@@ -89,7 +92,7 @@
             stopping: BTreeSet::new(),
             removed: BTreeSet::new(),
             partitioned: BTreeSet::new(),
-            members: BTreeMap::new(),
+            membership: BTreeMap::new(),
             actions: BTreeMap::new(),
             action_count: 0,
             added_nodes: 0,
@@ -100,13 +103,14 @@
         cluster
     }
 
-    fn schedule(&mut self, ms: Millis, action: Action) {
+    fn schedule(&mut self, delay_ms: Millis, action: Action) {
         self.action_count += 1;
-        let at = self.sim.now + ms;
+        let at = self.sim.now + delay_ms;
         self.actions.insert((at, self.action_count), action);
     }
 
-    /// Schedules a fault of a slot from now on; false if no node is left to add.
+    /// Schedules a fault of a machine slot, starting now; false if it would add more
+    /// than `MAX_ADDED_NODES` nodes.
     pub fn schedule_fault(&mut self, slot: usize, fault: Fault) -> bool {
         let node = self.slots[slot];
         let needs_new_node = matches!(
@@ -119,16 +123,28 @@
             }
             self.added_nodes += 1;
         }
-        let new = format!("address-{}", 10 + self.added_nodes);
+        let new_addr = format!("address-{}", 10 + self.added_nodes);
         match fault {
             Fault::PlannedReplacement => {
-                self.schedule(0, Action::AddNode { slot, addr: new });
+                self.schedule(
+                    0,
+                    Action::AddNode {
+                        slot,
+                        addr: new_addr,
+                    },
+                );
                 self.schedule(1000, Action::Stop(node));
                 self.schedule(1300, Action::Crash(node));
             }
             Fault::ReplacementAfterLoss => {
                 self.schedule(0, Action::Crash(node));
-                self.schedule(1200, Action::AddNode { slot, addr: new });
+                self.schedule(
+                    1200,
+                    Action::AddNode {
+                        slot,
+                        addr: new_addr,
+                    },
+                );
             }
             Fault::DiskWipe => {
                 let addr = self.addresses[&node].clone();
@@ -171,7 +187,6 @@
             }
             Action::AddNode { slot, addr } => {
                 let old = self.slots[slot];
-                // a machine that was lost for good does not restart
                 if !self.sim.nodes[old].is_running() {
                     self.removed.insert(old);
                 }
@@ -218,8 +233,8 @@
                     self.apply(action);
                 }
             }
-            if self.sim.now.is_multiple_of(CONTROLLER_INTERVAL_MS) {
-                self.run_controllers();
+            if self.sim.now.is_multiple_of(MEMBERSHIP_CHECK_INTERVAL_MS) {
+                self.check_memberships();
             }
             self.sim.run_for(STEP_MS);
         }
@@ -238,14 +253,15 @@
         }
     }
 
-    /// Runs the membership controller of every core.
-    fn run_controllers(&mut self) {
+    /// Runs the membership check of every node.
+    fn check_memberships(&mut self) {
         for node in 0..self.sim.nodes.len() {
-            self.run_controller(node);
+            self.check_membership(node);
         }
     }
 
-    fn run_controller(&mut self, node: usize) {
+    /// Proposes the membership change that is due, if this node leads.
+    fn check_membership(&mut self, node: usize) {
         let frozen = self.sim.nodes[node].frozen_until > self.sim.now;
         let Some(consensus) = &self.sim.nodes[node].consensus else {
             return;
@@ -275,39 +291,39 @@
             .filter(reachable)
             .map(|other| self.hello(other))
             .collect();
-        let mut policy = MembershipPolicy::tolerating(1, 1, SILENCE_LIMIT_MS);
+        let mut policy = MembershipPolicy::tolerating(1, 1, REPLACE_AFTER_MS);
         if self.unbounded_voters {
             policy.target_voters = members.len();
             policy.replace_after_ms *= 10;
         }
-        let entry = self.members.entry(node);
-        let state = entry.or_insert_with(|| Membership::new(policy.clone()));
-        state.policy = policy;
+        let entry = self.membership.entry(node);
+        let membership = entry.or_insert_with(|| Membership::new(policy.clone()));
+        membership.policy = policy;
         for other in all.iter().filter(|_| !self.unbounded_voters) {
             if self.stopping.contains(other) {
                 let mut hello = live[0].clone();
                 hello.id = self.sim.nodes[*other].id;
                 hello.stopping = true;
-                state.on_hello(&hello);
+                membership.on_hello(&hello);
             }
         }
-        let observed = Observation {
+        let observation = Observation {
             leader: self.sim.nodes[node].id,
             members: &members,
             health,
             live: &live,
         };
-        if let Some(change) = state.decide(&observed) {
+        if let Some(change) = membership.decide(&observation) {
             let next = change.applied(&members);
             self.sim.deliver(node, Event::Reconfigure(next));
         }
     }
 
-    /// Whether a change proposed at this node is acknowledged within [`ACK_MS`].
+    /// Whether a change proposed at this node commits within [`COMMIT_TIMEOUT_MS`].
     pub fn commits_in_time(&mut self, at: usize) -> bool {
         let base = self.sim.highest_version();
         let op = self.sim.propose_change(at, base);
-        let end = self.sim.now + ACK_MS;
+        let end = self.sim.now + COMMIT_TIMEOUT_MS;
         while self.sim.now < end && !self.sim.operation(op).was_applied() {
             self.run_for(STEP_MS);
         }
--- a/testbed/tests/membership/main.rs
+++ b/testbed/tests/membership/main.rs
@@ -1,14 +1,13 @@
-//! Every pair of faults in a small scope, at many distances in time: three
-//! voters and up to two added nodes, the real consensus and membership reducers.
+//! Explores all pairs of faults of a cluster of three voters and up to two added
+//! nodes, at many intervals.
 //!
-//! Each history runs to its end: two faults, then, after recovery and catch-up,
-//! the loss of each machine in turn. Whatever the two faults did, no term has
-//! two leaders, no acknowledged entry is lost, and with any one machine lost an
-//! entry still commits.
+//! After both faults and the catch-up each machine is lost in turn: no term may
+//! have two leaders, no acknowledged entry may be lost, and an entry must commit
+//! with any one machine lost.
 
 mod cluster;
 
-use cluster::{Cluster, Fault, FAULTS, STEP_MS, SYNC_MS};
+use cluster::{Cluster, Fault, CATCH_UP_MS, FAULTS, STEP_MS};
 use sorreldoor::consensus::InjectedFault;
 use sorreldoor::types::{Millis, RegionId};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,26 +20,26 @@
     regions: [RegionId; 3],
     pair: [(usize, Fault); 2],
     gap: Millis,
-    /// No more is lost at once than the group must tolerate.
+    /// Whether an entry must commit after the faults with any one machine lost.
     tolerated: bool,
 }
 
-/// The faults injected into the reducers themselves.
+/// Changes of the reducers that the exploration must detect.
 #[derive(Clone, Copy)]
 struct Mutant {
-    broken: InjectedFault,
+    injected_fault: InjectedFault,
     unbounded_voters: bool,
 }
 
 const NO_MUTATION: Mutant = Mutant {
-    broken: InjectedFault::None,
+    injected_fault: InjectedFault::None,
     unbounded_voters: false,
 };
 
-/// The violation that one history shows, if any.
+/// Runs one history; returns its violation, if any.
 fn violation_of(history: History, mutant: Mutant) -> Option<String> {
     let History { regions, gap, .. } = history;
-    let mut cluster = Cluster::new(7 + gap, regions, mutant.broken);
+    let mut cluster = Cluster::new(7 + gap, regions, mutant.injected_fault);
     cluster.unbounded_voters = mutant.unbounded_voters;
     let [(first_slot, first_fault), (second_slot, second_fault)] = history.pair;
     if !cluster.schedule_fault(first_slot, first_fault) {
@@ -52,7 +51,7 @@
     if !cluster.schedule_fault(second_slot, second_fault) {
         return None;
     }
-    // proposals during the faults; their outcome does not matter
+    // proposals during the faults, with any outcome
     for at in 0..3 {
         let at = cluster.slots[at];
         if cluster.sim.nodes[at].is_running() {
@@ -61,10 +60,10 @@
         }
         cluster.run_for(200);
     }
-    cluster.run_for(2500 + SYNC_MS);
-    let failure = |what: &str, cluster: &Cluster| {
+    cluster.run_for(2500 + CATCH_UP_MS);
+    let failure = |problem: &str, cluster: &Cluster| {
         Some(format!(
-            "{history:?}: {what}; {}",
+            "{history:?}: {problem}; members: {}",
             cluster.describe_members()
         ))
     };
@@ -80,7 +79,7 @@
             );
         }
         cluster.sim.start(node);
-        cluster.run_for(SYNC_MS);
+        cluster.run_for(CATCH_UP_MS);
     }
     let violations = check_history(&cluster.sim);
     if violations.is_empty() {
@@ -89,34 +88,34 @@
     failure(&format!("{violations:?}"), &cluster)
 }
 
-/// All pairs whose second fault may follow after `gap`: a second machine may
-/// fail only after the first has recovered, but a total power loss may come at
-/// any moment except while a wiped node recovers.
+/// The pairs whose second fault is tolerated after `gap`: any fault after the first
+/// machine has recovered, and a total power loss at any time except while a wiped
+/// machine recovers.
 fn pairs(gap: Millis) -> Vec<[(usize, Fault); 2]> {
     let all: Vec<(usize, Fault)> = (0..3)
-        .flat_map(|slot| FAULTS.map(|t| (slot, t)))
-        .filter(|(slot, t)| *t != Fault::TotalPowerLoss || *slot == 0)
+        .flat_map(|slot| FAULTS.map(|fault| (slot, fault)))
+        .filter(|(slot, fault)| *fault != Fault::TotalPowerLoss || *slot == 0)
         .collect();
-    let together = |a: &(usize, Fault), b: &(usize, Fault)| {
-        let first_fault_over = gap >= 2500 + SYNC_MS;
-        first_fault_over || (b.1 == Fault::TotalPowerLoss && a.1 != Fault::DiskWipe)
+    let is_tolerated = |a: &(usize, Fault), b: &(usize, Fault)| {
+        let has_recovered = gap >= 2500 + CATCH_UP_MS;
+        has_recovered || (b.1 == Fault::TotalPowerLoss && a.1 != Fault::DiskWipe)
     };
     all.iter()
         .flat_map(|a| all.iter().map(move |b| [*a, *b]))
-        .filter(|[a, b]| together(a, b))
+        .filter(|[a, b]| is_tolerated(a, b))
         .collect()
 }
 
-/// Two faults of one machine or of two, too close to each other to be
-/// tolerated: the group may lose its majority, but no acknowledged entry.
+/// Pairs of faults of one machine or two without time to recover: the group may
+/// lose its majority, but no acknowledged entry.
 fn overlapping_pairs() -> Vec<[(usize, Fault); 2]> {
-    let all = (0..2).flat_map(|slot| FAULTS.map(|t| (slot, t)));
-    let first_slot_faults = FAULTS.map(|t| (0, t));
+    let all = (0..2).flat_map(|slot| FAULTS.map(|fault| (slot, fault)));
+    let first_slot_faults = FAULTS.map(|fault| (0, fault));
     all.flat_map(|b| first_slot_faults.map(|a| [a, b]))
         .collect()
 }
 
-/// Runs histories on several threads; returns all violations.
+/// Runs histories on several threads; returns their violations.
 fn explore(all: &[History], mutant: Mutant) -> Vec<String> {
     const THREADS: usize = 4;
     let next = AtomicUsize::new(0);
@@ -131,12 +130,14 @@
                 let violation = violation_of(*history, mutant);
                 violations
                     .lock()
-                    .expect("no panic with it")
+                    .expect("no thread panicked while it held the lock")
                     .extend(violation);
             });
         }
     });
-    violations.into_inner().expect("no panic with it")
+    violations
+        .into_inner()
+        .expect("no thread panicked while it held the lock")
 }
 
 const REGIONS: [[RegionId; 3]; 3] = [[0, 0, 0], [0, 0, 1], [0, 1, 2]];
@@ -155,7 +156,7 @@
 }
 
 fn sequential_histories() -> Vec<History> {
-    let gap = 2500 + SYNC_MS;
+    let gap = 2500 + CATCH_UP_MS;
     histories(&pairs(gap), gap, true)
 }
 
@@ -165,19 +166,19 @@
     let first_violation = violations.first();
     assert!(
         violations.is_empty(),
-        "{} wrong, the first: {first_violation:#?}",
+        "{} histories with a violation, the first: {first_violation:#?}",
         violations.len()
     );
 }
 
 #[test]
-fn any_two_sequential_faults_leave_a_majority() {
+fn entries_commit_after_any_two_sequential_faults() {
     assert_no_violations(&sequential_histories());
 }
 
-/// All machines lose power at any moment of a membership change.
+/// All machines lose power at some moment of the recovery from another fault.
 #[test]
-fn total_power_loss_at_any_moment_of_a_change_is_tolerated() {
+fn entries_commit_after_a_total_power_loss_during_any_recovery() {
     let mut all = Vec::new();
     for gap in (0..2600).step_by(40) {
         let mut pairs = pairs(gap);
@@ -187,10 +188,10 @@
     assert_no_violations(&all);
 }
 
-/// More than must be tolerated: there may be no majority any more, but no term
-/// has two leaders, and no acknowledged entry is lost.
+/// The majority may be lost, but no term may have two leaders, and no acknowledged
+/// entry may be lost.
 #[test]
-fn two_simultaneous_faults_lose_nothing() {
+fn two_overlapping_faults_lose_no_acknowledged_entry() {
     let mut all = Vec::new();
     for gap in (0..2600).step_by(100) {
         all.extend(histories(&overlapping_pairs(), gap, false));
@@ -198,21 +199,21 @@
     assert_no_violations(&all);
 }
 
-/// The former policy: every planned replacement adds a fourth voter.
+/// With the mutant every planned replacement adds a fourth voter.
 #[test]
-fn a_member_that_stays_in_the_quorum_is_found() {
+fn a_policy_without_a_target_number_of_voters_is_detected() {
     let mutant = Mutant {
         unbounded_voters: true,
         ..NO_MUTATION
     };
     let violations = explore(&sequential_histories(), mutant);
     println!(
-        "{} wrong, the first: {:?}",
+        "{} histories with a violation, the first: {:?}",
         violations.len(),
         violations.first()
     );
     let no_majority = violations
         .iter()
-        .filter(|w| w.contains("no entry committed"));
+        .filter(|violation| violation.contains("no entry committed"));
     assert!(no_majority.count() > 0);
 }
