--- a/sorreldoor/src/control_plane/bootstrap/mod.rs
+++ b/sorreldoor/src/control_plane/bootstrap/mod.rs
@@ -58,7 +58,7 @@
     /// Replace the addresses of the members discovered through a peer.
     Discover(BTreeSet<SocketAddr>),
     /// Connect to the current members and seeds, and disconnect from others.
-    Redial,
+    ReconcileConnections,
 }
 
 /// The state of this core that decisions depend on.
@@ -172,7 +172,7 @@
         let addresses = addresses.iter().filter_map(|a| a.parse().ok()).collect();
         let mut effects = vec![Effect::Discover(addresses)];
         if context.members.is_some() {
-            effects.push(Effect::Redial);
+            effects.push(Effect::ReconcileConnections);
         } else if self.promised_founders.as_ref() == Some(&founders) && !founders.is_empty() {
             effects.push(Effect::Bootstrap(founders));
         } else {
@@ -183,7 +183,7 @@
             effects.push(Effect::SavePromise(None));
             effects.push(Effect::Join);
             // the membership is announced only once the log has been received
-            effects.push(Effect::Redial);
+            effects.push(Effect::ReconcileConnections);
         }
         effects
     }
--- a/sorreldoor/src/control_plane/connections.rs
+++ b/sorreldoor/src/control_plane/connections.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 
 /// A core that has sent nothing for longer is not live.
-pub(super) const LIVE_MS: Millis = 1500;
+pub(super) const LIVE_TIMEOUT_MS: Millis = 1500;
 /// Broadcasts still go to a core that has sent nothing for up to this time.
-pub(super) const REACHABLE_MS: Millis = 3000;
+pub(super) const REACHABLE_TIMEOUT_MS: Millis = 3000;
 /// Least heartbeat interval of a connection on which liveness does not depend.
 const SPARE_HEARTBEAT_MS: Millis = 1000;
 /// A heartbeat that is due within this time is sent now.
@@ -132,7 +132,7 @@
     pub fn preferred_to(&self, id: NodeId) -> Option<Conn> {
         let to_node = self.connections.iter().filter(|(_, c)| c.is_to(id));
         let last_received = to_node.clone().map(|(_, c)| c.received_at).max()?;
-        let live_since = last_received.saturating_sub(LIVE_MS);
+        let live_since = last_received.saturating_sub(LIVE_TIMEOUT_MS);
         let preference = |connection: &Connection| {
             let is_live = connection.received_at >= live_since || broken(Invariant::LiveConnection);
             let is_dialled = connection.dialled.is_some();
--- a/sorreldoor/src/control_plane/controller/bootstrap.rs
+++ b/sorreldoor/src/control_plane/controller/bootstrap.rs
@@ -1,10 +1,10 @@
 //! Bootstrap of a site and connections to other cores: passes events to
-//! [`super::super::bootstrap`] and carries out its effects.
+//! the part `bootstrap` and carries out its effects.
 
 use super::Controller;
 use crate::consensus::{Consensus, Event, Member};
 use crate::control_plane::bootstrap::{format_member_ids, Context, Effect};
-use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::connections::LIVE_TIMEOUT_MS;
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::idempotency;
 use crate::log_events::LogEvent;
@@ -19,7 +19,7 @@
 impl Controller {
     /// Periodic step of a core that has neither bootstrapped nor joined a site.
     pub(super) fn tick_bootstrap(&mut self) {
-        let live = self.live_cores(LIVE_MS);
+        let live = self.live_cores(LIVE_TIMEOUT_MS);
         let context = Context {
             own: &self.own_hello,
             now: self.now,
@@ -31,7 +31,7 @@
 
     /// Asks a core of a bootstrapped site for the members' addresses.
     pub(super) fn query_founded_core(&mut self) {
-        let live = self.live_cores(LIVE_MS);
+        let live = self.live_cores(LIVE_TIMEOUT_MS);
         let query = self.bootstrap.query_founded_core(&live, self.now);
         self.bootstrap_effects(query.into_iter().collect());
     }
@@ -63,9 +63,9 @@
                 }
                 Effect::Log(event, details) => self.log_event(event, details),
                 Effect::Bootstrap(founders) => self.bootstrap_site(founders),
-                Effect::Join => self.join(),
+                Effect::Join => self.join_site(),
                 Effect::Discover(addresses) => self.peer_addresses.discover(addresses),
-                Effect::Redial => self.redial(),
+                Effect::ReconcileConnections => self.reconcile_connections(),
             }
         }
     }
@@ -81,7 +81,7 @@
         self.step_consensus(Event::Tick);
     }
 
-    fn join(&mut self) {
+    fn join_site(&mut self) {
         let state = ReplicatedState::new(self.site.clone());
         let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
         let blank = DurableState::default().to_consensus();
@@ -96,12 +96,12 @@
             let hello = self.own_hello.clone();
             self.send(conn, Payload::Hello(hello));
         }
-        self.redial();
+        self.reconcile_connections();
     }
 
     /// Connects to new members and seeds, and disconnects from addresses that are
     /// neither any more.
-    pub(super) fn redial(&mut self) {
+    pub(super) fn reconcile_connections(&mut self) {
         let consensus = self.consensus.as_ref();
         let members = consensus.map_or(&[][..], |consensus| consensus.members());
         let changes =
--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -15,18 +15,18 @@
 impl Controller {
     /// Proposes a change. Answers at once, without a proposal, where this core has
     /// no replica, is stopping or is partitioned from the quorum.
-    pub(super) fn change(
+    pub(super) fn propose_change(
         &mut self,
         requester: Requester,
         proposal_id: ProposalId,
         command: Command,
     ) {
         if self.consensus.is_none() || self.stopping {
-            return self.change_done(requester, OpOutcome::NotTaken);
+            return self.send_outcome(requester, OpOutcome::NotTaken);
         }
         if self.consensus.as_ref().is_some_and(|c| c.is_partitioned()) {
             // a wait would time out; another core may reach the quorum
-            return self.change_done(requester, OpOutcome::Unknown);
+            return self.send_outcome(requester, OpOutcome::Unknown);
         }
         self.proposals.add_requester(proposal_id, requester);
         let command = self.bind_to_zone_state(command);
@@ -64,7 +64,7 @@
             self.log_outcome(proposal_id, &outcome);
         }
         for requester in requesters {
-            self.change_done(requester, outcome.clone());
+            self.send_outcome(requester, outcome.clone());
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Answers the requester of a change, or of the outcome of one.
-    pub(super) fn change_done(&mut self, requester: Requester, outcome: OpOutcome) {
+    pub(super) fn send_outcome(&mut self, requester: Requester, outcome: OpOutcome) {
         match requester {
             Requester::Http { request_id } => self.effects.push(ControllerEffect::ChangeDone {
                 request_id,
--- a/sorreldoor/src/control_plane/controller/consensus.rs
+++ b/sorreldoor/src/control_plane/controller/consensus.rs
@@ -56,7 +56,7 @@
         if !self.own_hello.founded && members.iter().any(|member| member.voter) {
             self.announce_membership();
         }
-        self.redial();
+        self.reconcile_connections();
     }
 
     fn log_state_change(&mut self, change: StateChange) {
--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -141,13 +141,13 @@
         };
         if sends_unverified {
             let delta = self.delta(conn, &renewal.known);
-            self.grant(conn, renewal.id, false, delta);
+            self.send_grant(conn, renewal.id, false, delta);
         } else if !has_leader {
             // this core cannot confirm its state; the edge should ask another
-            self.grant(conn, renewal.id, false, StateDelta::default());
+            self.send_grant(conn, renewal.id, false, StateDelta::default());
         }
         if has_leader {
-            self.read(Read::Renewal {
+            self.request_read(Read::Renewal {
                 conn,
                 renewal: renewal.id,
                 known: renewal.known,
@@ -157,7 +157,13 @@
 
     /// Answers a renewal. `confirmed` says whether the state was confirmed current
     /// after the renewal was received; only then does it renew the lease.
-    pub(super) fn grant(&mut self, conn: Conn, renewal: u64, confirmed: bool, delta: StateDelta) {
+    pub(super) fn send_grant(
+        &mut self,
+        conn: Conn,
+        renewal: u64,
+        confirmed: bool,
+        delta: StateDelta,
+    ) {
         let grant = Payload::Grant {
             no: renewal,
             ok: confirmed,
--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -119,13 +119,13 @@
                 request_id,
                 proposal_id,
                 cmd,
-            } => self.change(Requester::Edge { conn, request_id }, proposal_id, cmd),
+            } => self.propose_change(Requester::Edge { conn, request_id }, proposal_id, cmd),
             Payload::OpFind {
                 request_id,
                 proposal_id,
             } => {
                 let requester = Requester::Edge { conn, request_id };
-                self.read(Read::Outcome {
+                self.request_read(Read::Outcome {
                     requester,
                     proposal_id,
                 });
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -3,7 +3,7 @@
 
 use super::Controller;
 use crate::consensus::Save;
-use crate::control_plane::connections::{LIVE_MS, REACHABLE_MS};
+use crate::control_plane::connections::{LIVE_TIMEOUT_MS, REACHABLE_TIMEOUT_MS};
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::idempotency::{Context, Effect, Event, Peer, ReplyTo};
 use crate::net::Conn;
@@ -43,7 +43,7 @@
         match effect {
             Effect::Send(conn, payload) => self.send(conn, payload),
             Effect::SendToPeer(id, payload) => {
-                if let Some((conn, _)) = self.live_cores(REACHABLE_MS).get(&id) {
+                if let Some((conn, _)) = self.live_cores(REACHABLE_TIMEOUT_MS).get(&id) {
                     self.send(*conn, payload);
                 }
             }
@@ -84,7 +84,7 @@
     fn broadcast_claim(&mut self, payload: Payload, except: &BTreeSet<NodeId>) {
         let voters = self.voter_ids();
         let targets: Vec<Conn> = self
-            .live_cores(LIVE_MS)
+            .live_cores(LIVE_TIMEOUT_MS)
             .into_iter()
             .filter(|(id, (_, hello))| hello.founded || voters.contains(id))
             .filter(|(id, _)| !except.contains(id))
@@ -97,7 +97,7 @@
 
     fn live_voters(&self) -> Vec<Peer> {
         let voters = self.voter_ids();
-        self.live_cores(LIVE_MS)
+        self.live_cores(LIVE_TIMEOUT_MS)
             .into_iter()
             .filter(|(id, _)| voters.contains(id))
             .map(|(_, (conn, hello))| peer(conn, &hello))
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -3,7 +3,7 @@
 
 use super::Controller;
 use crate::consensus::{Body, Event, Member};
-use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::connections::LIVE_TIMEOUT_MS;
 use crate::control_plane::events::{ControllerEffect, Requester};
 use crate::control_plane::membership::{Health, Observation};
 use crate::log_events::LogEvent;
@@ -27,7 +27,7 @@
             .iter()
             .filter(|member| member.id != self.own_hello.id);
         let health = others.map(|member| (member.id, self.health_of(member.id)));
-        let since = self.now.saturating_sub(LIVE_MS);
+        let since = self.now.saturating_sub(LIVE_TIMEOUT_MS);
         let observation = Observation {
             leader: self.own_hello.id,
             members: &members,
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -18,7 +18,7 @@
 mod workers;
 
 use super::bootstrap::{Bootstrap, PeerAddresses};
-use super::connections::{Connections, REACHABLE_MS};
+use super::connections::{Connections, REACHABLE_TIMEOUT_MS};
 use super::distribution::Distribution;
 use super::events::{ControllerEffect, ControllerEvent, Requester};
 use super::idempotency::{self, Idempotency};
@@ -89,7 +89,7 @@
     fn step(&mut self, event: ControllerEvent, now: Now) -> Vec<ControllerEffect> {
         self.now = self.now.max(now.monotonic_ms);
         self.wall_ms = now.wall;
-        self.route(event);
+        self.dispatch(event);
         self.start_confirmation();
         std::mem::take(&mut self.effects)
     }
@@ -133,7 +133,7 @@
         self.sessions.endpoints()
     }
 
-    fn route(&mut self, event: ControllerEvent) {
+    fn dispatch(&mut self, event: ControllerEvent) {
         match event {
             ControllerEvent::Tick => self.tick(),
             ControllerEvent::Net(event) => self.on_net(event),
@@ -144,20 +144,24 @@
                 request_id,
                 proposal_id,
                 command,
-            } => self.change(Requester::Http { request_id }, proposal_id, command),
+            } => self.propose_change(Requester::Http { request_id }, proposal_id, command),
             ControllerEvent::RemoveCore {
                 request_id,
                 proposal_id,
                 core,
             } => self.remove_core(request_id, proposal_id, core),
-            ControllerEvent::ReadStatus { request_id } => self.read(Read::Status { request_id }),
-            ControllerEvent::ReadView { request_id } => self.read(Read::View { request_id }),
+            ControllerEvent::ReadStatus { request_id } => {
+                self.request_read(Read::Status { request_id })
+            }
+            ControllerEvent::ReadView { request_id } => {
+                self.request_read(Read::View { request_id })
+            }
             ControllerEvent::ReadOutcome {
                 request_id,
                 proposal_id,
             } => {
                 let requester = Requester::Http { request_id };
-                self.read(Read::Outcome {
+                self.request_read(Read::Outcome {
                     requester,
                     proposal_id,
                 });
@@ -195,7 +199,7 @@
 
     /// One connection to each core that receives broadcasts.
     fn reachable_cores(&self) -> Vec<Conn> {
-        let cores = self.live_cores(REACHABLE_MS).into_values();
+        let cores = self.live_cores(REACHABLE_TIMEOUT_MS).into_values();
         cores.map(|(conn, _)| conn).collect()
     }
 
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -13,7 +13,7 @@
 impl Controller {
     /// Queues a read for the next confirmation; answers it as not confirmed at once
     /// where this core is partitioned from the quorum.
-    pub(super) fn read(&mut self, read: Read) {
+    pub(super) fn request_read(&mut self, read: Read) {
         let partitioned = self.consensus.as_ref().is_some_and(|c| c.is_partitioned());
         if partitioned && !broken(Invariant::Proof) {
             // a wait would time out; another core may reach the quorum
@@ -81,7 +81,7 @@
                 proposal_id,
             } => {
                 let outcome = self.recorded_outcome(proposal_id, confirmed);
-                self.change_done(requester, outcome);
+                self.send_outcome(requester, outcome);
             }
             Read::Renewal {
                 conn,
@@ -93,7 +93,7 @@
                 } else {
                     StateDelta::default()
                 };
-                self.grant(conn, renewal, confirmed, delta);
+                self.send_grant(conn, renewal, confirmed, delta);
             }
         }
     }
--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -3,7 +3,7 @@
 
 use super::Controller;
 use crate::consensus::{Body, Event};
-use crate::control_plane::connections::{LIVE_MS, REACHABLE_MS};
+use crate::control_plane::connections::{LIVE_TIMEOUT_MS, REACHABLE_TIMEOUT_MS};
 use crate::control_plane::events::{ControllerEffect, WorkerAddress};
 use crate::control_plane::singleton::{preferred_holder, RegionTransition};
 use crate::control_plane::status::recovery_text;
@@ -51,7 +51,7 @@
 
     fn is_preferred_holder(&self) -> bool {
         let own_id = self.own_hello.id;
-        let live = self.live_cores(LIVE_MS);
+        let live = self.live_cores(LIVE_TIMEOUT_MS);
         let is_live = |id| id == own_id || live.contains_key(&id);
         preferred_holder(self.members(), is_live) == Some(own_id)
     }
@@ -143,7 +143,7 @@
     }
 
     fn tune_weights(&mut self) {
-        let live = self.live_cores(REACHABLE_MS);
+        let live = self.live_cores(REACHABLE_TIMEOUT_MS);
         let Some(consensus) = &self.consensus else {
             return;
         };
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -42,7 +42,7 @@
                 Idempotency::new(claim_options, &recovered.claims, caught_up, now);
             controller.restore(recovered);
         }
-        controller.redial();
+        controller.reconcile_connections();
         controller
     }
 
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -1,7 +1,7 @@
 //! Collects the state of all parts for the status document.
 
 use super::Controller;
-use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::connections::LIVE_TIMEOUT_MS;
 use crate::control_plane::status::{ClaimsStatus, StatusSources};
 use crate::json::Value;
 
@@ -17,7 +17,7 @@
             wall_ms: self.wall_ms,
             policy: &self.membership.policy,
             consensus: self.consensus.as_ref(),
-            live_cores: self.live_cores(LIVE_MS).into_keys().collect(),
+            live_cores: self.live_cores(LIVE_TIMEOUT_MS).into_keys().collect(),
             claims: ClaimsStatus {
                 remembered: self.idempotency.table().len(),
                 capacity: self.idempotency.table().capacity(),
