--- a/sorreldoor/src/consensus/mod.rs
+++ b/sorreldoor/src/consensus/mod.rs
@@ -1,5 +1,5 @@
-//! CD-Raft as a pure reducer: an event and the time go in, effects come out.
-//! Nothing in here reads a clock, does I/O or starts a thread.
+//! CD-Raft as a pure reducer: an event and the current time in, effects out.
+//! Nothing in this module reads a clock, does I/O or starts a thread.
 //!
 //! Raft follows Ongaro, "Consensus: Bridging Theory and Practice" ("the thesis"
 //! in the comments). The hierarchy of Domain Leaders below one Global Leader
@@ -24,13 +24,13 @@
 mod fast_return;
 mod follower;
 mod leader;
+pub mod leader_position;
 mod leader_transfer;
 mod members;
 mod messages;
 mod node;
 mod pending;
 mod persistence;
-pub mod position;
 mod progress;
 mod proposal;
 pub mod quorum;
@@ -44,18 +44,18 @@
 mod status;
 mod term;
 mod timing;
-mod transfer;
+mod transfer_state;
 
 pub use entry::{Body, Entry, HardState, LogPosition, Member, Snapshot};
 pub use errors::ProposalError;
 pub use event::{Effect, Event, SilentVoter, StateChange, StepDownReason};
+pub use leader_position::RegionLoad;
 pub use messages::{
     AppendReply, AppendRequest, Chunk, ContentHeader, Msg, ReplicaProgress, VoteReply,
 };
 pub use node::Consensus;
-pub use position::Load;
 pub use raft_log::RaftLog;
 pub use save::{ClaimRecord, RecoveredState, Save};
 pub use state_machine::StateMachine;
 pub use timing::{InjectedFault, Timing};
-pub use transfer::{CHUNK_BYTES, WINDOW_BYTES};
+pub use transfer_state::{TRANSFER_CHUNK_BYTES, TRANSFER_WINDOW_BYTES};
--- a/sorreldoor/src/consensus/progress.rs
+++ b/sorreldoor/src/consensus/progress.rs
@@ -1,7 +1,7 @@
-//! Progress of a replica, as tracked by the node that sends it the log.
+//! Progress of a replica, as tracked by a leader.
 
 use super::messages::ContentHeader;
-use super::transfer::Transfer;
+use super::transfer_state::OutgoingTransfer;
 use crate::types::Millis;
 use std::collections::VecDeque;
 
@@ -12,25 +12,26 @@
     bytes: usize,
 }
 
-/// What a leader knows of one replica in the current term.
+/// Replication state of one replica in the current term, kept by the Global Leader
+/// or by the replica's Domain Leader.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Progress {
-    /// Highest index known to match the sender's log, synced.
+    /// Highest index that the replica has synced and that matches the leader's log.
     pub matched: u64,
     pub next_index: u64,
-    /// `prev` index of the last append sent.
+    /// Index of `prev` in the last append sent.
     pub probe_index: u64,
-    /// The newest round of heartbeats that the replica has echoed.
+    /// The newest heartbeat round that the replica has echoed.
     pub round: u64,
-    pub last_heard_at: Millis,
+    pub last_contact_at: Millis,
     pub sent_at: Millis,
     in_flight: VecDeque<InFlightAppend>,
     /// A snapshot or a large entry that is being sent in chunks.
-    pub transfer: Option<Transfer>,
+    pub transfer: Option<OutgoingTransfer>,
 }
 
 impl Progress {
-    /// Progress of a replica that is taken to need entries from `next_index`.
+    /// Progress of a replica that is assumed to need the entries from `next_index` on.
     pub fn starting_at(next_index: u64) -> Progress {
         Progress {
             next_index,
@@ -38,10 +39,10 @@
         }
     }
 
-    /// As `starting_at`, counted as heard from at `now`.
+    /// As `starting_at`, with `now` as the time of the last contact.
     pub fn active_from(next_index: u64, now: Millis) -> Progress {
         Progress {
-            last_heard_at: now,
+            last_contact_at: now,
             ..Progress::starting_at(next_index)
         }
     }
@@ -58,7 +59,7 @@
         {
             self.in_flight.pop_front();
         }
-        let arrived = |t: &Transfer| t.header().last().index <= matched;
+        let arrived = |t: &OutgoingTransfer| t.header().last().index <= matched;
         if self.transfer.as_ref().is_some_and(arrived) {
             self.transfer = None;
         }
@@ -69,7 +70,7 @@
     pub fn decrease_next_index(&mut self, hint: u64) {
         self.next_index = hint.max(self.matched) + 1;
         self.in_flight.clear();
-        let is_entry = |t: &Transfer| matches!(t.header(), ContentHeader::Entry { .. });
+        let is_entry = |t: &OutgoingTransfer| matches!(t.header(), ContentHeader::Entry { .. });
         if self.transfer.as_ref().is_some_and(is_entry) {
             self.transfer = None;
         }
--- a/sorreldoor/src/control_plane/controller/bootstrap.rs
+++ b/sorreldoor/src/control_plane/controller/bootstrap.rs
@@ -74,7 +74,7 @@
         self.log_event(LogEvent::ClusterBootstrapped, format_member_ids(&founders));
         let state = ReplicatedState::new(self.site.clone());
         let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
-        let consensus = Consensus::found(id, timing, founders, state, seed, now);
+        let consensus = Consensus::bootstrap(id, timing, founders, state, seed, now);
         self.consensus = Some(consensus);
         self.idempotency_event(idempotency::Event::Founded);
         self.announce_membership();
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -55,7 +55,7 @@
                 let seq = if claims.is_empty() {
                     self.consensus.as_ref().and_then(|c| c.last_unsynced_save())
                 } else {
-                    self.save_claims(Save::ClaimRecord(claims))
+                    self.save_claims(Save::ClaimRecords(claims))
                 };
                 if let Some(seq) = seq {
                     self.idempotency.defer(seq, action);
@@ -72,7 +72,7 @@
     /// Saves claims in one sequence with the log's saves. Returns the number of the
     /// save; `None` without a replica.
     fn save_claims(&mut self, save: Save) -> Option<u64> {
-        let (seq, effects) = self.consensus.as_mut()?.save_beside_log(save);
+        let (seq, effects) = self.consensus.as_mut()?.save_outside_log(save);
         for effect in effects {
             self.apply_consensus_effect(effect);
         }
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -102,7 +102,7 @@
     /// has none and is confirmed current, `Unknown` if it has none otherwise.
     fn recorded_outcome(&self, proposal_id: ProposalId, confirmed: bool) -> OpOutcome {
         let state = self.consensus.as_ref().map(|c| c.state_machine());
-        let bytes = state.and_then(|state| state.answered(proposal_id));
+        let bytes = state.and_then(|state| state.recorded_outcome(proposal_id));
         match bytes.and_then(|bytes| decode(&bytes)) {
             Some(outcome) => OpOutcome::Got(outcome),
             None if confirmed => OpOutcome::Nothing,
