--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP interface of a core: each request becomes an event for
-//! the controller.
+//! The operators' HTTP interface of a core. Requests are passed to the controller
+//! through its client.
 
 use super::client::{ControllerClient, StateSnapshot};
 use super::integration::{bind, OperatorServer};
@@ -13,8 +13,9 @@
 use http_types::{Method, Request, Response};
 use std::sync::Arc;
 
-/// Seconds after which a client should retry, in general and with a failed disk.
+/// `Retry-After` of rejected requests, in seconds.
 const RETRY_AFTER_S: u64 = 1;
+/// `Retry-After` while the disk of this core has failed, in seconds.
 const DISK_RETRY_AFTER_S: u64 = 5;
 
 /// The server of the product's own HTTP interface.
@@ -69,13 +70,15 @@
 
     async fn ready(&self) -> Response {
         match self.client.read_status().await {
-            Some(StateSnapshot { proved: true, .. }) => http::json(200, "{\"ready\":true}".into()),
+            Some(StateSnapshot {
+                confirmed: true, ..
+            }) => http::json(200, "{\"ready\":true}".into()),
             Some(StateSnapshot { disk_ok: false, .. }) => {
                 http::shed(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
             }
             _ => http::shed(
                 ErrorCode::NoControlPlane,
-                "no quorum is reached from here",
+                "this core cannot reach a quorum",
                 RETRY_AFTER_S,
             ),
         }
@@ -99,19 +102,19 @@
             OperatorRequest::Configuration => self.configuration().await,
             OperatorRequest::Status => match self.client.read_status().await {
                 Some(state) => http::json(200, state.status),
-                None => unreachable_core(),
+                None => no_control_plane(),
             },
             OperatorRequest::Metrics => match self.client.read_status().await {
                 Some(state) => operator_api::metrics(&state.status),
-                None => unreachable_core(),
+                None => no_control_plane(),
             },
         }
     }
 
     async fn configuration(&self) -> Response {
         let state = self.client.read_status().await;
-        let Some(state) = state.filter(|state| state.proved) else {
-            return unreachable_core();
+        let Some(state) = state.filter(|state| state.confirmed) else {
+            return no_control_plane();
         };
         let view = state.view;
         let document = view.doc.as_ref().map(|document| document.as_str());
@@ -121,6 +124,6 @@
     }
 }
 
-fn unreachable_core() -> Response {
+fn no_control_plane() -> Response {
     http::shed(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
 }
--- a/sorreldoor/src/control_plane/membership/change.rs
+++ b/sorreldoor/src/control_plane/membership/change.rs
@@ -1,15 +1,15 @@
-//! One change of the members, and why it is made.
+//! A change of the members and its reason.
 
 use crate::consensus::Member;
 use crate::types::NodeId;
 use std::fmt;
 
-/// One change of the members.
+/// A change of the members of the consensus group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A core becomes a learner: it receives the log and has no vote.
+    /// A core joins as a learner, which receives the log and has no vote.
     AddLearner {
-        /// Its node name, for the log.
+        /// Its node name, for log events.
         node: String,
         /// The new member.
         member: Member,
@@ -19,12 +19,12 @@
         /// The learner.
         id: NodeId,
     },
-    /// A learner replaces a voter.
-    Swap {
+    /// A learner replaces a voter, in one change.
+    Replace {
         /// The voter, which becomes a learner.
-        out: NodeId,
+        demoted: NodeId,
         /// The learner, which becomes a voter.
-        into: NodeId,
+        promoted: NodeId,
         /// Why the voter is replaced.
         reason: Reason,
     },
@@ -47,25 +47,25 @@
 /// Why a member is demoted, replaced or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Another identity answers at its address: its disk was lost for certain.
-    Wiped,
+    /// A core with another id runs at its address: its disk, with its id, was lost.
+    DiskLost,
     /// Its process is shutting down.
     Stopping,
-    /// It sent nothing for too long.
+    /// It has sent nothing for longer than the policy allows.
     Silent,
-    /// There are more voters than wanted.
+    /// There are more voters than the target.
     Surplus,
-    /// Too many voters stand in one zone.
+    /// Its zone has so many voters that its loss would take the majority.
     Zone,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::Wiped => "came back blank",
+            Reason::DiskLost => "restarted with an empty disk",
             Reason::Stopping => "is stopping",
-            Reason::Silent => "is silent",
-            Reason::Surplus => "is one voter too many",
+            Reason::Silent => "has stopped responding",
+            Reason::Surplus => "exceeds the target number of voters",
             Reason::Zone => "shares its zone with other voters",
         })
     }
@@ -74,38 +74,47 @@
 impl fmt::Display for MembershipChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MembershipChange::AddLearner { node, .. } => write!(f, "{node} joins as a non-voter"),
+            MembershipChange::AddLearner { node, .. } => write!(f, "{node} joins as a learner"),
             MembershipChange::Promote { id } => write!(f, "{id:x} becomes a voter"),
-            MembershipChange::Swap { out, into, reason } => {
-                write!(f, "{out:x} {reason}, {into:x} becomes a voter for it")
+            MembershipChange::Replace {
+                demoted,
+                promoted,
+                reason,
+            } => {
+                write!(
+                    f,
+                    "{demoted:x} {reason}; {promoted:x} replaces it as a voter"
+                )
             }
             MembershipChange::Demote { ids, reason } => {
                 let ids: Vec<String> = ids.iter().map(|id| format!("{id:x}")).collect();
-                write!(f, "{} {reason} and loses its vote", ids.join(" "))
+                write!(f, "{} {reason}; demoted to learner", ids.join(" "))
             }
             MembershipChange::RemoveLearner { id, reason } => {
-                write!(f, "{id:x} {reason} and is removed")
+                write!(f, "{id:x} {reason}; removed")
             }
         }
     }
 }
 
 impl MembershipChange {
-    /// The members after this change.
+    /// The list of members after this change.
     pub fn applied(&self, members: &[Member]) -> Vec<Member> {
         let mut next = members.to_vec();
-        let mut vote = |id: NodeId, voter: bool| {
+        let mut set_voter = |id: NodeId, voter: bool| {
             let found = next.iter_mut().filter(|m| m.id == id);
             found.for_each(|m| m.voter = voter);
         };
         match self {
             MembershipChange::AddLearner { member, .. } => next.push(member.clone()),
-            MembershipChange::Promote { id } => vote(*id, true),
-            MembershipChange::Swap { out, into, .. } => {
-                vote(*out, false);
-                vote(*into, true);
+            MembershipChange::Promote { id } => set_voter(*id, true),
+            MembershipChange::Replace {
+                demoted, promoted, ..
+            } => {
+                set_voter(*demoted, false);
+                set_voter(*promoted, true);
             }
-            MembershipChange::Demote { ids, .. } => ids.iter().for_each(|id| vote(*id, false)),
+            MembershipChange::Demote { ids, .. } => ids.iter().for_each(|id| set_voter(*id, false)),
             MembershipChange::RemoveLearner { id, .. } => next.retain(|m| m.id != *id),
         }
         next
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -73,8 +73,10 @@
     fn core_effect(&mut self, process: usize, effect: ControllerEffect) {
         match effect {
             ControllerEffect::Save(seq, save) => self.save(process, seq, save),
-            ControllerEffect::Keep("sure", _) => self.processes[process].sure = true,
-            ControllerEffect::Keep(_, bytes) => self.processes[process].promise = decode(&bytes),
+            ControllerEffect::StoreValue("sure", _) => self.processes[process].sure = true,
+            ControllerEffect::StoreValue(_, bytes) => {
+                self.processes[process].promise = decode(&bytes)
+            }
             ControllerEffect::Send(conn, payload) => self.send(process, conn, payload),
             ControllerEffect::Connect(addr) => self.connect(process, addr),
             ControllerEffect::Disconnect(addr) => self.disconnect(process, addr),
@@ -83,9 +85,12 @@
                 request_id,
                 outcome,
             } => self.changed(request_id, outcome),
-            ControllerEffect::ViewReady { request_id, proved } => {
-                self.record_read(process, request_id, proved);
-                self.viewed(process, request_id, proved);
+            ControllerEffect::ViewReady {
+                request_id,
+                confirmed,
+            } => {
+                self.record_read(process, request_id, confirmed);
+                self.viewed(process, request_id, confirmed);
             }
             ControllerEffect::StatusReady { .. } => {}
             ControllerEffect::ReadWorkerList => self.read_registry(process),
@@ -171,16 +176,16 @@
         registry: WorkerRegistry,
     ) {
         self.deliver_to_process(process, incarnation, move |world| {
-            world.core_step(process, ControllerEvent::WorkerRegistry(Ok(registry)))
+            world.core_step(process, ControllerEvent::WorkerListRead(Ok(registry)))
         });
     }
 
     fn check_workers(&mut self, process: usize, epoch: u64, names: Vec<String>) {
         let incarnation = self.processes[process].incarnation;
         self.after(HEALTH_CHECK_MS, move |world| {
-            let rows = names.iter().map(|name| world.worker_load(name)).collect();
+            let loads = names.iter().map(|name| world.worker_load(name)).collect();
             world.deliver_to_process(process, incarnation, move |world| {
-                world.core_step(process, ControllerEvent::Loads { epoch, rows })
+                world.core_step(process, ControllerEvent::LoadsPolled { epoch, loads })
             });
         });
     }
