--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -10,7 +10,7 @@
 use crate::net::Conn;
 use crate::replicated_state;
 use crate::runtime::{Now, Reducer};
-use crate::subscription::{Pull, SubscriptionEffect};
+use crate::subscription::{CoreSubscription, SubscriptionEffect};
 use crate::types::Millis;
 use crate::wire::{EdgeStatus, Hello, Payload, RouteLatency, Unverified};
 use simd_json::prelude::*;
@@ -25,7 +25,7 @@
     /// The requests in progress.
     pub table: RequestTable,
     /// The subscription to a core, with the lease.
-    pub pull: Pull,
+    pub pull: CoreSubscription,
     /// Replica of the replicated state, advanced by updates.
     pub(super) replica: replicated_state::StateReplica,
     /// Callers that wait for a proof that the configuration is current, each
@@ -66,7 +66,7 @@
 
 impl EdgeController {
     /// The controller of an edge that introduces itself with `hello`.
-    pub fn new(hello: Hello, cluster: ClusterView, pull: Pull) -> EdgeController {
+    pub fn new(hello: Hello, cluster: ClusterView, pull: CoreSubscription) -> EdgeController {
         EdgeController {
             hello,
             cluster,
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -14,7 +14,7 @@
 use crate::runtime::{self, Clock, EffectHandler};
 use crate::settings::Settings;
 use crate::start_error::{BindSnafu, SignalsSnafu, StartError};
-use crate::subscription::Pull;
+use crate::subscription::CoreSubscription;
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::net::TcpListener;
 use async_std::task;
@@ -103,7 +103,7 @@
         settings.zone,
         settings.region,
     );
-    let pull = Pull::new(&settings.seeds, settings.lease_ms, 0, clock.now().wall)
+    let pull = CoreSubscription::new(&settings.seeds, settings.lease_ms, 0, clock.now().wall)
         .named(&settings.node)
         .paced(&settings.pacing);
     EdgeController::new(hello, cluster, pull)
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -12,7 +12,7 @@
 use crate::net::{Conn, NetEvent};
 use crate::replicated_state::{DocumentDelta, StateUpdate, View};
 use crate::runtime::{Now, Prioritized, Reducer};
-use crate::subscription::{Granted, Pull, SubscriptionEffect};
+use crate::subscription::{CoreSubscription, Granted, SubscriptionEffect};
 use crate::types::Millis;
 use crate::wire::*;
 use std::net::SocketAddr;
@@ -84,7 +84,7 @@
 pub struct ProxyController {
     identity: Hello,
     site: Arc<Site>,
-    subscription: Pull,
+    subscription: CoreSubscription,
     /// Places requests, under the configuration that is applied here.
     pub balancer: Balancer,
     /// Requests in flight, as reported to cores.
@@ -136,7 +136,7 @@
     pub fn new(
         identity: Hello,
         site: Arc<Site>,
-        subscription: Pull,
+        subscription: CoreSubscription,
         balancer: Balancer,
     ) -> ProxyController {
         ProxyController {
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -16,7 +16,7 @@
 use crate::runtime::{event_queue, Clock, EventReceiver, Reducer};
 use crate::settings::Settings;
 use crate::start_error::{BindSnafu, SignalsSnafu, StartError};
-use crate::subscription::Pull;
+use crate::subscription::CoreSubscription;
 use async_std::future::timeout;
 use async_std::net::TcpListener;
 use async_std::task;
@@ -100,7 +100,7 @@
         regions: settings.names.zones.iter().map(|(_, r)| *r).collect(),
     };
     let balancer = Balancer::new(locality, bounds, random_id());
-    let subscription = Pull::new(
+    let subscription = CoreSubscription::new(
         &settings.seeds,
         settings.lease_ms,
         now.monotonic_ms,
--- a/sorreldoor/src/subscription/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -1,7 +1,7 @@
 //! Candidates for the session: a core of the edge's region, or one more core
 //! where a renewal is not granted in time.
 
-use super::{Pull, SubscriptionEffect};
+use super::{CoreSubscription, SubscriptionEffect};
 use crate::invariants::{broken, Invariant};
 use crate::net::Conn;
 use crate::types::Millis;
@@ -29,7 +29,7 @@
     home: bool,
 }
 
-impl Pull {
+impl CoreSubscription {
     /// Tries a core of the edge's region if the session is with one elsewhere:
     /// each request to a remote core costs a round trip, and a claim two.
     pub(super) fn go_home(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -37,7 +37,7 @@
 /// I/O: events go in, and `SubscriptionEffect`s come out. Times are of the
 /// monotonic clock, in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Pull {
+pub struct CoreSubscription {
     /// The cores, and whether each is in the edge's own region.
     cores: Vec<(SocketAddr, bool)>,
     /// Index of the core that is tried next.
@@ -109,12 +109,12 @@
     LeaseRenewed,
 }
 
-impl Pull {
+impl CoreSubscription {
     /// A subscription without a session. `seeds` are the cores to try first,
     /// `now` is the monotonic and `wall` the wall clock, in milliseconds.
-    pub fn new(seeds: &[SocketAddr], lease_ms: Millis, now: Millis, wall: i64) -> Pull {
+    pub fn new(seeds: &[SocketAddr], lease_ms: Millis, now: Millis, wall: i64) -> CoreSubscription {
         let pacing = Pacing::default();
-        Pull {
+        CoreSubscription {
             cores: seeds.iter().map(|s| (*s, false)).collect(),
             next: 0,
             salt: String::new(),
@@ -139,10 +139,10 @@
     }
 
     /// Sets the name of the node, which spreads nodes over the cores.
-    pub fn named(self, node: &str) -> Pull {
+    pub fn named(self, node: &str) -> CoreSubscription {
         // not all need find the first seed dead when they start at once
         let next = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
-        Pull {
+        CoreSubscription {
             next,
             salt: node.to_string(),
             ..self
@@ -151,8 +151,8 @@
 
     /// Sets the intervals of renewals and hedges, and after how long
     /// unverified state is accepted.
-    pub fn paced(self, t: &Pacing) -> Pull {
-        Pull {
+    pub fn paced(self, t: &Pacing) -> CoreSubscription {
+        CoreSubscription {
             renew_ms: t.renew_ms,
             hedge_ms: t.hedge_ms,
             unverified_after: t.unverified_after_ms,
--- a/sorreldoor/tests/proxy/harness.rs
+++ b/sorreldoor/tests/proxy/harness.rs
@@ -10,7 +10,7 @@
 use sorreldoor::proxy::http1::*;
 use sorreldoor::proxy::{accept, PlainDialect, ProxyController, SharedState};
 use sorreldoor::runtime::{Clock, Now, SystemClock};
-use sorreldoor::subscription::Pull;
+use sorreldoor::subscription::CoreSubscription;
 use sorreldoor::wire::Hello;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -271,7 +271,7 @@
         },
         1,
     );
-    let pull = Pull::new(&[], 1000, 0, 0);
+    let pull = CoreSubscription::new(&[], 1000, 0, 0);
     let controller = ProxyController::new(Hello::default(), site, pull, balancer);
     let shared = Arc::new(SharedState::new(
         controller,
--- a/testbed/src/capacity/hollow_node.rs
+++ b/testbed/src/capacity/hollow_node.rs
@@ -1,5 +1,5 @@
 //! Hollow nodes: edges without requests that run only the subscription
-//! (`Pull`), or the complete reducer where host time and memory are measured.
+//! (`CoreSubscription`), or the complete reducer where host time and memory are measured.
 
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::ClaimRecord;
@@ -7,7 +7,7 @@
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::{Conn, NetEvent};
 use sorreldoor::runtime::{Now, Reducer};
-use sorreldoor::subscription::{Granted, Pull, SubscriptionEffect};
+use sorreldoor::subscription::{CoreSubscription, Granted, SubscriptionEffect};
 use sorreldoor::types::Millis;
 use sorreldoor::wire::*;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 /// An edge reduced to its subscription, with made-up load figures.
 pub struct HollowNode {
     me: Hello,
-    pull: Pull,
+    pull: CoreSubscription,
     version: u64,
     running: u32,
     route_latencies: Vec<RouteLatency>,
@@ -47,7 +47,8 @@
         route_latencies: Vec<RouteLatency>,
         now: Now,
     ) -> Node {
-        let pull = Pull::new(seeds, LEASE_MS, now.monotonic_ms, now.wall).named(&me.node);
+        let pull =
+            CoreSubscription::new(seeds, LEASE_MS, now.monotonic_ms, now.wall).named(&me.node);
         Node::HollowNode(Box::new(HollowNode {
             me,
             pull,
@@ -66,7 +67,8 @@
         now: Now,
         site: Arc<Site>,
     ) -> Node {
-        let pull = Pull::new(seeds, LEASE_MS, now.monotonic_ms, now.wall).named(&me.node);
+        let pull =
+            CoreSubscription::new(seeds, LEASE_MS, now.monotonic_ms, now.wall).named(&me.node);
         let cluster = ClusterView::new(site, me.node.clone(), me.zone, me.region);
         let mut h = EdgeController::new(me, cluster, pull);
         let rows = route_latencies
@@ -76,7 +78,7 @@
         Node::Full(Box::new(h))
     }
 
-    fn pull(&self) -> &Pull {
+    fn pull(&self) -> &CoreSubscription {
         match self {
             Node::HollowNode(h) => &h.pull,
             Node::Full(h) => &h.pull,
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -9,7 +9,7 @@
 use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEvent};
 use sorreldoor::gateway::request_table::ClusterView;
 use sorreldoor::gateway::{EdgeController, EdgeEvent};
-use sorreldoor::subscription::Pull;
+use sorreldoor::subscription::CoreSubscription;
 use sorreldoor::types::Millis;
 use sorreldoor::wire::Hello;
 use std::collections::BTreeMap;
@@ -212,7 +212,7 @@
             state.region,
         );
         let (now, wall) = (self.monotonic_ms(process), self.wall(process));
-        let subscription = Pull::new(&seeds, self.lease_ms, now, wall)
+        let subscription = CoreSubscription::new(&seeds, self.lease_ms, now, wall)
             .named(&state.name)
             .paced(&self.pacing);
         EdgeController::new(me, cluster, subscription)
