--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -49,11 +49,11 @@
         self.now = self.now.max(at.monotonic_ms);
         // the event that wakes a suspended process may come before any tick,
         // and must find the lease void
-        if let Some(effect) = self.pull.awake(self.now, at.wall) {
+        if let Some(effect) = self.pull.detect_suspension(self.now, at.wall) {
             self.on_subscription_effect(effect);
         }
         self.handle(event);
-        if self.pull.lease(self.now) {
+        if self.pull.has_lease(self.now) {
             self.table.match_waiting(&mut self.cluster, self.now);
         }
         for effect in std::mem::take(&mut self.table.effects) {
@@ -94,7 +94,7 @@
                 self.table.on_disconnect(&mut self.cluster, request_id)
             }
             EdgeEvent::Attempt(report) => {
-                let lease_valid = self.pull.lease(self.now);
+                let lease_valid = self.pull.has_lease(self.now);
                 self.table
                     .on_attempt_event(&mut self.cluster, report, lease_valid, self.now);
             }
@@ -142,7 +142,7 @@
         self.table.retry_pending_claims(self.now);
         self.table.expire_requests(&mut self.cluster, self.now);
         self.table.reject_unservable(&self.cluster, self.now);
-        if !self.pull.lease(self.now) {
+        if !self.pull.has_lease(self.now) {
             self.table.reject_without_lease(self.now);
         }
     }
@@ -159,7 +159,7 @@
         if self.leaving {
             return Err(ErrorCode::ShuttingDown);
         }
-        if !self.pull.lease(self.now) {
+        if !self.pull.has_lease(self.now) {
             return Err(ErrorCode::NoLease);
         }
         Ok(())
@@ -253,8 +253,8 @@
                 no,
                 unverified,
             } => self.send_renewal(conn, no, unverified),
-            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(cause) => self.log_event(LogEvent::ClockJump, cause),
+            SubscriptionEffect::SessionReplaced => self.log_event(LogEvent::SessionLost, "silent"),
+            SubscriptionEffect::Suspended(cause) => self.log_event(LogEvent::ClockJump, cause),
             SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
             SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
         }
@@ -263,7 +263,7 @@
     fn send_renewal(&mut self, conn: Conn, no: u64, unverified: Unverified) {
         let payload = Payload::Renew {
             no,
-            have: self.pull.have.clone(),
+            have: self.pull.known_versions.clone(),
             edge_status: self.edge_status(),
             unverified,
         };
--- a/sorreldoor/src/gateway/queries.rs
+++ b/sorreldoor/src/gateway/queries.rs
@@ -73,7 +73,8 @@
             return;
         };
         let renewal = self.pull.renew(conn, self.now);
-        self.pending_reads.push((request_id, self.pull.last_no()));
+        self.pending_reads
+            .push((request_id, self.pull.last_renewal()));
         self.on_subscription_effect(renewal);
     }
 
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -104,8 +104,8 @@
         settings.region,
     );
     let pull = CoreSubscription::new(&settings.seeds, settings.lease_ms, 0, clock.now().wall)
-        .named(&settings.node)
-        .paced(&settings.pacing);
+        .with_node_name(&settings.node)
+        .with_pacing(&settings.pacing);
     EdgeController::new(hello, cluster, pull)
 }
 
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -7,7 +7,7 @@
 use crate::gateway::request_table::{ClaimResult, RequestId};
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
-use crate::subscription::Granted;
+use crate::subscription::GrantOutcome;
 use crate::wire::{EncodedUpdate, OpOutcome, Payload, StateDelta, LARGE_UPDATE};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
         let hello = Payload::Hello(self.hello.clone());
         self.effects.push(EdgeEffect::Send(conn, hello));
         let Some(addr) = dialled else { return };
-        for effect in self.pull.up(conn, addr, self.now) {
+        for effect in self.pull.on_connected(conn, addr, self.now) {
             self.on_subscription_effect(effect);
         }
         self.log_event(LogEvent::SessionEstablished, addr.to_string());
@@ -33,7 +33,7 @@
     }
 
     fn on_disconnected(&mut self, conn: Conn) {
-        self.pull.down(conn);
+        self.pull.on_disconnected(conn);
         let lost: Vec<RequestId> = self
             .pending_proposals
             .iter()
@@ -59,7 +59,7 @@
                     id: &id,
                     vote: result,
                 };
-                let lease_valid = self.pull.lease(self.now);
+                let lease_valid = self.pull.has_lease(self.now);
                 self.table
                     .on_claim_result(&mut self.cluster, result, lease_valid, self.now);
             }
@@ -84,16 +84,16 @@
         // applied only by an edge that has none at all
         let has_document = delta.record.as_ref().is_some_and(|r| r.has_document);
         if delta.record_withheld {
-            self.pull.withheld(no, self.now);
+            self.pull.on_withheld_grant(no, self.now);
             return;
         }
-        match self.pull.granted(no, ok, has_document, self.now) {
-            Granted::Proved => {
+        match self.pull.on_grant(no, ok, has_document, self.now) {
+            GrantOutcome::Confirmed => {
                 self.apply_delta(delta);
                 self.complete_reads(no);
             }
-            Granted::Unverified => self.apply_delta(delta),
-            Granted::No => {}
+            GrantOutcome::Unverified => self.apply_delta(delta),
+            GrantOutcome::Rejected => {}
         }
     }
 
@@ -112,11 +112,11 @@
             self.apply_registry(registry);
         }
         if let Some(loads) = delta.loads {
-            self.pull.have.loads = loads.mark();
+            self.pull.known_versions.loads = loads.mark();
             self.cluster.apply_loads(loads);
         }
         if let Some(edge_sessions) = delta.edge_sessions {
-            self.pull.have.edge_sessions = edge_sessions.0;
+            self.pull.known_versions.edge_sessions = edge_sessions.0;
             self.cluster.apply_edge_sessions(edge_sessions);
         }
         if let Some((version, cores)) = delta.cores {
@@ -126,7 +126,7 @@
 
     fn apply_record(&mut self, update: &EncodedUpdate) {
         // a delayed response must not undo a newer one
-        if update.revision <= self.pull.have.record {
+        if update.revision <= self.pull.known_versions.record {
             return;
         }
         let old_version = self.cluster.snapshot.view.version;
@@ -142,10 +142,10 @@
         let update = encoded.update();
         if !update.as_ref().is_some_and(|u| self.replica.apply(u)) {
             // it does not continue from the replica's state: request all of it
-            self.pull.have.record = 0;
+            self.pull.known_versions.record = 0;
             return self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
-        self.pull.have.record = encoded.revision;
+        self.pull.known_versions.record = encoded.revision;
         if !self.cluster.apply_view(self.replica.view()) {
             self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
@@ -159,8 +159,8 @@
     }
 
     fn apply_registry(&mut self, registry: Arc<WorkerRegistry>) {
-        if registry.version > self.pull.have.registry {
-            self.pull.have.registry = registry.version;
+        if registry.version > self.pull.known_versions.registry {
+            self.pull.known_versions.registry = registry.version;
             self.cluster.apply_registry(registry);
         }
     }
--- a/sorreldoor/src/gateway/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -9,13 +9,13 @@
     /// The status that `/v1/status` returns.
     pub(super) fn status(&self) -> Value {
         let view = &self.cluster.snapshot.view;
-        let core = self.pull.dialled.map(|addr| addr.to_string());
+        let core = self.pull.session_addr.map(|addr| addr.to_string());
         let mut v = Value::object();
         let _ = v.insert("node", self.hello.node.as_str());
         let _ = v.insert("role", "edge");
         let _ = v.insert("serial", view.version);
         let _ = v.insert("rev", view.revision);
-        let _ = v.insert("permit_left_ms", self.pull.left(self.now));
+        let _ = v.insert("permit_left_ms", self.pull.lease_left_ms(self.now));
         let _ = v.insert("session", self.pull.conn.is_some());
         let _ = v.insert("core", core);
         let _ = v.insert("leaving", self.leaving);
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -12,7 +12,7 @@
 use crate::net::{Conn, NetEvent};
 use crate::replicated_state::{DocumentDelta, StateUpdate, View};
 use crate::runtime::{Now, Prioritized, Reducer};
-use crate::subscription::{CoreSubscription, Granted, SubscriptionEffect};
+use crate::subscription::{CoreSubscription, GrantOutcome, SubscriptionEffect};
 use crate::types::Millis;
 use crate::wire::*;
 use std::net::SocketAddr;
@@ -110,7 +110,7 @@
 
     fn step(&mut self, event: ControllerEvent, at: Now) -> Vec<ControllerEffect> {
         self.now = self.now.max(at.monotonic_ms);
-        if let Some(effect) = self.subscription.awake(self.now, at.wall) {
+        if let Some(effect) = self.subscription.detect_suspension(self.now, at.wall) {
             self.on_subscription(effect);
         }
         match event {
@@ -168,7 +168,9 @@
 
     /// Whether it has a configuration and workers, and is not shutting down.
     pub fn ready(&self) -> bool {
-        !self.draining && self.balancer.hosted().is_some() && self.subscription.have.registry > 0
+        !self.draining
+            && self.balancer.hosted().is_some()
+            && self.subscription.known_versions.registry > 0
     }
 
     /// What this node's metrics are read from.
@@ -242,8 +244,8 @@
                 no,
                 unverified,
             } => self.send_renewal(conn, no, unverified),
-            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(detail) => self.log_event(LogEvent::ClockJump, detail),
+            SubscriptionEffect::SessionReplaced => self.log_event(LogEvent::SessionLost, "silent"),
+            SubscriptionEffect::Suspended(detail) => self.log_event(LogEvent::ClockJump, detail),
             SubscriptionEffect::LeaseExpired | SubscriptionEffect::LeaseRenewed => {}
         }
     }
@@ -258,7 +260,7 @@
         };
         let renewal = Payload::Renew {
             no,
-            have: self.subscription.have.clone(),
+            have: self.subscription.known_versions.clone(),
             edge_status,
             unverified,
         };
@@ -270,7 +272,7 @@
             NetEvent::Up { conn, dialled } => self.on_connected(conn, dialled),
             NetEvent::Down { conn } => {
                 self.usage_reporter.on_closed(conn);
-                self.subscription.down(conn);
+                self.subscription.on_disconnected(conn);
             }
             NetEvent::Frame { conn, payload } => match *payload {
                 Payload::Grant { no, ok, delta } => self.on_grant(no, ok, delta),
@@ -287,7 +289,7 @@
     fn on_connected(&mut self, conn: Conn, dialled: Option<SocketAddr>) {
         self.send(conn, Payload::Hello(self.identity.clone()));
         if let Some(addr) = dialled {
-            let effects = self.subscription.up(conn, addr, self.now);
+            let effects = self.subscription.on_connected(conn, addr, self.now);
             effects.into_iter().for_each(|e| self.on_subscription(e));
             self.log_event(LogEvent::SessionEstablished, addr.to_string());
         }
@@ -296,20 +298,20 @@
     fn on_grant(&mut self, no: u64, ok: bool, delta: StateDelta) {
         let has_document = delta.record.as_ref().is_some_and(|r| r.has_document);
         if delta.record_withheld {
-            self.subscription.withheld(no, self.now);
+            self.subscription.on_withheld_grant(no, self.now);
             return;
         }
         // an update of a core that could not prove itself current may be
         // stale, and is applied only by a node that has none at all
-        let granted = self.subscription.granted(no, ok, has_document, self.now);
-        if granted != Granted::No {
+        let granted = self.subscription.on_grant(no, ok, has_document, self.now);
+        if granted != GrantOutcome::Rejected {
             self.apply_delta(delta);
         }
     }
 
     fn apply_delta(&mut self, delta: StateDelta) {
         // a late answer must not undo a newer one
-        let known = self.subscription.have.record;
+        let known = self.subscription.known_versions.record;
         if let Some(update) = delta.record.filter(|u| u.revision > known) {
             self.apply_update(&update);
         }
@@ -317,7 +319,7 @@
             self.apply_registry(&registry);
         }
         if let Some((version, endpoints)) = delta.edge_sessions {
-            self.subscription.have.edge_sessions = version;
+            self.subscription.known_versions.edge_sessions = version;
             self.update_edges(endpoints);
         }
         if let Some((version, cores)) = delta.cores {
@@ -328,8 +330,8 @@
 
     fn apply_registry(&mut self, registry: &WorkerRegistry) {
         // lists arrive by more than one way, and an older one may arrive later
-        if registry.version > self.subscription.have.registry {
-            self.subscription.have.registry = registry.version;
+        if registry.version > self.subscription.known_versions.registry {
+            self.subscription.known_versions.registry = registry.version;
             self.balancer.update_registry(registry, self.now);
         }
     }
@@ -337,7 +339,7 @@
     fn apply_update(&mut self, encoded: &EncodedUpdate) {
         let applies = |u: &StateUpdate| u.from_revision <= self.view.revision;
         if self.view.revision > 0 && broken(Invariant::UpdatesApplied) {
-            self.subscription.have.record = encoded.revision;
+            self.subscription.known_versions.record = encoded.revision;
             return;
         }
         let Some(update) = encoded.update().filter(applies) else {
@@ -352,7 +354,7 @@
             let detail = format!("serial {}", update.version);
             self.log_event(LogEvent::ConfigurationApplied, detail);
         }
-        self.subscription.have.record = update.revision;
+        self.subscription.known_versions.record = update.revision;
         self.balancer
             .set_evacuated_zones(update.evacuated.clone(), self.now);
         // the text is parsed; keeping it would only cost its memory
@@ -372,7 +374,7 @@
 
     /// Has the next renewal ask for the complete state.
     fn request_snapshot(&mut self, reason: &str) {
-        self.subscription.have.record = 0;
+        self.subscription.known_versions.record = 0;
         self.log_event(LogEvent::ConfigurationUnreadable, reason);
     }
 
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -106,8 +106,8 @@
         now.monotonic_ms,
         now.wall,
     )
-    .named(&settings.node)
-    .paced(&settings.pacing);
+    .with_node_name(&settings.node)
+    .with_pacing(&settings.pacing);
     ProxyController::new(identity, settings.names.clone(), subscription, balancer)
 }
 
--- a/sorreldoor/src/subscription/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -34,7 +34,7 @@
     /// each request to a remote core costs a round trip, and a claim two.
     pub(super) fn go_home(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
         let near = |a: &SocketAddr| self.cores.iter().any(|(c, n)| *n && c == a);
-        let away = self.dialled.as_ref().is_some_and(|a| !near(a));
+        let away = self.session_addr.as_ref().is_some_and(|a| !near(a));
         if now < self.home_at || self.conn.is_none() || !away {
             return;
         }
@@ -65,7 +65,7 @@
     }
 
     fn tried(&self, addr: SocketAddr) -> bool {
-        self.dialled == Some(addr) || self.candidates.iter().any(|c| c.addr == addr)
+        self.session_addr == Some(addr) || self.candidates.iter().any(|c| c.addr == addr)
     }
 
     fn try_core(
@@ -127,10 +127,10 @@
         let won = self.candidates.iter().find(|c| c.conn == Some(conn));
         let won = won.copied();
         if let Some(won) = won {
-            let old = self.dialled.replace(won.addr);
+            let old = self.session_addr.replace(won.addr);
             self.due.extend(old.map(SubscriptionEffect::Disconnect));
             if !won.home {
-                self.due.push(SubscriptionEffect::Lost);
+                self.due.push(SubscriptionEffect::SessionReplaced);
             }
             self.conn = Some(conn);
             self.candidates.retain(|c| c.addr != won.addr);
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -49,12 +49,12 @@
     /// When a renewal is hedged, unless one is granted before.
     hedge_at: Millis,
     /// Address of the core of the session, connected or not.
-    pub dialled: Option<SocketAddr>,
+    pub session_addr: Option<SocketAddr>,
     /// Connection of the session, while it is established.
     pub conn: Option<Conn>,
     /// Versions of the state that the edge has. Its owner updates them as it
     /// applies a delta.
-    pub have: KnownVersions,
+    pub known_versions: KnownVersions,
     lease: Lease,
     renew_at: Millis,
     last_event: Millis,
@@ -72,14 +72,14 @@
 
 /// What a grant means for the edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Granted {
+pub enum GrantOutcome {
     /// The state is confirmed and the lease extended: apply the delta.
-    Proved,
+    Confirmed,
     /// Not confirmed, but accepted for want of any confirmed state: the lease
     /// is extended, apply the delta.
     Unverified,
     /// Not granted: ignore the delta.
-    No,
+    Rejected,
 }
 
 /// What the edge should do for its subscription.
@@ -99,10 +99,10 @@
         unverified: Unverified,
     },
     /// Log that the session was lost: another core answered first.
-    Lost,
+    SessionReplaced,
     /// Log that the process or machine was suspended, with the cause; the
     /// lease is void.
-    Woken(String),
+    Suspended(String),
     /// Log that the lease has expired.
     LeaseExpired,
     /// Log that the lease is valid again.
@@ -121,9 +121,9 @@
             home_at: now,
             candidates: Vec::new(),
             hedge_at: now + SOON_HEDGE_MS,
-            dialled: None,
+            session_addr: None,
             conn: None,
-            have: KnownVersions::default(),
+            known_versions: KnownVersions::default(),
             lease: Lease::new(lease_ms),
             renew_at: now,
             last_event: now,
@@ -139,7 +139,7 @@
     }
 
     /// Sets the name of the node, which spreads nodes over the cores.
-    pub fn named(self, node: &str) -> CoreSubscription {
+    pub fn with_node_name(self, node: &str) -> CoreSubscription {
         // not all need find the first seed dead when they start at once
         let next = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
         CoreSubscription {
@@ -151,7 +151,7 @@
 
     /// Sets the intervals of renewals and hedges, and after how long
     /// unverified state is accepted.
-    pub fn paced(self, t: &Pacing) -> CoreSubscription {
+    pub fn with_pacing(self, t: &Pacing) -> CoreSubscription {
         CoreSubscription {
             renew_ms: t.renew_ms,
             hedge_ms: t.hedge_ms,
@@ -162,8 +162,8 @@
 
     /// Whether it has something of each source, verified or not, and can serve.
     fn has_state(&self) -> bool {
-        let have = &self.have;
-        have.record > 0 && have.registry > 0 && have.edge_sessions > 0
+        let known = &self.known_versions;
+        known.record > 0 && known.registry > 0 && known.edge_sessions > 0
     }
 
     /// Milliseconds between renewals; less for a node that has just started and
@@ -207,18 +207,18 @@
     }
 
     /// Whether the lease is valid.
-    pub fn lease(&self, now: Millis) -> bool {
+    pub fn has_lease(&self, now: Millis) -> bool {
         self.lease.holds(now)
     }
 
     /// Milliseconds until the lease expires; 0 if it has.
-    pub fn left(&self, now: Millis) -> Millis {
+    pub fn lease_left_ms(&self, now: Millis) -> Millis {
         self.lease.left(now)
     }
 
     /// To be called first at every event: if the process or its machine was
     /// suspended, the lease is void, since what the edge has may be old.
-    pub fn awake(&mut self, now: Millis, wall: i64) -> Option<SubscriptionEffect> {
+    pub fn detect_suspension(&mut self, now: Millis, wall: i64) -> Option<SubscriptionEffect> {
         let gap = now.saturating_sub(self.last_event);
         let jump = (wall - self.last_wall) - gap as i64;
         self.last_event = now;
@@ -229,7 +229,7 @@
             self.lease.void();
             self.renew_at = now;
             self.hedge_at = now + self.hedge();
-            return Some(SubscriptionEffect::Woken(format!(
+            return Some(SubscriptionEffect::Suspended(format!(
                 "gap {gap} ms, jump {jump} ms"
             )));
         }
@@ -243,7 +243,7 @@
         self.session(now, &mut out);
         self.go_home(now, &mut out);
         self.hedge_alarm(now, &mut out);
-        if self.held != self.lease(now) {
+        if self.held != self.has_lease(now) {
             self.held = !self.held;
             // the cores should know at once whether this edge serves
             self.renew_at = now;
@@ -263,7 +263,7 @@
     /// Renews the lease now; what is granted counts from this moment.
     pub fn renew(&mut self, conn: Conn, now: Millis) -> SubscriptionEffect {
         let no = self.lease.ask(conn, now);
-        let soon = self.left(now) < self.lease.length / 2;
+        let soon = self.lease_left_ms(now) < self.lease.length / 2;
         let every = self.every(now);
         self.renew_at = now + if soon { AGAIN_MS.min(every) } else { every };
         let unverified = self.unverified(now);
@@ -275,26 +275,31 @@
     }
 
     /// Number of the last renewal; 0 before the first.
-    pub fn last_no(&self) -> u64 {
+    pub fn last_renewal(&self) -> u64 {
         self.lease.last_no()
     }
 
     /// Connects to the next core if there is no session.
     fn session(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
-        if self.dialled.is_some() || self.cores.is_empty() {
+        if self.session_addr.is_some() || self.cores.is_empty() {
             return;
         }
         let (addr, _) = self.cores[self.next % self.cores.len()];
         self.next += 1;
-        self.dialled = Some(addr);
+        self.session_addr = Some(addr);
         self.hedge_at = self.hedge_at.max(now + self.hedge());
         out.push(SubscriptionEffect::Connect(addr));
     }
 
     /// A dialled connection is established; renews on it at once.
-    pub fn up(&mut self, conn: Conn, addr: SocketAddr, now: Millis) -> Vec<SubscriptionEffect> {
+    pub fn on_connected(
+        &mut self,
+        conn: Conn,
+        addr: SocketAddr,
+        now: Millis,
+    ) -> Vec<SubscriptionEffect> {
         // what it lacks comes within one round trip
-        if self.dialled == Some(addr) {
+        if self.session_addr == Some(addr) {
             self.conn = Some(conn);
             return vec![self.renew(conn, now)];
         }
@@ -308,7 +313,7 @@
     }
 
     /// A connection is closed. Its core stays dialled.
-    pub fn down(&mut self, conn: Conn) {
+    pub fn on_disconnected(&mut self, conn: Conn) {
         if self.conn == Some(conn) {
             self.conn = None;
         }
@@ -320,26 +325,26 @@
     /// Takes a grant for renewal `no`; `ok` if its state is confirmed, `some`
     /// if its delta brings an update of the state. The lease counts from when
     /// the renewal was sent.
-    pub fn granted(&mut self, no: u64, ok: bool, some: bool, now: Millis) -> Granted {
+    pub fn on_grant(&mut self, no: u64, ok: bool, some: bool, now: Millis) -> GrantOutcome {
         let Some(renewal) = self.lease.find(no) else {
-            return Granted::No;
+            return GrantOutcome::Rejected;
         };
         if ok {
             self.on_proof(renewal, now);
-            return Granted::Proved;
+            return GrantOutcome::Confirmed;
         }
         let wanted = self.unverified(now) != Unverified::None;
-        if wanted && (some || self.have.record > 0) {
+        if wanted && (some || self.known_versions.record > 0) {
             // the proof may follow under the same number
             self.lease.extend(renewal.sent_at);
-            return Granted::Unverified;
+            return GrantOutcome::Unverified;
         }
         self.lease.answered(renewal);
         if self.conn == Some(renewal.conn) {
             // a core without a majority is no use; look on at once
             self.hedge_at = self.hedge_at.min(now);
         }
-        Granted::No
+        GrantOutcome::Rejected
     }
 
     fn on_proof(&mut self, renewal: Renewal, now: Millis) {
@@ -356,7 +361,7 @@
     /// Takes a grant without a newer state that its core has and could not
     /// send yet: the core is alive, but the state of this edge is not
     /// confirmed.
-    pub fn withheld(&mut self, no: u64, now: Millis) {
+    pub fn on_withheld_grant(&mut self, no: u64, now: Millis) {
         let Some(renewal) = self.lease.find(no) else {
             return;
         };
@@ -369,22 +374,22 @@
 
     /// Takes the cores of a delta, by address and region, under their version.
     pub fn update_cores(&mut self, version: u64, cores: &[(String, u8)], own_region: u8) {
-        self.have.cores = version;
+        self.known_versions.cores = version;
         let parsed = cores.iter().filter_map(|(address, region)| {
             let address = address.parse().ok()?;
             Some((address, *region == own_region))
         });
-        self.take_cores(parsed.collect());
+        self.set_cores(parsed.collect());
     }
 
     /// Takes the cores as the site has them now, with whether each is in the
     /// region of the edge; those are tried first.
-    pub fn take_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
+    pub fn set_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
         let salt = &self.salt;
         cores.sort_by_key(|(a, near)| (!near, crate::placement::mix(salt, &a.to_string())));
         if !cores.is_empty() && cores != self.cores {
             self.cores = cores;
-            let own = |(a, _): &(SocketAddr, bool)| Some(*a) == self.dialled;
+            let own = |(a, _): &(SocketAddr, bool)| Some(*a) == self.session_addr;
             self.next = self.cores.iter().position(own).map_or(0, |i| i + 1);
         }
     }
--- a/testbed/src/capacity/hollow_node.rs
+++ b/testbed/src/capacity/hollow_node.rs
@@ -7,7 +7,7 @@
 use sorreldoor::gateway::{EdgeController, EdgeEffect, EdgeEvent};
 use sorreldoor::net::{Conn, NetEvent};
 use sorreldoor::runtime::{Now, Reducer};
-use sorreldoor::subscription::{CoreSubscription, Granted, SubscriptionEffect};
+use sorreldoor::subscription::{CoreSubscription, GrantOutcome, SubscriptionEffect};
 use sorreldoor::types::Millis;
 use sorreldoor::wire::*;
 use std::net::SocketAddr;
@@ -47,8 +47,8 @@
         route_latencies: Vec<RouteLatency>,
         now: Now,
     ) -> Node {
-        let pull =
-            CoreSubscription::new(seeds, LEASE_MS, now.monotonic_ms, now.wall).named(&me.node);
+        let pull = CoreSubscription::new(seeds, LEASE_MS, now.monotonic_ms, now.wall)
+            .with_node_name(&me.node);
         Node::HollowNode(Box::new(HollowNode {
             me,
             pull,
@@ -67,8 +67,8 @@
         now: Now,
         site: Arc<Site>,
     ) -> Node {
-        let pull =
-            CoreSubscription::new(seeds, LEASE_MS, now.monotonic_ms, now.wall).named(&me.node);
+        let pull = CoreSubscription::new(seeds, LEASE_MS, now.monotonic_ms, now.wall)
+            .with_node_name(&me.node);
         let cluster = ClusterView::new(site, me.node.clone(), me.zone, me.region);
         let mut h = EdgeController::new(me, cluster, pull);
         let rows = route_latencies
@@ -86,7 +86,7 @@
     }
 
     pub fn lease(&self, now: Millis) -> bool {
-        self.pull().lease(now)
+        self.pull().has_lease(now)
     }
 
     /// The configuration version that this node has applied.
@@ -98,7 +98,7 @@
     }
 
     pub fn ready(&self, now: Millis) -> bool {
-        let have = &self.pull().have;
+        let have = &self.pull().known_versions;
         self.lease(now) && self.version() > 0 && have.registry > 0
     }
 
@@ -161,7 +161,7 @@
     }
 
     fn check_suspend(&mut self, now: Now) {
-        let f = self.pull.awake(now.monotonic_ms, now.wall);
+        let f = self.pull.detect_suspension(now.monotonic_ms, now.wall);
         f.into_iter().for_each(|f| self.apply_effect(f));
     }
 
@@ -171,13 +171,13 @@
             NetEvent::Up { conn, dialled } => {
                 let h = self.me.clone();
                 self.out.push(NodeEffect::Send(conn, Payload::Hello(h)));
-                let effects = dialled.map(|a| self.pull.up(conn, a, now.monotonic_ms));
+                let effects = dialled.map(|a| self.pull.on_connected(conn, a, now.monotonic_ms));
                 effects
                     .into_iter()
                     .flatten()
                     .for_each(|f| self.apply_effect(f));
             }
-            NetEvent::Down { conn } => self.pull.down(conn),
+            NetEvent::Down { conn } => self.pull.on_disconnected(conn),
             NetEvent::Frame { conn, payload } => match *payload {
                 Payload::Ping { .. } => {
                     self.out
@@ -186,8 +186,10 @@
                 Payload::Grant { no, ok, delta } => {
                     let some = delta.record.as_ref().is_some_and(|r| r.has_document);
                     if delta.record_withheld {
-                        self.pull.withheld(no, now.monotonic_ms);
-                    } else if self.pull.granted(no, ok, some, now.monotonic_ms) != Granted::No {
+                        self.pull.on_withheld_grant(no, now.monotonic_ms);
+                    } else if self.pull.on_grant(no, ok, some, now.monotonic_ms)
+                        != GrantOutcome::Rejected
+                    {
                         self.take(delta);
                     }
                 }
@@ -209,7 +211,7 @@
                 // at a few dozen requests per second all renewals differ
                 self.running = (self.running + 7) % 97;
                 self.route_latencies.iter_mut().for_each(|t| t.n += 1);
-                let have = self.pull.have.clone();
+                let have = self.pull.known_versions.clone();
                 let edge_status = EdgeStatus {
                     version: self.version,
                     lease: self.version > 0,
@@ -231,7 +233,7 @@
     }
 
     fn take(&mut self, n: StateDelta) {
-        let have = &mut self.pull.have;
+        let have = &mut self.pull.known_versions;
         if let Some(v) = n.record {
             have.record = v.revision;
             self.version = self.version.max(v.version);
@@ -249,7 +251,7 @@
             have.cores = at;
             let near = |(a, r): (String, u8)| a.parse().ok().map(|a| (a, r == self.me.region));
             let cores = cores.into_iter().filter_map(near).collect();
-            self.pull.take_cores(cores);
+            self.pull.set_cores(cores);
         }
     }
 }
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -213,8 +213,8 @@
         );
         let (now, wall) = (self.monotonic_ms(process), self.wall(process));
         let subscription = CoreSubscription::new(&seeds, self.lease_ms, now, wall)
-            .named(&state.name)
-            .paced(&self.pacing);
+            .with_node_name(&state.name)
+            .with_pacing(&self.pacing);
         EdgeController::new(me, cluster, subscription)
     }
 
--- a/testbed/tests/site/members.rs
+++ b/testbed/tests/site/members.rs
@@ -25,7 +25,7 @@
         let e = world.edges()[world.rng.below(9) as usize];
         let at = world
             .edge_controller(e)
-            .and_then(|controller| controller.pull.dialled);
+            .and_then(|controller| controller.pull.session_addr);
         let core = world
             .cores()
             .into_iter()
@@ -35,7 +35,7 @@
         let from = world.now;
         let redirected = world.run_until(from + 6000, |world| {
             let controller = world.edge_controller(e).expect("the edge is up");
-            controller.pull.dialled != at && controller.ready().is_ok()
+            controller.pull.session_addr != at && controller.ready().is_ok()
         });
         assert!(
             redirected,
@@ -107,7 +107,7 @@
         let at = |world: &World, e: usize| {
             let a = world
                 .edge_controller(e)
-                .and_then(|controller| controller.pull.dialled);
+                .and_then(|controller| controller.pull.session_addr);
             world
                 .cores()
                 .into_iter()
--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -87,7 +87,7 @@
     let e = world.edges()[8];
     let at = world
         .edge_controller(e)
-        .and_then(|controller| controller.pull.dialled);
+        .and_then(|controller| controller.pull.session_addr);
     let alone = world
         .cores()
         .into_iter()
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -64,7 +64,7 @@
         let at = |world: &World| {
             world
                 .edge_controller(e)
-                .map(|controller| controller.pull.have.edge_sessions)
+                .map(|controller| controller.pull.known_versions.edge_sessions)
         };
         let was = at(&world);
         let end = world.now + 5000;
--- a/testbed/tests/site/restarts.rs
+++ b/testbed/tests/site/restarts.rs
@@ -51,9 +51,9 @@
     let of = |e: &usize| {
         let controller = world.edge_controller(*e)?;
         Some((
-            controller.pull.have.record,
+            controller.pull.known_versions.record,
             controller.cluster.snapshot.view.version,
-            controller.pull.have.registry,
+            controller.pull.known_versions.registry,
         ))
     };
     world
@@ -166,7 +166,7 @@
         let has = |world: &World| {
             world
                 .edge_controller(e)
-                .is_some_and(|controller| controller.pull.have.record > 0)
+                .is_some_and(|controller| controller.pull.known_versions.record > 0)
         };
         assert_eq!(time_until(&mut world, 3000, has), None, "seed {seed}");
         world.blocked_links.clear();
