--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -86,7 +86,7 @@
             Payload::WorkerRegistry(registry) => self.adopt_worker_list(registry),
             Payload::Loads(loads) => self.adopt_loads(loads),
             Payload::UsageTotals(totals) => {
-                self.usage.record_totals(from.id, &totals, self.now);
+                self.usage.record_peer_totals(from.id, &totals, self.now);
             }
             payload => match peer_event(conn, &from, payload) {
                 Ok(event) => self.idempotency_event(event),
--- a/sorreldoor/src/control_plane/controller/quotas.rs
+++ b/sorreldoor/src/control_plane/controller/quotas.rs
@@ -16,8 +16,8 @@
     pub(super) fn on_usage_report(&mut self, conn: Conn, report: &UsageReport) {
         self.usage.record(&report.usage, self.now);
         let update = AdmissionUpdate {
-            answers: Some(report.number),
-            shares: self.usage.answer(self.now),
+            acknowledged_report: Some(report.number),
+            shares: self.usage.current_shares(self.now),
         };
         self.send(conn, Payload::AdmissionUpdate(update));
     }
@@ -33,7 +33,7 @@
             return;
         }
         self.count_edges();
-        let totals = self.usage.take_totals();
+        let totals = self.usage.take_changed_totals();
         for conn in self.reachable_cores() {
             self.send(conn, Payload::UsageTotals(totals.clone()));
         }
@@ -43,11 +43,11 @@
     /// Edges of a core that was cut off a moment ago still have sessions there,
     /// and what they use is not heard of any more.
     fn count_edges(&mut self) {
-        let is_heard = |core| self.usage.hears_from(core, self.now);
+        let is_heard = |core| self.usage.is_connected_to(core, self.now);
         let sessions = self.sessions.sessions_of(is_heard);
         let names: BTreeSet<String> = sessions.map(|s| s.hello.node.clone()).collect();
         let names = names.iter().map(String::as_str);
-        self.usage.set_edges(names, self.now);
+        self.usage.set_connected_edges(names, self.now);
     }
 
     /// Tells all edges who is limited: one that has no request of a tenant now
@@ -58,7 +58,7 @@
         };
         for conn in self.sessions.local_connections() {
             let update = AdmissionUpdate {
-                answers: None,
+                acknowledged_report: None,
                 shares: Some(shares.clone()),
             };
             self.send(conn, Payload::AdmissionUpdate(update));
--- a/sorreldoor/src/proxy/usage_reporter.rs
+++ b/sorreldoor/src/proxy/usage_reporter.rs
@@ -49,10 +49,10 @@
         };
         if conn != self.reported_to {
             self.reported_to = conn;
-            admission.disconnected();
+            admission.on_disconnected();
         }
         let Some(conn) = conn else {
-            admission.unreachable(now);
+            admission.on_core_unreachable(now);
             return None;
         };
         let report = admission.take_report(now)?;
--- a/sorreldoor/src/quota/admission.rs
+++ b/sorreldoor/src/quota/admission.rs
@@ -121,7 +121,7 @@
 
     /// The connection to the core has ended: what it did not answer is to be
     /// reported again.
-    pub fn disconnected(&mut self) {
+    pub fn on_disconnected(&mut self) {
         for report in std::mem::take(&mut self.unanswered) {
             for row in report.usage {
                 if let Some(state) = self.tenants.get_mut(&row.tenant) {
@@ -133,7 +133,7 @@
     }
 
     /// Takes note that no core can be reached; what is unreported stays so.
-    pub fn unreachable(&mut self, now: Millis) {
+    pub fn on_core_unreachable(&mut self, now: Millis) {
         let mut states = self.tenants.values();
         if states.any(|state| state.unreported.requested > 0) {
             self.unanswered_since.get_or_insert(now);
@@ -151,7 +151,7 @@
     /// Takes what a core tells. Only the answer to a report shows that a core
     /// counts for this edge.
     pub fn apply(&mut self, update: &AdmissionUpdate) {
-        if let Some(number) = update.answers {
+        if let Some(number) = update.acknowledged_report {
             self.unanswered.retain(|report| report.number > number);
             self.unanswered_since = None;
         }
--- a/sorreldoor/src/quota/mod.rs
+++ b/sorreldoor/src/quota/mod.rs
@@ -56,7 +56,7 @@
 pub struct AdmissionUpdate {
     /// The report that it answers; it and all before it are counted.
     #[serde(rename = "n")]
-    pub answers: Option<u64>,
+    pub acknowledged_report: Option<u64>,
     /// The share of each tenant that is not admitted completely. `None`: the
     /// core has started to count, and does not know them yet.
     #[serde(rename = "s")]
--- a/sorreldoor/src/quota/usage_ledger.rs
+++ b/sorreldoor/src/quota/usage_ledger.rs
@@ -90,7 +90,7 @@
 
     /// Whether another core is connected, and tells what its edges use.
     #[must_use]
-    pub fn hears_from(&self, core: NodeId, now: Millis) -> bool {
+    pub fn is_connected_to(&self, core: NodeId, now: Millis) -> bool {
         let peer = self.peers.get(&core);
         peer.is_some_and(|peer| now <= peer.heard_at + CORE_TIMEOUT_MS)
     }
@@ -102,8 +102,8 @@
     }
 
     /// Takes note of the edges that are heard of now, each once by its name:
-    /// those of this core and of the cores that [`UsageLedger::hears_from`].
-    pub fn set_edges<'n>(&mut self, heard: impl Iterator<Item = &'n str>, now: Millis) {
+    /// those of this core and of the cores that [`UsageLedger::is_connected_to`].
+    pub fn set_connected_edges<'n>(&mut self, heard: impl Iterator<Item = &'n str>, now: Millis) {
         let mut count = 0;
         for name in heard {
             count += 1;
@@ -139,7 +139,7 @@
 
     /// The totals that have changed since the last call, for all other cores;
     /// to be sent even if there are none, as a sign of life.
-    pub fn take_totals(&mut self) -> Vec<TenantUsage> {
+    pub fn take_changed_totals(&mut self) -> Vec<TenantUsage> {
         let changed = std::mem::take(&mut self.unreported);
         let totals = changed.keys().filter_map(|tenant| self.totals.get(tenant));
         totals.copied().collect()
@@ -147,7 +147,7 @@
 
     /// Counts what another core's totals have grown by. Its first totals say
     /// nothing of when they were spent, and are only remembered.
-    pub fn record_totals(&mut self, core: NodeId, totals: &[TenantUsage], now: Millis) {
+    pub fn record_peer_totals(&mut self, core: NodeId, totals: &[TenantUsage], now: Millis) {
         self.counting_since.get_or_insert(now);
         self.peers.entry(core).or_default().heard_at = now;
         for row in totals {
@@ -205,8 +205,8 @@
 
     /// The answer to an edge's report: the shares, unless this ledger has not
     /// counted for long enough to know them.
-    pub fn answer(&mut self, now: Millis) -> Option<Vec<AdmissionShare>> {
-        self.is_warm(now).then(|| self.shares(now))
+    pub fn current_shares(&mut self, now: Millis) -> Option<Vec<AdmissionShare>> {
+        self.is_warm(now).then(|| self.compute_shares(now))
     }
 
     fn is_warm(&self, now: Millis) -> bool {
@@ -217,14 +217,14 @@
     /// The shares to announce to all edges, also to those that report nothing;
     /// `None` while no tenant is limited.
     pub fn announcement(&mut self, now: Millis) -> Option<Vec<AdmissionShare>> {
-        let shares = self.answer(now)?;
+        let shares = self.current_shares(now)?;
         let needed = !shares.is_empty() || !self.announced.is_empty();
         self.announced.clone_from(&shares);
         needed.then_some(shares)
     }
 
     /// The shares of all tenants that ask for more than they may have now.
-    fn shares(&mut self, now: Millis) -> Vec<AdmissionShare> {
+    fn compute_shares(&mut self, now: Millis) -> Vec<AdmissionShare> {
         let tenants: Vec<TenantId> = self.buckets.keys().copied().collect();
         let mut shares = Vec::new();
         for tenant in tenants {
--- a/sorreldoor/tests/balancer/quotas.rs
+++ b/sorreldoor/tests/balancer/quotas.rs
@@ -48,7 +48,7 @@
 /// What a core tells unasked.
 fn told(shares: &[AdmissionShare]) -> AdmissionUpdate {
     AdmissionUpdate {
-        answers: None,
+        acknowledged_report: None,
         shares: Some(shares.to_vec()),
     }
 }
@@ -84,14 +84,14 @@
     assert_eq!(row.admitted, some);
     assert_eq!(balancer.admission.take_report(500), None);
     // a core that answered has counted it; one that did not may not have
-    balancer.admission.disconnected();
+    balancer.admission.on_disconnected();
     let again = balancer.admission.take_report(1000).expect("once more");
     assert_eq!(again.usage, report.usage);
     balancer.admission.apply(&AdmissionUpdate {
-        answers: Some(again.number),
+        acknowledged_report: Some(again.number),
         shares: None,
     });
-    balancer.admission.disconnected();
+    balancer.admission.on_disconnected();
     assert_eq!(balancer.admission.take_report(1500), None);
 }
 
@@ -123,7 +123,7 @@
         Some(2)
     );
     balancer.admission.apply(&AdmissionUpdate {
-        answers: Some(2),
+        acknowledged_report: Some(2),
         shares: None,
     });
     balancer
@@ -139,7 +139,7 @@
 fn a_node_that_reaches_no_core_reports_later_what_it_admitted() {
     let mut balancer = balancer_of(tenant());
     assert_eq!(admitted(&mut balancer, 10), 100);
-    balancer.admission.unreachable(20);
+    balancer.admission.on_core_unreachable(20);
     let detached = admitted(&mut balancer, 3000) as u64;
     assert!(detached <= 10, "{detached}");
     let report = balancer.admission.take_report(3010).expect("a report");
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -304,7 +304,7 @@
         }),
         Payload::UsageTotals(vec![usage]),
         Payload::AdmissionUpdate(AdmissionUpdate {
-            answers: Some(3),
+            acknowledged_report: Some(3),
             shares: Some(vec![AdmissionShare {
                 tenant: 1 << 60,
                 per_mille: 250,
--- a/sorreldoor/tests/quota.rs
+++ b/sorreldoor/tests/quota.rs
@@ -97,7 +97,10 @@
         assert!(worst <= 1.0, "{seed} {size:?} {rate}: {worst}");
         let detached = cluster.edges[0].is_detached(cluster.now);
         cluster.cut_edges.clear();
-        cluster.edges.iter_mut().for_each(Admission::disconnected);
+        cluster
+            .edges
+            .iter_mut()
+            .for_each(Admission::on_disconnected);
         cluster.run(6000, rate * 3.0);
         let worst = cluster.worst_window(cluster.quota);
         assert!(
@@ -176,8 +179,8 @@
         admitted: 1_000_000,
     };
     ledger.record(&[usage], 10);
-    assert!(ledger.take_totals().is_empty());
-    assert_eq!(ledger.answer(2000), Some(Vec::new()));
+    assert!(ledger.take_changed_totals().is_empty());
+    assert_eq!(ledger.current_shares(2000), Some(Vec::new()));
 }
 
 #[test]
@@ -190,17 +193,21 @@
         admitted,
     };
     // the first totals say nothing of when they were spent
-    ledger.record_totals(2, &[totals(5000)], 1000);
-    assert_eq!(ledger.answer(1000), None, "it has just begun to count");
-    ledger.record_totals(2, &[totals(5000)], 2000);
-    assert_eq!(ledger.answer(2000), Some(Vec::new()));
-    ledger.record_totals(2, &[totals(5300)], 2200);
-    let limited = ledger.answer(2200);
+    ledger.record_peer_totals(2, &[totals(5000)], 1000);
+    assert_eq!(
+        ledger.current_shares(1000),
+        None,
+        "it has just begun to count"
+    );
+    ledger.record_peer_totals(2, &[totals(5000)], 2000);
+    assert_eq!(ledger.current_shares(2000), Some(Vec::new()));
+    ledger.record_peer_totals(2, &[totals(5300)], 2200);
+    let limited = ledger.current_shares(2200);
     assert_eq!(limited.as_ref().map(Vec::len), Some(1));
     let mut other = UsageLedger::new();
     other.set_quotas([(TENANT, quota(100.0))].into_iter());
-    other.record_totals(2, &[totals(5000)], 1000);
-    other.record_totals(2, &[totals(5000)], 2000);
-    other.record_totals(2, &[totals(300)], 2200);
-    assert_eq!(other.answer(2200), limited);
+    other.record_peer_totals(2, &[totals(5000)], 1000);
+    other.record_peer_totals(2, &[totals(5000)], 2000);
+    other.record_peer_totals(2, &[totals(300)], 2200);
+    assert_eq!(other.current_shares(2200), limited);
 }
--- a/sorreldoor/tests/quota/cluster.rs
+++ b/sorreldoor/tests/quota/cluster.rs
@@ -132,23 +132,24 @@
         }
         for from in 0..self.cores.len() {
             let now = self.now;
-            let is_heard = |core| core == from || self.cores[from].hears_from(core as u64, now);
+            let is_heard =
+                |core| core == from || self.cores[from].is_connected_to(core as u64, now);
             let heard: Vec<String> = (0..self.edges.len())
                 .filter(|edge| !self.cut_edges.contains(edge))
                 .filter(|edge| is_heard(self.core_of(*edge)))
                 .map(|edge| format!("edge-{edge}"))
                 .collect();
-            self.cores[from].set_edges(heard.iter().map(String::as_str), now);
+            self.cores[from].set_connected_edges(heard.iter().map(String::as_str), now);
             if let Some(rows) = self.cores[from].announcement(now) {
                 for edge in (from..self.edges.len()).step_by(self.cores.len()) {
                     let update = AdmissionUpdate {
-                        answers: None,
+                        acknowledged_report: None,
                         shares: Some(rows.clone()),
                     };
                     self.post(Message::Update { edge, update });
                 }
             }
-            let rows = self.cores[from].take_totals();
+            let rows = self.cores[from].take_changed_totals();
             for to in (0..self.cores.len()).filter(|to| *to != from) {
                 if self.cores_connected(from, to) {
                     let rows = rows.clone();
@@ -166,8 +167,8 @@
                 Message::Report { edge, core, report } => {
                     self.cores[core].record(&report.usage, now);
                     let update = AdmissionUpdate {
-                        answers: Some(report.number),
-                        shares: self.cores[core].answer(now),
+                        acknowledged_report: Some(report.number),
+                        shares: self.cores[core].current_shares(now),
                     };
                     self.post(Message::Update { edge, update });
                 }
@@ -177,7 +178,7 @@
                     }
                 }
                 Message::Totals { from, to, rows } => {
-                    self.cores[to].record_totals(from as u64, &rows, now);
+                    self.cores[to].record_peer_totals(from as u64, &rows, now);
                 }
             }
         }
--- a/sorreldoor/tests/usage_reporter.rs
+++ b/sorreldoor/tests/usage_reporter.rs
@@ -25,9 +25,9 @@
         self.reporter.report(session, &mut self.admission, now)
     }
 
-    fn update(&mut self, conn: Conn, answers: Option<u64>) {
+    fn update(&mut self, conn: Conn, acknowledged_report: Option<u64>) {
         let update = AdmissionUpdate {
-            answers,
+            acknowledged_report,
             shares: Some(Vec::new()),
         };
         self.reporter.on_update(conn, &update, &mut self.admission);
--- a/testbed/tests/tenants.rs
+++ b/testbed/tests/tenants.rs
@@ -55,7 +55,7 @@
 /// What a core tells unasked.
 fn told(shares: &[AdmissionShare]) -> AdmissionUpdate {
     AdmissionUpdate {
-        answers: None,
+        acknowledged_report: None,
         shares: Some(shares.to_vec()),
     }
 }
