--- a/sorreldoor/src/control_plane/storage_driver.rs
+++ b/sorreldoor/src/control_plane/storage_driver.rs
@@ -81,7 +81,7 @@
     if let Some(id) = store.value("identity").and_then(decode::<u64>) {
         return id;
     }
-    let id = crate::order_id::random_id() >> 1;
+    let id = crate::ids::random_id() >> 1;
     retry_until_synced(|| store.put("identity", &encode(&id)));
     log_event(LogEvent::IdentityCreated, format!("{id:x}"));
     id
--- a/sorreldoor/src/ctl/mod.rs
+++ b/sorreldoor/src/ctl/mod.rs
@@ -10,8 +10,8 @@
 pub use args::Args;
 
 use crate::configuration;
+use crate::ids;
 use crate::json::{self, Value};
-use crate::order_id;
 use args::{FileArgs, Operation, ZoneArgs};
 use client::{Client, Request};
 use http_types::Method;
@@ -65,7 +65,7 @@
             client.change(Request::get(&path))
         }
         Operation::DropCore(args) => {
-            let id = order_id::format_proposal_id(order_id::random_proposal_id());
+            let id = ids::format_proposal_id(ids::random_proposal_id());
             let path = format!("/v1/cores/{}/drop?id={id}", args.id);
             client.change(Request::change(Method::Post, path, Vec::new(), id))
         }
@@ -125,9 +125,9 @@
             let message = "--base: say which serial this builds on; see: ctl get";
             return Err(usage(message));
         };
-        let new_id = || order_id::format_proposal_id(order_id::random_proposal_id());
+        let new_id = || ids::format_proposal_id(ids::random_proposal_id());
         let id = id.unwrap_or_else(new_id);
-        if order_id::parse_proposal_id(&id).is_none() {
+        if ids::parse_proposal_id(&id).is_none() {
             return Err(usage("--id: must be up to 32 hex digits"));
         }
         let path = format!("{path}?base={base}&id={id}");
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -7,9 +7,9 @@
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{RequestId, RequestSpec};
 use crate::http;
+use crate::ids;
 use crate::json::Value;
 use crate::operator_api::{self, OperatorRequest};
-use crate::order_id;
 use crate::replicated_state::View;
 use crate::runtime::EventSender;
 use crate::settings::Settings;
@@ -108,7 +108,7 @@
             home: self.region(http::query(request, "region"))?,
             route: http::query(request, "route").ok_or(ErrorCode::InvalidRequestField)?,
             key: http::query(request, "key").unwrap_or_default(),
-            id: order_id::format_proposal_id(order_id::random_proposal_id()),
+            id: ids::format_proposal_id(ids::random_proposal_id()),
             adapter: http::query(request, "adapter"),
             ..RequestSpec::default()
         })
--- a/sorreldoor/src/gateway/request_api.rs
+++ b/sorreldoor/src/gateway/request_api.rs
@@ -9,8 +9,8 @@
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{RequestProfile, RequestSpec};
 use crate::http;
+use crate::ids;
 use crate::json;
-use crate::order_id;
 use async_std::channel::Receiver;
 use async_std::future::timeout;
 use http_types::{Body, Method, Request, Response, StatusCode};
@@ -78,8 +78,7 @@
         {
             return Err(ErrorCode::InvalidRequestField);
         }
-        let id = client_id
-            .unwrap_or_else(|| order_id::format_proposal_id(order_id::random_proposal_id()));
+        let id = client_id.unwrap_or_else(|| ids::format_proposal_id(ids::random_proposal_id()));
         Ok(RequestSpec {
             route: route.to_string(),
             client_supplied_id,
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -9,10 +9,10 @@
     serve_status_endpoint, NodeStatus, RequestHandler, StatusEndpoint, StatusHandler,
 };
 use crate::balancer::{Balancer, Bounds, Locality};
+use crate::ids::random_id;
 use crate::log_events::{log_event, LogEvent};
 use crate::metrics::{self, EDGE_METRICS};
 use crate::net::{Net, NetEvent};
-use crate::order_id::random_id;
 use crate::runtime::{event_queue, Clock, EventReceiver, Reducer};
 use crate::settings::Settings;
 use crate::start_error::{BindSnafu, SignalsSnafu, StartError};
--- a/sorreldoor/src/run.rs
+++ b/sorreldoor/src/run.rs
@@ -1,7 +1,7 @@
 //! What daemons need around their reducers: ticks, termination signals and an
 //! edge's introduction.
 
-use crate::order_id;
+use crate::ids;
 use crate::runtime::{EventSender, Prioritized, SendError};
 use crate::settings::Settings;
 use crate::wire::Hello;
@@ -50,7 +50,7 @@
 /// random id and incarnation.
 pub fn edge_hello(settings: &Settings) -> Hello {
     Hello {
-        id: order_id::random_id() >> 1,
+        id: ids::random_id() >> 1,
         node: settings.node.clone(),
         core: false,
         region: settings.region,
@@ -58,7 +58,7 @@
         addr: String::new(),
         http: settings.http.to_string(),
         founded: false,
-        incarnation: order_id::random_id(),
+        incarnation: ids::random_id(),
         ..Hello::default()
     }
 }
--- a/testbed/tests/site/freshness/monitor.rs
+++ b/testbed/tests/site/freshness/monitor.rs
@@ -56,7 +56,7 @@
 pub(super) fn committed_at(world: &World, proposal_ids: &[ProposalId]) -> Option<Millis> {
     let proposal_names = proposal_ids
         .iter()
-        .map(|p| sorreldoor::order_id::format_proposal_id(*p));
+        .map(|p| sorreldoor::ids::format_proposal_id(*p));
     let proposal_names: Vec<String> = proposal_names.collect();
     let mentions_proposal = |text: &str| {
         proposal_names
