--- a/sorreldoor/src/freshness.rs
+++ b/sorreldoor/src/freshness.rs
@@ -38,11 +38,11 @@
     }
 
     /// The longest time in milliseconds that an edge uses superseded state when
-    /// its own core and the `useless` others that it tries next do not answer,
+    /// its own core and the `unresponsive` others that it tries next do not answer,
     /// and the change is acknowledged just after a renewal was sent.
-    pub fn worst_ms(&self, useless: u64) -> Millis {
+    pub fn worst_case_ms(&self, unresponsive: u64) -> Millis {
         let first = self.renew_ms + self.hedge_ms + TICK_MS;
-        let others = useless * (self.hedge_ms + TICK_MS);
+        let others = unresponsive * (self.hedge_ms + TICK_MS);
         first + others + ANSWER_MS
     }
 }
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -201,7 +201,7 @@
 fn the_parts_of_the_budget_add_up() {
     for apply_ms in [3000, 4000] {
         let budget = FreshnessBudget::for_apply(apply_ms);
-        let worst = budget.worst_ms(MOST_USELESS);
+        let worst = budget.worst_case_ms(MOST_USELESS);
         println!("{budget:?}: {worst} ms with {MOST_USELESS} useless cores");
         assert!(worst < apply_ms, "{worst}");
         assert!(budget.renew_ms + budget.hedge_ms < budget.lease_ms);
