--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -59,7 +59,7 @@
                     self.idempotency.defer(seq, action);
                 }
             }
-            Effect::KeepCaughtUp => {
+            Effect::PersistCaughtUp => {
                 let caught_up = ControllerEffect::Keep(CAUGHT_UP_KEY, vec![1]);
                 self.out.push(caught_up);
             }
@@ -158,7 +158,7 @@
             id,
             claimant,
         }),
-        Payload::Sent { requests } => Some(Event::Sent(requests)),
+        Payload::Sent { requests } => Some(Event::SentRequests(requests)),
         _ => None,
     }
 }
--- a/sorreldoor/src/control_plane/idempotency/event.rs
+++ b/sorreldoor/src/control_plane/idempotency/event.rs
@@ -76,7 +76,7 @@
         claimant: Claimant,
     },
     /// Requests that an edge has sent of late.
-    Sent(Vec<SentRequest>),
+    SentRequests(Vec<SentRequest>),
     /// A peer reads this core's table.
     PageRequest {
         /// The connection of the peer.
@@ -113,7 +113,7 @@
     /// [`super::Idempotency::defer`] with the number of the last save.
     SaveThen(Vec<ClaimRecord>, AfterSync),
     /// Keep on disk that this core is caught up.
-    KeepCaughtUp,
+    PersistCaughtUp,
     /// Write a log event.
     Log(LogEvent, String),
 }
--- a/sorreldoor/src/control_plane/idempotency/mod.rs
+++ b/sorreldoor/src/control_plane/idempotency/mod.rs
@@ -111,7 +111,7 @@
             Event::Synced { seq } => self.on_synced(seq, context),
             Event::Founded => {
                 self.catch_up.finish();
-                self.effects.push(Effect::KeepCaughtUp);
+                self.effects.push(Effect::PersistCaughtUp);
             }
             Event::Claim { reply_to, claim } => self.on_claim(reply_to, claim, context),
             Event::VoteRequest {
@@ -139,7 +139,7 @@
                 }
                 self.finish_release(claimant, context);
             }
-            Event::Sent(requests) => self.on_sent(requests, context),
+            Event::SentRequests(requests) => self.on_sent_requests(requests, context),
             Event::PageRequest { conn, start } => self.on_page_request(conn, start, context),
             Event::Page { peer, page } => self.on_page(peer, page, context),
         }
@@ -227,7 +227,7 @@
     }
 
     /// Takes in the requests that an edge has sent of late.
-    fn on_sent(&mut self, requests: Vec<SentRequest>, context: &Context) {
+    fn on_sent_requests(&mut self, requests: Vec<SentRequest>, context: &Context) {
         let mut new_claims = Vec::new();
         for request in requests {
             let claim = ClaimRecord {
--- a/sorreldoor/src/control_plane/idempotency/peer_reads.rs
+++ b/sorreldoor/src/control_plane/idempotency/peer_reads.rs
@@ -33,7 +33,7 @@
     pub(super) fn finish_catch_up(&mut self) {
         if self.catch_up.finish() {
             let about = format!("{} claims", self.table.len());
-            self.effects.push(Effect::KeepCaughtUp);
+            self.effects.push(Effect::PersistCaughtUp);
             self.effects
                 .push(Effect::Log(LogEvent::ClaimsLearned, about));
         }
