--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -114,7 +114,7 @@
             return unreachable_core();
         };
         let view = state.view;
-        let document = view.doc.as_ref().map(|document| document.as_str());
+        let document = view.document.as_ref().map(|document| document.as_str());
         let zone_name = |zone: &u16| self.settings.names.zone_name(*zone).to_string();
         let evacuated: Vec<String> = view.evacuated.iter().map(zone_name).collect();
         operator_api::configuration_view(view.version, document, &evacuated)
--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -69,7 +69,7 @@
         // an edge next to a dead core must not be listed longer than others
         let live = self.live_cores(SESSION_TIMEOUT_MS);
         let record = self.consensus.as_ref().map(|c| c.state_machine());
-        let is_evacuated = |zone| record.is_some_and(|record| record.evacuated(zone));
+        let is_evacuated = |zone| record.is_some_and(|record| record.is_evacuated(zone));
         self.sessions
             .merge(|id| live.contains_key(&id), is_evacuated);
     }
--- a/sorreldoor/src/control_plane/singleton/mod.rs
+++ b/sorreldoor/src/control_plane/singleton/mod.rs
@@ -99,7 +99,7 @@
     /// Whether this incarnation of the core `me` holds the role: versions
     /// numbered under an epoch must not restart within it.
     pub fn is_holder(&self, record: &ReplicatedState, me: NodeId) -> bool {
-        record.holder() == me && self.granted_epoch == Some(record.epoch())
+        record.role_holder() == me && self.granted_epoch == Some(record.epoch())
     }
 
     /// Whether a proposal of this core's own is in flight.
@@ -158,7 +158,7 @@
         let workers = registry.map_or(&[][..], |registry| &registry.workers);
         (0..regions as u8).find_map(|region| {
             let capacity = region_capacity(configuration, workers, loads, region)?;
-            let current = record.region(region);
+            let current = record.region_recovery(region);
             let state = self.regions.next_state(region, capacity, current, now)?;
             Some(RegionTransition { region, state })
         })
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -127,14 +127,17 @@
         let _ = doc.insert("serial", record.version());
         let _ = doc.insert("rev", record.revision());
         let _ = doc.insert("epoch", record.epoch());
-        let _ = doc.insert("duty", hex(record.holder()));
+        let _ = doc.insert("duty", hex(record.role_holder()));
         let evacuated = record.view().evacuated;
         let zone_name = |zone: &u16| self.site.zone_name(*zone).to_string();
         let evacuated: Vec<String> = evacuated.iter().map(zone_name).collect();
         let _ = doc.insert("emptied", evacuated);
         let mut regions = Value::object();
         for (region, name) in self.site.regions.iter().enumerate() {
-            let _ = regions.insert(name.clone(), recovery_text(record.region(region as u8)));
+            let _ = regions.insert(
+                name.clone(),
+                recovery_text(record.region_recovery(region as u8)),
+            );
         }
         let _ = doc.insert("regions", regions);
     }
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -189,7 +189,7 @@
     }
 
     fn configuration_response(&self, view: &View) -> Response {
-        let document = view.doc.as_ref().map(|document| document.as_str());
+        let document = view.document.as_ref().map(|document| document.as_str());
         let evacuated: Vec<String> = view
             .evacuated
             .iter()
--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -75,9 +75,10 @@
         if view.revision < self.snapshot.view.revision {
             return true;
         }
-        let unchanged = view.doc == self.snapshot.view.doc && self.configuration.is_some();
+        let unchanged =
+            view.document == self.snapshot.view.document && self.configuration.is_some();
         let parsed = view
-            .doc
+            .document
             .as_ref()
             .filter(|_| !unchanged)
             .map(|document| configuration::parse(document.as_bytes(), &self.site));
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -361,7 +361,7 @@
         self.view = View {
             revision: update.revision,
             version: update.version,
-            doc: update.document.map(|_| Arc::default()),
+            document: update.document.map(|_| Arc::default()),
             evacuated: update.evacuated,
             weights: Vec::new(),
             regions: update.regions,
--- a/sorreldoor/src/replicated_state/mod.rs
+++ b/sorreldoor/src/replicated_state/mod.rs
@@ -62,7 +62,8 @@
     #[serde(rename = "serial")]
     pub version: Version,
     /// The configuration document as JSON text.
-    pub doc: Option<Arc<String>>,
+    #[serde(rename = "doc")]
+    pub document: Option<Arc<String>>,
     /// Evacuated zones in rising order.
     #[serde(rename = "emptied")]
     pub evacuated: Vec<ZoneIndex>,
@@ -108,7 +109,7 @@
     }
 
     /// The node that holds the tuner role.
-    pub fn holder(&self) -> u64 {
+    pub fn role_holder(&self) -> u64 {
         self.data.holder
     }
 
@@ -118,7 +119,7 @@
     }
 
     /// Whether a zone is evacuated.
-    pub fn evacuated(&self, zone: ZoneIndex) -> bool {
+    pub fn is_evacuated(&self, zone: ZoneIndex) -> bool {
         self.data.evacuated.contains(&zone)
     }
 
@@ -128,7 +129,7 @@
     }
 
     /// The recovery state of a region; `Served` unless it was ever set.
-    pub fn region(&self, region: RegionIndex) -> Recovery {
+    pub fn region_recovery(&self, region: RegionIndex) -> Recovery {
         let state = self.data.regions.get(&region).copied();
         state.unwrap_or(Recovery::Served)
     }
@@ -149,7 +150,7 @@
     pub fn view(&self) -> View {
         let text = self.data.document.as_ref().map(Document::text);
         View {
-            doc: text.map(Arc::new),
+            document: text.map(Arc::new),
             ..self.view_without_document()
         }
     }
@@ -163,7 +164,7 @@
         View {
             revision: data.revision,
             version: data.version,
-            doc: None,
+            document: None,
             evacuated: data.evacuated.iter().copied().collect(),
             weights: weights
                 .map(|((route, service), weight)| (*route, *service, *weight))
--- a/sorreldoor/src/replicated_state/state_update.rs
+++ b/sorreldoor/src/replicated_state/state_update.rs
@@ -94,7 +94,7 @@
     pub fn view(&self) -> View {
         let text = self.document.as_ref().map(Document::text);
         View {
-            doc: text.map(Arc::new),
+            document: text.map(Arc::new),
             ..self.view.clone()
         }
     }
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -162,7 +162,7 @@
     }
     fn hosted(&self) -> Value {
         use simd_json::prelude::*;
-        let document = self.0.view().doc.expect("there is a document");
+        let document = self.0.view().document.expect("there is a document");
         let value = json::parse(document.as_bytes(), usize::MAX).expect("it is JSON");
         value.get("hosted").cloned().unwrap_or_default()
     }
--- a/sorreldoor/tests/replicated_state.rs
+++ b/sorreldoor/tests/replicated_state.rs
@@ -289,13 +289,13 @@
         apply(&mut state, 4, &set_evacuated(true, 0)),
         Outcome::Unknown { version: 0 }
     );
-    assert!(!state.evacuated(1), "a late copy emptied the zone again");
+    assert!(!state.is_evacuated(1), "a late copy emptied the zone again");
     // a new evacuation of the same zone is another call
     assert_eq!(
         apply(&mut state, 5, &set_evacuated(true, 2)),
         Outcome::Applied { version: 0 }
     );
-    assert!(state.evacuated(1));
+    assert!(state.is_evacuated(1));
     let mut restored = ReplicatedState::new(site());
     assert!(restored.load(&state.image()));
     assert_eq!(restored.zone_changes(1), 3);
--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -189,7 +189,7 @@
 
 /// The configuration, parsed from the complete document.
 fn parse_document(record: &ReplicatedState) -> Hosted {
-    let text = record.view().doc.expect("a document");
+    let text = record.view().document.expect("a document");
     let (configuration, _) = configuration::parse(text.as_bytes(), &site()).expect("it is valid");
     (*configuration.hosted.expect("a hosted part")).clone()
 }
--- a/sorreldoor/tests/updates/tenants.rs
+++ b/sorreldoor/tests/updates/tenants.rs
@@ -76,7 +76,7 @@
             assert_eq!(edge.copy.view(), core.record.view(), "{at}");
             assert_eq!(by_name(&edge.hosted), by_name(&whole), "{at}");
             assert_eq!(by_name(&hosted_of(&core.record)), by_name(&whole), "{at}");
-            let text = core.record.view().doc.expect("a document");
+            let text = core.record.view().document.expect("a document");
             assert_eq!(whole.tenants.required(), text.contains("\"tenants\""));
         }
     }
--- a/testbed/src/capacity/report.rs
+++ b/testbed/src/capacity/report.rs
@@ -188,7 +188,7 @@
             put(
                 row,
                 "size.doc",
-                v.doc.as_ref().map_or(0, |d| d.len()) as f64,
+                v.document.as_ref().map_or(0, |d| d.len()) as f64,
             );
             put(row, "size.record", encode(&v).len() as f64);
         }
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -26,7 +26,7 @@
     /// The document that an edge acts on now.
     pub fn doc_at(&self, process: usize) -> Arc<String> {
         self.edge_controller(process)
-            .and_then(|controller| controller.cluster.snapshot.view.doc.clone())
+            .and_then(|controller| controller.cluster.snapshot.view.document.clone())
             .unwrap_or_default()
     }
 
--- a/testbed/src/site/proposals.rs
+++ b/testbed/src/site/proposals.rs
@@ -353,7 +353,7 @@
             return;
         };
         let view = record.view();
-        let doc = view.doc.unwrap_or_default();
+        let doc = view.document.unwrap_or_default();
         let mut proposals = self.proposals.all.iter();
         let content = proposals.find(|proposal| doc.contains(&proposal.marker));
         let answer = ReadAnswer {
--- a/testbed/tests/site/linearizability.rs
+++ b/testbed/tests/site/linearizability.rs
@@ -226,7 +226,7 @@
     let records = cores.filter_map(|c| c.consensus());
     records
         .into_iter()
-        .any(|answer| answer.state_machine().evacuated(0))
+        .any(|answer| answer.state_machine().is_evacuated(0))
 }
 
 #[test]
