--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -250,9 +250,9 @@
             SubscriptionEffect::Disconnect(addr) => self.effects.push(EdgeEffect::Disconnect(addr)),
             SubscriptionEffect::Renew {
                 conn,
-                no,
+                number,
                 unverified,
-            } => self.send_renewal(conn, no, unverified),
+            } => self.send_renewal(conn, number, unverified),
             SubscriptionEffect::SessionReplaced => self.log_event(LogEvent::SessionLost, "silent"),
             SubscriptionEffect::Suspended(cause) => self.log_event(LogEvent::ClockJump, cause),
             SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -241,9 +241,9 @@
             }
             SubscriptionEffect::Renew {
                 conn,
-                no,
+                number,
                 unverified,
-            } => self.send_renewal(conn, no, unverified),
+            } => self.send_renewal(conn, number, unverified),
             SubscriptionEffect::SessionReplaced => self.log_event(LogEvent::SessionLost, "silent"),
             SubscriptionEffect::Suspended(detail) => self.log_event(LogEvent::ClockJump, detail),
             SubscriptionEffect::LeaseExpired | SubscriptionEffect::LeaseRenewed => {}
--- a/sorreldoor/src/subscription/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -1,5 +1,5 @@
-//! Candidates for the session: a core of the edge's region, or one more core
-//! where a renewal is not granted in time.
+//! Candidates for the session: cores that get renewals beside the session's
+//! core, either as a hedge or because they are in the edge's own region.
 
 use super::{CoreSubscription, SubscriptionEffect};
 use crate::invariants::{broken, Invariant};
@@ -9,136 +9,147 @@
 
 /// Milliseconds between attempts to move the session to a core of the edge's
 /// region.
-const HOME_MS: Millis = 10_000;
-/// Milliseconds between renewals of a candidate at most; less than the time
-/// after which a core takes a silent edge for lost.
+const HOME_RETRY_MS: Millis = 10_000;
+/// Maximum interval of renewals to a candidate; shorter than the time after which
+/// a core drops the session of a silent edge.
 const MAX_BACKOFF_MS: Millis = 1000;
-/// Milliseconds after which a candidate that has granted nothing is dropped.
-const TRY_MS: Millis = 1300;
+/// Time after which a candidate that has granted nothing is dropped.
+const CANDIDATE_TIMEOUT_MS: Millis = 1300;
 
-/// A core that is tried beside that of the session.
+/// A core that is tried beside the session's core.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub addr: SocketAddr,
     pub conn: Option<Conn>,
-    since: Millis,
+    tried_at: Millis,
     pub renew_at: Millis,
-    /// Until the renewal after the next one.
+    /// Interval between the next renewal and the one after it.
     backoff_ms: Millis,
-    /// Tried because it is in the region of the edge, and not as a hedge.
-    home: bool,
+    /// Whether it is tried because it is in the edge's region, not as a hedge.
+    is_home: bool,
 }
 
 impl CoreSubscription {
-    /// Tries a core of the edge's region if the session is with one elsewhere:
-    /// each request to a remote core costs a round trip, and a claim two.
-    pub(super) fn go_home(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
-        let near = |a: &SocketAddr| self.cores.iter().any(|(c, n)| *n && c == a);
-        let away = self.session_addr.as_ref().is_some_and(|a| !near(a));
-        if now < self.home_at || self.conn.is_none() || !away {
+    /// Tries a core of the edge's region if the session is with a core of another
+    /// region: each request to a remote core costs a round trip, and a claim two.
+    pub(super) fn try_home_core(&mut self, now: Millis, effects: &mut Vec<SubscriptionEffect>) {
+        let is_near =
+            |addr: &SocketAddr| self.cores.iter().any(|(core, near)| *near && core == addr);
+        let is_away = self
+            .session_addr
+            .as_ref()
+            .is_some_and(|addr| !is_near(addr));
+        if now < self.try_home_at || self.conn.is_none() || !is_away {
             return;
         }
-        let all: Vec<SocketAddr> = self.cores.iter().filter(|c| c.1).map(|c| c.0).collect();
-        // the first may be down for good, so each time another is tried
-        let turn = (now / HOME_MS) as usize % all.len().max(1);
-        if let Some(addr) = all.get(turn).copied() {
-            self.home_at = now + HOME_MS;
-            self.try_core(addr, true, now, out);
+        let home: Vec<SocketAddr> = self.cores.iter().filter(|c| c.1).map(|c| c.0).collect();
+        // each attempt tries another core, since one may be down for long
+        let index = (now / HOME_RETRY_MS) as usize % home.len().max(1);
+        if let Some(addr) = home.get(index).copied() {
+            self.try_home_at = now + HOME_RETRY_MS;
+            self.add_candidate(addr, true, now, effects);
         }
     }
 
-    /// Hedges: tries one more core if no renewal was granted in time.
-    pub(super) fn hedge_alarm(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
+    /// Tries one more core if no renewal was granted in time.
+    pub(super) fn send_hedge(&mut self, now: Millis, effects: &mut Vec<SubscriptionEffect>) {
         if now < self.hedge_at || broken(Invariant::Hedge) {
             return;
         }
-        self.hedge_at = now + self.hedge();
+        self.hedge_at = now + self.hedge_delay();
         let n = self.cores.len();
-        let order = (0..n).map(|k| (self.next + k) % n);
-        let free = order
-            .filter(|i| !self.tried(self.cores[*i].0))
+        let order = (0..n).map(|k| (self.next_core + k) % n);
+        let untried = order
+            .filter(|i| !self.is_tried(self.cores[*i].0))
             .collect::<Vec<_>>();
-        if let Some(i) = free.first().copied() {
-            self.next = i + 1;
-            self.try_core(self.cores[i].0, false, now, out);
+        if let Some(i) = untried.first().copied() {
+            self.next_core = i + 1;
+            self.add_candidate(self.cores[i].0, false, now, effects);
         }
     }
 
-    fn tried(&self, addr: SocketAddr) -> bool {
+    fn is_tried(&self, addr: SocketAddr) -> bool {
         self.session_addr == Some(addr) || self.candidates.iter().any(|c| c.addr == addr)
     }
 
-    fn try_core(
+    fn add_candidate(
         &mut self,
         addr: SocketAddr,
-        home: bool,
+        is_home: bool,
         now: Millis,
-        out: &mut Vec<SubscriptionEffect>,
+        effects: &mut Vec<SubscriptionEffect>,
     ) {
-        if self.tried(addr) {
+        if self.is_tried(addr) {
             return;
         }
         self.candidates.push(Candidate {
             addr,
             conn: None,
-            since: now,
+            tried_at: now,
             renew_at: now,
-            backoff_ms: self.hedge(),
-            home,
+            backoff_ms: self.hedge_delay(),
+            is_home,
         });
-        out.push(SubscriptionEffect::Connect(addr));
+        effects.push(SubscriptionEffect::Connect(addr));
     }
 
-    /// Drops candidates that have granted nothing in their time, where there is
-    /// another core to try. Where all are tried, as while no core leads, new
-    /// connections to the same ones would only add to their load.
-    pub(super) fn drop_candidates(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
-        let all_tried = self.cores.iter().all(|(addr, _)| self.tried(*addr));
-        if all_tried && !self.proved {
+    /// Drops candidates that have granted nothing in time, so that other cores can
+    /// be tried. While no core has ever granted a confirmed renewal and all cores
+    /// are tried, as before the first election, candidates stay: reconnecting to
+    /// them would only add to their load.
+    pub(super) fn drop_late_candidates(
+        &mut self,
+        now: Millis,
+        effects: &mut Vec<SubscriptionEffect>,
+    ) {
+        let all_tried = self.cores.iter().all(|(addr, _)| self.is_tried(*addr));
+        if all_tried && !self.was_confirmed {
             return;
         }
-        let late = |c: &Candidate| now.saturating_sub(c.since) > TRY_MS;
-        for c in self.candidates.iter().filter(|c| late(c)) {
-            out.push(SubscriptionEffect::Disconnect(c.addr));
+        let is_late = |c: &Candidate| now.saturating_sub(c.tried_at) > CANDIDATE_TIMEOUT_MS;
+        for c in self.candidates.iter().filter(|c| is_late(c)) {
+            effects.push(SubscriptionEffect::Disconnect(c.addr));
         }
-        self.candidates.retain(|c| !late(c));
+        self.candidates.retain(|c| !is_late(c));
     }
 
-    pub(super) fn renew_candidates(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
-        let unverified = self.unverified(now);
+    pub(super) fn renew_candidates(&mut self, now: Millis, effects: &mut Vec<SubscriptionEffect>) {
+        let unverified = self.accepted_unverified(now);
         for c in self.candidates.iter_mut().filter(|c| now >= c.renew_at) {
             let Some(conn) = c.conn else { continue };
             c.renew_at = now + c.backoff_ms;
-            // while no core leads, all edges keep asking all cores
+            // while there is no leader, every edge sends renewals to every core
             c.backoff_ms = (c.backoff_ms * 2).min(MAX_BACKOFF_MS);
-            let no = self.lease.ask(conn, now);
-            out.push(SubscriptionEffect::Renew {
+            let number = self.lease.record_sent(conn, now);
+            effects.push(SubscriptionEffect::Renew {
                 conn,
-                no,
+                number,
                 unverified,
             });
         }
     }
 
-    /// Moves the session to the first core that grants a renewal: a hedge, or
-    /// a core of the region also while the old session is well. Drops the
-    /// other candidates.
-    pub(super) fn take_session(&mut self, conn: Conn) {
+    /// Moves the session to the core that granted a renewal on `conn`, if that is
+    /// a candidate, and drops all other candidates. If it is the session's core,
+    /// drops the hedges only.
+    pub(super) fn move_session(&mut self, conn: Conn) {
         let won = self.candidates.iter().find(|c| c.conn == Some(conn));
         let won = won.copied();
         if let Some(won) = won {
             let old = self.session_addr.replace(won.addr);
-            self.due.extend(old.map(SubscriptionEffect::Disconnect));
-            if !won.home {
-                self.due.push(SubscriptionEffect::SessionReplaced);
+            self.pending_effects
+                .extend(old.map(SubscriptionEffect::Disconnect));
+            if !won.is_home {
+                self.pending_effects
+                    .push(SubscriptionEffect::SessionReplaced);
             }
             self.conn = Some(conn);
             self.candidates.retain(|c| c.addr != won.addr);
         }
-        let needless = |c: &Candidate| won.is_some() || !c.home;
-        let gone = self.candidates.iter().filter(|c| needless(c));
-        self.due
-            .extend(gone.map(|c| SubscriptionEffect::Disconnect(c.addr)));
-        self.candidates.retain(|c| !needless(c));
+        let is_needless = |c: &Candidate| won.is_some() || !c.is_home;
+        let dropped = self.candidates.iter().filter(|c| is_needless(c));
+        self.pending_effects
+            .extend(dropped.map(|c| SubscriptionEffect::Disconnect(c.addr)));
+        self.candidates.retain(|c| !is_needless(c));
     }
 }
--- a/sorreldoor/src/subscription/lease.rs
+++ b/sorreldoor/src/subscription/lease.rs
@@ -4,79 +4,80 @@
 use crate::net::Conn;
 use crate::types::Millis;
 
-/// Renewals that are remembered until they are answered, at most.
-const MOST_SENT: usize = 64;
+/// How many unanswered renewals are remembered; the oldest is dropped first.
+const MAX_IN_FLIGHT: usize = 64;
 
 /// A renewal that was sent and not answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Renewal {
-    pub no: u64,
+    pub number: u64,
     pub conn: Conn,
     pub sent_at: Millis,
 }
 
+/// The lease, and the renewals that may still extend it.
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
-    pub length: Millis,
-    pub until: Millis,
-    last_no: u64,
-    sent: Vec<Renewal>,
+    pub length_ms: Millis,
+    pub expires_at: Millis,
+    last_number: u64,
+    in_flight: Vec<Renewal>,
 }
 
 impl Lease {
-    pub fn new(length: Millis) -> Lease {
+    pub fn new(length_ms: Millis) -> Lease {
         Lease {
-            length,
-            until: 0,
-            last_no: 0,
-            sent: Vec::new(),
+            length_ms,
+            expires_at: 0,
+            last_number: 0,
+            in_flight: Vec::new(),
         }
     }
 
-    pub fn holds(&self, now: Millis) -> bool {
-        now < self.until || broken(Invariant::Lease)
+    pub fn is_valid(&self, now: Millis) -> bool {
+        now < self.expires_at || broken(Invariant::Lease)
     }
 
-    pub fn left(&self, now: Millis) -> Millis {
-        self.until.saturating_sub(now)
+    pub fn remaining_ms(&self, now: Millis) -> Millis {
+        self.expires_at.saturating_sub(now)
     }
 
-    pub fn last_no(&self) -> u64 {
-        self.last_no
+    pub fn last_number(&self) -> u64 {
+        self.last_number
     }
 
     /// Records a renewal as sent, and returns its number.
-    pub fn ask(&mut self, conn: Conn, now: Millis) -> u64 {
-        self.last_no += 1;
-        self.sent.push(Renewal {
-            no: self.last_no,
+    pub fn record_sent(&mut self, conn: Conn, now: Millis) -> u64 {
+        self.last_number += 1;
+        self.in_flight.push(Renewal {
+            number: self.last_number,
             conn,
             sent_at: now,
         });
-        if self.sent.len() > MOST_SENT {
-            self.sent.remove(0);
+        if self.in_flight.len() > MAX_IN_FLIGHT {
+            self.in_flight.remove(0);
         }
-        self.last_no
+        self.last_number
     }
 
-    pub fn find(&self, no: u64) -> Option<Renewal> {
-        self.sent.iter().find(|r| r.no == no).copied()
+    pub fn find(&self, number: u64) -> Option<Renewal> {
+        self.in_flight.iter().find(|r| r.number == number).copied()
     }
 
-    /// Removes a renewal and the earlier ones on its connection.
-    pub fn answered(&mut self, renewal: Renewal) {
-        self.sent
-            .retain(|r| r.conn != renewal.conn || r.no > renewal.no);
+    /// Removes an answered renewal and the earlier ones on its connection.
+    pub fn remove_answered(&mut self, renewal: Renewal) {
+        self.in_flight
+            .retain(|r| r.conn != renewal.conn || r.number > renewal.number);
     }
 
-    /// Extends the lease; it counts from when the renewal was sent.
+    /// Extends the lease from the time at which its renewal was sent.
     pub fn extend(&mut self, sent_at: Millis) {
-        self.until = self.until.max(sent_at + self.length);
+        self.expires_at = self.expires_at.max(sent_at + self.length_ms);
     }
 
-    /// Ends the lease, and ignores grants of renewals sent before.
+    /// Ends the lease; grants of renewals sent before no longer extend it.
     pub fn void(&mut self) {
-        self.until = 0;
-        self.sent.clear();
+        self.expires_at = 0;
+        self.in_flight.clear();
     }
 }
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -1,7 +1,8 @@
-//! An edge's session with a core: it fetches the state that it lacks, and has a
-//! valid lease while a core has recently confirmed that this state is current. A
-//! renewal that is not granted in time is hedged: sent to one more core, and the
-//! first core that grants one takes over the session.
+//! An edge's subscription to the state of the cores. The edge keeps a session
+//! with one core and sends it lease renewals; each grant brings the state that
+//! the edge lacks and, if the core has confirmed with its leader that the state
+//! is current, extends the lease. If none is granted in time, one more core gets
+//! a renewal (a hedge), and the session moves to the first core that grants one.
 
 mod candidates;
 mod lease;
@@ -15,93 +16,91 @@
 use lease::{Lease, Renewal};
 use std::net::SocketAddr;
 
-/// Milliseconds between two events above which the process counts as
-/// suspended.
-const GAP: Millis = 400;
-/// Milliseconds by which the wall clock runs ahead of the monotonic one where
-/// the machine was suspended.
-const JUMP: i64 = 1000;
-/// Milliseconds between renewals while the lease is about to expire.
-const AGAIN_MS: Millis = 120;
-/// Milliseconds between renewals while nothing is confirmed yet.
-const SOON_MS: Millis = 100;
-/// Milliseconds until a renewal is hedged while nothing is confirmed yet.
-const SOON_HEDGE_MS: Millis = 200;
-/// Milliseconds after the start of a node in which it renews often.
-const YOUNG_MS: Millis = 1500;
-/// Milliseconds, beyond `unverified_after_ms`, until an edge without confirmed
-/// state accepts it from a core that knows no leader.
-const SEARCH_MS: Millis = 1000;
+/// Time between two events above which the process counts as suspended.
+const SUSPENSION_GAP_MS: Millis = 400;
+/// Lead of the wall over the monotonic clock above which the machine counts as suspended.
+const CLOCK_JUMP_MS: i64 = 1000;
+/// Interval of renewals while less than half of the lease is left.
+const URGENT_MS: Millis = 120;
+/// Interval of renewals of a starting edge that lacks state.
+const STARTUP_RENEW_MS: Millis = 100;
+/// Hedging delay of a starting edge that lacks state.
+const STARTUP_HEDGE_MS: Millis = 200;
+/// Time after the start of an edge in which it uses `STARTUP_RENEW_MS`; four
+/// times as long while no core has confirmed its state.
+const STARTUP_MS: Millis = 1500;
+/// Time beyond `unverified_after_ms` in which a starting edge accepts
+/// unconfirmed state from starting cores only; after it, from any core.
+const LEADER_SEARCH_MS: Millis = 1000;
 
-/// An edge's subscription to the state of the cores, and its lease. It does no
-/// I/O: events go in, and `SubscriptionEffect`s come out. Times are of the
-/// monotonic clock, in milliseconds.
+/// An edge's subscription and lease: a state machine without I/O. Its owner calls
+/// it for each event and carries out the returned effects. Times are milliseconds
+/// of the monotonic clock unless they are named `wall`.
 #[derive(Clone, Debug)]
 pub struct CoreSubscription {
     /// The cores, and whether each is in the edge's own region.
     cores: Vec<(SocketAddr, bool)>,
-    /// Index of the core that is tried next.
-    next: usize,
-    /// Spreads edges over the cores of their region.
-    salt: String,
-    home_at: Millis,
+    /// Index in `cores` of the core to try next.
+    next_core: usize,
+    /// Name of the edge; its hash spreads edges over the cores of their region.
+    node_name: String,
+    try_home_at: Millis,
     candidates: Vec<Candidate>,
-    /// When a renewal is hedged, unless one is granted before.
+    /// When to hedge, unless a renewal is granted before.
     hedge_at: Millis,
     /// Address of the core of the session, connected or not.
     pub session_addr: Option<SocketAddr>,
-    /// Connection of the session, while it is established.
+    /// Connection of the session while it is established.
     pub conn: Option<Conn>,
-    /// Versions of the state that the edge has. Its owner updates them as it
-    /// applies a delta.
+    /// Versions of the state that the edge has; the owner updates them.
     pub known_versions: KnownVersions,
     lease: Lease,
     renew_at: Millis,
-    last_event: Millis,
-    last_wall: i64,
-    held: bool,
+    last_event_at: Millis,
+    last_wall_ms: i64,
+    /// Whether the lease was valid at the last `tick`.
+    had_lease: bool,
     renew_ms: Millis,
     hedge_ms: Millis,
-    began: Millis,
-    unverified_after: Option<Millis>,
-    /// Whether any core has granted a renewal since the start.
-    proved: bool,
+    started_at: Millis,
+    unverified_after_ms: Option<Millis>,
+    /// Whether any core has granted a confirmed renewal since the start.
+    was_confirmed: bool,
     /// Effects of a grant, returned by the next `tick`.
-    due: Vec<SubscriptionEffect>,
+    pending_effects: Vec<SubscriptionEffect>,
 }
 
-/// What a grant means for the edge.
+/// What the edge does with a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// The state is confirmed and the lease extended: apply the delta.
+    /// The state is confirmed and the lease extended; the delta is applied.
     Confirmed,
-    /// Not confirmed, but accepted for want of any confirmed state: the lease
-    /// is extended, apply the delta.
+    /// The state is not confirmed, but accepted because the edge has no confirmed
+    /// state yet; the lease is extended and the delta applied.
     Unverified,
-    /// Not granted: ignore the delta.
+    /// The lease is not extended, and the delta is ignored.
     Rejected,
 }
 
-/// What the edge should do for its subscription.
+/// What the owner of the subscription must do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubscriptionEffect {
-    /// Keep a connection to this core.
+    /// Connect to this core, and reconnect until `Disconnect`.
     Connect(SocketAddr),
-    /// Stop connecting to this core.
+    /// Close the connection to this core, and do not reconnect.
     Disconnect(SocketAddr),
     /// Send a renewal of the lease.
     Renew {
         /// Connection to send it on.
         conn: Conn,
-        /// Number of the renewal, which its grant carries back.
-        no: u64,
-        /// State that is accepted without confirmation.
+        /// Number of the renewal, repeated in its grant.
+        number: u64,
+        /// Which cores may grant it without confirmation.
         unverified: Unverified,
     },
-    /// Log that the session was lost: another core answered first.
+    /// Log that the session moved to another core, which granted a hedge first.
     SessionReplaced,
-    /// Log that the process or machine was suspended, with the cause; the
-    /// lease is void.
+    /// Log that the lease was voided after a suspension, with gap and clock jump.
     Suspended(String),
     /// Log that the lease has expired.
     LeaseExpired,
@@ -110,96 +109,96 @@
 }
 
 impl CoreSubscription {
-    /// A subscription without a session. `seeds` are the cores to try first,
-    /// `now` is the monotonic and `wall` the wall clock, in milliseconds.
+    /// Creates a subscription without a session. `seeds` are the cores to try
+    /// first; `now` is the monotonic and `wall` the wall clock, in milliseconds.
     pub fn new(seeds: &[SocketAddr], lease_ms: Millis, now: Millis, wall: i64) -> CoreSubscription {
         let pacing = Pacing::default();
         CoreSubscription {
             cores: seeds.iter().map(|s| (*s, false)).collect(),
-            next: 0,
-            salt: String::new(),
-            home_at: now,
+            next_core: 0,
+            node_name: String::new(),
+            try_home_at: now,
             candidates: Vec::new(),
-            hedge_at: now + SOON_HEDGE_MS,
+            hedge_at: now + STARTUP_HEDGE_MS,
             session_addr: None,
             conn: None,
             known_versions: KnownVersions::default(),
             lease: Lease::new(lease_ms),
             renew_at: now,
-            last_event: now,
-            last_wall: wall,
-            held: false,
+            last_event_at: now,
+            last_wall_ms: wall,
+            had_lease: false,
             renew_ms: pacing.renew_ms,
             hedge_ms: pacing.hedge_ms,
-            began: now,
-            unverified_after: None,
-            proved: false,
-            due: Vec::new(),
+            started_at: now,
+            unverified_after_ms: None,
+            was_confirmed: false,
+            pending_effects: Vec::new(),
         }
     }
 
-    /// Sets the name of the node, which spreads nodes over the cores.
+    /// Sets the name of the edge; its hash picks the seed to try first.
     pub fn with_node_name(self, node: &str) -> CoreSubscription {
-        // not all need find the first seed dead when they start at once
-        let next = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
+        // edges that start at once must not all try the same seed first
+        let next_core = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
         CoreSubscription {
-            next,
-            salt: node.to_string(),
+            next_core,
+            node_name: node.to_string(),
             ..self
         }
     }
 
-    /// Sets the intervals of renewals and hedges, and after how long
-    /// unverified state is accepted.
-    pub fn with_pacing(self, t: &Pacing) -> CoreSubscription {
+    /// Sets the renewal interval, the hedging delay, and the time after which
+    /// unconfirmed state is accepted.
+    pub fn with_pacing(self, pacing: &Pacing) -> CoreSubscription {
         CoreSubscription {
-            renew_ms: t.renew_ms,
-            hedge_ms: t.hedge_ms,
-            unverified_after: t.unverified_after_ms,
+            renew_ms: pacing.renew_ms,
+            hedge_ms: pacing.hedge_ms,
+            unverified_after_ms: pacing.unverified_after_ms,
             ..self
         }
     }
 
-    /// Whether it has something of each source, verified or not, and can serve.
+    /// Whether the edge has all state that it needs to serve, confirmed or not.
     fn has_state(&self) -> bool {
         let known = &self.known_versions;
         known.record > 0 && known.registry > 0 && known.edge_sessions > 0
     }
 
-    /// Milliseconds between renewals; less for a node that has just started and
-    /// lacks state. One that has it is in no hurry: where all start at once, the
-    /// cores need their time for an election.
-    fn every(&self, now: Millis) -> Millis {
-        let age = now.saturating_sub(self.began);
-        let young = age < YOUNG_MS || (!self.proved && age < YOUNG_MS * 4);
-        let hurries = !self.has_state() || broken(Invariant::Unhurried);
-        if young && hurries {
-            SOON_MS.min(self.renew_ms)
+    /// Interval of renewals in milliseconds; shorter for an edge that has just
+    /// started and lacks state. Edges that have state keep the usual interval: when
+    /// all nodes start at once, the cores need their time for an election.
+    fn renew_interval(&self, now: Millis) -> Millis {
+        let age = now.saturating_sub(self.started_at);
+        let is_starting = age < STARTUP_MS || (!self.was_confirmed && age < STARTUP_MS * 4);
+        let is_eager = !self.has_state() || broken(Invariant::Unhurried);
+        if is_starting && is_eager {
+            STARTUP_RENEW_MS.min(self.renew_ms)
         } else {
             self.renew_ms
         }
     }
 
-    /// Milliseconds until a renewal is hedged.
-    fn hedge(&self) -> Millis {
-        let hurries = !self.has_state() || broken(Invariant::Unhurried);
-        if !self.proved && hurries {
-            SOON_HEDGE_MS.min(self.hedge_ms)
+    /// Milliseconds without a grant after which a renewal is hedged.
+    fn hedge_delay(&self) -> Millis {
+        let is_eager = !self.has_state() || broken(Invariant::Unhurried);
+        if !self.was_confirmed && is_eager {
+            STARTUP_HEDGE_MS.min(self.hedge_ms)
         } else {
             self.hedge_ms
         }
     }
 
-    /// Which state is accepted without confirmation.
-    fn unverified(&self, now: Millis) -> Unverified {
-        let Some(after) = self.unverified_after.filter(|_| !self.proved) else {
-            // once anything was proved, nothing unverified is taken any more
+    /// From which cores the edge accepts unconfirmed state.
+    fn accepted_unverified(&self, now: Millis) -> Unverified {
+        let Some(after) = self.unverified_after_ms.filter(|_| !self.was_confirmed) else {
+            // after the first confirmed grant only confirmed state is accepted
             return Unverified::None;
         };
-        let age = now.saturating_sub(self.began);
+        let age = now.saturating_sub(self.started_at);
         if age < after {
             Unverified::None
-        } else if age < after + SEARCH_MS {
+        } else if age < after + LEADER_SEARCH_MS {
             Unverified::FromStarting
         } else {
             Unverified::FromAny
@@ -208,27 +207,26 @@
 
     /// Whether the lease is valid.
     pub fn has_lease(&self, now: Millis) -> bool {
-        self.lease.holds(now)
+        self.lease.is_valid(now)
     }
 
     /// Milliseconds until the lease expires; 0 if it has.
     pub fn lease_left_ms(&self, now: Millis) -> Millis {
-        self.lease.left(now)
+        self.lease.remaining_ms(now)
     }
 
-    /// To be called first at every event: if the process or its machine was
-    /// suspended, the lease is void, since what the edge has may be old.
+    /// Voids the lease if the process or its machine was suspended since the last
+    /// event, since the state may be outdated. Must be called first at every event.
     pub fn detect_suspension(&mut self, now: Millis, wall: i64) -> Option<SubscriptionEffect> {
-        let gap = now.saturating_sub(self.last_event);
-        let jump = (wall - self.last_wall) - gap as i64;
-        self.last_event = now;
-        self.last_wall = wall;
-        // while it slept the world may have moved on, and a monotonic
-        // clock may have stood still with the machine
-        if (gap > GAP || jump > JUMP) && !broken(Invariant::Woken) {
+        let gap = now.saturating_sub(self.last_event_at);
+        let jump = (wall - self.last_wall_ms) - gap as i64;
+        self.last_event_at = now;
+        self.last_wall_ms = wall;
+        // the monotonic clock may stop while the machine is suspended
+        if (gap > SUSPENSION_GAP_MS || jump > CLOCK_JUMP_MS) && !broken(Invariant::Woken) {
             self.lease.void();
             self.renew_at = now;
-            self.hedge_at = now + self.hedge();
+            self.hedge_at = now + self.hedge_delay();
             return Some(SubscriptionEffect::Suspended(format!(
                 "gap {gap} ms, jump {jump} ms"
             )));
@@ -236,83 +234,82 @@
         None
     }
 
-    /// Advances time: connects, renews, hedges, and reports a changed lease.
+    /// Handles the periodic timer: connects, renews, hedges, and reports a changed lease.
     pub fn tick(&mut self, now: Millis) -> Vec<SubscriptionEffect> {
-        let mut out = std::mem::take(&mut self.due);
-        self.drop_candidates(now, &mut out);
-        self.session(now, &mut out);
-        self.go_home(now, &mut out);
-        self.hedge_alarm(now, &mut out);
-        if self.held != self.has_lease(now) {
-            self.held = !self.held;
-            // the cores should know at once whether this edge serves
+        let mut effects = std::mem::take(&mut self.pending_effects);
+        self.drop_late_candidates(now, &mut effects);
+        self.open_session(now, &mut effects);
+        self.try_home_core(now, &mut effects);
+        self.send_hedge(now, &mut effects);
+        if self.had_lease != self.has_lease(now) {
+            self.had_lease = !self.had_lease;
+            // renewals report to the cores whether this edge serves
             self.renew_at = now;
-            out.push(if self.held {
+            effects.push(if self.had_lease {
                 SubscriptionEffect::LeaseRenewed
             } else {
                 SubscriptionEffect::LeaseExpired
             });
         }
         if let Some(conn) = self.conn.filter(|_| now >= self.renew_at) {
-            out.push(self.renew(conn, now));
+            effects.push(self.renew(conn, now));
         }
-        self.renew_candidates(now, &mut out);
-        out
+        self.renew_candidates(now, &mut effects);
+        effects
     }
 
-    /// Renews the lease now; what is granted counts from this moment.
+    /// Renews the lease now; a grant extends it from `now` on.
     pub fn renew(&mut self, conn: Conn, now: Millis) -> SubscriptionEffect {
-        let no = self.lease.ask(conn, now);
-        let soon = self.lease_left_ms(now) < self.lease.length / 2;
-        let every = self.every(now);
-        self.renew_at = now + if soon { AGAIN_MS.min(every) } else { every };
-        let unverified = self.unverified(now);
+        let number = self.lease.record_sent(conn, now);
+        let urgent = self.lease_left_ms(now) < self.lease.length_ms / 2;
+        let usual = self.renew_interval(now);
+        self.renew_at = now + if urgent { URGENT_MS.min(usual) } else { usual };
+        let unverified = self.accepted_unverified(now);
         SubscriptionEffect::Renew {
             conn,
-            no,
+            number,
             unverified,
         }
     }
 
     /// Number of the last renewal; 0 before the first.
     pub fn last_renewal(&self) -> u64 {
-        self.lease.last_no()
+        self.lease.last_number()
     }
 
-    /// Connects to the next core if there is no session.
-    fn session(&mut self, now: Millis, out: &mut Vec<SubscriptionEffect>) {
+    /// Connects to the next core if no core is chosen for the session.
+    fn open_session(&mut self, now: Millis, effects: &mut Vec<SubscriptionEffect>) {
         if self.session_addr.is_some() || self.cores.is_empty() {
             return;
         }
-        let (addr, _) = self.cores[self.next % self.cores.len()];
-        self.next += 1;
+        let (addr, _) = self.cores[self.next_core % self.cores.len()];
+        self.next_core += 1;
         self.session_addr = Some(addr);
-        self.hedge_at = self.hedge_at.max(now + self.hedge());
-        out.push(SubscriptionEffect::Connect(addr));
+        self.hedge_at = self.hedge_at.max(now + self.hedge_delay());
+        effects.push(SubscriptionEffect::Connect(addr));
     }
 
-    /// A dialled connection is established; renews on it at once.
+    /// Handles an established connection to a core; renews on it at once.
     pub fn on_connected(
         &mut self,
         conn: Conn,
         addr: SocketAddr,
         now: Millis,
     ) -> Vec<SubscriptionEffect> {
-        // what it lacks comes within one round trip
         if self.session_addr == Some(addr) {
             self.conn = Some(conn);
             return vec![self.renew(conn, now)];
         }
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         if let Some(c) = self.candidates.iter_mut().find(|c| c.addr == addr) {
             c.conn = Some(conn);
             c.renew_at = now;
-            self.renew_candidates(now, &mut out);
+            self.renew_candidates(now, &mut effects);
         }
-        out
+        effects
     }
 
-    /// A connection is closed. Its core stays dialled.
+    /// Handles a closed connection. Its core stays chosen until `Disconnect`.
     pub fn on_disconnected(&mut self, conn: Conn) {
         if self.conn == Some(conn) {
             self.conn = None;
@@ -322,57 +319,63 @@
         }
     }
 
-    /// Takes a grant for renewal `no`; `ok` if its state is confirmed, `some`
-    /// if its delta brings an update of the state. The lease counts from when
-    /// the renewal was sent.
-    pub fn on_grant(&mut self, no: u64, ok: bool, some: bool, now: Millis) -> GrantOutcome {
-        let Some(renewal) = self.lease.find(no) else {
+    /// Handles the grant of renewal `number`; `is_confirmed` by the core's leader,
+    /// and with a delta that updates the replicated state if `has_document`.
+    pub fn on_grant(
+        &mut self,
+        number: u64,
+        is_confirmed: bool,
+        has_document: bool,
+        now: Millis,
+    ) -> GrantOutcome {
+        let Some(renewal) = self.lease.find(number) else {
             return GrantOutcome::Rejected;
         };
-        if ok {
-            self.on_proof(renewal, now);
+        if is_confirmed {
+            self.on_confirmed(renewal, now);
             return GrantOutcome::Confirmed;
         }
-        let wanted = self.unverified(now) != Unverified::None;
-        if wanted && (some || self.known_versions.record > 0) {
-            // the proof may follow under the same number
+        let accepts_unverified = self.accepted_unverified(now) != Unverified::None;
+        if accepts_unverified && (has_document || self.known_versions.record > 0) {
+            // a confirmed grant may follow under the same number
             self.lease.extend(renewal.sent_at);
             return GrantOutcome::Unverified;
         }
-        self.lease.answered(renewal);
+        self.lease.remove_answered(renewal);
         if self.conn == Some(renewal.conn) {
-            // a core without a majority is no use; look on at once
+            // this core has no majority: try another one at once
             self.hedge_at = self.hedge_at.min(now);
         }
         GrantOutcome::Rejected
     }
 
-    fn on_proof(&mut self, renewal: Renewal, now: Millis) {
-        self.lease.answered(renewal);
+    fn on_confirmed(&mut self, renewal: Renewal, now: Millis) {
+        self.lease.remove_answered(renewal);
         self.lease.extend(renewal.sent_at);
-        self.proved = true;
-        let every = self.every(now);
-        self.hedge_at = self.hedge_at.max(renewal.sent_at + every + self.hedge());
-        self.take_session(renewal.conn);
-        // what was sent to be sure is not needed any more
-        self.renew_at = self.renew_at.max(renewal.sent_at + every);
+        self.was_confirmed = true;
+        let interval = self.renew_interval(now);
+        self.hedge_at = self
+            .hedge_at
+            .max(renewal.sent_at + interval + self.hedge_delay());
+        self.move_session(renewal.conn);
+        // the session's next renewal is due one interval after this one
+        self.renew_at = self.renew_at.max(renewal.sent_at + interval);
     }
 
-    /// Takes a grant without a newer state that its core has and could not
-    /// send yet: the core is alive, but the state of this edge is not
-    /// confirmed.
-    pub fn on_withheld_grant(&mut self, no: u64, now: Millis) {
-        let Some(renewal) = self.lease.find(no) else {
+    /// Handles a grant from a core that has newer state and could not send it
+    /// yet. It shows that the core is alive, but does not extend the lease.
+    pub fn on_withheld_grant(&mut self, number: u64, now: Millis) {
+        let Some(renewal) = self.lease.find(number) else {
             return;
         };
-        self.lease.answered(renewal);
+        self.lease.remove_answered(renewal);
         if self.conn == Some(renewal.conn) {
-            self.hedge_at = self.hedge_at.max(now + self.hedge());
-            self.renew_at = self.renew_at.min(now + AGAIN_MS);
+            self.hedge_at = self.hedge_at.max(now + self.hedge_delay());
+            self.renew_at = self.renew_at.min(now + URGENT_MS);
         }
     }
 
-    /// Takes the cores of a delta, by address and region, under their version.
+    /// Replaces the cores by those of a delta, given by address and region.
     pub fn update_cores(&mut self, version: u64, cores: &[(String, u8)], own_region: u8) {
         self.known_versions.cores = version;
         let parsed = cores.iter().filter_map(|(address, region)| {
@@ -382,15 +385,14 @@
         self.set_cores(parsed.collect());
     }
 
-    /// Takes the cores as the site has them now, with whether each is in the
-    /// region of the edge; those are tried first.
+    /// Replaces the cores; those of the edge's own region (`true`) are tried first.
     pub fn set_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
-        let salt = &self.salt;
-        cores.sort_by_key(|(a, near)| (!near, crate::placement::mix(salt, &a.to_string())));
+        let name = &self.node_name;
+        cores.sort_by_key(|(addr, near)| (!near, crate::placement::mix(name, &addr.to_string())));
         if !cores.is_empty() && cores != self.cores {
             self.cores = cores;
-            let own = |(a, _): &(SocketAddr, bool)| Some(*a) == self.session_addr;
-            self.next = self.cores.iter().position(own).map_or(0, |i| i + 1);
+            let is_session = |(addr, _): &(SocketAddr, bool)| Some(*addr) == self.session_addr;
+            self.next_core = self.cores.iter().position(is_session).map_or(0, |i| i + 1);
         }
     }
 }
--- a/testbed/src/capacity/hollow_node.rs
+++ b/testbed/src/capacity/hollow_node.rs
@@ -205,7 +205,7 @@
             SubscriptionEffect::Disconnect(a) => self.out.push(NodeEffect::Disconnect(a)),
             SubscriptionEffect::Renew {
                 conn,
-                no,
+                number,
                 unverified,
             } => {
                 // at a few dozen requests per second all renewals differ
@@ -221,7 +221,7 @@
                     ..EdgeStatus::default()
                 };
                 let p = Payload::Renew {
-                    no,
+                    no: number,
                     have,
                     edge_status,
                     unverified,
