--- a/sorreldoor/src/replicated_state/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -10,7 +10,8 @@
 use crate::types::ProposalId;
 use std::sync::Arc;
 
-/// Marks a rejection where a test has them remembered; no version is 0.
+/// The version remembered for a rejection where `Invariant::RefusalKept` is
+/// disabled; applied requests have versions above 0.
 const REJECTED: Version = 0;
 
 impl ReplicatedState {
@@ -25,7 +26,7 @@
         Some(Outcome::Applied { version })
     }
 
-    /// Applies a proposal that is not known to have been applied.
+    /// Applies a proposal that is not in the deduplication table.
     fn apply_new(&mut self, id: ProposalId, command: Command) -> Outcome {
         let base = command.base();
         let applied = &self.data.applied_requests;
@@ -33,7 +34,7 @@
             let version = self.data.version;
             return Outcome::Unknown { version };
         }
-        let outcome = self.run(command);
+        let outcome = self.execute(command);
         let applied = &mut self.data.applied_requests;
         match (&outcome, base) {
             (Outcome::Applied { version }, Some(_)) => applied.insert_request(id, *version),
@@ -49,7 +50,7 @@
     fn restore(&mut self, mut data: PersistentState) -> bool {
         let legacy_document = data.legacy_document.take();
         if let Some(document) = data.document.as_mut() {
-            document.index();
+            document.rebuild_index();
         }
         let text = legacy_document.or_else(|| data.document.as_ref().map(|d| Arc::new(d.text())));
         let read = text.map(|text| configuration::parse(text.as_bytes(), &self.site));
@@ -78,7 +79,7 @@
         let outcome = match decode::<Command>(data) {
             Some(command) => self.apply_new(proposal_id, command),
             None => Outcome::Invalid {
-                faults: vec!["proposal: cannot be read".into()],
+                faults: vec!["proposal: is not a valid command".into()],
             },
         };
         encode(&outcome)
--- a/sorreldoor/src/replicated_state/change.rs
+++ b/sorreldoor/src/replicated_state/change.rs
@@ -16,11 +16,11 @@
     #[must_use]
     pub fn dry_run(&self, command: Command) -> (Outcome, ReplicatedState) {
         let mut state = self.clone();
-        let outcome = state.run(command);
+        let outcome = state.execute(command);
         (outcome, state)
     }
 
-    pub(super) fn run(&mut self, command: Command) -> Outcome {
+    pub(super) fn execute(&mut self, command: Command) -> Outcome {
         match command {
             Command::Put {
                 base,
@@ -85,7 +85,9 @@
         let current = self.data.version;
         let version = new_version.unwrap_or(current + 1);
         if version <= current {
-            let faults = vec![format!("serial: {version} is not above {current}")];
+            let faults = vec![format!(
+                "serial: {version} must be above the current version {current}"
+            )];
             return Outcome::Invalid { faults };
         }
         match change(self) {
@@ -97,11 +99,11 @@
         }
     }
 
-    /// The outcome of a request on another version than the current one.
+    /// The outcome of a request whose base is not the current version.
     fn base_mismatch(&self, base: Version) -> Outcome {
         let version = self.data.version;
-        // a base that is still to come may be current when a duplicate of the
-        // request is applied, so this one must not be rejected for good
+        // the base may exist when a duplicate of the request is applied, so this
+        // copy must not be rejected for good
         if base > version && !broken(Invariant::NotYet) {
             return Outcome::BaseAhead { version };
         }
@@ -153,7 +155,7 @@
             return Outcome::Stale { version };
         }
         let Some(configuration) = self.configuration.clone() else {
-            let faults = vec!["tune: there is no setup".into()];
+            let faults = vec!["tune: there is no configuration yet".into()];
             return Outcome::Invalid { faults };
         };
         for (route, service, weight) in weights {
@@ -167,7 +169,8 @@
         self.raise_revision()
     }
 
-    /// Tuned weights refer to routes by index, which a new document moves.
+    /// Clears the tuned weights after a change of the document: they refer to
+    /// routes and services by index.
     fn reset_weights(&mut self) {
         if !self.data.weights.is_empty() {
             self.data.weights = Default::default();
@@ -221,7 +224,9 @@
 
     fn merge_patch(&mut self, patch: &str) -> Result<(), Faults> {
         let document = self.data.document.as_ref().map(Document::text);
-        let document = document.ok_or(vec!["edit: there is no setup to edit yet".to_string()])?;
+        let document = document.ok_or(vec![
+            "edit: there is no configuration to edit yet".to_string()
+        ])?;
         let fault = |error| vec![format!("edit: {error}")];
         let patch = json::parse(patch.as_bytes(), configuration::MAX_BYTES).map_err(fault)?;
         let mut value = json::parse(document.as_bytes(), usize::MAX).map_err(fault)?;
@@ -229,8 +234,8 @@
         self.replace_document(json::canonical(&value).into_bytes())
     }
 
-    /// Changes items of the document; its cost grows with the change, not
-    /// with the document.
+    /// Changes items of the document, at a cost that depends on the size of the
+    /// change rather than of the document.
     fn change_items(&mut self, set: &str, drop: &str) -> Result<(), Faults> {
         let parse = |text: &str| {
             json::parse(text.as_bytes(), configuration::MAX_BYTES).map_err(items_fault)
@@ -243,7 +248,7 @@
         if document.bytes() > configuration::MAX_BYTES {
             let max = configuration::MAX_BYTES;
             return Err(items_fault(format!(
-                "the setup would be larger than {max} bytes"
+                "the configuration would be larger than {max} bytes"
             )));
         }
         let Some(current) = self.configuration.clone() else {
--- a/sorreldoor/src/replicated_state/command.rs
+++ b/sorreldoor/src/replicated_state/command.rs
@@ -30,14 +30,14 @@
         /// The patch as JSON text.
         patch: String,
     },
-    /// Evacuates a zone or takes it back into service, as a new version.
+    /// Evacuates a zone or returns it to service, as a new version.
     #[serde(rename = "Zone")]
     EvacuateZone {
         /// The version that the operator's change builds on.
         base: Version,
         /// The zone to change.
         zone: ZoneIndex,
-        /// True: evacuate the zone. False: take it back into service.
+        /// True: evacuate the zone. False: return it to service.
         #[serde(rename = "emptied")]
         evacuated: bool,
     },
@@ -99,9 +99,9 @@
         #[serde(rename = "emptied")]
         evacuated: bool,
     },
-    /// `EvacuateUnversioned` as a core proposes it: applied only while the
-    /// zone has been changed as often as that core knew when the request
-    /// came. A delayed duplicate has no effect after later changes.
+    /// Like `EvacuateUnversioned`, but applied only while the zone's number of
+    /// changes equals the one that the proposing core read when it got the
+    /// request, so that a delayed duplicate has no effect after later changes.
     #[serde(rename = "EvacuateOnce")]
     EvacuateIfUnchanged {
         /// The zone to change.
@@ -109,7 +109,7 @@
         /// As in `EvacuateZone`.
         #[serde(rename = "emptied")]
         evacuated: bool,
-        /// How often the zone had been changed, as the proposing core knew.
+        /// The zone's number of changes as read by the proposing core.
         changes: u64,
     },
 }
--- a/sorreldoor/src/replicated_state/deduplication.rs
+++ b/sorreldoor/src/replicated_state/deduplication.rs
@@ -14,8 +14,8 @@
 /// How many operators' requests are remembered.
 pub const MAX_REMEMBERED_REQUESTS: usize = 8192;
 
-/// How many proposals without a base version are remembered: those of the
-/// cores themselves, and evacuations. They are duplicated only in flight.
+/// How many proposals without a base version are remembered: those of the cores
+/// themselves, and evacuations. Only copies still in flight can repeat them.
 const MAX_REMEMBERED_PROPOSALS: usize = 512;
 
 /// Encoded length of a proposal id.
@@ -70,9 +70,9 @@
     }
 }
 
-/// The stored tables end in the middle of an entry.
+/// A stored table ends in the middle of an entry.
 #[derive(Debug, Snafu)]
-#[snafu(display("taken orders: not a whole number of entries"))]
+#[snafu(display("applied requests: a stored table ends in the middle of an entry"))]
 struct PartialEntry;
 
 /// Bytes that are encoded as one byte string.
--- a/sorreldoor/src/replicated_state/document.rs
+++ b/sorreldoor/src/replicated_state/document.rs
@@ -1,6 +1,6 @@
 //! The configuration document as it is replicated: the items of the `hosted`
 //! lists one by one, each with the revision that last changed it, and the
-//! rest as text. Clones share what they have in common.
+//! rest as text. Clones share unchanged parts.
 
 use super::item_list::{ItemList, ListDelta};
 use super::named_items;
@@ -40,14 +40,14 @@
     }
 }
 
-/// A configuration document from which deltas can be made.
+/// A configuration document that can compute its deltas between revisions.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Document {
     rest: DocumentRest,
     rest_revision: u64,
     routes: ItemList,
     services: ItemList,
-    /// Releases before protocol 6 kept them among the rest.
+    /// Releases before protocol 6 stored them in `rest`.
     #[serde(default)]
     tenants: ItemList,
 }
@@ -144,7 +144,7 @@
     }
 
     /// Sets and deletes items of the `hosted` lists, also of lists of named
-    /// items that this release gives no meaning; any other key of `set`
+    /// items that this release does not interpret; any other key of `set`
     /// replaces that of the `hosted` section.
     ///
     /// # Errors
@@ -156,13 +156,13 @@
         let mut hosted = self.hosted_rest();
         let is_rest = |key: &str| !LISTS.contains(&key);
         for (key, value) in all.iter().filter(|(key, _)| is_rest(key)) {
-            let items = named_items::changed(hosted.get(key.as_str()), value);
+            let items = named_items::with_items(hosted.get(key.as_str()), value);
             let _ = hosted.insert(key.as_str(), items.unwrap_or_else(|| value.clone()));
         }
         for (key, names) in drop.as_object().into_iter().flatten() {
-            let left = named_items::without(hosted.get(key.as_str()), names, all.get(key));
-            if let Some(left) = left.filter(|_| is_rest(key)) {
-                let _ = hosted.insert(key.as_str(), left);
+            let remaining = named_items::without(hosted.get(key.as_str()), names, all.get(key));
+            if let Some(remaining) = remaining.filter(|_| is_rest(key)) {
+                let _ = hosted.insert(key.as_str(), remaining);
             }
         }
         let rest = DocumentRest {
@@ -195,7 +195,7 @@
         json::parse_canonical(self.rest.hosted.as_deref().unwrap_or("{}"))
     }
 
-    /// What the document consists of, for logs.
+    /// Sizes of the document's parts, for logs.
     pub fn summary(&self) -> DocumentSummary {
         DocumentSummary {
             routes: self.routes.len(),
@@ -236,8 +236,8 @@
         text
     }
 
-    /// What a replica of revision `from` lacks; `None` if that is no longer
-    /// known, and the replica needs the complete document.
+    /// The changes since revision `from`; `None` if they are no longer known, and
+    /// the replica needs the complete document.
     pub fn delta_since(&self, from: u64) -> Option<DocumentDelta> {
         let new_rest = self.rest_revision > from;
         Some(DocumentDelta {
@@ -268,12 +268,12 @@
         self.tenants.apply(&delta.tenants, revision);
     }
 
-    /// Rebuilds the indices, which are not serialized, and takes the tenants
-    /// of an earlier release out of the rest.
-    pub(super) fn index(&mut self) {
-        self.services.index();
-        self.routes.index();
-        self.tenants.index();
+    /// Rebuilds the indices, which are not serialized, and moves tenants that an
+    /// earlier release stored in `rest` to their own list.
+    pub(super) fn rebuild_index(&mut self) {
+        self.services.rebuild_index();
+        self.routes.rebuild_index();
+        self.tenants.rebuild_index();
         let mut hosted = self.hosted_rest();
         let tenants = hosted.get(TENANTS).and_then(|t| t.as_array()).cloned();
         if let Some(tenants) = tenants {
@@ -303,6 +303,7 @@
     }
 }
 
+/// The list under `key`; empty if there is none.
 fn list_at<'v>(value: &'v Value, key: &str) -> Result<&'v [Value], String> {
     match value.get(key) {
         None => Ok(&[]),
--- a/sorreldoor/src/replicated_state/item_list.rs
+++ b/sorreldoor/src/replicated_state/item_list.rs
@@ -28,7 +28,7 @@
 /// Items in the operator's order, each name once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ItemList {
-    /// Whether the document has the list at all.
+    /// Whether the document has the list; an absent one differs from an empty one.
     #[serde(rename = "given")]
     present: bool,
     items: OrdMap<u64, Item>,
@@ -51,7 +51,7 @@
     pub name: Arc<str>,
     /// The complete item as canonical JSON.
     pub text: Arc<str>,
-    /// It moves to the end, also if an older one of its name stands elsewhere.
+    /// Whether it is appended, even if the list has an older item of its name.
     #[serde(rename = "last")]
     pub append: bool,
 }
@@ -78,12 +78,12 @@
     }
 }
 
-fn name_of(v: &Value) -> Option<&str> {
-    v.get("name").and_then(|n| n.as_str())
+fn name_of(item: &Value) -> Option<&str> {
+    item.get("name").and_then(|name| name.as_str())
 }
 
 impl ItemList {
-    /// Whether the document has the list at all.
+    /// Whether the document has the list.
     pub fn present(&self) -> bool {
         self.present
     }
@@ -220,7 +220,8 @@
         self.forgotten_up_to = floor;
     }
 
-    /// What a replica of revision `from` lacks, if that is still known.
+    /// The changes since revision `from`; `None` if deletions since then are no
+    /// longer remembered.
     pub fn delta_since(&self, from: Revision) -> Option<ListDelta> {
         if from < self.forgotten_up_to {
             return None;
@@ -270,7 +271,7 @@
     }
 
     /// Rebuilds the positions by name, which are not serialized.
-    pub fn index(&mut self) {
+    pub fn rebuild_index(&mut self) {
         let positions = self.items.iter();
         self.positions = positions.map(|(p, i)| (i.name.clone(), *p)).collect();
     }
--- a/sorreldoor/src/replicated_state/mod.rs
+++ b/sorreldoor/src/replicated_state/mod.rs
@@ -24,9 +24,10 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Counts changes of any kind; orders states of one site.
+/// Counts changes of any kind, and so orders the states of one site.
 pub type Revision = u64;
-/// Counts operators' changes; what the next one builds on.
+/// Identifies a state for operators: raised by their changes, each of which names
+/// the version it builds on.
 pub type Version = u64;
 /// The fencing token of the tuner role, raised by each acquisition.
 pub type Epoch = u64;
@@ -52,7 +53,7 @@
     Returning(u8),
 }
 
-/// What gateways need of the state; `revision` orders two views.
+/// The part of the state that gateways need.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
     /// Raised by every change of any kind.
@@ -69,7 +70,7 @@
     pub evacuated: Vec<ZoneIndex>,
     /// Tuned weights, each within the operator's bounds.
     pub weights: Vec<TunedWeight>,
-    /// Regions whose state was ever set.
+    /// The recovery state of each region for which one was ever set.
     pub regions: Vec<(RegionIndex, Recovery)>,
 }
 
@@ -98,7 +99,7 @@
         self.data.revision
     }
 
-    /// The version that the next operator's change builds on.
+    /// The version that an operator's next change must name as its base.
     pub fn version(&self) -> Version {
         self.data.version
     }
@@ -123,7 +124,7 @@
         self.data.evacuated.contains(&zone)
     }
 
-    /// How often a zone was evacuated or taken back.
+    /// How often a zone was evacuated or returned to service.
     pub fn zone_changes(&self, zone: ZoneIndex) -> u64 {
         self.data.zone_changes.get(&zone).copied().unwrap_or(0)
     }
@@ -134,7 +135,7 @@
         state.unwrap_or(Recovery::Served)
     }
 
-    /// What the configuration document consists of; nothing before the first.
+    /// Sizes of the configuration document's parts; all 0 before the first one.
     pub fn document_summary(&self) -> DocumentSummary {
         let document = self.data.document.as_ref();
         document.map(Document::summary).unwrap_or_default()
@@ -155,7 +156,7 @@
         }
     }
 
-    /// The state without its document, which is costly to write out.
+    /// The state without its document, whose text is costly to produce.
     #[must_use]
     pub fn view_without_document(&self) -> View {
         let data = &self.data;
--- a/sorreldoor/src/replicated_state/persistent.rs
+++ b/sorreldoor/src/replicated_state/persistent.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// How many outcomes the previous release kept.
+/// How many outcomes the previous release stored.
 const LEGACY_OUTCOMES: usize = 4096;
 
 /// The content of a snapshot. Clones share their data.
@@ -17,10 +17,10 @@
     /// Raised by every change of any kind.
     #[serde(rename = "rev")]
     pub(super) revision: Revision,
-    /// Raised only by operators' changes, which build on it.
+    /// Raised by operators' changes only; each names the version it builds on.
     #[serde(rename = "serial")]
     pub(super) version: Version,
-    /// The document as the previous release wrote it; read, never written.
+    /// The document in the format of the previous release; read, never written.
     #[serde(default, skip_serializing, rename = "doc")]
     pub(super) legacy_document: Option<Arc<String>>,
     #[serde(default)]
@@ -39,10 +39,10 @@
     pub(super) holder: u64,
     #[serde(default, rename = "taken")]
     pub(super) applied_requests: AppliedRequests,
-    /// How often each zone was evacuated or taken back.
+    /// How often each zone was evacuated or returned to service.
     #[serde(default)]
     pub(super) zone_changes: OrdMap<ZoneIndex, u64>,
-    /// Outcomes as the previous release kept them; read, never written.
+    /// Outcomes in the format of the previous release; read, never written.
     #[serde(default, skip_serializing, rename = "answered")]
     legacy_outcomes: OrdMap<ProposalId, Arc<Vec<u8>>>,
     /// Proposals of `legacy_outcomes`, oldest first; read, never written.
@@ -61,7 +61,7 @@
             let Some(Outcome::Applied { version }) = decode(bytes) else {
                 continue;
             };
-            // what was evicted before the oldest one had no higher version
+            // outcomes evicted before the oldest one have no higher version
             if full && index == 0 {
                 self.applied_requests.set_evicted_up_to(version);
             }
--- a/sorreldoor/src/replicated_state/state_update.rs
+++ b/sorreldoor/src/replicated_state/state_update.rs
@@ -29,12 +29,13 @@
     pub evacuated: Vec<ZoneIndex>,
     /// `None` where they have not changed since `from_revision`.
     pub weights: Option<Vec<TunedWeight>>,
-    /// Regions whose state was ever set.
+    /// The recovery state of each region for which one was ever set.
     pub regions: Vec<(RegionIndex, Recovery)>,
 }
 
 impl ReplicatedState {
-    /// What a replica of revision `from_revision` lacks.
+    /// The update for a replica of revision `from_revision`; complete if the
+    /// changes since then are no longer known.
     pub fn delta_since(&self, from_revision: Revision) -> StateUpdate {
         let data = &self.data;
         let document = data.document.as_ref();
