--- a/sorreldoor/src/quota/admission.rs
+++ b/sorreldoor/src/quota/admission.rs
@@ -1,32 +1,33 @@
-//! The edge's part: which requests of a tenant are admitted here, and what is
-//! reported to a core.
+//! Admission control at an edge: admits the requests of each tenant at the share
+//! that the cores have sent, and reports the usage to a core.
 
 use super::ALL_PER_MILLE;
 use super::{AdmissionShare, AdmissionUpdate, Quota, TenantId, TenantUsage, UsageReport};
 use crate::types::Millis;
 use std::collections::HashMap;
 
-/// A report without an answer for so long: no core is known to count for this
-/// edge, and it admits its fixed part of each quota.
-const ANSWER_TIMEOUT_MS: Millis = 1000;
-/// A report without an answer for so long is sent to another core, if one is
-/// known to be there.
-const STALL_TIMEOUT_MS: Millis = 350;
-/// Milliseconds between two reports: a sudden rise has to be noticed before it
-/// has used up what the quota leaves.
+/// Time without an acknowledgement of a report after which the edge admits its
+/// fixed part of each quota.
+const DETACHED_AFTER_MS: Millis = 1000;
+/// Time without an acknowledgement of a report after which the edge reports to
+/// another core, if it can reach one.
+const STALLED_AFTER_MS: Millis = 350;
+/// Interval of reports; short, so that the cores see a sudden rise before it has
+/// used up the quota.
 const REPORT_INTERVAL_MS: Millis = 150;
-/// A tenant that sent nothing for so long is forgotten.
-const FORGET_AFTER_MS: Millis = 60_000;
-/// What a new tenant's accumulator starts with: with 0 all edges would reject
-/// its first request at the same time.
+/// Time without requests after which a tenant's state is dropped.
+const IDLE_TENANT_TIMEOUT_MS: Millis = 60_000;
+/// Initial `credit` of a tenant; with 0 every edge would reject the first request
+/// of a limited tenant.
 const INITIAL_CREDIT: f64 = 0.5;
 
 #[derive(Clone, Debug)]
 struct TenantState {
     unreported: TenantUsage,
-    /// Admitted shares of requests that have not made up a whole one.
+    /// Sum of the shares of the requests so far, less 1 per admitted request; a
+    /// request is admitted once it is 1. Never more than 1.
     credit: f64,
-    /// Tokens of this edge alone, for when no core answers.
+    /// Token bucket of this edge alone, used while it is detached.
     local_tokens: f64,
     refilled_at: Millis,
     last_request_at: Millis,
@@ -36,20 +37,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     tenants: HashMap<TenantId, TenantState>,
-    /// Shares of the tenants that are not admitted completely.
+    /// Shares of the limited tenants, between 0 and 1.
     shares: HashMap<TenantId, f64>,
-    /// Reports without an answer, in the order they were sent.
-    unanswered: Vec<UsageReport>,
-    /// When the oldest of them was sent, or first could not be.
-    unanswered_since: Option<Millis>,
+    /// Reports that are not acknowledged, in the order they were sent.
+    unacknowledged: Vec<UsageReport>,
+    /// When the oldest of them was sent, or could not be sent for want of a core.
+    unacknowledged_since: Option<Millis>,
     next_report_at: Millis,
     last_number: u64,
 }
 
 impl Admission {
-    /// Counts a request, and tells whether it is admitted. `nodes`: how many
-    /// edges share the quota.
-    pub fn admit(&mut self, tenant: TenantId, quota: Quota, nodes: u32, now: Millis) -> bool {
+    /// Counts a request and returns whether it is admitted. `edges` is the number
+    /// of edges that share the quota.
+    pub fn admit(&mut self, tenant: TenantId, quota: Quota, edges: u32, now: Millis) -> bool {
         let detached = self.is_detached(now);
         let share = self.shares.get(&tenant).copied().unwrap_or(1.0);
         let state = self.tenants.entry(tenant).or_insert_with(|| TenantState {
@@ -63,7 +64,7 @@
             last_request_at: now,
         });
         state.last_request_at = now;
-        state.refill(quota.rate_per_s / f64::from(nodes.max(1)), now);
+        state.refill(quota.rate_per_s / f64::from(edges.max(1)), now);
         state.credit += share;
         let admitted = match detached {
             true => state.local_tokens >= 1.0,
@@ -75,35 +76,36 @@
             state.credit = (state.credit - 1.0).max(0.0);
             state.local_tokens = (state.local_tokens - 1.0).max(0.0);
         }
-        // what is rejected for another reason is not made up for later
+        // requests rejected by the local bucket do not accumulate credit
         state.credit = state.credit.min(1.0);
         admitted
     }
 
-    /// Whether no core answers this edge's reports.
+    /// Whether reports have been unacknowledged for so long that the edge admits
+    /// its fixed part of each quota.
     #[must_use]
     pub fn is_detached(&self, now: Millis) -> bool {
-        self.unanswered_since
-            .is_some_and(|since| now > since + ANSWER_TIMEOUT_MS)
+        self.unacknowledged_since
+            .is_some_and(|since| now > since + DETACHED_AFTER_MS)
     }
 
-    /// What is to be reported to a core now, if a report is due.
+    /// The report to send now; `None` if none is due or there is no usage.
     pub fn take_report(&mut self, now: Millis) -> Option<UsageReport> {
         if now < self.next_report_at {
             return None;
         }
         self.next_report_at = now + REPORT_INTERVAL_MS;
         self.tenants
-            .retain(|_, state| now <= state.last_request_at + FORGET_AFTER_MS);
+            .retain(|_, state| now <= state.last_request_at + IDLE_TENANT_TIMEOUT_MS);
         let mut usage = Vec::new();
         for (tenant, state) in &mut self.tenants {
             let cleared = TenantUsage {
                 tenant: *tenant,
                 ..TenantUsage::default()
             };
-            let row = std::mem::replace(&mut state.unreported, cleared);
-            if row.requested > 0 {
-                usage.push(row);
+            let unreported = std::mem::replace(&mut state.unreported, cleared);
+            if unreported.requested > 0 {
+                usage.push(unreported);
             }
         }
         if usage.is_empty() {
@@ -114,15 +116,15 @@
             number: self.last_number,
             usage,
         };
-        self.unanswered.push(report.clone());
-        self.unanswered_since.get_or_insert(now);
+        self.unacknowledged.push(report.clone());
+        self.unacknowledged_since.get_or_insert(now);
         Some(report)
     }
 
-    /// The connection to the core has ended: what it did not answer is to be
-    /// reported again.
+    /// Handles the end of the connection to the core: usage that it did not
+    /// acknowledge is reported again.
     pub fn on_disconnected(&mut self) {
-        for report in std::mem::take(&mut self.unanswered) {
+        for report in std::mem::take(&mut self.unacknowledged) {
             for row in report.usage {
                 if let Some(state) = self.tenants.get_mut(&row.tenant) {
                     state.unreported.requested += row.requested;
@@ -132,28 +134,28 @@
         }
     }
 
-    /// Takes note that no core can be reached; what is unreported stays so.
+    /// Records that no core can be reached; the usage stays unreported.
     pub fn on_core_unreachable(&mut self, now: Millis) {
         let mut states = self.tenants.values();
         if states.any(|state| state.unreported.requested > 0) {
-            self.unanswered_since.get_or_insert(now);
+            self.unacknowledged_since.get_or_insert(now);
         }
     }
 
-    /// Whether a report has waited for its answer for so long that another
-    /// core should be tried.
+    /// Whether a report has been unacknowledged for so long that another core
+    /// should be tried.
     #[must_use]
     pub fn is_stalled(&self, now: Millis) -> bool {
-        self.unanswered_since
-            .is_some_and(|since| now > since + STALL_TIMEOUT_MS)
+        self.unacknowledged_since
+            .is_some_and(|since| now > since + STALLED_AFTER_MS)
     }
 
-    /// Takes what a core tells. Only the answer to a report shows that a core
-    /// counts for this edge.
+    /// Applies a core's message. Only an acknowledgement shows that a core counts
+    /// the usage of this edge; an announcement does not end the detached state.
     pub fn apply(&mut self, update: &AdmissionUpdate) {
         if let Some(number) = update.acknowledged_report {
-            self.unanswered.retain(|report| report.number > number);
-            self.unanswered_since = None;
+            self.unacknowledged.retain(|report| report.number > number);
+            self.unacknowledged_since = None;
         }
         let Some(shares) = &update.shares else {
             return;
@@ -168,11 +170,11 @@
 }
 
 impl TenantState {
-    /// Refills the tokens of this edge alone, at its part of the rate.
-    fn refill(&mut self, part_per_s: f64, now: Millis) {
+    /// Refills the local bucket at `rate_per_s`, the edge's part of the quota.
+    fn refill(&mut self, rate_per_s: f64, now: Millis) {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
-        let most = part_per_s.max(1.0);
-        self.local_tokens = (self.local_tokens + part_per_s * elapsed).min(most);
+        let burst = rate_per_s.max(1.0);
+        self.local_tokens = (self.local_tokens + rate_per_s * elapsed).min(burst);
         self.refilled_at = now;
     }
 }
--- a/sorreldoor/src/quota/mod.rs
+++ b/sorreldoor/src/quota/mod.rs
@@ -1,17 +1,16 @@
 //! Quotas of tenants, counted over all nodes together.
 //!
-//! Edges count what each tenant requests and what they admit, and report it to
-//! a core every few tenths of a second ([`Admission`]). Cores add up what all
-//! edges report, exchange their totals, and keep a token bucket for each tenant
-//! ([`UsageLedger`]). A tenant that requests more than its bucket can give is
-//! admitted at a share, which cores tell edges in answer to their reports. No
-//! request waits for a message.
+//! Edges count the requested and the admitted requests of each tenant, and
+//! report both to a core several times a second ([`Admission`]). Cores add up
+//! the reports, exchange their totals, and keep a token bucket for each tenant
+//! ([`UsageLedger`]). Of a tenant whose demand exceeds its bucket, edges admit a
+//! share, which cores send in reply to reports. No request waits for a message.
 //!
-//! The bucket holds over all nodes; what edges admit beyond it before they are
-//! told becomes a debt that the tenant pays off. An edge that no core answers
-//! admits a fixed part of each quota; a core that does not hear of all edges
-//! gives out its part only, so that two sides of a cut do not spend one quota
-//! twice.
+//! A bucket stands for all nodes. Requests that edges admit beyond it before a
+//! new share arrives make its tokens negative, a debt that later refills pay off.
+//! An edge whose reports are not acknowledged admits a fixed part of each quota.
+//! A core that is connected to only some of the edges grants only their part, so
+//! that the two sides of a network partition do not spend one quota twice.
 
 mod admission;
 mod usage_ledger;
@@ -24,13 +23,13 @@
 /// Identifies a tenant on every node: a hash of its name.
 pub type TenantId = u64;
 
-/// Requests of one tenant in some span.
+/// Requests of one tenant since its last report, or in total.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantUsage {
     /// The tenant.
     #[serde(rename = "t")]
     pub tenant: TenantId,
-    /// Requests that came, admitted or not.
+    /// Requests that arrived, admitted or not.
     #[serde(rename = "r")]
     pub requested: u64,
     /// Requests that were admitted.
@@ -38,27 +37,28 @@
     pub admitted: u64,
 }
 
-/// What an edge reports to a core. One that is not answered before its
-/// connection ends is reported again, to another core: what two cores counted
-/// is paid off twice, what none counted could be spent again.
+/// An edge's report to a core. If it is not acknowledged before its connection
+/// ends, its usage is reported again to another core: usage counted twice costs
+/// the tenant a part of its quota, usage not counted would let it exceed it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Rises with each report of an edge; the answer carries it back.
+    /// Rises with each report of an edge; the acknowledgement repeats it.
     #[serde(rename = "n")]
     pub number: u64,
-    /// What tenants have requested since the report before.
+    /// The usage of each tenant since the previous report.
     #[serde(rename = "u")]
     pub usage: Vec<TenantUsage>,
 }
 
-/// What a core tells an edge, in answer to a report or unasked.
+/// A core's message to an edge: in reply to a report, or to announce new shares.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionUpdate {
-    /// The report that it answers; it and all before it are counted.
+    /// The report that it acknowledges, with all earlier ones; `None` for an
+    /// announcement.
     #[serde(rename = "n")]
     pub acknowledged_report: Option<u64>,
-    /// The share of each tenant that is not admitted completely. `None`: the
-    /// core has started to count, and does not know them yet.
+    /// The shares of all limited tenants; `None` while the core has not counted
+    /// for long enough to compute them.
     #[serde(rename = "s")]
     pub shares: Option<Vec<AdmissionShare>>,
 }
@@ -69,19 +69,19 @@
     /// The tenant.
     #[serde(rename = "t")]
     pub tenant: TenantId,
-    /// In thousandths.
+    /// Admitted part of the requests, in thousandths.
     #[serde(rename = "s")]
     pub per_mille: u16,
 }
 
-/// All requests, as an [`AdmissionShare`].
+/// The `per_mille` of an [`AdmissionShare`] that admits all requests.
 pub const ALL_PER_MILLE: u16 = 1000;
 
 /// The quota of one tenant over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// Requests at once on top of that.
+    /// Requests that may come at once in addition.
     pub burst: f64,
 }
--- a/sorreldoor/src/quota/usage_ledger.rs
+++ b/sorreldoor/src/quota/usage_ledger.rs
@@ -1,72 +1,73 @@
-//! The core's part: what all edges admit, a token bucket for each tenant, and
-//! the shares at which its requests are admitted.
+//! Quota accounting at a core: sums the usage of all edges in a token bucket for
+//! each tenant, and computes the shares of the tenants that exceed their quota.
 
 use super::{AdmissionShare, Quota, TenantId, TenantUsage, ALL_PER_MILLE};
 use crate::types::{Millis, NodeId};
 use std::collections::{BTreeMap, HashMap};
 
-/// Time constants of the demand's moving averages, in seconds: the first
-/// notices a rise, the second outlasts the moment in which a core that is cut
-/// off hears less, and does not know yet why. The higher one counts.
+/// Time constants of the demand's two moving averages, in seconds; the higher
+/// average counts. The short one follows a rise quickly. The long one keeps the
+/// demand up while a core that was just partitioned off gets fewer reports and
+/// has not yet timed out the other cores.
 const DEMAND_WINDOWS_S: [f64; 2] = [0.2, 0.7];
-/// A bucket's tokens are given out over so many seconds.
-const SPEND_OVER_S: f64 = 1.0;
-/// An edge that was heard of within this time may still spend.
-const EDGE_MEMORY_MS: Millis = 30_000;
-/// A tenant whose bucket is fuller than this is not limited: the demand of a
-/// small one is a matter of chance.
-const LIMITED_BELOW: f64 = 0.5;
-/// Tokens that every bucket holds beside the burst: requests come by chance, and
-/// a quota of a few a second would be rejected for no more than that.
-const CHANCE_TOKENS: f64 = 4.0;
-/// Tokens that a bucket begins with at most, as nobody knows what was spent
-/// before.
-const INITIAL_TOKENS: f64 = 4.0;
-/// A ledger that has counted for less than this knows too little to tell edges
-/// anything; they keep to what they were told before.
+/// Seconds over which the tokens of a bucket are spread when shares are computed.
+const TOKEN_SPREAD_S: f64 = 1.0;
+/// Time after which an edge that is not connected to any reachable core no longer
+/// counts as one that may admit requests.
+const EDGE_TIMEOUT_MS: Millis = 30_000;
+/// Part of the burst above which a bucket does not limit its tenant, since the
+/// measured demand of a small tenant fluctuates.
+const LIMITED_BELOW_PART: f64 = 0.5;
+/// Tokens that every bucket holds in addition to the burst, so that random arrivals
+/// within a quota of a few requests per second are not rejected.
+const FLUCTUATION_TOKENS: f64 = 4.0;
+/// Maximum initial tokens of a bucket; low, because earlier usage is unknown.
+const MAX_INITIAL_TOKENS: f64 = 4.0;
+/// Time for which a new ledger counts before it sends shares; until then edges
+/// keep the shares that they have.
 const WARM_UP_MS: Millis = 1000;
-/// A core whose totals came within this time is connected. Cores send theirs
-/// more often, changed or not.
-const CORE_TIMEOUT_MS: Millis = 250;
-/// The part of each quota that is given out: some reports are on their way, and
-/// some are lost with a connection.
-const QUOTA_MARGIN: f64 = 0.97;
-
-/// The token bucket of one tenant, and how much it asks for.
+/// Time without totals of another core after which it counts as disconnected.
+/// Cores send totals more often, changed or not.
+const PEER_TIMEOUT_MS: Millis = 250;
+/// The part of each quota that is granted; the rest allows for reports that are
+/// in flight or lost with a connection.
+const GRANTED_PART: f64 = 0.97;
+
+/// The token bucket of one tenant, and its demand.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// Below 0: admitted beyond the quota, and still to be paid off.
+    /// Negative after admissions beyond the quota, until refills pay them off.
     tokens: f64,
-    /// Requests a second, over each of the windows.
+    /// Requests per second, averaged over each of `DEMAND_WINDOWS_S`.
     demand: [f64; 2],
     updated_at: Millis,
 }
 
-/// What is known of another core's edges.
+/// The totals of another core, as last received.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     totals: HashMap<TenantId, TenantUsage>,
-    heard_at: Millis,
+    received_at: Millis,
 }
 
-/// What a core knows of the use of all quotas.
+/// The usage of all quotas as known to one core. Its controller feeds it the
+/// reports of edges and the totals of other cores, and sends the shares.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
     quotas: HashMap<TenantId, Quota>,
     buckets: HashMap<TenantId, Bucket>,
-    /// What edges of this core have reported since it started.
+    /// Usage reported by edges to this core since it started.
     totals: BTreeMap<TenantId, TenantUsage>,
-    /// Tenants whose totals the other cores do not have yet.
-    unreported: BTreeMap<TenantId, ()>,
-    /// Each other core that has sent totals.
+    /// Tenants whose totals have changed since the last `take_changed_totals`.
+    changed: BTreeMap<TenantId, ()>,
     peers: BTreeMap<NodeId, Peer>,
-    /// When each edge was heard of last, by its name.
+    /// When each edge, by its name, was last connected to a reachable core.
     edges: BTreeMap<String, Millis>,
-    /// The part of all edges that are heard of now.
-    heard_part: f64,
-    /// When it first counted anything.
+    /// The part of `edges` that are connected now.
+    connected_part: f64,
+    /// When the first usage was counted.
     counting_since: Option<Millis>,
-    /// The shares that were announced last.
+    /// The shares of the last announcement.
     announced: Vec<AdmissionShare>,
 }
 
@@ -75,12 +76,12 @@
     #[must_use]
     pub fn new() -> UsageLedger {
         UsageLedger {
-            heard_part: 1.0,
+            connected_part: 1.0,
             ..UsageLedger::default()
         }
     }
 
-    /// Takes the quotas of a configuration.
+    /// Replaces the quotas by those of a new configuration.
     pub fn set_quotas(&mut self, quotas: impl Iterator<Item = (TenantId, Quota)>) {
         self.quotas = quotas.collect();
         let quotas = &self.quotas;
@@ -88,38 +89,42 @@
         self.totals.retain(|tenant, _| quotas.contains_key(tenant));
     }
 
-    /// Whether another core is connected, and tells what its edges use.
+    /// Whether another core has sent its totals recently.
     #[must_use]
     pub fn is_connected_to(&self, core: NodeId, now: Millis) -> bool {
         let peer = self.peers.get(&core);
-        peer.is_some_and(|peer| now <= peer.heard_at + CORE_TIMEOUT_MS)
+        peer.is_some_and(|peer| now <= peer.received_at + PEER_TIMEOUT_MS)
     }
 
-    /// Whether there are any quotas to count for.
+    /// Whether any tenant has a quota.
     #[must_use]
     pub fn has_quotas(&self) -> bool {
         !self.quotas.is_empty()
     }
 
-    /// Takes note of the edges that are heard of now, each once by its name:
-    /// those of this core and of the cores that [`UsageLedger::is_connected_to`].
-    pub fn set_connected_edges<'n>(&mut self, heard: impl Iterator<Item = &'n str>, now: Millis) {
+    /// Updates the names of the connected edges, each given once: those of this core
+    /// and of the cores to which it [`UsageLedger::is_connected_to`].
+    pub fn set_connected_edges<'n>(
+        &mut self,
+        connected: impl Iterator<Item = &'n str>,
+        now: Millis,
+    ) {
         let mut count = 0;
-        for name in heard {
+        for name in connected {
             count += 1;
             match self.edges.get_mut(name) {
-                Some(last) => *last = now,
+                Some(connected_at) => *connected_at = now,
                 None => {
                     self.edges.insert(name.to_string(), now);
                 }
             }
         }
         self.edges
-            .retain(|_, last| now.saturating_sub(*last) < EDGE_MEMORY_MS);
-        self.heard_part = f64::from(count) / self.edges.len().max(1) as f64;
+            .retain(|_, connected_at| now.saturating_sub(*connected_at) < EDGE_TIMEOUT_MS);
+        self.connected_part = f64::from(count) / self.edges.len().max(1) as f64;
     }
 
-    /// Counts what an edge has reported to this core.
+    /// Counts the usage of an edge's report to this core.
     pub fn record(&mut self, usage: &[TenantUsage], now: Millis) {
         self.counting_since.get_or_insert(now);
         for row in usage {
@@ -132,43 +137,43 @@
             });
             total.requested += row.requested;
             total.admitted += row.admitted;
-            self.unreported.insert(row.tenant, ());
+            self.changed.insert(row.tenant, ());
             self.count(row, now);
         }
     }
 
-    /// The totals that have changed since the last call, for all other cores;
-    /// to be sent even if there are none, as a sign of life.
+    /// The totals that have changed since the last call, for all other cores. An
+    /// empty list must be sent too, as a heartbeat.
     pub fn take_changed_totals(&mut self) -> Vec<TenantUsage> {
-        let changed = std::mem::take(&mut self.unreported);
+        let changed = std::mem::take(&mut self.changed);
         let totals = changed.keys().filter_map(|tenant| self.totals.get(tenant));
         totals.copied().collect()
     }
 
-    /// Counts what another core's totals have grown by. Its first totals say
-    /// nothing of when they were spent, and are only remembered.
+    /// Counts the growth of another core's totals. Its first totals are stored but
+    /// not counted, since they may be of any age.
     pub fn record_peer_totals(&mut self, core: NodeId, totals: &[TenantUsage], now: Millis) {
         self.counting_since.get_or_insert(now);
-        self.peers.entry(core).or_default().heard_at = now;
+        self.peers.entry(core).or_default().received_at = now;
         for row in totals {
             let peer = self.peers.entry(core).or_default();
             let last = peer.totals.insert(row.tenant, *row);
-            let grown = match last {
+            let growth = match last {
                 Some(last) if last.admitted <= row.admitted => TenantUsage {
                     tenant: row.tenant,
                     requested: row.requested.saturating_sub(last.requested),
                     admitted: row.admitted - last.admitted,
                 },
-                // it has started again
+                // the core has restarted and counts from 0
                 Some(_) => *row,
                 None => continue,
             };
-            self.count(&grown, now);
+            self.count(&growth, now);
         }
     }
 
     fn count(&mut self, usage: &TenantUsage, now: Millis) {
-        if let Some(bucket) = self.refilled(usage.tenant, now) {
+        if let Some(bucket) = self.refilled_bucket(usage.tenant, now) {
             bucket.tokens -= usage.admitted as f64;
             for (demand, window_s) in bucket.demand.iter_mut().zip(DEMAND_WINDOWS_S) {
                 *demand += usage.requested as f64 / window_s;
@@ -176,11 +181,11 @@
         }
     }
 
-    /// The bucket of a tenant as of now; none if it has no quota.
-    fn refilled(&mut self, tenant: TenantId, now: Millis) -> Option<&mut Bucket> {
-        let quota = self.spendable(tenant)?;
+    /// The bucket of a tenant, refilled up to `now`; `None` if it has no quota.
+    fn refilled_bucket(&mut self, tenant: TenantId, now: Millis) -> Option<&mut Bucket> {
+        let quota = self.connected_quota(tenant)?;
         let bucket = self.buckets.entry(tenant).or_insert(Bucket {
-            tokens: quota.burst.min(INITIAL_TOKENS),
+            tokens: quota.burst.min(MAX_INITIAL_TOKENS),
             demand: [0.0; 2],
             updated_at: now,
         });
@@ -193,18 +198,18 @@
         Some(bucket)
     }
 
-    /// The part of a quota that the edges heard of may spend.
-    fn spendable(&self, tenant: TenantId) -> Option<Quota> {
+    /// The part of a tenant's quota that the connected edges may use.
+    fn connected_quota(&self, tenant: TenantId) -> Option<Quota> {
         let quota = self.quotas.get(&tenant)?;
-        let part = self.heard_part * QUOTA_MARGIN;
+        let part = self.connected_part * GRANTED_PART;
         Some(Quota {
             rate_per_s: quota.rate_per_s * part,
-            burst: (quota.burst + CHANCE_TOKENS) * part,
+            burst: (quota.burst + FLUCTUATION_TOKENS) * part,
         })
     }
 
-    /// The answer to an edge's report: the shares, unless this ledger has not
-    /// counted for long enough to know them.
+    /// The shares of the limited tenants; `None` while this ledger has not counted
+    /// for long enough.
     pub fn current_shares(&mut self, now: Millis) -> Option<Vec<AdmissionShare>> {
         self.is_warm(now).then(|| self.compute_shares(now))
     }
@@ -214,30 +219,30 @@
             .is_some_and(|since| now >= since + WARM_UP_MS)
     }
 
-    /// The shares to announce to all edges, also to those that report nothing;
-    /// `None` while no tenant is limited.
+    /// The shares to announce to all edges, which may have nothing to report; `None`
+    /// if no tenant is limited now or was at the last announcement.
     pub fn announcement(&mut self, now: Millis) -> Option<Vec<AdmissionShare>> {
         let shares = self.current_shares(now)?;
-        let needed = !shares.is_empty() || !self.announced.is_empty();
+        let is_needed = !shares.is_empty() || !self.announced.is_empty();
         self.announced.clone_from(&shares);
-        needed.then_some(shares)
+        is_needed.then_some(shares)
     }
 
-    /// The shares of all tenants that ask for more than they may have now.
+    /// The shares of all tenants whose demand exceeds what their bucket allows.
     fn compute_shares(&mut self, now: Millis) -> Vec<AdmissionShare> {
         let tenants: Vec<TenantId> = self.buckets.keys().copied().collect();
         let mut shares = Vec::new();
         for tenant in tenants {
-            let Some(quota) = self.spendable(tenant) else {
+            let Some(quota) = self.connected_quota(tenant) else {
                 continue;
             };
-            let Some(bucket) = self.refilled(tenant, now) else {
+            let Some(bucket) = self.refilled_bucket(tenant, now) else {
                 continue;
             };
-            let available = (bucket.tokens / SPEND_OVER_S + quota.rate_per_s).max(0.0);
-            let limited = bucket.tokens < quota.burst * LIMITED_BELOW;
+            let available = (bucket.tokens / TOKEN_SPREAD_S + quota.rate_per_s).max(0.0);
+            let is_limited = bucket.tokens < quota.burst * LIMITED_BELOW_PART;
             let demand = bucket.demand[0].max(bucket.demand[1]);
-            if limited && demand > available {
+            if is_limited && demand > available {
                 let per_mille = available / demand * f64::from(ALL_PER_MILLE);
                 shares.push(AdmissionShare {
                     tenant,
