--- a/sorreldoor/src/control_plane/idempotency/catch_up.rs
+++ b/sorreldoor/src/control_plane/idempotency/catch_up.rs
@@ -1,13 +1,13 @@
-//! How a core without state catches up on the claims: it reads the claim table
-//! of every peer page by page, and takes no part in votes until it has read
-//! enough tables to know every claim that it may have granted before.
+//! Catch-up of a core that has lost its claims: it reads the claim table of every
+//! peer page by page, and does not vote until it has read enough tables to know
+//! every claim that it may have granted before.
 
 use super::claim_table::MAX_RETENTION_MS;
 use crate::net::Conn;
 use crate::types::{Millis, NodeId};
 use std::collections::BTreeMap;
 
-/// Milliseconds between two reads of a peer's table by a core that is caught up.
+/// Interval of reads of the peers' tables by a core that is caught up.
 const ANTI_ENTROPY_INTERVAL_MS: Millis = 2000;
 
 /// A voter from which a frame arrived recently.
@@ -15,13 +15,13 @@
 pub struct Peer {
     /// Its identity.
     pub id: NodeId,
-    /// Differs at every start of its process.
+    /// Number that differs at every start of its process.
     pub incarnation: u64,
     /// The connection to it.
     pub conn: Conn,
 }
 
-/// How far the table of one incarnation of a peer was read.
+/// Read position in the table of one incarnation of a peer.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cursor {
     incarnation: u64,
@@ -29,15 +29,15 @@
     reached_end: bool,
 }
 
-/// What a core that may read its peers' tables now should do.
+/// The next step in reading the peers' tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Pace {
-    /// It has read them a short while ago.
+pub(super) enum ReadStep {
+    /// The next read is not due yet.
     Wait,
-    /// Read them.
+    /// Read the tables now.
     Read,
-    /// All that was claimed before this core started has expired: it is caught
-    /// up without reading.
+    /// Every claim from before this core's start has expired, so it is caught up
+    /// without reading.
     Expired,
 }
 
@@ -64,12 +64,12 @@
         now >= self.next_read_at
     }
 
-    pub(super) fn pace(&mut self, now: Millis) -> Pace {
+    pub(super) fn next_step(&mut self, now: Millis) -> ReadStep {
         if !self.is_due(now) {
-            return Pace::Wait;
+            return ReadStep::Wait;
         }
-        // cores that are caught up go on reading, slowly, so that what one of
-        // them missed while partitioned is on all before the next one is lost
+        // cores that are caught up keep reading, at an interval, so that claims
+        // which one of them missed reach it before another core is lost
         let interval = if self.caught_up {
             ANTI_ENTROPY_INTERVAL_MS
         } else {
@@ -78,12 +78,12 @@
         self.next_read_at = now + interval;
         let started_at = *self.started_at.get_or_insert(now);
         if !self.caught_up && now.saturating_sub(started_at) > MAX_RETENTION_MS {
-            return Pace::Expired;
+            return ReadStep::Expired;
         }
-        Pace::Read
+        ReadStep::Read
     }
 
-    /// Offset from which to read on in the table of this peer.
+    /// Offset at which the next page of this peer's table starts.
     pub(super) fn next_offset(&mut self, peer: &Peer) -> u64 {
         let cursor = self.cursors.entry(peer.id).or_default();
         if cursor.incarnation != peer.incarnation {
@@ -95,7 +95,8 @@
         cursor.next_offset
     }
 
-    /// Moves the cursor past a page; returns false for a page that is stale.
+    /// Moves the cursor past a page; false if the page does not start at the cursor
+    /// or is of another incarnation.
     pub(super) fn advance(&mut self, peer: &Peer, start: u64, next: u64, last: bool) -> bool {
         let cursor = self.cursors.entry(peer.id).or_default();
         if cursor.incarnation != peer.incarnation || cursor.next_offset != start {
@@ -106,9 +107,9 @@
         true
     }
 
-    /// Whether so many tables of voters were read to the end that every claim
-    /// with a quorum is in one of them: any majority of `cores` cores overlaps
-    /// with any `cores - cores / 2` of them.
+    /// Whether enough voters' tables were read to the end that every claim with a
+    /// quorum is in one of them: any majority of `cores` cores overlaps with any
+    /// `cores - cores / 2` of them.
     pub(super) fn has_read_enough(&self, voters: &[NodeId], founding_cores: usize) -> bool {
         let complete = self
             .cursors
--- a/sorreldoor/src/control_plane/idempotency/claim_table.rs
+++ b/sorreldoor/src/control_plane/idempotency/claim_table.rs
@@ -1,6 +1,6 @@
 //! Table of the idempotency keys that are claimed on one core: the claimant of
-//! each key and the time at which the key expires. Entries leave by expiry or
-//! release only; a full table rejects new keys and never evicts one.
+//! each key and the time at which the key expires. Entries are removed only by
+//! expiry or release; a full table rejects new keys and never evicts one.
 
 use crate::types::Millis;
 use crate::wire::ClaimsPage;
@@ -11,15 +11,15 @@
 /// Identity of a claimant: one request attempt of one incarnation of an edge.
 pub type Claimant = u128;
 
-/// Milliseconds for which a key is retained beyond its route's deadline, so
-/// that a late duplicate from the caller is still recognized.
+/// Time for which a key is retained beyond its route's deadline, so that a late
+/// duplicate from the caller is still recognized.
 pub const RETENTION_MS: Millis = 300_000;
-/// Longest retention of any key, in milliseconds: the longest deadline that a
-/// configuration may set, plus [`RETENTION_MS`].
+/// Maximum retention of a key: the longest deadline that a configuration may set,
+/// plus [`RETENTION_MS`].
 pub const MAX_RETENTION_MS: Millis = 600_000 + RETENTION_MS;
 
-/// Stands in for the claimant of a key that two claimants are known to have
-/// claimed. It equals no real claimant, so the key is granted to nobody.
+/// Claimant of a key that two claimants have claimed on different cores. No real
+/// claimant has this value, so the key is granted to neither.
 const CONFLICTING_CLAIMANTS: Claimant = 0;
 
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
     AlreadyGranted,
     /// Another claimant was first.
     Conflict(Claimant),
-    /// The claimant has released the key already; the claim was overtaken.
+    /// The claimant has released the key already; its claim arrived late.
     Released,
     /// The table is at capacity.
     Full,
@@ -132,8 +132,8 @@
 
     /// Merges a claim from a peer's table; returns whether the table changed.
     ///
-    /// Where two claimants hold one key it cannot be known here which of them
-    /// has won a majority, so the key is granted to neither from now on.
+    /// If two claimants hold one key, this core cannot know which of them has the
+    /// majority, so it grants the key to neither from now on.
     pub fn merge(&mut self, claim: &ClaimRecord, now: Millis) -> bool {
         match self.claim(claim, now) {
             ClaimOutcome::Granted => true,
@@ -171,13 +171,13 @@
         owned
     }
 
-    /// Whether the claimant has released its key of late.
+    /// Whether the claimant has released its key within the last [`RETENTION_MS`].
     #[must_use]
     pub fn was_released(&self, claimant: Claimant) -> bool {
         self.released.contains_key(&claimant)
     }
 
-    /// The claim on a key, with the retention that is left to it.
+    /// The claim on a key, with its remaining retention.
     #[must_use]
     pub fn get(&self, id: &str, now: Millis) -> Option<ClaimRecord> {
         self.entries.get(id).map(|entry| ClaimRecord {
@@ -187,7 +187,7 @@
         })
     }
 
-    /// Removes the keys whose retention is over and returns them.
+    /// Removes the expired keys and returns them.
     pub fn expire(&mut self, now: Millis) -> Vec<String> {
         self.released.retain(|_, expires_at| *expires_at > now);
         let mut expired = Vec::new();
--- a/sorreldoor/src/control_plane/idempotency/event.rs
+++ b/sorreldoor/src/control_plane/idempotency/event.rs
@@ -1,4 +1,4 @@
-//! Events, effects and context of the idempotency part.
+//! Events, effects and context of the idempotency state machine.
 
 use super::catch_up::Peer;
 use super::claim_table::{ClaimRecord, Claimant};
@@ -10,7 +10,7 @@
 use crate::wire::{ClaimVote, ClaimsPage, Payload, SentRequest, VoteId};
 use std::collections::BTreeSet;
 
-/// What the idempotency part reacts to.
+/// An input of the idempotency state machine.
 #[derive(Debug)]
 pub enum Event {
     /// The periodic timer, with the voters that are reachable.
@@ -23,11 +23,11 @@
         /// The sequence number.
         seq: u64,
     },
-    /// This core has founded a site, so there were no claims before.
+    /// This core has bootstrapped a site, so there were no claims before.
     Founded,
     /// An edge claims a key.
     Claim {
-        /// Whom to answer.
+        /// Where to send the result.
         reply_to: ReplyTo,
         /// The claim.
         claim: ClaimRecord,
@@ -36,7 +36,7 @@
     VoteRequest {
         /// The connection of the peer.
         conn: Conn,
-        /// The peer's number for the vote.
+        /// Number of the vote at the peer.
         vote_id: VoteId,
         /// The claim.
         claim: ClaimRecord,
@@ -45,21 +45,21 @@
     VoteReply {
         /// The voter.
         voter: NodeId,
-        /// This core's number for the vote.
+        /// Number of the vote at this core.
         vote_id: VoteId,
         /// Its vote.
         vote: ClaimVote,
     },
     /// An edge releases a claim on a request that it never sent.
     Release {
-        /// Whom to tell once a quorum has released it.
+        /// Where to send the confirmation once a quorum has released it.
         reply_to: ReplyTo,
         /// The key.
         id: String,
         /// The claimant that held it.
         claimant: Claimant,
     },
-    /// A peer passes a release on.
+    /// A peer forwards the release of one of its edges.
     PeerRelease {
         /// The connection of the peer.
         conn: Conn,
@@ -75,7 +75,7 @@
         /// The claimant that held the key.
         claimant: Claimant,
     },
-    /// Requests that an edge has sent of late.
+    /// Requests that an edge has sent recently.
     SentRequests(Vec<SentRequest>),
     /// A peer reads this core's table.
     PageRequest {
@@ -93,55 +93,55 @@
     },
 }
 
-/// What the controller is to do, in this order.
+/// What the controller must do.
 #[derive(Debug)]
 pub enum Effect {
     /// Send on a connection.
     Send(Conn, Payload),
-    /// Send to a peer, if it was heard from within three seconds.
+    /// Send to a peer, if a frame from it arrived within three seconds.
     SendToPeer(NodeId, Payload),
-    /// Send to every live peer that votes, or may soon, but these.
+    /// Send to every live peer that is or may become a voter, with exceptions.
     Broadcast {
         /// What to send.
         payload: Payload,
-        /// Peers that need not get it.
+        /// Peers that are left out.
         except: BTreeSet<NodeId>,
     },
     /// Save to the store; nothing waits for the sync.
     Save(Save),
-    /// Save these claims, if any, and hand the action to
-    /// [`super::Idempotency::defer`] with the number of the last save.
+    /// Save these claims, if any, and pass the action to
+    /// [`super::Idempotency::defer`] with the sequence number of the last save.
     SaveThen(Vec<ClaimRecord>, AfterSync),
-    /// Keep on disk that this core is caught up.
+    /// Store that this core is caught up.
     PersistCaughtUp,
     /// Write a log event.
     Log(LogEvent, String),
 }
 
-/// What follows once the save that it relies on is synced.
+/// What to do once the save that it depends on is synced.
 #[derive(Debug)]
 pub enum AfterSync {
     /// Send on a connection.
     Send(Conn, Payload),
     /// Count this core's own grant in a vote.
     GrantOwnVote(VoteId),
-    /// Take part in votes from now on.
+    /// Vote from now on.
     FinishCatchUp,
-    /// Nothing: the save was for this core alone.
+    /// Nothing.
     Nothing,
 }
 
-/// What the part needs to know of its core at an event.
+/// State of the core at the time of an event.
 #[derive(Clone, Debug)]
 pub struct Context {
-    /// Time by the monotonic clock, in milliseconds.
+    /// Monotonic time in milliseconds.
     pub now: Millis,
-    /// This core.
+    /// Identity of this core.
     pub own_id: NodeId,
-    /// Members that vote.
+    /// Identities of the voting members.
     pub voters: Vec<NodeId>,
     /// Whether this core belongs to a founded site.
     pub joined: bool,
-    /// Whether a save is on its way to the disk.
+    /// Whether a save is not synced yet.
     pub has_unsynced_saves: bool,
 }
--- a/sorreldoor/src/control_plane/idempotency/mod.rs
+++ b/sorreldoor/src/control_plane/idempotency/mod.rs
@@ -1,6 +1,7 @@
-//! Claims on idempotency keys. A request that is not idempotent is sent only by
-//! the edge whose claim on the request's id a majority of the cores has granted
-//! and synced to disk. So no loss of any minority lets a second edge send it.
+//! Claims on idempotency keys. An edge sends a request that is not idempotent only
+//! after a majority of the cores has granted its claim on the request's id and
+//! synced the claim to disk. Therefore the loss of any minority of the cores
+//! cannot let a second edge send the same request.
 //!
 //! [`Idempotency`] is a pure state machine: it takes an [`Event`] and returns
 //! [`Effect`]s, and shares no state with the controller that runs it.
@@ -28,21 +29,22 @@
 use pending::{PendingClaim, PendingRelease};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Milliseconds for which a core pursues a claim or a release; edges retry.
+/// Time after which a core drops a pending claim or release; edges retry.
 const PENDING_TIMEOUT_MS: Millis = 3000;
 
-/// What the part starts from.
+/// Settings of [`Idempotency`].
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Number of keys that may be claimed at a time.
+    /// Maximum number of keys that are claimed at a time.
     pub capacity: usize,
     /// Number of cores that bootstrap the site.
     pub founding_cores: usize,
-    /// Whether peers' tables are read.
+    /// Whether this core reads the claim tables of its peers.
     pub reads_peers: bool,
 }
 
-/// One core's share in the claims on idempotency keys.
+/// The claims on idempotency keys at one core: its claim table, and the votes and
+/// releases that it collects for its edges.
 #[derive(Debug)]
 pub struct Idempotency {
     options: Options,
@@ -53,14 +55,13 @@
     last_vote_id: VoteId,
     /// Whether it was logged already that the table is full.
     logged_full: bool,
-    /// Actions by the save that they wait for.
+    /// Actions, each with the sequence number of the save that it waits for.
     deferred: VecDeque<(u64, AfterSync)>,
     effects: Vec<Effect>,
 }
 
 impl Idempotency {
-    /// Starts with the claims that the store has kept, if any; their retention
-    /// begins anew.
+    /// Starts with the claims from the store; their retention starts again at `now`.
     #[must_use]
     pub fn new(options: Options, stored: &[ClaimRecord], caught_up: bool, now: Millis) -> Self {
         let mut table = ClaimTable::new(options.capacity.max(stored.len()));
@@ -84,26 +85,26 @@
         }
     }
 
-    /// The claims that are known here.
+    /// The claim table of this core.
     #[must_use]
     pub fn table(&self) -> &ClaimTable {
         &self.table
     }
 
-    /// Whether this core knows every claim that it may have granted before. A
-    /// core that may have forgotten one must not deny that it was made.
+    /// Whether this core knows every claim that it may have granted before. Until
+    /// then it does not vote, and does not report its table to peers as complete.
     #[must_use]
     pub fn is_caught_up(&self) -> bool {
         self.catch_up.is_caught_up()
     }
 
-    /// Whether [`Event::Tick`] needs the list of peers at this time.
+    /// Whether [`Event::Tick`] at `now` must carry the list of peers.
     #[must_use]
     pub fn reads_peers_at(&self, now: Millis) -> bool {
         self.options.reads_peers && self.catch_up.is_due(now)
     }
 
-    /// Reacts to one event.
+    /// Handles one event and returns the effects to carry out, in order.
     #[must_use]
     pub fn step(&mut self, event: Event, context: &Context) -> Vec<Effect> {
         match event {
@@ -146,7 +147,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Runs an action once the save `seq` is synced.
+    /// Registers an action to run once the save `seq` is synced.
     pub fn defer(&mut self, seq: u64, action: AfterSync) {
         self.deferred.push_back((seq, action));
     }
@@ -155,12 +156,13 @@
         self.effects.push(Effect::Send(conn, payload));
     }
 
-    fn takes_part(&self, context: &Context) -> bool {
+    /// Whether this core votes on claims.
+    fn is_voting(&self, context: &Context) -> bool {
         context.joined && self.is_caught_up()
     }
 
-    /// Saves the claims and runs the action once all it relies on is synced:
-    /// these claims, and earlier ones that may still be on their way to disk.
+    /// Saves the claims and runs the action once they and all earlier saves are
+    /// synced; at once if there is nothing to sync.
     fn save_then(&mut self, claims: Vec<ClaimRecord>, action: AfterSync, context: &Context) {
         let relies_on_save = !claims.is_empty() || context.has_unsynced_saves;
         if context.joined && relies_on_save && !broken(Invariant::ClaimSynced) {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Releases a claim in the own table.
+    /// Releases a claim in this core's table.
     fn release(&mut self, id: String, claimant: Claimant, now: Millis) {
         if self.table.release(&id, claimant, now) {
             self.effects
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Takes in the requests that an edge has sent of late.
+    /// Records claims for requests that an edge has sent recently.
     fn on_sent_requests(&mut self, requests: Vec<SentRequest>, context: &Context) {
         let mut new_claims = Vec::new();
         for request in requests {
@@ -249,7 +251,7 @@
         let oldest = context.now.saturating_sub(PENDING_TIMEOUT_MS);
         self.claims.retain(|_, pending| pending.since > oldest);
         self.releases.retain(|_, pending| pending.since > oldest);
-        // a tie is decided by time alone
+        // a tie is decided by a timeout, without a further vote
         let vote_ids: Vec<VoteId> = self.claims.keys().copied().collect();
         for vote_id in vote_ids {
             self.finish_claim(vote_id, context);
--- a/sorreldoor/src/control_plane/idempotency/peer_reads.rs
+++ b/sorreldoor/src/control_plane/idempotency/peer_reads.rs
@@ -1,6 +1,6 @@
 //! Anti-entropy: this core reads its peers' claim tables, and serves its own.
 
-use super::catch_up::{Pace, Peer};
+use super::catch_up::{Peer, ReadStep};
 use super::claim_table::{ClaimOutcome, ClaimRecord};
 use super::event::{AfterSync, Context, Effect};
 use super::Idempotency;
@@ -10,7 +10,7 @@
 use crate::types::Millis;
 use crate::wire::{ClaimsPage, Payload};
 
-/// Claims in one page.
+/// Maximum number of claims in a page.
 const PAGE_SIZE: usize = 2000;
 
 impl Idempotency {
@@ -18,10 +18,10 @@
         if broken(Invariant::Learned) && self.catch_up.is_due(now) {
             return self.finish_catch_up();
         }
-        match self.catch_up.pace(now) {
-            Pace::Wait => {}
-            Pace::Expired => self.finish_catch_up(),
-            Pace::Read => {
+        match self.catch_up.next_step(now) {
+            ReadStep::Wait => {}
+            ReadStep::Expired => self.finish_catch_up(),
+            ReadStep::Read => {
                 for peer in peers {
                     let start = self.catch_up.next_offset(peer);
                     self.send(peer.conn, Payload::ClaimsPageRequest { start });
@@ -32,16 +32,16 @@
 
     pub(super) fn finish_catch_up(&mut self) {
         if self.catch_up.finish() {
-            let about = format!("{} claims", self.table.len());
+            let detail = format!("{} claims", self.table.len());
             self.effects.push(Effect::PersistCaughtUp);
             self.effects
-                .push(Effect::Log(LogEvent::ClaimsLearned, about));
+                .push(Effect::Log(LogEvent::ClaimsLearned, detail));
         }
     }
 
     pub(super) fn on_page_request(&mut self, conn: Conn, start: u64, context: &Context) {
         let mut page = self.table.page(start, PAGE_SIZE, context.now);
-        page.last &= self.takes_part(context);
+        page.last &= self.is_voting(context);
         self.send(conn, Payload::ClaimsPage(page));
     }
 
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Takes in a page; returns what is new, as it stands in the table now.
+    /// Merges a page into the table; returns the changed entries.
     fn merge_page(&mut self, claims: Vec<ClaimRecord>, now: Millis) -> Vec<ClaimRecord> {
         let caught_up = self.is_caught_up();
         let mut new_claims = Vec::new();
         for claim in claims {
-            // a core that has voted stands by its votes
+            // a core that votes must not change an entry it has voted for
             let is_new = if caught_up {
                 self.table.claim(&claim, now) == ClaimOutcome::Granted
             } else {
--- a/sorreldoor/src/control_plane/idempotency/pending.rs
+++ b/sorreldoor/src/control_plane/idempotency/pending.rs
@@ -1,4 +1,5 @@
-//! Claims and releases that wait for a quorum of the voters.
+//! Pending claims and releases of this core's edges, until a quorum of the voters
+//! has granted or acknowledged them.
 
 use super::claim_table::{ClaimRecord, Claimant};
 use crate::net::Conn;
@@ -6,15 +7,15 @@
 use crate::wire::ClaimVote;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds after which two claims that block each other are decided.
+/// Time after which a tie between two claims is decided.
 const TIE_TIMEOUT_MS: Millis = 400;
 
-/// Where the answer to an edge's request goes.
+/// Where to send the reply to an edge's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyTo {
     /// The connection of the edge.
     pub conn: Conn,
-    /// The edge's number for its request.
+    /// Number of the request at the edge.
     pub request_id: u64,
 }
 
@@ -30,7 +31,7 @@
     pub(super) claim: ClaimRecord,
     pub(super) since: Millis,
     granted: BTreeSet<NodeId>,
-    /// Voters that rejected the claim, with the claimant they know instead.
+    /// Voters that rejected the claim, with the claimant that holds the key there.
     rejected: BTreeMap<NodeId, Option<Claimant>>,
 }
 
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Starts another round for a claim that an edge has sent again. Grants
-    /// stand; what was in the claim's way may have been released meanwhile.
+    /// Starts another round for a claim that its edge has retried. Grants stay
+    /// valid; rejections do not, since the other claim may have been released.
     pub(super) fn retry(&mut self, reply_to: ReplyTo) {
         self.reply_to = reply_to;
         self.rejected.clear();
@@ -64,7 +65,7 @@
         self.rejected.insert(voter, holder);
     }
 
-    /// The result, once the votes or a tie between rivals decide it.
+    /// The result; `None` while neither the votes nor a tie decide it.
     pub(super) fn result(&self, voters: &[NodeId], now: Millis) -> Option<ClaimVote> {
         let grants = voters.iter().filter(|v| self.granted.contains(v)).count();
         let rejections: Vec<Option<Claimant>> = voters
@@ -73,7 +74,7 @@
             .collect();
         let won = is_quorum(grants, voters);
         let lost = rejections.len() * 2 >= voters.len() && !voters.is_empty();
-        if !(won || lost || self.is_tied(grants, &rejections, now)) {
+        if !(won || lost || self.loses_tie(grants, &rejections, now)) {
             return None;
         }
         let full = !rejections.is_empty() && rejections.iter().all(Option::is_none);
@@ -87,9 +88,10 @@
         })
     }
 
-    /// With a voter missing, two rivals can each have half of the votes. The
-    /// one with the greater identity yields, or neither would ever proceed.
-    fn is_tied(&self, grants: usize, rejections: &[Option<Claimant>], now: Millis) -> bool {
+    /// Whether this claim loses a tie. While a voter is missing, two claims can have
+    /// half of the votes each; the one with the greater claimant then loses, so
+    /// that the other can proceed.
+    fn loses_tie(&self, grants: usize, rejections: &[Option<Claimant>], now: Millis) -> bool {
         let has_smaller_rival = rejections
             .iter()
             .flatten()
--- a/sorreldoor/src/control_plane/idempotency/votes.rs
+++ b/sorreldoor/src/control_plane/idempotency/votes.rs
@@ -1,4 +1,5 @@
-//! Votes on claims: this core collects them for its edges, and casts its own.
+//! Votes on claims: this core collects the votes for claims of its edges, and
+//! votes on claims of its own edges and of its peers.
 
 use super::claim_table::{ClaimOutcome, ClaimRecord};
 use super::event::{AfterSync, Context, Effect};
@@ -13,7 +14,7 @@
     pub(super) fn on_claim(&mut self, reply_to: ReplyTo, claim: ClaimRecord, context: &Context) {
         let vote_id = self.open_vote(reply_to, &claim, context.now);
         let granted = self.claims[&vote_id].granted().clone();
-        let votes_itself = !granted.contains(&context.own_id) && self.takes_part(context);
+        let has_own_vote = !granted.contains(&context.own_id) && self.is_voting(context);
         self.effects.push(Effect::Broadcast {
             payload: Payload::ClaimVoteRequest {
                 vote_id,
@@ -21,14 +22,14 @@
             },
             except: granted,
         });
-        if votes_itself {
-            self.vote_on_own(vote_id, claim, context);
+        if has_own_vote {
+            self.cast_own_vote(vote_id, claim, context);
         }
         self.finish_claim(vote_id, context);
     }
 
-    /// The vote on this claim: the pending one where the edge has sent the
-    /// claim again, else a new one.
+    /// The number of the vote on this claim; the pending vote if the edge has
+    /// retried the claim.
     fn open_vote(&mut self, reply_to: ReplyTo, claim: &ClaimRecord, now: Millis) -> VoteId {
         let mut pending = self.claims.iter_mut();
         if let Some((vote_id, same)) = pending.find(|(_, p)| p.claim.claimant == claim.claimant) {
@@ -41,22 +42,22 @@
         self.last_vote_id
     }
 
-    fn vote_on_own(&mut self, vote_id: VoteId, claim: ClaimRecord, context: &Context) {
+    fn cast_own_vote(&mut self, vote_id: VoteId, claim: ClaimRecord, context: &Context) {
         let grant = AfterSync::GrantOwnVote(vote_id);
-        match self.claim_in_table(&claim, context.now) {
+        match self.vote_from_table(&claim, context.now) {
             ClaimOutcome::Granted => self.save_then(vec![claim], grant, context),
             ClaimOutcome::AlreadyGranted => self.save_then(Vec::new(), grant, context),
             outcome => self.on_vote_reply(context.own_id, vote_id, outcome.into(), context),
         }
     }
 
-    fn claim_in_table(&mut self, claim: &ClaimRecord, now: Millis) -> ClaimOutcome {
+    fn vote_from_table(&mut self, claim: &ClaimRecord, now: Millis) -> ClaimOutcome {
         let outcome = self.table.claim(claim, now);
         if outcome == ClaimOutcome::Full && !self.logged_full {
             self.logged_full = true;
-            let about = format!("{} remembered", self.table.len());
+            let detail = format!("{} claims", self.table.len());
             self.effects
-                .push(Effect::Log(LogEvent::ClaimTableFull, about));
+                .push(Effect::Log(LogEvent::ClaimTableFull, detail));
         }
         outcome
     }
@@ -68,10 +69,10 @@
         claim: ClaimRecord,
         context: &Context,
     ) {
-        if !self.takes_part(context) {
+        if !self.is_voting(context) {
             return;
         }
-        let outcome = self.claim_in_table(&claim, context.now);
+        let outcome = self.vote_from_table(&claim, context.now);
         let to_save = if outcome == ClaimOutcome::Granted {
             vec![claim]
         } else {
@@ -94,7 +95,7 @@
         };
         match vote {
             ClaimVote::Granted => pending.grant(voter),
-            // a claim whose release has not reached that voter is void
+            // the claim is released, but that voter has missed the release
             ClaimVote::HeldBy(holder) if self.table.was_released(holder) => {
                 let id = pending.claim.id.clone();
                 let claimant = holder;
@@ -108,9 +109,9 @@
         self.finish_claim(vote_id, context);
     }
 
-    /// Answers the edge once the vote is decided. A claim that has not won is
-    /// released by its edge, not from here: through another core it may have
-    /// won meanwhile, and its request may have been sent.
+    /// Sends the result to the edge once the vote is decided. Only the edge may
+    /// release a claim that was not granted here: it may have been granted through
+    /// another core meanwhile, and its request sent.
     pub(super) fn finish_claim(&mut self, vote_id: VoteId, context: &Context) {
         let pending = self.claims.get(&vote_id);
         let Some(result) = pending.and_then(|p| p.result(&context.voters, context.now)) else {
