--- a/sorreldoor/src/freshness.rs
+++ b/sorreldoor/src/freshness.rs
@@ -1,6 +1,6 @@
-//! The time budget of delivery: an edge that can reach a core of the majority
-//! applies an acknowledged change within one bound, also in the worst case
-//! allowed.
+//! The time budget of state delivery: an edge that can reach a core of the
+//! majority applies an acknowledged change within the bound `apply_ms`, also if
+//! the cores that it tries first do not respond.
 
 use crate::types::Millis;
 
@@ -14,20 +14,20 @@
     pub lease_ms: Millis,
     /// Interval of an edge's renewals.
     pub renew_ms: Millis,
-    /// A renewal without an answer for this long is sent to one more core.
+    /// Time without a grant after which one more core gets a renewal.
     pub hedge_ms: Millis,
 }
 
 /// Interval of an edge's ticks, in milliseconds.
 pub const TICK_MS: Millis = 50;
-/// Allowed for the answer to a renewal, in milliseconds: connecting to a core of
-/// another region, the renewal's round trip and the core's confirmation by its
-/// leader are six one-way delays of 35 ms; the rest is for scheduling delays.
-pub const ANSWER_MS: Millis = 300;
+/// Time allowed for the grant of a renewal: connecting to a core of another region,
+/// the renewal's round trip and the core's confirmation by its leader are six
+/// one-way delays of 35 ms; the rest is for scheduling delays.
+pub const GRANT_ALLOWANCE_MS: Millis = 300;
 
 impl FreshnessBudget {
-    /// The timers for a bound in milliseconds. Beyond three seconds none grows:
-    /// a longer bound is no reason to learn of changes later.
+    /// The timers for a bound in milliseconds. Bounds above three seconds have the
+    /// timers of three seconds, so that changes are not delivered later than needed.
     pub fn for_apply(apply_ms: Millis) -> FreshnessBudget {
         FreshnessBudget {
             apply_ms,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// The longest time in milliseconds that an edge uses superseded state when
-    /// its own core and the `unresponsive` others that it tries next do not answer,
-    /// and the change is acknowledged just after a renewal was sent.
+    /// The longest time in milliseconds for which an edge uses superseded state if
+    /// its core and the next `unresponsive` cores that it tries do not respond, and
+    /// the change is acknowledged just after a renewal was sent.
     pub fn worst_case_ms(&self, unresponsive: u64) -> Millis {
         let first = self.renew_ms + self.hedge_ms + TICK_MS;
         let others = unresponsive * (self.hedge_ms + TICK_MS);
-        first + others + ANSWER_MS
+        first + others + GRANT_ALLOWANCE_MS
     }
 }
--- a/sorreldoor/src/ids.rs
+++ b/sorreldoor/src/ids.rs
@@ -4,11 +4,11 @@
 use crate::types::ProposalId;
 use std::hash::{BuildHasher, Hasher};
 
-/// The most hexadecimal digits of a proposal's id.
+/// Maximum number of hexadecimal digits of a proposal's id.
 const MAX_DIGITS: usize = 32;
 
-/// A random number above 0, from the randomly keyed hasher of the standard
-/// library. Not for secrets.
+/// Returns a random number above 0, from the randomly keyed hasher of the
+/// standard library. Not suitable for secrets.
 pub fn random_id() -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -17,7 +17,7 @@
     hasher.finish().max(1)
 }
 
-/// A random id for a new proposal.
+/// Returns a random id for a new proposal.
 pub fn random_proposal_id() -> ProposalId {
     (ProposalId::from(random_id()) << 64) | ProposalId::from(random_id())
 }
@@ -27,7 +27,7 @@
     format!("{id:032x}")
 }
 
-/// Parses the text form of a proposal's id; leading zeros may be left out. None
+/// Parses the text form of a proposal's id; leading zeros may be omitted. `None`
 /// for 0, for other characters and for more than 32 digits.
 pub fn parse_proposal_id(text: &str) -> Option<ProposalId> {
     if !(1..=MAX_DIGITS).contains(&text.len()) {
