--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -35,7 +35,7 @@
 use crate::log_events::LogEvent;
 use crate::net::Conn;
 use crate::pacing::Pacing;
-use crate::quota::UsageLedger;
+use crate::quota::UsageTracker;
 use crate::replicated_state::ReplicatedState;
 use crate::runtime::{Now, Reducer};
 use crate::types::{Millis, NodeId};
@@ -68,7 +68,7 @@
     proposals: Proposals,
     ids: IdSequence,
     singleton: SingletonRole,
-    usage: UsageLedger,
+    usage: UsageTracker,
     /// The revision whose quotas `usage` has.
     quota_revision: u64,
     usage_report_at: Millis,
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -14,7 +14,7 @@
 use crate::control_plane::sessions::Sessions;
 use crate::control_plane::singleton::SingletonRole;
 use crate::control_plane::worker_list::WorkerList;
-use crate::quota::UsageLedger;
+use crate::quota::UsageTracker;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
 
@@ -61,7 +61,7 @@
             reads: Reads::default(),
             proposals: Proposals::default(),
             singleton: SingletonRole::new(now),
-            usage: UsageLedger::new(),
+            usage: UsageTracker::new(),
             quota_revision: 0,
             usage_report_at: now,
             slow_tick_at: now,
--- a/sorreldoor/src/quota/mod.rs
+++ b/sorreldoor/src/quota/mod.rs
@@ -3,7 +3,7 @@
 //! Edges count the requested and the admitted requests of each tenant, and
 //! report both to a core several times a second ([`Admission`]). Cores add up
 //! the reports, exchange their totals, and keep a token bucket for each tenant
-//! ([`UsageLedger`]). Of a tenant whose demand exceeds its bucket, edges admit a
+//! ([`UsageTracker`]). Of a tenant whose demand exceeds its bucket, edges admit a
 //! share, which cores send in reply to reports. No request waits for a message.
 //!
 //! A bucket stands for all nodes. Requests that edges admit beyond it before a
@@ -13,10 +13,10 @@
 //! that the two sides of a network partition do not spend one quota twice.
 
 mod admission;
-mod usage_ledger;
+mod usage_tracker;
 
 pub use admission::Admission;
-pub use usage_ledger::UsageLedger;
+pub use usage_tracker::UsageTracker;
 
 use serde::{Deserialize, Serialize};
 
--- a/sorreldoor/src/quota/usage_ledger.rs
+++ b/sorreldoor/src/quota/usage_tracker.rs
@@ -23,7 +23,7 @@
 const FLUCTUATION_TOKENS: f64 = 4.0;
 /// Maximum initial tokens of a bucket; low, because earlier usage is unknown.
 const MAX_INITIAL_TOKENS: f64 = 4.0;
-/// Time for which a new ledger counts before it sends shares; until then edges
+/// Time for which a new tracker counts before it sends shares; until then edges
 /// keep the shares that they have.
 const WARM_UP_MS: Millis = 1000;
 /// Time without totals of another core after which it counts as disconnected.
@@ -53,7 +53,7 @@
 /// The usage of all quotas as known to one core. Its controller feeds it the
 /// reports of edges and the totals of other cores, and sends the shares.
 #[derive(Clone, Debug, Default)]
-pub struct UsageLedger {
+pub struct UsageTracker {
     quotas: HashMap<TenantId, Quota>,
     buckets: HashMap<TenantId, Bucket>,
     /// Usage reported by edges to this core since it started.
@@ -71,13 +71,13 @@
     announced: Vec<AdmissionShare>,
 }
 
-impl UsageLedger {
-    /// A ledger without quotas; everything is admitted.
+impl UsageTracker {
+    /// A tracker without quotas; everything is admitted.
     #[must_use]
-    pub fn new() -> UsageLedger {
-        UsageLedger {
+    pub fn new() -> UsageTracker {
+        UsageTracker {
             connected_part: 1.0,
-            ..UsageLedger::default()
+            ..UsageTracker::default()
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Updates the names of the connected edges, each given once: those of this core
-    /// and of the cores to which it [`UsageLedger::is_connected_to`].
+    /// and of the cores to which it [`UsageTracker::is_connected_to`].
     pub fn set_connected_edges<'n>(
         &mut self,
         connected: impl Iterator<Item = &'n str>,
@@ -208,7 +208,7 @@
         })
     }
 
-    /// The shares of the limited tenants; `None` while this ledger has not counted
+    /// The shares of the limited tenants; `None` while this tracker has not counted
     /// for long enough.
     pub fn current_shares(&mut self, now: Millis) -> Option<Vec<AdmissionShare>> {
         self.is_warm(now).then(|| self.compute_shares(now))
--- a/sorreldoor/tests/quota.rs
+++ b/sorreldoor/tests/quota.rs
@@ -5,7 +5,7 @@
 mod cluster;
 
 use cluster::Cluster;
-use sorreldoor::quota::{Admission, Quota, TenantUsage, UsageLedger};
+use sorreldoor::quota::{Admission, Quota, TenantUsage, UsageTracker};
 
 const TENANT: u64 = 7;
 /// The bound of the users' pages on any window of five seconds.
@@ -172,39 +172,39 @@
 
 #[test]
 fn a_tenant_without_a_quota_is_not_counted() {
-    let mut ledger = UsageLedger::new();
+    let mut tracker = UsageTracker::new();
     let usage = TenantUsage {
         tenant: TENANT,
         requested: 1_000_000,
         admitted: 1_000_000,
     };
-    ledger.record(&[usage], 10);
-    assert!(ledger.take_changed_totals().is_empty());
-    assert_eq!(ledger.current_shares(2000), Some(Vec::new()));
+    tracker.record(&[usage], 10);
+    assert!(tracker.take_changed_totals().is_empty());
+    assert_eq!(tracker.current_shares(2000), Some(Vec::new()));
 }
 
 #[test]
 fn totals_of_a_core_that_started_again_are_counted_anew() {
-    let mut ledger = UsageLedger::new();
-    ledger.set_quotas([(TENANT, quota(100.0))].into_iter());
+    let mut tracker = UsageTracker::new();
+    tracker.set_quotas([(TENANT, quota(100.0))].into_iter());
     let totals = |admitted| TenantUsage {
         tenant: TENANT,
         requested: admitted,
         admitted,
     };
     // the first totals say nothing of when they were spent
-    ledger.record_peer_totals(2, &[totals(5000)], 1000);
+    tracker.record_peer_totals(2, &[totals(5000)], 1000);
     assert_eq!(
-        ledger.current_shares(1000),
+        tracker.current_shares(1000),
         None,
         "it has just begun to count"
     );
-    ledger.record_peer_totals(2, &[totals(5000)], 2000);
-    assert_eq!(ledger.current_shares(2000), Some(Vec::new()));
-    ledger.record_peer_totals(2, &[totals(5300)], 2200);
-    let limited = ledger.current_shares(2200);
+    tracker.record_peer_totals(2, &[totals(5000)], 2000);
+    assert_eq!(tracker.current_shares(2000), Some(Vec::new()));
+    tracker.record_peer_totals(2, &[totals(5300)], 2200);
+    let limited = tracker.current_shares(2200);
     assert_eq!(limited.as_ref().map(Vec::len), Some(1));
-    let mut other = UsageLedger::new();
+    let mut other = UsageTracker::new();
     other.set_quotas([(TENANT, quota(100.0))].into_iter());
     other.record_peer_totals(2, &[totals(5000)], 1000);
     other.record_peer_totals(2, &[totals(5000)], 2000);
--- a/sorreldoor/tests/quota/cluster.rs
+++ b/sorreldoor/tests/quota/cluster.rs
@@ -1,7 +1,9 @@
 //! Edges and cores that exchange reports in virtual time.
 
 use super::{DELAY_MS, EXCESS, SLACK, STEP_MS, TENANT, TOTALS_MS, WINDOW_MS};
-use sorreldoor::quota::{Admission, AdmissionUpdate, Quota, TenantUsage, UsageLedger, UsageReport};
+use sorreldoor::quota::{
+    Admission, AdmissionUpdate, Quota, TenantUsage, UsageReport, UsageTracker,
+};
 use std::collections::BTreeMap;
 
 struct Random(u64);
@@ -37,7 +39,7 @@
     pub now: u64,
     random: Random,
     pub edges: Vec<Admission>,
-    cores: Vec<UsageLedger>,
+    cores: Vec<UsageTracker>,
     pub quota: Quota,
     /// Messages by the time of their arrival.
     wire: BTreeMap<(u64, u64), Message>,
@@ -57,7 +59,7 @@
             now: 0,
             random: Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
             edges: vec![Admission::default(); edges],
-            cores: vec![UsageLedger::new(); cores],
+            cores: vec![UsageTracker::new(); cores],
             quota,
             wire: BTreeMap::new(),
             sent: 0,
@@ -185,7 +187,7 @@
     }
 
     pub fn restart_core(&mut self, core: usize) {
-        self.cores[core] = UsageLedger::new();
+        self.cores[core] = UsageTracker::new();
         self.cores[core].set_quotas([(TENANT, self.quota)].into_iter());
     }
 
