--- a/sorreldoor/tests/replicated_state.rs
+++ b/sorreldoor/tests/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: which changes it rejects, and the bounds of weight tuning.
+//! The replicated state: outcomes of changes, deduplication and snapshots.
 
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::StateMachine;
@@ -25,21 +25,21 @@
     }
     fn apply_next(&mut self, command: Command) -> Outcome {
         self.1 += 1;
-        let b = self.0.apply(self.1 as u64, self.1, &encode(&command));
-        decode(&b).expect("an outcome")
+        let outcome = self.0.apply(self.1 as u64, self.1, &encode(&command));
+        decode(&outcome).expect("an outcome")
     }
     fn put(&mut self, base: u64) -> Outcome {
-        let doc = DOC.to_string();
+        let document = DOC.to_string();
         self.apply_next(Command::Put {
             base,
             new_version: None,
-            document: doc,
+            document,
         })
     }
 }
 
 #[test]
-fn a_stale_lease_holder_is_rejected() {
+fn a_proposal_with_an_outdated_epoch_is_rejected() {
     let mut state = TestState::new();
     assert_eq!(state.put(0), Outcome::Applied { version: 1 });
     let acquire_role = |holder, previous_epoch| Command::AcquireRole {
@@ -50,7 +50,7 @@
         state.apply_next(acquire_role(7, 0)),
         Outcome::Applied { version: 1 }
     );
-    // of two requests that race for the same epoch the second is rejected
+    // of two requests for the same epoch the second is rejected
     assert_eq!(
         state.apply_next(acquire_role(8, 0)),
         Outcome::StaleEpoch { epoch: 1 }
@@ -124,27 +124,27 @@
 }
 
 fn put(base: u64, new_version: u64) -> Command {
-    let doc = DOC.to_string();
+    let document = DOC.to_string();
     let new_version = Some(new_version);
     Command::Put {
         base,
         new_version,
-        document: doc,
+        document,
     }
 }
 
 #[test]
-fn a_change_ahead_of_its_base_is_deferred_and_applied_later() {
+fn a_change_whose_base_does_not_exist_yet_is_undecided_and_applied_on_retry() {
     let mut state = ReplicatedState::new(site());
     assert_eq!(
         apply(&mut state, 2, &put(7, 9)),
         Outcome::BaseAhead { version: 0 },
-        "version 7 may still be on its way"
+        "version 7 may still be applied"
     );
     assert_eq!(
         state.answered(2),
         None,
-        "nothing is kept of what was not taken"
+        "an undecided change is not remembered"
     );
     assert_eq!(
         apply(&mut state, 1, &put(0, 7)),
@@ -162,11 +162,11 @@
 }
 
 #[test]
-fn a_rejection_is_final() {
+fn a_rejected_change_is_rejected_on_every_later_version() {
     let mut state = ReplicatedState::new(site());
     apply(&mut state, 1, &put(0, 5));
     apply(&mut state, 2, &put(5, 6));
-    // stale; not above its base; invalid on its base
+    // a superseded base, a version not above its base, and invalid content
     let stale = put(5, 7);
     let low = put(6, 6);
     let faulty = Command::MergePatch {
@@ -188,7 +188,11 @@
             let rejected = matches!(repeated, Outcome::Stale { .. } | Outcome::Invalid { .. });
             assert!(rejected, "{id} on {base}: {repeated:?}");
         }
-        assert_eq!(state.version(), base, "a refused order changed the version");
+        assert_eq!(
+            state.version(),
+            base,
+            "a rejected change raised the version"
+        );
         let next = apply(&mut state, 100 + u128::from(base), &put(base, base + 1));
         assert_eq!(next, Outcome::Applied { version: base + 1 });
     }
@@ -252,27 +256,31 @@
             } else {
                 Outcome::Applied { version: base + 1 }
             };
-            assert_eq!(repeated, expected, "order on {base}");
+            assert_eq!(repeated, expected, "request on base {base}");
         }
-        assert_eq!(state.version(), count, "no repeat was entered twice");
+        assert_eq!(
+            state.version(),
+            count,
+            "a repeated request was applied twice"
+        );
         // a change on an old base that was never applied is still rejected
         let late_outcome = apply(state, 1 << 90, &evacuate_zone(400));
         assert_eq!(late_outcome, Outcome::Stale { version: count });
     }
     let bytes = image.len() as u64 / limit;
-    println!("{} bytes of image for {limit} orders", image.len());
-    assert!(bytes < 32, "{bytes} bytes an order");
+    println!("{} bytes of image for {limit} requests", image.len());
+    assert!(bytes < 32, "{bytes} bytes per request");
 }
 
 #[test]
-fn a_delayed_evacuation_after_its_end_has_no_effect() {
+fn a_delayed_duplicate_of_an_ended_evacuation_has_no_effect() {
     let mut state = ReplicatedState::new(site());
     let set_evacuated = |evacuated, changes| Command::EvacuateIfUnchanged {
         zone: 1,
         evacuated,
         changes,
     };
-    // two copies of one call, one delayed at another core
+    // duplicates of one request, one of them delayed at another core
     assert_eq!(
         apply(&mut state, 1, &set_evacuated(true, 0)),
         Outcome::Applied { version: 0 }
@@ -289,8 +297,11 @@
         apply(&mut state, 4, &set_evacuated(true, 0)),
         Outcome::Unknown { version: 0 }
     );
-    assert!(!state.is_evacuated(1), "a late copy emptied the zone again");
-    // a new evacuation of the same zone is another call
+    assert!(
+        !state.is_evacuated(1),
+        "a delayed duplicate evacuated the zone again"
+    );
+    // a new evacuation of the same zone is another request
     assert_eq!(
         apply(&mut state, 5, &set_evacuated(true, 2)),
         Outcome::Applied { version: 0 }
@@ -301,9 +312,9 @@
     assert_eq!(restored.zone_changes(1), 3);
 }
 
-/// The replicated state as the previous release stored it, as far as it matters.
+/// The parts of the previous release's stored state that are read.
 #[derive(serde::Serialize)]
-struct OldImage {
+struct LegacyImage {
     #[serde(rename = "rev")]
     revision: u64,
     #[serde(rename = "serial")]
@@ -320,10 +331,10 @@
 }
 
 #[test]
-fn applied_requests_of_the_previous_release_are_kept() {
+fn applied_requests_in_an_image_of_the_previous_release_are_remembered() {
     let applied = encode(&Outcome::Applied { version: 7 });
     let rejected = encode(&Outcome::Stale { version: 7 });
-    let old = OldImage {
+    let legacy = LegacyImage {
         revision: 3,
         version: 7,
         doc: None,
@@ -336,12 +347,12 @@
         order: vec![1, 2],
     };
     let mut state = ReplicatedState::new(site());
-    assert!(state.load(&encode(&old)));
+    assert!(state.load(&encode(&legacy)));
     assert_eq!(
         apply(&mut state, 1, &evacuate_zone(0)),
         Outcome::Applied { version: 7 }
     );
-    // rejected there when version 7 was not current yet
+    // the previous release rejected it before version 7 was current
     assert_eq!(
         apply(&mut state, 2, &evacuate_zone(7)),
         Outcome::Applied { version: 8 }
