--- a/sorreldoor/tests/updates.rs
+++ b/sorreldoor/tests/updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the replicated state: the deltas sent to nodes with an older copy.
+//! Updates of the replicated state: the deltas for nodes with an older replica.
 
 use sorreldoor::configuration::hosted::Hosted;
 use sorreldoor::configuration::{self, Site};
@@ -62,14 +62,14 @@
 }
 
 struct Core {
-    record: ReplicatedState,
+    state: ReplicatedState,
     count: u128,
 }
 
 impl Core {
     fn new() -> Core {
         Core {
-            record: ReplicatedState::new(site()),
+            state: ReplicatedState::new(site()),
             count: 0,
         }
     }
@@ -77,22 +77,22 @@
     fn apply_next(&mut self, command: Command) -> Outcome {
         self.count += 1;
         let outcome = self
-            .record
+            .state
             .apply(self.count as u64, self.count, &encode(&command));
         decode(&outcome).expect("an outcome")
     }
 
-    fn put(&mut self, doc: String) -> Outcome {
-        let base = self.record.version();
+    fn put(&mut self, document: String) -> Outcome {
+        let base = self.state.version();
         self.apply_next(Command::Put {
             base,
             new_version: None,
-            document: doc,
+            document,
         })
     }
 
     fn change_items(&mut self, set: String, drop: String) -> Outcome {
-        let base = self.record.version();
+        let base = self.state.version();
         self.apply_next(Command::ChangeItems {
             base,
             new_version: None,
@@ -106,7 +106,7 @@
         self.change_items(set, "{}".into())
     }
 
-    /// A random change that an operator may make, most of them valid.
+    /// Makes a random change as an operator may; most are valid.
     fn random_change(&mut self, random: &mut Random) {
         let variant = random.below(1 << 40);
         let name = |random: &mut Random| random.below(30) as usize;
@@ -182,22 +182,22 @@
     all.chain([limits]).collect()
 }
 
-fn hosted_of(record: &ReplicatedState) -> Arc<Hosted> {
-    let configuration = record.configuration().expect("a setup");
-    configuration.hosted.clone().expect("a hosted part")
+fn hosted_of(state: &ReplicatedState) -> Arc<Hosted> {
+    let configuration = state.configuration().expect("a configuration");
+    configuration.hosted.clone().expect("a hosted section")
 }
 
 /// The configuration, parsed from the complete document.
-fn parse_document(record: &ReplicatedState) -> Hosted {
-    let text = record.view().document.expect("a document");
+fn parse_document(state: &ReplicatedState) -> Hosted {
+    let text = state.view().document.expect("a document");
     let (configuration, _) = configuration::parse(text.as_bytes(), &site()).expect("it is valid");
-    (*configuration.hosted.expect("a hosted part")).clone()
+    (*configuration.hosted.expect("a hosted section")).clone()
 }
 
 /// A node that receives only some of the updates.
 #[derive(Default)]
 struct Edge {
-    copy: StateReplica,
+    replica: StateReplica,
     hosted: Arc<Hosted>,
     revision: u64,
 }
@@ -205,7 +205,7 @@
 impl Edge {
     fn apply_update(&mut self, update: &StateUpdate) {
         assert!(
-            self.copy.apply(update),
+            self.replica.apply(update),
             "from {} to {}",
             update.from_revision,
             update.revision
@@ -217,18 +217,17 @@
             };
             let new = changes
                 .hosted(&old, &site())
-                .expect("what was taken is valid");
+                .expect("an applied change is valid");
             self.hosted = new.map_or(old, Arc::new);
         }
         self.revision = update.revision;
     }
 }
 
-/// After any changes, however many an edge has missed, and from any core (also
-/// one restored from a snapshot), the delta leads to the same copy as the
-/// complete document.
+/// However many changes an edge has missed, and also from a core restored from a
+/// snapshot, a delta leads to the same replica as the complete document.
 #[test]
-fn a_difference_leads_to_where_the_whole_leads() {
+fn a_delta_and_the_complete_document_lead_to_the_same_replica() {
     for seed in 1..=60 {
         let mut random = Random(seed * 0x9e37_79b9);
         let mut core = Core::new();
@@ -239,57 +238,58 @@
             core.random_change(&mut random);
             if step % 37 == 36 {
                 let mut other = ReplicatedState::new(site());
-                assert!(other.load(&core.record.image()));
-                core.record = other;
+                assert!(other.load(&core.state.image()));
+                core.state = other;
             }
             let edge = &mut edges[random.below(4) as usize];
-            let update = core.record.delta_since(edge.revision);
+            let update = core.state.delta_since(edge.revision);
             edge.apply_update(&update);
             assert_eq!(
-                edge.copy.view(),
-                core.record.view(),
+                edge.replica.view(),
+                core.state.view(),
                 "seed {seed} step {step}"
             );
-            let whole = parse_document(&core.record);
-            assert_eq!(routing_of(&edge.hosted), routing_of(&whole), "seed {seed}");
-            assert_eq!(routing_of(&hosted_of(&core.record)), routing_of(&whole));
+            let complete = parse_document(&core.state);
+            assert_eq!(
+                routing_of(&edge.hosted),
+                routing_of(&complete),
+                "seed {seed}"
+            );
+            assert_eq!(routing_of(&hosted_of(&core.state)), routing_of(&complete));
         }
     }
 }
 
-/// The update that a change sends to each edge does not grow with the number
-/// of routes.
 #[test]
-fn what_is_told_of_a_change_does_not_grow_with_the_routes() {
+fn the_update_of_a_change_does_not_grow_with_the_number_of_routes() {
     let update_bytes = |routes: usize| {
         let mut core = Core::new();
         core.put(with_routes(routes));
-        let known_revision = core.record.revision();
+        let known_revision = core.state.revision();
         assert_eq!(core.set_route(3, 77), Outcome::Applied { version: 2 });
-        EncodedUpdate::new(&core.record.delta_since(known_revision))
+        EncodedUpdate::new(&core.state.delta_since(known_revision))
             .bytes
             .len()
     };
     let (few, many) = (update_bytes(100), update_bytes(5000));
     assert!(
         many < few + 64,
-        "{few} bytes of 100 routes, {many} of 5,000"
+        "{few} bytes with 100 routes, {many} with 5,000"
     );
     assert!(many < 1000, "{many}");
 }
 
-/// Replacing the document with one that differs in one item sends just that item.
 #[test]
-fn a_whole_document_is_told_by_what_is_new_in_it() {
+fn a_replaced_document_sends_only_its_changed_items() {
     let mut core = Core::new();
     core.put(with_routes(1000));
-    let known_revision = core.record.revision();
+    let known_revision = core.state.revision();
     let mut routes: Vec<String> = (0..1000).map(|i| route(i, 0, 0)).collect();
     routes[500] = route(500, 0, 9);
     routes.remove(7);
     routes.push(route(2000, 0, 1));
     core.put(document(&routes, &[service(0, 1)], 50));
-    let update = core.record.delta_since(known_revision);
+    let update = core.state.delta_since(known_revision);
     let changes = update.document.expect("a document");
     assert_eq!(
         (update.from_revision, changes.routes.set.len()),
@@ -299,12 +299,11 @@
     assert!(changes.rest.is_none() && changes.services.set.is_empty());
 }
 
-/// Deletions are not retained forever; a node behind them is sent the complete document.
 #[test]
-fn whoever_is_too_far_behind_is_told_the_whole() {
+fn a_replica_older_than_the_remembered_deletions_gets_the_complete_document() {
     let mut core = Core::new();
     core.put(with_routes(50));
-    let known_revision = core.record.revision();
+    let known_revision = core.state.revision();
     for n in 0..5 {
         let set: Vec<String> = (0..1000).map(|i| route(100 + n * 1000 + i, 0, 0)).collect();
         let names: Vec<String> = (0..1000)
@@ -317,29 +316,28 @@
         );
     }
     let mut edge = Edge::default();
-    edge.apply_update(&core.record.delta_since(0));
-    assert_eq!(core.record.delta_since(known_revision).from_revision, 0);
-    let near = core.record.revision() - 1;
-    assert_eq!(core.record.delta_since(near).from_revision, near);
-    assert!(core.record.image().len() < 200_000);
-    assert_eq!(edge.copy.view(), core.record.view());
+    edge.apply_update(&core.state.delta_since(0));
+    assert_eq!(core.state.delta_since(known_revision).from_revision, 0);
+    let near = core.state.revision() - 1;
+    assert_eq!(core.state.delta_since(near).from_revision, near);
+    assert!(core.state.image().len() < 200_000);
+    assert_eq!(edge.replica.view(), core.state.view());
 }
 
-/// An update that starts after the revision of a copy would leave a gap.
 #[test]
-fn an_update_that_does_not_lead_on_is_refused() {
+fn an_update_that_starts_after_the_replica_is_rejected() {
     let mut core = Core::new();
     core.put(with_routes(5));
     core.set_route(1, 5);
-    let mut copy = StateReplica::default();
-    assert!(!copy.apply(&core.record.delta_since(1)));
-    assert_eq!(copy.view(), StateReplica::default().view());
-    assert!(copy.apply(&core.record.delta_since(0)));
+    let mut replica = StateReplica::default();
+    assert!(!replica.apply(&core.state.delta_since(1)));
+    assert_eq!(replica.view(), StateReplica::default().view());
+    assert!(replica.apply(&core.state.delta_since(0)));
 }
 
-/// An image of the previous release stores the document as one string.
+/// The previous release stored the document as one string.
 #[test]
-fn an_older_image_is_read() {
+fn an_image_of_the_previous_release_is_loaded() {
     #[derive(serde::Serialize)]
     struct LegacyImage {
         #[serde(rename = "rev")]
@@ -369,13 +367,13 @@
         order: Vec::new(),
     };
     let mut core = Core::new();
-    assert!(core.record.load(&encode(&legacy)));
-    assert_eq!((core.record.revision(), core.record.version()), (9, 7));
-    assert_eq!(hosted_of(&core.record).routes.len(), 20);
-    // nodes behind it are sent the complete document
+    assert!(core.state.load(&encode(&legacy)));
+    assert_eq!((core.state.revision(), core.state.version()), (9, 7));
+    assert_eq!(hosted_of(&core.state).routes.len(), 20);
+    // replicas without state get the complete document
     let mut edge = Edge::default();
-    edge.apply_update(&core.record.delta_since(0));
+    edge.apply_update(&core.state.delta_since(0));
     core.set_route(3, 5);
-    edge.apply_update(&core.record.delta_since(9));
-    assert_eq!(edge.copy.view(), core.record.view());
+    edge.apply_update(&core.state.delta_since(9));
+    assert_eq!(edge.replica.view(), core.state.view());
 }
--- a/sorreldoor/tests/updates/delivery.rs
+++ b/sorreldoor/tests/updates/delivery.rs
@@ -1,4 +1,4 @@
-//! Updates in flight: large ones and queues are bounded.
+//! Bounds on the large updates in flight and on the send queues.
 
 use super::{with_routes, Core};
 use sorreldoor::control_plane::updates::{NextUpdate, Updates, MAX_IN_FLIGHT};
@@ -6,51 +6,50 @@
 use sorreldoor::wire::{EncodedUpdate, LARGE_UPDATE};
 use std::sync::Arc;
 
-/// A node that has not yet applied a large update is told to poll again, and is
-/// not sent a second one meanwhile.
+/// Until an edge has applied a large update, further updates are withheld.
 #[test]
-fn a_slow_reader_is_sent_one_copy() {
+fn a_slow_edge_is_sent_one_large_update_at_a_time() {
     let mut core = Core::new();
     core.put(with_routes(1000));
     let mut updates = Updates::default();
-    let NextUpdate::Send(first_update) = updates.next(&core.record, 1, 0, 0) else {
-        panic!("a blank edge is sent the whole");
+    let NextUpdate::Send(first_update) = updates.next(&core.state, 1, 0, 0) else {
+        panic!("an edge without state is sent the complete update");
     };
     assert!(first_update.bytes.len() > LARGE_UPDATE);
     for now in [100, 200, 900] {
         core.set_route(now as usize, now);
-        assert_eq!(updates.next(&core.record, 1, 0, now), NextUpdate::Withheld);
+        assert_eq!(updates.next(&core.state, 1, 0, now), NextUpdate::Withheld);
     }
     assert_eq!(updates.in_flight(), first_update.bytes.len());
-    // once it has applied it, it is sent the changes since
-    let NextUpdate::Send(next_update) = updates.next(&core.record, 1, first_update.revision, 1000)
+    // once applied, the edge is sent the changes since then
+    let NextUpdate::Send(next_update) = updates.next(&core.state, 1, first_update.revision, 1000)
     else {
-        panic!("it lacks three changes");
+        panic!("the edge lacks three changes");
     };
     assert!(next_update.bytes.len() < LARGE_UPDATE);
     assert_eq!(updates.in_flight(), 0);
-    let newest = core.record.revision();
+    let newest = core.state.revision();
     assert_eq!(
-        updates.next(&core.record, 1, newest, 1100),
+        updates.next(&core.state, 1, newest, 1100),
         NextUpdate::UpToDate
     );
-    // a lost one is resent, and a closed connection counts nothing in flight
+    // a lost update is sent again, and a closed connection has none in flight
     assert!(matches!(
-        updates.next(&core.record, 2, 0, 0),
+        updates.next(&core.state, 2, 0, 0),
         NextUpdate::Send(_)
     ));
     assert!(matches!(
-        updates.next(&core.record, 2, 0, 5000),
+        updates.next(&core.state, 2, 0, 5000),
         NextUpdate::Send(_)
     ));
     updates.closed(2);
     assert_eq!(updates.in_flight(), 0);
 }
 
-/// However many blank edges poll at once, a core's link is not saturated, and all
-/// are sent the same bytes.
+/// Many edges that ask for the complete update at once must not saturate the link
+/// of a core.
 #[test]
-fn copies_on_their_way_are_bounded_and_share_their_bytes() {
+fn updates_in_flight_are_bounded_and_share_their_bytes() {
     let mut core = Core::new();
     core.put(with_routes(5000));
     let mut updates = Updates::default();
@@ -61,7 +60,7 @@
         rounds += 1;
         let mut delivered = Vec::new();
         for connection in &waiting_edges {
-            match updates.next(&core.record, *connection, 0, rounds * 300) {
+            match updates.next(&core.state, *connection, 0, rounds * 300) {
                 NextUpdate::Send(update) => {
                     delivered.push((*connection, update.revision));
                     sent_updates.push(update);
@@ -70,10 +69,10 @@
             }
         }
         assert!(updates.in_flight() <= MAX_IN_FLIGHT);
-        assert!(!delivered.is_empty(), "someone is always served");
+        assert!(!delivered.is_empty(), "no update was sent in a round");
         for (connection, revision) in delivered {
             assert_eq!(
-                updates.next(&core.record, connection, revision, rounds * 300),
+                updates.next(&core.state, connection, revision, rounds * 300),
                 NextUpdate::UpToDate
             );
             waiting_edges.retain(|waiting| *waiting != connection);
@@ -85,18 +84,17 @@
         .all(|update| Arc::ptr_eq(&update.bytes, &sent_updates[0].bytes)));
 }
 
-/// The send queue of a connection is bounded in bytes, whatever the frames' size.
 #[test]
-fn a_queue_holds_so_many_bytes_and_no_more() {
+fn a_send_queue_is_bounded_in_bytes() {
     let (sender, frames, _closed) = net::queue();
     let frame = vec![0; 1 << 20];
     let accepted = (0..20).filter(|_| sender.push(frame.clone()) == Push::Queued);
     assert_eq!(accepted.count(), 4);
-    let first_update = async_std::task::block_on(frames.next()).expect("a frame waits");
+    let first_update = async_std::task::block_on(frames.next()).expect("a queued frame");
     assert_eq!(
         sender.push(frame.clone()),
         Push::Full,
-        "it is not written yet"
+        "the frame is not written yet"
     );
     frames.written(&first_update);
     assert_eq!(sender.push(frame.clone()), Push::Queued);
@@ -109,6 +107,6 @@
     assert_eq!(
         sender.push(vec![0; 1]),
         Push::Closed,
-        "the connection is gone"
+        "the connection is closed"
     );
 }
--- a/sorreldoor/tests/updates/tenants.rs
+++ b/sorreldoor/tests/updates/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants reach nodes that miss updates as they stand in the document.
+//! Tenants in the updates for nodes that have missed changes.
 
 use super::*;
 use sorreldoor::configuration::tenants::Tenant;
@@ -10,7 +10,7 @@
 }
 
 impl Core {
-    /// A change of tenants; those that share a key are rejected.
+    /// Makes a random change of tenants; one with a shared key is rejected.
     fn change_tenants(&mut self, random: &mut Random) {
         let any = |random: &mut Random| (random.below(8), random.below(24), random.below(24));
         let (name, first, second) = any(random);
@@ -41,7 +41,7 @@
     }
 }
 
-/// The tenants, and whether keys are needed; their order has no meaning.
+/// The tenants sorted by name, and whether requests need a key.
 fn by_name(hosted: &Hosted) -> (Vec<Arc<Tenant>>, bool) {
     let mut all = hosted.tenants.all().to_vec();
     all.sort_by(|a, b| a.name.cmp(&b.name));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_node_that_missed_changes_knows_the_tenants_of_the_document() {
+fn a_node_that_missed_changes_has_the_tenants_of_the_document() {
     let mut rejected = 0;
     for seed in 1..=60 {
         let mut random = Random(seed * 0x9e37_79b9);
@@ -61,26 +61,26 @@
         core.put(with_routes(2));
         let mut edges: Vec<Edge> = (0..3).map(|_| Edge::default()).collect();
         for step in 0..120 {
-            let before = core.record.version();
+            let before = core.state.version();
             core.change_tenants(&mut random);
-            rejected += usize::from(core.record.version() == before);
+            rejected += usize::from(core.state.version() == before);
             if step % 29 == 28 {
                 let mut other = ReplicatedState::new(site());
-                assert!(other.load(&core.record.image()));
-                core.record = other;
+                assert!(other.load(&core.state.image()));
+                core.state = other;
             }
             let edge = &mut edges[random.below(3) as usize];
-            edge.apply_update(&core.record.delta_since(edge.revision));
-            let whole = parse_document(&core.record);
+            edge.apply_update(&core.state.delta_since(edge.revision));
+            let complete = parse_document(&core.state);
             let at = format!("seed {seed} step {step}");
-            assert_eq!(edge.copy.view(), core.record.view(), "{at}");
-            assert_eq!(by_name(&edge.hosted), by_name(&whole), "{at}");
-            assert_eq!(by_name(&hosted_of(&core.record)), by_name(&whole), "{at}");
-            let text = core.record.view().document.expect("a document");
-            assert_eq!(whole.tenants.required(), text.contains("\"tenants\""));
+            assert_eq!(edge.replica.view(), core.state.view(), "{at}");
+            assert_eq!(by_name(&edge.hosted), by_name(&complete), "{at}");
+            assert_eq!(by_name(&hosted_of(&core.state)), by_name(&complete), "{at}");
+            let text = core.state.view().document.expect("a document");
+            assert_eq!(complete.tenants.required(), text.contains("\"tenants\""));
         }
     }
-    assert!(rejected > 100, "shared keys were tried: {rejected}");
+    assert!(rejected > 100, "changes with a shared key: {rejected}");
 }
 
 #[test]
@@ -89,9 +89,9 @@
     let all: Vec<String> = (0..500).map(|name| tenant(name, &[name])).collect();
     let list = format!(r#""tenants":[{}],"limits""#, all.join(","));
     core.put(with_routes(100).replace(r#""limits""#, &list));
-    let known_revision = core.record.revision();
+    let known_revision = core.state.revision();
     let set = format!(r#"{{"tenants":[{}]}}"#, tenant(7, &[900]));
     core.change_items(set, "{}".into());
-    let update = EncodedUpdate::new(&core.record.delta_since(known_revision));
+    let update = EncodedUpdate::new(&core.state.delta_since(known_revision));
     assert!(update.bytes.len() < 1000, "{}", update.bytes.len());
 }
