--- a/testbed/tests/large_config.rs
+++ b/testbed/tests/large_config.rs
@@ -1,5 +1,5 @@
-//! Rules of delivering large configurations, each broken on purpose: what the
-//! tests of `sorreldoor/tests/updates.rs` hold must then fail.
+//! Mutation tests of the delivery of large configurations: with an invariant
+//! disabled, the bounds of `sorreldoor/tests/updates.rs` must not hold.
 
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::StateMachine;
@@ -9,13 +9,13 @@
 use sorreldoor::wire::EncodedUpdate;
 use std::sync::Arc;
 
-fn record(routes: usize) -> ReplicatedState {
+fn state(routes: usize) -> ReplicatedState {
     let routes: Vec<String> = (0..routes).map(route).collect();
     let routes = routes.join(",");
     let doc = format!(r#"{{"hosted":{{"routes":[{routes}],"services":[{{"name":"s"}}]}}}}"#);
-    let mut record = ReplicatedState::new(Arc::new(Site::default()));
+    let mut state = ReplicatedState::new(Arc::new(Site::default()));
     apply(
-        &mut record,
+        &mut state,
         1,
         Command::Put {
             base: 0,
@@ -23,24 +23,24 @@
             document: doc,
         },
     );
-    assert_eq!(record.version(), 1, "the document is taken");
-    record
+    assert_eq!(state.version(), 1, "the document is applied");
+    state
 }
 
 fn route(i: usize) -> String {
     format!(r#"{{"name":"r{i}","host":"h","prefix":"/p{i}/","timeout_ms":50,"service":"s"}}"#)
 }
 
-fn apply(record: &mut ReplicatedState, n: u64, cmd: Command) {
-    record.apply(n, u128::from(n), &encode(&cmd));
+fn apply(state: &mut ReplicatedState, index: u64, command: Command) {
+    state.apply(index, u128::from(index), &encode(&command));
 }
 
-fn items(record: &mut ReplicatedState, n: u64, set: &str, drop: &str) {
+fn change_items(state: &mut ReplicatedState, index: u64, set: &str, drop: &str) {
     let (set, drop) = (set.to_string(), drop.to_string());
-    let base = record.version();
+    let base = state.version();
     apply(
-        record,
-        n,
+        state,
+        index,
         Command::ChangeItems {
             base,
             new_version: None,
@@ -50,69 +50,68 @@
     );
 }
 
-fn bytes_of_a_change(routes: usize) -> usize {
-    let mut record = record(routes);
-    let have = record.revision();
-    items(
-        &mut record,
+fn change_update_bytes(routes: usize) -> usize {
+    let mut state = state(routes);
+    let known_revision = state.revision();
+    change_items(
+        &mut state,
         2,
         &format!(r#"{{"routes":[{}]}}"#, route(9000)),
         "{}",
     );
-    EncodedUpdate::new(&record.delta_since(have)).bytes.len()
+    EncodedUpdate::new(&state.delta_since(known_revision))
+        .bytes
+        .len()
 }
 
-/// Without differences a change costs what the configuration does.
 #[test]
-fn telling_the_whole_grows_with_the_routes() {
-    assert!(bytes_of_a_change(5000) < bytes_of_a_change(100) + 64);
+fn without_deltas_the_update_of_a_change_grows_with_the_routes() {
+    assert!(change_update_bytes(5000) < change_update_bytes(100) + 64);
     break_only(Some(Invariant::Differences));
-    assert!(bytes_of_a_change(5000) > 20 * bytes_of_a_change(100));
+    assert!(change_update_bytes(5000) > 20 * change_update_bytes(100));
 }
 
-fn copy_after_a_deletion() -> (StateReplica, ReplicatedState) {
-    let mut record = record(10);
-    let mut copy = StateReplica::default();
-    assert!(copy.apply(&record.delta_since(0)));
-    let have = record.revision();
-    items(&mut record, 2, "{}", r#"{"routes":["r3"]}"#);
-    assert!(copy.apply(&record.delta_since(have)));
-    (copy, record)
+fn replica_after_a_deletion() -> (StateReplica, ReplicatedState) {
+    let mut state = state(10);
+    let mut replica = StateReplica::default();
+    assert!(replica.apply(&state.delta_since(0)));
+    let known_revision = state.revision();
+    change_items(&mut state, 2, "{}", r#"{"routes":["r3"]}"#);
+    assert!(replica.apply(&state.delta_since(known_revision)));
+    (replica, state)
 }
 
-/// Deletions that are not told leave routes that are no more.
 #[test]
-fn deletions_untold_leave_another_copy() {
-    let (copy, record) = copy_after_a_deletion();
-    assert_eq!(copy.view(), record.view());
+fn without_deletions_in_updates_a_replica_keeps_deleted_routes() {
+    let (replica, state) = replica_after_a_deletion();
+    assert_eq!(replica.view(), state.view());
     break_only(Some(Invariant::Deletions));
-    let (copy, record) = copy_after_a_deletion();
-    assert_ne!(copy.view(), record.view());
+    let (replica, state) = replica_after_a_deletion();
+    assert_ne!(replica.view(), state.view());
 }
 
-/// Routes whose update, compressed, has as many bytes as one of 5,000 had before
-/// updates were compressed.
+/// Number of routes whose complete update is large even when compressed.
 const MANY_ROUTES: usize = 40_000;
 
-/// Bytes that a core sends to `readers` that take nothing but ask on.
-fn sent_to_slow(readers: u64, times: u64) -> usize {
-    let record = record(MANY_ROUTES);
+/// Bytes that a core sends to `edges` that send `renewals` each and apply nothing.
+fn bytes_sent_to_slow_edges(edges: u64, renewals: u64) -> usize {
+    let state = state(MANY_ROUTES);
     let mut updates = Updates::default();
     let mut sent = 0;
-    for time in 0..times {
-        for conn in 0..readers {
-            if let NextUpdate::Send(u) = updates.next(&record, conn, 0, time * 100) {
-                sent += u.bytes.len();
+    for renewal in 0..renewals {
+        for conn in 0..edges {
+            if let NextUpdate::Send(update) = updates.next(&state, conn, 0, renewal * 100) {
+                sent += update.bytes.len();
             }
         }
     }
     sent
 }
 
-/// Without the bound each renewal of a slow reader queues another copy.
+/// Without the bound each renewal of a slow edge queues another complete update.
 #[test]
-fn copies_unbounded_pile_up() {
-    assert!(sent_to_slow(93, 20) <= MAX_IN_FLIGHT);
+fn without_the_bound_updates_in_flight_pile_up() {
+    assert!(bytes_sent_to_slow_edges(93, 20) <= MAX_IN_FLIGHT);
     break_only(Some(Invariant::CopiesBounded));
-    assert!(sent_to_slow(93, 20) > 50 * MAX_IN_FLIGHT);
+    assert!(bytes_sent_to_slow_edges(93, 20) > 50 * MAX_IN_FLIGHT);
 }
