--- a/sorreldoor/tests/quota/cluster.rs
+++ b/sorreldoor/tests/quota/cluster.rs
@@ -1,6 +1,8 @@
-//! Edges and cores that exchange reports in virtual time.
+//! A cluster of edges and cores that exchange reports in virtual time.
 
-use super::{DELAY_MS, EXCESS, SLACK, STEP_MS, TENANT, TOTALS_MS, WINDOW_MS};
+use super::{
+    DELAY_MS, EXCESS_FACTOR, SLACK_REQUESTS, STEP_MS, TENANT, TOTALS_INTERVAL_MS, WINDOW_MS,
+};
 use sorreldoor::quota::{
     Admission, AdmissionUpdate, Quota, TenantUsage, UsageReport, UsageTracker,
 };
@@ -34,20 +36,21 @@
     },
 }
 
-/// Edges that report to the core of their number modulo the cores.
+/// Edges and cores; each edge reports to the core `edge % cores`.
 pub struct Cluster {
     pub now: u64,
     random: Random,
     pub edges: Vec<Admission>,
     cores: Vec<UsageTracker>,
     pub quota: Quota,
-    /// Messages by the time of their arrival.
-    wire: BTreeMap<(u64, u64), Message>,
+    /// Messages in flight, by time of arrival and sequence number.
+    in_flight: BTreeMap<(u64, u64), Message>,
     sent: u64,
-    /// Edges that reach no core.
-    pub cut_edges: Vec<usize>,
-    /// The cores are cut into those below and those from this number on.
-    pub cores_cut_at: Option<usize>,
+    /// Edges without a connection to a core.
+    pub disconnected_edges: Vec<usize>,
+    /// Splits the cores into those below this index and the others.
+    pub cores_partitioned_at: Option<usize>,
+    /// Times of the admitted requests.
     pub admitted: Vec<u64>,
     pub requested: u64,
     pub rejected: u64,
@@ -61,10 +64,10 @@
             edges: vec![Admission::default(); edges],
             cores: vec![UsageTracker::new(); cores],
             quota,
-            wire: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
-            cut_edges: Vec::new(),
-            cores_cut_at: None,
+            disconnected_edges: Vec::new(),
+            cores_partitioned_at: None,
             admitted: Vec::new(),
             requested: 0,
             rejected: 0,
@@ -85,22 +88,24 @@
     }
 
     fn cores_connected(&self, a: usize, b: usize) -> bool {
-        self.cores_cut_at.is_none_or(|at| (a < at) == (b < at))
+        self.cores_partitioned_at
+            .is_none_or(|at| (a < at) == (b < at))
     }
 
-    fn post(&mut self, message: Message) {
+    fn send(&mut self, message: Message) {
         self.sent += 1;
-        self.wire.insert((self.now + DELAY_MS, self.sent), message);
+        self.in_flight
+            .insert((self.now + DELAY_MS, self.sent), message);
     }
 
-    /// Runs for so long at so many requests a second over all edges.
-    pub fn run(&mut self, ms: u64, per_s: f64) {
-        let end = self.now + ms;
+    /// Runs for `duration_ms` at `rate_per_s` over all edges together.
+    pub fn run(&mut self, duration_ms: u64, rate_per_s: f64) {
+        let end = self.now + duration_ms;
         let mut due = 0.0;
         while self.now < end {
             self.now += STEP_MS;
             self.deliver();
-            due += per_s * STEP_MS as f64 / 1000.0;
+            due += rate_per_s * STEP_MS as f64 / 1000.0;
             while due >= 1.0 {
                 due -= 1.0;
                 self.request();
@@ -124,46 +129,46 @@
         for edge in 0..self.edges.len() {
             let report = self.edges[edge].take_report(self.now);
             let core = self.core_of(edge);
-            let connected = !self.cut_edges.contains(&edge);
+            let connected = !self.disconnected_edges.contains(&edge);
             if let Some(report) = report.filter(|_| connected) {
-                self.post(Message::Report { edge, core, report });
+                self.send(Message::Report { edge, core, report });
             }
         }
-        if !self.now.is_multiple_of(TOTALS_MS) {
+        if !self.now.is_multiple_of(TOTALS_INTERVAL_MS) {
             return;
         }
         for from in 0..self.cores.len() {
             let now = self.now;
-            let is_heard =
+            let is_connected =
                 |core| core == from || self.cores[from].is_connected_to(core as u64, now);
-            let heard: Vec<String> = (0..self.edges.len())
-                .filter(|edge| !self.cut_edges.contains(edge))
-                .filter(|edge| is_heard(self.core_of(*edge)))
+            let connected_edges: Vec<String> = (0..self.edges.len())
+                .filter(|edge| !self.disconnected_edges.contains(edge))
+                .filter(|edge| is_connected(self.core_of(*edge)))
                 .map(|edge| format!("edge-{edge}"))
                 .collect();
-            self.cores[from].set_connected_edges(heard.iter().map(String::as_str), now);
+            self.cores[from].set_connected_edges(connected_edges.iter().map(String::as_str), now);
             if let Some(rows) = self.cores[from].announcement(now) {
                 for edge in (from..self.edges.len()).step_by(self.cores.len()) {
                     let update = AdmissionUpdate {
                         acknowledged_report: None,
                         shares: Some(rows.clone()),
                     };
-                    self.post(Message::Update { edge, update });
+                    self.send(Message::Update { edge, update });
                 }
             }
             let rows = self.cores[from].take_changed_totals();
             for to in (0..self.cores.len()).filter(|to| *to != from) {
                 if self.cores_connected(from, to) {
                     let rows = rows.clone();
-                    self.post(Message::Totals { from, to, rows });
+                    self.send(Message::Totals { from, to, rows });
                 }
             }
         }
     }
 
     fn deliver(&mut self) {
-        let later = self.wire.split_off(&(self.now + 1, 0));
-        for message in std::mem::replace(&mut self.wire, later).into_values() {
+        let later = self.in_flight.split_off(&(self.now + 1, 0));
+        for message in std::mem::replace(&mut self.in_flight, later).into_values() {
             let now = self.now;
             match message {
                 Message::Report { edge, core, report } => {
@@ -172,10 +177,10 @@
                         acknowledged_report: Some(report.number),
                         shares: self.cores[core].current_shares(now),
                     };
-                    self.post(Message::Update { edge, update });
+                    self.send(Message::Update { edge, update });
                 }
                 Message::Update { edge, update } => {
-                    if !self.cut_edges.contains(&edge) {
+                    if !self.disconnected_edges.contains(&edge) {
                         self.edges[edge].apply(&update);
                     }
                 }
@@ -191,9 +196,10 @@
         self.cores[core].set_quotas([(TENANT, self.quota)].into_iter());
     }
 
-    /// The most that was admitted in any window, as a part of the bound.
+    /// The maximum number of admitted requests in any window, as a part of the bound.
     pub fn worst_window(&self, quota: Quota) -> f64 {
-        let bound = (quota.rate_per_s * WINDOW_MS as f64 / 1000.0 + quota.burst) * EXCESS + SLACK;
+        let bound = (quota.rate_per_s * WINDOW_MS as f64 / 1000.0 + quota.burst) * EXCESS_FACTOR
+            + SLACK_REQUESTS;
         let mut first = 0;
         let mut worst = 0;
         for (last, at) in self.admitted.iter().enumerate() {
--- a/sorreldoor/tests/usage_reporter.rs
+++ b/sorreldoor/tests/usage_reporter.rs
@@ -1,4 +1,4 @@
-//! Which core an edge reports to while connections end or fall silent.
+//! Which core an edge reports usage to while connections end or cores are silent.
 
 use sorreldoor::net::Conn;
 use sorreldoor::proxy::UsageReporter;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_a_core_did_not_answer_goes_to_the_next_session() {
+fn unacknowledged_usage_is_reported_to_the_next_session() {
     let mut edge = Edge::default();
     edge.request(0);
     assert_eq!(requested(edge.report(Some(1), 0), 1), 1);
@@ -49,12 +49,12 @@
     edge.request(200);
     assert_eq!(requested(edge.report(Some(1), 200), 1), 1);
     edge.request(400);
-    // the first report was counted, the second perhaps not
+    // the second report is not acknowledged and may not have been counted
     assert_eq!(requested(edge.report(Some(2), 400), 2), 2);
 }
 
 #[test]
-fn a_silent_core_is_left_for_one_that_speaks_and_that_one_is_kept() {
+fn reports_move_from_a_silent_core_to_one_that_sends_updates_and_stay() {
     let mut edge = Edge::default();
     edge.request(0);
     assert_eq!(requested(edge.report(Some(1), 0), 1), 1);
@@ -65,18 +65,22 @@
     assert_eq!(
         requested(edge.report(Some(1), 400), 2),
         3,
-        "all of it again"
+        "all unacknowledged usage is reported again"
     );
     edge.update(2, Some(3));
     edge.request(600);
-    assert_eq!(requested(edge.report(Some(1), 600), 2), 1, "it answers");
+    assert_eq!(
+        requested(edge.report(Some(1), 600), 2),
+        1,
+        "the core acknowledges"
+    );
     edge.update(2, Some(4));
     edge.request(800);
     assert_eq!(requested(edge.report(Some(3), 800), 3), 1, "a new session");
 }
 
 #[test]
-fn an_edge_without_a_session_keeps_what_it_counts() {
+fn usage_counted_without_a_session_is_reported_to_the_next_one() {
     let mut edge = Edge::default();
     edge.request(0);
     edge.report(Some(1), 0);
