--- a/sorreldoor/src/control_plane/idempotency/pending.rs
+++ b/sorreldoor/src/control_plane/idempotency/pending.rs
@@ -72,13 +72,13 @@
             .iter()
             .filter_map(|v| self.rejected.get(v).copied())
             .collect();
-        let won = is_quorum(grants, voters);
-        let lost = rejections.len() * 2 >= voters.len() && !voters.is_empty();
-        if !(won || lost || self.loses_tie(grants, &rejections, now)) {
+        let is_granted = is_quorum(grants, voters);
+        let is_rejected = rejections.len() * 2 >= voters.len() && !voters.is_empty();
+        if !(is_granted || is_rejected || self.loses_tie(grants, &rejections, now)) {
             return None;
         }
         let full = !rejections.is_empty() && rejections.iter().all(Option::is_none);
-        Some(match (won, full) {
+        Some(match (is_granted, full) {
             (true, _) => ClaimVote::Granted,
             (false, true) => ClaimVote::Full,
             (false, false) => {
--- a/sorreldoor/src/control_plane/idempotency/votes.rs
+++ b/sorreldoor/src/control_plane/idempotency/votes.rs
@@ -14,7 +14,7 @@
     pub(super) fn on_claim(&mut self, reply_to: ReplyTo, claim: ClaimRecord, context: &Context) {
         let vote_id = self.open_vote(reply_to, &claim, context.now);
         let granted = self.claims[&vote_id].granted().clone();
-        let has_own_vote = !granted.contains(&context.own_id) && self.is_voting(context);
+        let must_vote = !granted.contains(&context.own_id) && self.is_voting(context);
         self.effects.push(Effect::Broadcast {
             payload: Payload::ClaimVoteRequest {
                 vote_id,
@@ -22,7 +22,7 @@
             },
             except: granted,
         });
-        if has_own_vote {
+        if must_vote {
             self.cast_own_vote(vote_id, claim, context);
         }
         self.finish_claim(vote_id, context);
@@ -44,14 +44,14 @@
 
     fn cast_own_vote(&mut self, vote_id: VoteId, claim: ClaimRecord, context: &Context) {
         let grant = AfterSync::GrantOwnVote(vote_id);
-        match self.vote_from_table(&claim, context.now) {
+        match self.try_claim(&claim, context.now) {
             ClaimOutcome::Granted => self.save_then(vec![claim], grant, context),
             ClaimOutcome::AlreadyGranted => self.save_then(Vec::new(), grant, context),
             outcome => self.on_vote_reply(context.own_id, vote_id, outcome.into(), context),
         }
     }
 
-    fn vote_from_table(&mut self, claim: &ClaimRecord, now: Millis) -> ClaimOutcome {
+    fn try_claim(&mut self, claim: &ClaimRecord, now: Millis) -> ClaimOutcome {
         let outcome = self.table.claim(claim, now);
         if outcome == ClaimOutcome::Full && !self.logged_full {
             self.logged_full = true;
@@ -72,7 +72,7 @@
         if !self.is_voting(context) {
             return;
         }
-        let outcome = self.vote_from_table(&claim, context.now);
+        let outcome = self.try_claim(&claim, context.now);
         let to_save = if outcome == ClaimOutcome::Granted {
             vec![claim]
         } else {
--- a/sorreldoor/src/quota/mod.rs
+++ b/sorreldoor/src/quota/mod.rs
@@ -6,7 +6,7 @@
 //! ([`UsageTracker`]). Of a tenant whose demand exceeds its bucket, edges admit a
 //! share, which cores send in reply to reports. No request waits for a message.
 //!
-//! A bucket stands for all nodes. Requests that edges admit beyond it before a
+//! A bucket covers all nodes together. Requests that edges admit beyond it before a
 //! new share arrives make its tokens negative, a debt that later refills pay off.
 //! An edge whose reports are not acknowledged admits a fixed part of each quota.
 //! A core that is connected to only some of the edges grants only their part, so
--- a/sorreldoor/src/quota/usage_tracker.rs
+++ b/sorreldoor/src/quota/usage_tracker.rs
@@ -50,8 +50,8 @@
     received_at: Millis,
 }
 
-/// The usage of all quotas as known to one core. Its controller feeds it the
-/// reports of edges and the totals of other cores, and sends the shares.
+/// The usage of all quotas as known to one core. Its controller passes it
+/// the reports of edges and the totals of other cores, and sends the shares.
 #[derive(Clone, Debug, Default)]
 pub struct UsageTracker {
     quotas: HashMap<TenantId, Quota>,
@@ -63,7 +63,7 @@
     peers: BTreeMap<NodeId, Peer>,
     /// When each edge, by its name, was last connected to a reachable core.
     edges: BTreeMap<String, Millis>,
-    /// The part of `edges` that are connected now.
+    /// The part of `edges` that is connected now.
     connected_part: f64,
     /// When the first usage was counted.
     counting_since: Option<Millis>,
--- a/sorreldoor/src/replicated_state/change.rs
+++ b/sorreldoor/src/replicated_state/change.rs
@@ -75,7 +75,7 @@
         new_version: Option<Version>,
         change: impl FnOnce(&mut ReplicatedState) -> Result<(), Faults>,
     ) -> Outcome {
-        // of two changes that build on one version, only the first may win
+        // of two changes that build on one version, only the first may be applied
         if base != self.data.version && !broken(Invariant::Base) {
             if broken(Invariant::Loser) && change(self).is_ok() {
                 self.data.revision += 1;
--- a/sorreldoor/src/replicated_state/command.rs
+++ b/sorreldoor/src/replicated_state/command.rs
@@ -47,8 +47,8 @@
     AcquireRole {
         /// Identity of the core that acquires the role.
         holder: u64,
-        /// The epoch that the core knows. If it is outdated, another core won
-        /// the race and the outcome is [`Outcome::StaleEpoch`].
+        /// The epoch that the core has read. If it is outdated, another core has
+        /// acquired the role first and the outcome is [`Outcome::StaleEpoch`].
         #[serde(rename = "above")]
         previous_epoch: Epoch,
     },
--- a/sorreldoor/src/replicated_state/deduplication.rs
+++ b/sorreldoor/src/replicated_state/deduplication.rs
@@ -29,25 +29,26 @@
 #[derive(Clone, Debug, Default)]
 struct RecentProposals {
     versions: OrdMap<ProposalId, u64>,
-    order: Vector<ProposalId>,
+    /// Oldest first.
+    insertion_order: Vector<ProposalId>,
 }
 
 impl RecentProposals {
     /// Remembers a proposal; returns the version of the one evicted for it.
     fn insert(&mut self, id: ProposalId, version: u64, limit: usize) -> Option<u64> {
         if self.versions.insert(id, version).is_none() {
-            self.order.push_back(id);
+            self.insertion_order.push_back(id);
         }
-        if self.order.len() <= limit {
+        if self.insertion_order.len() <= limit {
             return None;
         }
-        let oldest = self.order.pop_front()?;
+        let oldest = self.insertion_order.pop_front()?;
         self.versions.remove(&oldest)
     }
 
     fn pack(&self) -> Bytes {
-        let mut bytes = Vec::with_capacity(self.order.len() * ENTRY_BYTES);
-        for id in &self.order {
+        let mut bytes = Vec::with_capacity(self.insertion_order.len() * ENTRY_BYTES);
+        for id in &self.insertion_order {
             let version = self.versions.get(id).copied().unwrap_or(0);
             bytes.extend_from_slice(&id.to_le_bytes());
             bytes.extend_from_slice(&version.to_le_bytes());
--- a/sorreldoor/src/subscription/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -133,20 +133,20 @@
     /// a candidate, and drops all other candidates. If it is the session's core,
     /// drops the hedges only.
     pub(super) fn move_session(&mut self, conn: Conn) {
-        let won = self.candidates.iter().find(|c| c.conn == Some(conn));
-        let won = won.copied();
-        if let Some(won) = won {
-            let old = self.session_addr.replace(won.addr);
+        let winner = self.candidates.iter().find(|c| c.conn == Some(conn));
+        let winner = winner.copied();
+        if let Some(winner) = winner {
+            let old = self.session_addr.replace(winner.addr);
             self.pending_effects
                 .extend(old.map(SubscriptionEffect::Disconnect));
-            if !won.is_home {
+            if !winner.is_home {
                 self.pending_effects
                     .push(SubscriptionEffect::SessionReplaced);
             }
             self.conn = Some(conn);
-            self.candidates.retain(|c| c.addr != won.addr);
+            self.candidates.retain(|c| c.addr != winner.addr);
         }
-        let is_needless = |c: &Candidate| won.is_some() || !c.is_home;
+        let is_needless = |c: &Candidate| winner.is_some() || !c.is_home;
         let dropped = self.candidates.iter().filter(|c| is_needless(c));
         self.pending_effects
             .extend(dropped.map(|c| SubscriptionEffect::Disconnect(c.addr)));
