--- a/sorreldoor/src/consensus/domain_election.rs
+++ b/sorreldoor/src/consensus/domain_election.rs
@@ -1,5 +1,5 @@
 //! Election of a region's Domain Leader by the region's voters, and the
-//! heartbeats by which it stays in office (CD-Raft paper, sections III-B and
+//! heartbeats that maintain its leadership (CD-Raft paper, sections III-B and
 //! III-C).
 
 use super::entry::LogPosition;
@@ -11,7 +11,7 @@
 use super::state_machine::StateMachine;
 use crate::types::{Millis, NodeId, RegionId};
 
-/// A measured delay counts for one part of this many in the smoothed one, so
+/// Each measured delay has a weight of one in this many in the moving average, so
 /// that one slow reply doesn't move the Global Leader.
 const LATENCY_SMOOTHING: Millis = 8;
 
@@ -30,11 +30,11 @@
         let has_quorum = quorum::has_majority(&voters, |id| {
             id == self.id
                 || self
-                    .domain_peer_heard_at
+                    .domain_peer_contact_at
                     .get(&id)
-                    .is_some_and(|heard_at| *heard_at >= live)
+                    .is_some_and(|contact_at| *contact_at >= live)
         });
-        // without its region's quorum it must not block another election
+        // without a quorum of the region, it must not block the next election
         if !has_quorum || self.disk_stalled() || !self.is_voter() {
             self.domain_role = Role::Follower;
             self.reset_domain_election_deadline();
@@ -44,13 +44,13 @@
     }
 
     fn broadcast_domain_heartbeat(&mut self) {
-        // a timer of its own: reads bring the Global Leader's heartbeats
-        // forward, which must not put off the Domain Leader's
+        // a separate timer: reads bring the Global Leader's heartbeats forward,
+        // which must not delay those of the Domain Leader
         self.next_domain_heartbeat_at = self.now + self.timing.heartbeat_interval;
         let domain_term = self.hard_state.domain_term;
         let sent_at = self.now;
         self.record_domain_leader(self.region(), self.id, domain_term);
-        self.domain_leader_heard_at = sent_at;
+        self.domain_leader_contact_at = sent_at;
         for id in self.others() {
             let heartbeat = Msg::DomainHeartbeat {
                 domain_term,
@@ -64,7 +64,7 @@
         let leader = DomainLeader {
             id,
             domain_term,
-            last_heard_at: self.now,
+            last_contact_at: self.now,
         };
         self.domain_leaders.insert(region, leader);
     }
@@ -78,7 +78,7 @@
             ..Election::default()
         };
         self.request_domain_votes(self.hard_state.domain_term + 1, true);
-        self.check_elections();
+        self.advance_elections();
     }
 
     fn request_domain_votes(&mut self, domain_term: u64, pre_vote: bool) {
@@ -122,7 +122,7 @@
     }
 
     fn grants_domain_pre_vote(&self, domain_term: u64, last: LogPosition) -> bool {
-        let silence = self.now.saturating_sub(self.domain_leader_heard_at);
+        let silence = self.now.saturating_sub(self.domain_leader_contact_at);
         let silent = silence >= self.timing.election_timeout / 2;
         let no_leader = (silent || !self.domain_leader_known) && self.domain_role != Role::Leader;
         last >= self.log.last()
@@ -170,20 +170,20 @@
         let campaign_term = self.hard_state.domain_term + u64::from(pre_vote);
         if granted && self.domain_role == campaign && domain_term == campaign_term {
             self.domain_election.votes.insert(from);
-            self.check_elections();
+            self.advance_elections();
         }
     }
 
-    /// Go on to the vote after a pre-vote, and to the office after a vote,
-    /// each with a majority of the region.
-    pub(super) fn check_domain_election(&mut self) {
+    /// With a majority of the region's voters, advance this node's campaign: from
+    /// pre-vote to vote, and from vote to Domain Leader.
+    pub(super) fn advance_domain_election(&mut self) {
         let voters = self.region_voters(self.region());
         let won =
             |election: &Election| quorum::has_majority(&voters, |id| election.votes.contains(&id));
         if self.domain_role == Role::PreCandidate && won(&self.domain_election) {
             self.become_domain_candidate();
         }
-        // the own vote counts only once it is synced, like any other's
+        // this node's own vote counts once it is synced, as any other voter's does
         let synced = self.synced_seq >= self.domain_election.vote_save_seq;
         if self.domain_role == Role::Candidate && won(&self.domain_election) && synced {
             self.become_domain_leader(&voters);
@@ -207,15 +207,15 @@
             id: self.id,
         });
         let now = self.now;
-        self.domain_peer_heard_at = voters.iter().map(|id| (*id, now)).collect();
-        // a Global Leader tracks more than its region, and that stays valid
+        self.domain_peer_contact_at = voters.iter().map(|id| (*id, now)).collect();
+        // a Global Leader's progress covers all regions and stays valid
         if self.role != Role::Leader {
             self.progress.clear();
         }
         self.domain_leader_known = true;
         self.broadcast_domain_heartbeat();
         if self.no_active_leader() {
-            let soon = self.now + self.rand(self.timing.election_timeout / 16);
+            let soon = self.now + self.random_below(self.timing.election_timeout / 16);
             self.election_deadline = self.election_deadline.min(soon);
         }
     }
@@ -253,13 +253,13 @@
         if self.domain_role != Role::Leader {
             self.domain_role = Role::Follower;
         }
-        self.domain_leader_heard_at = self.now;
+        self.domain_leader_contact_at = self.now;
         self.domain_leader_known = true;
         self.reset_domain_election_deadline();
     }
 
     pub(super) fn handle_domain_heartbeat_reply(&mut self, from: NodeId, sent_at: Millis) {
-        self.domain_peer_heard_at.insert(from, self.now);
+        self.domain_peer_contact_at.insert(from, self.now);
         let own = self.region();
         let region = quorum::region_of(self.log.members(), from);
         let Some(region) = region.filter(|r| *r != own) else {
--- a/sorreldoor/tests/replicated_state.rs
+++ b/sorreldoor/tests/replicated_state.rs
@@ -142,7 +142,7 @@
         "version 7 may still be applied"
     );
     assert_eq!(
-        state.answered(2),
+        state.recorded_outcome(2),
         None,
         "an undecided change is not remembered"
     );
