--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -73,7 +73,7 @@
         // sessions that a dead core reported expire as early as local ones
         let live = self.live_cores(SESSION_TIMEOUT_MS);
         let state = self.consensus.as_ref().map(|c| c.state_machine());
-        let is_evacuated = |zone| state.is_some_and(|state| state.evacuated(zone));
+        let is_evacuated = |zone| state.is_some_and(|state| state.is_evacuated(zone));
         self.sessions
             .merge(|id| live.contains_key(&id), is_evacuated);
     }
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -61,7 +61,7 @@
                     self.idempotency.defer(seq, action);
                 }
             }
-            Effect::KeepCaughtUp => {
+            Effect::PersistCaughtUp => {
                 let caught_up = ControllerEffect::StoreValue(CAUGHT_UP_KEY, vec![1]);
                 self.effects.push(caught_up);
             }
@@ -162,7 +162,7 @@
             id,
             claimant,
         }),
-        Payload::Sent { requests } => Some(Event::Sent(requests)),
+        Payload::Sent { requests } => Some(Event::SentRequests(requests)),
         _ => None,
     }
 }
--- a/sorreldoor/src/control_plane/controller/quotas.rs
+++ b/sorreldoor/src/control_plane/controller/quotas.rs
@@ -17,8 +17,8 @@
     pub(super) fn on_usage_report(&mut self, conn: Conn, report: &UsageReport) {
         self.usage.record(&report.usage, self.now);
         let update = AdmissionUpdate {
-            answers: Some(report.number),
-            shares: self.usage.answer(self.now),
+            acknowledged_report: Some(report.number),
+            shares: self.usage.current_shares(self.now),
         };
         self.send(conn, Payload::AdmissionUpdate(update));
     }
@@ -35,7 +35,7 @@
             return;
         }
         self.update_edges();
-        let totals = self.usage.take_totals();
+        let totals = self.usage.take_changed_totals();
         for conn in self.reachable_cores() {
             self.send(conn, Payload::UsageTotals(totals.clone()));
         }
@@ -46,11 +46,11 @@
     /// core or on one that reports usage. A core that was partitioned a moment ago
     /// may still have sessions, but the usage of its edges is missing.
     fn update_edges(&mut self) {
-        let reports_usage = |core| self.usage.hears_from(core, self.now);
+        let reports_usage = |core| self.usage.is_connected_to(core, self.now);
         let sessions = self.sessions.sessions_of(reports_usage);
         let names: BTreeSet<String> = sessions.map(|s| s.hello.node.clone()).collect();
         let names = names.iter().map(String::as_str);
-        self.usage.set_edges(names, self.now);
+        self.usage.set_connected_edges(names, self.now);
     }
 
     /// Sends new shares to all edges, also to those without requests of the limited
@@ -61,7 +61,7 @@
         };
         for conn in self.sessions.local_connections() {
             let update = AdmissionUpdate {
-                answers: None,
+                acknowledged_report: None,
                 shares: Some(shares.clone()),
             };
             self.send(conn, Payload::AdmissionUpdate(update));
--- a/sorreldoor/src/control_plane/singleton/mod.rs
+++ b/sorreldoor/src/control_plane/singleton/mod.rs
@@ -99,7 +99,7 @@
     /// Whether this incarnation of the core `own_id` holds the role. An earlier one
     /// does not count: versions numbered under an epoch must not restart.
     pub fn is_holder(&self, state: &ReplicatedState, own_id: NodeId) -> bool {
-        state.holder() == own_id && self.granted_epoch == Some(state.epoch())
+        state.role_holder() == own_id && self.granted_epoch == Some(state.epoch())
     }
 
     /// Whether a proposal for the role is in flight.
@@ -159,7 +159,7 @@
         let workers = registry.map_or(&[][..], |registry| &registry.workers);
         (0..regions as u8).find_map(|region| {
             let capacity = region_capacity(configuration, workers, loads, region)?;
-            let current = state.region(region);
+            let current = state.region_recovery(region);
             let next = self.regions.next_state(region, capacity, current, now)?;
             Some(RegionTransition {
                 region,
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -131,14 +131,17 @@
         let _ = doc.insert("serial", state.version());
         let _ = doc.insert("rev", state.revision());
         let _ = doc.insert("epoch", state.epoch());
-        let _ = doc.insert("duty", hex(state.holder()));
+        let _ = doc.insert("duty", hex(state.role_holder()));
         let evacuated = state.view().evacuated;
         let zone_name = |zone: &u16| self.site.zone_name(*zone).to_string();
         let evacuated: Vec<String> = evacuated.iter().map(zone_name).collect();
         let _ = doc.insert("emptied", evacuated);
         let mut regions = Value::object();
         for (region, name) in self.site.regions.iter().enumerate() {
-            let _ = regions.insert(name.clone(), recovery_text(state.region(region as u8)));
+            let _ = regions.insert(
+                name.clone(),
+                recovery_text(state.region_recovery(region as u8)),
+            );
         }
         let _ = doc.insert("regions", regions);
     }
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -10,14 +10,14 @@
     serve_status_endpoint, NodeStatus, RequestHandler, StatusEndpoint, StatusHandler,
 };
 use crate::balancer::{Balancer, Locality, SiteLimits};
+use crate::ids::random_id;
 use crate::log_events::{log_event, LogEvent};
 use crate::metrics::{self, EDGE_METRICS};
 use crate::net::{Net, NetEvent};
-use crate::order_id::random_id;
 use crate::runtime::{event_queue, Clock, EventReceiver, Reducer};
 use crate::settings::Settings;
 use crate::start_error::{BindSnafu, SignalsSnafu, StartError};
-use crate::subscription::Pull;
+use crate::subscription::CoreSubscription;
 use async_std::future::timeout;
 use async_std::net::TcpListener;
 use async_std::task;
@@ -110,14 +110,14 @@
         regions: settings.names.zones.iter().map(|(_, r)| *r).collect(),
     };
     let balancer = Balancer::new(locality, bounds, random_id());
-    let subscription = Pull::new(
+    let subscription = CoreSubscription::new(
         &settings.seeds,
         settings.lease_ms,
         now.monotonic_ms,
         now.wall,
     )
-    .named(&settings.node)
-    .paced(&settings.pacing);
+    .with_node_name(&settings.node)
+    .with_pacing(&settings.pacing);
     ProxyController::new(identity, settings.names.clone(), subscription, balancer)
 }
 
