--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -1,5 +1,5 @@
-//! The control loop of a proxy node as a pure reducer: it subscribes to a core,
-//! applies replicated state to the balancer, and reports readiness and usage.
+//! Control loop of a proxy node, a pure reducer: subscribes to a core, applies
+//! replicated state to the balancer, and reports readiness and usage.
 
 use super::usage_reporter::UsageReporter;
 use crate::balancer::Balancer;
@@ -18,14 +18,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Milliseconds after the first membership update until the list of nodes is taken
-/// as complete.
+/// Time after the first membership update until the list of nodes counts as complete.
 const MEMBERSHIP_DELAY_MS: Millis = 1000;
 
 /// An input of [`ProxyController`].
 #[derive(Debug)]
 pub enum ControllerEvent {
-    /// The periodic timer.
     Tick,
     /// A connection to a core was opened or closed, or a frame arrived.
     Net(NetEvent),
@@ -197,8 +195,7 @@
         self.ready_edges.iter().cloned().chain(own).collect()
     }
 
-    /// Reports a change of readiness at once, so that clients are sent elsewhere
-    /// before the listener closes.
+    /// Reports a change of readiness at once, before the listener closes.
     fn report_readiness(&mut self) {
         if self.ready() != self.reported_ready {
             self.renew();
@@ -311,7 +308,7 @@
     }
 
     fn apply_delta(&mut self, delta: StateDelta) {
-        // a late grant must not replace newer state
+        // grants and registries may arrive late, and must not replace newer state
         let known = self.subscription.known_versions.record;
         if let Some(update) = delta.record.filter(|u| u.revision > known) {
             self.apply_update(&update);
@@ -330,7 +327,6 @@
     }
 
     fn apply_registry(&mut self, registry: &WorkerRegistry) {
-        // registries arrive in grants and on their own, possibly out of order
         if registry.version > self.subscription.known_versions.registry {
             self.subscription.known_versions.registry = registry.version;
             self.balancer.update_registry(registry, self.now);
