--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -24,6 +24,7 @@
 /// An input of [`ProxyController`].
 #[derive(Debug)]
 pub enum ControllerEvent {
+    /// The periodic timer.
     Tick,
     /// A connection to a core was opened or closed, or a frame arrived.
     Net(NetEvent),
@@ -307,8 +308,8 @@
         }
     }
 
+    // grants and registries may arrive late, and must not replace newer state
     fn apply_delta(&mut self, delta: StateDelta) {
-        // grants and registries may arrive late, and must not replace newer state
         let known = self.subscription.known_versions.record;
         if let Some(update) = delta.record.filter(|u| u.revision > known) {
             self.apply_update(&update);
@@ -354,7 +355,6 @@
         self.subscription.known_versions.record = update.revision;
         self.balancer
             .set_evacuated_zones(update.evacuated.clone(), self.now);
-        // the document is not needed after it was parsed; this saves its memory
         self.view = View {
             revision: update.revision,
             version: update.version,
