--- a/sorreldoor/src/ctl/client.rs
+++ b/sorreldoor/src/ctl/client.rs
@@ -1,7 +1,7 @@
 //! Calls to the nodes, and reports of those that failed.
 
 use super::{show, Failure, REFUSED, UNKNOWN, UNREACHED};
-use crate::http::{self, Broke, Call, Called};
+use crate::http::{self, Call, CallError, Called};
 use crate::json::{self, Value};
 use async_std::task;
 use http_types::Method;
@@ -93,7 +93,7 @@
     }
 
     /// Tries the nodes in order until one is reached.
-    pub(super) fn call(&self, request: &Request) -> Result<Called, Broke> {
+    pub(super) fn call(&self, request: &Request) -> Result<Called, CallError> {
         for node in &self.nodes {
             let call = Call {
                 method: request.method,
@@ -103,11 +103,11 @@
             };
             match task::block_on(http::call(*node, call, MAX_ANSWER_BYTES, TIMEOUT)) {
                 // only what was surely not sent may simply go to the next
-                Err(Broke::Unsent) => {}
+                Err(CallError::NotSent) => {}
                 result => return result,
             }
         }
-        Err(Broke::Unsent)
+        Err(CallError::NotSent)
     }
 
     /// Prints an answer as it came, or formatted.
@@ -119,9 +119,9 @@
         }
     }
 
-    fn report_unreached(&self, error: Broke, proposal_id: Option<&str>) -> Failure {
+    fn report_unreached(&self, error: CallError, proposal_id: Option<&str>) -> Failure {
         let nodes = &self.nodes;
-        if error == Broke::Unsent {
+        if error == CallError::NotSent {
             eprintln!("ctl: no node was reached at {nodes:?}; nothing was sent");
             return UNREACHED;
         }
--- a/sorreldoor/src/gateway/attempt.rs
+++ b/sorreldoor/src/gateway/attempt.rs
@@ -6,7 +6,7 @@
 use super::worker_exchange::{AttemptCommand, StreamPart, WorkerRequest, WorkerResponse};
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{AttemptEvent, AttemptReport, AttemptToken, RequestId};
-use crate::http::{self, Broke, Call};
+use crate::http::{self, Call, CallError};
 use crate::invariants::{broken, Invariant};
 use crate::json;
 use crate::runtime::EventSender;
@@ -55,7 +55,7 @@
             return;
         };
         let sent = timeout(self.request.timeout, self.send(stream, adapter)).await;
-        match sent.unwrap_or(Err(Broke::Late)) {
+        match sent.unwrap_or(Err(CallError::TimedOut)) {
             Ok(response) if self.is_stream(&response) => self.relay_stream(response).await,
             Ok(response) => self.read_complete(response).await,
             Err(error) => self.report(AttemptEvent::Failed(error_code(error))).await,
@@ -66,7 +66,11 @@
         self.request.streamed && u16::from(response.status()) == 200
     }
 
-    async fn send(&self, stream: TcpStream, adapter: Option<String>) -> Result<Response, Broke> {
+    async fn send(
+        &self,
+        stream: TcpStream,
+        adapter: Option<String>,
+    ) -> Result<Response, CallError> {
         let request = &self.request;
         let mut headers = vec![
             ("x-errand-id", request.id.clone()),
@@ -92,7 +96,7 @@
             .is_some_and(|values| values.last().as_str() == "no");
         let read = http::whole(response, MAX_RESPONSE_BYTES);
         let read = timeout(self.request.timeout, read).await;
-        let response = match read.unwrap_or(Err(Broke::Late)) {
+        let response = match read.unwrap_or(Err(CallError::TimedOut)) {
             Ok(response) => response,
             Err(error) => return self.report(AttemptEvent::Failed(error_code(error))).await,
         };
@@ -182,10 +186,10 @@
     essence.eq_ignore_ascii_case(media_type)
 }
 
-fn error_code(error: Broke) -> ErrorCode {
+fn error_code(error: CallError) -> ErrorCode {
     match error {
-        Broke::Short => ErrorCode::TruncatedResponse,
-        Broke::Garbage => ErrorCode::InvalidWorkerResponse,
+        CallError::Truncated => ErrorCode::TruncatedResponse,
+        CallError::InvalidResponse => ErrorCode::InvalidWorkerResponse,
         _ => ErrorCode::WorkerDisconnected,
     }
 }
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -11,18 +11,18 @@
 
 /// How a call failed, which tells whether the request may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broke {
+pub enum CallError {
     /// No connection: nothing was sent, so that a retry is safe.
-    Unsent,
+    NotSent,
     /// The request may have been sent, and no complete response head came
     /// back.
-    Sent,
+    NoResponse,
     /// The body ended before its stated length.
-    Short,
+    Truncated,
     /// The response breaks the protocol or is longer than the caller accepts.
-    Garbage,
+    InvalidResponse,
     /// The time limit was reached; the request may have been sent.
-    Late,
+    TimedOut,
 }
 
 /// A complete response.
@@ -68,15 +68,15 @@
 /// Opens a connection.
 ///
 /// # Errors
-/// `Broke::Unsent` if there is none after `within`.
-pub async fn open(addr: SocketAddr, within: Duration) -> Result<TcpStream, Broke> {
+/// `CallError::NotSent` if there is none after `within`.
+pub async fn open(addr: SocketAddr, within: Duration) -> Result<TcpStream, CallError> {
     // a fresh connection each time, so no reset of a reused one can leave
     // it unknown whether an errand ran
     let s = timeout(within, TcpStream::connect(addr))
         .await
         .ok()
         .and_then(|s| s.ok())
-        .ok_or(Broke::Unsent)?;
+        .ok_or(CallError::NotSent)?;
     let _ = s.set_nodelay(true);
     Ok(s)
 }
@@ -85,10 +85,10 @@
 /// response. The body is still to be read.
 ///
 /// # Errors
-/// `Broke::Unsent` if the request could not be formed, else `Broke::Sent`.
-pub async fn send(s: TcpStream, c: Call) -> Result<Response, Broke> {
-    let at = s.peer_addr().map_err(|_| Broke::Unsent)?;
-    let url = Url::parse(&format!("http://{at}{}", c.path)).map_err(|_| Broke::Unsent)?;
+/// `CallError::NotSent` if the request could not be formed, else `CallError::NoResponse`.
+pub async fn send(s: TcpStream, c: Call) -> Result<Response, CallError> {
+    let at = s.peer_addr().map_err(|_| CallError::NotSent)?;
+    let url = Url::parse(&format!("http://{at}{}", c.path)).map_err(|_| CallError::NotSent)?;
     let mut req = Request::new(c.method, url);
     for (k, v) in c.heads {
         req.insert_header(k, v);
@@ -98,7 +98,9 @@
         req.set_body(Body::from_bytes(c.body));
         req.set_content_type(http_types::mime::JSON);
     }
-    async_h1::connect(s, req).await.map_err(|_| Broke::Sent)
+    async_h1::connect(s, req)
+        .await
+        .map_err(|_| CallError::NoResponse)
 }
 
 /// Whether a response states its length in exactly one way (RFC 9112, section
@@ -133,17 +135,17 @@
 /// Reads a response to its stated end, with at most `most` bytes of body.
 ///
 /// # Errors
-/// `Broke::Short` if it is truncated, `Broke::Garbage` if its length is too
+/// `CallError::Truncated` if it is truncated, `CallError::InvalidResponse` if its length is too
 /// large or not stated properly.
-pub async fn whole(mut r: Response, most: usize) -> Result<Called, Broke> {
+pub async fn whole(mut r: Response, most: usize) -> Result<Called, CallError> {
     use async_std::io::ReadExt;
     if !framed(&r) {
-        return Err(Broke::Garbage);
+        return Err(CallError::InvalidResponse);
     }
     let status: u16 = r.status().into();
     let want = text(&r, "content-length").and_then(|n| n.parse::<usize>().ok());
     if want.is_some_and(|n| n > most) {
-        return Err(Broke::Garbage);
+        return Err(CallError::InvalidResponse);
     }
     let (kind, request) = (text(&r, "content-type"), text(&r, "x-errand-id"));
     let location = text(&r, "location");
@@ -152,13 +154,15 @@
     // whatever follows a result that has no body is not part of it
     if status != 204 && status != 304 {
         let mut body = r.take_body().take(most as u64 + 1);
-        body.read_to_end(&mut b).await.map_err(|_| Broke::Short)?;
+        body.read_to_end(&mut b)
+            .await
+            .map_err(|_| CallError::Truncated)?;
         if b.len() > most {
-            return Err(Broke::Garbage);
+            return Err(CallError::InvalidResponse);
         }
         // async-h1 takes an early end of a counted body for its end
         if want.is_some_and(|n| n != b.len()) && !broken(Invariant::ResultLength) {
-            return Err(Broke::Short);
+            return Err(CallError::Truncated);
         }
     }
     Ok(Called {
@@ -175,15 +179,15 @@
 /// most `most` bytes. `within` bounds connecting, and then once more the rest.
 ///
 /// # Errors
-/// `Broke`, which tells whether the request may have been sent.
+/// `CallError`, which tells whether the request may have been sent.
 pub async fn call(
     addr: SocketAddr,
     c: Call,
     most: usize,
     within: Duration,
-) -> Result<Called, Broke> {
+) -> Result<Called, CallError> {
     let s = open(addr, within).await?;
     timeout(within, async { whole(send(s, c).await?, most).await })
         .await
-        .unwrap_or(Err(Broke::Late))
+        .unwrap_or(Err(CallError::TimedOut))
 }
--- a/testbed/src/gateway_soak.rs
+++ b/testbed/src/gateway_soak.rs
@@ -5,7 +5,7 @@
 use crate::rand::Rand;
 use crate::sync::lock;
 use http_types::Method;
-use sorreldoor::http::{call, Broke, Call};
+use sorreldoor::http::{call, Call, CallError};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -180,7 +180,7 @@
     let got = async_std::task::block_on(call(at, c, 1 << 20, CALL_TIMEOUT));
     let retry_after_s = got.as_ref().ok().and_then(|c| c.retry_after_s);
     let outcome = match got {
-        Err(Broke::Unsent) => CallerOutcome::Refused,
+        Err(CallError::NotSent) => CallerOutcome::Refused,
         Err(_) => CallerOutcome::Unsure,
         Ok(c) if c.status == 200 => {
             let text = String::from_utf8_lossy(&c.body).into_owned();
