--- a/sorreldoor/src/ctl/client.rs
+++ b/sorreldoor/src/ctl/client.rs
@@ -1,7 +1,7 @@
 //! Calls to the nodes, and reports of those that failed.
 
 use super::{show, Failure, REFUSED, UNKNOWN, UNREACHED};
-use crate::http::{self, Call, CallError, Called};
+use crate::http::{self, Call, CallError, CompleteResponse};
 use crate::json::{self, Value};
 use async_std::task;
 use http_types::Method;
@@ -93,12 +93,12 @@
     }
 
     /// Tries the nodes in order until one is reached.
-    pub(super) fn call(&self, request: &Request) -> Result<Called, CallError> {
+    pub(super) fn call(&self, request: &Request) -> Result<CompleteResponse, CallError> {
         for node in &self.nodes {
             let call = Call {
                 method: request.method,
                 path: request.path.clone(),
-                heads: Vec::new(),
+                headers: Vec::new(),
                 body: request.body.clone(),
             };
             match task::block_on(http::call(*node, call, MAX_ANSWER_BYTES, TIMEOUT)) {
@@ -133,7 +133,7 @@
         UNKNOWN
     }
 
-    fn report_rejection(&self, called: &Called, body: &Value) -> Failure {
+    fn report_rejection(&self, called: &CompleteResponse, body: &Value) -> Failure {
         if self.json {
             println!("{}", String::from_utf8_lossy(&called.body));
         } else {
--- a/sorreldoor/src/gateway/attempt.rs
+++ b/sorreldoor/src/gateway/attempt.rs
@@ -83,7 +83,7 @@
         let call = Call {
             method: request.method,
             path: request.path.clone(),
-            heads: headers,
+            headers,
             body: request.body.clone(),
         };
         http::send(stream, call).await
@@ -108,7 +108,7 @@
         }
         let _ = self.response.try_send(WorkerResponse::Complete {
             status: response.status,
-            content_type: response.kind,
+            content_type: response.content_type,
             location: response.location,
             body: response.body,
         });
@@ -116,8 +116,8 @@
     }
 
     /// Checks that a complete response belongs to this request.
-    fn validate(&self, response: &http::Called) -> Result<(), ErrorCode> {
-        let id = response.request.as_deref();
+    fn validate(&self, response: &http::CompleteResponse) -> Result<(), ErrorCode> {
+        let id = response.request_id.as_deref();
         let other_id = id.is_some_and(|id| id != self.request.id);
         if other_id && !broken(Invariant::ResultOwner) {
             return Err(ErrorCode::MismatchedRequestId);
@@ -125,7 +125,7 @@
         if !self.request.model {
             return Ok(());
         }
-        let is_json = has_media_type(&response.kind, "application/json")
+        let is_json = has_media_type(&response.content_type, "application/json")
             && json::parse(&response.body, MAX_RESPONSE_BYTES).is_ok();
         if id.is_none() || !is_json {
             return Err(ErrorCode::InvalidWorkerResponse);
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -26,13 +26,13 @@
 }
 
 /// A complete response.
-pub struct Called {
+pub struct CompleteResponse {
     /// Status code.
     pub status: u16,
     /// Header `content-type`; empty if absent.
-    pub kind: String,
+    pub content_type: String,
     /// Header `x-errand-id`: the id of the request that was answered.
-    pub request: Option<String>,
+    pub request_id: Option<String>,
     /// Header `location`: where a redirect leads.
     pub location: Option<String>,
     /// Header `retry-after` in seconds; `None` if absent or not a number.
@@ -48,7 +48,7 @@
     /// Path with the query.
     pub path: String,
     /// Further headers, by name and value.
-    pub heads: Vec<(&'static str, String)>,
+    pub headers: Vec<(&'static str, String)>,
     /// Body, sent as JSON; for GET an empty one is left out.
     pub body: Vec<u8>,
 }
@@ -59,7 +59,7 @@
         Call {
             method: Method::Get,
             path: path.to_string(),
-            heads: Vec::new(),
+            headers: Vec::new(),
             body: Vec::new(),
         }
     }
@@ -90,7 +90,7 @@
     let at = s.peer_addr().map_err(|_| CallError::NotSent)?;
     let url = Url::parse(&format!("http://{at}{}", c.path)).map_err(|_| CallError::NotSent)?;
     let mut req = Request::new(c.method, url);
-    for (k, v) in c.heads {
+    for (k, v) in c.headers {
         req.insert_header(k, v);
     }
     req.insert_header("connection", "close");
@@ -137,7 +137,7 @@
 /// # Errors
 /// `CallError::Truncated` if it is truncated, `CallError::InvalidResponse` if its length is too
 /// large or not stated properly.
-pub async fn whole(mut r: Response, most: usize) -> Result<Called, CallError> {
+pub async fn whole(mut r: Response, most: usize) -> Result<CompleteResponse, CallError> {
     use async_std::io::ReadExt;
     if !framed(&r) {
         return Err(CallError::InvalidResponse);
@@ -147,7 +147,7 @@
     if want.is_some_and(|n| n > most) {
         return Err(CallError::InvalidResponse);
     }
-    let (kind, request) = (text(&r, "content-type"), text(&r, "x-errand-id"));
+    let (content_type, request_id) = (text(&r, "content-type"), text(&r, "x-errand-id"));
     let location = text(&r, "location");
     let retry_after_s = text(&r, "retry-after").and_then(|s| s.parse().ok());
     let mut b = Vec::new();
@@ -165,10 +165,10 @@
             return Err(CallError::Truncated);
         }
     }
-    Ok(Called {
+    Ok(CompleteResponse {
         status,
-        kind: kind.unwrap_or_default(),
-        request,
+        content_type: content_type.unwrap_or_default(),
+        request_id,
         location,
         retry_after_s,
         body: b,
@@ -185,7 +185,7 @@
     c: Call,
     most: usize,
     within: Duration,
-) -> Result<Called, CallError> {
+) -> Result<CompleteResponse, CallError> {
     let s = open(addr, within).await?;
     timeout(within, async { whole(send(s, c).await?, most).await })
         .await
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -3,7 +3,7 @@
 
 mod call;
 
-pub use call::{call, framed, open, send, whole, Call, CallError, Called};
+pub use call::{call, framed, open, send, whole, Call, CallError, CompleteResponse};
 
 use crate::error::ErrorCode;
 use crate::json::Value;
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::stub_worker::{StubWorker, WorkerProfile};
 use async_std::task;
 use simd_json::prelude::*;
-use sorreldoor::http::{self, Call, CallError, Called};
+use sorreldoor::http::{self, Call, CallError, CompleteResponse};
 use sorreldoor::json::{self, Value};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -230,7 +230,7 @@
             .collect()
     }
 
-    pub fn call(&self, i: usize, c: Call, within: Duration) -> Result<Called, CallError> {
+    pub fn call(&self, i: usize, c: Call, within: Duration) -> Result<CompleteResponse, CallError> {
         task::block_on(http::call(self.nodes[i].http, c, 64 << 20, within))
     }
 
--- a/testbed/src/gateway_soak.rs
+++ b/testbed/src/gateway_soak.rs
@@ -145,11 +145,11 @@
     kind: u64,
     r: &mut Rand,
 ) -> (CallerOutcome, Option<u64>) {
-    let mut heads = vec![("x-errand-id", id.to_string())];
+    let mut headers = vec![("x-errand-id", id.to_string())];
     let key = format!("p{}", r.below(12));
     let (path, body, events) = match kind {
         0..=4 => {
-            heads.push(("x-prefix-key", key));
+            headers.push(("x-prefix-key", key));
             (
                 "verdict",
                 r#"{"prefix_chars":4000,"tail_chars":200,"events":2}"#,
@@ -158,7 +158,7 @@
         }
         5 => ("draft", r#"{"tail_chars":100,"events":20}"#, 20),
         6 => {
-            heads.push(("x-home", region.to_string()));
+            headers.push(("x-home", region.to_string()));
             ("question", r#"{"tail_chars":100}"#, 0)
         }
         _ => ("page", "", 0),
@@ -174,7 +174,7 @@
         } else {
             format!("/v1/errand/{path}")
         },
-        heads,
+        headers,
         body: body.as_bytes().to_vec(),
     };
     let got = async_std::task::block_on(call(at, c, 1 << 20, CALL_TIMEOUT));
@@ -184,7 +184,7 @@
         Err(_) => CallerOutcome::Unsure,
         Ok(c) if c.status == 200 => {
             let text = String::from_utf8_lossy(&c.body).into_owned();
-            let own = c.request.as_deref() == Some(id) && text.contains(id);
+            let own = c.request_id.as_deref() == Some(id) && text.contains(id);
             let whole = events == 0 || text.lines().count() == events;
             let ended = events == 0 || text.ends_with("\"done\":true}\n");
             if !(own && whole && ended) {
--- a/testbed/src/hosted_soak/operator.rs
+++ b/testbed/src/hosted_soak/operator.rs
@@ -241,7 +241,7 @@
             let request = Call {
                 method: Method::Post,
                 path: path.into(),
-                heads: vec![(BASE_HEADER, base.to_string())],
+                headers: vec![(BASE_HEADER, base.to_string())],
                 body: body.clone().into_bytes(),
             };
             verdict = match self.call_any(request).await {
--- a/testbed/tests/doors/main.rs
+++ b/testbed/tests/doors/main.rs
@@ -10,7 +10,7 @@
 use async_std::task;
 use http_types::Method;
 use simd_json::prelude::*;
-use sorreldoor::http::{Call, Called};
+use sorreldoor::http::{Call, CompleteResponse};
 use sorreldoor::json;
 use sorreldoor::wire::{pack, Payload, PROTO};
 use std::net::SocketAddr;
@@ -43,13 +43,13 @@
     fleet: &Fleet,
     method: Method,
     path: &str,
-    heads: &[(&'static str, &str)],
+    headers: &[(&'static str, &str)],
     body: &[u8],
-) -> Called {
+) -> CompleteResponse {
     let call = Call {
         method,
         path: path.into(),
-        heads: heads
+        headers: headers
             .iter()
             .map(|(name, value)| (*name, value.to_string()))
             .collect(),
@@ -60,7 +60,7 @@
         .expect("the edge answers")
 }
 
-fn error_code(response: &Called) -> String {
+fn error_code(response: &CompleteResponse) -> String {
     let document = json::parse(&response.body, usize::MAX).unwrap_or_default();
     document
         .get("problem")
@@ -85,7 +85,7 @@
     let post = Method::Post;
     let large_body = vec![b' '; 2 << 20];
     let question_path = "/v1/errand/question";
-    let cases: Vec<(Called, u16, &str)> = vec![
+    let cases: Vec<(CompleteResponse, u16, &str)> = vec![
         (
             send_request(fleet, post, "/v1/errand/draft", &[], b"{bad"),
             400,
--- a/testbed/tests/doors/request_paths.rs
+++ b/testbed/tests/doors/request_paths.rs
@@ -34,8 +34,8 @@
     Answer {
         status: called.status,
         error_code: error_code(&called),
-        content_type: called.kind.clone(),
-        request_id: called.request.as_ref().map(|id| id.len().to_string()),
+        content_type: called.content_type.clone(),
+        request_id: called.request_id.as_ref().map(|id| id.len().to_string()),
         redirect: called.location.as_ref().map(below_prefix),
     }
 }
--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use http_types::Method;
 use simd_json::prelude::*;
-use sorreldoor::http::{Call, Called};
+use sorreldoor::http::{Call, CompleteResponse};
 use std::path::PathBuf;
 use std::time::Duration;
 use testbed::fleet::{archive, press, Fleet, SitePreset};
@@ -21,17 +21,23 @@
     f
 }
 
-fn post(f: &Fleet, i: usize, route: &str, heads: &[(&'static str, &str)], body: &str) -> Called {
+fn post(
+    f: &Fleet,
+    i: usize,
+    route: &str,
+    headers: &[(&'static str, &str)],
+    body: &str,
+) -> CompleteResponse {
     let c = Call {
         method: Method::Post,
         path: format!("/v1/errand/{route}"),
-        heads: heads.iter().map(|(k, v)| (*k, v.to_string())).collect(),
+        headers: headers.iter().map(|(k, v)| (*k, v.to_string())).collect(),
         body: body.as_bytes().to_vec(),
     };
     f.call(i, c, LONG).expect("the edge answers")
 }
 
-fn lines(c: &Called) -> usize {
+fn lines(c: &CompleteResponse) -> usize {
     c.body.iter().filter(|b| **b == b'\n').count()
 }
 
