--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -61,8 +61,8 @@
             return self.ready().await;
         }
         match operator_api::read(&mut request, &self.settings.names).await {
-            None => http::shed(ErrorCode::UnknownPath, &path, RETRY_AFTER_S),
-            Some(Err(code)) => http::shed(code, "", RETRY_AFTER_S),
+            None => http::error_response(ErrorCode::UnknownPath, &path, RETRY_AFTER_S),
+            Some(Err(code)) => http::error_response(code, "", RETRY_AFTER_S),
             Some(Ok(request)) => self.handle_operator(request).await,
         }
     }
@@ -71,9 +71,9 @@
         match self.client.read_status().await {
             Some(StateSnapshot { proved: true, .. }) => http::json(200, "{\"ready\":true}".into()),
             Some(StateSnapshot { disk_ok: false, .. }) => {
-                http::shed(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
+                http::error_response(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
             }
-            _ => http::shed(
+            _ => http::error_response(
                 ErrorCode::NoControlPlane,
                 "no quorum is reached from here",
                 RETRY_AFTER_S,
@@ -122,5 +122,5 @@
 }
 
 fn unreachable_core() -> Response {
-    http::shed(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
+    http::error_response(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
 }
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -76,22 +76,22 @@
     async fn ready(&self) -> Response {
         match self.query_status().await {
             Some((_, Ok(()))) => http::json(200, "{\"ready\":true}".into()),
-            Some((_, Err(error_code))) => http::shed(error_code, "", 1),
-            None => http::shed(ErrorCode::ShuttingDown, "", 1),
+            Some((_, Err(error_code))) => http::error_response(error_code, "", 1),
+            None => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     async fn status(&self) -> Response {
         match self.query_status().await {
             Some((json, _)) => http::json(200, json),
-            None => http::shed(ErrorCode::ShuttingDown, "", 1),
+            None => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     async fn metrics(&self) -> Response {
         match self.query_status().await {
             Some((json, _)) => operator_api::metrics(&json),
-            None => http::shed(ErrorCode::ShuttingDown, "", 1),
+            None => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
@@ -105,11 +105,11 @@
     /// The request that a query string describes.
     fn described_request(&self, request: &Request) -> Result<RequestSpec, ErrorCode> {
         Ok(RequestSpec {
-            home: self.region(http::query(request, "region"))?,
-            route: http::query(request, "route").ok_or(ErrorCode::InvalidRequestField)?,
-            key: http::query(request, "key").unwrap_or_default(),
+            home: self.region(http::query_parameter(request, "region"))?,
+            route: http::query_parameter(request, "route").ok_or(ErrorCode::InvalidRequestField)?,
+            key: http::query_parameter(request, "key").unwrap_or_default(),
             id: order_id::format_proposal_id(order_id::random_proposal_id()),
-            adapter: http::query(request, "adapter"),
+            adapter: http::query_parameter(request, "adapter"),
             ..RequestSpec::default()
         })
     }
@@ -117,20 +117,20 @@
     async fn explain(&self, request: &Request) -> Response {
         let spec = match self.described_request(request) {
             Ok(spec) => spec,
-            Err(error_code) => return http::shed(error_code, "", 1),
+            Err(error_code) => return http::error_response(error_code, "", 1),
         };
         let reply = self.query(|request_id| EdgeEvent::Explain { request_id, spec });
         match reply.await {
             Some(Reply::Status { json, .. }) => http::json(200, json),
-            Some(Reply::EdgesLocated(Err(error_code))) => http::shed(error_code, "", 1),
-            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
+            Some(Reply::EdgesLocated(Err(error_code))) => http::error_response(error_code, "", 1),
+            _ => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     async fn locate_edges(&self, request: &Request) -> Response {
         let spec = match self.described_request(request) {
             Ok(spec) => spec,
-            Err(error_code) => return http::shed(error_code, "", 1),
+            Err(error_code) => return http::error_response(error_code, "", 1),
         };
         let reply = self.query(|request_id| EdgeEvent::LocateEdges { request_id, spec });
         match reply.await {
@@ -140,15 +140,15 @@
                 let _ = v.insert("ttl_ms", EDGES_TTL_MS);
                 http::ok(v)
             }
-            Some(Reply::EdgesLocated(Err(error_code))) => http::shed(error_code, "", 1),
-            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
+            Some(Reply::EdgesLocated(Err(error_code))) => http::error_response(error_code, "", 1),
+            _ => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     async fn serve_operator(&self, request: &mut Request, path: &str) -> Response {
         match operator_api::read(request, &self.settings.names).await {
-            None => http::shed(ErrorCode::UnknownPath, path, 1),
-            Some(Err(error_code)) => http::shed(error_code, "", 1),
+            None => http::error_response(ErrorCode::UnknownPath, path, 1),
+            Some(Err(error_code)) => http::error_response(error_code, "", 1),
             Some(Ok(operation)) => self.operate(operation).await,
         }
     }
@@ -174,7 +174,9 @@
             OperatorRequest::Configuration => self.configuration().await,
             OperatorRequest::Status => self.status().await,
             OperatorRequest::Metrics => self.metrics().await,
-            OperatorRequest::DropCore { .. } => http::shed(ErrorCode::UnknownPath, "ask a core", 1),
+            OperatorRequest::DropCore { .. } => {
+                http::error_response(ErrorCode::UnknownPath, "ask a core", 1)
+            }
         }
     }
 
@@ -184,7 +186,7 @@
             Some(Reply::ConfigurationRead { proved: true, view }) => {
                 self.configuration_response(&view)
             }
-            _ => http::shed(ErrorCode::NoControlPlane, "", 1),
+            _ => http::error_response(ErrorCode::NoControlPlane, "", 1),
         }
     }
 
--- a/sorreldoor/src/gateway/attempt.rs
+++ b/sorreldoor/src/gateway/attempt.rs
@@ -47,7 +47,7 @@
 
     /// Carries out the attempt at the worker with this address.
     pub async fn run(self, worker: SocketAddr) {
-        let Ok(stream) = http::open(worker, CONNECT_TIMEOUT).await else {
+        let Ok(stream) = http::connect(worker, CONNECT_TIMEOUT).await else {
             return self.report(AttemptEvent::ConnectFailed).await;
         };
         self.report(AttemptEvent::Connected).await;
@@ -94,7 +94,7 @@
         let not_run = response
             .header("x-ran")
             .is_some_and(|values| values.last().as_str() == "no");
-        let read = http::whole(response, MAX_RESPONSE_BYTES);
+        let read = http::read_response(response, MAX_RESPONSE_BYTES);
         let read = timeout(self.request.timeout, read).await;
         let response = match read.unwrap_or(Err(CallError::TimedOut)) {
             Ok(response) => response,
@@ -142,7 +142,7 @@
             .header("content-type")
             .map_or("", |values| values.last().as_str());
         let is_ndjson = has_media_type(content_type, "application/x-ndjson");
-        if !http::framed(response) || !is_ndjson || id.is_none() {
+        if !http::has_valid_framing(response) || !is_ndjson || id.is_none() {
             return Err(ErrorCode::InvalidWorkerResponse);
         }
         if id != Some(&self.request.id) {
--- a/sorreldoor/src/gateway/request_api.rs
+++ b/sorreldoor/src/gateway/request_api.rs
@@ -45,7 +45,7 @@
         let (route, tail) = route_path.split_once('/').unwrap_or((route_path, ""));
         let mut spec = match self.read_spec(http_request, route) {
             Ok(spec) => spec,
-            Err(error_code) => return http::shed(error_code, "", 1),
+            Err(error_code) => return http::error_response(error_code, "", 1),
         };
         // a request that is not admitted is rejected before its body is read
         let head = spec.clone();
@@ -56,11 +56,11 @@
         spec.profile = match admission.await {
             Some(Reply::Admitted(profile)) => profile,
             Some(reply) => return final_response(reply, path, &spec.id),
-            None => return http::shed(ErrorCode::ShuttingDown, "", 1),
+            None => return http::error_response(ErrorCode::ShuttingDown, "", 1),
         };
         match self.read_request(http_request, &spec, tail).await {
             Ok(request) => self.submit(spec, request, path, peer).await,
-            Err(error_code) => http::shed(error_code, "", 1),
+            Err(error_code) => http::error_response(error_code, "", 1),
         }
     }
 
@@ -109,7 +109,7 @@
             return Err(ErrorCode::MethodNotAllowed);
         }
         let max_bytes = self.settings.max_body;
-        let body = http::body(http_request, max_bytes, BODY_TIMEOUT).await?;
+        let body = http::read_body(http_request, max_bytes, BODY_TIMEOUT).await?;
         if model && json::parse(&body, max_bytes).is_err() {
             return Err(ErrorCode::InvalidJson);
         }
@@ -167,7 +167,7 @@
                 watch.stop();
                 final_response(reply, path, &id)
             }
-            None => http::shed(ErrorCode::ShuttingDown, "", 1),
+            None => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 }
@@ -178,9 +178,9 @@
         Reply::Rejected {
             error_code,
             retry_after_s,
-        } => http::shed(error_code, "", retry_after_s),
+        } => http::error_response(error_code, "", retry_after_s),
         Reply::Redirect(addr) => {
-            let mut response = http::shed(ErrorCode::HomeRegionRedirect, &addr, 1);
+            let mut response = http::error_response(ErrorCode::HomeRegionRedirect, &addr, 1);
             response.insert_header("location", format!("http://{addr}{path}"));
             response
         }
@@ -203,7 +203,7 @@
             }
             response
         }
-        _ => http::shed(ErrorCode::ShuttingDown, "", 1),
+        _ => http::error_response(ErrorCode::ShuttingDown, "", 1),
     };
     response.insert_header("x-errand-id", id);
     response
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 /// `CallError::NotSent` if there is none after `within`.
-pub async fn open(addr: SocketAddr, within: Duration) -> Result<TcpStream, CallError> {
+pub async fn connect(addr: SocketAddr, within: Duration) -> Result<TcpStream, CallError> {
     // a fresh connection each time, so no reset of a reused one can leave
     // it unknown whether an errand ran
     let s = timeout(within, TcpStream::connect(addr))
@@ -105,7 +105,7 @@
 
 /// Whether a response states its length in exactly one way (RFC 9112, section
 /// 6.3), so that a truncated one is recognized.
-pub fn framed(r: &Response) -> bool {
+pub fn has_valid_framing(r: &Response) -> bool {
     let status = u16::from(r.status());
     let bare = status == 204 || status == 304;
     let chunked = r
@@ -137,9 +137,9 @@
 /// # Errors
 /// `CallError::Truncated` if it is truncated, `CallError::InvalidResponse` if its length is too
 /// large or not stated properly.
-pub async fn whole(mut r: Response, most: usize) -> Result<CompleteResponse, CallError> {
+pub async fn read_response(mut r: Response, most: usize) -> Result<CompleteResponse, CallError> {
     use async_std::io::ReadExt;
-    if !framed(&r) {
+    if !has_valid_framing(&r) {
         return Err(CallError::InvalidResponse);
     }
     let status: u16 = r.status().into();
@@ -186,8 +186,10 @@
     most: usize,
     within: Duration,
 ) -> Result<CompleteResponse, CallError> {
-    let s = open(addr, within).await?;
-    timeout(within, async { whole(send(s, c).await?, most).await })
-        .await
-        .unwrap_or(Err(CallError::TimedOut))
+    let s = connect(addr, within).await?;
+    timeout(within, async {
+        read_response(send(s, c).await?, most).await
+    })
+    .await
+    .unwrap_or(Err(CallError::TimedOut))
 }
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -3,7 +3,9 @@
 
 mod call;
 
-pub use call::{call, framed, open, send, whole, Call, CallError, CompleteResponse};
+pub use call::{
+    call, connect, has_valid_framing, read_response, send, Call, CallError, CompleteResponse,
+};
 
 use crate::error::ErrorCode;
 use crate::json::Value;
@@ -20,14 +22,14 @@
 use std::time::Duration;
 
 /// Time limit for the head of a request to arrive.
-pub const HEAD: Duration = Duration::from_secs(10);
+pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for the client to read the response to a body that was too slow or too
 /// large, before the connection is closed.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIME: Duration = Duration::from_millis(500);
 /// Interval at which an idle connection checks the gate.
-const LOOK: Duration = Duration::from_millis(100);
+const GATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after which an idle connection is closed.
-pub const IDLE: Duration = Duration::from_secs(60);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A response with a JSON body. A status that is not valid becomes 500.
 pub fn json(status: u16, text: String) -> Response {
@@ -46,7 +48,7 @@
 /// The response for an error, with its status and message. `more` is the field
 /// `about` unless it is empty; `again` is the `retry-after` of a retryable
 /// error, in seconds and at least 1.
-pub fn shed(p: ErrorCode, more: &str, again: u64) -> Response {
+pub fn error_response(p: ErrorCode, more: &str, again: u64) -> Response {
     let mut v = Value::object();
     let _ = v.insert("problem", p.code());
     let _ = v.insert("text", p.message());
@@ -170,7 +172,7 @@
             let _ = s.set_nodelay(true);
             if n >= most {
                 let mut s = s;
-                let _ = timeout(HEAD, refuse(&mut s, ErrorCode::TooManyConnections)).await;
+                let _ = timeout(HEAD_TIMEOUT, refuse(&mut s, ErrorCode::TooManyConnections)).await;
             } else {
                 one(s, &gate, f).await;
             }
@@ -184,11 +186,11 @@
     let mut first = [0; 1];
     let mut waited = Duration::ZERO;
     // an idle connection is kept, but not for ever, nor past the gate
-    while waited < IDLE {
-        match timeout(LOOK, s.peek(&mut first)).await {
+    while waited < IDLE_TIMEOUT {
+        match timeout(GATE_CHECK_INTERVAL, s.peek(&mut first)).await {
             Ok(got) => return matches!(got, Ok(1)),
             Err(_) if gate.is_shut() => return false,
-            Err(_) => waited += LOOK,
+            Err(_) => waited += GATE_CHECK_INTERVAL,
         }
     }
     false
@@ -196,7 +198,7 @@
 
 async fn refuse(s: &mut TcpStream, p: ErrorCode) -> std::io::Result<()> {
     use async_std::io::prelude::*;
-    let mut r = shed(p, "", 1);
+    let mut r = error_response(p, "", 1);
     r.insert_header("connection", "close");
     let mut e = async_h1::server::Encoder::new(r, Method::Get);
     let mut b = Vec::new();
@@ -224,7 +226,7 @@
                 // async-h1 would go on to read a body that does not end
                 if matches!(u16::from(r.status()), 408 | 413) {
                     task::spawn(async move {
-                        task::sleep(LINGER).await;
+                        task::sleep(LINGER_TIME).await;
                         let _ = line.shutdown(std::net::Shutdown::Both);
                     });
                 }
@@ -242,7 +244,8 @@
             Err(_) => {
                 // a head that is no HTTP, or too large, still gets a word
                 if !begun.load(Ordering::SeqCst) {
-                    let _ = timeout(HEAD, refuse(&mut s, ErrorCode::InvalidRequestField)).await;
+                    let _ =
+                        timeout(HEAD_TIMEOUT, refuse(&mut s, ErrorCode::InvalidRequestField)).await;
                 }
                 return;
             }
@@ -252,9 +255,9 @@
 
 /// Ends a connection if the head of its request does not arrive in time.
 async fn cut_late(mut s: TcpStream, begun: Arc<AtomicBool>) {
-    task::sleep(HEAD).await;
+    task::sleep(HEAD_TIMEOUT).await;
     if !begun.load(Ordering::SeqCst) {
-        let _ = timeout(HEAD, refuse(&mut s, ErrorCode::RequestTimeout)).await;
+        let _ = timeout(HEAD_TIMEOUT, refuse(&mut s, ErrorCode::RequestTimeout)).await;
         let _ = s.shutdown(std::net::Shutdown::Both);
     }
 }
@@ -264,7 +267,11 @@
 /// # Errors
 /// `BodyTooLarge` above `most` bytes, `RequestTimeout` if it is not complete
 /// after `within` or is truncated, `InvalidRequestField` if it cannot be read.
-pub async fn body(req: &mut Request, most: usize, within: Duration) -> Result<Vec<u8>, ErrorCode> {
+pub async fn read_body(
+    req: &mut Request,
+    most: usize,
+    within: Duration,
+) -> Result<Vec<u8>, ErrorCode> {
     use async_std::io::ReadExt;
     if req.len().is_some_and(|n| n > most) {
         return Err(ErrorCode::BodyTooLarge);
@@ -285,7 +292,7 @@
 }
 
 /// The first value of a query parameter, percent-decoded.
-pub fn query(req: &Request, k: &str) -> Option<String> {
+pub fn query_parameter(req: &Request, k: &str) -> Option<String> {
     req.url()
         .query_pairs()
         .find(|(n, _)| n == k)
--- a/sorreldoor/src/metrics/server.rs
+++ b/sorreldoor/src/metrics/server.rs
@@ -79,8 +79,8 @@
                 let is_page = request.url().path() == endpoint.path;
                 match request.method() {
                     Method::Get if is_page => text(encode()),
-                    _ if is_page => http::shed(ErrorCode::MethodNotAllowed, "", 1),
-                    _ => http::shed(ErrorCode::UnknownPath, "", 1),
+                    _ if is_page => http::error_response(ErrorCode::MethodNotAllowed, "", 1),
+                    _ => http::error_response(ErrorCode::UnknownPath, "", 1),
                 }
             }
         },
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -51,12 +51,12 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn base(req: &Request) -> Result<u64, ErrorCode> {
-    let base = http::query(req, "base").ok_or(ErrorCode::MissingBaseVersion)?;
+    let base = http::query_parameter(req, "base").ok_or(ErrorCode::MissingBaseVersion)?;
     base.parse().map_err(|_| ErrorCode::MissingBaseVersion)
 }
 
 fn given_proposal_id(req: &Request) -> Result<ProposalId, ErrorCode> {
-    http::query(req, "id").map_or_else(
+    http::query_parameter(req, "id").map_or_else(
         || Ok(random_proposal_id()),
         |s| parse_proposal_id(&s).ok_or(ErrorCode::InvalidRequestField),
     )
@@ -107,7 +107,7 @@
 }
 
 async fn body_text(req: &mut Request) -> Result<String, ErrorCode> {
-    let body = http::body(req, configuration::MAX_BYTES, BODY_TIMEOUT).await?;
+    let body = http::read_body(req, configuration::MAX_BYTES, BODY_TIMEOUT).await?;
     String::from_utf8(body).map_err(|_| ErrorCode::InvalidJson)
 }
 
--- a/testbed/src/stub_worker/handlers.rs
+++ b/testbed/src/stub_worker/handlers.rs
@@ -60,7 +60,7 @@
 }
 
 fn set_fault(worker: &Shared, request: &Request) -> Response {
-    let mode = http::query(request, "mode");
+    let mode = http::query_parameter(request, "mode");
     match mode.and_then(|mode| InjectedFault::from_name(&mode)) {
         Some(fault) => {
             lock(&worker.state).fault = fault;
