--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -24,7 +24,11 @@
 }
 
 impl OperatorServer for HttpOperatorServer {
-    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), StartError> {
+    fn start(
+        self,
+        client: ControllerClient,
+        shutdown: http::ShutdownHandle,
+    ) -> Result<(), StartError> {
         let address = self.settings.http;
         let listener = bind("http", address)?;
         let max_connections = self.settings.max_connections;
@@ -33,7 +37,7 @@
         task::spawn(http::serve(
             listener,
             max_connections,
-            gate,
+            shutdown,
             move |request, _| api.clone().handle(request),
         ));
         log_event(LogEvent::Listening, format!("http {address}"));
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -95,11 +95,11 @@
     let mut controller = Controller::new(config, store.consensus_state(), 0);
     let net = start_net(&settings, listener, &events);
     let client = ControllerClient::new(events.clone(), settings.ack_ms);
-    let gate = http::Gate::default();
+    let shutdown = http::ShutdownHandle::default();
     let node = &settings.node;
     log_event(LogEvent::Started, format!("core {node} ({id:x})"));
     log_event(LogEvent::Listening, format!("frames {address}"));
-    server.start(client.clone(), gate.clone())?;
+    server.start(client.clone(), shutdown.clone())?;
     start_metrics(&settings, &client)?;
     start_event_sources(&settings, source.as_ref(), &events)?;
     let storage = StorageDriver::start(wrap_store(store), events.clone());
@@ -110,7 +110,7 @@
         source,
         storage,
         events,
-        gate,
+        shutdown,
         stop_at: None,
         figures_at: Instant::now(),
     };
@@ -211,7 +211,7 @@
     source: Option<Arc<dyn WorkerSource>>,
     storage: StorageDriver<S>,
     events: EventSender<ControllerEvent>,
-    gate: http::Gate,
+    shutdown: http::ShutdownHandle,
     /// When to end, once the process was told to stop.
     stop_at: Option<Instant>,
     /// When the metrics are published next.
@@ -226,12 +226,13 @@
         if controller.is_leaving() && self.stop_at.is_none() {
             log_event(LogEvent::ShuttingDown, "core");
             self.stop_at = Some(Instant::now() + STOP_DELAY);
-            self.gate.shut();
+            self.shutdown.begin();
         }
         let Some(stop_at) = self.stop_at else {
             return true;
         };
-        let drained = || self.gate.open() == 0 || Instant::now() >= stop_at + DRAIN_TIMEOUT;
+        let drained =
+            || self.shutdown.open_connections() == 0 || Instant::now() >= stop_at + DRAIN_TIMEOUT;
         Instant::now() < stop_at || !drained()
     }
 
--- a/sorreldoor/src/control_plane/integration.rs
+++ b/sorreldoor/src/control_plane/integration.rs
@@ -52,11 +52,15 @@
 
 /// Serves operators' requests by means of the controller.
 pub trait OperatorServer: Send + 'static {
-    /// Starts to listen before the core runs, and serves until `gate` is shut.
+    /// Starts to listen before the core runs, and serves until `shutdown` begins.
     ///
     /// # Errors
     /// Why it cannot listen; the core then does not start.
-    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), StartError>;
+    fn start(
+        self,
+        client: ControllerClient,
+        shutdown: http::ShutdownHandle,
+    ) -> Result<(), StartError>;
 }
 
 /// The list of workers over HTTP as JSON, under versions of its source.
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -62,7 +62,7 @@
         EdgeEvent::Net as fn(NetEvent) -> EdgeEvent,
         settings.max_connections,
     );
-    let gate = http::Gate::default();
+    let shutdown = http::ShutdownHandle::default();
     let api = Api {
         settings: settings.clone(),
         events: events.clone(),
@@ -72,7 +72,7 @@
     task::spawn(http::serve(
         listener,
         max_connections,
-        gate.clone(),
+        shutdown.clone(),
         move |request, peer| api.clone().handle(request, peer),
     ));
     log_event(LogEvent::Started, format!("edge {}", settings.node));
@@ -85,7 +85,7 @@
         calls,
         events,
         attempts: HashMap::new(),
-        gate,
+        shutdown,
         shutdown_deadline: None,
         sweep_at: Instant::now(),
     };
@@ -122,7 +122,7 @@
     calls: PendingCalls,
     events: runtime::EventSender<EdgeEvent>,
     attempts: HashMap<AttemptToken, Attempt>,
-    gate: http::Gate,
+    shutdown: http::ShutdownHandle,
     /// When the daemon ends, whatever still runs; set once it shuts down.
     shutdown_deadline: Option<Instant>,
     sweep_at: Instant,
@@ -144,9 +144,9 @@
         // requests in the table are finished first; then no connection is
         // accepted any more, and those that are open get their response
         if controller.is_idle() {
-            self.gate.shut();
+            self.shutdown.begin();
         }
-        let drained = controller.is_idle() && self.gate.open() == 0;
+        let drained = controller.is_idle() && self.shutdown.open_connections() == 0;
         !drained && Instant::now() < deadline
     }
 
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -26,7 +26,7 @@
 /// Time for the client to read the response to a body that was too slow or too
 /// large, before the connection is closed.
 const LINGER_TIME: Duration = Duration::from_millis(500);
-/// Interval at which an idle connection checks the gate.
+/// Interval at which an idle connection checks the shutdown.
 const GATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after which an idle connection is closed.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
@@ -103,17 +103,17 @@
 /// Shuts a server down gracefully: accepted connections finish their request,
 /// and no more are accepted. Clones share the state.
 #[derive(Clone)]
-pub struct Gate {
+pub struct ShutdownHandle {
     shut: Arc<AtomicBool>,
     open: Arc<AtomicUsize>,
     bell: Sender<()>,
     hear: Receiver<()>,
 }
 
-impl Default for Gate {
-    fn default() -> Gate {
+impl Default for ShutdownHandle {
+    fn default() -> ShutdownHandle {
         let (bell, hear) = bounded(1);
-        Gate {
+        ShutdownHandle {
             shut: Arc::default(),
             open: Arc::default(),
             bell,
@@ -122,19 +122,19 @@
     }
 }
 
-impl Gate {
+impl ShutdownHandle {
     /// Shuts the gate for good.
-    pub fn shut(&self) {
+    pub fn begin(&self) {
         self.shut.store(true, Ordering::SeqCst);
         self.bell.close();
     }
 
-    fn is_shut(&self) -> bool {
+    fn has_begun(&self) -> bool {
         self.shut.load(Ordering::SeqCst)
     }
 
     /// Number of connections that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
@@ -160,36 +160,36 @@
 
 /// Serves connections until the gate is shut, `most` at once; others are
 /// answered with `ErrorCode::TooManyConnections`.
-pub async fn serve<F, Fut>(l: TcpListener, most: usize, gate: Gate, f: F)
+pub async fn serve<F, Fut>(l: TcpListener, most: usize, shutdown: ShutdownHandle, f: F)
 where
     F: Fn(Request, Peer) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Response> + Send + 'static,
 {
-    while let Some(s) = gate.next(&l).await {
-        let n = gate.open.fetch_add(1, Ordering::SeqCst);
-        let (gate, f) = (gate.clone(), f.clone());
+    while let Some(s) = shutdown.next(&l).await {
+        let n = shutdown.open.fetch_add(1, Ordering::SeqCst);
+        let (shutdown, f) = (shutdown.clone(), f.clone());
         task::spawn(async move {
             let _ = s.set_nodelay(true);
             if n >= most {
                 let mut s = s;
                 let _ = timeout(HEAD_TIMEOUT, refuse(&mut s, ErrorCode::TooManyConnections)).await;
             } else {
-                one(s, &gate, f).await;
+                one(s, &shutdown, f).await;
             }
-            gate.open.fetch_sub(1, Ordering::SeqCst);
+            shutdown.open.fetch_sub(1, Ordering::SeqCst);
         });
     }
 }
 
 /// Waits for the first byte of the next request; false if there is none.
-async fn comes(s: &TcpStream, gate: &Gate) -> bool {
+async fn comes(s: &TcpStream, shutdown: &ShutdownHandle) -> bool {
     let mut first = [0; 1];
     let mut waited = Duration::ZERO;
     // an idle connection is kept, but not for ever, nor past the gate
     while waited < IDLE_TIMEOUT {
         match timeout(GATE_CHECK_INTERVAL, s.peek(&mut first)).await {
             Ok(got) => return matches!(got, Ok(1)),
-            Err(_) if gate.is_shut() => return false,
+            Err(_) if shutdown.has_begun() => return false,
             Err(_) => waited += GATE_CHECK_INTERVAL,
         }
     }
@@ -206,13 +206,13 @@
     s.write_all(&b).await
 }
 
-async fn one<F, Fut>(mut s: TcpStream, gate: &Gate, f: F)
+async fn one<F, Fut>(mut s: TcpStream, shutdown: &ShutdownHandle, f: F)
 where
     F: Fn(Request, Peer) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Response> + Send + 'static,
 {
     loop {
-        if !comes(&s, gate).await {
+        if !comes(&s, shutdown).await {
             return;
         }
         let begun = Arc::new(AtomicBool::new(false));
@@ -239,7 +239,7 @@
             .await;
         late.cancel().await;
         match got {
-            Ok(async_h1::server::ConnectionStatus::KeepAlive) if !gate.is_shut() => {}
+            Ok(async_h1::server::ConnectionStatus::KeepAlive) if !shutdown.has_begun() => {}
             Ok(_) => return,
             Err(_) => {
                 // a head that is no HTTP, or too large, still gets a word
--- a/sorreldoor/src/metrics/server.rs
+++ b/sorreldoor/src/metrics/server.rs
@@ -2,7 +2,7 @@
 
 use super::CONTENT_TYPE;
 use crate::error::ErrorCode;
-use crate::http::{self, Gate};
+use crate::http::{self, ShutdownHandle};
 use async_std::net::TcpListener;
 use http_types::{Method, Response, StatusCode};
 use std::fmt;
@@ -71,7 +71,7 @@
     http::serve(
         listener,
         MAX_CONNECTIONS,
-        Gate::default(),
+        ShutdownHandle::default(),
         move |request, _| {
             let page = page.clone();
             async move {
--- a/testbed/src/stub_platform.rs
+++ b/testbed/src/stub_platform.rs
@@ -38,9 +38,12 @@
         let addr = l.local_addr()?;
         let list: Arc<Mutex<List>> = Arc::default();
         let shown = list.clone();
-        task::spawn(http::serve(l, 1024, http::Gate::default(), move |r, _| {
-            show(shown.clone(), r)
-        }));
+        task::spawn(http::serve(
+            l,
+            1024,
+            http::ShutdownHandle::default(),
+            move |r, _| show(shown.clone(), r),
+        ));
         Ok(StubPlatform { addr, list })
     }
 
--- a/testbed/src/stub_worker/mod.rs
+++ b/testbed/src/stub_worker/mod.rs
@@ -114,7 +114,12 @@
             release_slot,
         });
         let handle = move |request, _peer| handlers::handle(shared.clone(), request);
-        let server = http::serve(listener, MAX_CONNECTIONS, http::Gate::default(), handle);
+        let server = http::serve(
+            listener,
+            MAX_CONNECTIONS,
+            http::ShutdownHandle::default(),
+            handle,
+        );
         Ok(StubWorker {
             profile,
             addr,
