--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -290,7 +290,7 @@
             .collect();
         edges.sort_by_key(|edge| {
             let remote = region.is_some_and(|region| region != edge.region);
-            (remote, Reverse(placement::mix(key, &edge.node)))
+            (remote, Reverse(placement::hash_pair(key, &edge.node)))
         });
         edges.iter().map(|edge| edge.http.clone()).collect()
     }
--- a/sorreldoor/src/gateway/request_table/matching.rs
+++ b/sorreldoor/src/gateway/request_table/matching.rs
@@ -50,7 +50,7 @@
             Some(Match { placement, spilled })
         };
         let local_percent = local_percent(cluster, route);
-        if placement::mix(&request.spec.id, "part") % 100 < local_percent {
+        if placement::hash_pair(&request.spec.id, "part") % 100 < local_percent {
             local().or_else(remote)
         } else {
             remote().or_else(local)
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -27,7 +27,7 @@
 /// large, before the connection is closed.
 const LINGER_TIME: Duration = Duration::from_millis(500);
 /// Interval at which an idle connection checks the shutdown.
-const GATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after which an idle connection is closed.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -187,10 +187,10 @@
     let mut waited = Duration::ZERO;
     // an idle connection is kept, but not for ever, nor past the gate
     while waited < IDLE_TIMEOUT {
-        match timeout(GATE_CHECK_INTERVAL, s.peek(&mut first)).await {
+        match timeout(SHUTDOWN_CHECK_INTERVAL, s.peek(&mut first)).await {
             Ok(got) => return matches!(got, Ok(1)),
             Err(_) if shutdown.has_begun() => return false,
-            Err(_) => waited += GATE_CHECK_INTERVAL,
+            Err(_) => waited += SHUTDOWN_CHECK_INTERVAL,
         }
     }
     false
--- a/sorreldoor/src/placement.rs
+++ b/sorreldoor/src/placement.rs
@@ -84,7 +84,7 @@
 }
 
 /// A stable hash of two strings (FNV-1a with a final avalanche step).
-pub fn mix(a: &str, b: &str) -> u64 {
+pub fn hash_pair(a: &str, b: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     const SEPARATOR: u8 = 0xff;
@@ -120,7 +120,7 @@
     } else {
         request.id
     };
-    let first = weighted_index(&weighted, mix(key, &route.name));
+    let first = weighted_index(&weighted, hash_pair(key, &route.name));
     let mut services: Vec<u16> = weighted.iter().map(|(service, _)| *service).collect();
     if !services.is_empty() {
         services.rotate_left(first);
@@ -182,7 +182,7 @@
 fn pick(kind: Kind, usable: &[(usize, &Candidate)], request: &PlacementRequest) -> Option<usize> {
     let least_utilized = usable
         .iter()
-        .min_by_key(|(_, worker)| (worker.utilization(), mix(request.id, &worker.name)))
+        .min_by_key(|(_, worker)| (worker.utilization(), hash_pair(request.id, &worker.name)))
         .map(|(index, _)| *index);
     if kind != Kind::Prefix {
         return least_utilized;
@@ -192,7 +192,7 @@
     usable
         .iter()
         .filter(|(_, worker)| !worker.is_full())
-        .max_by_key(|(_, worker)| mix(request.key, &worker.name))
+        .max_by_key(|(_, worker)| hash_pair(request.key, &worker.name))
         .map(|(index, _)| *index)
         .or(least_utilized)
 }
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -141,7 +141,7 @@
     /// Sets the name of the node, which spreads nodes over the cores.
     pub fn named(self, node: &str) -> Pull {
         // not all need find the first seed dead when they start at once
-        let next = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
+        let next = crate::placement::hash_pair(node, "seed") as usize % self.cores.len().max(1);
         Pull {
             next,
             salt: node.to_string(),
@@ -381,7 +381,7 @@
     /// region of the edge; those are tried first.
     pub fn take_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
         let salt = &self.salt;
-        cores.sort_by_key(|(a, near)| (!near, crate::placement::mix(salt, &a.to_string())));
+        cores.sort_by_key(|(a, near)| (!near, crate::placement::hash_pair(salt, &a.to_string())));
         if !cores.is_empty() && cores != self.cores {
             self.cores = cores;
             let own = |(a, _): &(SocketAddr, bool)| Some(*a) == self.dialled;
--- a/testbed/src/stub_worker/handlers.rs
+++ b/testbed/src/stub_worker/handlers.rs
@@ -135,7 +135,7 @@
     request_body: &[u8],
     fault: InjectedFault,
 ) -> Response {
-    let echo = sorreldoor::placement::mix("", &String::from_utf8_lossy(request_body));
+    let echo = sorreldoor::placement::hash_pair("", &String::from_utf8_lossy(request_body));
     let mut result = Value::object();
     let _ = result.insert("errand", id);
     let _ = result.insert("worker", worker.profile.name.as_str());
