--- a/sorreldoor/src/gateway/event_stream_body.rs
+++ b/sorreldoor/src/gateway/event_stream_body.rs
@@ -2,7 +2,7 @@
 
 use super::worker_exchange::StreamPart;
 use crate::error::ErrorCode;
-use crate::http::Watch;
+use crate::http::DisconnectWatch;
 use crate::json::Value;
 use async_std::channel::Receiver;
 use async_std::io::{self, BufRead, Read};
@@ -27,11 +27,11 @@
     offset: usize,
     progress: Progress,
     /// Reports a disconnect of the caller for as long as the body is sent.
-    _watch: Watch,
+    _watch: DisconnectWatch,
 }
 
 impl EventStreamBody {
-    pub fn new(parts: Receiver<StreamPart>, watch: Watch) -> EventStreamBody {
+    pub fn new(parts: Receiver<StreamPart>, watch: DisconnectWatch) -> EventStreamBody {
         EventStreamBody {
             parts,
             buffer: Vec::new(),
--- a/sorreldoor/src/gateway/request_api.rs
+++ b/sorreldoor/src/gateway/request_api.rs
@@ -209,7 +209,11 @@
     response
 }
 
-fn stream_response(parts: Receiver<StreamPart>, id: &str, watch: http::Watch) -> Response {
+fn stream_response(
+    parts: Receiver<StreamPart>,
+    id: &str,
+    watch: http::DisconnectWatch,
+) -> Response {
     let mut response = Response::new(StatusCode::Ok);
     let body = EventStreamBody::new(parts, watch);
     response.set_body(Body::from_reader(body, None));
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -1,5 +1,5 @@
-//! The HTTP client: a connection for each request, and responses read to their
-//! stated end.
+//! The HTTP client. It opens a new connection for each request, and accepts a
+//! response only if its length is stated and complete.
 
 use crate::invariants::{broken, Invariant};
 use async_std::future::timeout;
@@ -9,19 +9,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a call failed, which tells whether the request may have been sent.
+/// Why a call failed, and whether its request may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection: nothing was sent, so that a retry is safe.
+    /// Nothing was sent, so a retry is safe.
     NotSent,
-    /// The request may have been sent, and no complete response head came
-    /// back.
+    /// The request may have been sent; no complete response head arrived.
     NoResponse,
     /// The body ended before its stated length.
     Truncated,
-    /// The response breaks the protocol or is longer than the caller accepts.
+    /// The response violates the protocol or is longer than the caller accepts.
     InvalidResponse,
-    /// The time limit was reached; the request may have been sent.
+    /// The call timed out; the request may have been sent.
     TimedOut,
 }
 
@@ -31,9 +30,9 @@
     pub status: u16,
     /// Header `content-type`; empty if absent.
     pub content_type: String,
-    /// Header `x-errand-id`: the id of the request that was answered.
+    /// Header `x-errand-id`: the id of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// Header `location`: where a redirect leads.
+    /// Header `location`: the target of a redirect.
     pub location: Option<String>,
     /// Header `retry-after` in seconds; `None` if absent or not a number.
     pub retry_after_s: Option<u64>,
@@ -43,13 +42,13 @@
 
 /// A request to send.
 pub struct Call {
-    /// Method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path with the query.
+    /// Path and query string.
     pub path: String,
-    /// Further headers, by name and value.
+    /// Additional headers as pairs of name and value.
     pub headers: Vec<(&'static str, String)>,
-    /// Body, sent as JSON; for GET an empty one is left out.
+    /// Body with content type JSON; a GET with an empty one is sent without.
     pub body: Vec<u8>,
 }
 
@@ -68,100 +67,114 @@
 /// Opens a connection.
 ///
 /// # Errors
-/// `CallError::NotSent` if there is none after `within`.
-pub async fn connect(addr: SocketAddr, within: Duration) -> Result<TcpStream, CallError> {
-    // a fresh connection each time, so no reset of a reused one can leave
-    // it unknown whether an errand ran
-    let s = timeout(within, TcpStream::connect(addr))
+/// `CallError::NotSent` if it is not established within `time_limit`.
+pub async fn connect(addr: SocketAddr, time_limit: Duration) -> Result<TcpStream, CallError> {
+    // connections are not reused: a reset of an idle one would leave it
+    // unknown whether the request ran
+    let stream = timeout(time_limit, TcpStream::connect(addr))
         .await
         .ok()
-        .and_then(|s| s.ok())
+        .and_then(|connected| connected.ok())
         .ok_or(CallError::NotSent)?;
-    let _ = s.set_nodelay(true);
-    Ok(s)
+    let _ = stream.set_nodelay(true);
+    Ok(stream)
 }
 
-/// Sends a request on an open connection, and waits for the head of the
-/// response. The body is still to be read.
+/// Sends a request on an open connection and returns the response once its
+/// head has arrived; the body is left to be read.
 ///
 /// # Errors
-/// `CallError::NotSent` if the request could not be formed, else `CallError::NoResponse`.
-pub async fn send(s: TcpStream, c: Call) -> Result<Response, CallError> {
-    let at = s.peer_addr().map_err(|_| CallError::NotSent)?;
-    let url = Url::parse(&format!("http://{at}{}", c.path)).map_err(|_| CallError::NotSent)?;
-    let mut req = Request::new(c.method, url);
-    for (k, v) in c.headers {
-        req.insert_header(k, v);
+/// `CallError::NotSent` if the URL is invalid or the connection is already
+/// closed, else `CallError::NoResponse`.
+pub async fn send(stream: TcpStream, call: Call) -> Result<Response, CallError> {
+    let peer_addr = stream.peer_addr().map_err(|_| CallError::NotSent)?;
+    let url =
+        Url::parse(&format!("http://{peer_addr}{}", call.path)).map_err(|_| CallError::NotSent)?;
+    let mut request = Request::new(call.method, url);
+    for (name, value) in call.headers {
+        request.insert_header(name, value);
     }
-    req.insert_header("connection", "close");
-    if !c.body.is_empty() || c.method != Method::Get {
-        req.set_body(Body::from_bytes(c.body));
-        req.set_content_type(http_types::mime::JSON);
+    request.insert_header("connection", "close");
+    if !call.body.is_empty() || call.method != Method::Get {
+        request.set_body(Body::from_bytes(call.body));
+        request.set_content_type(http_types::mime::JSON);
     }
-    async_h1::connect(s, req)
+    async_h1::connect(stream, request)
         .await
         .map_err(|_| CallError::NoResponse)
 }
 
-/// Whether a response states its length in exactly one way (RFC 9112, section
-/// 6.3), so that a truncated one is recognized.
-pub fn has_valid_framing(r: &Response) -> bool {
-    let status = u16::from(r.status());
-    let bare = status == 204 || status == 304;
-    let chunked = r
+/// Whether a response states its body length in exactly one way (RFC 9112,
+/// section 6.3), without which a truncated body could not be detected.
+pub fn has_valid_framing(response: &Response) -> bool {
+    let status = u16::from(response.status());
+    let has_no_body = status == 204 || status == 304;
+    let chunked = response
         .header("transfer-encoding")
-        .map(|h| h.last().as_str().eq_ignore_ascii_case("chunked"));
-    let lengths = r.header("content-length").map(|all| {
-        let first = all
+        .map(|values| values.last().as_str().eq_ignore_ascii_case("chunked"));
+    let lengths = response.header("content-length").map(|values| {
+        let first = values
             .iter()
             .next()
-            .and_then(|v| v.as_str().parse::<u64>().ok());
-        let same = |v: &HeaderValue| v.as_str().parse::<u64>().ok() == first;
-        first.is_some() && all.iter().all(same)
+            .and_then(|value| value.as_str().parse::<u64>().ok());
+        let same = |value: &HeaderValue| value.as_str().parse::<u64>().ok() == first;
+        first.is_some() && values.iter().all(same)
     });
     match (chunked, lengths) {
-        (None, None) => bare,
-        (None, Some(good)) => good,
-        (Some(good), None) => good,
-        // two readers may each believe another of the two
+        (None, None) => has_no_body,
+        (None, Some(valid)) => valid,
+        (Some(valid), None) => valid,
+        // recipients disagree on which of the two applies
         (Some(_), Some(_)) => false,
     }
 }
 
-fn text(r: &Response, name: &str) -> Option<String> {
-    r.header(name).map(|h| h.last().as_str().to_string())
+fn header(response: &Response, name: &str) -> Option<String> {
+    response
+        .header(name)
+        .map(|values| values.last().as_str().to_string())
 }
 
-/// Reads a response to its stated end, with at most `most` bytes of body.
+/// Reads a whole response with at most `max_bytes` bytes of body.
 ///
 /// # Errors
-/// `CallError::Truncated` if it is truncated, `CallError::InvalidResponse` if its length is too
-/// large or not stated properly.
-pub async fn read_response(mut r: Response, most: usize) -> Result<CompleteResponse, CallError> {
+/// `CallError::Truncated` if the body ends early, `CallError::InvalidResponse`
+/// if its length is too large or not properly stated.
+pub async fn read_response(
+    mut response: Response,
+    max_bytes: usize,
+) -> Result<CompleteResponse, CallError> {
     use async_std::io::ReadExt;
-    if !has_valid_framing(&r) {
+    if !has_valid_framing(&response) {
         return Err(CallError::InvalidResponse);
     }
-    let status: u16 = r.status().into();
-    let want = text(&r, "content-length").and_then(|n| n.parse::<usize>().ok());
-    if want.is_some_and(|n| n > most) {
+    let status: u16 = response.status().into();
+    let stated_length =
+        header(&response, "content-length").and_then(|length| length.parse::<usize>().ok());
+    if stated_length.is_some_and(|length| length > max_bytes) {
         return Err(CallError::InvalidResponse);
     }
-    let (content_type, request_id) = (text(&r, "content-type"), text(&r, "x-errand-id"));
-    let location = text(&r, "location");
-    let retry_after_s = text(&r, "retry-after").and_then(|s| s.parse().ok());
-    let mut b = Vec::new();
-    // whatever follows a result that has no body is not part of it
+    let (content_type, request_id) = (
+        header(&response, "content-type"),
+        header(&response, "x-errand-id"),
+    );
+    let location = header(&response, "location");
+    let retry_after_s = header(&response, "retry-after").and_then(|seconds| seconds.parse().ok());
+    let mut body = Vec::new();
+    // bytes after a response that has no body do not belong to it
     if status != 204 && status != 304 {
-        let mut body = r.take_body().take(most as u64 + 1);
-        body.read_to_end(&mut b)
+        let mut reader = response.take_body().take(max_bytes as u64 + 1);
+        reader
+            .read_to_end(&mut body)
             .await
             .map_err(|_| CallError::Truncated)?;
-        if b.len() > most {
+        if body.len() > max_bytes {
             return Err(CallError::InvalidResponse);
         }
-        // async-h1 takes an early end of a counted body for its end
-        if want.is_some_and(|n| n != b.len()) && !broken(Invariant::ResultLength) {
+        // async-h1 does not report a body shorter than its Content-Length
+        if stated_length.is_some_and(|length| length != body.len())
+            && !broken(Invariant::ResultLength)
+        {
             return Err(CallError::Truncated);
         }
     }
@@ -171,24 +184,25 @@
         request_id,
         location,
         retry_after_s,
-        body: b,
+        body,
     })
 }
 
-/// Connects, sends, and reads the whole response, of which the body has at
-/// most `most` bytes. `within` bounds connecting, and then once more the rest.
+/// Connects, sends the request and reads the whole response with at most
+/// `max_bytes` bytes of body. `time_limit` applies to connecting, and again to
+/// the rest of the exchange.
 ///
 /// # Errors
-/// `CallError`, which tells whether the request may have been sent.
+/// Why the call failed, and whether its request may have been sent.
 pub async fn call(
     addr: SocketAddr,
-    c: Call,
-    most: usize,
-    within: Duration,
+    call: Call,
+    max_bytes: usize,
+    time_limit: Duration,
 ) -> Result<CompleteResponse, CallError> {
-    let s = connect(addr, within).await?;
-    timeout(within, async {
-        read_response(send(s, c).await?, most).await
+    let stream = connect(addr, time_limit).await?;
+    timeout(time_limit, async {
+        read_response(send(stream, call).await?, max_bytes).await
     })
     .await
     .unwrap_or(Err(CallError::TimedOut))
--- a/sorreldoor/src/http/mod.rs
+++ b/sorreldoor/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 with JSON, through async-h1: a server with bounds, and a client that
-//! checks that responses are complete.
+//! HTTP/1.1 with JSON bodies, over async-h1: a server with time and size
+//! limits, and a client that detects truncated responses.
 
 mod call;
 
@@ -24,20 +24,20 @@
 /// Time limit for the head of a request to arrive.
 pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for the client to read the response to a body that was too slow or too
-/// large, before the connection is closed.
+/// large, before its connection is closed.
 const LINGER_TIME: Duration = Duration::from_millis(500);
-/// Interval at which an idle connection checks the shutdown.
+/// Interval at which an idle connection checks whether the server shuts down.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after which an idle connection is closed.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A response with a JSON body. A status that is not valid becomes 500.
-pub fn json(status: u16, text: String) -> Response {
+/// A response with a JSON body; an invalid status becomes 500.
+pub fn json(status: u16, body: String) -> Response {
     let code = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
-    let mut r = Response::new(code);
-    r.set_body(Body::from_string(text));
-    r.set_content_type(http_types::mime::JSON);
-    r
+    let mut response = Response::new(code);
+    response.set_body(Body::from_string(body));
+    response.set_content_type(http_types::mime::JSON);
+    response
 }
 
 /// A response with status 200 and a JSON body.
@@ -45,150 +45,161 @@
     json(200, v.encode())
 }
 
-/// The response for an error, with its status and message. `more` is the field
-/// `about` unless it is empty; `again` is the `retry-after` of a retryable
-/// error, in seconds and at least 1.
-pub fn error_response(p: ErrorCode, more: &str, again: u64) -> Response {
+/// The response for an error, with its status and message. A `detail` that is
+/// not empty becomes the field `about`; `retry_after_s`, at least 1, becomes
+/// the header `retry-after` if the error is retryable.
+pub fn error_response(error_code: ErrorCode, detail: &str, retry_after_s: u64) -> Response {
     let mut v = Value::object();
-    let _ = v.insert("problem", p.code());
-    let _ = v.insert("text", p.message());
-    if !more.is_empty() {
-        let _ = v.insert("about", more);
+    let _ = v.insert("problem", error_code.code());
+    let _ = v.insert("text", error_code.message());
+    if !detail.is_empty() {
+        let _ = v.insert("about", detail);
     }
-    let mut r = json(p.status(), v.encode());
-    if p.is_retryable() {
-        r.insert_header("retry-after", again.max(1).to_string());
+    let mut response = json(error_code.status(), v.encode());
+    if error_code.is_retryable() {
+        response.insert_header("retry-after", retry_after_s.max(1).to_string());
     }
-    r
+    response
 }
 
-/// The connection that a request came on.
+/// The connection that a request arrived on.
 pub struct Peer(TcpStream);
 
 impl Peer {
-    /// Runs `f` if the client disconnects while the watch exists.
-    pub fn watch<F, Fut>(self, f: F) -> Watch
+    /// Calls `on_disconnect` if the client disconnects before the watch is
+    /// dropped.
+    pub fn watch<F, Fut>(self, on_disconnect: F) -> DisconnectWatch
     where
         F: FnOnce() -> Fut + Send + 'static,
         Fut: Future<Output = ()> + Send + 'static,
     {
-        Watch(Some(task::spawn(async move {
-            let mut b = [0; 1];
-            // bytes that wait belong to the next errand; only an end counts
-            if matches!(self.0.peek(&mut b).await, Ok(0) | Err(_)) {
-                f().await;
+        DisconnectWatch(Some(task::spawn(async move {
+            let mut byte = [0; 1];
+            // a byte that can be read belongs to a pipelined request
+            if matches!(self.0.peek(&mut byte).await, Ok(0) | Err(_)) {
+                on_disconnect().await;
             }
         })))
     }
 }
 
-/// A watch for the end of a connection; it stops when dropped.
-pub struct Watch(Option<task::JoinHandle<()>>);
+/// Watches a connection for a disconnect until it is dropped.
+pub struct DisconnectWatch(Option<task::JoinHandle<()>>);
 
-impl Watch {
+impl DisconnectWatch {
     /// Stops the watch.
     pub fn stop(self) {}
 }
 
-impl Drop for Watch {
+impl Drop for DisconnectWatch {
     fn drop(&mut self) {
-        if let Some(h) = self.0.take() {
+        if let Some(watch_task) = self.0.take() {
             task::spawn(async move {
-                h.cancel().await;
+                watch_task.cancel().await;
             });
         }
     }
 }
 
-/// Shuts a server down gracefully: accepted connections finish their request,
-/// and no more are accepted. Clones share the state.
+/// Shuts a server down gracefully: no more connections are accepted, and those
+/// that are open complete their current request. Clones share the state.
 #[derive(Clone)]
 pub struct ShutdownHandle {
-    shut: Arc<AtomicBool>,
+    begun: Arc<AtomicBool>,
     open: Arc<AtomicUsize>,
-    bell: Sender<()>,
-    hear: Receiver<()>,
+    /// Closed when the shutdown begins, which ends the receiver's wait.
+    signal: Sender<()>,
+    signal_receiver: Receiver<()>,
 }
 
 impl Default for ShutdownHandle {
     fn default() -> ShutdownHandle {
-        let (bell, hear) = bounded(1);
+        let (signal, signal_receiver) = bounded(1);
         ShutdownHandle {
-            shut: Arc::default(),
+            begun: Arc::default(),
             open: Arc::default(),
-            bell,
-            hear,
+            signal,
+            signal_receiver,
         }
     }
 }
 
 impl ShutdownHandle {
-    /// Shuts the gate for good.
+    /// Begins the shutdown, which cannot be undone.
     pub fn begin(&self) {
-        self.shut.store(true, Ordering::SeqCst);
-        self.bell.close();
+        self.begun.store(true, Ordering::SeqCst);
+        self.signal.close();
     }
 
     fn has_begun(&self) -> bool {
-        self.shut.load(Ordering::SeqCst)
+        self.begun.load(Ordering::SeqCst)
     }
 
-    /// Number of connections that are open.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// The next connection; `None` once the gate is shut.
-    async fn next(&self, l: &TcpListener) -> Option<TcpStream> {
-        let mut shut = std::pin::pin!(self.hear.recv());
+    /// Accepts the next connection; `None` once the shutdown has begun.
+    async fn accept(&self, listener: &TcpListener) -> Option<TcpStream> {
+        let mut shutdown = std::pin::pin!(self.signal_receiver.recv());
         loop {
-            let mut come = std::pin::pin!(l.accept());
-            let got = std::future::poll_fn(|cx| {
-                // what has come already is served before the gate shuts
-                if let Poll::Ready(r) = come.as_mut().poll(cx) {
-                    return Poll::Ready(Some(r));
+            let mut accept = std::pin::pin!(listener.accept());
+            let accepted = std::future::poll_fn(|cx| {
+                // connections in the backlog are served before the shutdown
+                if let Poll::Ready(result) = accept.as_mut().poll(cx) {
+                    return Poll::Ready(Some(result));
                 }
-                shut.as_mut().poll(cx).map(|_| None)
+                shutdown.as_mut().poll(cx).map(|_| None)
             });
-            match got.await? {
-                Ok((s, _)) => return Some(s),
+            match accepted.await? {
+                Ok((stream, _)) => return Some(stream),
                 Err(_) => task::sleep(Duration::from_millis(20)).await,
             }
         }
     }
 }
 
-/// Serves connections until the gate is shut, `most` at once; others are
-/// answered with `ErrorCode::TooManyConnections`.
-pub async fn serve<F, Fut>(l: TcpListener, most: usize, shutdown: ShutdownHandle, f: F)
-where
+/// Serves connections until the shutdown begins. A connection above
+/// `max_connections` gets `ErrorCode::TooManyConnections` and is closed.
+pub async fn serve<F, Fut>(
+    listener: TcpListener,
+    max_connections: usize,
+    shutdown: ShutdownHandle,
+    handler: F,
+) where
     F: Fn(Request, Peer) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Response> + Send + 'static,
 {
-    while let Some(s) = shutdown.next(&l).await {
-        let n = shutdown.open.fetch_add(1, Ordering::SeqCst);
-        let (shutdown, f) = (shutdown.clone(), f.clone());
+    while let Some(stream) = shutdown.accept(&listener).await {
+        let already_open = shutdown.open.fetch_add(1, Ordering::SeqCst);
+        let (shutdown, handler) = (shutdown.clone(), handler.clone());
         task::spawn(async move {
-            let _ = s.set_nodelay(true);
-            if n >= most {
-                let mut s = s;
-                let _ = timeout(HEAD_TIMEOUT, refuse(&mut s, ErrorCode::TooManyConnections)).await;
+            let _ = stream.set_nodelay(true);
+            if already_open >= max_connections {
+                let mut stream = stream;
+                let _ = timeout(
+                    HEAD_TIMEOUT,
+                    send_error(&mut stream, ErrorCode::TooManyConnections),
+                )
+                .await;
             } else {
-                one(s, &shutdown, f).await;
+                serve_connection(stream, &shutdown, handler).await;
             }
             shutdown.open.fetch_sub(1, Ordering::SeqCst);
         });
     }
 }
 
-/// Waits for the first byte of the next request; false if there is none.
-async fn comes(s: &TcpStream, shutdown: &ShutdownHandle) -> bool {
-    let mut first = [0; 1];
+/// Waits for the first byte of the next request. Returns false if the client
+/// disconnects, the connection stays idle for too long, or the server shuts
+/// down.
+async fn wait_for_request(stream: &TcpStream, shutdown: &ShutdownHandle) -> bool {
+    let mut first_byte = [0; 1];
     let mut waited = Duration::ZERO;
-    // an idle connection is kept, but not for ever, nor past the gate
     while waited < IDLE_TIMEOUT {
-        match timeout(SHUTDOWN_CHECK_INTERVAL, s.peek(&mut first)).await {
-            Ok(got) => return matches!(got, Ok(1)),
+        match timeout(SHUTDOWN_CHECK_INTERVAL, stream.peek(&mut first_byte)).await {
+            Ok(peeked) => return matches!(peeked, Ok(1)),
             Err(_) if shutdown.has_begun() => return false,
             Err(_) => waited += SHUTDOWN_CHECK_INTERVAL,
         }
@@ -196,56 +207,61 @@
     false
 }
 
-async fn refuse(s: &mut TcpStream, p: ErrorCode) -> std::io::Result<()> {
+/// Sends an error response outside of async-h1's server loop.
+async fn send_error(stream: &mut TcpStream, error_code: ErrorCode) -> std::io::Result<()> {
     use async_std::io::prelude::*;
-    let mut r = error_response(p, "", 1);
-    r.insert_header("connection", "close");
-    let mut e = async_h1::server::Encoder::new(r, Method::Get);
-    let mut b = Vec::new();
-    e.read_to_end(&mut b).await?;
-    s.write_all(&b).await
+    let mut response = error_response(error_code, "", 1);
+    response.insert_header("connection", "close");
+    let mut encoder = async_h1::server::Encoder::new(response, Method::Get);
+    let mut encoded = Vec::new();
+    encoder.read_to_end(&mut encoded).await?;
+    stream.write_all(&encoded).await
 }
 
-async fn one<F, Fut>(mut s: TcpStream, shutdown: &ShutdownHandle, f: F)
+/// Serves the requests of one connection, one after another.
+async fn serve_connection<F, Fut>(mut stream: TcpStream, shutdown: &ShutdownHandle, handler: F)
 where
     F: Fn(Request, Peer) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Response> + Send + 'static,
 {
     loop {
-        if !comes(&s, shutdown).await {
+        if !wait_for_request(&stream, shutdown).await {
             return;
         }
-        let begun = Arc::new(AtomicBool::new(false));
-        let seen = begun.clone();
-        let endpoint = |req| {
-            seen.store(true, Ordering::SeqCst);
-            let r = f(req, Peer(s.clone()));
-            let line = s.clone();
+        let head_received = Arc::new(AtomicBool::new(false));
+        let head_flag = head_received.clone();
+        let endpoint = |request| {
+            head_flag.store(true, Ordering::SeqCst);
+            let response = handler(request, Peer(stream.clone()));
+            let connection = stream.clone();
             async move {
-                let r: Response = r.await;
-                // async-h1 would go on to read a body that does not end
-                if matches!(u16::from(r.status()), 408 | 413) {
+                let response: Response = response.await;
+                // async-h1 would continue to read the rest of the body
+                if matches!(u16::from(response.status()), 408 | 413) {
                     task::spawn(async move {
                         task::sleep(LINGER_TIME).await;
-                        let _ = line.shutdown(std::net::Shutdown::Both);
+                        let _ = connection.shutdown(std::net::Shutdown::Both);
                     });
                 }
-                Ok(r)
+                Ok(response)
             }
         };
-        let late = task::spawn(cut_late(s.clone(), begun.clone()));
-        let got = async_h1::server::Server::new(s.clone(), endpoint)
+        let head_timer = task::spawn(enforce_head_timeout(stream.clone(), head_received.clone()));
+        let served = async_h1::server::Server::new(stream.clone(), endpoint)
             .accept_one()
             .await;
-        late.cancel().await;
-        match got {
+        head_timer.cancel().await;
+        match served {
             Ok(async_h1::server::ConnectionStatus::KeepAlive) if !shutdown.has_begun() => {}
             Ok(_) => return,
             Err(_) => {
-                // a head that is no HTTP, or too large, still gets a word
-                if !begun.load(Ordering::SeqCst) {
-                    let _ =
-                        timeout(HEAD_TIMEOUT, refuse(&mut s, ErrorCode::InvalidRequestField)).await;
+                // async-h1 does not answer a head that is malformed or too large
+                if !head_received.load(Ordering::SeqCst) {
+                    let _ = timeout(
+                        HEAD_TIMEOUT,
+                        send_error(&mut stream, ErrorCode::InvalidRequestField),
+                    )
+                    .await;
                 }
                 return;
             }
@@ -253,48 +269,56 @@
     }
 }
 
-/// Ends a connection if the head of its request does not arrive in time.
-async fn cut_late(mut s: TcpStream, begun: Arc<AtomicBool>) {
+/// Closes a connection if no request head arrives within `HEAD_TIMEOUT`.
+async fn enforce_head_timeout(mut stream: TcpStream, head_received: Arc<AtomicBool>) {
     task::sleep(HEAD_TIMEOUT).await;
-    if !begun.load(Ordering::SeqCst) {
-        let _ = timeout(HEAD_TIMEOUT, refuse(&mut s, ErrorCode::RequestTimeout)).await;
-        let _ = s.shutdown(std::net::Shutdown::Both);
+    if !head_received.load(Ordering::SeqCst) {
+        let _ = timeout(
+            HEAD_TIMEOUT,
+            send_error(&mut stream, ErrorCode::RequestTimeout),
+        )
+        .await;
+        let _ = stream.shutdown(std::net::Shutdown::Both);
     }
 }
 
 /// Reads the body of a request.
 ///
 /// # Errors
-/// `BodyTooLarge` above `most` bytes, `RequestTimeout` if it is not complete
-/// after `within` or is truncated, `InvalidRequestField` if it cannot be read.
+/// `BodyTooLarge` above `max_bytes`, `RequestTimeout` if it is not complete
+/// after `time_limit` or is truncated, `InvalidRequestField` if it cannot be
+/// read.
 pub async fn read_body(
-    req: &mut Request,
-    most: usize,
-    within: Duration,
+    request: &mut Request,
+    max_bytes: usize,
+    time_limit: Duration,
 ) -> Result<Vec<u8>, ErrorCode> {
     use async_std::io::ReadExt;
-    if req.len().is_some_and(|n| n > most) {
+    if request.len().is_some_and(|length| length > max_bytes) {
         return Err(ErrorCode::BodyTooLarge);
     }
-    let want = req.len();
-    let mut b = Vec::new();
-    let body = req.take_body();
-    let mut body = body.take(most as u64 + 1);
-    let got = timeout(within, body.read_to_end(&mut b)).await;
-    match got {
+    let stated_length = request.len();
+    let mut body = Vec::new();
+    let reader = request.take_body();
+    let mut reader = reader.take(max_bytes as u64 + 1);
+    let read = timeout(time_limit, reader.read_to_end(&mut body)).await;
+    match read {
         Err(_) => Err(ErrorCode::RequestTimeout),
         Ok(Err(_)) => Err(ErrorCode::InvalidRequestField),
-        Ok(Ok(_)) if b.len() > most => Err(ErrorCode::BodyTooLarge),
-        // async-h1 takes an early end of a counted body for its end
-        Ok(Ok(_)) if want.is_some_and(|n| n != b.len()) => Err(ErrorCode::RequestTimeout),
-        Ok(Ok(_)) => Ok(b),
+        Ok(Ok(_)) if body.len() > max_bytes => Err(ErrorCode::BodyTooLarge),
+        // async-h1 does not report a body shorter than its Content-Length
+        Ok(Ok(_)) if stated_length.is_some_and(|length| length != body.len()) => {
+            Err(ErrorCode::RequestTimeout)
+        }
+        Ok(Ok(_)) => Ok(body),
     }
 }
 
 /// The first value of a query parameter, percent-decoded.
-pub fn query_parameter(req: &Request, k: &str) -> Option<String> {
-    req.url()
+pub fn query_parameter(request: &Request, name: &str) -> Option<String> {
+    request
+        .url()
         .query_pairs()
-        .find(|(n, _)| n == k)
-        .map(|(_, v)| v.into_owned())
+        .find(|(parameter, _)| parameter == name)
+        .map(|(_, value)| value.into_owned())
 }
