--- a/sorreldoor/src/gateway/request_table/admission.rs
+++ b/sorreldoor/src/gateway/request_table/admission.rs
@@ -14,14 +14,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Admission {
-    /// Nothing speaks against the request so far; its body may be read.
+    /// The checks that need no body have passed; the body may be read.
     Accepted,
-    /// Redirected to its home region; the effect has been pushed.
+    /// The request is redirected to its home region; the effect has been pushed.
     Redirected,
 }
 
 impl RequestTable {
-    /// Accepts a request into the queue, or rejects it.
+    /// Accepts a request into the queue, or rejects or redirects it.
     pub fn submit(
         &mut self,
         cluster: &ClusterView,
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Counts an arriving request, whether it is accepted or not.
+    /// Counts an arriving request, whether it is accepted or not, and credits
+    /// the spill budget for it.
     pub fn record_arrival(&mut self, cluster: &ClusterView, now: Millis) {
         self.retry_after.record_arrival(now);
         if let Some(configuration) = &cluster.configuration {
@@ -74,8 +75,8 @@
         Ok(Admission::Accepted)
     }
 
-    /// Whether the region has lost its workers and the spill budget has no
-    /// room, so that queueing would only use up the request's time.
+    /// Whether the request could only time out in the queue: the region has
+    /// lost its workers, and the request cannot spill to another one.
     fn is_unservable(
         &self,
         cluster: &ClusterView,
@@ -104,7 +105,7 @@
         if self.check_admission(cluster, request_id, &spec)? == Admission::Redirected {
             return Ok(());
         }
-        // the body was read for a profile of an earlier configuration
+        // the body was read under the profile of an earlier configuration
         if !RequestProfile::of(route).is_compatible(&spec.profile) {
             return Err(ErrorCode::NotSent);
         }
@@ -144,7 +145,7 @@
             .count()
     }
 
-    /// Rejects a request that is not in the table (any more).
+    /// Rejects a request that is not in the table, or has been removed from it.
     pub fn reject(&mut self, request_id: RequestId, error_code: ErrorCode, now: Millis) {
         self.counters.rejected += 1;
         let retry_after_s = if error_code.is_retryable() {
@@ -161,7 +162,7 @@
     }
 }
 
-/// The longest queue that any worker group of the route's services allows.
+/// The highest queue limit among the worker groups of the route's services.
 fn queue_limit(configuration: &Configuration, route: &Route) -> usize {
     route
         .shares
--- a/sorreldoor/src/gateway/request_table/budgets.rs
+++ b/sorreldoor/src/gateway/request_table/budgets.rs
@@ -1,14 +1,15 @@
-//! Budgets that bound the load an edge adds by retries and the traffic that
-//! it sends to other regions.
+//! Token-bucket budgets that bound the load an edge adds by retries, and the
+//! traffic it sends to other regions.
 
 use crate::invariants::{broken, Invariant};
 use std::collections::BTreeMap;
 
-/// One request, in the unit of both budgets (hundredths of a request).
+/// The cost of one request in the unit of both budgets, hundredths of a
+/// request; a deposit of one percent is one unit.
 const ONE_REQUEST: u64 = 100;
-/// Most that the retry budget accumulates: two retries.
+/// Cap on the retry budget: two retries.
 const MAX_RETRY_BALANCE: u64 = 2 * ONE_REQUEST;
-/// Most that the spill budget accumulates for each region: two requests.
+/// Cap on the spill budget of each region: two requests.
 const MAX_SPILL_BALANCE: u64 = 2 * ONE_REQUEST;
 
 /// Retry budget: retries as a share of first attempts, as in Finagle. Unused
@@ -20,7 +21,7 @@
 }
 
 impl RetryBudget {
-    /// Credits the budget for a first attempt.
+    /// Credits the budget with `percent` of a retry, for a first attempt.
     pub fn deposit(&mut self, percent: u32) {
         self.balance = (self.balance + u64::from(percent)).min(MAX_RETRY_BALANCE);
     }
@@ -36,8 +37,8 @@
 }
 
 /// Budget for requests that spill over to other regions. Every arriving
-/// request credits the configured percentage. The balance is capped low, so
-/// that a quiet hour does not pay for a burst.
+/// request credits the configured percentage. The low cap keeps the balance of
+/// a quiet period from paying for a burst.
 #[derive(Clone, Debug, Default)]
 pub struct SpillBudget {
     /// In hundredths of a request, by target region.
--- a/sorreldoor/src/gateway/request_table/claims.rs
+++ b/sorreldoor/src/gateway/request_table/claims.rs
@@ -1,4 +1,5 @@
-//! Claims of request ids.
+//! Claims of request ids with the control plane, an idempotency-key check over
+//! all edges.
 //!
 //! A request that is not idempotent and carries an id chosen by its caller is
 //! sent only after the control plane has recorded the id for this edge, so
@@ -15,7 +16,7 @@
 pub enum ClaimState {
     /// The id was generated here, or the request is idempotent.
     NotRequired,
-    /// Sent to the control plane at this time, not answered yet.
+    /// Last sent to the control plane at this time, and not answered yet.
     Pending(Millis),
     /// Recorded for this edge.
     Granted,
@@ -25,7 +26,7 @@
 const CLAIM_RETRY_MS: Millis = 400;
 /// Most sent ids that are reported to a new control-plane session.
 const MAX_REPORTED_IDS: usize = 4096;
-/// Most sent ids that are remembered.
+/// Most sent ids that an edge records.
 const MAX_SENT_IDS: usize = 65_536;
 
 /// An id to claim, and how long the control plane is to remember it.
@@ -129,10 +130,11 @@
         }
     }
 
-    /// Records an id as sent from here, and forgets expired ones.
+    /// Records an id as sent from this edge until the time `until`, and removes
+    /// expired records.
     ///
-    /// The control plane holds the authoritative record; this one only spares
-    /// a round trip.
+    /// The control plane holds the authoritative record; this one saves a round
+    /// trip.
     pub(super) fn record_sent_id(
         &mut self,
         id: String,
--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -17,7 +17,7 @@
 /// The latest state received from each source.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterSnapshot {
-    /// The replicated state, without what only cores need.
+    /// The replicated state, without the parts that only cores use.
     pub view: View,
     /// The workers of the platform.
     pub registry: Arc<WorkerRegistry>,
@@ -27,8 +27,9 @@
     pub edge_sessions: (u64, Vec<EdgeEndpoint>),
 }
 
-/// The latest state with the candidates derived from it. Workers have dense
-/// indices that stay the same for as long as the edge runs.
+/// The latest state with the placement candidates derived from it. A worker's
+/// index is assigned at its first appearance and never changes while the edge
+/// runs.
 #[derive(Default)]
 pub struct ClusterView {
     /// Names of the site's regions and zones.
@@ -39,7 +40,7 @@
     pub zone: u16,
     /// Index of this edge's region.
     pub region: u8,
-    /// What the candidates are derived from.
+    /// The state that the candidates are derived from.
     pub snapshot: ClusterSnapshot,
     /// The configuration in force; none before the first, or while the latest
     /// one cannot be read.
@@ -174,17 +175,19 @@
             return;
         };
         let registry = self.snapshot.registry.clone();
-        // places of earlier workers of the same group and region
-        let mut dealt: BTreeMap<(u16, u8), u64> = BTreeMap::new();
+        // initial slots of earlier workers of the same group and region
+        let mut preceding_slots: BTreeMap<(u16, u8), u64> = BTreeMap::new();
         for worker in &registry.workers {
             let Some(group_index) = configuration.group(&worker.group) else {
                 continue;
             };
             let group = &configuration.groups[group_index as usize];
-            let dealt = dealt.entry((group_index, worker.region)).or_default();
+            let preceding_slots = preceding_slots
+                .entry((group_index, worker.region))
+                .or_default();
             let index = self.worker_index(&worker.name);
-            let candidate = self.candidate_of(worker, index, group_index, group, *dealt);
-            *dealt += u64::from(group.warm.first);
+            let candidate = self.candidate_of(worker, index, group_index, group, *preceding_slots);
+            *preceding_slots += u64::from(group.warm.first);
             self.addresses[index] = Some(worker.addr);
             self.candidates[index] = Some(candidate);
         }
@@ -196,7 +199,7 @@
         index: usize,
         group_index: u16,
         group: &Group,
-        dealt: u64,
+        preceding_slots: u64,
     ) -> Candidate {
         let loads = &self.snapshot.loads;
         let load = loads.of(&worker.name);
@@ -210,7 +213,7 @@
                 slots,
                 warm: group.warm,
                 finished: load.map_or(0, |load| load.finished),
-                dealt,
+                preceding_slots,
                 report_version: loads.version,
             },
         );
@@ -280,13 +283,14 @@
     }
 
     /// HTTP addresses of ready edges, in the order in which a caller with
-    /// this key should try them: those in `region` first, or `only` those.
-    pub fn edges_for(&self, region: Option<u8>, only: bool, key: &str) -> Vec<String> {
+    /// this key should try them: those in `region` first, or if `region_only`
+    /// none but those.
+    pub fn edges_for(&self, region: Option<u8>, region_only: bool, key: &str) -> Vec<String> {
         let endpoints = &self.snapshot.edge_sessions.1;
         let mut edges: Vec<&EdgeEndpoint> = endpoints
             .iter()
             .filter(|edge| edge.ready && !self.is_evacuated(edge.zone))
-            .filter(|edge| !only || region == Some(edge.region))
+            .filter(|edge| !region_only || region == Some(edge.region))
             .collect();
         edges.sort_by_key(|edge| {
             let remote = region.is_some_and(|region| region != edge.region);
--- a/sorreldoor/src/gateway/request_table/completion.rs
+++ b/sorreldoor/src/gateway/request_table/completion.rs
@@ -14,7 +14,7 @@
 const MAX_IDEMPOTENT_ATTEMPTS: u32 = 3;
 
 impl RequestTable {
-    /// A complete response has arrived.
+    /// Handles a complete response: responds with it and ends the request.
     pub(super) fn complete(
         &mut self,
         cluster: &mut ClusterView,
@@ -30,7 +30,7 @@
             .push(RequestEffect::Respond { request_id, token });
     }
 
-    /// The head of a stream has arrived.
+    /// Handles the head of a stream: begins the response.
     pub(super) fn start_stream(&mut self, request_id: RequestId, worker: usize) {
         let token = self.token_of(request_id);
         if let Some(request) = self.requests.get_mut(&request_id) {
@@ -40,7 +40,7 @@
             .push(RequestEffect::Respond { request_id, token });
     }
 
-    /// A stream was relayed up to its last event.
+    /// Ends a request whose stream was relayed up to its last event.
     pub(super) fn end_stream(
         &mut self,
         cluster: &mut ClusterView,
@@ -53,8 +53,8 @@
         self.finish(cluster, request_id, worker);
     }
 
-    /// A stream broke. It is not retried, since its caller has already seen a
-    /// part of it.
+    /// Ends a request whose stream was interrupted. It is not retried, since its
+    /// caller has already received part of it.
     pub(super) fn break_stream(
         &mut self,
         cluster: &mut ClusterView,
@@ -66,7 +66,7 @@
         self.finish(cluster, request_id, worker);
     }
 
-    /// The caller disconnected: drop the request and abort its attempt.
+    /// Removes the request of a disconnected caller and aborts its attempt.
     pub fn on_disconnect(&mut self, cluster: &mut ClusterView, request_id: RequestId) {
         let Some(request) = self.requests.get(&request_id) else {
             return;
@@ -86,8 +86,8 @@
         self.skipped_until.insert(worker, now + SKIP_MS);
     }
 
-    /// Puts a request that has not run back into the queue, at the expense of
-    /// the retry budget; rejects it if the budget is exhausted.
+    /// Requeues a request that has not run, charged to the retry budget; rejects
+    /// it if the budget is exhausted.
     pub(super) fn requeue_charged(
         &mut self,
         cluster: &mut ClusterView,
@@ -100,7 +100,7 @@
         self.requeue_if(allowed, cluster, request_id, worker, now);
     }
 
-    /// Puts a request back into the queue, for another worker.
+    /// Requeues a request for another worker, without a charge.
     pub(super) fn requeue(
         &mut self,
         cluster: &mut ClusterView,
@@ -135,8 +135,9 @@
         }
     }
 
-    /// An attempt failed and may have run: retry an idempotent request, report
-    /// an unknown outcome for any other.
+    /// Handles a failed attempt that may have run. An idempotent request is
+    /// retried within its limits or rejected with `error_code`; any other is
+    /// rejected with `OutcomeUnknown`.
     pub(super) fn fail_attempt(
         &mut self,
         cluster: &mut ClusterView,
@@ -166,7 +167,7 @@
         let worker = cluster.worker_name(worker);
         self.effects
             .push(RequestEffect::OutcomeUnknown { id, worker });
-        // it may have run, so the response must not say that it was rejected
+        // an error that promises that it did not run would be wrong here
         let reported = if broken(Invariant::Unknown) {
             ErrorCode::NoWorker
         } else {
--- a/sorreldoor/src/gateway/request_table/effect.rs
+++ b/sorreldoor/src/gateway/request_table/effect.rs
@@ -1,15 +1,15 @@
-//! Events of attempts that the table reacts to, and its effects.
+//! The events of attempts that the request table handles, and its effects.
 
 use super::{AttemptToken, ClaimRequest, RequestId};
 use crate::error::ErrorCode;
 use std::net::SocketAddr;
 
-/// What the task that carries out an attempt reports.
+/// Progress or end of an attempt, as reported by its task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEvent {
     /// The connection is open; the task waits for permission to send.
     Connected,
-    /// No connection: nothing was sent.
+    /// The connection could not be established; nothing was sent.
     ConnectFailed,
     /// The worker reported that it did not execute the request.
     NotExecuted,
@@ -34,7 +34,7 @@
     pub event: AttemptEvent,
 }
 
-/// What the table asks its owner to do.
+/// An action that the owner of the table must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestEffect {
     /// Open a connection to this worker.
@@ -59,18 +59,18 @@
     },
     /// Close the connection and drop what is in flight on it.
     Abort {
-        /// The request whose attempt is given up.
+        /// The request whose attempt is aborted.
         request_id: RequestId,
-        /// The attempt given up.
+        /// The attempt to abort.
         token: AttemptToken,
     },
-    /// Final: respond with this error; Retry-After in seconds, 0 for none.
+    /// Final: respond with this error.
     Reject {
         /// The request to answer.
         request_id: RequestId,
         /// The reason, which also determines the HTTP status.
         error_code: ErrorCode,
-        /// When the client may retry.
+        /// Retry-After in seconds; 0 if the error is not retryable.
         retry_after_s: u64,
     },
     /// Final: forward the worker's response, which the attempt's task has.
--- a/sorreldoor/src/gateway/request_table/eligibility.rs
+++ b/sorreldoor/src/gateway/request_table/eligibility.rs
@@ -1,5 +1,5 @@
-//! Which workers the configuration in force allows for a request, checked at
-//! the moment of sending.
+//! Eligibility: which workers the current configuration allows for a request,
+//! checked again at the moment of sending.
 
 use super::{ClusterView, Request, RequestProfile};
 use crate::configuration::{Configuration, Route, Share};
@@ -19,7 +19,7 @@
     route.home && !broken(Invariant::Home)
 }
 
-/// Whether the current configuration calls the request idempotent.
+/// Whether the request's route is idempotent in the current configuration.
 pub(super) fn is_idempotent(cluster: &ClusterView, request: &Request) -> bool {
     current_route(cluster, request).is_some_and(|route| route.repeatable)
 }
@@ -47,8 +47,8 @@
 
 /// Whether a worker is eligible, through one service or through any.
 ///
-/// The configuration may change between matching and sending; only what the
-/// current one allows may be done under it.
+/// The configuration may change between matching and sending, so the current
+/// one is checked at both.
 fn is_eligible(
     cluster: &ClusterView,
     request: &Request,
--- a/sorreldoor/src/gateway/request_table/expiry.rs
+++ b/sorreldoor/src/gateway/request_table/expiry.rs
@@ -1,17 +1,17 @@
-//! Expiry: requests past their deadline, without any worker, or waiting while
-//! the edge has no lease.
+//! Expiry: ends requests that are past their deadline, that no worker can
+//! serve, or that wait while the edge has no valid lease.
 
 use super::eligibility::has_eligible_worker;
 use super::{ClusterView, Request, RequestEffect, RequestId, RequestTable, Stage};
 use crate::error::ErrorCode;
 use crate::types::Millis;
 
-/// How long a request waits for a worker while none is available. A worker
-/// may be missing from the registry for a moment only.
+/// How long a request waits while no eligible worker is available, since a
+/// worker may be missing from the registry for a moment.
 const NO_WORKER_GRACE_MS: Millis = 3000;
 
 impl RequestTable {
-    /// Ends requests that cannot be served before their deadline any more.
+    /// Ends requests that can no longer be served before their deadline.
     pub fn expire_requests(&mut self, cluster: &mut ClusterView, now: Millis) {
         let expired: Vec<RequestId> = self
             .requests
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Time that a waiting request needs at the least, so that it does not
-    /// wait for a turn that would come too late: half the average latency.
+    /// Least time in milliseconds that a waiting request still needs: half the
+    /// average latency of its route; 0 once it has left the queue.
     fn time_needed(&self, request: &Request) -> Millis {
         if request.stage != Stage::Waiting {
             return 0;
--- a/sorreldoor/src/gateway/request_table/explain.rs
+++ b/sorreldoor/src/gateway/request_table/explain.rs
@@ -1,5 +1,5 @@
-//! Explains to operators where a request would go now, by the same functions
-//! that serve requests.
+//! Explains to operators where a request would be sent now, with the functions
+//! that also place real requests.
 
 use super::matching::Match;
 use super::{ClusterView, Request, RequestSpec, RequestTable};
--- a/sorreldoor/src/gateway/request_table/latency.rs
+++ b/sorreldoor/src/gateway/request_table/latency.rs
@@ -1,10 +1,10 @@
 //! Latency measurements: a moving average for each route, and totals for each
-//! route and service, which the control plane tunes weights by.
+//! route and service, from which the control plane tunes weights.
 
 use super::{RequestId, RequestTable};
 use crate::types::Millis;
 
-/// Most pairs of route and service that totals are kept for.
+/// Most pairs of route and service with latency totals.
 const MAX_LATENCY_TOTALS: usize = 256;
 
 impl RequestTable {
--- a/sorreldoor/src/gateway/request_table/matching.rs
+++ b/sorreldoor/src/gateway/request_table/matching.rs
@@ -121,7 +121,7 @@
 }
 
 /// Percentage of requests that try their own region first. While a region
-/// recovers with cold caches, part of what it could take goes elsewhere.
+/// recovers with cold caches, the rest try other regions first.
 fn local_percent(cluster: &ClusterView, route: &Route) -> u64 {
     match cluster.recovery(cluster.region) {
         Recovery::Returning(percent) if !route.home && route.kind != Kind::Fetch => {
--- a/sorreldoor/src/gateway/request_table/mod.rs
+++ b/sorreldoor/src/gateway/request_table/mod.rs
@@ -63,20 +63,19 @@
     retry_budget: RetryBudget,
     spill_budget: SpillBudget,
     retry_after: RetryAfterSchedule,
-    /// Client-supplied ids of non-idempotent requests that were sent, so that
-    /// none is sent twice from here.
+    /// Client-supplied ids of non-idempotent requests that were sent from this
+    /// edge, to reject duplicates.
     sent_ids: HashMap<String, RequestId>,
-    /// The same in the order of sending, with the time each is kept until.
+    /// The same ids in the order of sending, each with its expiry time.
     sent_order: VecDeque<(Millis, String, RequestId)>,
     /// Moving average of the latency of each route, in milliseconds.
     average_latency: BTreeMap<String, Millis>,
     /// By route and service: requests served, and their total latency in ms.
     pub latency_totals: BTreeMap<(String, String), (u64, Millis)>,
-    /// Workers that an attempt failed on lately, and until when they are
-    /// skipped.
+    /// Workers with a recent failed attempt, and until when matching skips them.
     skipped_until: BTreeMap<usize, Millis>,
     last_token: AttemptToken,
-    /// What the owner of the table is to carry out.
+    /// Effects that the owner of the table has not carried out yet.
     pub effects: Vec<RequestEffect>,
 }
 
--- a/sorreldoor/src/gateway/request_table/reconfiguration.rs
+++ b/sorreldoor/src/gateway/request_table/reconfiguration.rs
@@ -1,4 +1,5 @@
-//! Reconfiguration: requests in the table under a new configuration.
+//! Reconfiguration: checks the requests in the table against a new
+//! configuration.
 
 use super::eligibility::is_home_bound;
 use super::{
@@ -8,12 +9,12 @@
 use crate::error::ErrorCode;
 use crate::types::Millis;
 
-/// The index of a route that the configuration no longer has.
+/// Stands for the index of a route that the configuration no longer has.
 const REMOVED_ROUTE: u16 = u16::MAX;
 
 impl RequestTable {
-    /// Looks up each request's route again. A request that has not been sent
-    /// must fit the new configuration as if it arrived now.
+    /// Looks up each request's route again, and rejects requests not sent yet
+    /// that the new configuration does not allow.
     pub fn apply_configuration(&mut self, cluster: &mut ClusterView, now: Millis) {
         let request_ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for request_id in request_ids {
--- a/sorreldoor/src/gateway/request_table/request.rs
+++ b/sorreldoor/src/gateway/request_table/request.rs
@@ -9,7 +9,7 @@
 /// Identifies an attempt within one run of an edge; 0 means none.
 pub type AttemptToken = u64;
 
-/// What a route asks of its requests; decides how a body is read.
+/// The properties of a route that determine how a request's body is read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestProfile {
     /// The request goes to a model and has a JSON body.
@@ -87,21 +87,22 @@
 pub struct Request {
     /// The request as its caller specified it.
     pub spec: RequestSpec,
-    /// Index in the current configuration; meaningless once the route is gone.
+    /// Index of the route in the current configuration; `u16::MAX` once the
+    /// route is removed.
     pub route: u16,
     /// The service that it was matched to, by name since indices may change.
     pub service: String,
-    /// Idempotent under the configuration that it was sent under.
+    /// Whether it was idempotent in the configuration that it was sent under.
     pub idempotent: bool,
     /// How far it has got.
     pub stage: Stage,
     /// When it was accepted into the queue.
     pub arrived_at: Millis,
-    /// When it is expired if it has no response.
+    /// When it expires without a response.
     pub deadline: Millis,
-    /// When the current attempt was sent; 0 before the first one was.
+    /// When the latest attempt was sent; 0 if none was.
     pub sent_at: Millis,
-    /// Attempts begun, those that never connected included.
+    /// Attempts begun, including those that never connected.
     pub attempts: u32,
     /// Charged to the spill budget of its region.
     pub spilled: bool,
@@ -111,7 +112,7 @@
     pub token: AttemptToken,
     /// State of the claim on its id.
     pub claim: ClaimState,
-    /// The connection is open and waits for the claim.
+    /// The connection is open, and sending waits for the claim.
     pub connected: bool,
     /// Sent to a worker that has not reported that it did not run it.
     pub possibly_sent: bool,
--- a/sorreldoor/src/gateway/request_table/retry_after.rs
+++ b/sorreldoor/src/gateway/request_table/retry_after.rs
@@ -1,8 +1,8 @@
 //! Retry-After values for rejected requests (RFC 9110, section 10.2.3).
 //!
-//! Each edge keeps a schedule of the retries it has asked for, second by
-//! second, so that a rejected burst does not come back as one burst and
-//! retries stay a small part of all traffic.
+//! Each edge schedules the retries it asks for, second by second, so that the
+//! retries of a rejected burst are spread out and stay a small part of all
+//! traffic.
 
 use crate::error::ErrorCode;
 use crate::types::Millis;
@@ -13,7 +13,7 @@
 const ARRIVAL_PERCENT: u64 = 20;
 /// Scheduled retries in percent of the recent rate of served requests.
 const SERVED_PERCENT: u64 = 50;
-/// Idle seconds after which a moving average has decayed to nothing.
+/// Idle seconds after which a moving average counts as fully decayed.
 const MAX_DECAY_SECONDS: u64 = 60;
 
 /// Exponentially weighted average of events per second, in hundredths.
@@ -26,7 +26,7 @@
 
 impl Rate {
     fn advance(&mut self, seconds: u64) {
-        // a burst should keep its weight for a while after it
+        // the long time constant lets a burst count for some seconds
         for _ in 0..seconds.min(MAX_DECAY_SECONDS) {
             self.average = (self.average * 15 + self.current * 100) / 16;
             self.current = 0;
@@ -43,11 +43,11 @@
     second: u64,
     arrivals: Rate,
     served: Rate,
-    /// Slowly decaying peak of the served rate, so that an outage does not
-    /// make the edge forget its capacity.
+    /// Slowly decaying peak of the served rate, which estimates the capacity
+    /// also during an outage.
     peak_served: u64,
-    /// Counts retries asked for; spreads those that exceed the schedule.
-    spread: u64,
+    /// Retries asked for so far; spreads those that exceed the schedule.
+    retry_count: u64,
 }
 
 impl Default for RetryAfterSchedule {
@@ -58,7 +58,7 @@
             arrivals: Rate::default(),
             served: Rate::default(),
             peak_served: 0,
-            spread: 0,
+            retry_count: 0,
         }
     }
 }
@@ -99,20 +99,20 @@
         self.served.current += 1;
     }
 
-    /// Retries that one second may bring, in hundredths.
+    /// Most retries to schedule for one second, in hundredths.
     fn retries_per_second(&self) -> u64 {
         let by_arrivals = self.arrivals.average * ARRIVAL_PERCENT / 100;
         let by_served = self.peak_served * SERVED_PERCENT / 100;
-        // before anything is measured some callers must still be let back
+        // at least one retry per second, also before any rate is measured
         by_arrivals.min(by_served).max(100)
     }
 
-    /// The earliest and latest delay in seconds that fit the reason.
+    /// The least and greatest delay in seconds for the reason of a rejection.
     fn delay_bounds(&self, reason: ErrorCode, queued: usize) -> (u64, u64) {
         let (min, max) = match reason {
             // another node may take the request, so the delay can be short
             ErrorCode::ShuttingDown | ErrorCode::NoLease => (1, 10),
-            // a lost worker or region is away for at least this long
+            // a lost worker or region takes at least this long to return
             ErrorCode::NoWorker | ErrorCode::NoConfiguration => (2, SCHEDULE_SECONDS / 2),
             _ => {
                 let drain = queued as u64 * 100 / self.peak_served.max(100);
@@ -129,7 +129,7 @@
         self.advance(now);
         let (min, max) = self.delay_bounds(reason, queued);
         let per_second = self.retries_per_second();
-        self.spread += 1;
+        self.retry_count += 1;
         for delay in min..max {
             let count = self.slot(delay);
             if u64::from(*count) < per_second / 100 {
@@ -137,11 +137,11 @@
                 return delay;
             }
         }
-        // what exceeds the schedule is spread evenly: over the same few
-        // seconds if other nodes may take it, else behind the schedule
+        // retries beyond the schedule are spread evenly: over the same few
+        // seconds if other nodes may serve them, else after the schedule
         if max < SCHEDULE_SECONDS as u64 / 2 {
-            return min + self.spread * 7 % (max - min);
+            return min + self.retry_count * 7 % (max - min);
         }
-        max + self.spread * 7 % (max - 1)
+        max + self.retry_count * 7 % (max - 1)
     }
 }
--- a/sorreldoor/src/gateway/request_table/sending.rs
+++ b/sorreldoor/src/gateway/request_table/sending.rs
@@ -1,5 +1,5 @@
-//! Sending: reactions to the events of attempts, and the one place where a
-//! request is authorized to leave for a worker.
+//! Sending: handles the events of attempts, and authorizes each send to a
+//! worker in one place, `RequestTable::authorize_send`.
 
 use super::eligibility::may_send_to;
 use super::{
@@ -12,8 +12,8 @@
 use crate::types::Millis;
 
 impl RequestTable {
-    /// Handles an event of an attempt. `lease_valid` tells whether the edge
-    /// holds its freshness lease.
+    /// Handles an event of an attempt. `lease_valid` is true while the edge's
+    /// lease proves its configuration current.
     pub fn on_attempt_event(
         &mut self,
         cluster: &mut ClusterView,
@@ -117,8 +117,9 @@
         }
     }
 
-    /// Sends the request on its open connection, or takes it back. After this
-    /// either the worker may run it or its caller may be rejected, never both.
+    /// Sends the request on its open connection if that is allowed. If not, it
+    /// aborts the attempt before any byte is sent, then requeues or rejects the
+    /// request. A rejected request is therefore never run.
     pub(super) fn authorize_send(
         &mut self,
         cluster: &mut ClusterView,
@@ -130,7 +131,7 @@
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
         };
-        // until the id is claimed for this edge, another may be sending it
+        // another edge may send a request whose id is not claimed yet
         let claim_pending = matches!(request.claim, ClaimState::Pending(_));
         if claim_pending && !broken(Invariant::Claim) {
             request.connected = true;
@@ -181,8 +182,8 @@
         request.stage = Stage::Sent(worker);
         request.sent_at = now;
         request.possibly_sent = true;
-        // whether it may be retried is decided by the configuration that it
-        // is sent under, not by a later one
+        // the configuration in force at the time of sending decides whether
+        // the request may be retried
         let configuration = cluster.configuration.as_ref();
         request.idempotent =
             configuration.is_some_and(|c| c.routes[request.route as usize].repeatable);
--- a/sorreldoor/src/gateway/request_table/slow_start.rs
+++ b/sorreldoor/src/gateway/request_table/slow_start.rs
@@ -6,9 +6,9 @@
 use crate::placement;
 use crate::wire::EdgeEndpoint;
 
-/// Load reports after which the places of a warming worker move on to other
+/// Load reports after which the slots of a warming worker rotate to other
 /// edges.
-const REPORTS_PER_TURN: u64 = 4;
+const REPORTS_PER_ROTATION: u64 = 4;
 
 /// The edges that share the workers, with their regions.
 #[derive(Clone, Debug, Default)]
@@ -18,7 +18,7 @@
 }
 
 impl EdgeSet {
-    /// The listed edges and this one, which counts before it is listed.
+    /// The listed edges and this one, which is counted even if it is not listed.
     pub fn new(own_node: &str, own_region: u8, endpoints: &[EdgeEndpoint]) -> EdgeSet {
         let mut edges: Vec<(String, u8)> = endpoints
             .iter()
@@ -54,22 +54,23 @@
     pub warm: Warm,
     /// Requests that it has finished since its start.
     pub finished: u64,
-    /// Initial places of the workers before it in its group and region.
-    pub dealt: u64,
+    /// Initial slots of the workers that precede it in its group and region.
+    pub preceding_slots: u64,
     /// Version of the load report.
     pub report_version: u64,
 }
 
-/// Most requests in flight at a worker.
+/// Limits on the requests in flight at one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConcurrencyLimit {
-    /// Requests of this edge.
+    /// Most requests of this edge.
     pub per_edge: u32,
-    /// Requests of all edges.
+    /// Most requests of all edges together.
     pub total: u32,
 }
 
-/// The limits of a worker. They are strict while it warms up.
+/// The limits of a worker. While it warms up, the limits of all edges add up
+/// to its total limit.
 pub(super) fn concurrency_limit(edges: &EdgeSet, worker: &WorkerWarmup) -> ConcurrencyLimit {
     let warmed = worker.finished / u64::from(worker.warm.after.max(1));
     let limit = u64::from(worker.warm.first) + warmed;
@@ -82,8 +83,9 @@
 
 /// The limits of a warm worker.
 ///
-/// The load that other edges add is reported half a second late, so no edge
-/// may fill a worker; a share too small would leave slots unused.
+/// Load reports show the load of other edges with half a second of delay, so
+/// each edge has a limit of its own. It exceeds an equal share, so that the
+/// slots are used also if few edges send.
 fn warm_limit(edges: &EdgeSet, worker: &WorkerWarmup) -> ConcurrencyLimit {
     let local = edges.in_region(worker.region);
     let sharers = if local.contains(&edges.own_node) {
@@ -99,8 +101,8 @@
 
 /// The limits of a warming worker.
 ///
-/// The total holds for all edges together, so a few edges have the places to
-/// themselves; they take turns so that none goes without.
+/// The total is divided among the edges. If it is smaller than their number,
+/// only some get a slot, and the slots rotate among all of them.
 fn warming_limit(edges: &EdgeSet, worker: &WorkerWarmup, total: u32) -> ConcurrencyLimit {
     let local = edges.in_region(worker.region);
     let sharers = if local.is_empty() { edges.all() } else { local };
@@ -110,8 +112,8 @@
             total: 0,
         };
     }
-    let turn = worker.report_version / REPORTS_PER_TURN;
-    let rank = placement::edge_rank(&sharers, &edges.own_node, worker.dealt + turn);
+    let rotation = worker.report_version / REPORTS_PER_ROTATION;
+    let rank = placement::edge_rank(&sharers, &edges.own_node, worker.preceding_slots + rotation);
     ConcurrencyLimit {
         per_edge: placement::share_of_limit(total, sharers.len(), rank),
         total,
