--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -1,5 +1,5 @@
-//! The HTTP API of an edge: health, queries and operators' requests. Callers'
-//! requests are in [`super::request_api`].
+//! The HTTP API of an edge: health checks, queries and operators' requests.
+//! [`super::request_api`] serves callers' requests.
 
 use super::event::EdgeEvent;
 use super::pending_calls::{PendingCalls, Reply};
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The region with this name.
+    /// The region with this name; `InvalidRequestField` if there is none.
     pub(super) fn region(&self, name: Option<String>) -> Result<Option<RegionId>, ErrorCode> {
         let Some(name) = name else { return Ok(None) };
         let region = self.settings.names.region(&name);
--- a/sorreldoor/src/gateway/attempt.rs
+++ b/sorreldoor/src/gateway/attempt.rs
@@ -1,5 +1,5 @@
-//! The task that carries out one attempt of a request at a worker: connect,
-//! wait for permission, send, and bring back a complete response or a stream.
+//! The task that carries out one attempt of a request at a worker: it connects,
+//! waits for permission, sends the request and relays the response.
 
 use super::event::EdgeEvent;
 use super::stream_relay::StreamRelay;
@@ -90,7 +90,7 @@
     }
 
     async fn read_complete(&self, response: Response) {
-        // a worker that reports that it did not run the request is believed
+        // reported by the worker itself, so a retry is safe
         let not_run = response
             .header("x-ran")
             .is_some_and(|values| values.last().as_str() == "no");
@@ -171,7 +171,7 @@
                 AttemptEvent::StreamEnded
             }
             Err(error_code) => {
-                // the caller must not take this for the end of the stream
+                // distinguishes the failure from the end of the stream
                 let _ = parts.send(StreamPart::Broken(error_code)).await;
                 AttemptEvent::Failed(error_code)
             }
@@ -180,7 +180,7 @@
     }
 }
 
-/// Whether a content type has this media type, whatever its parameters.
+/// Whether a content type has this media type; parameters are ignored.
 fn has_media_type(content_type: &str, media_type: &str) -> bool {
     let essence = content_type.split(';').next().unwrap_or("").trim();
     essence.eq_ignore_ascii_case(media_type)
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -35,7 +35,7 @@
     /// connection that it was sent on.
     pub(super) pending_proposals: BTreeMap<RequestId, Conn>,
     pub(super) pending_releases: PendingReleases,
-    pub(super) leaving: bool,
+    pub(super) shutting_down: bool,
     /// Monotonic time of the latest event.
     pub(super) now: Millis,
     pub(super) effects: Vec<EdgeEffect>,
@@ -47,8 +47,8 @@
 
     fn step(&mut self, event: EdgeEvent, at: Now) -> Vec<EdgeEffect> {
         self.now = self.now.max(at.monotonic_ms);
-        // the event that wakes a suspended process may come before any tick,
-        // and must find the lease void
+        // after a suspension any event may precede the first tick; the lease
+        // must be invalid for it as well
         if let Some(effect) = self.pull.awake(self.now, at.wall) {
             self.on_subscription_effect(effect);
         }
@@ -65,7 +65,7 @@
 }
 
 impl EdgeController {
-    /// The controller of an edge that introduces itself with `hello`.
+    /// A controller that sends `hello` on each new connection to a core.
     pub fn new(hello: Hello, cluster: ClusterView, pull: Pull) -> EdgeController {
         EdgeController {
             hello,
@@ -76,7 +76,7 @@
             pending_reads: Vec::new(),
             pending_proposals: BTreeMap::new(),
             pending_releases: PendingReleases::default(),
-            leaving: false,
+            shutting_down: false,
             now: 0,
             effects: Vec::new(),
         }
@@ -128,7 +128,7 @@
                 self.effects.push(EdgeEffect::Status(request_id, status));
             }
             EdgeEvent::Shutdown => {
-                self.leaving = true;
+                self.shutting_down = true;
                 self.log_event(LogEvent::ShuttingDown, "edge");
             }
         }
@@ -151,12 +151,12 @@
         self.effects.push(EdgeEffect::Log(event, about.into()));
     }
 
-    /// Whether the edge accepts new requests as far as it is concerned.
+    /// Checks that the edge accepts new requests.
     ///
     /// # Errors
-    /// `Leaving` during shutdown, `NoLease` without a valid lease.
-    pub(super) fn check_open(&self) -> Result<(), ErrorCode> {
-        if self.leaving {
+    /// `ShuttingDown` during shutdown, `NoLease` without a valid lease.
+    pub(super) fn check_accepting(&self) -> Result<(), ErrorCode> {
+        if self.shutting_down {
             return Err(ErrorCode::ShuttingDown);
         }
         if !self.pull.lease(self.now) {
@@ -165,12 +165,12 @@
         Ok(())
     }
 
-    /// Whether callers should be sent to this edge.
+    /// Checks that the edge can serve requests.
     ///
     /// # Errors
-    /// The reason why not.
+    /// The reason why it cannot.
     pub fn ready(&self) -> Result<(), ErrorCode> {
-        self.check_open()?;
+        self.check_accepting()?;
         if self.cluster.configuration.is_none() {
             return Err(ErrorCode::NoConfiguration);
         }
@@ -181,8 +181,8 @@
     }
 
     /// Whether a shutdown has begun.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down
     }
 
     /// Whether no request is in the table.
@@ -193,7 +193,7 @@
     fn check_admission(&mut self, request_id: RequestId, spec: &RequestSpec) {
         self.table.record_arrival(&self.cluster, self.now);
         let admission = self
-            .check_open()
+            .check_accepting()
             .and_then(|()| self.table.check_admission(&self.cluster, request_id, spec));
         match admission {
             Ok(Admission::Accepted) => {
@@ -213,7 +213,7 @@
     }
 
     fn submit(&mut self, request_id: RequestId, spec: RequestSpec) {
-        match self.check_open() {
+        match self.check_accepting() {
             Ok(()) => self.table.submit(&self.cluster, request_id, spec, self.now),
             Err(error_code) => self.table.reject(request_id, error_code, self.now),
         }
--- a/sorreldoor/src/gateway/event.rs
+++ b/sorreldoor/src/gateway/event.rs
@@ -20,18 +20,18 @@
     Tick,
     /// A connection to a core was opened or closed, or a frame arrived.
     Net(NetEvent),
-    /// The head of a request has arrived; may its body be read?
+    /// The head of a request has arrived: check whether its body may be read.
     CheckAdmission {
-        /// Names the caller until the end of the request.
+        /// Identifies the caller until the end of the request.
         request_id: RequestId,
-        /// What its head says; the profile is that of no route yet.
+        /// The specification from its head; the profile is not set yet.
         spec: RequestSpec,
     },
     /// A request has arrived with its body.
     Submit {
         /// The caller, as in `CheckAdmission`.
         request_id: RequestId,
-        /// What its head says, with the profile its body was read under.
+        /// The specification, with the profile that the body was read under.
         spec: RequestSpec,
     },
     /// The caller has disconnected.
@@ -39,13 +39,13 @@
         /// The caller, as in `CheckAdmission`.
         request_id: RequestId,
     },
-    /// An attempt of a request reports.
+    /// An attempt of a request has reported an event.
     Attempt(AttemptReport),
-    /// Which edges should a caller send such a request to?
+    /// Look up the edges that a caller should send such a request to.
     LocateEdges {
         /// The caller, answered by [`EdgeEffect::EdgesLocated`].
         request_id: RequestId,
-        /// The request to locate edges for; only its route, key and home count.
+        /// The request to locate edges for; only its route, key and home are used.
         spec: RequestSpec,
     },
     /// An operator's change, to be proposed to the control plane.
@@ -57,14 +57,15 @@
         /// The change.
         cmd: Command,
     },
-    /// What became of an earlier proposal?
+    /// Look up the outcome of an earlier proposal.
     QueryProposal {
         /// The caller, answered by [`EdgeEffect::ProposalResult`].
         request_id: RequestId,
         /// Id of the earlier proposal.
         proposal_id: ProposalId,
     },
-    /// Where would such a request go now, from the region in `spec.home`?
+    /// Explain where such a request would be sent now from the region
+    /// `spec.home`, or from this one if it is not set.
     Explain {
         /// The caller, answered by [`EdgeEffect::Status`], or by
         /// [`EdgeEffect::EdgesLocated`] with an error.
@@ -72,7 +73,7 @@
         /// The request to explain; it is not sent.
         spec: RequestSpec,
     },
-    /// Read the configuration, proved current from now on.
+    /// Read the configuration once it is proved to be current as of now.
     ReadConfiguration {
         /// The caller, answered by [`EdgeEffect::ConfigurationRead`].
         request_id: RequestId,
@@ -101,9 +102,9 @@
     Admitted(RequestId, RequestProfile),
     /// HTTP addresses of edges to try in this order, or why there are none.
     EdgesLocated(RequestId, Result<Vec<String>, ErrorCode>),
-    /// What became of a proposal.
+    /// The outcome of a proposal.
     ProposalResult(RequestId, OpOutcome),
-    /// Whether the configuration is proved current.
+    /// The configuration may be read; true if it is proved current.
     ConfigurationRead(RequestId, bool),
     /// A status or an explanation, as JSON.
     Status(RequestId, String),
--- a/sorreldoor/src/gateway/event_stream_body.rs
+++ b/sorreldoor/src/gateway/event_stream_body.rs
@@ -23,7 +23,7 @@
 pub(super) struct EventStreamBody {
     parts: Receiver<StreamPart>,
     buffer: Vec<u8>,
-    /// Bytes of the buffer that were read.
+    /// Number of bytes of the buffer that were read.
     offset: usize,
     progress: Progress,
     /// Reports a disconnect of the caller for as long as the body is sent.
@@ -72,14 +72,16 @@
                 Progress::Open => {}
                 Progress::Ended => return Poll::Ready(Ok(&[])),
                 Progress::Broken => {
-                    let error =
-                        io::Error::new(io::ErrorKind::BrokenPipe, "the worker's stream broke off");
+                    let error = io::Error::new(
+                        io::ErrorKind::BrokenPipe,
+                        "the worker's stream ended before its last event",
+                    );
                     return Poll::Ready(Err(error));
                 }
             }
             let part = match Pin::new(&mut body.parts).poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
-                // an attempt that vanished has not said that this is the end
+                // the attempt's task ended without reporting the end of the stream
                 Poll::Ready(None) => StreamPart::Broken(ErrorCode::StreamInterrupted),
                 Poll::Ready(Some(part)) => part,
             };
--- a/sorreldoor/src/gateway/pending_calls.rs
+++ b/sorreldoor/src/gateway/pending_calls.rs
@@ -1,4 +1,4 @@
-//! HTTP calls that wait for an answer of the edge controller.
+//! HTTP calls that wait for a reply from the edge controller.
 
 use super::worker_exchange::{WorkerRequest, WorkerResponse};
 use crate::error::ErrorCode;
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The answer to a waiting HTTP call.
+/// The controller's reply to a waiting HTTP call.
 pub(super) enum Reply {
     /// The body of the request may be read, with this profile.
     Admitted(RequestProfile),
@@ -18,7 +18,7 @@
         error_code: ErrorCode,
         retry_after_s: u64,
     },
-    /// Send the request to the edge with this address.
+    /// The caller should send the request to the edge with this address.
     Redirect(String),
     WorkerResponse(WorkerResponse),
     EdgesLocated(Result<Vec<String>, ErrorCode>),
@@ -49,7 +49,7 @@
 }
 
 impl PendingCalls {
-    /// Opens a call; its id, and the channel for the reply.
+    /// Opens a call; returns its id and the channel for the reply.
     pub fn open(&self) -> (RequestId, Receiver<Reply>) {
         let request_id = self.last_id.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = bounded(1);
--- a/sorreldoor/src/gateway/queries.rs
+++ b/sorreldoor/src/gateway/queries.rs
@@ -9,9 +9,9 @@
 use simd_json::prelude::*;
 
 impl EdgeController {
-    /// Answers which edges a caller should send such a request to.
+    /// Looks up the edges that a caller should send such a request to.
     pub(super) fn locate_edges(&mut self, request_id: RequestId, spec: &RequestSpec) {
-        let edges = self.check_open().and_then(|()| self.edges_for(spec));
+        let edges = self.check_accepting().and_then(|()| self.edges_for(spec));
         self.effects
             .push(EdgeEffect::EdgesLocated(request_id, edges));
     }
@@ -32,7 +32,7 @@
 
     /// Explains where a request would go now.
     pub(super) fn explain(&mut self, request_id: RequestId, spec: RequestSpec) {
-        let explanation = self.check_open().and_then(|()| self.explanation(spec));
+        let explanation = self.check_accepting().and_then(|()| self.explanation(spec));
         self.effects.push(match explanation {
             Ok(v) => EdgeEffect::Status(request_id, v.encode()),
             Err(error_code) => EdgeEffect::EdgesLocated(request_id, Err(error_code)),
@@ -44,7 +44,7 @@
         if region == self.cluster.region {
             return self.table.explain(&self.cluster, spec);
         }
-        // only an edge of that region knows what it would do
+        // the answer depends on the state of an edge of that region
         let edges = self.cluster.edges_for(Some(region), true, &spec.key);
         let edge = edges.first().cloned().ok_or(ErrorCode::NoWorker)?;
         let mut v = Value::object();
@@ -55,7 +55,7 @@
     /// Sends a proposal, or a query for one, to the control plane.
     pub(super) fn forward_proposal(&mut self, request_id: RequestId, payload: Payload) {
         let Some(conn) = self.pull.conn else {
-            // nothing has left this node, so the change is certainly not made
+            // nothing was sent, so the change is certainly not made
             let outcome = OpOutcome::NotTaken;
             self.effects
                 .push(EdgeEffect::ProposalResult(request_id, outcome));
@@ -65,7 +65,8 @@
         self.effects.push(EdgeEffect::Send(conn, payload));
     }
 
-    /// Reads the configuration: a renewal sent now proves it current.
+    /// Reads the configuration once the grant of a lease renewal sent now proves
+    /// it current.
     pub(super) fn read_configuration(&mut self, request_id: RequestId) {
         let Some(conn) = self.pull.conn else {
             self.effects
@@ -77,7 +78,7 @@
         self.on_subscription_effect(renewal);
     }
 
-    /// Answers the reads that the renewal `no`, or an earlier one, proves.
+    /// Answers the reads that wait for the renewal `no` or an earlier one.
     pub(super) fn complete_reads(&mut self, no: u64) {
         let (proved, pending): (Vec<_>, Vec<_>) = self
             .pending_reads
--- a/sorreldoor/src/gateway/releases.rs
+++ b/sorreldoor/src/gateway/releases.rs
@@ -1,4 +1,5 @@
-//! Claims and releases of request ids, as sent to the control plane.
+//! Sends claims and releases of request ids to the control plane, and retries
+//! releases.
 
 use super::controller::EdgeController;
 use super::event::EdgeEffect;
@@ -12,7 +13,7 @@
 
 /// Most releases that are retried until they are confirmed.
 const MAX_PENDING: usize = 65_536;
-/// Most releases that are sent again at once.
+/// Most releases in one retry.
 const MAX_BATCH: usize = 256;
 /// Interval between retries of releases.
 const RETRY_MS: Millis = 500;
@@ -61,7 +62,7 @@
         (u128::from(self.hello.incarnation) << 64) | u128::from(request_id)
     }
 
-    /// Sends a claim. Without a session it is left to the table's retries.
+    /// Sends a claim. Without a session nothing is sent, and the table retries.
     pub(super) fn send_claim(&mut self, request_id: RequestId, request: ClaimRequest) {
         let claim = ClaimRecord {
             id: request.id,
@@ -71,8 +72,8 @@
         self.send_to_control_plane(Payload::Claim { request_id, claim });
     }
 
-    /// Releases a claim. It is sent again until a majority of the control
-    /// plane has confirmed it, since else the id would stay claimed by a
+    /// Releases a claim. The release is retried until a majority of the control
+    /// plane has confirmed it, since a lost one would leave the id claimed by a
     /// request that never ran.
     pub(super) fn release(&mut self, request_id: RequestId, id: String) {
         self.pending_releases.add(request_id, id.clone(), self.now);
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Reports the ids sent from here on a new session, since the core at its
-    /// other end may have lost its record of them.
+    /// Reports recently sent ids on a new session, since the core may have lost
+    /// its record of them.
     pub(super) fn report_sent_ids(&mut self, conn: Conn) {
         let sent_ids = self.table.recently_sent_ids();
         let requests: Vec<SentRequest> = sent_ids
--- a/sorreldoor/src/gateway/request_api.rs
+++ b/sorreldoor/src/gateway/request_api.rs
@@ -20,12 +20,12 @@
 const REQUEST_PREFIXES: [&str; 2] = ["/v1/request/", "/v1/errand/"];
 /// Time for the body of a request to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait for a response; any deadline is shorter.
+/// Longest wait for a response; longer than any request's deadline.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(700);
-/// The path that a model worker takes requests at.
+/// The path at which a model worker accepts requests.
 const MODEL_WORKER_PATH: &str = "/errand";
 
-/// What follows the prefix in the path of a request, if it is one.
+/// The part after the prefix in the path of a request; `None` for other paths.
 pub(super) fn request_path(path: &str) -> Option<&str> {
     REQUEST_PREFIXES
         .iter()
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! The edge daemon: the thread of the controller, and the tasks and
+//! The edge daemon: runs the controller's event loop, and the tasks and
 //! connections that carry out its effects.
 
 use super::api::Api;
@@ -27,7 +27,7 @@
 /// Events that may wait for the controller.
 const EVENT_QUEUE: usize = 8192;
 const TICK: Duration = Duration::from_millis(20);
-/// Interval at which attempts that have left the table are dropped.
+/// Interval at which attempts of ended requests are dropped.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for the last responses to reach their callers before the exit.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
@@ -123,7 +123,7 @@
     events: runtime::EventSender<EdgeEvent>,
     attempts: HashMap<AttemptToken, Attempt>,
     shutdown: http::ShutdownHandle,
-    /// When the daemon ends, whatever still runs; set once it shuts down.
+    /// When the daemon exits even if requests still run; set once it shuts down.
     shutdown_deadline: Option<Instant>,
     sweep_at: Instant,
 }
@@ -134,15 +134,15 @@
             self.sweep_at = Instant::now() + SWEEP_INTERVAL;
             self.sweep_attempts(controller);
         }
-        if controller.is_leaving() && self.shutdown_deadline.is_none() {
+        if controller.is_shutting_down() && self.shutdown_deadline.is_none() {
             let drain_time = Duration::from_millis(self.settings.drain_ms);
             self.shutdown_deadline = Some(Instant::now() + drain_time);
         }
         let Some(deadline) = self.shutdown_deadline else {
             return true;
         };
-        // requests in the table are finished first; then no connection is
-        // accepted any more, and those that are open get their response
+        // the requests in the table complete first; then the server accepts no
+        // more connections, and the open ones get their responses
         if controller.is_idle() {
             self.shutdown.begin();
         }
@@ -182,8 +182,8 @@
 }
 
 impl Daemon {
-    /// Drops attempts that have left the table. One that has ended is kept
-    /// while its last event waits for the controller.
+    /// Drops attempts that no request in the table refers to. One that has ended
+    /// is kept until the controller has handled its last event.
     fn sweep_attempts(&mut self, controller: &EdgeController) {
         let requests = controller.table.requests.values();
         let tokens: HashSet<AttemptToken> = requests.map(|request| request.token).collect();
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -1,5 +1,5 @@
-//! The edge's session with the control plane: frames received, and the state
-//! that they bring.
+//! The edge's session with the control plane: handles received frames and
+//! applies the state updates in them.
 
 use super::controller::EdgeController;
 use super::event::EdgeEffect;
@@ -80,8 +80,8 @@
     }
 
     fn on_grant(&mut self, no: u64, ok: bool, delta: StateDelta) {
-        // state from a core that could not prove itself may be old, and is
-        // applied only by an edge that has none at all
+        // a core that has not proved itself current may send stale state, which
+        // only an edge without a configuration applies
         let has_document = delta.record.as_ref().is_some_and(|r| r.has_document);
         if delta.record_withheld {
             self.pull.withheld(no, self.now);
@@ -141,7 +141,7 @@
     fn apply_update(&mut self, encoded: &EncodedUpdate) {
         let update = encoded.update();
         if !update.as_ref().is_some_and(|u| self.replica.apply(u)) {
-            // it does not continue from the replica's state: request all of it
+            // it does not apply to the replica's revision: request full state
             self.pull.have.record = 0;
             return self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
--- a/sorreldoor/src/gateway/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -18,7 +18,7 @@
         let _ = v.insert("permit_left_ms", self.pull.left(self.now));
         let _ = v.insert("session", self.pull.conn.is_some());
         let _ = v.insert("core", core);
-        let _ = v.insert("leaving", self.leaving);
+        let _ = v.insert("leaving", self.shutting_down);
         let _ = v.insert("open_errands", self.table.requests.len());
         let _ = v.insert("zones", self.zones_json());
         let _ = v.insert("counts", self.counters_json());
--- a/sorreldoor/src/gateway/stream_relay.rs
+++ b/sorreldoor/src/gateway/stream_relay.rs
@@ -66,8 +66,7 @@
         Ok(line)
     }
 
-    /// Checks an event's sequence number and request id; whether it is the
-    /// last one.
+    /// Checks an event's sequence number and request id; true if it is the last.
     fn check_event(&self, line: &[u8], sequence: u64) -> Result<bool, ErrorCode> {
         let event = json::parse(line, MAX_EVENT_BYTES as usize)
             .map_err(|_| ErrorCode::InvalidWorkerResponse)?;
@@ -80,7 +79,8 @@
         Ok(event.get("done").and_then(|v| v.as_bool()) == Some(true))
     }
 
-    /// The result of the read, or none if it fails or the attempt is aborted.
+    /// The number of bytes read, or none if the read fails or the attempt is
+    /// aborted.
     async fn unless_aborted<F>(&self, read: F) -> Option<usize>
     where
         F: Future<Output = std::io::Result<usize>>,
@@ -91,8 +91,7 @@
     }
 }
 
-/// Whichever is ready first: the bytes read, or any command, which ends the
-/// read.
+/// The number of bytes read, or none if a command arrives before them.
 async fn first_of<A, B>(mut read: Pin<&mut A>, mut command: Pin<&mut B>) -> Option<usize>
 where
     A: Future<Output = std::io::Result<usize>>,
--- a/sorreldoor/src/gateway/worker_exchange.rs
+++ b/sorreldoor/src/gateway/worker_exchange.rs
@@ -1,4 +1,4 @@
-//! What the HTTP side of an edge and the attempts at workers exchange.
+//! Messages between the HTTP handlers of an edge and the tasks of attempts.
 
 use crate::error::ErrorCode;
 use async_std::channel::Receiver;
@@ -29,8 +29,8 @@
     Abort,
 }
 
-/// A part of a streamed response. A stream that stops without `End` or
-/// `Broken` has broken as well.
+/// A part of a streamed response. A stream whose channel closes before `End`
+/// or `Broken` was interrupted.
 #[derive(Debug)]
 pub(super) enum StreamPart {
     /// One event as a line of JSON.
--- a/sorreldoor/src/placement.rs
+++ b/sorreldoor/src/placement.rs
@@ -5,10 +5,10 @@
 use crate::configuration::{Configuration, Kind};
 use crate::weight_tuning;
 
-/// Tuned weights: route index, service index, weight.
+/// Tuned weights as (route index, service index, weight).
 pub type TunedWeights = [(u16, u16, u32)];
 
-/// A worker as placement sees it.
+/// The state of a worker that placement depends on.
 #[derive(Clone, Debug, Default)]
 pub struct Candidate {
     /// Name of the worker in the registry.
@@ -24,13 +24,14 @@
     pub available: bool,
     /// Requests that it runs at once.
     pub slots: u32,
-    /// Requests running or queued there, as reported and sent since.
+    /// Requests running or queued there: those reported, and those that this
+    /// edge has sent since.
     pub in_flight: u32,
-    /// Requests of this edge that are there now.
+    /// Requests of this edge in flight there.
     pub own_in_flight: u32,
-    /// Most requests of this edge that may be there at once.
+    /// Most requests of this edge in flight there at once.
     pub own_limit: u32,
-    /// Most requests of all edges that may be there at once.
+    /// Most requests of all edges in flight there at once.
     pub total_limit: u32,
     /// Names of the adapters loaded there; empty: it takes any.
     pub adapters: Vec<String>,
@@ -43,7 +44,7 @@
         self.available && below_own_limit && self.in_flight < self.total_limit
     }
 
-    /// Whether a further request would have to queue there.
+    /// Whether another request would have to queue there.
     pub fn is_full(&self) -> bool {
         self.in_flight >= self.slots.min(self.total_limit)
     }
@@ -114,7 +115,7 @@
         })
         .filter(|(_, weight)| *weight > 0)
         .collect();
-    // one prefix must keep to one service, or its cache is built twice
+    // a prefix stays with one service, so that only one builds its cache
     let key = if route.kind == Kind::Prefix {
         request.key
     } else {
@@ -151,7 +152,7 @@
     request: &PlacementRequest,
     region: u8,
 ) -> Option<Placement> {
-    // a home-bound request must not reach a worker anywhere else
+    // a home-bound request stays in its home region
     if request.home.is_some_and(|home| home != region) {
         return None;
     }
@@ -188,7 +189,7 @@
         return least_utilized;
     }
     // the highest-ranked worker has the prefix cached, but queueing at a full
-    // one would cost more than its cache saves
+    // one would take longer than its cache saves
     usable
         .iter()
         .filter(|(_, worker)| !worker.is_full())
@@ -197,19 +198,20 @@
         .or(least_utilized)
 }
 
-/// This edge's share of a limit that holds for all edges together.
+/// The share of the edge with this rank in a limit for all edges together. The
+/// shares add up to the limit; edges of low rank get the remainder.
 pub fn share_of_limit(limit: u32, edges: usize, rank: usize) -> u32 {
     let edges = edges.max(1) as u32;
     let remainder = limit % edges;
     limit / edges + u32::from((rank as u32) < remainder)
 }
 
-/// The rank of edge `node` for the places of one warming worker.
+/// The rank of edge `node` for the slots of one warming worker.
 ///
-/// Workers are dealt out in turn: each begins in the ring of edges where the
-/// one before it ended (`start`), so that no edge goes without a place while
-/// all warming workers together have one for each. Independent ranks for each
-/// worker left some edges without any place.
+/// The slots of all warming workers are assigned round-robin over the edges in
+/// order of their names: the slots of each worker begin after those of the
+/// workers before it, at position `start`. Each edge thus gets a slot if there
+/// are as many slots as edges.
 pub fn edge_rank(edges: &[String], node: &str, start: u64) -> usize {
     let ring = edges.len().max(1) as u64;
     let position = edges.iter().filter(|edge| edge.as_str() < node).count() as u64;
