--- a/sorreldoor/tests/placement.rs
+++ b/sorreldoor/tests/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: few prefixes move when a worker joins or leaves, and limits hold
-//! over all edges.
+//! Placement: a worker's loss moves only its own prefixes, and limits hold over
+//! all edges together.
 
 use sorreldoor::configuration::{parse, Site};
 use sorreldoor::placement::{
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_flapping_worker_moves_only_its_own_prefixes() {
+fn losing_a_worker_moves_only_the_prefixes_placed_on_it() {
     let site = Site {
         regions: vec!["a".into()],
         zones: vec![("a1".into(), 0)],
@@ -72,9 +72,8 @@
     }
 }
 
-/// Warming workers that together have a slot for each edge leave no edge without.
 #[test]
-fn every_edge_gets_a_slot_at_some_warming_worker() {
+fn every_edge_gets_a_slot_if_warming_workers_have_one_for_each() {
     for count in 1..40u64 {
         let edges: Vec<String> = (0..count).map(|i| format!("edge{i}")).collect();
         for first_limit in 1..5u64 {
--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -77,7 +77,7 @@
 /// The result of reading one response from the received bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ParseOutcome {
-    /// A response to the request itself; `nothing_buffered` tells that no
+    /// A response to the request itself; `nothing_buffered` is true if no
     /// surplus bytes follow it.
     Complete {
         body: Vec<u8>,
@@ -155,7 +155,7 @@
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn only_its_own_complete_response_reaches_a_request(
+    fn only_the_requests_own_complete_response_is_accepted(
         outputs in prop::collection::vec(worker_output(), 0..4),
         cuts in prop::collection::vec(any::<usize>(), 0..6),
         truncated in prop::option::of((0usize..9, any::<usize>())),
@@ -166,24 +166,24 @@
             stream.extend_from_slice(&own[..at % own.len()]);
         }
         let got = parse_response(&stream, &cuts);
-        // interim responses are skipped; the first output after them decides
+        // the first output that is not an interim response decides
         let first_final = outputs.iter().find(|p| !matches!(p, WorkerOutput::InterimResponse));
         match (&got, first_final) {
             (ParseOutcome::Complete { body, .. }, Some(WorkerOutput::OwnResponse { .. })) => {
                 prop_assert_eq!(body.as_slice(), OWN_BODY.as_bytes());
             }
-            (ParseOutcome::Complete { .. }, other) => prop_assert!(false, "{:?} was taken for its own", other),
+            (ParseOutcome::Complete { .. }, other) => prop_assert!(false, "{:?} was accepted as the request's own response", other),
             (ParseOutcome::NotRun, first_final) => {
                 let own = matches!(first_final, Some(WorkerOutput::Rejection { own: true }));
-                prop_assert!(own, "a promise of {:?}", first_final);
+                prop_assert!(own, "{:?} was accepted as a rejection without a run", first_final);
             }
-            (_, Some(WorkerOutput::OwnResponse { .. })) => prop_assert!(false, "its own answer is lost: {:?}", got),
+            (_, Some(WorkerOutput::OwnResponse { .. })) => prop_assert!(false, "the request's own response was not accepted: {:?}", got),
             _ => {}
         }
     }
 
     #[test]
-    fn the_split_of_the_bytes_changes_nothing(
+    fn split_of_the_received_bytes_does_not_change_the_outcome(
         outputs in prop::collection::vec(worker_output(), 1..4),
         cuts in prop::collection::vec(any::<usize>(), 1..12),
     ) {
@@ -197,7 +197,7 @@
     }
 
     #[test]
-    fn a_surplus_byte_after_a_complete_response_is_detected(
+    fn surplus_bytes_after_a_complete_response_are_detected(
         chunk in 0usize..9,
         surplus in prop::collection::vec(any::<u8>(), 1..20),
     ) {
--- a/testbed/tests/requests/faults.rs
+++ b/testbed/tests/requests/faults.rs
@@ -63,16 +63,16 @@
             // closing resets the connection only if the worker left bytes unread
             let size = if attempt == 0 { 10 } else { LARGE_BODY };
             let response = send_request(&mut client, path, &id, size).await;
-            // a request in flight may still reach a worker
+            // a worker may still run a request that is in flight
             async_std::task::sleep(Duration::from_millis(15)).await;
             let ran = runs.lock().unwrap().get(&id).copied().unwrap_or(0);
             served += usize::from(
                 response
                     .as_ref()
-                    .is_some_and(|g| g.status == 200 && g.complete),
+                    .is_some_and(|response| response.status == 200 && response.complete),
             );
             violations.extend(violation(&response, &id, ran, once));
-            if response.is_none_or(|g| !g.complete) {
+            if response.is_none_or(|response| !response.complete) {
                 break;
             }
         }
@@ -112,8 +112,12 @@
         for task in tasks {
             let (fault, (violations, served)) = task.await;
             println!("{fault:?}: {served} served");
-            all.extend(violations.into_iter().map(|f| format!("{fault:?}: {f}")));
-            // the faults must not have kept the healthy requests from being served
+            all.extend(
+                violations
+                    .into_iter()
+                    .map(|violation| format!("{fault:?}: {violation}")),
+            );
+            // healthy requests are served between the faults
             assert!(
                 served > 0 || fault == Fault::Killed,
                 "{fault:?}: none served"
@@ -124,17 +128,17 @@
 }
 
 #[test]
-fn what_may_run_once_runs_once_and_is_answered_honestly() {
+fn non_idempotent_request_runs_at_most_once_under_every_fault() {
     run_all_faults("/once/", true);
 }
 
 #[test]
-fn what_may_run_twice_gets_its_own_answer() {
+fn idempotent_request_gets_only_its_own_response_under_every_fault() {
     run_all_faults("/get/", false);
 }
 
 #[test]
-fn a_surplus_answer_costs_the_next_request_nothing() {
+fn surplus_response_does_not_affect_the_next_request() {
     block_on_test(async {
         let runs = Runs::default();
         let worker =
@@ -150,11 +154,11 @@
     });
 }
 
-/// Whether a test of this file fails in a process with the invariant `rule` disabled.
-fn fails_without(rule: &str, test: &str) -> bool {
+/// Whether a test of this file fails in a process with `invariant` disabled.
+fn fails_without(invariant: &str, test: &str) -> bool {
     let done = Command::new(std::env::current_exe().unwrap())
         .args(["--exact", test])
-        .env("SORRELDOOR_BREAK", rule)
+        .env("SORRELDOOR_BREAK", invariant)
         .output()
         .unwrap();
     let stdout = String::from_utf8_lossy(&done.stdout);
@@ -163,9 +167,9 @@
 }
 
 #[test]
-fn each_rule_taken_away_is_seen() {
-    let once = "faults::what_may_run_once_runs_once_and_is_answered_honestly";
-    let surplus = "faults::a_surplus_answer_costs_the_next_request_nothing";
+fn disabling_any_invariant_makes_a_fault_test_fail() {
+    let once = "faults::non_idempotent_request_runs_at_most_once_under_every_fault";
+    let surplus = "faults::surplus_response_does_not_affect_the_next_request";
     let cases = [
         ("send-once", once),
         ("honest-refusal", once),
@@ -173,7 +177,10 @@
         ("whole-answer", once),
         ("clean-connection", surplus),
     ];
-    for (rule, test) in cases {
-        assert!(fails_without(rule, test), "{rule} is not seen to be broken");
+    for (invariant, test) in cases {
+        assert!(
+            fails_without(invariant, test),
+            "{test} passes without the invariant {invariant}"
+        );
     }
 }
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -1,5 +1,5 @@
-//! Exhaustive exploration of the request state machine: every state under every
-//! event, for every repeatability, against a model of what physically happened.
+//! Exhaustive exploration of the request state machine: every reachable state
+//! under every event is compared with a reference model.
 
 use sorreldoor::invariants::{break_only, Invariant};
 use sorreldoor::proxy::attempt::{ClientAnswer, Event, Repeatability, RequestProgress, State};
@@ -181,7 +181,7 @@
                         "{progress:?} on {event:?}: {difference}\n{p:?}\n{s:?}"
                     ));
                 }
-                // a larger byte count makes no new state
+                // larger byte counts do not lead to new states
                 let counts_more_bytes =
                     matches!(p.state(), State::Sending { bytes_written } if bytes_written > 2);
                 if !counts_more_bytes && visited.insert((p, s)) {
@@ -191,29 +191,32 @@
         }
         frontier = next;
     }
-    assert!(frontier.is_empty(), "the states are not exhausted");
+    assert!(
+        frontier.is_empty(),
+        "states remain unvisited after {depth} events"
+    );
     Ok(visited.len())
 }
 
 #[test]
-fn every_state_under_every_event_keeps_both_rules() {
+fn every_reachable_state_matches_the_reference_model() {
     let states = explore(30).unwrap();
     println!("{states} states");
     assert!(states > 300, "{states} states");
 }
 
 #[test]
-fn without_the_rules_the_walk_finds_a_fault() {
-    for rule in [Invariant::SendOnce, Invariant::HonestRefusal] {
-        break_only(Some(rule));
-        let found = explore(30);
+fn disabling_an_invariant_makes_the_exploration_find_a_mismatch() {
+    for invariant in [Invariant::SendOnce, Invariant::HonestRefusal] {
+        break_only(Some(invariant));
+        let explored = explore(30);
         break_only(None);
-        assert!(found.is_err(), "{rule:?} is not seen to be broken");
+        assert!(explored.is_err(), "no mismatch without {invariant:?}");
     }
 }
 
 #[test]
-fn only_a_proof_of_not_running_allows_a_retry() {
+fn non_idempotent_request_is_retried_only_if_it_certainly_did_not_run() {
     let uncertain_ends = [
         Event::Reset,
         Event::Closed,
@@ -237,11 +240,11 @@
         assert!(!p.may_send(), "{end:?}");
         assert_eq!(p.client_answer(), ClientAnswer::BadGateway, "{end:?}");
     }
-    for proof in [Event::NotRun, Event::ConnectFailed] {
+    for certain_end in [Event::NotRun, Event::ConnectFailed] {
         let mut p = RequestProgress::new(Repeatability::NonIdempotent);
         p.on(Event::WorkerChosen(Repeatability::NonIdempotent));
-        p.on(proof);
-        assert!(p.may_send(), "{proof:?}");
-        assert_eq!(p.client_answer(), ClientAnswer::Refused, "{proof:?}");
+        p.on(certain_end);
+        assert!(p.may_send(), "{certain_end:?}");
+        assert_eq!(p.client_answer(), ClientAnswer::Refused, "{certain_end:?}");
     }
 }
