--- a/sorreldoor/src/balancer/dispatch.rs
+++ b/sorreldoor/src/balancer/dispatch.rs
@@ -1,4 +1,5 @@
-//! Sending an attempt: what is counted, and what the proxy gets to know.
+//! Starting an attempt: updates request, endpoint and counters, and returns the
+//! target to the proxy.
 
 use super::candidates::Choice;
 use super::endpoint::Endpoint;
@@ -8,17 +9,18 @@
 use super::{Decision, Target};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
-use crate::proxy::attempt::{Event, Repeatability};
+use crate::proxy::request_state::{Repeatability, RequestEvent};
 use crate::types::Millis;
 
-/// An endpoint that was active within this time is alive.
+/// An endpoint that sent something within this time is taken to be alive.
 const RECENTLY_ACTIVE: Millis = 200;
-/// Share of an endpoint's connection limit that is used: it resets
-/// connections beyond the limit.
+/// Fraction of an endpoint's connection limit that is used. The endpoint resets
+/// connections above the limit.
 const CONNECTION_MARGIN: f64 = 0.9;
 
 impl Balancer {
-    /// Counts an attempt at the chosen endpoint and names its target.
+    /// Starts an attempt at the chosen endpoint; returns `Decision::Send` with its
+    /// target.
     pub(super) fn send(
         &mut self,
         request: &mut Request,
@@ -38,13 +40,13 @@
         let new_connection = needs_new_connection(endpoint, route, now);
         endpoint.start_attempt(choice.prefill_tokens, now);
         if let Some(engine) = engine {
-            // requests of other nodes fill its memory too
+            // the rest of its cache holds prompts sent by other nodes
             let capacity = engine.kv_tokens * 6 / 10;
             endpoint.prefix_cache.insert(&request.segments, capacity);
         }
         let trial = endpoint.outlier.start_attempt();
         let target = Target {
-            worker: choice.endpoint.0,
+            endpoint_index: choice.endpoint.0,
             name: endpoint.name.clone(),
             addr: endpoint.addr,
             time_left_ms: request.deadline.saturating_sub(now),
@@ -56,7 +58,7 @@
         self.count_attempt(request, service, choice, now);
         request
             .progress
-            .on(Event::WorkerChosen(Repeatability::from(route)));
+            .apply(RequestEvent::WorkerChosen(Repeatability::from(route)));
         request.tried.push(choice.endpoint);
         request.attempts += 1;
         request.attempt = Some(Attempt {
@@ -80,7 +82,7 @@
     ) {
         if request.reached_endpoint {
             let budget = &mut self.services[service].retry_budget;
-            budget.record_retry(&self.bounds, now);
+            budget.record_retry(&self.site_limits, now);
             self.counts.retried += 1;
         }
         let prompt_tokens = request.total_tokens();
@@ -89,7 +91,7 @@
         self.counts.cached_tokens += u64::from(cached_tokens);
     }
 
-    /// Connections to one endpoint that this node may open.
+    /// Maximum number of connections from this node to an endpoint; at least 1.
     fn connection_share(&self, max_conns: u32, endpoint: EndpointIndex) -> u32 {
         let key = self.endpoints.get(endpoint).map_or(0, |e| e.hash);
         let total = f64::from(max_conns) * CONNECTION_MARGIN;
@@ -97,8 +99,8 @@
     }
 }
 
-/// A request that runs at most once goes out only where the endpoint is known
-/// to be alive, and a suspect endpoint has to prove it.
+/// Whether an attempt must not reuse a connection: at a suspect endpoint, and for
+/// non-idempotent requests unless the endpoint was active recently.
 fn needs_new_connection(endpoint: &Endpoint, route: &Route, now: Millis) -> bool {
     let recently_active = now < endpoint.last_activity + RECENTLY_ACTIVE;
     endpoint.suspect(now) || (!route.repeatable() && !recently_active)
--- a/sorreldoor/src/control_plane/controller/bootstrap.rs
+++ b/sorreldoor/src/control_plane/controller/bootstrap.rs
@@ -1,9 +1,10 @@
-//! Bootstrap and the connections to other cores: the parts' effects carried out.
+//! Bootstrap of a site and connections to other cores: passes events to
+//! the part `bootstrap` and carries out its effects.
 
 use super::Controller;
 use crate::consensus::{Consensus, Event, Member};
-use crate::control_plane::bootstrap::{names, Context, Effect};
-use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::bootstrap::{format_member_ids, Context, Effect};
+use crate::control_plane::connections::LIVE_TIMEOUT_MS;
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::idempotency;
 use crate::log_events::LogEvent;
@@ -12,15 +13,15 @@
 use crate::store::DurableState;
 use crate::wire::{BootstrapMessage, Hello, Payload};
 
-/// Name of the stored value that holds the promised founders.
-const PROMISE_KEY: &str = "promise";
+/// Store key of the promised founders.
+const PROMISED_FOUNDERS_KEY: &str = "promise";
 
 impl Controller {
-    /// Periodic step of a core that is part of no site.
+    /// Periodic step of a core that has neither bootstrapped nor joined a site.
     pub(super) fn tick_bootstrap(&mut self) {
-        let live = self.live_cores(LIVE_MS);
+        let live = self.live_cores(LIVE_TIMEOUT_MS);
         let context = Context {
-            own: &self.me,
+            own: &self.own_hello,
             now: self.now,
             members: None,
         };
@@ -28,10 +29,10 @@
         self.bootstrap_effects(effects);
     }
 
-    /// Asks a founded core where the members are.
-    pub(super) fn query_founded(&mut self) {
-        let live = self.live_cores(LIVE_MS);
-        let query = self.bootstrap.query(&live, self.now);
+    /// Asks a core of a bootstrapped site for the members' addresses.
+    pub(super) fn query_founded_core(&mut self) {
+        let live = self.live_cores(LIVE_TIMEOUT_MS);
+        let query = self.bootstrap.query_founded_core(&live, self.now);
         self.bootstrap_effects(query.into_iter().collect());
     }
 
@@ -43,7 +44,7 @@
     ) {
         let consensus = self.consensus.as_ref();
         let context = Context {
-            own: &self.me,
+            own: &self.own_hello,
             now: self.now,
             members: consensus.map(|consensus| consensus.members()),
         };
@@ -55,58 +56,61 @@
         for effect in effects {
             match effect {
                 Effect::Send(conn, message) => self.send(conn, Payload::Bootstrap(message)),
-                Effect::KeepPromise(founders) => {
+                Effect::SavePromise(founders) => {
                     let value = founders.map_or_else(Vec::new, |founders| encode(&founders));
-                    self.out.push(ControllerEffect::Keep(PROMISE_KEY, value));
+                    self.effects
+                        .push(ControllerEffect::StoreValue(PROMISED_FOUNDERS_KEY, value));
                 }
-                Effect::Log(event, about) => self.log_event(event, about),
-                Effect::Found(founders) => self.found(founders),
-                Effect::Join => self.join(),
+                Effect::Log(event, details) => self.log_event(event, details),
+                Effect::Bootstrap(founders) => self.bootstrap_site(founders),
+                Effect::Join => self.join_site(),
                 Effect::Discover(addresses) => self.peer_addresses.discover(addresses),
-                Effect::Redial => self.redial(),
+                Effect::ReconcileConnections => self.reconcile_connections(),
             }
         }
     }
 
-    fn found(&mut self, founders: Vec<Member>) {
-        self.log_event(LogEvent::ClusterBootstrapped, names(&founders));
-        let record = ReplicatedState::new(self.site.clone());
-        let (id, timing, seed, now) = (self.me.id, self.timing.clone(), self.seed, self.now);
-        let consensus = Consensus::bootstrap(id, timing, founders, record, seed, now);
+    fn bootstrap_site(&mut self, founders: Vec<Member>) {
+        self.log_event(LogEvent::ClusterBootstrapped, format_member_ids(&founders));
+        let state = ReplicatedState::new(self.site.clone());
+        let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
+        let consensus = Consensus::bootstrap(id, timing, founders, state, seed, now);
         self.consensus = Some(consensus);
         self.idempotency_event(idempotency::Event::Founded);
         self.announce_membership();
         self.step_consensus(Event::Tick);
     }
 
-    fn join(&mut self) {
-        let record = ReplicatedState::new(self.site.clone());
-        let (id, timing, seed, now) = (self.me.id, self.timing.clone(), self.seed, self.now);
+    fn join_site(&mut self) {
+        let state = ReplicatedState::new(self.site.clone());
+        let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
         let blank = DurableState::default().to_consensus();
-        self.consensus = Some(Consensus::new(id, timing, blank, record, seed, now));
+        self.consensus = Some(Consensus::new(id, timing, blank, state, seed, now));
     }
 
-    /// Tells all peers that this core is a member, and connects to the others.
+    /// Announces to all connected nodes that this core belongs to a bootstrapped
+    /// site, and connects to the other members.
     pub(super) fn announce_membership(&mut self) {
-        self.me.founded = true;
+        self.own_hello.founded = true;
         for conn in self.connections.all() {
-            let hello = self.me.clone();
+            let hello = self.own_hello.clone();
             self.send(conn, Payload::Hello(hello));
         }
-        self.redial();
+        self.reconcile_connections();
     }
 
-    /// Matches the connections to the members and seeds.
-    pub(super) fn redial(&mut self) {
+    /// Connects to new members and seeds, and disconnects from addresses that are
+    /// neither any more.
+    pub(super) fn reconcile_connections(&mut self) {
         let consensus = self.consensus.as_ref();
         let members = consensus.map_or(&[][..], |consensus| consensus.members());
-        let changes = self
-            .peer_addresses
-            .reconcile(self.me.id, &self.me.addr, members);
+        let changes =
+            self.peer_addresses
+                .reconcile(self.own_hello.id, &self.own_hello.addr, members);
         let connect = changes.connect.into_iter().map(ControllerEffect::Connect);
-        self.out.extend(connect);
+        self.effects.extend(connect);
         let disconnect = changes.disconnect.into_iter();
-        self.out
+        self.effects
             .extend(disconnect.map(ControllerEffect::Disconnect));
     }
 }
--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -1,4 +1,5 @@
-//! Connections and frames: each frame goes to the part that it concerns.
+//! Dispatch of connection events and received frames to the parts that they
+//! concern.
 
 use super::edges::Renewal;
 use super::idempotency_keys::{edge_event, peer_event};
@@ -14,7 +15,7 @@
         match event {
             NetEvent::Up { conn, dialled } => {
                 self.connections.opened(conn, dialled, self.now);
-                let hello = self.me.clone();
+                let hello = self.own_hello.clone();
                 self.send(conn, Payload::Hello(hello));
             }
             NetEvent::Down { conn } => self.on_closed(conn),
@@ -29,7 +30,7 @@
         let hello = self.connections.closed(conn);
         self.end_session(conn);
         let core = hello.filter(|hello| hello.core).map(|hello| hello.id);
-        if let Some(id) = core.filter(|id| self.connections.to(*id).is_none()) {
+        if let Some(id) = core.filter(|id| self.connections.preferred_to(*id).is_none()) {
             self.step_consensus(Event::Disconnected { id });
         }
     }
@@ -41,15 +42,15 @@
         match self.connections.hello(conn).cloned() {
             Some(from) if from.core => self.on_core_frame(conn, from, payload),
             Some(_) => self.on_edge_frame(conn, payload),
-            // it may have overtaken the introduction, and will be sent again
+            // urgent events can overtake the hello in the queue; consensus resends
             None if payload.is_consensus() => {}
-            // a node must introduce itself first
-            None => self.out.push(ControllerEffect::Close(conn)),
+            // any other frame before the hello is a protocol violation
+            None => self.effects.push(ControllerEffect::Close(conn)),
         }
     }
 
     fn on_hello(&mut self, conn: Conn, hello: Hello) {
-        if hello.id == self.me.id {
+        if hello.id == self.own_hello.id {
             return self.on_own_hello(conn);
         }
         if hello.core {
@@ -64,17 +65,18 @@
 
     fn identify(&mut self, conn: Conn, hello: Hello) {
         for superseded in self.connections.identify(conn, hello) {
-            self.out.push(ControllerEffect::Close(superseded));
+            self.effects.push(ControllerEffect::Close(superseded));
         }
     }
 
-    /// A connection to oneself, through a seed address, is of no use.
+    /// Closes a connection that this core opened to itself through a seed address,
+    /// and drops the address.
     fn on_own_hello(&mut self, conn: Conn) {
         if let Some(own) = self.connections.dialled(conn) {
             self.peer_addresses.remove_own(own);
-            self.out.push(ControllerEffect::Disconnect(own));
+            self.effects.push(ControllerEffect::Disconnect(own));
         }
-        self.out.push(ControllerEffect::Close(conn));
+        self.effects.push(ControllerEffect::Close(conn));
     }
 
     /// Frames that only cores may send.
@@ -86,7 +88,7 @@
             Payload::WorkerRegistry(registry) => self.adopt_worker_list(registry),
             Payload::Loads(loads) => self.adopt_loads(loads),
             Payload::UsageTotals(totals) => {
-                self.usage.record_totals(from.id, &totals, self.now);
+                self.usage.record_peer_totals(from.id, &totals, self.now);
             }
             payload => match peer_event(conn, &from, payload) {
                 Ok(event) => self.idempotency_event(event),
@@ -117,13 +119,13 @@
                 request_id,
                 proposal_id,
                 cmd,
-            } => self.change(Requester::Edge { conn, request_id }, proposal_id, cmd),
+            } => self.propose_change(Requester::Edge { conn, request_id }, proposal_id, cmd),
             Payload::OpFind {
                 request_id,
                 proposal_id,
             } => {
                 let requester = Requester::Edge { conn, request_id };
-                self.read(Read::Outcome {
+                self.request_read(Read::Outcome {
                     requester,
                     proposal_id,
                 });
--- a/sorreldoor/src/control_plane/controller/status.rs
+++ b/sorreldoor/src/control_plane/controller/status.rs
@@ -1,7 +1,7 @@
-//! The status document, from the state of all parts.
+//! Collects the state of all parts for the status document.
 
 use super::Controller;
-use crate::control_plane::connections::LIVE_MS;
+use crate::control_plane::connections::LIVE_TIMEOUT_MS;
 use crate::control_plane::status::{ClaimsStatus, StatusSources};
 use crate::json::Value;
 
@@ -10,14 +10,14 @@
     #[must_use]
     pub fn status(&self) -> Value {
         let sources = StatusSources {
-            me: &self.me,
+            own_hello: &self.own_hello,
             site: &self.site,
-            leaving: self.leaving,
-            quorum: self.reads.quorum(),
-            wall_ms: self.wall,
+            stopping: self.stopping,
+            has_quorum: self.reads.has_quorum(),
+            wall_ms: self.wall_ms,
             policy: &self.membership.policy,
             consensus: self.consensus.as_ref(),
-            live_cores: self.live_cores(LIVE_MS).into_keys().collect(),
+            live_cores: self.live_cores(LIVE_TIMEOUT_MS).into_keys().collect(),
             claims: ClaimsStatus {
                 remembered: self.idempotency.table().len(),
                 capacity: self.idempotency.table().capacity(),
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -1,19 +1,20 @@
-//! The core's daemon: the threads, tasks and queues around the controller.
+//! The daemon of a core: starts the threads, tasks and queues around the
+//! controller, and carries out its effects.
 
 use super::api::HttpOperatorServer;
 use super::client::{ControllerClient, ControllerReply, StateSnapshot};
 use super::controller::Controller;
 use super::events::{ControllerConfig, ControllerEffect, ControllerEvent};
 use super::integration::{bind, HttpWorkerSource, OperatorServer, WorkerSource};
-use super::membership::Policy;
+use super::membership::MembershipPolicy;
 use super::polling::{poll_loads, read_workers, watch_workers};
 use super::storage_driver::{self, StorageDriver};
 use crate::consensus::Member;
 use crate::http;
+use crate::ids::random_id;
 use crate::log_events::{log_event, LogEvent};
 use crate::metrics::{self, CORE_METRICS};
 use crate::net::{Net, NetEvent};
-use crate::order_id::random_id;
 use crate::replicated_state::decode;
 use crate::runtime::{self, EffectHandler, EventSender};
 use crate::settings::Settings;
@@ -28,30 +29,29 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Between two publications of the metrics.
-const FIGURES_INTERVAL: Duration = Duration::from_millis(500);
-/// Events that may wait for the controller.
-const EVENT_QUEUE: usize = 4096;
-/// A stopping core runs on for this long, so that what was just acknowledged
-/// still reaches the other cores.
+/// Interval at which the metrics are published.
+const METRICS_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of events queued for the controller.
+const MAX_QUEUED_EVENTS: usize = 4096;
+/// Time for which a stopping core runs on, so that it can replicate what it has
+/// just acknowledged.
 const STOP_DELAY: Duration = Duration::from_millis(300);
-/// After this further time open HTTP requests are abandoned.
+/// Further time for open HTTP requests to complete.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs a core until it is told to stop.
+/// Runs a core until the process receives a signal to stop.
 ///
 /// # Errors
-/// Why the core cannot start.
+/// If the core cannot start.
 pub fn run(settings: Settings) -> Result<(), StartError> {
-    run_by(settings, runtime::SystemClock::default(), |store| store)
+    run_with_store(settings, runtime::SystemClock::default(), |store| store)
 }
 
-/// With the product's own list of workers and HTTP interface, another clock,
-/// and a wrapper around the store.
+/// Like [`run`], with the given clock and a wrapper around the store.
 ///
 /// # Errors
-/// Why the core cannot start.
-pub fn run_by<C, S>(
+/// If the core cannot start.
+pub fn run_with_store<C, S>(
     settings: Settings,
     clock: C,
     wrap_store: impl FnOnce(DurableStore<Directory>) -> S,
@@ -66,15 +66,15 @@
         Arc::new(HttpWorkerSource { settings, address }) as Arc<dyn WorkerSource>
     });
     let server = HttpOperatorServer { settings: shared };
-    run_with(settings, clock, wrap_store, source, server)
+    run_with_integrations(settings, clock, wrap_store, source, server)
 }
 
-/// Runs a core until it is told to stop, with a list of workers from `source`
-/// and operators' requests served by `server`.
+/// Like [`run_with_store`], with the list of workers from `source`, and operators'
+/// requests served by `server` instead of the product's own HTTP interface.
 ///
 /// # Errors
-/// Why the core cannot start.
-pub fn run_with<C, S>(
+/// If the core cannot start.
+pub fn run_with_integrations<C, S>(
     settings: Settings,
     clock: C,
     wrap_store: impl FnOnce(DurableStore<Directory>) -> S,
@@ -88,7 +88,7 @@
     let settings = Arc::new(settings);
     let mut store = storage_driver::open(&settings.data.clone().unwrap_or_default())?;
     let id = storage_driver::identity(&mut store);
-    let (events, queue) = runtime::event_queue(EVENT_QUEUE);
+    let (events, queue) = runtime::event_queue(MAX_QUEUED_EVENTS);
     let address = settings.listen.context(NoListenAddressSnafu)?;
     let listener = bind("listen", address)?;
     let config = controller_config(&settings, &store, id, address, source.as_deref());
@@ -112,14 +112,14 @@
         events,
         shutdown,
         stop_at: None,
-        figures_at: Instant::now(),
+        next_metrics_at: Instant::now(),
     };
     runtime::run_event_loop(&mut controller, &clock, &mut daemon, &queue);
     log_event(LogEvent::Stopped, "core");
     Ok(())
 }
 
-/// Serves connections of other nodes; what they send becomes events.
+/// Starts to accept connections of other nodes; their frames become events.
 fn start_net(
     settings: &Settings,
     listener: TcpListener,
@@ -135,7 +135,7 @@
     net
 }
 
-/// What the controller starts from, by the settings and the store.
+/// The controller's configuration, from the settings and the store.
 fn controller_config(
     settings: &Settings,
     store: &DurableStore<Directory>,
@@ -145,7 +145,7 @@
 ) -> ControllerConfig {
     let unversioned = source.filter(|source| !source.is_versioned());
     ControllerConfig {
-        me: Hello {
+        own_hello: Hello {
             id,
             node: settings.node.clone(),
             core: true,
@@ -159,36 +159,36 @@
             ..Hello::default()
         },
         site: settings.names.clone(),
-        seeds: settings.seeds.clone(),
-        cores: settings.cores,
-        membership: Policy::from(settings),
+        seed_addresses: settings.seeds.clone(),
+        founder_count: settings.cores,
+        membership_policy: MembershipPolicy::from(settings),
         timing: settings.pacing.timing(settings.ack_ms),
         seed: random_id(),
-        promise: store.value("promise").and_then(decode::<Vec<Member>>),
-        sure: store.value("sure").is_some(),
-        most_claims: settings.max_claims,
-        // a core that lost its state to damage was a member once
-        bootstrap: settings.bootstrap && !store.must_rejoin(),
-        grow: settings.grow,
+        promised_founders: store.value("promise").and_then(decode::<Vec<Member>>),
+        claims_caught_up: store.value("sure").is_some(),
+        max_claims: settings.max_claims,
+        // a core whose damaged state was discarded had already joined the site
+        may_bootstrap: settings.bootstrap && !store.must_rejoin(),
+        only_seeds_bootstrap: settings.grow,
         pacing: settings.pacing.clone(),
         worker_poll_ms: unversioned.map(|source| source.poll_interval_ms()),
     }
 }
 
-/// Serves the core's metrics, where the settings ask for them.
+/// Serves the core's metrics if the settings have an endpoint for them.
 fn start_metrics(settings: &Settings, client: &ControllerClient) -> Result<(), StartError> {
     let Some(endpoint) = settings.metrics.clone() else {
         return Ok(());
     };
     let listener = bind("metrics", endpoint.address(settings.http.ip()))?;
     let client = client.clone();
-    let encode = move || metrics::encode(CORE_METRICS, client.figures());
+    let encode = move || metrics::encode(CORE_METRICS, client.metrics());
     task::spawn(metrics::serve(listener, endpoint, encode));
     Ok(())
 }
 
-/// Starts the tasks that send ticks, the stop signal and, where every core
-/// reads them, lists of workers.
+/// Starts the tasks that send ticks, the stop signal and, if `source` has versions
+/// of its own, lists of workers.
 fn start_event_sources(
     settings: &Settings,
     source: Option<&Arc<dyn WorkerSource>>,
@@ -212,18 +212,18 @@
     storage: StorageDriver<S>,
     events: EventSender<ControllerEvent>,
     shutdown: http::ShutdownHandle,
-    /// When to end, once the process was told to stop.
+    /// When the event loop may end; set once the controller is stopping.
     stop_at: Option<Instant>,
     /// When the metrics are published next.
-    figures_at: Instant,
+    next_metrics_at: Instant,
 }
 
 impl<S: Store + 'static> EffectHandler<Controller> for Daemon<S> {
     fn keeps_running(&mut self, controller: &Controller) -> bool {
         let endpoints = &controller.endpoints().endpoints;
         self.client.publish_endpoints(endpoints);
-        self.publish_figures(controller);
-        if controller.is_leaving() && self.stop_at.is_none() {
+        self.publish_metrics(controller);
+        if controller.is_stopping() && self.stop_at.is_none() {
             log_event(LogEvent::ShuttingDown, "core");
             self.stop_at = Some(Instant::now() + STOP_DELAY);
             self.shutdown.begin();
@@ -239,7 +239,7 @@
     fn handle(&mut self, controller: &mut Controller, effect: ControllerEffect) {
         match effect {
             ControllerEffect::Save(seq, save) => self.storage.save(seq, save),
-            ControllerEffect::Keep(name, value) => self.storage.put(name, &value),
+            ControllerEffect::StoreValue(name, value) => self.storage.put(name, &value),
             ControllerEffect::Send(conn, payload) => {
                 self.net.send(conn, &payload);
             }
@@ -255,12 +255,18 @@
                 let reply = ControllerReply::Change(outcome);
                 self.client.pending.reply(request_id, reply);
             }
-            ControllerEffect::StatusReady { request_id, proved } => {
+            ControllerEffect::StatusReady {
+                request_id,
+                confirmed,
+            } => {
                 let status = controller.status().encode();
-                self.reply_state(controller, request_id, proved, status);
+                self.reply_state(controller, request_id, confirmed, status);
             }
-            ControllerEffect::ViewReady { request_id, proved } => {
-                self.reply_state(controller, request_id, proved, String::new());
+            ControllerEffect::ViewReady {
+                request_id,
+                confirmed,
+            } => {
+                self.reply_state(controller, request_id, confirmed, String::new());
             }
             ControllerEffect::ReadWorkerList => {
                 if let Some(source) = self.source.clone() {
@@ -277,19 +283,25 @@
 }
 
 impl<S> Daemon<S> {
-    fn publish_figures(&mut self, controller: &Controller) {
+    fn publish_metrics(&mut self, controller: &Controller) {
         let now = Instant::now();
-        if self.settings.metrics.is_some() && now >= self.figures_at {
-            self.figures_at = now + FIGURES_INTERVAL;
-            self.client.publish_figures(controller.figures());
+        if self.settings.metrics.is_some() && now >= self.next_metrics_at {
+            self.next_metrics_at = now + METRICS_INTERVAL;
+            self.client.publish_metrics(controller.metrics());
         }
     }
 
-    fn reply_state(&self, controller: &Controller, request_id: u64, proved: bool, status: String) {
+    fn reply_state(
+        &self,
+        controller: &Controller,
+        request_id: u64,
+        confirmed: bool,
+        status: String,
+    ) {
         let consensus = controller.consensus();
         let view = consensus.map(|consensus| consensus.state_machine().view());
         let state = StateSnapshot {
-            proved,
+            confirmed,
             disk_ok: consensus.is_none_or(|consensus| !consensus.disk_failed()),
             status,
             view: Box::new(view.unwrap_or_default()),
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -10,7 +10,7 @@
 use crate::net::Conn;
 use crate::replicated_state;
 use crate::runtime::{Now, Reducer};
-use crate::subscription::{Pull, SubscriptionEffect};
+use crate::subscription::{CoreSubscription, SubscriptionEffect};
 use crate::types::Millis;
 use crate::wire::{EdgeStatus, Hello, Payload, RouteLatency, Unverified};
 use simd_json::prelude::*;
@@ -25,7 +25,7 @@
     /// The requests in progress.
     pub table: RequestTable,
     /// The subscription to a core, with the lease.
-    pub pull: Pull,
+    pub pull: CoreSubscription,
     /// Replica of the replicated state, advanced by updates.
     pub(super) replica: replicated_state::StateReplica,
     /// Callers that wait for a proof that the configuration is current, each
@@ -49,11 +49,11 @@
         self.now = self.now.max(at.monotonic_ms);
         // after a suspension any event may precede the first tick; the lease
         // must be invalid for it as well
-        if let Some(effect) = self.pull.awake(self.now, at.wall) {
+        if let Some(effect) = self.pull.detect_suspension(self.now, at.wall) {
             self.on_subscription_effect(effect);
         }
         self.handle(event);
-        if self.pull.lease(self.now) {
+        if self.pull.has_lease(self.now) {
             self.table.match_waiting(&mut self.cluster, self.now);
         }
         for effect in std::mem::take(&mut self.table.effects) {
@@ -66,7 +66,7 @@
 
 impl EdgeController {
     /// A controller that sends `hello` on each new connection to a core.
-    pub fn new(hello: Hello, cluster: ClusterView, pull: Pull) -> EdgeController {
+    pub fn new(hello: Hello, cluster: ClusterView, pull: CoreSubscription) -> EdgeController {
         EdgeController {
             hello,
             cluster,
@@ -94,7 +94,7 @@
                 self.table.on_disconnect(&mut self.cluster, request_id)
             }
             EdgeEvent::Attempt(report) => {
-                let lease_valid = self.pull.lease(self.now);
+                let lease_valid = self.pull.has_lease(self.now);
                 self.table
                     .on_attempt_event(&mut self.cluster, report, lease_valid, self.now);
             }
@@ -142,7 +142,7 @@
         self.table.retry_pending_claims(self.now);
         self.table.expire_requests(&mut self.cluster, self.now);
         self.table.reject_unservable(&self.cluster, self.now);
-        if !self.pull.lease(self.now) {
+        if !self.pull.has_lease(self.now) {
             self.table.reject_without_lease(self.now);
         }
     }
@@ -159,7 +159,7 @@
         if self.shutting_down {
             return Err(ErrorCode::ShuttingDown);
         }
-        if !self.pull.lease(self.now) {
+        if !self.pull.has_lease(self.now) {
             return Err(ErrorCode::NoLease);
         }
         Ok(())
@@ -250,11 +250,11 @@
             SubscriptionEffect::Disconnect(addr) => self.effects.push(EdgeEffect::Disconnect(addr)),
             SubscriptionEffect::Renew {
                 conn,
-                no,
+                number,
                 unverified,
-            } => self.send_renewal(conn, no, unverified),
-            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(cause) => self.log_event(LogEvent::ClockJump, cause),
+            } => self.send_renewal(conn, number, unverified),
+            SubscriptionEffect::SessionReplaced => self.log_event(LogEvent::SessionLost, "silent"),
+            SubscriptionEffect::Suspended(cause) => self.log_event(LogEvent::ClockJump, cause),
             SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
             SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
         }
@@ -263,7 +263,7 @@
     fn send_renewal(&mut self, conn: Conn, no: u64, unverified: Unverified) {
         let payload = Payload::Renew {
             no,
-            have: self.pull.have.clone(),
+            have: self.pull.known_versions.clone(),
             edge_status: self.edge_status(),
             unverified,
         };
--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -1,9 +1,9 @@
-//! Endpoint selection, outlier ejection and avoidance.
+//! Endpoint selection, outlier detection and weighted splits.
 
 use super::*;
 
 #[test]
-fn an_unreachable_worker_is_ejected_and_readmitted_by_probes() {
+fn an_unreachable_worker_is_ejected_and_readmitted_by_trials() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 0, 0, 0]));
     let unreachable_worker = "web1";
     let mut unreachable = true;
@@ -13,7 +13,7 @@
             unreachable = false;
         }
         let request = begin(&mut balancer, "/web/x", now);
-        let mut decision = balancer.pick(request, now);
+        let mut decision = balancer.decide(request, now);
         while let Decision::Send(target) = &decision {
             if target.name == unreachable_worker {
                 attempts.push(now);
@@ -21,7 +21,7 @@
             }
             if target.name == unreachable_worker && unreachable {
                 balancer.record_outcome(request, AttemptOutcome::ConnectFailed, now);
-                decision = balancer.pick(request, now);
+                decision = balancer.decide(request, now);
             } else {
                 balancer.record_outcome(request, AttemptOutcome::Completed(200), now + 15);
                 break;
@@ -39,7 +39,7 @@
         attempts_while_unreachable.len() <= 6,
         "{attempts_while_unreachable:?}"
     );
-    // the backoff doubles
+    // the time between trials grows
     assert!(
         attempts_while_unreachable
             .windows(3)
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn at_most_a_third_is_ejected_for_failures_and_a_fully_ejected_group_still_serves() {
+fn at_most_a_third_is_ejected_for_failures_and_a_fully_ejected_service_still_serves() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0; 9]));
     for now in 0..400u64 {
         let (request, _) = send(&mut balancer, "/webonce/x", now);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_full_worker_is_avoided_for_a_while() {
+fn a_worker_that_refused_a_request_is_avoided_for_a_short_time() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 0]));
     let (request, first) = send(&mut balancer, "/webonce/x", 1000);
     balancer.record_outcome(
@@ -87,7 +87,7 @@
         })),
         1001,
     );
-    let second = expect_send(balancer.pick(request, 1001));
+    let second = expect_send(balancer.decide(request, 1001));
     assert_ne!(first.name, second.name);
     for now in 1002..1008 {
         assert_eq!(send(&mut balancer, "/webonce/x", now).1.name, second.name);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn weights_split_and_sticky_ones_stay() {
+fn routes_split_by_weight_and_sticky_routes_keep_a_prefix_at_one_service() {
     let mut sticky = route("s", "/s/", Kind::Once, 0);
     sticky.split = vec![(0, 90), (1, 10)];
     let mut spread = route("n", "/n/", Kind::Once, 0);
@@ -112,58 +112,61 @@
                 let request = balancer
                     .begin("h", path, metadata(&prompt(*i)), *i, *i)
                     .unwrap();
-                let target = expect_send(balancer.pick(request, *i));
+                let target = expect_send(balancer.decide(request, *i));
                 balancer.finish(request, *i);
                 target.name.starts_with("web")
             });
             to_web.count()
         };
-    let s = web_attempts(&mut balancer, "/s/", &|i| {
+    let sticky_to_web = web_attempts(&mut balancer, "/s/", &|i| {
         vec![(i + 1, 50), (i + 1_000_000, 9)]
     });
-    assert!((140..260).contains(&s), "{s}");
-    let n = web_attempts(&mut balancer, "/n/", &|_| vec![(7, 50), (8, 9)]);
-    assert!((520..680).contains(&n), "{n}");
-    let one = web_attempts(&mut balancer, "/s/", &|i| vec![(7, 50), (i + 100, 9)]);
-    assert!(one == 0 || one == 2000, "{one}");
+    assert!((140..260).contains(&sticky_to_web), "{sticky_to_web}");
+    let spread_to_web = web_attempts(&mut balancer, "/n/", &|_| vec![(7, 50), (8, 9)]);
+    assert!((520..680).contains(&spread_to_web), "{spread_to_web}");
+    let one_prefix_to_web = web_attempts(&mut balancer, "/s/", &|i| vec![(7, 50), (i + 100, 9)]);
+    assert!(
+        one_prefix_to_web == 0 || one_prefix_to_web == 2000,
+        "{one_prefix_to_web}"
+    );
     assert_eq!(web_attempts(&mut balancer, "/z/", &|_| vec![]), 2000);
 }
 
 #[test]
 fn long_prompts_go_to_different_workers() {
     let mut balancer = new_balancer(default_routes(), workers_in("model", 48, &[0, 0, 0]));
-    let mut at: Vec<String> = Vec::new();
+    let mut chosen_workers: Vec<String> = Vec::new();
     for id in 1..4u64 {
         let request = balancer
             .begin("h", "/once/", metadata(&[(id, 20_000)]), 10, 10)
             .unwrap();
-        at.push(expect_send(balancer.pick(request, 10)).name);
+        chosen_workers.push(expect_send(balancer.decide(request, 10)).name);
     }
-    at.sort();
-    at.dedup();
-    assert_eq!(at.len(), 3);
+    chosen_workers.sort();
+    chosen_workers.dedup();
+    assert_eq!(chosen_workers.len(), 3);
 }
 
 #[test]
-fn a_session_returns_to_its_prefix_cache() {
+fn requests_of_a_session_go_to_the_same_worker() {
     let mut balancer = new_balancer(default_routes(), workers_in("model", 48, &[0; 6]));
     let session_prompt = |own_tokens: u32| metadata(&[(5, 6000), (77, own_tokens)]);
-    let mut at = Vec::new();
+    let mut chosen_workers = Vec::new();
     for i in 0..5 {
         let request = balancer
             .begin("h", "/once/", session_prompt(1000 + i * 500), 10, 10)
             .unwrap();
-        at.push(expect_send(balancer.pick(request, 10)).name);
+        chosen_workers.push(expect_send(balancer.decide(request, 10)).name);
         balancer.record_outcome(request, AttemptOutcome::FirstEvent, 50);
         balancer.record_outcome(request, AttemptOutcome::Completed(200), 60);
         balancer.finish(request, 60);
     }
-    at.dedup();
-    assert_eq!(at.len(), 1);
+    chosen_workers.dedup();
+    assert_eq!(chosen_workers.len(), 1);
 }
 
 #[test]
-fn a_slow_worker_gets_less_and_plain_requests_stay_in_their_zone() {
+fn a_slow_worker_gets_fewer_requests_and_requests_without_prompt_prefer_their_zone() {
     let mut balancer = new_balancer(default_routes(), workers_in("web", 6, &[0, 0, 1]));
     let mut attempts_by_worker = [0; 3];
     let mut completions: Vec<(u64, RequestId)> = Vec::new();
@@ -175,8 +178,11 @@
         completions.retain(|e| e.0 != now);
         if now % 30 == 0 {
             let (request, target) = send(&mut balancer, "/web/x", now);
-            attempts_by_worker[target.worker as usize] += 1;
-            completions.push((now + if target.worker == 1 { 180 } else { 60 }, request));
+            attempts_by_worker[target.endpoint_index as usize] += 1;
+            completions.push((
+                now + if target.endpoint_index == 1 { 180 } else { 60 },
+                request,
+            ));
         }
     }
     assert!(
@@ -202,7 +208,7 @@
                 i,
             )
             .unwrap();
-        let decision = balancer.pick(request, i);
+        let decision = balancer.decide(request, i);
         assert!(matches!(decision, Decision::Send(_)));
         balancer.record_outcome(request, AttemptOutcome::Completed(200), i + 1);
         balancer.finish(request, i + 1);
@@ -223,7 +229,7 @@
     assert_eq!(send(&mut balancer, "/p/x", 10).1.priority, Some(9));
     let sum: u32 = (0..93)
         .map(|i| {
-            let mut balancer = Balancer::new(locality(&format!("n{i}"), 0), bounds(), 1);
+            let mut balancer = Balancer::new(locality(&format!("n{i}"), 0), site_limits(), 1);
             balancer.apply_configuration(default_routes(), 0);
             balancer.update_nodes((0..93).map(|i| (format!("n{i}"), 0)).collect());
             balancer.update_registry(&registry(1, workers_in("model", 48, &[0])), 0);
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -2,7 +2,9 @@
 //! under every event is compared with a reference model.
 
 use sorreldoor::invariants::{break_only, Invariant};
-use sorreldoor::proxy::attempt::{ClientAnswer, Event, Repeatability, RequestProgress, State};
+use sorreldoor::proxy::request_state::{
+    FallbackResponse, Repeatability, RequestEvent, RequestProgress, State,
+};
 use std::collections::HashSet;
 
 const KINDS: [Repeatability; 3] = [
@@ -11,28 +13,28 @@
     Repeatability::ResumableStream,
 ];
 
-fn events() -> Vec<Event> {
+fn events() -> Vec<RequestEvent> {
     let mut all = vec![
-        Event::ConnectFailed,
-        Event::Connected,
-        Event::BytesWritten(1),
-        Event::RequestSent,
-        Event::NotRun,
-        Event::HeadReceived,
-        Event::MismatchedHead,
-        Event::Malformed,
-        Event::ResponseComplete,
-        Event::PartDelivered { resumable: true },
-        Event::PartDelivered { resumable: false },
-        Event::Reset,
-        Event::Closed,
-        Event::IdleTimeout,
-        Event::DeadlinePassed,
-        Event::ClientDone,
-        Event::Shutdown,
+        RequestEvent::ConnectFailed,
+        RequestEvent::Connected,
+        RequestEvent::BytesWritten(1),
+        RequestEvent::RequestSent,
+        RequestEvent::NotRun,
+        RequestEvent::HeadReceived,
+        RequestEvent::MismatchedHead,
+        RequestEvent::Malformed,
+        RequestEvent::ResponseComplete,
+        RequestEvent::PartDelivered { resumable: true },
+        RequestEvent::PartDelivered { resumable: false },
+        RequestEvent::Reset,
+        RequestEvent::Closed,
+        RequestEvent::IdleTimeout,
+        RequestEvent::DeadlinePassed,
+        RequestEvent::ClientDone,
+        RequestEvent::Shutdown,
     ];
-    all.extend(KINDS.map(Event::WorkerChosen));
-    all.extend(KINDS.map(Event::ConfigurationChanged));
+    all.extend(KINDS.map(RequestEvent::WorkerChosen));
+    all.extend(KINDS.map(RequestEvent::ConfigurationChanged));
     all
 }
 
@@ -80,41 +82,41 @@
         self.head_received = false;
     }
 
-    fn on(&mut self, event: Event) {
+    fn on(&mut self, event: RequestEvent) {
         // without a report of the connection, bytes count as sent
         let may_have_sent = self.bytes_sent || !self.connected;
         match event {
-            Event::WorkerChosen(kind) if !self.attempt_open && !self.client_done => {
+            RequestEvent::WorkerChosen(kind) if !self.attempt_open && !self.client_done => {
                 self.kind = kind;
                 self.attempt_open = true;
                 self.sent_non_idempotent |= kind == Repeatability::NonIdempotent;
             }
-            Event::WorkerChosen(_) => {}
-            Event::ConfigurationChanged(kind) => self.kind = kind,
-            Event::Connected => self.connected |= self.attempt_open,
-            Event::BytesWritten(_) => self.bytes_sent |= self.connected,
-            Event::RequestSent | Event::HeadReceived if self.attempt_open => {
+            RequestEvent::WorkerChosen(_) => {}
+            RequestEvent::ConfigurationChanged(kind) => self.kind = kind,
+            RequestEvent::Connected => self.connected |= self.attempt_open,
+            RequestEvent::BytesWritten(_) => self.bytes_sent |= self.connected,
+            RequestEvent::RequestSent | RequestEvent::HeadReceived if self.attempt_open => {
                 self.connected = true;
                 self.bytes_sent = true;
-                self.head_received |= event == Event::HeadReceived;
+                self.head_received |= event == RequestEvent::HeadReceived;
             }
-            Event::RequestSent | Event::HeadReceived => {}
-            Event::ConnectFailed => self.end(self.bytes_sent),
-            Event::NotRun => self.end(self.head_received),
-            Event::PartDelivered { resumable } if self.head_received => {
+            RequestEvent::RequestSent | RequestEvent::HeadReceived => {}
+            RequestEvent::ConnectFailed => self.end(self.bytes_sent),
+            RequestEvent::NotRun => self.end(self.head_received),
+            RequestEvent::PartDelivered { resumable } if self.head_received => {
                 self.client_received_part = true;
                 self.client_part_resumable &= resumable;
             }
-            Event::PartDelivered { .. } => {}
-            Event::DeadlinePassed => {
+            RequestEvent::PartDelivered { .. } => {}
+            RequestEvent::DeadlinePassed => {
                 self.deadline_passed = true;
                 self.end(may_have_sent);
             }
-            Event::ClientDone => {
+            RequestEvent::ClientDone => {
                 self.end(may_have_sent);
                 self.client_done = true;
             }
-            Event::Shutdown => self.shutting_down = true,
+            RequestEvent::Shutdown => self.shutting_down = true,
             _ => self.end(may_have_sent),
         }
     }
@@ -133,7 +135,7 @@
 /// How the state differs from what the model expects, if it does.
 fn mismatch(progress: &RequestProgress, model: &Model) -> Option<String> {
     let may_send = progress.may_send();
-    let client_answer = progress.client_answer();
+    let fallback_response = progress.fallback_response();
     let ran = model.may_have_run();
     let idle = !model.attempt_open && !model.client_done && !model.deadline_passed;
     let expected_may_send = idle
@@ -141,22 +143,22 @@
             true => model.retry_allowed(),
             false => !model.shutting_down,
         };
-    let expected_client_answer = match (
+    let expected_fallback_response = match (
         model.client_received_part || model.client_done,
         ran,
         model.deadline_passed,
     ) {
-        (true, _, _) => ClientAnswer::CutConnection,
-        (_, false, _) => ClientAnswer::Refused,
-        (_, true, false) => ClientAnswer::BadGateway,
-        (_, true, true) => ClientAnswer::GatewayTimeout,
+        (true, _, _) => FallbackResponse::CloseConnection,
+        (_, false, _) => FallbackResponse::ServiceUnavailable,
+        (_, true, false) => FallbackResponse::BadGateway,
+        (_, true, true) => FallbackResponse::GatewayTimeout,
     };
     if may_send != expected_may_send {
         return Some(format!("may_send is {may_send}, not {expected_may_send}"));
     }
-    if client_answer != expected_client_answer {
+    if fallback_response != expected_fallback_response {
         return Some(format!(
-            "client_answer is {client_answer:?}, not {expected_client_answer:?}"
+            "fallback_response is {fallback_response:?}, not {expected_fallback_response:?}"
         ));
     }
     (progress.may_have_run() != ran).then(|| format!("may_have_run is not {ran}"))
@@ -174,7 +176,7 @@
         for (progress, model) in frontier {
             for event in events() {
                 let (mut p, mut s) = (progress, model);
-                p.on(event);
+                p.apply(event);
                 s.on(event);
                 if let Some(difference) = mismatch(&p, &s) {
                     return Err(format!(
@@ -218,33 +220,41 @@
 #[test]
 fn non_idempotent_request_is_retried_only_if_it_certainly_did_not_run() {
     let uncertain_ends = [
-        Event::Reset,
-        Event::Closed,
-        Event::IdleTimeout,
-        Event::Malformed,
-        Event::MismatchedHead,
-        Event::Shutdown,
-        Event::ConfigurationChanged(Repeatability::Idempotent),
+        RequestEvent::Reset,
+        RequestEvent::Closed,
+        RequestEvent::IdleTimeout,
+        RequestEvent::Malformed,
+        RequestEvent::MismatchedHead,
+        RequestEvent::Shutdown,
+        RequestEvent::ConfigurationChanged(Repeatability::Idempotent),
     ];
     for end in uncertain_ends {
         let mut p = RequestProgress::new(Repeatability::NonIdempotent);
         for event in [
-            Event::WorkerChosen(Repeatability::NonIdempotent),
-            Event::Connected,
-            Event::BytesWritten(1),
+            RequestEvent::WorkerChosen(Repeatability::NonIdempotent),
+            RequestEvent::Connected,
+            RequestEvent::BytesWritten(1),
             end,
-            Event::Closed,
+            RequestEvent::Closed,
         ] {
-            p.on(event);
+            p.apply(event);
         }
         assert!(!p.may_send(), "{end:?}");
-        assert_eq!(p.client_answer(), ClientAnswer::BadGateway, "{end:?}");
+        assert_eq!(
+            p.fallback_response(),
+            FallbackResponse::BadGateway,
+            "{end:?}"
+        );
     }
-    for certain_end in [Event::NotRun, Event::ConnectFailed] {
+    for certain_end in [RequestEvent::NotRun, RequestEvent::ConnectFailed] {
         let mut p = RequestProgress::new(Repeatability::NonIdempotent);
-        p.on(Event::WorkerChosen(Repeatability::NonIdempotent));
-        p.on(certain_end);
+        p.apply(RequestEvent::WorkerChosen(Repeatability::NonIdempotent));
+        p.apply(certain_end);
         assert!(p.may_send(), "{certain_end:?}");
-        assert_eq!(p.client_answer(), ClientAnswer::Refused, "{certain_end:?}");
+        assert_eq!(
+            p.fallback_response(),
+            FallbackResponse::ServiceUnavailable,
+            "{certain_end:?}"
+        );
     }
 }
