--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -25,7 +25,11 @@
 }
 
 impl OperatorServer for HttpOperatorServer {
-    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), StartError> {
+    fn start(
+        self,
+        client: ControllerClient,
+        shutdown: http::ShutdownHandle,
+    ) -> Result<(), StartError> {
         let address = self.settings.http;
         let listener = bind("http", address)?;
         let max_connections = self.settings.max_connections;
@@ -34,7 +38,7 @@
         task::spawn(http::serve(
             listener,
             max_connections,
-            gate,
+            shutdown,
             move |request, _| api.clone().handle(request),
         ));
         log_event(LogEvent::Listening, format!("http {address}"));
@@ -62,8 +66,8 @@
             return self.ready().await;
         }
         match operator_api::read(&mut request, &self.settings.names).await {
-            None => http::shed(ErrorCode::UnknownPath, &path, RETRY_AFTER_S),
-            Some(Err(code)) => http::shed(code, "", RETRY_AFTER_S),
+            None => http::error_response(ErrorCode::UnknownPath, &path, RETRY_AFTER_S),
+            Some(Err(code)) => http::error_response(code, "", RETRY_AFTER_S),
             Some(Ok(request)) => self.handle_operator(request).await,
         }
     }
@@ -74,9 +78,9 @@
                 confirmed: true, ..
             }) => http::json(200, "{\"ready\":true}".into()),
             Some(StateSnapshot { disk_ok: false, .. }) => {
-                http::shed(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
+                http::error_response(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
             }
-            _ => http::shed(
+            _ => http::error_response(
                 ErrorCode::NoControlPlane,
                 "this core cannot reach a quorum",
                 RETRY_AFTER_S,
@@ -125,5 +129,5 @@
 }
 
 fn no_control_plane() -> Response {
-    http::shed(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
+    http::error_response(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
 }
