--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -11,7 +11,7 @@
 use super::{AttemptOutcome, Decision, RequestId};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
-use crate::proxy::attempt::{ClientAnswer, Event, Repeatability};
+use crate::proxy::request_state::{FallbackResponse, Repeatability, RequestEvent};
 use crate::types::Millis;
 
 /// No attempt is sent with less time than this left until the deadline.
@@ -96,7 +96,9 @@
     ) -> Decision {
         // a request without a route is not known to be idempotent
         let kind = route.map_or(Repeatability::NonIdempotent, Repeatability::from);
-        request.progress.on(Event::ConfigurationChanged(kind));
+        request
+            .progress
+            .apply(RequestEvent::ConfigurationChanged(kind));
         if !request.progress.may_send() {
             return self.reject(request, ErrorCode::ShuttingDown, now);
         }
@@ -194,9 +196,9 @@
     }
 
     fn reject(&mut self, request: &Request, error: ErrorCode, now: Millis) -> Decision {
-        let error = match request.progress.client_answer() {
-            ClientAnswer::Refused => error,
-            ClientAnswer::GatewayTimeout => ErrorCode::DeadlineExceeded,
+        let error = match request.progress.fallback_response() {
+            FallbackResponse::ServiceUnavailable => error,
+            FallbackResponse::GatewayTimeout => ErrorCode::DeadlineExceeded,
             _ if request.progress.may_run_twice() => ErrorCode::WorkerDisconnected,
             _ => ErrorCode::OutcomeUnknown,
         };
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -1,8 +1,9 @@
-//! Idempotency keys: frames and the timer in, the part's effects carried out.
+//! Idempotency keys: converts frames and timer ticks to events of the part, and
+//! carries out its effects.
 
 use super::Controller;
 use crate::consensus::Save;
-use crate::control_plane::connections::{LIVE_MS, REACHABLE_MS};
+use crate::control_plane::connections::{LIVE_TIMEOUT_MS, REACHABLE_TIMEOUT_MS};
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::idempotency::{Context, Effect, Event, Peer, ReplyTo};
 use crate::net::Conn;
@@ -10,7 +11,7 @@
 use crate::wire::{Hello, Payload};
 use std::collections::BTreeSet;
 
-/// Name of the stored value that this core has caught up on the claims.
+/// Store key of the mark that this core has caught up on the claims.
 const CAUGHT_UP_KEY: &str = "sure";
 
 impl Controller {
@@ -23,11 +24,12 @@
         self.idempotency_event(Event::Tick { peers });
     }
 
+    /// Passes one event to the part and carries out its effects.
     pub(in crate::control_plane) fn idempotency_event(&mut self, event: Event) {
         let consensus = self.consensus.as_ref();
         let context = Context {
             now: self.now,
-            own_id: self.me.id,
+            own_id: self.own_hello.id,
             voters: self.voter_ids(),
             joined: consensus.is_some(),
             has_unsynced_saves: consensus.is_some_and(|c| c.last_unsynced_save().is_some()),
@@ -41,7 +43,7 @@
         match effect {
             Effect::Send(conn, payload) => self.send(conn, payload),
             Effect::SendToPeer(id, payload) => {
-                if let Some((conn, _)) = self.live_cores(REACHABLE_MS).get(&id) {
+                if let Some((conn, _)) = self.live_cores(REACHABLE_TIMEOUT_MS).get(&id) {
                     self.send(*conn, payload);
                 }
             }
@@ -59,15 +61,16 @@
                     self.idempotency.defer(seq, action);
                 }
             }
-            Effect::KeepCaughtUp => {
-                let caught_up = ControllerEffect::Keep(CAUGHT_UP_KEY, vec![1]);
-                self.out.push(caught_up);
+            Effect::PersistCaughtUp => {
+                let caught_up = ControllerEffect::StoreValue(CAUGHT_UP_KEY, vec![1]);
+                self.effects.push(caught_up);
             }
-            Effect::Log(event, about) => self.log_event(event, about),
+            Effect::Log(event, details) => self.log_event(event, details),
         }
     }
 
-    /// Saves with the log's own saves; the sequence number of the save.
+    /// Saves claims in one sequence with the log's saves. Returns the number of the
+    /// save; `None` without a replica.
     fn save_claims(&mut self, save: Save) -> Option<u64> {
         let (seq, effects) = self.consensus.as_mut()?.save_outside_log(save);
         for effect in effects {
@@ -76,11 +79,12 @@
         Some(seq)
     }
 
-    /// Sends to every live peer that votes, or that may vote soon.
+    /// Sends to every live core that is a voter or belongs to the site and may
+    /// become one.
     fn broadcast_claim(&mut self, payload: Payload, except: &BTreeSet<NodeId>) {
         let voters = self.voter_ids();
         let targets: Vec<Conn> = self
-            .live_cores(LIVE_MS)
+            .live_cores(LIVE_TIMEOUT_MS)
             .into_iter()
             .filter(|(id, (_, hello))| hello.founded || voters.contains(id))
             .filter(|(id, _)| !except.contains(id))
@@ -93,7 +97,7 @@
 
     fn live_voters(&self) -> Vec<Peer> {
         let voters = self.voter_ids();
-        self.live_cores(LIVE_MS)
+        self.live_cores(LIVE_TIMEOUT_MS)
             .into_iter()
             .filter(|(id, _)| voters.contains(id))
             .map(|(_, (conn, hello))| peer(conn, &hello))
@@ -114,7 +118,7 @@
     }
 }
 
-/// The event of a frame that only cores may send; the frame if it is another.
+/// Converts a frame that only cores may send; returns any other frame as error.
 #[allow(clippy::result_large_err)]
 pub(super) fn peer_event(conn: Conn, from: &Hello, payload: Payload) -> Result<Event, Payload> {
     Ok(match payload {
@@ -142,7 +146,7 @@
     })
 }
 
-/// The event of a frame that any node may send, if it concerns claims.
+/// Converts a frame about claims that any node may send; `None` for other frames.
 pub(super) fn edge_event(conn: Conn, payload: Payload) -> Option<Event> {
     match payload {
         Payload::Claim { request_id, claim } => Some(Event::Claim {
@@ -158,7 +162,7 @@
             id,
             claimant,
         }),
-        Payload::Sent { requests } => Some(Event::Sent(requests)),
+        Payload::Sent { requests } => Some(Event::SentRequests(requests)),
         _ => None,
     }
 }
--- a/sorreldoor/src/control_plane/controller/mod.rs
+++ b/sorreldoor/src/control_plane/controller/mod.rs
@@ -1,15 +1,15 @@
-//! The core's reducer. It routes each event to the part that owns the state it
-//! concerns and turns what the part returns into effects; see the sibling
-//! modules of this folder's parent for the parts.
+//! The reducer of a core node. [`Controller`] routes each event to the part that
+//! owns the state concerned and converts the part's results into effects. The
+//! parts are the sibling modules of `controller`; none of them depends on it.
 
 mod bootstrap;
 mod changes;
 mod consensus;
 mod edges;
-mod figures;
 mod frames;
 mod idempotency_keys;
 mod membership;
+mod metrics;
 mod quotas;
 mod reads;
 mod singleton;
@@ -18,7 +18,7 @@
 mod workers;
 
 use super::bootstrap::{Bootstrap, PeerAddresses};
-use super::connections::{Connections, REACHABLE_MS};
+use super::connections::{Connections, REACHABLE_TIMEOUT_MS};
 use super::distribution::Distribution;
 use super::events::{ControllerEffect, ControllerEvent, Requester};
 use super::idempotency::{self, Idempotency};
@@ -28,14 +28,14 @@
 use super::reads::{Read, Reads};
 use super::sessions::{EndpointList, Sessions};
 use super::singleton::SingletonRole;
-use super::worker_list::WorkerList;
+use super::worker_list::WorkerListCache;
 use crate::configuration::Site;
 use crate::consensus::{Consensus, Event, Timing};
 use crate::discovery::Loads;
 use crate::log_events::LogEvent;
 use crate::net::Conn;
 use crate::pacing::Pacing;
-use crate::quota::UsageLedger;
+use crate::quota::UsageTracker;
 use crate::replicated_state::ReplicatedState;
 use crate::runtime::{Now, Reducer};
 use crate::types::{Millis, NodeId};
@@ -43,17 +43,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Interval of the work that need not be done at each tick.
+/// Interval of periodic work that need not run on every tick.
 const SLOW_TICK_MS: Millis = 250;
 
-/// A core node: consensus, and the parts around it.
+/// The state of a core node: its consensus replica and the parts around it.
+/// Only [`Reducer::step`] changes it.
 pub struct Controller {
-    pub(super) me: Hello,
+    pub(super) own_hello: Hello,
     pub(super) site: Arc<Site>,
     pub(super) pacing: Pacing,
     pub(super) timing: Timing,
     pub(super) seed: u64,
-    /// None while this core is part of no site.
+    /// `None` until this core has bootstrapped or joined a site.
     pub(super) consensus: Option<Consensus<ReplicatedState>>,
     bootstrap: Bootstrap,
     peer_addresses: PeerAddresses,
@@ -62,23 +63,23 @@
     membership: Membership,
     sessions: Sessions,
     distribution: Distribution,
-    worker_list: WorkerList,
+    worker_list: WorkerListCache,
     loads: LoadTable,
     reads: Reads,
     proposals: Proposals,
     ids: IdSequence,
     singleton: SingletonRole,
-    usage: UsageLedger,
-    /// The revision whose quotas `usage` has.
+    usage: UsageTracker,
+    /// Revision of the replicated state that the quotas in `usage` are from.
     quota_revision: u64,
     usage_report_at: Millis,
     slow_tick_at: Millis,
-    /// The configuration version that was logged last.
+    /// The configuration version in the last `ConfigurationApplied` log event.
     logged_version: u64,
-    leaving: bool,
-    wall: i64,
+    stopping: bool,
+    wall_ms: i64,
     pub(super) now: Millis,
-    pub(super) out: Vec<ControllerEffect>,
+    pub(super) effects: Vec<ControllerEffect>,
 }
 
 impl Reducer for Controller {
@@ -87,52 +88,52 @@
 
     fn step(&mut self, event: ControllerEvent, now: Now) -> Vec<ControllerEffect> {
         self.now = self.now.max(now.monotonic_ms);
-        self.wall = now.wall;
-        self.route(event);
-        self.start_proof();
-        std::mem::take(&mut self.out)
+        self.wall_ms = now.wall;
+        self.dispatch(event);
+        self.start_confirmation();
+        std::mem::take(&mut self.effects)
     }
 }
 
 impl Controller {
-    /// Whether this process was told to stop.
+    /// Whether this process has received the signal to stop.
     #[must_use]
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_stopping(&self) -> bool {
+        self.stopping
     }
 
-    /// The consensus group's state here; none while this core is part of no
-    /// site.
+    /// This core's replica of the consensus group; `None` until it has
+    /// bootstrapped or joined a site.
     #[must_use]
     pub fn consensus(&self) -> Option<&Consensus<ReplicatedState>> {
         self.consensus.as_ref()
     }
 
-    /// The newest list of workers.
+    /// The newest list of workers, and the schedule of its reads.
     #[must_use]
-    pub fn worker_list(&self) -> &WorkerList {
+    pub fn worker_list(&self) -> &WorkerListCache {
         &self.worker_list
     }
 
-    /// The newest loads of the workers.
+    /// The newest known loads of the workers.
     #[must_use]
     pub fn loads(&self) -> &Arc<Loads> {
         self.loads.loads()
     }
 
-    /// The sessions of all edges, one for each edge.
+    /// The sessions of all edges, one per edge.
     #[must_use]
     pub fn edge_sessions(&self) -> &[EdgeSession] {
         self.sessions.merged()
     }
 
-    /// The edges as other edges are shown them.
+    /// The list of edges in the form that is sent to edges.
     #[must_use]
     pub fn endpoints(&self) -> &EndpointList {
         self.sessions.endpoints()
     }
 
-    fn route(&mut self, event: ControllerEvent) {
+    fn dispatch(&mut self, event: ControllerEvent) {
         match event {
             ControllerEvent::Tick => self.tick(),
             ControllerEvent::Net(event) => self.on_net(event),
@@ -142,27 +143,31 @@
             ControllerEvent::Change {
                 request_id,
                 proposal_id,
-                cmd,
-            } => self.change(Requester::Http { request_id }, proposal_id, cmd),
+                command,
+            } => self.propose_change(Requester::Http { request_id }, proposal_id, command),
             ControllerEvent::RemoveCore {
                 request_id,
                 proposal_id,
                 core,
             } => self.remove_core(request_id, proposal_id, core),
-            ControllerEvent::ReadStatus { request_id } => self.read(Read::Status { request_id }),
-            ControllerEvent::ReadView { request_id } => self.read(Read::View { request_id }),
+            ControllerEvent::ReadStatus { request_id } => {
+                self.request_read(Read::Status { request_id })
+            }
+            ControllerEvent::ReadView { request_id } => {
+                self.request_read(Read::View { request_id })
+            }
             ControllerEvent::ReadOutcome {
                 request_id,
                 proposal_id,
             } => {
                 let requester = Requester::Http { request_id };
-                self.read(Read::Outcome {
+                self.request_read(Read::Outcome {
                     requester,
                     proposal_id,
                 });
             }
-            ControllerEvent::WorkerRegistry(result) => self.on_worker_list(result),
-            ControllerEvent::Loads { epoch, rows } => self.on_loads_polled(epoch, rows),
+            ControllerEvent::WorkerListRead(result) => self.on_worker_list(result),
+            ControllerEvent::LoadsPolled { epoch, loads } => self.on_loads_polled(epoch, loads),
             ControllerEvent::Stop => self.stop(),
         }
     }
@@ -182,25 +187,27 @@
         self.step_consensus(Event::SaveRecovered);
     }
 
-    pub(super) fn log_event(&mut self, event: LogEvent, about: impl Into<String>) {
-        self.out.push(ControllerEffect::Log(event, about.into()));
+    pub(super) fn log_event(&mut self, event: LogEvent, details: impl Into<String>) {
+        self.effects
+            .push(ControllerEffect::Log(event, details.into()));
     }
 
     pub(super) fn send(&mut self, conn: Conn, payload: Payload) {
         self.connections.sent(conn, self.now);
-        self.out.push(ControllerEffect::Send(conn, payload));
+        self.effects.push(ControllerEffect::Send(conn, payload));
     }
 
-    /// Connections to the cores that broadcasts go to.
+    /// One connection to each core that receives broadcasts.
     fn reachable_cores(&self) -> Vec<Conn> {
-        let cores = self.live_cores(REACHABLE_MS).into_values();
+        let cores = self.live_cores(REACHABLE_TIMEOUT_MS).into_values();
         cores.map(|(conn, _)| conn).collect()
     }
 
-    /// Cores from which a frame came within `ms`, by identity, each with a
-    /// connection to send on.
-    pub(super) fn live_cores(&self, ms: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
-        self.connections.cores_since(self.now.saturating_sub(ms))
+    /// Cores that sent a frame within the last `max_silence_ms`, by id, each with
+    /// a connection to send on.
+    pub(super) fn live_cores(&self, max_silence_ms: Millis) -> BTreeMap<NodeId, (Conn, Hello)> {
+        self.connections
+            .cores_since(self.now.saturating_sub(max_silence_ms))
     }
 
     fn tick(&mut self) {
@@ -219,7 +226,7 @@
         match &self.consensus {
             None => self.tick_bootstrap(),
             Some(consensus) if consensus.members().is_empty() => {
-                self.query_founded();
+                self.query_founded_core();
             }
             Some(_) => self.tick_singleton(),
         }
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -1,4 +1,5 @@
-//! A controller as it starts: blank, or from what its store has kept.
+//! Construction of a controller, with blank state or with state recovered from
+//! its store.
 
 use super::Controller;
 use crate::consensus::{Consensus, RecoveredState, StateMachine};
@@ -13,30 +14,35 @@
 use crate::control_plane::reads::Reads;
 use crate::control_plane::sessions::Sessions;
 use crate::control_plane::singleton::SingletonRole;
-use crate::control_plane::worker_list::WorkerList;
-use crate::quota::UsageLedger;
+use crate::control_plane::worker_list::WorkerListCache;
+use crate::quota::UsageTracker;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
 
 impl Controller {
-    /// A core with the state `kept` by its store; blank without any.
+    /// A core with the state recovered from its store; `None` starts it blank.
     ///
     /// # Panics
-    /// If this release cannot read the stored snapshot: to go on with an empty
-    /// record would be to lead with old state.
-    pub fn new(config: ControllerConfig, kept: Option<RecoveredState>, now: Millis) -> Controller {
-        let promised = config.promise.is_some();
-        let sure = config.sure;
+    /// If this release cannot read the stored snapshot: a core that went on with
+    /// an empty state could lead and serve outdated data.
+    pub fn new(
+        config: ControllerConfig,
+        recovered: Option<RecoveredState>,
+        now: Millis,
+    ) -> Controller {
+        let is_founder = config.promised_founders.is_some();
+        let claims_caught_up = config.claims_caught_up;
         let claim_options = Options::from(&config);
         let mut controller = Controller::blank(config, now);
-        if let Some(kept) = kept {
-            // a founder has missed no claim; a core that joined later has kept
-            // on disk whether it caught up
-            let caught_up = sure || promised;
-            controller.idempotency = Idempotency::new(claim_options, &kept.claims, caught_up, now);
-            controller.restore(kept);
+        if let Some(recovered) = recovered {
+            // a founder has missed no claim; a core that joined later has stored
+            // whether it has caught up
+            let caught_up = claims_caught_up || is_founder;
+            controller.idempotency =
+                Idempotency::new(claim_options, &recovered.claims, caught_up, now);
+            controller.restore(recovered);
         }
-        controller.redial();
+        controller.reconcile_connections();
         controller
     }
 
@@ -44,64 +50,64 @@
         Controller {
             idempotency: Idempotency::new(Options::from(&config), &[], false, now),
             bootstrap: Bootstrap::new(bootstrap_options(&config)),
-            ids: IdSequence::new(&config.me),
-            sessions: Sessions::new(&config.me, config.pacing.accounts, now),
-            me: config.me,
+            ids: IdSequence::new(&config.own_hello),
+            sessions: Sessions::new(&config.own_hello, config.pacing.accounts, now),
+            own_hello: config.own_hello,
             site: config.site,
-            membership: Membership::new(config.membership),
+            membership: Membership::new(config.membership_policy),
             pacing: config.pacing,
             timing: config.timing,
             seed: config.seed,
             consensus: None,
-            peer_addresses: PeerAddresses::new(config.seeds),
+            peer_addresses: PeerAddresses::new(config.seed_addresses),
             connections: Connections::default(),
             distribution: Distribution::default(),
-            worker_list: WorkerList::new(config.worker_poll_ms, now),
+            worker_list: WorkerListCache::new(config.worker_poll_ms, now),
             loads: LoadTable::default(),
             reads: Reads::default(),
             proposals: Proposals::default(),
             singleton: SingletonRole::new(now),
-            usage: UsageLedger::new(),
+            usage: UsageTracker::new(),
             quota_revision: 0,
             usage_report_at: now,
             slow_tick_at: now,
             logged_version: 0,
-            leaving: false,
-            wall: 0,
+            stopping: false,
+            wall_ms: 0,
             now,
-            out: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
-    fn restore(&mut self, kept: RecoveredState) {
-        let mut record = ReplicatedState::new(self.site.clone());
-        if let Some(snapshot) = &kept.snapshot {
+    fn restore(&mut self, recovered: RecoveredState) {
+        let mut state = ReplicatedState::new(self.site.clone());
+        if let Some(snapshot) = &recovered.snapshot {
             assert!(
-                record.load(&snapshot.image),
+                state.load(&snapshot.image),
                 "this release cannot read the snapshot"
             );
         }
-        let (id, timing, seed, now) = (self.me.id, self.timing.clone(), self.seed, self.now);
-        self.consensus = Some(Consensus::new(id, timing, kept, record, seed, now));
-        self.me.founded = true;
+        let (id, timing, seed, now) = (self.own_hello.id, self.timing.clone(), self.seed, self.now);
+        self.consensus = Some(Consensus::new(id, timing, recovered, state, seed, now));
+        self.own_hello.founded = true;
     }
 }
 
 fn bootstrap_options(config: &ControllerConfig) -> bootstrap::Options {
-    let seeds = config.seeds.iter().copied();
+    let seeds = config.seed_addresses.iter().copied();
     bootstrap::Options {
-        enabled: config.bootstrap,
-        seeds_only: config.grow.then(|| seeds.collect()),
-        cores: config.cores,
-        promise: config.promise.clone(),
+        enabled: config.may_bootstrap,
+        allowed_founders: config.only_seeds_bootstrap.then(|| seeds.collect()),
+        founder_count: config.founder_count,
+        promised_founders: config.promised_founders.clone(),
     }
 }
 
 impl From<&ControllerConfig> for Options {
     fn from(config: &ControllerConfig) -> Options {
         Options {
-            capacity: config.most_claims,
-            founding_cores: config.cores,
+            capacity: config.max_claims,
+            founding_cores: config.founder_count,
             reads_peers: config.pacing.claims,
         }
     }
--- a/sorreldoor/src/control_plane/membership/mod.rs
+++ b/sorreldoor/src/control_plane/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Membership of the consensus group: the changes that follow from what the
-//! leader observes.
+//! Membership of the consensus group: the Global Leader compares the members that
+//! it observes with a policy, and proposes one change at a time.
 
 mod change;
 mod from_settings;
@@ -9,7 +9,7 @@
 mod spread;
 
 pub use change::{MembershipChange, Reason};
-pub use observed::{Health, Observed};
-pub use policy::{Policy, Shortfall};
-pub use reducer::{learner, Membership};
+pub use observed::{Health, Observation};
+pub use policy::{MembershipPolicy, VoterMismatch};
+pub use reducer::{joining_learner, Membership};
 pub use spread::Spread;
--- a/sorreldoor/src/ctl/client.rs
+++ b/sorreldoor/src/ctl/client.rs
@@ -1,7 +1,7 @@
 //! HTTP calls to the nodes, and messages about failed ones.
 
 use super::{show, ExitCode, EXIT_OUTCOME_UNKNOWN, EXIT_REJECTED, EXIT_UNREACHABLE};
-use crate::http::{self, Broke, Call, Called};
+use crate::http::{self, Call, CallError, CompleteResponse};
 use crate::json::{self, Value};
 use async_std::task;
 use http_types::Method;
@@ -94,21 +94,21 @@
     }
 
     /// Sends a request to the first node that accepts a connection.
-    pub(super) fn call(&self, request: &Request) -> Result<Called, Broke> {
+    pub(super) fn call(&self, request: &Request) -> Result<CompleteResponse, CallError> {
         for node in &self.nodes {
             let call = Call {
                 method: request.method,
                 path: request.path.clone(),
-                heads: Vec::new(),
+                headers: Vec::new(),
                 body: request.body.clone(),
             };
             match task::block_on(http::call(*node, call, MAX_RESPONSE_BYTES, CALL_TIMEOUT)) {
                 // a request that may have been sent could run twice on another node
-                Err(Broke::Unsent) => {}
+                Err(CallError::NotSent) => {}
                 result => return result,
             }
         }
-        Err(Broke::Unsent)
+        Err(CallError::NotSent)
     }
 
     /// Prints a response as JSON or formatted, as `--json` says.
@@ -120,9 +120,9 @@
         }
     }
 
-    fn report_failed_call(&self, error: Broke, proposal_id: Option<&str>) -> ExitCode {
+    fn report_failed_call(&self, error: CallError, proposal_id: Option<&str>) -> ExitCode {
         let nodes = &self.nodes;
-        if error == Broke::Unsent {
+        if error == CallError::NotSent {
             eprintln!("ctl: cannot connect to any node of {nodes:?}; nothing was sent");
             return EXIT_UNREACHABLE;
         }
@@ -136,7 +136,7 @@
         EXIT_OUTCOME_UNKNOWN
     }
 
-    fn report_rejection(&self, called: &Called, body: &Value) -> ExitCode {
+    fn report_rejection(&self, called: &CompleteResponse, body: &Value) -> ExitCode {
         if self.json {
             println!("{}", String::from_utf8_lossy(&called.body));
         } else {
--- a/sorreldoor/src/ctl/mod.rs
+++ b/sorreldoor/src/ctl/mod.rs
@@ -10,8 +10,8 @@
 pub use args::Args;
 
 use crate::configuration;
+use crate::ids;
 use crate::json::{self, Value};
-use crate::order_id;
 use args::{FileArgs, Operation, ZoneArgs};
 use client::{Client, Request};
 use http_types::Method;
@@ -67,7 +67,7 @@
             client.change(Request::get(&path))
         }
         Operation::DropCore(args) => {
-            let id = order_id::format_proposal_id(order_id::random_proposal_id());
+            let id = ids::format_proposal_id(ids::random_proposal_id());
             let path = format!("/v1/cores/{}/drop?id={id}", args.id);
             client.change(Request::change(Method::Post, path, Vec::new(), id))
         }
@@ -130,9 +130,9 @@
                 "--base: the version that the change is based on is required; see: ctl get";
             return Err(usage_error(message));
         };
-        let new_id = || order_id::format_proposal_id(order_id::random_proposal_id());
+        let new_id = || ids::format_proposal_id(ids::random_proposal_id());
         let id = id.unwrap_or_else(new_id);
-        if order_id::parse_proposal_id(&id).is_none() {
+        if ids::parse_proposal_id(&id).is_none() {
             return Err(usage_error("--id: must be up to 32 hex digits"));
         }
         let path = format!("{path}?base={base}&id={id}");
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -10,7 +10,7 @@
 use crate::net::Conn;
 use crate::replicated_state;
 use crate::runtime::{Now, Reducer};
-use crate::subscription::{Pull, SubscriptionEffect};
+use crate::subscription::{CoreSubscription, SubscriptionEffect};
 use crate::types::Millis;
 use crate::wire::{EdgeStatus, Hello, Payload, RouteLatency, Unverified};
 use simd_json::prelude::*;
@@ -25,7 +25,7 @@
     /// The requests in progress.
     pub table: RequestTable,
     /// The subscription to a core, with the lease.
-    pub pull: Pull,
+    pub pull: CoreSubscription,
     /// Replica of the replicated state, advanced by updates.
     pub(super) replica: replicated_state::StateReplica,
     /// Callers that wait for a proof that the configuration is current, each
@@ -35,7 +35,7 @@
     /// connection that it was sent on.
     pub(super) pending_proposals: BTreeMap<RequestId, Conn>,
     pub(super) pending_releases: PendingReleases,
-    pub(super) leaving: bool,
+    pub(super) shutting_down: bool,
     /// Monotonic time of the latest event.
     pub(super) now: Millis,
     pub(super) effects: Vec<EdgeEffect>,
@@ -47,13 +47,13 @@
 
     fn step(&mut self, event: EdgeEvent, at: Now) -> Vec<EdgeEffect> {
         self.now = self.now.max(at.monotonic_ms);
-        // the event that wakes a suspended process may come before any tick,
-        // and must find the lease void
-        if let Some(effect) = self.pull.awake(self.now, at.wall) {
+        // after a suspension any event may precede the first tick; the lease
+        // must be invalid for it as well
+        if let Some(effect) = self.pull.detect_suspension(self.now, at.wall) {
             self.on_subscription_effect(effect);
         }
         self.handle(event);
-        if self.pull.lease(self.now) {
+        if self.pull.has_lease(self.now) {
             self.table.match_waiting(&mut self.cluster, self.now);
         }
         for effect in std::mem::take(&mut self.table.effects) {
@@ -65,8 +65,8 @@
 }
 
 impl EdgeController {
-    /// The controller of an edge that introduces itself with `hello`.
-    pub fn new(hello: Hello, cluster: ClusterView, pull: Pull) -> EdgeController {
+    /// A controller that sends `hello` on each new connection to a core.
+    pub fn new(hello: Hello, cluster: ClusterView, pull: CoreSubscription) -> EdgeController {
         EdgeController {
             hello,
             cluster,
@@ -76,7 +76,7 @@
             pending_reads: Vec::new(),
             pending_proposals: BTreeMap::new(),
             pending_releases: PendingReleases::default(),
-            leaving: false,
+            shutting_down: false,
             now: 0,
             effects: Vec::new(),
         }
@@ -94,7 +94,7 @@
                 self.table.on_disconnect(&mut self.cluster, request_id)
             }
             EdgeEvent::Attempt(report) => {
-                let lease_valid = self.pull.lease(self.now);
+                let lease_valid = self.pull.has_lease(self.now);
                 self.table
                     .on_attempt_event(&mut self.cluster, report, lease_valid, self.now);
             }
@@ -128,7 +128,7 @@
                 self.effects.push(EdgeEffect::Status(request_id, status));
             }
             EdgeEvent::Shutdown => {
-                self.leaving = true;
+                self.shutting_down = true;
                 self.log_event(LogEvent::ShuttingDown, "edge");
             }
         }
@@ -142,7 +142,7 @@
         self.table.retry_pending_claims(self.now);
         self.table.expire_requests(&mut self.cluster, self.now);
         self.table.reject_unservable(&self.cluster, self.now);
-        if !self.pull.lease(self.now) {
+        if !self.pull.has_lease(self.now) {
             self.table.reject_without_lease(self.now);
         }
     }
@@ -151,26 +151,26 @@
         self.effects.push(EdgeEffect::Log(event, about.into()));
     }
 
-    /// Whether the edge accepts new requests as far as it is concerned.
+    /// Checks that the edge accepts new requests.
     ///
     /// # Errors
-    /// `Leaving` during shutdown, `NoLease` without a valid lease.
-    pub(super) fn check_open(&self) -> Result<(), ErrorCode> {
-        if self.leaving {
+    /// `ShuttingDown` during shutdown, `NoLease` without a valid lease.
+    pub(super) fn check_accepting(&self) -> Result<(), ErrorCode> {
+        if self.shutting_down {
             return Err(ErrorCode::ShuttingDown);
         }
-        if !self.pull.lease(self.now) {
+        if !self.pull.has_lease(self.now) {
             return Err(ErrorCode::NoLease);
         }
         Ok(())
     }
 
-    /// Whether callers should be sent to this edge.
+    /// Checks that the edge can serve requests.
     ///
     /// # Errors
-    /// The reason why not.
+    /// The reason why it cannot.
     pub fn ready(&self) -> Result<(), ErrorCode> {
-        self.check_open()?;
+        self.check_accepting()?;
         if self.cluster.configuration.is_none() {
             return Err(ErrorCode::NoConfiguration);
         }
@@ -181,8 +181,8 @@
     }
 
     /// Whether a shutdown has begun.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down
     }
 
     /// Whether no request is in the table.
@@ -193,7 +193,7 @@
     fn check_admission(&mut self, request_id: RequestId, spec: &RequestSpec) {
         self.table.record_arrival(&self.cluster, self.now);
         let admission = self
-            .check_open()
+            .check_accepting()
             .and_then(|()| self.table.check_admission(&self.cluster, request_id, spec));
         match admission {
             Ok(Admission::Accepted) => {
@@ -213,7 +213,7 @@
     }
 
     fn submit(&mut self, request_id: RequestId, spec: RequestSpec) {
-        match self.check_open() {
+        match self.check_accepting() {
             Ok(()) => self.table.submit(&self.cluster, request_id, spec, self.now),
             Err(error_code) => self.table.reject(request_id, error_code, self.now),
         }
@@ -250,11 +250,11 @@
             SubscriptionEffect::Disconnect(addr) => self.effects.push(EdgeEffect::Disconnect(addr)),
             SubscriptionEffect::Renew {
                 conn,
-                no,
+                number,
                 unverified,
-            } => self.send_renewal(conn, no, unverified),
-            SubscriptionEffect::Lost => self.log_event(LogEvent::SessionLost, "silent"),
-            SubscriptionEffect::Woken(cause) => self.log_event(LogEvent::ClockJump, cause),
+            } => self.send_renewal(conn, number, unverified),
+            SubscriptionEffect::SessionReplaced => self.log_event(LogEvent::SessionLost, "silent"),
+            SubscriptionEffect::Suspended(cause) => self.log_event(LogEvent::ClockJump, cause),
             SubscriptionEffect::LeaseExpired => self.log_event(LogEvent::LeaseExpired, ""),
             SubscriptionEffect::LeaseRenewed => self.log_event(LogEvent::LeaseRenewed, ""),
         }
@@ -263,7 +263,7 @@
     fn send_renewal(&mut self, conn: Conn, no: u64, unverified: Unverified) {
         let payload = Payload::Renew {
             no,
-            have: self.pull.have.clone(),
+            have: self.pull.known_versions.clone(),
             edge_status: self.edge_status(),
             unverified,
         };
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -5,8 +5,8 @@
 use crate::discovery::{Loads, Worker};
 use crate::error::ErrorCode;
 use crate::http;
+use crate::ids::{format_proposal_id, parse_proposal_id, random_proposal_id};
 use crate::json::Value;
-use crate::order_id::{format_proposal_id, parse_proposal_id, random_proposal_id};
 use crate::replicated_state::{Command, Outcome};
 use crate::types::ProposalId;
 use crate::wire::OpOutcome;
@@ -50,12 +50,12 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn base_version(request: &Request) -> Result<u64, ErrorCode> {
-    let base = http::query(request, "base").ok_or(ErrorCode::MissingBaseVersion)?;
+    let base = http::query_parameter(request, "base").ok_or(ErrorCode::MissingBaseVersion)?;
     base.parse().map_err(|_| ErrorCode::MissingBaseVersion)
 }
 
 fn given_proposal_id(request: &Request) -> Result<ProposalId, ErrorCode> {
-    http::query(request, "id").map_or_else(
+    http::query_parameter(request, "id").map_or_else(
         || Ok(random_proposal_id()),
         |id| parse_proposal_id(&id).ok_or(ErrorCode::InvalidRequestField),
     )
@@ -109,7 +109,7 @@
 }
 
 async fn body_text(request: &mut Request) -> Result<String, ErrorCode> {
-    let body = http::body(request, configuration::MAX_BYTES, BODY_TIMEOUT).await?;
+    let body = http::read_body(request, configuration::MAX_BYTES, BODY_TIMEOUT).await?;
     String::from_utf8(body).map_err(|_| ErrorCode::InvalidJson)
 }
 
--- a/sorreldoor/tests/balancer/quotas.rs
+++ b/sorreldoor/tests/balancer/quotas.rs
@@ -48,7 +48,7 @@
 /// An update of the shares that a core sends without a report to acknowledge.
 fn unsolicited_update(shares: &[AdmissionShare]) -> AdmissionUpdate {
     AdmissionUpdate {
-        answers: None,
+        acknowledged_report: None,
         shares: Some(shares.to_vec()),
     }
 }
@@ -90,17 +90,17 @@
     assert_eq!(row.admitted, some);
     assert_eq!(balancer.admission.take_report(500), None);
     // without an acknowledgement, the core may not have counted the report
-    balancer.admission.disconnected();
+    balancer.admission.on_disconnected();
     let again = balancer
         .admission
         .take_report(1000)
         .expect("the report is sent again");
     assert_eq!(again.usage, report.usage);
     balancer.admission.apply(&AdmissionUpdate {
-        answers: Some(again.number),
+        acknowledged_report: Some(again.number),
         shares: None,
     });
-    balancer.admission.disconnected();
+    balancer.admission.on_disconnected();
     assert_eq!(balancer.admission.take_report(1500), None);
 }
 
@@ -132,7 +132,7 @@
         Some(2)
     );
     balancer.admission.apply(&AdmissionUpdate {
-        answers: Some(2),
+        acknowledged_report: Some(2),
         shares: None,
     });
     balancer
@@ -148,7 +148,7 @@
 fn a_node_that_reaches_no_core_reports_its_usage_later() {
     let mut balancer = balancer_of(tenant());
     assert_eq!(admitted(&mut balancer, 10), 100);
-    balancer.admission.unreachable(20);
+    balancer.admission.on_core_unreachable(20);
     let detached = admitted(&mut balancer, 3000) as u64;
     assert!(detached <= 10, "{detached}");
     let report = balancer
--- a/testbed/tests/requests/answers.rs
+++ b/testbed/tests/requests/answers.rs
@@ -2,8 +2,8 @@
 
 use super::harness::block_on_test;
 use proptest::prelude::*;
-use sorreldoor::proxy::attempt::Event;
 use sorreldoor::proxy::http1::{parse_response_head, BodyDecoder, ReadBuffer, ReadError};
+use sorreldoor::proxy::request_state::RequestEvent;
 use sorreldoor::proxy::response_class::{classify_response, ExpectedRequest, ResponseClass};
 use sorreldoor::proxy::{Dialect, PlainDialect, ResponseMetadata};
 
@@ -77,7 +77,7 @@
 /// The result of reading one response from the received bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ParseOutcome {
-    /// A response to the request itself; `nothing_buffered` tells that no
+    /// A response to the request itself; `nothing_buffered` is true if no
     /// surplus bytes follow it.
     Complete {
         body: Vec<u8>,
@@ -85,13 +85,13 @@
     },
     NotRun,
     Misdirected,
-    Unusable(Event),
+    Unusable(RequestEvent),
     /// The connection ended before the response did.
     Truncated,
 }
 
 const EXPECTED: ExpectedRequest<'static> = ExpectedRequest {
-    attempt_id: OWN_ID,
+    client_attempt_id: OWN_ID,
     method: "POST",
 };
 
@@ -120,7 +120,7 @@
             Ok(Some(head)) => break head,
             Ok(None) if feed(&mut buffer) => {}
             Ok(None) => return ParseOutcome::Truncated,
-            Err(_) => return ParseOutcome::Unusable(Event::Malformed),
+            Err(_) => return ParseOutcome::Unusable(RequestEvent::Malformed),
         }
     };
     let mut metadata = ResponseMetadata::default();
@@ -140,8 +140,8 @@
             Ok(true) => break,
             Ok(false) if feed(&mut buffer) => {}
             Ok(false) => return ParseOutcome::Truncated,
-            Err(ReadError::Malformed) => return ParseOutcome::Unusable(Event::Malformed),
-            Err(_) => return ParseOutcome::Unusable(Event::Closed),
+            Err(ReadError::Malformed) => return ParseOutcome::Unusable(RequestEvent::Malformed),
+            Err(_) => return ParseOutcome::Unusable(RequestEvent::Closed),
         }
     }
     let nothing_buffered = buffer.is_empty();
@@ -155,7 +155,7 @@
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn only_its_own_complete_response_reaches_a_request(
+    fn only_the_requests_own_complete_response_is_accepted(
         outputs in prop::collection::vec(worker_output(), 0..4),
         cuts in prop::collection::vec(any::<usize>(), 0..6),
         truncated in prop::option::of((0usize..9, any::<usize>())),
@@ -166,24 +166,24 @@
             stream.extend_from_slice(&own[..at % own.len()]);
         }
         let got = parse_response(&stream, &cuts);
-        // interim responses are skipped; the first output after them decides
+        // the first output that is not an interim response decides
         let first_final = outputs.iter().find(|p| !matches!(p, WorkerOutput::InterimResponse));
         match (&got, first_final) {
             (ParseOutcome::Complete { body, .. }, Some(WorkerOutput::OwnResponse { .. })) => {
                 prop_assert_eq!(body.as_slice(), OWN_BODY.as_bytes());
             }
-            (ParseOutcome::Complete { .. }, other) => prop_assert!(false, "{:?} was taken for its own", other),
+            (ParseOutcome::Complete { .. }, other) => prop_assert!(false, "{:?} was accepted as the request's own response", other),
             (ParseOutcome::NotRun, first_final) => {
                 let own = matches!(first_final, Some(WorkerOutput::Rejection { own: true }));
-                prop_assert!(own, "a promise of {:?}", first_final);
+                prop_assert!(own, "{:?} was accepted as a rejection without a run", first_final);
             }
-            (_, Some(WorkerOutput::OwnResponse { .. })) => prop_assert!(false, "its own answer is lost: {:?}", got),
+            (_, Some(WorkerOutput::OwnResponse { .. })) => prop_assert!(false, "the request's own response was not accepted: {:?}", got),
             _ => {}
         }
     }
 
     #[test]
-    fn the_split_of_the_bytes_changes_nothing(
+    fn split_of_the_received_bytes_does_not_change_the_outcome(
         outputs in prop::collection::vec(worker_output(), 1..4),
         cuts in prop::collection::vec(any::<usize>(), 1..12),
     ) {
@@ -197,7 +197,7 @@
     }
 
     #[test]
-    fn a_surplus_byte_after_a_complete_response_is_detected(
+    fn surplus_bytes_after_a_complete_response_are_detected(
         chunk in 0usize..9,
         surplus in prop::collection::vec(any::<u8>(), 1..20),
     ) {
