--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -5,7 +5,7 @@
 use crate::consensus::{Event, StateMachine};
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::reads::Read;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::replicated_state::decode;
 use crate::types::ProposalId;
 use crate::wire::{OpOutcome, StateDelta};
@@ -15,7 +15,7 @@
     /// where this core is partitioned from the quorum.
     pub(super) fn request_read(&mut self, read: Read) {
         let partitioned = self.consensus.as_ref().is_some_and(|c| c.is_partitioned());
-        if partitioned && !broken(Invariant::Proof) {
+        if partitioned && !is_disabled(Invariant::QuorumConfirmedRead) {
             // a wait would time out; another core may reach the quorum
             return self.answer_reads(vec![read], false);
         }
@@ -32,7 +32,7 @@
             let reads = self.reads.take_queued();
             return self.answer_reads(reads, false);
         }
-        if broken(Invariant::Proof) {
+        if is_disabled(Invariant::QuorumConfirmedRead) {
             let reads = self.reads.take_queued();
             return self.answer_reads(reads, true);
         }
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -1,7 +1,7 @@
 //! Updates of the replicated state for edges: encoded once for all edges with the
 //! same base revision, with flow control for large updates.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
@@ -71,7 +71,7 @@
         }
         let update = self.encoded(state, known);
         let bytes = update.bytes.len();
-        if bytes > LARGE_UPDATE && !broken(Invariant::CopiesBounded) {
+        if bytes > LARGE_UPDATE && !is_disabled(Invariant::LargeUpdatesBounded) {
             if !self.has_capacity(bytes) {
                 return NextUpdate::Withheld;
             }
--- a/sorreldoor/src/http/call.rs
+++ b/sorreldoor/src/http/call.rs
@@ -1,7 +1,7 @@
 //! The HTTP client. It opens a new connection for each request, and accepts a
 //! response only if its length is stated and complete.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use http_types::headers::HeaderValue;
@@ -173,7 +173,7 @@
         }
         // async-h1 does not report a body shorter than its Content-Length
         if stated_length.is_some_and(|length| length != body.len())
-            && !broken(Invariant::ResultLength)
+            && !is_disabled(Invariant::CompleteBody)
         {
             return Err(CallError::Truncated);
         }
--- a/sorreldoor/src/proxy/upstream/connection_pool.rs
+++ b/sorreldoor/src/proxy/upstream/connection_pool.rs
@@ -1,7 +1,7 @@
 //! The pool of keep-alive connections, for each incarnation of a worker. An idle
 //! connection on which bytes arrive is closed, as they belong to no request.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::proxy::http1::ReadBuffer;
 use async_std::net::TcpStream;
 use std::collections::HashMap;
@@ -49,7 +49,7 @@
 
     /// Whether the connection is open and has no unread bytes.
     fn is_clean(&self) -> bool {
-        if broken(Invariant::CleanConnection) {
+        if is_disabled(Invariant::CleanConnection) {
             return true;
         }
         let mut byte = [0; 1];
--- a/sorreldoor/src/replicated_state/apply.rs
+++ b/sorreldoor/src/replicated_state/apply.rs
@@ -6,11 +6,11 @@
 use super::{decode, encode, Command, Outcome, ReplicatedState, Version};
 use crate::configuration;
 use crate::consensus::StateMachine;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::types::ProposalId;
 use std::sync::Arc;
 
-/// The version remembered for a rejection where `Invariant::RefusalKept` is
+/// The version remembered for a rejection where `Invariant::RejectionNotRecorded` is
 /// disabled; applied requests have versions above 0.
 const REJECTED: Version = 0;
 
@@ -18,8 +18,8 @@
     /// The outcome of a proposal that was applied before.
     fn applied_before(&self, id: ProposalId) -> Option<Outcome> {
         let known = self.data.applied_requests.version_of(id);
-        let version = known.filter(|_| !broken(Invariant::AppliedOnce))?;
-        if broken(Invariant::RefusalKept) && version == REJECTED {
+        let version = known.filter(|_| !is_disabled(Invariant::AppliedOnce))?;
+        if is_disabled(Invariant::RejectionNotRecorded) && version == REJECTED {
             let version = self.data.version;
             return Some(Outcome::Stale { version });
         }
@@ -39,7 +39,9 @@
         match (&outcome, base) {
             (Outcome::Applied { version }, Some(_)) => applied.insert_request(id, *version),
             (Outcome::Applied { version }, None) => applied.insert_proposal(id, *version),
-            (_, Some(_)) if broken(Invariant::RefusalKept) => applied.insert_request(id, REJECTED),
+            (_, Some(_)) if is_disabled(Invariant::RejectionNotRecorded) => {
+                applied.insert_request(id, REJECTED)
+            }
             _ => {}
         }
         outcome
@@ -99,7 +101,7 @@
             return false;
         };
         data.upgrade();
-        if broken(Invariant::TakenInImage) {
+        if is_disabled(Invariant::AppliedIdsInSnapshot) {
             data.applied_requests = Default::default();
         }
         self.restore(data)
--- a/sorreldoor/src/subscription/candidates.rs
+++ b/sorreldoor/src/subscription/candidates.rs
@@ -2,7 +2,7 @@
 //! core, either as a hedge or because they are in the edge's own region.
 
 use super::{CoreSubscription, SubscriptionEffect};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::types::Millis;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
 
     /// Tries one more core if no renewal was granted in time.
     pub(super) fn send_hedge(&mut self, now: Millis, effects: &mut Vec<SubscriptionEffect>) {
-        if now < self.hedge_at || broken(Invariant::Hedge) {
+        if now < self.hedge_at || is_disabled(Invariant::HedgedRenewal) {
             return;
         }
         self.hedge_at = now + self.hedge_delay();
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -7,7 +7,7 @@
 mod candidates;
 mod lease;
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::pacing::Pacing;
 use crate::types::Millis;
@@ -172,7 +172,7 @@
     fn renew_interval(&self, now: Millis) -> Millis {
         let age = now.saturating_sub(self.started_at);
         let is_starting = age < STARTUP_MS || (!self.was_confirmed && age < STARTUP_MS * 4);
-        let is_eager = !self.has_state() || broken(Invariant::Unhurried);
+        let is_eager = !self.has_state() || is_disabled(Invariant::UniformRenewalRate);
         if is_starting && is_eager {
             STARTUP_RENEW_MS.min(self.renew_ms)
         } else {
@@ -182,7 +182,7 @@
 
     /// Milliseconds without a grant after which a renewal is hedged.
     fn hedge_delay(&self) -> Millis {
-        let is_eager = !self.has_state() || broken(Invariant::Unhurried);
+        let is_eager = !self.has_state() || is_disabled(Invariant::UniformRenewalRate);
         if !self.was_confirmed && is_eager {
             STARTUP_HEDGE_MS.min(self.hedge_ms)
         } else {
@@ -224,7 +224,9 @@
         self.last_event_at = now;
         self.last_wall_ms = wall;
         // the monotonic clock may stop while the machine is suspended
-        if (gap > SUSPENSION_GAP_MS || jump > CLOCK_JUMP_MS) && !broken(Invariant::Woken) {
+        if (gap > SUSPENSION_GAP_MS || jump > CLOCK_JUMP_MS)
+            && !is_disabled(Invariant::LeaseVoidAfterSuspension)
+        {
             self.lease.void();
             self.renew_at = now;
             self.hedge_at = now + self.hedge_delay();
--- a/testbed/tests/requests/states.rs
+++ b/testbed/tests/requests/states.rs
@@ -1,7 +1,7 @@
 //! Exhaustive exploration of the request state machine: every reachable state
 //! under every event is compared with a reference model.
 
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::proxy::request_state::{
     FallbackResponse, Repeatability, RequestEvent, RequestProgress, State,
 };
@@ -209,10 +209,10 @@
 
 #[test]
 fn disabling_an_invariant_makes_the_exploration_find_a_mismatch() {
-    for invariant in [Invariant::SendOnce, Invariant::HonestRefusal] {
-        break_only(Some(invariant));
+    for invariant in [Invariant::SafeReattempt, Invariant::CertainNotRun] {
+        disable_only(Some(invariant));
         let explored = explore(30);
-        break_only(None);
+        disable_only(None);
         assert!(explored.is_err(), "no mismatch without {invariant:?}");
     }
 }
