--- a/sorreldoor/src/control_plane/singleton/mod.rs
+++ b/sorreldoor/src/control_plane/singleton/mod.rs
@@ -54,8 +54,8 @@
     /// The proposal in flight; there is at most one.
     proposal: Option<ProposalId>,
     regions: RegionWatch,
-    smoothed_loads: weight_tuning::Smooth,
-    latencies: weight_tuning::Times,
+    smoothed_loads: weight_tuning::SmoothedLoads,
+    latencies: weight_tuning::ServiceLatencies,
 }
 
 impl SingletonRole {
@@ -69,14 +69,14 @@
             granted_epoch: None,
             proposal: None,
             regions: RegionWatch::default(),
-            smoothed_loads: weight_tuning::Smooth::default(),
-            latencies: weight_tuning::Times::default(),
+            smoothed_loads: weight_tuning::SmoothedLoads::default(),
+            latencies: weight_tuning::ServiceLatencies::default(),
         }
     }
 
     /// Request latencies by route and service, as collected while this core held
     /// the role.
-    pub fn latencies(&self) -> &weight_tuning::Times {
+    pub fn latencies(&self) -> &weight_tuning::ServiceLatencies {
         &self.latencies
     }
 
@@ -143,7 +143,7 @@
 
     /// Adds the loads of a poll to the smoothed ones.
     pub fn on_loads(&mut self, loads: &Loads) {
-        self.smoothed_loads.take(loads);
+        self.smoothed_loads.record(loads);
     }
 
     /// The transition of the first region whose recovery state should change.
@@ -187,17 +187,17 @@
         registry: Option<&Arc<WorkerRegistry>>,
         loads: &Loads,
     ) -> Vec<WeightChange> {
-        self.latencies.take(sessions);
+        self.latencies.record(sessions);
         let (Some(configuration), Some(registry)) = (state.configuration(), registry) else {
             return Vec::new();
         };
-        let by = weight_tuning::Now {
-            ro: registry,
+        let inputs = weight_tuning::TuningInputs {
+            registry,
             loads,
-            smooth: &self.smoothed_loads,
-            times: &self.latencies,
+            smoothed_loads: &self.smoothed_loads,
+            latencies: &self.latencies,
         };
-        weight_tuning::step(configuration, &state.view().weights, &by)
+        weight_tuning::step(configuration, &state.view().weights, &inputs)
     }
 }
 
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -8,7 +8,7 @@
 use crate::json::Value;
 use crate::replicated_state::{Recovery, ReplicatedState};
 use crate::types::NodeId;
-use crate::weight_tuning::{self, Times};
+use crate::weight_tuning::{self, ServiceLatencies};
 use crate::wire::{EdgeSession, Hello};
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
@@ -42,7 +42,7 @@
     pub edge_sessions: &'a [EdgeSession],
     pub worker_list: &'a WorkerListCache,
     pub loads: &'a Loads,
-    pub latencies: &'a Times,
+    pub latencies: &'a ServiceLatencies,
 }
 
 /// A region's recovery state as the status document and log events show it.
--- a/sorreldoor/src/weight_tuning.rs
+++ b/sorreldoor/src/weight_tuning.rs
@@ -17,12 +17,12 @@
 /// Requests running or queued at each worker, in hundredths: an exponentially
 /// weighted moving average over its load reports.
 #[derive(Clone, Debug, Default)]
-pub struct Smooth(BTreeMap<String, i64>);
+pub struct SmoothedLoads(BTreeMap<String, i64>);
 
-impl Smooth {
+impl SmoothedLoads {
     /// Adds a load report of all workers. The average of a worker that reports
     /// no load starts anew; workers that are not listed are forgotten.
-    pub fn take(&mut self, loads: &Loads) {
+    pub fn record(&mut self, loads: &Loads) {
         for l in &loads.rows {
             let now = i64::from(l.running + l.queued) * 100;
             let s = self.0.entry(l.name.clone()).or_insert(now);
@@ -42,18 +42,18 @@
 fn pressure(
     s: &Configuration,
     service: u16,
-    ro: &WorkerRegistry,
+    registry: &WorkerRegistry,
     loads: &Loads,
-    smooth: &Smooth,
+    smoothed_loads: &SmoothedLoads,
 ) -> Option<i64> {
     let groups = &s.services[service as usize].groups;
     let mut used = 0i64;
     let mut room = 0i64;
-    for w in ro.workers.iter().filter(|w| !w.leaving) {
+    for w in registry.workers.iter().filter(|w| !w.leaving) {
         let in_group = s.group(&w.group).is_some_and(|g| groups.contains(&g));
         let l = loads.of(&w.name).filter(|l| l.live && in_group);
         if let Some(l) = l {
-            used += smooth.of(&l.name);
+            used += smoothed_loads.of(&l.name);
             room += i64::from(l.slots.max(1));
         }
     }
@@ -63,7 +63,7 @@
 /// Latency of requests by route and service: a moving average over the reports
 /// of all edges.
 #[derive(Clone, Debug, Default)]
-pub struct Times {
+pub struct ServiceLatencies {
     /// The totals last reported, by node, incarnation, route and service:
     /// number of requests, and their total latency in milliseconds.
     seen: BTreeMap<(String, u64, String, String), (u64, u64)>,
@@ -78,10 +78,10 @@
 /// Requests that a round must have for their mean latency to count.
 const FEW: u64 = 4;
 
-impl Times {
+impl ServiceLatencies {
     /// Adds what edges have reported since the last round. A session that was
     /// not in the last round only sets the base for the next one.
-    pub fn take(&mut self, edge_sessions: &[&EdgeSession]) {
+    pub fn record(&mut self, edge_sessions: &[&EdgeSession]) {
         let mut new: BTreeMap<(String, String), (u64, u64)> = BTreeMap::new();
         let mut seen = BTreeMap::new();
         for s in edge_sessions {
@@ -116,13 +116,13 @@
 /// Cost of each of the route's services: the latency if at least two services
 /// have one, else the utilization of their workers. None where unknown, and for
 /// a service without live workers.
-fn costs(s: &Configuration, r: &Route, now: &Now) -> Vec<Option<i64>> {
-    let full = |h: &Share| pressure(s, h.service, now.ro, now.loads, now.smooth);
+fn costs(s: &Configuration, r: &Route, now: &TuningInputs) -> Vec<Option<i64>> {
+    let full = |h: &Share| pressure(s, h.service, now.registry, now.loads, now.smoothed_loads);
     let name = |h: &Share| s.services[h.service as usize].name.as_str();
     let timed: Vec<Option<i64>> = r
         .shares
         .iter()
-        .map(|h| now.times.of(&r.name, name(h)).filter(|_| full(h).is_some()))
+        .map(|h| now.latencies.of(&r.name, name(h)).filter(|_| full(h).is_some()))
         .collect();
     if timed.iter().flatten().count() >= 2 {
         return timed;
@@ -131,18 +131,18 @@
 }
 
 /// Inputs of one tuning step.
-pub struct Now<'a> {
+pub struct TuningInputs<'a> {
     /// The workers of the platform.
-    pub ro: &'a WorkerRegistry,
+    pub registry: &'a WorkerRegistry,
     /// Their latest loads, for slots and liveness.
     pub loads: &'a Loads,
     /// Their load, smoothed.
-    pub smooth: &'a Smooth,
+    pub smoothed_loads: &'a SmoothedLoads,
     /// Latency by route and service.
-    pub times: &'a Times,
+    pub latencies: &'a ServiceLatencies,
 }
 
-fn route(s: &Configuration, r: &Route, is: &[u32], now: &Now) -> Vec<u32> {
+fn route(s: &Configuration, r: &Route, is: &[u32], now: &TuningInputs) -> Vec<u32> {
     let cs = costs(s, r, now);
     let known: Vec<i64> = cs.iter().flatten().copied().collect();
     if known.len() < 2 {
@@ -170,7 +170,7 @@
 /// One tuning step: the weights that change, as index of the route, index of
 /// the service, and new weight. `tuned` has the weights tuned so far; a share
 /// that is not in it has its configured weight.
-pub fn step(s: &Configuration, tuned: &[(u16, u16, u32)], by: &Now) -> Vec<(u16, u16, u32)> {
+pub fn step(s: &Configuration, tuned: &[(u16, u16, u32)], by: &TuningInputs) -> Vec<(u16, u16, u32)> {
     let mut out = Vec::new();
     for (i, r) in s.routes.iter().enumerate() {
         let now: Vec<u32> = r
