--- a/sorreldoor/src/configuration/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -75,17 +75,17 @@
     /// Requests that may be queued at one gateway for this group.
     pub queue: u32,
     /// How a cold worker's share of the slots grows.
-    pub warm: Warm,
+    pub slow_start: SlowStart,
 }
 
-/// The slow start of a cold worker: `first` requests at once, then one more
-/// each time `after` have finished, up to the group's slots.
+/// The slow start of a cold worker: `initial_limit` requests at once, then one more
+/// each time `requests_per_step` have finished, up to the group's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Warm {
+pub struct SlowStart {
     /// Requests that a cold worker runs at once.
-    pub first: u32,
+    pub initial_limit: u32,
     /// Requests that must finish before the limit rises by one.
-    pub after: u32,
+    pub requests_per_step: u32,
 }
 
 /// Groups of workers that serve the same requests.
--- a/sorreldoor/src/configuration/parse.rs
+++ b/sorreldoor/src/configuration/parse.rs
@@ -1,7 +1,7 @@
 //! Parsing and validation of a configuration document: the result is either
 //! complete or a list of every fault.
 
-use super::{hosted_parse, Configuration, Group, Kind, Route, Service, Share, Site, Warm};
+use super::{hosted_parse, Configuration, Group, Kind, Route, Service, Share, Site, SlowStart};
 use crate::json::{self, join, Faults, ObjectReader, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -81,11 +81,11 @@
     let w = o
         .get("warmup")
         .and_then(|w| faults.object(w, &o.at("warmup"), &["first", "after"]));
-    let warm = Warm {
-        first: num_of(&w, "first", (1, 1024), slots, faults),
-        after: num_of(&w, "after", (1, 1024), 4, faults),
+    let slow_start = SlowStart {
+        initial_limit: num_of(&w, "first", (1, 1024), slots, faults),
+        requests_per_step: num_of(&w, "after", (1, 1024), 4, faults),
     };
-    if warm.first > slots {
+    if slow_start.initial_limit > slots {
         faults.add(&o.at("warmup.first"), "must not be above slots");
     }
     Some(Group {
@@ -93,7 +93,7 @@
         model,
         slots,
         queue,
-        warm,
+        slow_start,
     })
 }
 
--- a/sorreldoor/src/control_plane/singleton/regions.rs
+++ b/sorreldoor/src/control_plane/singleton/regions.rs
@@ -50,8 +50,8 @@
         is_listed = true;
         if let Some(load) = loads.of(&worker.name).filter(|l| l.live) {
             let slots = u64::from(load.slots.max(1).min(group.slots));
-            let steps = load.finished / u64::from(group.warm.after.max(1));
-            let warm = u64::from(group.warm.first) + steps;
+            let steps = load.finished / u64::from(group.slow_start.requests_per_step.max(1));
+            let warm = u64::from(group.slow_start.initial_limit) + steps;
             total.slots += slots;
             total.warm += warm.min(slots);
         }
--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -185,7 +185,7 @@
             let dealt = dealt.entry((group_index, worker.region)).or_default();
             let index = self.worker_index(&worker.name);
             let candidate = self.candidate_of(worker, index, group_index, group, *dealt);
-            *dealt += u64::from(group.warm.first);
+            *dealt += u64::from(group.slow_start.initial_limit);
             self.addresses[index] = Some(worker.addr);
             self.candidates[index] = Some(candidate);
         }
@@ -209,7 +209,7 @@
             &slow_start::WorkerWarmup {
                 region: worker.region,
                 slots,
-                warm: group.warm,
+                slow_start: group.slow_start,
                 finished: load.map_or(0, |load| load.finished),
                 dealt,
                 report_version: loads.version,
--- a/sorreldoor/src/gateway/request_table/slow_start.rs
+++ b/sorreldoor/src/gateway/request_table/slow_start.rs
@@ -1,7 +1,7 @@
 //! Concurrency limits of workers, including slow start: a worker that has
 //! just started takes few requests until it has finished some.
 
-use crate::configuration::Warm;
+use crate::configuration::SlowStart;
 use crate::invariants::{broken, Invariant};
 use crate::placement;
 use crate::wire::EdgeEndpoint;
@@ -51,7 +51,7 @@
 pub(super) struct WorkerWarmup {
     pub region: u8,
     pub slots: u32,
-    pub warm: Warm,
+    pub slow_start: SlowStart,
     /// Requests that it has finished since its start.
     pub finished: u64,
     /// Initial places of the workers before it in its group and region.
@@ -71,8 +71,8 @@
 
 /// The limits of a worker. They are strict while it warms up.
 pub(super) fn concurrency_limit(edges: &EdgeSet, worker: &WorkerWarmup) -> ConcurrencyLimit {
-    let warmed = worker.finished / u64::from(worker.warm.after.max(1));
-    let limit = u64::from(worker.warm.first) + warmed;
+    let warmed = worker.finished / u64::from(worker.slow_start.requests_per_step.max(1));
+    let limit = u64::from(worker.slow_start.initial_limit) + warmed;
     if limit >= u64::from(worker.slots) || broken(Invariant::Warm) {
         warm_limit(edges, worker)
     } else {
--- a/sorreldoor/src/weight_tuning.rs
+++ b/sorreldoor/src/weight_tuning.rs
@@ -122,7 +122,11 @@
     let timed: Vec<Option<i64>> = r
         .shares
         .iter()
-        .map(|h| now.latencies.of(&r.name, name(h)).filter(|_| full(h).is_some()))
+        .map(|h| {
+            now.latencies
+                .of(&r.name, name(h))
+                .filter(|_| full(h).is_some())
+        })
         .collect();
     if timed.iter().flatten().count() >= 2 {
         return timed;
@@ -170,7 +174,11 @@
 /// One tuning step: the weights that change, as index of the route, index of
 /// the service, and new weight. `tuned` has the weights tuned so far; a share
 /// that is not in it has its configured weight.
-pub fn step(s: &Configuration, tuned: &[(u16, u16, u32)], by: &TuningInputs) -> Vec<(u16, u16, u32)> {
+pub fn step(
+    s: &Configuration,
+    tuned: &[(u16, u16, u32)],
+    by: &TuningInputs,
+) -> Vec<(u16, u16, u32)> {
     let mut out = Vec::new();
     for (i, r) in s.routes.iter().enumerate() {
         let now: Vec<u32> = r
