--- a/sorreldoor/src/configuration/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -108,9 +108,9 @@
     /// Relative to the weights of the route's other shares.
     pub weight: u32,
     /// The lowest weight that may be tuned.
-    pub least: u32,
+    pub min_weight: u32,
     /// The highest weight that may be tuned.
-    pub most: u32,
+    pub max_weight: u32,
 }
 
 /// How requests of one name are served.
--- a/sorreldoor/src/configuration/parse.rs
+++ b/sorreldoor/src/configuration/parse.rs
@@ -202,20 +202,20 @@
     }
     let weight = o.integer("weight", 0, 1000, faults).unwrap_or(0) as u32;
     // without bounds of the operator's own, nothing may tune the weight
-    let least = o
+    let min_weight = o
         .integer("least", 0, 1000, faults)
         .map_or(weight, |n| n as u32);
-    let most = o
+    let max_weight = o
         .integer("most", 0, 1000, faults)
         .map_or(weight, |n| n as u32);
-    if !(least..=most).contains(&weight) {
+    if !(min_weight..=max_weight).contains(&weight) {
         faults.add(&o.at("weight"), "must lie within least and most");
     }
     Some(Share {
         service,
         weight,
-        least,
-        most,
+        min_weight,
+        max_weight,
     })
 }
 
--- a/sorreldoor/src/control_plane/singleton/mod.rs
+++ b/sorreldoor/src/control_plane/singleton/mod.rs
@@ -214,6 +214,11 @@
 }
 
 fn has_tunable_shares(configuration: &Configuration) -> bool {
-    let tunable = |route: &Route| route.shares.iter().any(|share| share.least < share.most);
+    let tunable = |route: &Route| {
+        route
+            .shares
+            .iter()
+            .any(|share| share.min_weight < share.max_weight)
+    };
     configuration.routes.iter().any(tunable)
 }
--- a/sorreldoor/src/control_plane/status.rs
+++ b/sorreldoor/src/control_plane/status.rs
@@ -162,7 +162,7 @@
             shares.map(move |share| (index as u16, route, share))
         });
         shares
-            .filter(|(_, _, share)| share.least < share.most)
+            .filter(|(_, _, share)| share.min_weight < share.max_weight)
             .map(|(index, route, share)| {
                 let now = weight_tuning::weight(&tuned, index, share.service);
                 self.weight(configuration, route, share, now)
@@ -184,8 +184,8 @@
         let _ = row.insert("service", service.as_str());
         let _ = row.insert("weight", tuned.unwrap_or(share.weight));
         let _ = row.insert("set", share.weight);
-        let _ = row.insert("least", share.least);
-        let _ = row.insert("most", share.most);
+        let _ = row.insert("least", share.min_weight);
+        let _ = row.insert("most", share.max_weight);
         let _ = row.insert("took_ms", latency.map(|l| l / LATENCY_UNITS_PER_MS));
         row
     }
--- a/sorreldoor/src/gateway/request_table/explain.rs
+++ b/sorreldoor/src/gateway/request_table/explain.rs
@@ -69,8 +69,8 @@
             let _ = v.insert("service", service.name.as_str());
             let _ = v.insert("weight", weight.unwrap_or(share.weight));
             let _ = v.insert("set", share.weight);
-            let _ = v.insert("least", share.least);
-            let _ = v.insert("most", share.most);
+            let _ = v.insert("least", share.min_weight);
+            let _ = v.insert("most", share.max_weight);
             v
         })
         .collect()
--- a/sorreldoor/src/replicated_state/change.rs
+++ b/sorreldoor/src/replicated_state/change.rs
@@ -161,7 +161,7 @@
         for (route, service, weight) in weights {
             // the operator's bounds hold, whatever the tuner proposes
             if let Some(share) = configuration.share(route, service) {
-                let weight = weight.clamp(share.least, share.most);
+                let weight = weight.clamp(share.min_weight, share.max_weight);
                 self.data.weights.insert((route, service), weight);
             }
         }
--- a/sorreldoor/src/weight_tuning.rs
+++ b/sorreldoor/src/weight_tuning.rs
@@ -159,14 +159,14 @@
         .map(|(h, (c, w))| {
             // a service of unknown cost may have recovered, so it gets more
             let off = c.map_or(BAND, |c| (mean - c) * 100 / mean.max(1));
-            let room = i64::from(h.most) - i64::from(h.least);
+            let room = i64::from(h.max_weight) - i64::from(h.min_weight);
             // small differences are noise; following them would oscillate
             if off.abs() < BAND || room == 0 {
                 return *w;
             }
             let step = room * off.clamp(-100, 100) / 100 / PART;
             let step = if step == 0 { off.signum() } else { step };
-            (i64::from(*w) + step).clamp(i64::from(h.least), i64::from(h.most)) as u32
+            (i64::from(*w) + step).clamp(i64::from(h.min_weight), i64::from(h.max_weight)) as u32
         })
         .collect()
 }
