--- a/sorreldoor/src/configuration/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -127,7 +127,7 @@
     /// Requests stay in the caller's region.
     pub home: bool,
     /// The request timeout in milliseconds.
-    pub cutoff_ms: u64,
+    pub timeout_ms: u64,
     /// The services that share the route's requests.
     pub shares: Vec<Share>,
 }
--- a/sorreldoor/src/configuration/parse.rs
+++ b/sorreldoor/src/configuration/parse.rs
@@ -159,7 +159,7 @@
     let streamed = o.flag("streamed", faults).unwrap_or(kind != Kind::Fetch);
     let repeatable = o.flag("repeatable", faults).unwrap_or(false);
     let home = o.flag("home", faults).unwrap_or(false);
-    let cutoff_ms = o
+    let timeout_ms = o
         .integer("cutoff_ms", 50, 600_000, faults)
         .unwrap_or(30_000);
     let mut shares = Vec::new();
@@ -190,7 +190,7 @@
         repeatable,
         streamed,
         home,
-        cutoff_ms,
+        timeout_ms,
         shares,
     })
 }
--- a/sorreldoor/src/gateway/request_table/admission.rs
+++ b/sorreldoor/src/gateway/request_table/admission.rs
@@ -118,10 +118,10 @@
         self.counters.accepted += 1;
         self.retry_budget.deposit(configuration.retry_percent);
         let needs_claim = !route.repeatable && spec.client_supplied_id;
-        let mut request = Request::new(spec, index, now, now + route.cutoff_ms);
+        let mut request = Request::new(spec, index, now, now + route.timeout_ms);
         if needs_claim {
             request.claim = ClaimState::Pending(now);
-            let claim = ClaimRequest::new(&request.spec, route.cutoff_ms);
+            let claim = ClaimRequest::new(&request.spec, route.timeout_ms);
             let effect = RequestEffect::Claim { request_id, claim };
             self.effects.push(effect);
         }
--- a/sorreldoor/src/gateway/request_table/request.rs
+++ b/sorreldoor/src/gateway/request_table/request.rs
@@ -26,7 +26,7 @@
         RequestProfile {
             model: route.kind != Kind::Fetch,
             streamed: route.streamed,
-            timeout_ms: route.cutoff_ms,
+            timeout_ms: route.timeout_ms,
         }
     }
 
