--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -249,7 +249,7 @@
 
 /// Time after its arrival until which a request may wait, in milliseconds.
 fn max_wait(route: &Route, reached_endpoint: bool) -> Millis {
-    let latency_target = match route.aim_ms {
+    let latency_target = match route.latency_target_ms {
         0 => route.timeout_ms / 2,
         target => target,
     };
--- a/sorreldoor/src/configuration/hosted.rs
+++ b/sorreldoor/src/configuration/hosted.rs
@@ -31,7 +31,7 @@
     /// The request timeout in milliseconds.
     pub timeout_ms: u64,
     /// The latency target in milliseconds; 0: none.
-    pub aim_ms: u64,
+    pub latency_target_ms: u64,
     /// The priority class; 0 is served first.
     pub priority: u8,
     /// Indices of services with their traffic weights.
--- a/sorreldoor/src/configuration/hosted_parse.rs
+++ b/sorreldoor/src/configuration/hosted_parse.rs
@@ -241,7 +241,7 @@
         prefix,
         kind,
         timeout_ms: (timeout.round() as u64).max(1),
-        aim_ms: i.integer("aim_ms", 0, faults),
+        latency_target_ms: i.integer("aim_ms", 0, faults),
         priority: i.integer("priority", 0, faults).min(255) as u8,
         split: split(i, services, faults),
         attempts: i.integer_u32("attempts", 1, faults).max(1),
--- a/sorreldoor/src/control_plane/distribution.rs
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -88,7 +88,8 @@
             registry: sources
                 .registry
                 .filter(|list| list.version > known.registry),
-            loads: Some(sources.loads.clone()).filter(|loads| loads.mark() > known.loads),
+            loads: Some(sources.loads.clone())
+                .filter(|loads| loads.epoch_and_version() > known.loads),
             edge_sessions: sends_endpoints
                 .then(|| (endpoints.version, endpoints.endpoints.to_vec())),
         }
--- a/sorreldoor/src/control_plane/load_table.rs
+++ b/sorreldoor/src/control_plane/load_table.rs
@@ -25,7 +25,7 @@
     /// Applies loads that another core has polled, if they are newer. Loads from
     /// before `epoch` are dropped: their poller has lost the role since.
     pub fn adopt(&mut self, loads: Arc<Loads>, epoch: u64) {
-        if loads.epoch >= epoch && loads.mark() > self.loads.mark() {
+        if loads.epoch >= epoch && loads.epoch_and_version() > self.loads.epoch_and_version() {
             self.loads = loads;
         }
     }
--- a/sorreldoor/src/discovery.rs
+++ b/sorreldoor/src/discovery.rs
@@ -134,7 +134,7 @@
 
 impl Loads {
     /// Epoch and version, by which newer reports compare greater.
-    pub fn mark(&self) -> (u64, u64) {
+    pub fn epoch_and_version(&self) -> (u64, u64) {
         (self.epoch, self.version)
     }
     /// The report of a worker, if there is one.
--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -101,7 +101,7 @@
 
     /// Applies a load report, unless it is not newer than the current one.
     pub fn apply_loads(&mut self, loads: Arc<Loads>) {
-        if loads.mark() > self.snapshot.loads.mark() {
+        if loads.epoch_and_version() > self.snapshot.loads.epoch_and_version() {
             self.snapshot.loads = loads;
             self.sent_since_report.fill(0);
             self.rebuild();
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -112,7 +112,7 @@
             self.apply_registry(registry);
         }
         if let Some(loads) = delta.loads {
-            self.pull.known_versions.loads = loads.mark();
+            self.pull.known_versions.loads = loads.epoch_and_version();
             self.cluster.apply_loads(loads);
         }
         if let Some(edge_sessions) = delta.edge_sessions {
--- a/sorreldoor/src/proxy/upstream/response_head.rs
+++ b/sorreldoor/src/proxy/upstream/response_head.rs
@@ -37,15 +37,14 @@
 
 /// Milliseconds without a response head after which failover is considered.
 fn head_timeout(route: &Route) -> Millis {
-    if route.aim_ms == 0 {
+    if route.latency_target_ms == 0 {
         return NO_TIMEOUT_MS;
     }
     match route.kind {
         // early enough for a retry to meet the latency target
-        Kind::Idempotent => {
-            (route.aim_ms * IDEMPOTENT_TIMEOUT_TENTHS / 10).max(MIN_IDEMPOTENT_HEAD_TIMEOUT_MS)
-        }
-        Kind::Once | Kind::Stream => route.aim_ms.max(MIN_HEAD_TIMEOUT_MS),
+        Kind::Idempotent => (route.latency_target_ms * IDEMPOTENT_TIMEOUT_TENTHS / 10)
+            .max(MIN_IDEMPOTENT_HEAD_TIMEOUT_MS),
+        Kind::Once | Kind::Stream => route.latency_target_ms.max(MIN_HEAD_TIMEOUT_MS),
     }
 }
 
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -59,7 +59,7 @@
         prefix: prefix.into(),
         kind,
         timeout_ms: 8000,
-        aim_ms: 800,
+        latency_target_ms: 800,
         priority: 1,
         split: vec![(service, 1)],
         attempts: 2,
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -36,7 +36,7 @@
     let hosted_routes = configuration.hosted.expect("it is there");
     let route = &hosted_routes.routes[0];
     assert_eq!(
-        (route.kind, route.timeout_ms, route.aim_ms),
+        (route.kind, route.timeout_ms, route.latency_target_ms),
         (Kind::Stream, 8001, 1000)
     );
     assert_eq!(
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -159,7 +159,7 @@
     let (route_row, service_row) = (&hosted_routes.routes[1], &hosted_routes.services[1]);
     assert_eq!(
         (
-            route_row.aim_ms,
+            route_row.latency_target_ms,
             route_row.priority,
             route_row.attempts,
             route_row.gap_ms
--- a/testbed/src/capacity/hollow_node.rs
+++ b/testbed/src/capacity/hollow_node.rs
@@ -242,7 +242,7 @@
             have.registry = r.version;
         }
         if let Some(l) = n.loads {
-            have.loads = l.mark();
+            have.loads = l.epoch_and_version();
         }
         if let Some(s) = n.edge_sessions {
             have.edge_sessions = s.0;
--- a/testbed/src/capacity/meter.rs
+++ b/testbed/src/capacity/meter.rs
@@ -103,7 +103,7 @@
             out.push(("registry", self.size("registry", 0, (r.version, 0), r)));
         }
         if let Some(l) = &delta.loads {
-            out.push(("loads", self.size("loads", 0, l.mark(), l)));
+            out.push(("loads", self.size("loads", 0, l.epoch_and_version(), l)));
         }
         if let Some(s) = &delta.edge_sessions {
             out.push(("seats", self.size("seats", core, (s.0, 0), &s.1)));
--- a/testbed/src/emulator/control_plane.rs
+++ b/testbed/src/emulator/control_plane.rs
@@ -34,7 +34,7 @@
                 _ => Kind::Once,
             },
             timeout_ms: c.deadline_ms,
-            aim_ms: c.aim_ms,
+            latency_target_ms: c.aim_ms,
             priority: c.priority,
             split: vec![(c.service as u16, 1)],
             attempts: c.attempts,
--- a/testbed/src/emulator/node.rs
+++ b/testbed/src/emulator/node.rs
@@ -239,7 +239,7 @@
         };
         let deadline = x.policy.deadline(request_id);
         let small = route.kind == sorreldoor::configuration::hosted::Kind::Idempotent;
-        let patience = match route.aim_ms {
+        let patience = match route.latency_target_ms {
             0 => u64::MAX / 4,
             a if small => (a * 6 / 10).max(LEAST_SMALL),
             a => a.max(LEAST_PATIENCE),
