--- a/sorreldoor/src/control_plane/controller/singleton.rs
+++ b/sorreldoor/src/control_plane/controller/singleton.rs
@@ -41,7 +41,7 @@
             }
             return;
         }
-        if self.pacing.gather && self.singleton.begin_poll(self.now) {
+        if self.pacing.poll_worker_loads && self.singleton.begin_poll(self.now) {
             self.poll_loads();
         }
         self.read_worker_list();
--- a/sorreldoor/src/control_plane/controller/start.rs
+++ b/sorreldoor/src/control_plane/controller/start.rs
@@ -51,7 +51,7 @@
             idempotency: Idempotency::new(Options::from(&config), &[], false, now),
             bootstrap: Bootstrap::new(bootstrap_options(&config)),
             ids: IdSequence::new(&config.own_hello),
-            sessions: Sessions::new(&config.own_hello, config.pacing.accounts, now),
+            sessions: Sessions::new(&config.own_hello, config.pacing.forward_edge_reports, now),
             own_hello: config.own_hello,
             site: config.site,
             membership: Membership::new(config.membership_policy),
@@ -108,7 +108,7 @@
         Options {
             capacity: config.max_claims,
             founding_cores: config.founder_count,
-            reads_peers: config.pacing.claims,
+            reads_peers: config.pacing.read_peer_claims,
         }
     }
 }
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -146,7 +146,7 @@
                 parsed += 1;
                 assert!(configuration.retry_percent <= 20 && !configuration.routes.is_empty());
                 let weight_in_bounds = |share: &configuration::Share| {
-                    share.least <= share.weight && share.weight <= share.most
+                    share.min_weight <= share.weight && share.weight <= share.max_weight
                 };
                 assert!(configuration
                     .routes
--- a/testbed/tests/catch_up/support.rs
+++ b/testbed/tests/catch_up/support.rs
@@ -18,7 +18,7 @@
 
 pub(super) fn timing(fault: InjectedFault) -> Timing {
     let pacing = Pacing {
-        beat_ms: Some(150),
+        heartbeat_ms: Some(150),
         ..Pacing::default()
     };
     Timing {
--- a/testbed/tests/conformance/losses.rs
+++ b/testbed/tests/conformance/losses.rs
@@ -18,7 +18,7 @@
 
 fn settled_sim(seed: u64, regions: &[RegionId], inter_region_ms: Millis) -> Sim {
     let pacing = Pacing {
-        beat_ms: Some(150),
+        heartbeat_ms: Some(150),
         ..Pacing::default()
     };
     let mut sim = Sim::new(seed, regions, pacing.timing(2000));
--- a/testbed/tests/conformance/lost_links.rs
+++ b/testbed/tests/conformance/lost_links.rs
@@ -23,7 +23,7 @@
 
 fn settled(seed: u64, regions: &[RegionId], fault: InjectedFault) -> (Sim, usize) {
     let pacing = Pacing {
-        beat_ms: Some(150),
+        heartbeat_ms: Some(150),
         ..Pacing::default()
     };
     let timing = Timing {
--- a/testbed/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -144,7 +144,7 @@
 /// until a leader is there, and until it answers a read.
 fn one_wiped_and_all_dark(seed: u64, preset: &[RegionId], wiped: usize) -> (u64, u64) {
     let pacing = sorreldoor::pacing::Pacing {
-        beat_ms: Some(150),
+        heartbeat_ms: Some(150),
         ..Default::default()
     };
     let mut s = Sim::new(seed, preset, pacing.timing(2000));
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -8,14 +8,14 @@
 fn frugal() -> Pacing {
     Pacing {
         tick_ms: 50,
-        beat_ms: Some(250),
+        heartbeat_ms: Some(250),
         renew_ms: 1000,
         hedge_ms: 400,
         ping_ms: 500,
-        batch_ms: 200,
-        gather: false,
-        claims: false,
-        accounts: false,
+        read_batch_ms: 200,
+        poll_worker_loads: false,
+        read_peer_claims: false,
+        forward_edge_reports: false,
         unverified_after_ms: None,
     }
 }
@@ -109,7 +109,7 @@
         let mut world = world_with(seed, |world| {
             world.singleton_poll_ms = Some(1000);
             world.pacing = Pacing {
-                gather: true,
+                poll_worker_loads: true,
                 ..frugal()
             };
         });
--- a/testbed/tests/site/support.rs
+++ b/testbed/tests/site/support.rs
@@ -90,12 +90,12 @@
 pub fn frugal_pacing() -> Pacing {
     Pacing {
         tick_ms: 20,
-        beat_ms: Some(150),
+        heartbeat_ms: Some(150),
         renew_ms: 500,
         ping_ms: 500,
-        gather: false,
-        claims: false,
-        accounts: false,
+        poll_worker_loads: false,
+        read_peer_claims: false,
+        forward_edge_reports: false,
         unverified_after_ms: Some(0),
         ..Pacing::default()
     }
