--- a/sorreldoor/src/control_plane/worker_list.rs
+++ b/sorreldoor/src/control_plane/worker_list.rs
@@ -128,7 +128,7 @@
         let same = self
             .current
             .as_ref()
-            .is_some_and(|old| old.same(&list.workers, age));
+            .is_some_and(|old| old.is_unchanged_in(&list.workers, age));
         // a new holder numbers its first list in any case, so that it is newer
         // than any list that an earlier holder may still broadcast
         if same && self.numbered_epoch == epoch {
--- a/sorreldoor/src/discovery.rs
+++ b/sorreldoor/src/discovery.rs
@@ -66,7 +66,7 @@
 
     /// Whether a listing `ms` milliseconds later says the same of it, apart
     /// from the time that has passed.
-    fn same(&self, later: &Worker, ms: u64) -> bool {
+    fn is_unchanged_in(&self, later: &Worker, ms: u64) -> bool {
         let a = self.aged(ms);
         let sooner = |x: u64, y: u64| x <= y + SLACK_MS;
         let still = Worker {
@@ -153,9 +153,9 @@
     }
 
     /// Whether another list, read `ms` milliseconds later, says nothing new.
-    pub fn same(&self, later: &[Worker], ms: u64) -> bool {
+    pub fn is_unchanged_in(&self, later: &[Worker], ms: u64) -> bool {
         let pairs = || self.workers.iter().zip(later);
-        self.workers.len() == later.len() && pairs().all(|(a, b)| a.same(b, ms))
+        self.workers.len() == later.len() && pairs().all(|(a, b)| a.is_unchanged_in(b, ms))
     }
 }
 
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -171,17 +171,17 @@
     let version = 1;
     let workers = vec![warming_worker(5000)];
     let r = WorkerRegistry { version, workers };
-    assert!(r.same(&[warming_worker(5000)], 0));
-    assert!(r.same(&[warming_worker(3000)], 2000));
-    assert!(r.same(&[warming_worker(0)], 5000));
+    assert!(r.is_unchanged_in(&[warming_worker(5000)], 0));
+    assert!(r.is_unchanged_in(&[warming_worker(3000)], 2000));
+    assert!(r.is_unchanged_in(&[warming_worker(0)], 5000));
     // it became cold anew
-    assert!(!r.same(&[warming_worker(5000)], 4500));
-    assert!(!r.same(&[], 0));
+    assert!(!r.is_unchanged_in(&[warming_worker(5000)], 4500));
+    assert!(!r.is_unchanged_in(&[], 0));
     let left = Worker {
         leaves_ms: Some(900),
         ..warming_worker(5000)
     };
-    assert!(!r.same(&[left], 0));
+    assert!(!r.is_unchanged_in(&[left], 0));
     assert_eq!(r.aged(1500).workers[0].cold_ms, 3500);
 }
 
