--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -48,7 +48,7 @@
     ) -> Option<RankedService> {
         // requests with the same prefix go to the same service, so that it is
         // prefilled once
-        let affinity = request.prefix_key().filter(|_| route.sticky);
+        let affinity = request.prefix_key().filter(|_| route.prefix_affinity);
         let key = affinity.unwrap_or(request.split_key);
         let weighted = route.split.iter().filter(|(_, weight)| *weight > 0);
         let ranked = weighted.filter_map(|(config_index, weight)| {
--- a/sorreldoor/src/configuration/hosted.rs
+++ b/sorreldoor/src/configuration/hosted.rs
@@ -39,7 +39,7 @@
     /// The maximum number of attempts of one request.
     pub attempts: u32,
     /// Prefix affinity: requests that share a prompt prefix go to one worker.
-    pub sticky: bool,
+    pub prefix_affinity: bool,
     /// A broken stream may be resumed on another worker.
     pub resume: bool,
     /// The target for the longest gap between events, in milliseconds; 0: none.
--- a/sorreldoor/src/configuration/hosted_parse.rs
+++ b/sorreldoor/src/configuration/hosted_parse.rs
@@ -245,7 +245,7 @@
         priority: i.integer("priority", 0, faults).min(255) as u8,
         split: split(i, services, faults),
         attempts: i.integer_u32("attempts", 1, faults).max(1),
-        sticky: i.flag("sticky", faults),
+        prefix_affinity: i.flag("sticky", faults),
         resume: i.flag("resume", faults),
         gap_ms: i.integer("gap_ms", 0, faults),
         homes: homes(i, site, faults),
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -86,7 +86,7 @@
     S: Store + 'static,
 {
     let settings = Arc::new(settings);
-    let mut store = storage_driver::open(&settings.data.clone().unwrap_or_default())?;
+    let mut store = storage_driver::open(&settings.data_dir.clone().unwrap_or_default())?;
     let id = storage_driver::identity(&mut store);
     let (events, queue) = runtime::event_queue(MAX_QUEUED_EVENTS);
     let address = settings.listen.context(NoListenAddressSnafu)?;
--- a/sorreldoor/src/doctor/observe.rs
+++ b/sorreldoor/src/doctor/observe.rs
@@ -62,7 +62,7 @@
 #[must_use]
 pub fn observe(settings: &Settings) -> Observations {
     let mut observations = Observations {
-        disk: settings.data.as_deref().map(probe_disk),
+        disk: settings.data_dir.as_deref().map(probe_disk),
         ..Observations::default()
     };
     let site = settings.site_fingerprint();
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -60,7 +60,7 @@
         grace,
     } = options;
     let controller = new_controller(&settings, bounds, &clock);
-    let address_overrides = settings.reach.clone();
+    let address_overrides = settings.address_overrides.clone();
     let shared = Arc::new(SharedState::new(
         controller,
         dialect,
--- a/sorreldoor/src/settings/mod.rs
+++ b/sorreldoor/src/settings/mod.rs
@@ -38,11 +38,11 @@
     /// Cores that the site is founded with.
     pub cores: usize,
     /// The data folder; cores only.
-    pub data: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
     /// Address from which the worker list is read.
     pub platform: Option<SocketAddr>,
     /// Addresses to dial in place of those that are not reached directly.
-    pub reach: BTreeMap<SocketAddr, SocketAddr>,
+    pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
     /// A change is acknowledged within this, one core lost.
     pub ack_ms: Millis,
     /// How long a gateway serves on one renewal of its lease.
@@ -130,7 +130,7 @@
     /// The address to dial in order to reach `addr`.
     #[must_use]
     pub fn dial_address(&self, addr: SocketAddr) -> SocketAddr {
-        self.reach.get(&addr).copied().unwrap_or(addr)
+        self.address_overrides.get(&addr).copied().unwrap_or(addr)
     }
 
     /// Identifies the site and its layout: equal on all nodes of one site,
--- a/sorreldoor/src/settings/parse.rs
+++ b/sorreldoor/src/settings/parse.rs
@@ -113,9 +113,9 @@
     };
     let http = required_address(&overrides.http, &object, "http", faults);
     let seeds = seeds(overrides, &object, faults);
-    let data = data_folder(&overrides.data, &object, role, faults);
+    let data_dir = data_dir(&overrides.data, &object, role, faults);
     let platform = address(&overrides.platform, &object, "platform", faults);
-    let reach = reach(&object, faults);
+    let address_overrides = address_overrides(&object, faults);
     if listen.is_some() && listen == http {
         faults.add("http", "is the same address as listen");
     }
@@ -144,9 +144,9 @@
         http: http.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
         cores,
         seeds,
-        data,
+        data_dir,
         platform,
-        reach,
+        address_overrides,
         ack_ms,
         lease_ms,
         replace_ms,
@@ -293,7 +293,7 @@
     seeds
 }
 
-fn data_folder(
+fn data_dir(
     flag: &Option<String>,
     object: &ObjectReader,
     role: Role,
@@ -322,14 +322,17 @@
     }
 }
 
-fn reach(object: &ObjectReader, faults: &mut Faults) -> BTreeMap<SocketAddr, SocketAddr> {
-    let mut reach = BTreeMap::new();
+fn address_overrides(
+    object: &ObjectReader,
+    faults: &mut Faults,
+) -> BTreeMap<SocketAddr, SocketAddr> {
+    let mut overrides = BTreeMap::new();
     let Some(value) = object.get("reach") else {
-        return reach;
+        return overrides;
     };
     let Some(members) = value.as_object() else {
         faults.add("reach", "must map IP:PORT to IP:PORT");
-        return reach;
+        return overrides;
     };
     for (from, to) in members.iter() {
         let path = json::join("reach", from);
@@ -339,7 +342,7 @@
         if text.is_none() {
             faults.add(&path, "must be a string");
         }
-        reach.extend(from.zip(to));
+        overrides.extend(from.zip(to));
     }
-    reach
+    overrides
 }
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -63,7 +63,7 @@
         priority: 1,
         split: vec![(service, 1)],
         attempts: 2,
-        sticky: service == 0,
+        prefix_affinity: service == 0,
         ..Route::default()
     }
 }
--- a/sorreldoor/tests/balancer/endpoints.rs
+++ b/sorreldoor/tests/balancer/endpoints.rs
@@ -100,7 +100,7 @@
     sticky.split = vec![(0, 90), (1, 10)];
     let mut spread = route("n", "/n/", Kind::Once, 0);
     spread.split = vec![(0, 70), (1, 30)];
-    spread.sticky = false;
+    spread.prefix_affinity = false;
     let mut single = route("z", "/z/", Kind::Once, 0);
     single.split = vec![(0, 0), (1, 5)];
     let mut all = workers_in("web", 6000, &[0, 0]);
--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -44,7 +44,7 @@
         (&[(0, 90), (1, 10)][..], 2)
     );
     assert_eq!(
-        (route.sticky, route.resume, route.gap_ms),
+        (route.prefix_affinity, route.resume, route.gap_ms),
         (true, true, 400)
     );
     assert_eq!(route.homes, [1]);
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -166,7 +166,7 @@
         ),
         (0, 0, 1, 0)
     );
-    assert!(!route_row.sticky && !route_row.resume && route_row.homes.is_empty());
+    assert!(!route_row.prefix_affinity && !route_row.resume && route_row.homes.is_empty());
     assert_eq!(
         (service_row.max_conns, service_row.health.as_str()),
         (64, "/healthz")
--- a/testbed/src/emulator/control_plane.rs
+++ b/testbed/src/emulator/control_plane.rs
@@ -38,7 +38,7 @@
             priority: c.priority,
             split: vec![(c.service as u16, 1)],
             attempts: c.attempts,
-            sticky: !c.parts.is_empty(),
+            prefix_affinity: !c.parts.is_empty(),
             resume: c.resume,
             gap_ms: c.gap_ms,
             homes: c.homes.clone(),
