--- a/sorreldoor/src/configuration/tenants.rs
+++ b/sorreldoor/src/configuration/tenants.rs
@@ -1,5 +1,5 @@
-//! Tenants: who may send requests on hosted routes, by which API keys, and
-//! with which priority, quota and home regions.
+//! Tenants: customers that may send requests on hosted routes, with their API
+//! keys, priority, quota and home regions.
 
 use crate::quota::{Quota, TenantId};
 use siphasher::sip::SipHasher13;
@@ -8,13 +8,12 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// The API key of a tenant, a secret. `Debug` does not show it, so that no log
-/// line can.
+/// An API key. It is a secret, so `Debug` does not show it.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ApiKey(Box<str>);
 
 impl ApiKey {
-    /// A key as its tenant's clients send it.
+    /// A key in the form that clients send.
     #[must_use]
     pub fn new(key: &str) -> ApiKey {
         ApiKey(key.into())
@@ -27,26 +26,25 @@
     }
 }
 
-/// A customer of the site, whose clients identify themselves by API keys.
+/// A customer whose clients authenticate by API keys.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Unique in the section; workers are told this name.
+    /// Unique among the tenants; sent to workers with each request.
     pub name: Arc<str>,
-    /// Keys of its clients; none: no client can send requests in its name.
+    /// API keys of its clients; empty: it cannot send requests.
     pub keys: Vec<ApiKey>,
-    /// The priority class, which goes before that of the route; 0 is served
-    /// first.
+    /// The priority class, compared before that of the route; 0 is served first.
     pub priority: u8,
-    /// Requests a second over all nodes; 0: no limit.
+    /// Requests per second over all nodes; 0: no limit.
     pub rate_per_s: f64,
-    /// Requests that it may send at once on top of the rate.
+    /// Requests that it may send at once beyond the rate.
     pub burst: f64,
-    /// Indices of the only regions that may serve it; empty: all.
+    /// Indices of the regions that may serve it; empty: all.
     pub homes: Vec<u8>,
 }
 
 impl Tenant {
-    /// Its id on every node.
+    /// A hash of the name, equal on all nodes.
     #[must_use]
     pub fn id(&self) -> TenantId {
         let mut hasher = SipHasher13::new();
@@ -54,7 +52,7 @@
         hasher.finish()
     }
 
-    /// Its quota, if it has a limit.
+    /// Its quota; `None` if its rate is not limited.
     #[must_use]
     pub fn quota(&self) -> Option<Quota> {
         let quota = Quota {
@@ -65,7 +63,7 @@
     }
 }
 
-/// All tenants of a configuration.
+/// All tenants of a configuration, indexed by API key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenants {
     all: Vec<Arc<Tenant>>,
@@ -73,7 +71,7 @@
     required: bool,
 }
 
-/// Two tenants hold the same key; indices in the operator's order.
+/// Two tenants with the same key, as indices in the operator's order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedKey {
     /// The tenant that is listed first.
@@ -83,9 +81,9 @@
 }
 
 impl Tenants {
-    /// Tenants in the operator's order. `required`: the configuration has the
-    /// list, even if it is empty, so that each request needs a key unless its
-    /// route is public.
+    /// Indexes tenants, given in the operator's order. `required`: requests need a
+    /// key unless their route is public; so where the configuration has a list of
+    /// tenants, even an empty one.
     ///
     /// # Errors
     /// Every pair of tenants that share a key.
@@ -123,7 +121,7 @@
         self.required
     }
 
-    /// The tenant that holds a key.
+    /// The tenant with this key.
     #[must_use]
     pub fn holder_of(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         let index = self.by_key.get(key)?;
