--- a/sorreldoor/src/configuration/mod.rs
+++ b/sorreldoor/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration: a document that is parsed and validated as a
-//! whole. Names become dense indices.
+//! The operator's configuration: a JSON document that is parsed and validated as
+//! a whole. Regions, zones, groups, services and routes are referred to by index.
 
 pub mod hosted;
 pub mod hosted_change;
@@ -12,8 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The layout of a site: names of regions and zones. Everything else refers to
-/// them by index.
+/// The regions and zones of a site. Everything else refers to them by index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Site {
     /// Names of the regions.
@@ -23,43 +22,43 @@
 }
 
 impl Site {
-    /// The index of a region.
+    /// The index of the region with this name.
     pub fn region(&self, name: &str) -> Option<u8> {
         self.regions.iter().position(|r| r == name).map(|i| i as u8)
     }
 
-    /// The index of a zone.
+    /// The index of the zone with this name.
     pub fn zone(&self, name: &str) -> Option<u16> {
         self.zones
             .iter()
-            .position(|(z, _)| z == name)
-            .map(|i| i as u16)
+            .position(|(zone, _)| zone == name)
+            .map(|index| index as u16)
     }
 
     /// The name of a zone, `?` if there is none.
-    pub fn zone_name(&self, z: u16) -> &str {
-        self.zones.get(z as usize).map_or("?", |(n, _)| n)
+    pub fn zone_name(&self, zone: u16) -> &str {
+        self.zones.get(zone as usize).map_or("?", |(name, _)| name)
     }
 
     /// The name of a region, `?` if there is none.
-    pub fn region_name(&self, r: u8) -> &str {
-        self.regions.get(r as usize).map_or("?", |n| n)
+    pub fn region_name(&self, region: u8) -> &str {
+        self.regions.get(region as usize).map_or("?", |name| name)
     }
 
     /// The index of the region that a zone belongs to.
-    pub fn region_of_zone(&self, z: u16) -> Option<u8> {
-        self.zones.get(z as usize).map(|(_, r)| *r)
+    pub fn region_of_zone(&self, zone: u16) -> Option<u8> {
+        self.zones.get(zone as usize).map(|(_, region)| *region)
     }
 }
 
-/// The shape of a route's requests.
+/// The workload of a route's requests, by which workers are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A large shared prefix and a private tail.
+    /// Long prompts that share a prefix: the prefix cache of a worker matters.
     Prefix,
-    /// A short prompt and a long decode.
+    /// Short prompts with long generated responses.
     Decode,
-    /// A small fetch from a plain web worker.
+    /// Short requests to plain web workers.
     Fetch,
 }
 
@@ -72,31 +71,31 @@
     pub model: bool,
     /// Requests that a worker of this group runs at once.
     pub slots: u32,
-    /// Requests that may be queued at one gateway for this group.
+    /// Requests for this group that one gateway queues at most.
     pub queue: u32,
-    /// How a cold worker's share of the slots grows.
+    /// The slow start of its workers.
     pub slow_start: SlowStart,
 }
 
-/// The slow start of a cold worker: `initial_limit` requests at once, then one more
-/// each time `requests_per_step` have finished, up to the group's slots.
+/// The slow start of a worker with a cold cache: its concurrency limit begins at
+/// `initial_limit` and rises by one for every `requests_per_step` finished
+/// requests, up to the group's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStart {
-    /// Requests that a cold worker runs at once.
+    /// The concurrency limit of a worker that has finished no request.
     pub initial_limit: u32,
     /// Requests that must finish before the limit rises by one.
     pub requests_per_step: u32,
 }
 
-/// Groups of workers that serve the same requests.
+/// Groups of workers that can serve the same requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
     /// The name by which routes refer to the service.
     pub name: String,
     /// Indices of its groups, the preferred ones first.
     pub groups: Vec<u16>,
-    /// The model adapter that workers are told to use, unless the request names
-    /// its own; `None`: the base model.
+    /// The model adapter for requests that name none; `None`: the base model.
     pub adapter: Option<String>,
 }
 
@@ -107,24 +106,25 @@
     pub service: u16,
     /// Relative to the weights of the route's other shares.
     pub weight: u32,
-    /// The lowest weight that may be tuned.
+    /// The lower bound for weight tuning.
     pub min_weight: u32,
-    /// The highest weight that may be tuned.
+    /// The upper bound for weight tuning; if equal to the lower, the weight is
+    /// fixed.
     pub max_weight: u32,
 }
 
-/// How requests of one name are served.
+/// A route of the gateway: how requests that name it are served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// The name that clients give in the path of a request.
     pub name: String,
-    /// The shape of its requests, by which workers are chosen.
+    /// The workload of its requests.
     pub kind: Kind,
-    /// Requests are idempotent, so that they may be retried.
+    /// Requests are idempotent and may be retried.
     pub repeatable: bool,
     /// Responses are streams of events.
     pub streamed: bool,
-    /// Requests stay in the caller's region.
+    /// Requests must be served in the caller's home region.
     pub home: bool,
     /// The request timeout in milliseconds.
     pub timeout_ms: u64,
@@ -132,39 +132,40 @@
     pub shares: Vec<Share>,
 }
 
-/// A valid configuration.
+/// A complete, valid configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// All groups of workers; elsewhere they are referred to by index.
+    /// All groups of workers.
     pub groups: Vec<Group>,
-    /// All services; elsewhere they are referred to by index.
+    /// All services.
     pub services: Vec<Service>,
-    /// The gateway's routes by name; tuned weights refer to them by index.
+    /// The gateway's routes, ordered by name.
     pub routes: Vec<Route>,
     /// The highest percentage of a region's requests that may spill over to
-    /// another, by both regions.
+    /// another region, by (origin, destination).
     pub spill: BTreeMap<(u8, u8), u32>,
     /// The retry budget in percent of first attempts.
     pub retry_percent: u32,
-    /// Routes by host and path, if there are any.
+    /// The `hosted` section: the proxy's routes by host and path.
     pub hosted: Option<Arc<hosted::Hosted>>,
 }
 
 impl Configuration {
-    /// The index of a route.
+    /// The index of the route with this name.
     pub fn route(&self, name: &str) -> Option<u16> {
         self.routes
             .iter()
             .position(|r| r.name == name)
             .map(|i| i as u16)
     }
+
     /// The share of a service on a route, both by index.
     pub fn share(&self, route: u16, service: u16) -> Option<&Share> {
         let route = self.routes.get(usize::from(route))?;
         route.shares.iter().find(|share| share.service == service)
     }
 
-    /// The index of a group.
+    /// The index of the group with this name.
     pub fn group(&self, name: &str) -> Option<u16> {
         self.groups
             .iter()
--- a/sorreldoor/src/configuration/parse.rs
+++ b/sorreldoor/src/configuration/parse.rs
@@ -1,5 +1,4 @@
-//! Parsing and validation of a configuration document: the result is either
-//! complete or a list of every fault.
+//! Parsing and validation of a configuration document.
 
 use super::{hosted_parse, Configuration, Group, Kind, Route, Service, Share, Site, SlowStart};
 use crate::json::{self, join, Faults, ObjectReader, Value};
@@ -9,54 +8,56 @@
 /// The largest document in bytes.
 pub const MAX_BYTES: usize = 4 << 20;
 
-/// Parses a document; also returns its JSON value.
+/// Parses a document of at most [`MAX_BYTES`]; returns the configuration and the
+/// document's JSON value.
 ///
 /// # Errors
-/// Every fault, as `path: what is wrong`.
+/// Every fault of the document, as `path: what is wrong`.
 pub fn parse(text: &[u8], site: &Site) -> Result<(Configuration, Value), Vec<String>> {
-    let v = json::parse(text, MAX_BYTES).map_err(|e| vec![format!("setup: {e}")])?;
+    let value = json::parse(text, MAX_BYTES).map_err(|error| vec![format!("setup: {error}")])?;
     let mut faults = Faults::default();
-    let s = configuration(&v, site, &mut faults);
-    s.filter(|_| faults.is_empty())
-        .map(|s| (s, v))
+    let parsed = configuration(&value, site, &mut faults);
+    parsed
+        .filter(|_| faults.is_empty())
+        .map(|configuration| (configuration, value))
         .ok_or(faults.into_list())
 }
 
-fn configuration(v: &Value, site: &Site, faults: &mut Faults) -> Option<Configuration> {
+fn configuration(value: &Value, site: &Site, faults: &mut Faults) -> Option<Configuration> {
     let keys = ["groups", "services", "routes", "spill", "retry", "hosted"];
-    let o = faults.object(v, "", &keys)?;
-    let hosted = o
+    let object = faults.object(value, "", &keys)?;
+    let hosted = object
         .get("hosted")
-        .and_then(|h| hosted_parse::parse(h, site, faults));
-    let has_hosted = o.get("hosted").is_some();
-    for k in ["groups", "services", "routes"] {
-        if o.get(k).is_none() && !has_hosted {
-            faults.add(k, "is missing");
+        .and_then(|hosted| hosted_parse::parse(hosted, site, faults));
+    let has_hosted = object.get("hosted").is_some();
+    for key in ["groups", "services", "routes"] {
+        if object.get(key).is_none() && !has_hosted {
+            faults.add(key, "is missing");
         }
     }
     let groups: Vec<Group> = faults
-        .named(o.get("groups"), "groups")
+        .named(object.get("groups"), "groups")
         .into_iter()
-        .filter_map(|(n, v)| group(n, v, faults))
+        .filter_map(|(name, value)| group(name, value, faults))
         .collect();
     let services: Vec<Service> = faults
-        .named(o.get("services"), "services")
+        .named(object.get("services"), "services")
         .into_iter()
-        .filter_map(|(n, v)| service(n, v, &groups, faults))
+        .filter_map(|(name, value)| service(name, value, &groups, faults))
         .collect();
     let routes: Vec<Route> = faults
-        .named(o.get("routes"), "routes")
+        .named(object.get("routes"), "routes")
         .into_iter()
-        .filter_map(|(n, v)| route(n, v, &services, &groups, faults))
+        .filter_map(|(name, value)| route(name, value, &services, &groups, faults))
         .collect();
     if routes.is_empty() && !has_hosted && faults.is_empty() {
         faults.add("routes", "must name at least one route");
     }
-    let spill = spill(o.get("spill"), site, faults);
-    let retry_percent = o
+    let spill = spill(object.get("spill"), site, faults);
+    let retry_percent = object
         .get("retry")
-        .and_then(|r| faults.object(r, "retry", &["percent"]))
-        .and_then(|r| r.integer("percent", 0, 20, faults))
+        .and_then(|retry| faults.object(retry, "retry", &["percent"]))
+        .and_then(|retry| retry.integer("percent", 0, 20, faults))
         .unwrap_or(10) as u32;
     Some(Configuration {
         groups,
@@ -68,28 +69,28 @@
     })
 }
 
-fn group(n: &str, v: &Value, faults: &mut Faults) -> Option<Group> {
-    let p = join("groups", n);
-    let o = faults.object(v, &p, &["kind", "slots", "queue", "warmup"])?;
-    let kind = o.required_text("kind", faults);
+fn group(name: &str, value: &Value, faults: &mut Faults) -> Option<Group> {
+    let path = join("groups", name);
+    let object = faults.object(value, &path, &["kind", "slots", "queue", "warmup"])?;
+    let kind = object.required_text("kind", faults);
     let model = kind == Some("model");
-    if kind.is_some_and(|k| k != "model" && k != "web") {
-        faults.add(&o.at("kind"), "must be \"model\" or \"web\"");
+    if kind.is_some_and(|kind| kind != "model" && kind != "web") {
+        faults.add(&object.at("kind"), "must be \"model\" or \"web\"");
     }
-    let slots = o.integer("slots", 1, 1024, faults).unwrap_or(4) as u32;
-    let queue = o.integer("queue", 0, 4096, faults).unwrap_or(64) as u32;
-    let w = o
+    let slots = object.integer("slots", 1, 1024, faults).unwrap_or(4) as u32;
+    let queue = object.integer("queue", 0, 4096, faults).unwrap_or(64) as u32;
+    let warmup = object
         .get("warmup")
-        .and_then(|w| faults.object(w, &o.at("warmup"), &["first", "after"]));
+        .and_then(|warmup| faults.object(warmup, &object.at("warmup"), &["first", "after"]));
     let slow_start = SlowStart {
-        initial_limit: num_of(&w, "first", (1, 1024), slots, faults),
-        requests_per_step: num_of(&w, "after", (1, 1024), 4, faults),
+        initial_limit: integer_or(&warmup, "first", (1, 1024), slots, faults),
+        requests_per_step: integer_or(&warmup, "after", (1, 1024), 4, faults),
     };
     if slow_start.initial_limit > slots {
-        faults.add(&o.at("warmup.first"), "must not be above slots");
+        faults.add(&object.at("warmup.first"), "must not be above slots");
     }
     Some(Group {
-        name: n.to_string(),
+        name: name.to_string(),
         model,
         slots,
         queue,
@@ -97,46 +98,53 @@
     })
 }
 
-fn num_of(o: &Option<ObjectReader>, k: &str, b: (u64, u64), or: u32, faults: &mut Faults) -> u32 {
-    o.as_ref()
-        .and_then(|o| o.integer(k, b.0, b.1, faults))
-        .map_or(or, |n| n as u32)
+fn integer_or(
+    object: &Option<ObjectReader>,
+    key: &str,
+    bounds: (u64, u64),
+    default: u32,
+    faults: &mut Faults,
+) -> u32 {
+    object
+        .as_ref()
+        .and_then(|object| object.integer(key, bounds.0, bounds.1, faults))
+        .map_or(default, |number| number as u32)
 }
 
-fn service(n: &str, v: &Value, groups: &[Group], faults: &mut Faults) -> Option<Service> {
-    let p = join("services", n);
-    let o = faults.object(v, &p, &["groups", "adapter"])?;
-    let names = o.texts("groups", faults);
+fn service(name: &str, value: &Value, groups: &[Group], faults: &mut Faults) -> Option<Service> {
+    let path = join("services", name);
+    let object = faults.object(value, &path, &["groups", "adapter"])?;
+    let names = object.texts("groups", faults);
     if names.is_empty() {
-        faults.add(&o.at("groups"), "must name at least one group");
+        faults.add(&object.at("groups"), "must name at least one group");
     }
-    let mut gs = Vec::new();
-    for g in names {
-        let i = groups.iter().position(|x| x.name == g);
-        match i {
-            None => faults.add(&o.at("groups"), format!("there is no group {g:?}")),
-            Some(i) if gs.contains(&(i as u16)) => {
-                faults.add(&o.at("groups"), format!("names {g:?} twice"))
+    let mut group_indices = Vec::new();
+    for group in names {
+        let index = groups.iter().position(|known| known.name == group);
+        match index {
+            None => faults.add(&object.at("groups"), format!("there is no group {group:?}")),
+            Some(index) if group_indices.contains(&(index as u16)) => {
+                faults.add(&object.at("groups"), format!("names {group:?} twice"))
             }
-            Some(i) => gs.push(i as u16),
+            Some(index) => group_indices.push(index as u16),
         }
     }
-    let adapter = o.text("adapter", faults).map(str::to_string);
+    let adapter = object.text("adapter", faults).map(str::to_string);
     Some(Service {
-        name: n.to_string(),
-        groups: gs,
+        name: name.to_string(),
+        groups: group_indices,
         adapter,
     })
 }
 
 fn route(
-    n: &str,
-    v: &Value,
+    name: &str,
+    value: &Value,
     services: &[Service],
     groups: &[Group],
     faults: &mut Faults,
 ) -> Option<Route> {
-    let p = join("routes", n);
+    let path = join("routes", name);
     let keys = [
         "kind",
         "repeatable",
@@ -145,47 +153,63 @@
         "cutoff_ms",
         "shares",
     ];
-    let o = faults.object(v, &p, &keys)?;
-    let kind = match o.required_text("kind", faults) {
+    let object = faults.object(value, &path, &keys)?;
+    let kind = match object.required_text("kind", faults) {
         Some("prefix") => Kind::Prefix,
         Some("decode") => Kind::Decode,
         Some("fetch") => Kind::Fetch,
         Some(_) => {
-            faults.add(&o.at("kind"), "must be \"prefix\", \"decode\" or \"fetch\"");
+            faults.add(
+                &object.at("kind"),
+                "must be \"prefix\", \"decode\" or \"fetch\"",
+            );
             Kind::Fetch
         }
         None => Kind::Fetch,
     };
-    let streamed = o.flag("streamed", faults).unwrap_or(kind != Kind::Fetch);
-    let repeatable = o.flag("repeatable", faults).unwrap_or(false);
-    let home = o.flag("home", faults).unwrap_or(false);
-    let timeout_ms = o
+    let streamed = object
+        .flag("streamed", faults)
+        .unwrap_or(kind != Kind::Fetch);
+    let repeatable = object.flag("repeatable", faults).unwrap_or(false);
+    let home = object.flag("home", faults).unwrap_or(false);
+    let timeout_ms = object
         .integer("cutoff_ms", 50, 600_000, faults)
         .unwrap_or(30_000);
     let mut shares = Vec::new();
-    for (s, v) in faults.named(o.get("shares"), &o.at("shares")) {
-        let at = join(&o.at("shares"), s);
-        let i = services.iter().position(|x| x.name == s);
-        if i.is_none() {
-            faults.add(&at, "there is no such service");
+    for (service, value) in faults.named(object.get("shares"), &object.at("shares")) {
+        let share_path = join(&object.at("shares"), service);
+        let index = services.iter().position(|known| known.name == service);
+        if index.is_none() {
+            faults.add(&share_path, "there is no such service");
         }
-        let sh = share(i.unwrap_or(0) as u16, v, &at, faults);
-        let matches_kind = i.is_none_or(|i| {
-            services[i]
+        let share = share(index.unwrap_or(0) as u16, value, &share_path, faults);
+        let matches_kind = index.is_none_or(|index| {
+            services[index]
                 .groups
                 .iter()
-                .all(|g| groups[*g as usize].model == (kind != Kind::Fetch))
+                .all(|group| groups[*group as usize].model == (kind != Kind::Fetch))
         });
         if !matches_kind {
-            faults.add(&at, "its groups are of the wrong kind for this route");
+            faults.add(
+                &share_path,
+                "its groups are of the wrong kind for this route",
+            );
         }
-        shares.extend(sh);
+        shares.extend(share);
     }
-    if shares.iter().map(|s| u64::from(s.weight)).sum::<u64>() == 0 {
-        faults.add(&o.at("shares"), "must give some service a weight above 0");
+    if shares
+        .iter()
+        .map(|share| u64::from(share.weight))
+        .sum::<u64>()
+        == 0
+    {
+        faults.add(
+            &object.at("shares"),
+            "must give some service a weight above 0",
+        );
     }
     Some(Route {
-        name: n.to_string(),
+        name: name.to_string(),
         kind,
         repeatable,
         streamed,
@@ -195,21 +219,21 @@
     })
 }
 
-fn share(service: u16, v: &Value, at: &str, faults: &mut Faults) -> Option<Share> {
-    let o = faults.object(v, at, &["weight", "least", "most"])?;
-    if o.get("weight").is_none() {
-        faults.add(&o.at("weight"), "is missing");
+fn share(service: u16, value: &Value, path: &str, faults: &mut Faults) -> Option<Share> {
+    let object = faults.object(value, path, &["weight", "least", "most"])?;
+    if object.get("weight").is_none() {
+        faults.add(&object.at("weight"), "is missing");
     }
-    let weight = o.integer("weight", 0, 1000, faults).unwrap_or(0) as u32;
-    // without bounds of the operator's own, nothing may tune the weight
-    let min_weight = o
+    let weight = object.integer("weight", 0, 1000, faults).unwrap_or(0) as u32;
+    // an absent bound is the weight itself, so that weight tuning cannot pass it
+    let min_weight = object
         .integer("least", 0, 1000, faults)
-        .map_or(weight, |n| n as u32);
-    let max_weight = o
+        .map_or(weight, |bound| bound as u32);
+    let max_weight = object
         .integer("most", 0, 1000, faults)
-        .map_or(weight, |n| n as u32);
+        .map_or(weight, |bound| bound as u32);
     if !(min_weight..=max_weight).contains(&weight) {
-        faults.add(&o.at("weight"), "must lie within least and most");
+        faults.add(&object.at("weight"), "must lie within least and most");
     }
     Some(Share {
         service,
@@ -219,28 +243,34 @@
     })
 }
 
-fn spill(v: Option<&Value>, site: &Site, faults: &mut Faults) -> BTreeMap<(u8, u8), u32> {
-    let mut out = BTreeMap::new();
-    for (a, row) in faults.named(v, "spill") {
-        let p = join("spill", a);
-        let i = site.region(a);
-        if i.is_none() {
-            faults.add(&p, "there is no such region");
+fn spill(value: Option<&Value>, site: &Site, faults: &mut Faults) -> BTreeMap<(u8, u8), u32> {
+    let mut spill = BTreeMap::new();
+    for (origin, row) in faults.named(value, "spill") {
+        let path = join("spill", origin);
+        let origin_index = site.region(origin);
+        if origin_index.is_none() {
+            faults.add(&path, "there is no such region");
         }
-        let Some(o) = faults.object(
+        let Some(object) = faults.object(
             row,
-            &p,
-            &site.regions.iter().map(|r| &r[..]).collect::<Vec<_>>(),
+            &path,
+            &site
+                .regions
+                .iter()
+                .map(|region| &region[..])
+                .collect::<Vec<_>>(),
         ) else {
             continue;
         };
-        for (j, b) in site.regions.iter().enumerate() {
-            let n = o.integer(b, 0, 100, faults);
-            if n.is_some() && i == Some(j as u8) {
-                faults.add(&o.at(b), "a region does not spill to itself");
+        for (destination_index, destination) in site.regions.iter().enumerate() {
+            let percent = object.integer(destination, 0, 100, faults);
+            if percent.is_some() && origin_index == Some(destination_index as u8) {
+                faults.add(&object.at(destination), "a region does not spill to itself");
             }
-            out.extend(i.zip(n).map(|(i, n)| ((i, j as u8), n as u32)));
+            spill.extend(origin_index.zip(percent).map(|(origin_index, percent)| {
+                ((origin_index, destination_index as u8), percent as u32)
+            }));
         }
     }
-    out
+    spill
 }
