--- a/sorreldoor/src/configuration/hosted.rs
+++ b/sorreldoor/src/configuration/hosted.rs
@@ -1,36 +1,36 @@
-//! Hosted routes: requests are routed by host and path and proxied byte for
-//! byte to the workers of a service.
+//! The `hosted` section of a configuration: routes that the proxy matches by host
+//! and path prefix, the services behind them, and limits on clients' requests.
 
 use super::tenants::Tenants;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Whether a request that may have run may be retried.
+/// Whether a route's requests may run more than once, and how they are answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// It runs at most once.
+    /// A request runs at most once.
     #[default]
     Once,
-    /// It runs at most once and is answered by a series of events.
+    /// A request runs at most once, and its response is a stream of events.
     Stream,
 }
 
 /// How requests of one host and path prefix are served.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// Unique in the section; changes and faults name the route by it.
+    /// Unique among the routes of the section.
     pub name: String,
-    /// The host that the route serves, in lower case.
+    /// The `Host` that it matches, in lower case.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// The path prefix that it matches; begins and ends with a slash.
     pub prefix: String,
     /// Whether its requests may run more than once.
     pub kind: Kind,
     /// The request timeout in milliseconds.
     pub timeout_ms: u64,
-    /// The latency target in milliseconds; 0: none.
+    /// The target for the latency of a response in milliseconds; 0: none.
     pub latency_target_ms: u64,
     /// The priority class; 0 is served first.
     pub priority: u8,
@@ -40,13 +40,13 @@
     pub attempts: u32,
     /// Prefix affinity: requests that share a prompt prefix go to one worker.
     pub prefix_affinity: bool,
-    /// A broken stream may be resumed on another worker.
+    /// A stream that breaks off may be resumed on another worker.
     pub resume: bool,
     /// The target for the longest gap between events, in milliseconds; 0: none.
     pub gap_ms: u64,
-    /// Indices of the only regions that may serve it; empty: all.
+    /// Indices of the regions that may serve it; empty: all.
     pub homes: Vec<u8>,
-    /// Its requests need no key of a tenant.
+    /// Its requests need no API key.
     pub public: bool,
 }
 
@@ -60,7 +60,7 @@
 /// The inference engine of a service's workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// The largest batch, in requests.
     pub slots: u32,
     /// Capacity of a worker's KV cache in tokens.
     pub kv_tokens: u64,
@@ -71,32 +71,33 @@
 /// A set of workers that serve the same requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Unique in the section; the name by which routes refer to it.
+    /// Unique among the services of the section.
     pub name: String,
     /// The path of its workers' health check.
     pub health: String,
-    /// Connections that a worker accepts from all clients together.
+    /// The largest number of connections that a worker accepts, over all its
+    /// clients.
     pub max_conns: u32,
-    /// The slow-start period of a started worker, in milliseconds.
+    /// The slow-start period after a worker's start, in milliseconds.
     pub warmup_ms: u64,
     /// Requests per second that a worker takes during slow start; 0: no limit.
     pub warmup_per_s: f64,
-    /// `None`: plain web workers, which serve no model.
+    /// `None`: plain web workers without a model.
     pub engine: Option<Engine>,
 }
 
-/// Limits on what clients send; times in milliseconds.
+/// Limits on requests and connections of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest head of a request; beyond it the answer is 431.
+    /// The largest request head in bytes; a larger one is rejected with 431.
     pub header_bytes: usize,
-    /// The largest request body; beyond it the answer is 413.
+    /// The largest request body in bytes; a larger one is rejected with 413.
     pub body_bytes: usize,
-    /// Time from the first byte of a request to the end of its head; after it
-    /// the answer is 408.
+    /// Milliseconds from the first byte of a request to the end of its head; a
+    /// slower one is rejected with 408.
     pub header_ms: u64,
-    /// Time after which an idle connection is closed. A body may take this or
-    /// `header_ms`, whichever is longer.
+    /// Milliseconds after which an idle connection is closed. A body must arrive
+    /// within this or `header_ms`, whichever is longer.
     pub idle_ms: u64,
 }
 
@@ -111,7 +112,7 @@
     }
 }
 
-/// A host with at most this many routes is searched linearly.
+/// The routes of a host are searched linearly up to this number.
 const MAX_LINEAR_SEARCH: usize = 16;
 
 /// The `hosted` section of a configuration.
@@ -121,42 +122,45 @@
     pub routes: Vec<Arc<Route>>,
     /// All services in the operator's order.
     pub services: Vec<Service>,
-    /// Limits that hold for all routes.
+    /// Limits for all routes.
     pub limits: Limits,
-    /// Who may send requests.
+    /// The tenants that may send requests.
     pub tenants: Tenants,
-    /// Indices of the routes of each host (in lower case): longer prefixes
-    /// first, then by prefix.
+    /// Indices of the routes of each host (in lower case), sorted by
+    /// [`match_order`].
     pub by_host: HashMap<String, Vec<u32>>,
 }
 
 impl Hosted {
-    /// The route with the longest prefix of the path; hosts are matched
-    /// case-insensitively.
+    /// The index of the route whose prefix is the longest that `path` begins
+    /// with; hosts are compared without regard to case.
     pub fn find(&self, host: &str, path: &str) -> Option<u32> {
-        let rs = match self.by_host.get(host) {
-            Some(rs) => rs,
+        let indices = match self.by_host.get(host) {
+            Some(indices) => indices,
             None => self.by_host.get(&host.to_ascii_lowercase())?,
         };
         let prefix = |i: &u32| self.routes[*i as usize].prefix.as_str();
-        if rs.len() <= MAX_LINEAR_SEARCH {
-            return rs.iter().copied().find(|i| path.starts_with(prefix(i)));
+        if indices.len() <= MAX_LINEAR_SEARCH {
+            return indices
+                .iter()
+                .copied()
+                .find(|i| path.starts_with(prefix(i)));
         }
-        // a host may have thousands of routes, a path has few slashes
+        // a host may have thousands of routes, but a path has few slashes
         let ends = path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/');
         ends.map(|(n, _)| &path[..=n])
-            .find_map(|p| rs.binary_search_by(|i| order(prefix(i), p)).ok())
-            .map(|n| rs[n])
+            .find_map(|p| indices.binary_search_by(|i| match_order(prefix(i), p)).ok())
+            .map(|n| indices[n])
     }
 
-    /// The index of a service.
+    /// The index of the service with this name.
     pub fn service(&self, name: &str) -> Option<u16> {
         let i = self.services.iter().position(|s| s.name == name);
         i.map(|i| i as u16)
     }
 }
 
-/// Prefixes in the order they are tried: longer ones first.
-pub(super) fn order(a: &str, b: &str) -> std::cmp::Ordering {
+/// Orders prefixes as they are matched: longer ones first, then by text.
+pub(super) fn match_order(a: &str, b: &str) -> std::cmp::Ordering {
     b.len().cmp(&a.len()).then_with(|| a.cmp(b))
 }
--- a/sorreldoor/src/configuration/hosted_change.rs
+++ b/sorreldoor/src/configuration/hosted_change.rs
@@ -1,5 +1,5 @@
-//! Incremental changes of the `hosted` section: only the items that are set
-//! are parsed, and the result is validated like a complete section.
+//! Incremental changes of the `hosted` section: only items that are set are
+//! parsed, and the result is validated like a complete section.
 
 use super::hosted::{Hosted, Route, Service};
 use super::hosted_parse::{self as parse, Item};
@@ -10,30 +10,37 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// A change of one list: items that are replaced or added, and names of items
-/// that are deleted. A name in both is set.
+/// A change of one list of named items. An item that is both set and deleted is
+/// set.
 #[derive(Default)]
 pub struct ListChange<'v> {
-    /// Complete items; each replaces the one of its name or is added.
+    /// Complete items; each replaces the item of the same name or is added.
     pub set: Vec<&'v Value>,
     /// Names of items to delete.
     pub deleted: HashSet<&'v str>,
 }
 
 impl<'v> ListChange<'v> {
-    /// The change of list `key` from objects that hold one list for each key.
+    /// The change of the list `key`, from two objects: `set` maps keys to lists of
+    /// items, `deleted` maps keys to lists of names.
     pub fn of(set: &'v Value, deleted: &'v Value, key: &str) -> ListChange<'v> {
-        let list = |v: &'v Value| v.get(key).and_then(|l| l.as_array()).into_iter().flatten();
+        let list = |value: &'v Value| {
+            value
+                .get(key)
+                .and_then(|list| list.as_array())
+                .into_iter()
+                .flatten()
+        };
         ListChange {
             set: list(set).collect(),
-            deleted: list(deleted).filter_map(|n| n.as_str()).collect(),
+            deleted: list(deleted).filter_map(|name| name.as_str()).collect(),
         }
     }
 
     fn items(&self, key: &str, faults: &mut Faults) -> Vec<Item<'v>> {
-        let at = |n: usize| join("hosted", &format!("{key}[{n}]"));
+        let path = |index: usize| join("hosted", &format!("{key}[{index}]"));
         let all = self.set.iter().enumerate();
-        all.filter_map(|(n, v)| Item::of(v, at(n), faults))
+        all.filter_map(|(index, value)| Item::of(value, path(index), faults))
             .collect()
     }
 
@@ -45,23 +52,23 @@
 /// A change of the `hosted` section.
 #[derive(Default)]
 pub struct HostedChange<'v> {
-    /// The section without its lists; `None` if that does not change.
+    /// The new section without its lists; `None` if only lists change.
     pub rest: Option<&'v Value>,
-    /// Changes of the section's list of services.
+    /// Changes of the services.
     pub services: ListChange<'v>,
-    /// Changes of the section's list of routes.
+    /// Changes of the routes.
     pub routes: ListChange<'v>,
-    /// Changes of the section's list of tenants.
+    /// Changes of the tenants.
     pub tenants: ListChange<'v>,
-    /// Whether the changed section has a list of tenants.
+    /// Whether the new section has a list of tenants.
     pub has_tenants: bool,
 }
 
 impl HostedChange<'_> {
-    /// The changed section.
+    /// Applies the change to `old` and returns the new section.
     ///
     /// # Errors
-    /// Every fault of the result, under its path.
+    /// Every fault of the new section, as `path: what is wrong`.
     pub fn apply(&self, old: &Hosted, site: &Site) -> Result<Hosted, Vec<String>> {
         let mut faults = Faults::default();
         let services = self.services(old, &mut faults);
@@ -71,11 +78,11 @@
             true => old.by_host.clone(),
             false => parse::by_host(&routes, &mut faults),
         };
-        let top = self.rest.map(|r| Item::of(r, "hosted".into(), &mut faults));
+        let section = self.rest.map(|r| Item::of(r, "hosted".into(), &mut faults));
         let tenants = self.tenants(&old.tenants, site, &mut faults);
-        let limits = top
+        let limits = section
             .flatten()
-            .map_or(old.limits, |i| parse::limits_of(&i, &mut faults));
+            .map_or(old.limits, |i| parse::section_limits(&i, &mut faults));
         let hosted = Hosted {
             routes,
             services,
@@ -112,7 +119,7 @@
         let mut all = merged(&old.routes, new, |r| &r.name, &self.routes.deleted);
         if !same_names(&old.services, services) {
             let retained = all.iter_mut().filter(|r| !set.contains(&r.name));
-            retained.for_each(|r| renumber(r, &old.services, index, faults));
+            retained.for_each(|r| update_service_indices(r, &old.services, index, faults));
         }
         all
     }
@@ -126,10 +133,10 @@
         let new: Vec<Arc<Tenant>> = new.map(Arc::new).collect();
         let deleted = &self.tenants.deleted;
         let all = merged(old.all(), new, |t| &*t.name, deleted);
-        parse::tenants_of(all, self.has_tenants, faults)
+        parse::index_tenants(all, self.has_tenants, faults)
     }
 
-    /// Whether nothing of `old` would change.
+    /// Whether applying the change would leave `old` as it is.
     pub fn is_empty(&self, old: &Hosted) -> bool {
         self.rest.is_none()
             && self.services.is_empty()
@@ -149,7 +156,8 @@
     a.len() == b.len() && a.iter().zip(b).all(|(a, b)| a.name == b.name)
 }
 
-/// Whether all routes match the same requests as before, at the same indices.
+/// Whether both lists have equal hosts and prefixes at every index, so that the
+/// index by host stays valid.
 fn same_prefixes(a: &[Arc<Route>], b: &[Arc<Route>]) -> bool {
     let same = |a: &Arc<Route>, b: &Arc<Route>| {
         Arc::ptr_eq(a, b) || (a.host == b.host && a.prefix == b.prefix)
@@ -157,49 +165,55 @@
     a.len() == b.len() && a.iter().zip(b).all(|(a, b)| same(a, b))
 }
 
-/// The old items, each replaced by a new one of its name, then the other new
-/// items. Old items named in `deleted` are removed.
+/// The old items in their order, replaced by new items of the same name and
+/// without those named in `deleted`, followed by the other new items.
 fn merged<T: Clone>(
     old: &[T],
     new: Vec<T>,
     name: impl Fn(&T) -> &str,
     deleted: &HashSet<&str>,
 ) -> Vec<T> {
-    let mut at: HashMap<String, usize> = HashMap::new();
-    for (i, item) in new.iter().enumerate() {
-        at.insert(name(item).to_string(), i);
+    let mut position_of: HashMap<String, usize> = HashMap::new();
+    for (position, item) in new.iter().enumerate() {
+        position_of.insert(name(item).to_string(), position);
     }
     let mut placed = vec![false; new.len()];
-    let mut out = Vec::with_capacity(old.len() + new.len());
+    let mut merged = Vec::with_capacity(old.len() + new.len());
     for item in old {
-        match at.get(name(item)) {
-            Some(i) => {
-                placed[*i] = true;
-                out.push(new[*i].clone());
+        match position_of.get(name(item)) {
+            Some(position) => {
+                placed[*position] = true;
+                merged.push(new[*position].clone());
             }
             None if deleted.contains(name(item)) => {}
-            None => out.push(item.clone()),
+            None => merged.push(item.clone()),
         }
     }
     let rest = new.into_iter().zip(placed).filter(|(_, placed)| !placed);
-    out.extend(rest.map(|(item, _)| item));
-    out
+    merged.extend(rest.map(|(item, _)| item));
+    merged
 }
 
-/// Updates the indices of services in a route that has not changed itself.
-fn renumber(r: &mut Arc<Route>, old: &[Service], index: &HashMap<&str, u16>, faults: &mut Faults) {
-    let mut split = Vec::with_capacity(r.split.len());
-    for (service, weight) in &r.split {
+/// Updates the service indices of a route that is kept while the list of services
+/// changes; a service that no longer exists is a fault.
+fn update_service_indices(
+    route: &mut Arc<Route>,
+    old: &[Service],
+    index: &HashMap<&str, u16>,
+    faults: &mut Faults,
+) {
+    let mut split = Vec::with_capacity(route.split.len());
+    for (service, weight) in &route.split {
         let name = old.get(usize::from(*service)).map_or("", |s| &s.name);
         match index.get(name) {
-            Some(i) => split.push((*i, *weight)),
+            Some(new_index) => split.push((*new_index, *weight)),
             None => faults.add(
-                &format!("hosted.routes.{}.service", r.name),
+                &format!("hosted.routes.{}.service", route.name),
                 format!("there is no service {name:?}"),
             ),
         }
     }
-    if split != r.split {
-        Arc::make_mut(r).split = split;
+    if split != route.split {
+        Arc::make_mut(route).split = split;
     }
 }
--- a/sorreldoor/src/configuration/hosted_parse.rs
+++ b/sorreldoor/src/configuration/hosted_parse.rs
@@ -1,5 +1,5 @@
-//! Parsing and validation of the `hosted` section of a configuration: lists of
-//! named items. Unknown fields remain in the document and are ignored.
+//! Parsing and validation of the `hosted` section of a configuration, which has
+//! lists of named items. Unknown fields are ignored; the stored document keeps them.
 
 use super::hosted::{Engine, Hosted, Kind, Limits, Route, Service};
 use super::tenants::{ApiKey, SharedKey, Tenant, Tenants};
@@ -9,110 +9,115 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// One item of a list, under its path.
+/// A JSON object and its path, under which its faults are reported.
 pub(super) struct Item<'v> {
-    v: &'v Value,
-    at: String,
+    value: &'v Value,
+    path: String,
 }
 
 impl<'v> Item<'v> {
-    pub(super) fn of(v: &'v Value, at: String, faults: &mut Faults) -> Option<Item<'v>> {
-        if !v.is_object() {
-            faults.add(&at, "must be an object");
+    pub(super) fn of(value: &'v Value, path: String, faults: &mut Faults) -> Option<Item<'v>> {
+        if !value.is_object() {
+            faults.add(&path, "must be an object");
             return None;
         }
-        Some(Item { v, at })
+        Some(Item { value, path })
     }
 
-    pub(super) fn get(&self, k: &str) -> Option<&'v Value> {
-        self.v.get(k).filter(|v| !v.is_null())
+    pub(super) fn get(&self, key: &str) -> Option<&'v Value> {
+        self.value.get(key).filter(|v| !v.is_null())
     }
 
-    fn fault(&self, k: &str, what: impl std::fmt::Display, faults: &mut Faults) {
-        faults.add(&join(&self.at, k), what);
+    fn fault(&self, key: &str, what: impl std::fmt::Display, faults: &mut Faults) {
+        faults.add(&join(&self.path, key), what);
     }
 
-    fn text(&self, k: &str, faults: &mut Faults) -> Option<&'v str> {
-        let v = self.get(k)?;
-        let s = v.as_str();
-        if s.is_none() {
-            self.fault(k, "must be a string", faults);
+    fn text(&self, key: &str, faults: &mut Faults) -> Option<&'v str> {
+        let value = self.get(key)?;
+        let text = value.as_str();
+        if text.is_none() {
+            self.fault(key, "must be a string", faults);
         }
-        s
+        text
     }
 
-    pub(super) fn required_text(&self, k: &str, faults: &mut Faults) -> &'v str {
-        if self.get(k).is_none() {
-            self.fault(k, "is missing", faults);
+    pub(super) fn required_text(&self, key: &str, faults: &mut Faults) -> &'v str {
+        if self.get(key).is_none() {
+            self.fault(key, "is missing", faults);
         }
-        let s = self.text(k, faults);
-        if s == Some("") {
-            self.fault(k, "is empty", faults);
+        let text = self.text(key, faults);
+        if text == Some("") {
+            self.fault(key, "is empty", faults);
         }
-        s.unwrap_or("")
+        text.unwrap_or("")
     }
 
-    fn flag(&self, k: &str, faults: &mut Faults) -> bool {
-        let v = self.get(k);
-        let b = v.and_then(|v| v.as_bool());
-        if v.is_some() && b.is_none() {
-            self.fault(k, "must be true or false", faults);
+    fn flag(&self, key: &str, faults: &mut Faults) -> bool {
+        let value = self.get(key);
+        let flag = value.and_then(|value| value.as_bool());
+        if value.is_some() && flag.is_none() {
+            self.fault(key, "must be true or false", faults);
         }
-        b.unwrap_or(false)
+        flag.unwrap_or(false)
     }
 
-    /// A number, whole or not, that is not below 0.
-    fn num(&self, k: &str, faults: &mut Faults) -> Option<f64> {
-        let v = self.get(k)?;
-        let n = v.cast_f64().filter(|n| n.is_finite() && *n >= 0.0);
-        if n.is_none() {
-            self.fault(k, "must be a number, 0 or above", faults);
+    /// A number of at least 0 that may have a fraction.
+    fn number(&self, key: &str, faults: &mut Faults) -> Option<f64> {
+        let value = self.get(key)?;
+        let number = value
+            .cast_f64()
+            .filter(|number| number.is_finite() && *number >= 0.0);
+        if number.is_none() {
+            self.fault(key, "must be a number, 0 or above", faults);
         }
-        n
+        number
     }
 
-    fn integer(&self, k: &str, or: u64, faults: &mut Faults) -> u64 {
-        self.num(k, faults).map_or(or, |n| n.round() as u64)
+    fn integer(&self, key: &str, default: u64, faults: &mut Faults) -> u64 {
+        self.number(key, faults)
+            .map_or(default, |n| n.round() as u64)
     }
 
-    fn integer_u32(&self, k: &str, or: u32, faults: &mut Faults) -> u32 {
-        self.integer(k, u64::from(or), faults)
+    fn integer_u32(&self, key: &str, default: u32, faults: &mut Faults) -> u32 {
+        self.integer(key, u64::from(default), faults)
             .min(u64::from(u32::MAX)) as u32
     }
 
-    fn list(&self, k: &str, faults: &mut Faults) -> &'v [Value] {
-        let Some(v) = self.get(k) else { return &[] };
-        let a = v.as_array();
-        if a.is_none() {
-            self.fault(k, "must be a list", faults);
+    fn list(&self, key: &str, faults: &mut Faults) -> &'v [Value] {
+        let Some(value) = self.get(key) else {
+            return &[];
+        };
+        let items = value.as_array();
+        if items.is_none() {
+            self.fault(key, "must be a list", faults);
         }
-        a.map_or(&[], |a| a.as_slice())
+        items.map_or(&[], |items| items.as_slice())
     }
 
-    /// The items of a list, no two of one name.
-    fn items(&self, k: &str, faults: &mut Faults) -> Vec<Item<'v>> {
+    /// The items of a list of objects; a repeated name is a fault.
+    fn items(&self, key: &str, faults: &mut Faults) -> Vec<Item<'v>> {
         let mut unique = HashSet::new();
-        let mut out = Vec::new();
-        for (i, v) in self.list(k, faults).iter().enumerate() {
-            let at = join(&self.at, &format!("{k}[{i}]"));
-            let Some(it) = Item::of(v, at, faults) else {
+        let mut items = Vec::new();
+        for (index, value) in self.list(key, faults).iter().enumerate() {
+            let path = join(&self.path, &format!("{key}[{index}]"));
+            let Some(item) = Item::of(value, path, faults) else {
                 continue;
             };
-            let name = it.required_text("name", faults);
+            let name = item.required_text("name", faults);
             if !name.is_empty() && !unique.insert(name) {
-                it.fault("name", format!("{name:?} is given twice"), faults);
+                item.fault("name", format!("{name:?} is given twice"), faults);
             }
-            out.push(it);
+            items.push(item);
         }
-        out
+        items
     }
 }
 
-/// Parses the `hosted` section of a document; faults are added under their
-/// path.
-pub fn parse(v: &Value, site: &Site, faults: &mut Faults) -> Option<Hosted> {
-    let top = Item::of(v, "hosted".into(), faults)?;
-    let services: Vec<Service> = top
+/// Parses the `hosted` section of a document; `None` if it is no object. The
+/// result is valid only if no fault was added.
+pub fn parse(value: &Value, site: &Site, faults: &mut Faults) -> Option<Hosted> {
+    let section = Item::of(value, "hosted".into(), faults)?;
+    let services: Vec<Service> = section
         .items("services", faults)
         .iter()
         .map(|i| service(i, faults))
@@ -122,15 +127,15 @@
         .enumerate()
         .map(|(i, s)| (s.name.as_str(), i.min(usize::from(u16::MAX)) as u16))
         .collect();
-    let items = top.items("routes", faults);
+    let items = section.items("routes", faults);
     let routes = items.iter().map(|i| route(i, &index, site, faults));
     let routes: Vec<Arc<Route>> = routes.map(Arc::new).collect();
     let by_host = by_host(&routes, faults);
-    let limits = limits_of(&top, faults);
-    let items = top.items("tenants", faults);
+    let limits = section_limits(&section, faults);
+    let items = section.items("tenants", faults);
     let tenants = items.iter().map(|i| tenant(i, site, faults));
     let tenants = tenants.map(Arc::new).collect();
-    let tenants = tenants_of(tenants, top.get("tenants").is_some(), faults);
+    let tenants = index_tenants(tenants, section.get("tenants").is_some(), faults);
     Some(Hosted {
         routes,
         services,
@@ -140,9 +145,9 @@
     })
 }
 
-/// The tenants with their keys; a key that two of them hold is a fault, which
-/// does not show it.
-pub(super) fn tenants_of(
+/// The tenants, indexed by key. A key that two of them share is a fault, whose
+/// text does not show the key.
+pub(super) fn index_tenants(
     tenants: Vec<Arc<Tenant>>,
     required: bool,
     faults: &mut Faults,
@@ -160,66 +165,74 @@
 }
 
 /// The limits of a `hosted` section, or the defaults.
-pub(super) fn limits_of(top: &Item, faults: &mut Faults) -> Limits {
-    top.get("limits")
-        .and_then(|v| Item::of(v, "hosted.limits".into(), faults))
-        .map_or(Limits::default(), |i| limits(&i, faults))
+pub(super) fn section_limits(section: &Item, faults: &mut Faults) -> Limits {
+    section
+        .get("limits")
+        .and_then(|value| Item::of(value, "hosted.limits".into(), faults))
+        .map_or(Limits::default(), |item| limits(&item, faults))
 }
 
-/// Routes by host in the order of matching; a repeated prefix is a fault.
+/// The indices of the routes of each host in matching order; a repeated prefix is
+/// a fault.
 pub(super) fn by_host(routes: &[Arc<Route>], faults: &mut Faults) -> HashMap<String, Vec<u32>> {
-    let mut out: HashMap<String, Vec<u32>> = HashMap::new();
+    let mut by_host: HashMap<String, Vec<u32>> = HashMap::new();
     let mut unique: HashSet<(&str, &str)> = HashSet::new();
-    for (i, r) in routes.iter().enumerate() {
-        if !unique.insert((&r.host, &r.prefix)) {
-            let (h, p) = (&r.host, &r.prefix);
+    for (index, route) in routes.iter().enumerate() {
+        if !unique.insert((&route.host, &route.prefix)) {
+            let (host, prefix) = (&route.host, &route.prefix);
             faults.add(
-                &format!("hosted.routes[{i}]"),
-                format!("{h:?} has the prefix {p:?} twice"),
+                &format!("hosted.routes[{index}]"),
+                format!("{host:?} has the prefix {prefix:?} twice"),
             );
         }
-        out.entry(r.host.clone()).or_default().push(i as u32);
+        by_host
+            .entry(route.host.clone())
+            .or_default()
+            .push(index as u32);
     }
-    let prefix = |i: &u32| &routes[*i as usize].prefix;
-    for v in out.values_mut() {
-        v.sort_by(|a, b| super::hosted::order(prefix(a), prefix(b)));
+    let prefix_of = |index: &u32| &routes[*index as usize].prefix;
+    for indices in by_host.values_mut() {
+        indices.sort_by(|a, b| super::hosted::match_order(prefix_of(a), prefix_of(b)));
     }
-    out
+    by_host
 }
 
-pub(super) fn service(i: &Item, faults: &mut Faults) -> Service {
-    let engine = i
+pub(super) fn service(item: &Item, faults: &mut Faults) -> Service {
+    let engine = item
         .get("engine")
-        .and_then(|v| Item::of(v, join(&i.at, "engine"), faults))
-        .map(|e| Engine {
-            slots: e.integer_u32("slots", 1, faults),
-            kv_tokens: e.integer("kv_tokens", 0, faults),
-            stride: e.integer_u32("stride", 1, faults).max(1),
+        .and_then(|value| Item::of(value, join(&item.path, "engine"), faults))
+        .map(|engine| Engine {
+            slots: engine.integer_u32("slots", 1, faults),
+            kv_tokens: engine.integer("kv_tokens", 0, faults),
+            stride: engine.integer_u32("stride", 1, faults).max(1),
         });
     Service {
-        name: i.required_text("name", faults).to_string(),
-        health: i.text("health", faults).unwrap_or("/healthz").to_string(),
-        max_conns: i.integer_u32("max_conns", 64, faults).max(1),
-        warmup_ms: i
-            .num("warmup_s", faults)
+        name: item.required_text("name", faults).to_string(),
+        health: item
+            .text("health", faults)
+            .unwrap_or("/healthz")
+            .to_string(),
+        max_conns: item.integer_u32("max_conns", 64, faults).max(1),
+        warmup_ms: item
+            .number("warmup_s", faults)
             .map_or(0, |s| (s * 1000.0).ceil() as u64),
-        warmup_per_s: i.num("warmup_per_s", faults).unwrap_or(0.0),
+        warmup_per_s: item.number("warmup_per_s", faults).unwrap_or(0.0),
         engine,
     }
 }
 
 pub(super) fn route(
-    i: &Item,
+    item: &Item,
     services: &HashMap<&str, u16>,
     site: &Site,
     faults: &mut Faults,
 ) -> Route {
-    let kind = match i.text("kind", faults) {
+    let kind = match item.text("kind", faults) {
         Some("idempotent") => Kind::Idempotent,
         Some("stream") => Kind::Stream,
         Some("once") | None => Kind::Once,
         Some(_) => {
-            i.fault(
+            item.fault(
                 "kind",
                 "must be \"idempotent\", \"once\" or \"stream\"",
                 faults,
@@ -227,114 +240,120 @@
             Kind::Once
         }
     };
-    let prefix = i.required_text("prefix", faults).to_string();
+    let prefix = item.required_text("prefix", faults).to_string();
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
-        i.fault("prefix", "must begin and end with a slash", faults);
+        item.fault("prefix", "must begin and end with a slash", faults);
     }
-    let timeout = i.num("timeout_ms", faults).unwrap_or(0.0);
+    let timeout = item.number("timeout_ms", faults).unwrap_or(0.0);
     if timeout <= 0.0 {
-        i.fault("timeout_ms", "must be given, and above 0", faults);
+        item.fault("timeout_ms", "must be given, and above 0", faults);
     }
     Route {
-        name: i.required_text("name", faults).to_string(),
-        host: i.required_text("host", faults).to_ascii_lowercase(),
+        name: item.required_text("name", faults).to_string(),
+        host: item.required_text("host", faults).to_ascii_lowercase(),
         prefix,
         kind,
         timeout_ms: (timeout.round() as u64).max(1),
-        latency_target_ms: i.integer("aim_ms", 0, faults),
-        priority: i.integer("priority", 0, faults).min(255) as u8,
-        split: split(i, services, faults),
-        attempts: i.integer_u32("attempts", 1, faults).max(1),
-        prefix_affinity: i.flag("sticky", faults),
-        resume: i.flag("resume", faults),
-        gap_ms: i.integer("gap_ms", 0, faults),
-        homes: homes(i, site, faults),
-        public: i.flag("public", faults),
+        latency_target_ms: item.integer("aim_ms", 0, faults),
+        priority: item.integer("priority", 0, faults).min(255) as u8,
+        split: split(item, services, faults),
+        attempts: item.integer_u32("attempts", 1, faults).max(1),
+        prefix_affinity: item.flag("sticky", faults),
+        resume: item.flag("resume", faults),
+        gap_ms: item.integer("gap_ms", 0, faults),
+        homes: homes(item, site, faults),
+        public: item.flag("public", faults),
     }
 }
 
-pub(super) fn tenant(i: &Item, site: &Site, faults: &mut Faults) -> Tenant {
-    let name = i.required_text("name", faults);
-    // workers are told the name in a header
+pub(super) fn tenant(item: &Item, site: &Site, faults: &mut Faults) -> Tenant {
+    let name = item.required_text("name", faults);
+    // the name is sent to workers in a header
     if name.chars().any(char::is_control) {
-        i.fault("name", "must not hold control characters", faults);
+        item.fault("name", "must not hold control characters", faults);
     }
     Tenant {
         name: name.into(),
-        keys: api_keys(i, faults),
-        priority: i.integer("priority", 0, faults).min(255) as u8,
-        rate_per_s: i.num("rate_per_s", faults).unwrap_or(0.0),
-        burst: i.num("burst", faults).unwrap_or(0.0),
-        homes: homes(i, site, faults),
+        keys: api_keys(item, faults),
+        priority: item.integer("priority", 0, faults).min(255) as u8,
+        rate_per_s: item.number("rate_per_s", faults).unwrap_or(0.0),
+        burst: item.number("burst", faults).unwrap_or(0.0),
+        homes: homes(item, site, faults),
     }
 }
 
-fn api_keys(i: &Item, faults: &mut Faults) -> Vec<ApiKey> {
-    let keys = i.list("keys", faults).iter().map(|key| key.as_str());
+fn api_keys(item: &Item, faults: &mut Faults) -> Vec<ApiKey> {
+    let keys = item.list("keys", faults).iter().map(|key| key.as_str());
     let keys: Option<Vec<&str>> = keys.collect();
     let keys = keys.filter(|keys| keys.iter().all(|key| !key.is_empty()));
     if keys.is_none() {
-        i.fault("keys", "must be a list of texts that are not empty", faults);
+        item.fault("keys", "must be a list of texts that are not empty", faults);
     }
     let keys = keys.unwrap_or_default().into_iter();
     keys.map(ApiKey::new).collect()
 }
 
-fn split(i: &Item, services: &HashMap<&str, u16>, faults: &mut Faults) -> Vec<(u16, u32)> {
-    let named = |name: &str, at: &Item, faults: &mut Faults| {
-        let s = services.get(name).copied();
-        if s.is_none() {
-            at.fault("service", format!("there is no service {name:?}"), faults);
+fn split(item: &Item, services: &HashMap<&str, u16>, faults: &mut Faults) -> Vec<(u16, u32)> {
+    let service_index = |name: &str, owner: &Item, faults: &mut Faults| {
+        let service = services.get(name).copied();
+        if service.is_none() {
+            owner.fault("service", format!("there is no service {name:?}"), faults);
         }
-        s
+        service
     };
-    if i.get("split").is_none() {
-        let name = i.required_text("service", faults);
-        return named(name, i, faults).map(|s| (s, 1)).into_iter().collect();
+    if item.get("split").is_none() {
+        let name = item.required_text("service", faults);
+        return service_index(name, item, faults)
+            .map(|service| (service, 1))
+            .into_iter()
+            .collect();
     }
-    let mut all: Vec<(u16, f64)> = Vec::new();
-    for (n, v) in i.list("split", faults).iter().enumerate() {
-        let at = join(&i.at, &format!("split[{n}]"));
-        let Some(it) = Item::of(v, at, faults) else {
+    let mut parts: Vec<(u16, f64)> = Vec::new();
+    for (index, value) in item.list("split", faults).iter().enumerate() {
+        let path = join(&item.path, &format!("split[{index}]"));
+        let Some(part) = Item::of(value, path, faults) else {
             continue;
         };
-        let w = it.num("weight", faults).unwrap_or(0.0);
-        let name = it.required_text("service", faults);
-        all.extend(named(name, &it, faults).map(|s| (s, w)));
+        let weight = part.number("weight", faults).unwrap_or(0.0);
+        let name = part.required_text("service", faults);
+        parts.extend(service_index(name, &part, faults).map(|service| (service, weight)));
     }
-    if all.iter().map(|(_, w)| w).sum::<f64>() <= 0.0 {
-        i.fault("split", "must give some service a weight above 0", faults);
+    if parts.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
+        item.fault("split", "must give some service a weight above 0", faults);
     }
-    // weights are whole inside, and fractions must keep their shares
-    let by = if all.iter().all(|(_, w)| w.fract() == 0.0) {
+    // weights are stored as integers; fractional ones are scaled to keep their ratio
+    let scale = if parts.iter().all(|(_, weight)| weight.fract() == 0.0) {
         1.0
     } else {
         1000.0
     };
-    let scaled = |w: f64| (w * by).ceil().min(1e9) as u32;
-    all.into_iter().map(|(s, w)| (s, scaled(w))).collect()
+    let scaled = |weight: f64| (weight * scale).ceil().min(1e9) as u32;
+    parts
+        .into_iter()
+        .map(|(service, weight)| (service, scaled(weight)))
+        .collect()
 }
 
-fn homes(i: &Item, site: &Site, faults: &mut Faults) -> Vec<u8> {
-    let mut out = Vec::new();
-    for v in i.list("homes", faults) {
-        let Some(name) = v.as_str() else {
-            i.fault("homes", "must be a list of names of regions", faults);
-            return out;
+fn homes(item: &Item, site: &Site, faults: &mut Faults) -> Vec<u8> {
+    let mut homes = Vec::new();
+    for value in item.list("homes", faults) {
+        let Some(name) = value.as_str() else {
+            item.fault("homes", "must be a list of names of regions", faults);
+            return homes;
         };
-        // a home that this site does not have must not come to mean
-        // that every region may serve
-        out.push(site.region(name).unwrap_or(u8::MAX));
+        // an unknown region is kept as an index that matches none: without it the
+        // list could be empty, which allows every region
+        homes.push(site.region(name).unwrap_or(u8::MAX));
     }
-    out
+    homes
 }
 
-fn limits(i: &Item, faults: &mut Faults) -> Limits {
-    let d = Limits::default();
+fn limits(item: &Item, faults: &mut Faults) -> Limits {
+    let defaults = Limits::default();
     Limits {
-        header_bytes: i.integer("header_bytes", d.header_bytes as u64, faults) as usize,
-        body_bytes: i.integer("body_bytes", d.body_bytes as u64, faults) as usize,
-        header_ms: i.integer("header_ms", d.header_ms, faults),
-        idle_ms: i.integer("idle_ms", d.idle_ms, faults),
+        header_bytes: item.integer("header_bytes", defaults.header_bytes as u64, faults) as usize,
+        body_bytes: item.integer("body_bytes", defaults.body_bytes as u64, faults) as usize,
+        header_ms: item.integer("header_ms", defaults.header_ms, faults),
+        idle_ms: item.integer("idle_ms", defaults.idle_ms, faults),
     }
 }
