--- a/sorreldoor/src/discovery.rs
+++ b/sorreldoor/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The platform's list of workers, and the load that workers report.
+//! Service discovery: the platform's list of workers, and the load reports of
+//! workers.
 
 use crate::configuration::Site;
 use crate::json::{self, Faults, Value};
@@ -6,39 +7,38 @@
 use simd_json::prelude::*;
 use std::net::SocketAddr;
 
-/// A worker as the platform's list has it.
+/// A worker, as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Name of the worker, by which it also reports its load.
+    /// Unique name; load reports carry it too.
     pub name: String,
-    /// Address at which it serves HTTP.
+    /// Address of its HTTP listener.
     pub addr: SocketAddr,
-    /// Name of its group, as configurations use it.
+    /// Name of its group in the configuration.
     pub group: String,
-    /// Index of its zone in the settings of the site.
+    /// Index of its zone in the site.
     pub zone: u16,
-    /// Index of its region in the settings of the site.
+    /// Index of its region in the site.
     pub region: u8,
-    /// Whether it is draining: it finishes its requests and gets no new ones.
+    /// It is draining: it finishes its requests and gets no new ones.
     pub leaving: bool,
-    /// Requests that it works on at once, where the list says so; else 0.
+    /// Requests that it serves at once; 0 if the list does not state it.
     #[serde(default)]
     pub slots: u32,
-    /// Milliseconds for which its slow start goes on, counted from now.
+    /// Remaining milliseconds of its slow start.
     #[serde(default)]
     pub cold_ms: u64,
-    /// Milliseconds after which it is removed, counted from now, where that is
-    /// known.
+    /// Milliseconds until it is removed, if known.
     #[serde(default)]
     pub leaves_ms: Option<u64>,
-    /// Version of its software; empty where the list does not say.
+    /// Version of its software; empty if the list does not state it.
     #[serde(default)]
     #[serde(rename = "version")]
     pub software_version: String,
 }
 
 impl Worker {
-    /// A worker with nothing set, for sources that fill in a part.
+    /// A worker with all fields empty, for sources that fill in some of them.
     pub fn blank() -> Worker {
         Worker {
             name: String::new(),
@@ -54,97 +54,94 @@
         }
     }
 
-    /// The same worker after `ms` milliseconds: its times are that much
-    /// shorter.
+    /// The worker `ms` milliseconds later: its remaining times are reduced.
     fn aged(&self, ms: u64) -> Worker {
         Worker {
             cold_ms: self.cold_ms.saturating_sub(ms),
-            leaves_ms: self.leaves_ms.map(|l| l.saturating_sub(ms)),
+            leaves_ms: self.leaves_ms.map(|remaining| remaining.saturating_sub(ms)),
             ..self.clone()
         }
     }
 
-    /// Whether a listing `ms` milliseconds later says the same of it, apart
-    /// from the time that has passed.
+    /// Whether `later`, listed `ms` milliseconds later, differs only by the time that
+    /// has passed, within [`TIME_TOLERANCE_MS`].
     fn is_unchanged_in(&self, later: &Worker, ms: u64) -> bool {
-        let a = self.aged(ms);
-        let sooner = |x: u64, y: u64| x <= y + SLACK_MS;
-        let still = Worker {
+        let expected = self.aged(ms);
+        let ends_by = |a: u64, b: u64| a <= b + TIME_TOLERANCE_MS;
+        let with_later_times = Worker {
             cold_ms: later.cold_ms,
             leaves_ms: later.leaves_ms,
             ..self.clone()
         };
-        let ends = match (a.leaves_ms, later.leaves_ms) {
-            (Some(x), Some(y)) => x.abs_diff(y) <= SLACK_MS,
-            (x, y) => x == y,
+        let same_removal = match (expected.leaves_ms, later.leaves_ms) {
+            (Some(a), Some(b)) => a.abs_diff(b) <= TIME_TOLERANCE_MS,
+            (a, b) => a == b,
         };
-        still == *later && sooner(later.cold_ms, a.cold_ms) && ends
+        with_later_times == *later && ends_by(later.cold_ms, expected.cold_ms) && same_removal
     }
 }
 
-/// Milliseconds by which the times of two listings may differ and still mean
-/// the same.
-const SLACK_MS: u64 = 1000;
+/// Difference up to which the times of two listings count as equal.
+const TIME_TOLERANCE_MS: u64 = 1000;
 
-/// The platform's list of workers under its version.
+/// The platform's list of workers, with its version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRegistry {
-    /// The platform's own serial number of the list, which only grows.
+    /// The platform's serial number of the list, which only rises.
     #[serde(rename = "serial")]
     pub version: u64,
     /// All workers.
     pub workers: Vec<Worker>,
 }
 
-/// What a worker reports of its load.
+/// The load report of one worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     /// Name of the worker, as in the registry.
     pub name: String,
-    /// Requests that it works on.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Requests in its queue.
     pub queued: u32,
-    /// Requests that it can work on at once; 0 if it does not say.
+    /// Requests that it serves at once; 0 if the report does not state it.
     pub slots: u32,
-    /// Requests that it has finished since its cache was cold.
+    /// Requests finished since its cache was empty.
     pub finished: u64,
-    /// Names of the adapters that it has loaded.
+    /// Names of the loaded model adapters.
     pub adapters: Vec<String>,
-    /// Version of the model weights that it has loaded; empty if it does not
-    /// say.
+    /// Version of the loaded model weights; empty if the report does not state it.
     pub weights: String,
-    /// Whether it answered the last poll with a valid report; if not, all but
-    /// the name is empty.
+    /// It answered the last poll with a valid report; if not, all fields but the name
+    /// are empty.
     pub live: bool,
 }
 
-/// Load reports of all workers, gathered by the holder of the singleton role
-/// under its epoch.
+/// Load reports of all workers, collected by the holder of the singleton role.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Loads {
-    /// Epoch of the singleton role: the fencing token of its holder.
+    /// Fencing epoch of the singleton role.
     pub epoch: u64,
     /// Rises with each poll.
     #[serde(rename = "serial")]
     pub version: u64,
-    /// One report for each worker that was polled.
+    /// One report for each polled worker.
     pub rows: Vec<Load>,
 }
 
 impl Loads {
-    /// Epoch and version, by which newer reports compare greater.
+    /// Orders collections of reports: a newer one compares greater.
     pub fn epoch_and_version(&self) -> (u64, u64) {
         (self.epoch, self.version)
     }
-    /// The report of a worker, if there is one.
+
+    /// The report of the worker with this name.
     pub fn of(&self, name: &str) -> Option<&Load> {
         self.rows.iter().find(|l| l.name == name)
     }
 }
 
 impl WorkerRegistry {
-    /// The same list after `ms` milliseconds.
+    /// The list `ms` milliseconds later: remaining times are reduced.
     pub fn aged(&self, ms: u64) -> WorkerRegistry {
         WorkerRegistry {
             version: self.version,
@@ -152,63 +149,66 @@
         }
     }
 
-    /// Whether another list, read `ms` milliseconds later, says nothing new.
+    /// Whether `later`, read `ms` milliseconds later, differs only by the time that has
+    /// passed.
     pub fn is_unchanged_in(&self, later: &[Worker], ms: u64) -> bool {
         let pairs = || self.workers.iter().zip(later);
         self.workers.len() == later.len() && pairs().all(|(a, b)| a.is_unchanged_in(b, ms))
     }
 }
 
-/// Bytes of a list or report, at most.
-const MOST: usize = 1 << 20;
+/// The largest list or report.
+const MAX_BYTES: usize = 1 << 20;
 
-/// Parses the platform's list of workers, in JSON.
+/// Parses the platform's list of workers from JSON.
 ///
 /// # Errors
-/// All faults of the list in one text: a partial list would look as if workers
-/// had been removed.
+/// All faults of the list in one text. A list with a fault is rejected as a whole,
+/// since a partial list would look as if workers had been removed.
 pub fn read_registry(text: &[u8], site: &Site) -> Result<WorkerRegistry, String> {
-    let v = json::parse(text, MOST).map_err(|error| error.to_string())?;
-    let mut f = Faults::default();
-    let version = v.get("serial").and_then(|s| s.as_u64());
+    let value = json::parse(text, MAX_BYTES).map_err(|error| error.to_string())?;
+    let mut faults = Faults::default();
+    let version = value.get("serial").and_then(|serial| serial.as_u64());
     if version.is_none() {
-        f.add("serial", "must be a whole number");
+        faults.add("serial", "must be a whole number");
     }
-    let rows = v.get("workers").and_then(|w| w.as_array());
+    let rows = value.get("workers").and_then(|list| list.as_array());
     if rows.is_none() {
-        f.add("workers", "must be a list");
+        faults.add("workers", "must be a list");
     }
     let workers = rows
         .into_iter()
         .flatten()
         .enumerate()
-        .filter_map(|(i, w)| worker(w, &format!("workers[{i}]"), site, &mut f))
+        .filter_map(|(index, entry)| worker(entry, &format!("workers[{index}]"), site, &mut faults))
         .collect();
-    let r = WorkerRegistry {
+    let registry = WorkerRegistry {
         version: version.unwrap_or(0),
         workers,
     };
-    // half a list would look like workers gone
-    Some(r)
-        .filter(|_| f.is_empty())
-        .ok_or(f.into_list().join("; "))
+    Some(registry)
+        .filter(|_| faults.is_empty())
+        .ok_or(faults.into_list().join("; "))
 }
 
-fn worker(v: &Value, at: &str, site: &Site, f: &mut Faults) -> Option<Worker> {
-    let o = f.object(v, at, &["name", "addr", "group", "zone", "state"])?;
-    let name = o.required_text("name", f)?;
-    let addr = o.required_text("addr", f)?.parse::<SocketAddr>().ok();
+fn worker(value: &Value, path: &str, site: &Site, faults: &mut Faults) -> Option<Worker> {
+    let object = faults.object(value, path, &["name", "addr", "group", "zone", "state"])?;
+    let name = object.required_text("name", faults)?;
+    let addr = object
+        .required_text("addr", faults)?
+        .parse::<SocketAddr>()
+        .ok();
     if addr.is_none() {
-        f.add(&o.at("addr"), "is not IP:PORT");
+        faults.add(&object.at("addr"), "is not IP:PORT");
     }
-    let group = o.required_text("group", f)?;
-    let zone = site.zone(o.required_text("zone", f)?);
+    let group = object.required_text("group", faults)?;
+    let zone = site.zone(object.required_text("zone", faults)?);
     if zone.is_none() {
-        f.add(&o.at("zone"), "there is no such zone");
+        faults.add(&object.at("zone"), "there is no such zone");
     }
-    let state = o.text("state", f).unwrap_or("up");
+    let state = object.text("state", faults).unwrap_or("up");
     if state != "up" && state != "leaving" {
-        f.add(&o.at("state"), "must be \"up\" or \"leaving\"");
+        faults.add(&object.at("state"), "must be \"up\" or \"leaving\"");
     }
     let zone = zone?;
     Some(Worker {
@@ -225,30 +225,33 @@
     })
 }
 
-/// Parses the load report, in JSON, of the worker called `name`.
+/// Parses the load report of the worker `name` from JSON.
 ///
 /// # Errors
-/// All faults of the report in one text, also if it names another worker.
+/// All faults of the report in one text; the name of another worker is one.
 pub fn read_load(text: &[u8], name: &str) -> Result<Load, String> {
-    let v = json::parse(text, MOST).map_err(|error| error.to_string())?;
-    let mut f = Faults::default();
+    let value = json::parse(text, MAX_BYTES).map_err(|error| error.to_string())?;
+    let mut faults = Faults::default();
     let keys = [
         "worker", "running", "queued", "slots", "finished", "adapters", "weights",
     ];
-    let o = f
-        .object(&v, "", &keys)
+    let object = faults
+        .object(&value, "", &keys)
         .ok_or("load: must be an object".to_string())?;
-    let who = o.required_text("worker", &mut f).unwrap_or("");
-    if who != name {
-        f.add("worker", format!("is {who:?}, not {name:?}"));
+    let reported_name = object.required_text("worker", &mut faults).unwrap_or("");
+    if reported_name != name {
+        faults.add("worker", format!("is {reported_name:?}, not {name:?}"));
     }
-    let top = u64::from(u32::MAX);
-    let mut num = |k: &str| o.integer(k, 0, top, &mut f).unwrap_or(0);
-    let (running, queued, slots) = (num("running"), num("queued"), num("slots"));
-    let finished = num("finished");
-    let adapters = o.texts("adapters", &mut f);
-    let weights = o.text("weights", &mut f).unwrap_or("").to_string();
-    let l = Load {
+    let limit = u64::from(u32::MAX);
+    let mut integer = |key: &str| object.integer(key, 0, limit, &mut faults).unwrap_or(0);
+    let (running, queued, slots) = (integer("running"), integer("queued"), integer("slots"));
+    let finished = integer("finished");
+    let adapters = object.texts("adapters", &mut faults);
+    let weights = object
+        .text("weights", &mut faults)
+        .unwrap_or("")
+        .to_string();
+    let load = Load {
         name: name.to_string(),
         running: running as u32,
         queued: queued as u32,
@@ -258,7 +261,7 @@
         weights,
         live: true,
     };
-    Some(l)
-        .filter(|_| f.is_empty())
-        .ok_or(f.into_list().join("; "))
+    Some(load)
+        .filter(|_| faults.is_empty())
+        .ok_or(faults.into_list().join("; "))
 }
