--- a/sorreldoor/src/pacing.rs
+++ b/sorreldoor/src/pacing.rs
@@ -1,12 +1,12 @@
-//! Settings that trade latency for cost: intervals of periodic work, and which
-//! optional exchanges between nodes take place. For sites where bandwidth,
+//! Settings that trade latency for cost: intervals of periodic work, and switches
+//! for optional traffic between nodes. They matter to sites where bandwidth,
 //! wake-ups or requests are expensive.
 
 use crate::consensus::Timing;
 use crate::json::{Faults, ObjectReader};
 use crate::types::Millis;
 
-/// Names of the settings read here.
+/// Keys of these settings in a settings file.
 pub const KEYS: [&str; 10] = [
     "tick_ms",
     "beat_ms",
@@ -20,32 +20,32 @@
     "unverified_after_ms",
 ];
 
-/// The settings of [`KEYS`]. The defaults suit a site where bandwidth and
-/// wake-ups are cheap. Times are in milliseconds.
+/// The settings of [`KEYS`]. The defaults favour latency.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pacing {
-    /// Interval of a core's ticks.
+    /// Interval of a core's ticks, which drive its timers.
     pub tick_ms: Millis,
-    /// Interval of a leader's heartbeats; none: a fortieth of `ack_ms`.
+    /// Interval of a leader's heartbeats; `None`: derived from `ack_ms`.
     pub heartbeat_ms: Option<Millis>,
     /// Interval of an edge's lease renewals.
     pub renew_ms: Millis,
-    /// After this without an answer, an edge sends a renewal to one more core.
+    /// Time without a response after which an edge sends a hedged renewal to one more
+    /// core.
     pub hedge_ms: Millis,
-    /// A connection on which nothing was sent for this long gets a heartbeat.
+    /// Time since the last message on a connection after which a keep-alive is sent.
     pub ping_ms: Millis,
-    /// Linearizable reads that arrive within this time are confirmed together;
+    /// Time for which linearizable reads are collected and then confirmed together;
     /// 0: each is confirmed at once.
     pub read_batch_ms: Millis,
-    /// Whether the holder of the singleton role polls workers for their load.
+    /// The holder of the singleton role polls workers for their load.
     pub poll_worker_loads: bool,
-    /// Whether cores read each other's claims on request ids.
+    /// Cores read each other's claims on request ids.
     pub read_peer_claims: bool,
-    /// Whether cores forward the latency and load reports of edges to each
-    /// other, for status and weight tuning; if not, only their readiness.
+    /// Cores forward the latency and load reports of edges to each other, for status
+    /// and weight tuning; if not, they forward only the edges' readiness.
     pub forward_edge_reports: bool,
-    /// How long after its start an edge without state accepts unverified state;
-    /// none: never.
+    /// Time after its start at which an edge without state accepts unverified state;
+    /// `None`: never.
     pub unverified_after_ms: Option<Millis>,
 }
 
@@ -67,30 +67,46 @@
 }
 
 impl Pacing {
-    /// Reads the settings of [`KEYS`] from a settings file; those that are
-    /// absent have their defaults, those out of range are added to `f`.
-    pub fn read(o: &ObjectReader, f: &mut Faults) -> Pacing {
-        let d = Pacing::default();
+    /// Reads the settings of [`KEYS`] from a settings file. Absent ones get their
+    /// defaults; invalid ones are added to `faults`.
+    pub fn read(object: &ObjectReader, faults: &mut Faults) -> Pacing {
+        let defaults = Pacing::default();
         Pacing {
-            tick_ms: o.integer("tick_ms", 1, 250, f).unwrap_or(d.tick_ms),
-            heartbeat_ms: o.integer("beat_ms", 20, 2000, f),
-            renew_ms: o.integer("renew_ms", 50, 2000, f).unwrap_or(d.renew_ms),
-            hedge_ms: o.integer("hedge_ms", 50, 2000, f).unwrap_or(d.hedge_ms),
-            ping_ms: o.integer("ping_ms", 50, 1000, f).unwrap_or(d.ping_ms),
-            read_batch_ms: o.integer("batch_ms", 0, 1000, f).unwrap_or(d.read_batch_ms),
-            poll_worker_loads: o.flag("gather", f).unwrap_or(d.poll_worker_loads),
-            read_peer_claims: o.flag("claims", f).unwrap_or(d.read_peer_claims),
-            forward_edge_reports: o.flag("accounts", f).unwrap_or(d.forward_edge_reports),
-            unverified_after_ms: o.integer("unverified_after_ms", 0, 600_000, f),
+            tick_ms: object
+                .integer("tick_ms", 1, 250, faults)
+                .unwrap_or(defaults.tick_ms),
+            heartbeat_ms: object.integer("beat_ms", 20, 2000, faults),
+            renew_ms: object
+                .integer("renew_ms", 50, 2000, faults)
+                .unwrap_or(defaults.renew_ms),
+            hedge_ms: object
+                .integer("hedge_ms", 50, 2000, faults)
+                .unwrap_or(defaults.hedge_ms),
+            ping_ms: object
+                .integer("ping_ms", 50, 1000, faults)
+                .unwrap_or(defaults.ping_ms),
+            read_batch_ms: object
+                .integer("batch_ms", 0, 1000, faults)
+                .unwrap_or(defaults.read_batch_ms),
+            poll_worker_loads: object
+                .flag("gather", faults)
+                .unwrap_or(defaults.poll_worker_loads),
+            read_peer_claims: object
+                .flag("claims", faults)
+                .unwrap_or(defaults.read_peer_claims),
+            forward_edge_reports: object
+                .flag("accounts", faults)
+                .unwrap_or(defaults.forward_edge_reports),
+            unverified_after_ms: object.integer("unverified_after_ms", 0, 600_000, faults),
         }
     }
 
-    /// The time-outs of consensus for acknowledgements within `ack_ms`
-    /// milliseconds.
+    /// The intervals and timeouts of consensus with which a change is acknowledged
+    /// within `ack_ms`.
     pub fn timing(&self, ack_ms: Millis) -> Timing {
         let defaults = Timing::for_ack(ack_ms);
         let heartbeat_interval = self.heartbeat_ms.unwrap_or(defaults.heartbeat_interval);
-        // three missed heartbeats suspect a leader, fewer never do
+        // no timeout expires before three heartbeats were missed
         let min_timeout = heartbeat_interval * 4;
         Timing {
             heartbeat_interval,
