--- a/sorreldoor/src/settings/mod.rs
+++ b/sorreldoor/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings of a process: one JSON file, which flags override, validated
-//! as a whole.
+//! The settings of a process, from a JSON file and flags that override its values;
+//! they are validated as a whole.
 
 mod parse;
 
@@ -21,7 +21,7 @@
 pub struct Settings {
     /// The site's name.
     pub site: String,
-    /// Names of the site's regions and zones.
+    /// The site's regions and zones.
     pub names: Arc<Site>,
     /// The node's name, unique in the site.
     pub node: String,
@@ -29,83 +29,87 @@
     pub zone: u16,
     /// The region of `zone`, as an index into `names`.
     pub region: RegionId,
-    /// Address for frames of other nodes; cores only.
+    /// Where a core accepts connections of other nodes; cores only.
     pub listen: Option<SocketAddr>,
-    /// Address for HTTP.
+    /// Where it serves HTTP.
     pub http: SocketAddr,
-    /// Addresses for frames of the cores to start from.
+    /// Addresses at which cores accept connections of other nodes; a process contacts
+    /// these first.
     pub seeds: Vec<SocketAddr>,
-    /// Cores that the site is founded with.
+    /// Number of cores that the site is founded with.
     pub cores: usize,
     /// The data folder; cores only.
     pub data_dir: Option<PathBuf>,
-    /// Address from which the worker list is read.
+    /// Address of the platform, which serves the worker list.
     pub platform: Option<SocketAddr>,
-    /// Addresses to dial in place of those that are not reached directly.
+    /// The address to dial, by announced address; one that is absent is dialled as it
+    /// is.
     pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
-    /// A change is acknowledged within this, one core lost.
+    /// Target time to acknowledge a change while one core is down.
     pub ack_ms: Millis,
-    /// How long a gateway serves on one renewal of its lease.
+    /// How long an edge may serve after a renewal of its lease.
     pub lease_ms: Millis,
-    /// Silence after which a core may be replaced.
+    /// Time without contact after which a core may be replaced.
     pub replace_ms: Millis,
     /// How long a graceful shutdown waits for requests in flight.
     pub drain_ms: Millis,
     /// The largest request body in bytes.
     pub max_body: usize,
-    /// Connections that are open at once.
+    /// The maximum number of open connections.
     pub max_connections: usize,
-    /// Idempotency claims that a core remembers at once.
+    /// The maximum number of claims on idempotency keys that a core stores.
     pub max_claims: usize,
-    /// An empty core may found a site with the others; else it only joins one.
+    /// A core without data may found the site together with the others; else it only
+    /// joins an existing one.
     pub bootstrap: bool,
-    /// The site is founded by its seeds, and further cores join it.
+    /// The site is founded by its seeds; other cores join it later.
     pub grow: bool,
-    /// Cores that may be lost at once; `None`: as many as `cores` tolerate.
+    /// Failures of cores at once that the site must tolerate; `None`: as many as
+    /// `cores` allow.
     pub tolerate_nodes: Option<usize>,
-    /// Zones that may be lost at once.
+    /// Failures of zones at once that the site must tolerate.
     pub tolerate_zones: usize,
-    /// This core may vote; else it is a learner.
+    /// This core may become a voter; else it stays a learner.
     pub voting: bool,
-    /// Where it shows its metrics, on the address of `http`; `None`: nowhere.
+    /// Port and path of the metrics, on the IP address of `http`; `None`: off.
     pub metrics: Option<MetricsEndpoint>,
-    /// Intervals and optional traffic.
+    /// Intervals of periodic work, and switches for optional traffic.
     pub pacing: Pacing,
 }
 
-/// What a process runs as.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Runs the control plane: replicates the state and serves operators.
+    /// Runs the control plane: replicates state and serves operators.
     Core,
-    /// Runs the gateway or the proxy, which serve clients.
+    /// Runs the gateway or the proxy: serves clients.
     Edge,
 }
 
-/// Values given as flags; each replaces that of the file.
+/// Values of flags, which replace those of the file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
     /// Name of the node.
     pub node: Option<String>,
     /// Name of the node's zone.
     pub zone: Option<String>,
-    /// `IP:PORT` for frames of other nodes.
+    /// `IP:PORT` for connections of other nodes.
     pub listen: Option<String>,
     /// `IP:PORT` for HTTP.
     pub http: Option<String>,
     /// Path of the data folder.
     pub data: Option<String>,
-    /// `IP:PORT` from which the worker list is read.
+    /// `IP:PORT` of the platform.
     pub platform: Option<String>,
-    /// Replace the file's where there are any.
+    /// `IP:PORT` of each seed; empty: those of the file.
     pub seeds: Vec<String>,
 }
 
 impl Settings {
-    /// Reads a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file cannot be read, or every fault in it, as `KEY: what is wrong`.
+    /// The file cannot be read, or every fault of the settings, as `KEY: what is wrong`.
     pub fn load(file: &Path, overrides: &Overrides, role: Role) -> Result<Settings, Vec<String>> {
         let text = std::fs::read(file).map_err(|error| {
             let file = file.display();
@@ -114,10 +118,10 @@
         Settings::parse(&text, overrides, role)
     }
 
-    /// Parses the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// Every fault in it, as `KEY: what is wrong`.
+    /// Every fault of the settings, as `KEY: what is wrong`.
     pub fn parse(text: &[u8], overrides: &Overrides, role: Role) -> Result<Settings, Vec<String>> {
         let value = json::parse(text, MAX_FILE_BYTES);
         let value = value.map_err(|error| vec![format!("settings: {error}")])?;
@@ -127,14 +131,14 @@
         settings.ok_or_else(|| faults.into_list())
     }
 
-    /// The address to dial in order to reach `addr`.
+    /// The address to dial for the announced address `addr`.
     #[must_use]
     pub fn dial_address(&self, addr: SocketAddr) -> SocketAddr {
         self.address_overrides.get(&addr).copied().unwrap_or(addr)
     }
 
-    /// Identifies the site and its layout: equal on all nodes of one site,
-    /// and nodes that differ in it refuse each other.
+    /// Identifies the site by its name, regions and zones. Nodes reject connections of
+    /// nodes with another fingerprint.
     #[must_use]
     pub fn site_fingerprint(&self) -> String {
         let zones = self.names.zones.iter();
--- a/sorreldoor/src/settings/parse.rs
+++ b/sorreldoor/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing and validation of a settings file.
+//! Parsing and validation of settings.
 
 use super::{Overrides, Role, Settings};
 use crate::configuration::Site;
@@ -16,7 +16,7 @@
 const MAX_CONNECTIONS: RenamedKey = RenamedKey::new("max_connections", "most_connections");
 const MAX_CLAIMS: RenamedKey = RenamedKey::new("max_claims", "most_claims");
 
-/// Keys that have one name only, those of `pacing` apart.
+/// The keys without a deprecated name, except those of `pacing`.
 const KEYS: [&str; 20] = [
     "metrics",
     "site",
@@ -40,7 +40,7 @@
     "voting",
 ];
 
-/// A key that is accepted under a deprecated name too.
+/// A key that is also accepted under a deprecated name.
 struct RenamedKey {
     current: &'static str,
     deprecated: &'static str,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Parses all settings; the result counts only if there is no fault.
+/// Parses all settings. The result is valid only if no fault was added.
 pub(super) fn settings(
     value: &Value,
     overrides: &Overrides,
@@ -172,7 +172,7 @@
     site.to_string()
 }
 
-/// A name from a flag, or else from the file.
+/// A name from the flag, else from the file.
 fn name(flag: &Option<String>, object: &ObjectReader, key: &str, faults: &mut Faults) -> String {
     let name = match flag {
         Some(name) => name.clone(),
@@ -200,12 +200,13 @@
 
 fn cores(object: &ObjectReader, grow: bool, seeds: usize, faults: &mut Faults) -> usize {
     let cores = object.integer("cores", 1, 9, faults);
-    // a site that grows is founded by its seeds, however many there are
+    // a site that grows is founded by all its seeds
     let default = if grow { seeds.clamp(1, 9) } else { 3 };
     cores.map_or(default, |cores| cores as usize)
 }
 
-/// The regions with their zones; zones are sorted by name.
+/// The regions with their zones, sorted by name, so that all nodes agree on the
+/// indices.
 fn site_layout(object: &ObjectReader, faults: &mut Faults) -> Site {
     let mut site = Site::default();
     if object.get("regions").is_none() {
@@ -247,7 +248,7 @@
     address
 }
 
-/// An address from a flag, or else from the file.
+/// An address from the flag, else from the file.
 fn address(
     flag: &Option<String>,
     object: &ObjectReader,
@@ -258,7 +259,7 @@
     parse_address(text, key, faults)
 }
 
-/// Like `address`, but its absence is a fault.
+/// Like [`address`], but absence is a fault.
 fn required_address(
     flag: &Option<String>,
     object: &ObjectReader,
@@ -300,7 +301,7 @@
     faults: &mut Faults,
 ) -> Option<PathBuf> {
     let text = flag.as_deref();
-    // the file's value is checked also where a flag replaces it
+    // the type of the file's value is checked even if a flag replaces it
     let from_file = object.text("data", faults);
     let folder = text.or(from_file).map(PathBuf::from);
     if role == Role::Core {
