--- a/sorreldoor/src/json/canonical.rs
+++ b/sorreldoor/src/json/canonical.rs
@@ -1,10 +1,10 @@
-//! Canonical text and merge patches.
+//! Canonical JSON text, and merge patches.
 
 use super::Value;
 use simd_json::prelude::*;
 
-/// Applies a merge patch (RFC 7396): objects merge, null removes, any other
-/// value replaces.
+/// Applies a merge patch (RFC 7396): objects are merged, null removes a member, any
+/// other value replaces the target.
 pub fn merge(target: &mut Value, patch: &Value) {
     let Some(patch_members) = patch.as_object() else {
         *target = patch.clone();
@@ -24,7 +24,7 @@
     }
 }
 
-/// The one text of a value: keys sorted, no white space.
+/// The canonical text of a value: sorted keys, no white space.
 #[must_use]
 pub fn canonical(value: &Value) -> String {
     let mut text = String::new();
--- a/sorreldoor/src/json/mod.rs
+++ b/sorreldoor/src/json/mod.rs
@@ -1,5 +1,5 @@
-//! JSON documents: strict parsing, canonical text, merge patches, and typed
-//! reading that collects every fault under its path.
+//! JSON documents: strict parsing, canonical text, merge patches, and typed reading
+//! that collects all faults with their paths.
 
 mod canonical;
 mod parse;
--- a/sorreldoor/src/json/parse.rs
+++ b/sorreldoor/src/json/parse.rs
@@ -8,7 +8,8 @@
 /// The deepest nesting of objects and lists that is accepted.
 pub const MAX_DEPTH: usize = 16;
 
-/// Why a text is rejected. Messages continue the name of the document.
+/// Why a text is rejected. The messages are predicates, to follow the name of a
+/// document.
 #[derive(Debug, Snafu)]
 pub enum JsonError {
     /// The text exceeds the caller's limit; nothing of it was parsed.
@@ -20,13 +21,13 @@
     /// The text does not follow RFC 8259.
     #[snafu(display("is not JSON: {source}"))]
     Syntax {
-        /// What the parser met, and where.
+        /// The parser's error, with its position.
         source: simd_json::Error,
     },
     /// Objects and lists are nested deeper than [`MAX_DEPTH`].
     #[snafu(display("is nested deeper than {MAX_DEPTH}"))]
     TooDeep,
-    /// An object repeats a key, so that it has no single meaning.
+    /// An object repeats a key, which makes its meaning ambiguous.
     #[snafu(display("has the key {key:?} twice"))]
     DuplicateKey {
         /// The repeated key.
@@ -37,26 +38,27 @@
 /// Parses a document of at most `max` bytes.
 ///
 /// # Errors
-/// It is too large, no JSON, nested too deep, or repeats a key.
+/// The text is too large, is not JSON, is nested too deep, or repeats a key.
 pub fn parse(text: &[u8], max: usize) -> Result<Value, JsonError> {
     ensure!(text.len() <= max, TooLargeSnafu { max });
     let mut buffer = text.to_vec();
     let tape = simd_json::to_tape(&mut buffer).context(SyntaxSnafu)?;
-    // a parsed value retains one of two equal keys, so check the tape first
+    // a parsed value has lost repeated keys, so the tape is checked first
     check_node(&tape.0, 0, 0)?;
     let mut buffer = text.to_vec();
     simd_json::to_owned_value(&mut buffer).context(SyntaxSnafu)
 }
 
-/// Parses text that `canonical` wrote, which needs no checks; null for text
-/// that is no JSON.
+/// Parses the output of [`canonical`](super::canonical()), which needs no checks; null
+/// if the text is not JSON.
 #[must_use]
 pub fn parse_canonical(text: &str) -> Value {
     let mut buffer = text.as_bytes().to_vec();
     simd_json::to_owned_value(&mut buffer).unwrap_or_default()
 }
 
-/// Checks the node at `index`; returns the index after it.
+/// Checks the nesting depth and the keys of the node at `index`; returns the index
+/// after it.
 fn check_node(tape: &[Node], index: usize, depth: usize) -> Result<usize, JsonError> {
     ensure!(depth <= MAX_DEPTH, TooDeepSnafu);
     match tape.get(index) {
--- a/sorreldoor/src/json/reader.rs
+++ b/sorreldoor/src/json/reader.rs
@@ -1,9 +1,9 @@
-//! Typed reading of objects; every fault is collected under its path.
+//! Typed reading of JSON objects; faults are collected with their paths.
 
 use super::Value;
 use simd_json::prelude::*;
 
-/// How many faults of one document are reported.
+/// The maximum number of faults reported for one document.
 const MAX_FAULTS: usize = 100;
 /// The longest name in bytes.
 const MAX_NAME_BYTES: usize = 64;
@@ -13,8 +13,7 @@
 pub struct Faults(Vec<String>);
 
 impl Faults {
-    /// Records a fault; further ones than `MAX_FAULTS` are dropped, since an
-    /// endless list helps nobody and must not fill the memory.
+    /// Records a fault; beyond `MAX_FAULTS` they are dropped, to bound memory.
     pub fn add(&mut self, path: &str, fault: impl std::fmt::Display) {
         if self.0.len() < MAX_FAULTS {
             self.0.push(format!("{path}: {fault}"));
@@ -33,7 +32,7 @@
         self.0
     }
 
-    /// Reads an object and reports keys that are not in `keys`.
+    /// Reads an object; keys that are not in `keys` are faults.
     pub fn object<'v>(
         &mut self,
         value: &'v Value,
@@ -55,7 +54,7 @@
         })
     }
 
-    /// Reads an object keyed by name; its members in order of name.
+    /// Reads an object keyed by name; returns its members sorted by name.
     pub fn named<'v>(&mut self, value: Option<&'v Value>, path: &str) -> Vec<(&'v str, &'v Value)> {
         let Some(value) = value else {
             return Vec::new();
@@ -77,7 +76,7 @@
     }
 }
 
-/// Whether a text has 1 to 64 of the characters that names are made of.
+/// Whether a text is a name: 1 to 64 of `a-z`, `A-Z`, `0-9`, `-`, `_` and `.`.
 #[must_use]
 pub fn is_valid_name(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
@@ -94,8 +93,8 @@
     }
 }
 
-/// Reads typed members of the object at a path. A member of another type is
-/// reported and read as absent.
+/// Reads typed members of an object. A member of the wrong type is a fault and is
+/// read as absent.
 pub struct ObjectReader<'v> {
     value: &'v Value,
     path: String,
@@ -123,7 +122,7 @@
         text
     }
 
-    /// A string; its absence is a fault.
+    /// A string; absence is a fault.
     pub fn required_text(&self, key: &str, faults: &mut Faults) -> Option<&'v str> {
         if self.get(key).is_none() {
             faults.add(&self.at(key), "is missing");
