--- a/sorreldoor/src/metrics/core_metrics.rs
+++ b/sorreldoor/src/metrics/core_metrics.rs
@@ -2,26 +2,27 @@
 
 use super::{Kind, Metric};
 
-/// What a core's metrics are read from.
+/// The values of a core from which its metrics are read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CoreFigures {
     /// It is the Global Leader.
     pub is_leader: bool,
     /// It is the Domain Leader of its region.
     pub is_domain_leader: bool,
-    /// It has had no contact with a leader for longer than an election takes.
+    /// It has had no contact with a leader for longer than an election takes, so that it
+    /// is likely partitioned.
     pub is_partitioned: bool,
     /// Its disk refuses writes.
     pub disk_failed: bool,
     /// It holds the singleton role.
     pub holds_singleton_role: bool,
-    /// The newest term that it has seen.
+    /// The highest term that it has seen.
     pub term: u64,
     /// Its commit index.
     pub committed: u64,
     /// Index of the last entry applied.
     pub applied: u64,
-    /// Entries of the log in memory.
+    /// Log entries in memory.
     pub log_entries: u64,
     /// Size of the newest snapshot in bytes.
     pub snapshot_bytes: u64,
@@ -29,13 +30,13 @@
     pub members: u64,
     /// Voters among them.
     pub voters: u64,
-    /// Version of the configuration that is applied.
+    /// Version of the applied configuration.
     pub configuration_version: u64,
     /// Epoch of the singleton role.
     pub epoch: u64,
-    /// Edges with a session, at any core.
+    /// Edges that have a session with any core.
     pub edge_sessions: u64,
-    /// Workers of the newest list.
+    /// Workers in the newest list.
     pub workers: u64,
 }
 
--- a/sorreldoor/src/metrics/edge_metrics.rs
+++ b/sorreldoor/src/metrics/edge_metrics.rs
@@ -3,14 +3,14 @@
 use super::{Kind, Metric};
 use crate::balancer::Counts;
 
-/// What an edge's metrics are read from.
+/// The values of an edge from which its metrics are read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EdgeFigures {
     /// It has a configuration and workers, and is not shutting down.
     pub ready: bool,
-    /// Version of the configuration that is applied.
+    /// Version of the applied configuration.
     pub configuration_version: u64,
-    /// Edges that clients are sent to.
+    /// Edges that are ready to serve clients.
     pub ready_edges: u64,
     /// The balancer's counters.
     pub counts: Counts,
--- a/sorreldoor/src/metrics/exposition.rs
+++ b/sorreldoor/src/metrics/exposition.rs
@@ -1,4 +1,4 @@
-//! A metric's description, and the text that a scrape gets.
+//! The description of a metric, and the text of a scrape in the OpenMetrics format.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{text, DescriptorEncoder, EncodeMetric};
@@ -7,36 +7,36 @@
 use prometheus_client::registry::Registry;
 use std::fmt::{self, Debug};
 
-/// Precedes the name of every metric, with an underscore.
+/// The prefix of every metric's name, before an underscore.
 pub const PREFIX: &str = "sorreldoor";
 
-/// The media type of the text.
+/// The media type of a scrape's text.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// How a metric's value develops.
+/// The type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It only rises while the process runs; its name ends in `_total`.
+    /// The value only rises while the process runs; the exposed name ends in `_total`.
     Counter,
-    /// It goes up and down.
+    /// The value rises and falls.
     Gauge,
 }
 
-/// One metric, by the figures `F` that it is read from.
+/// A metric that is read from values of type `F`.
 #[derive(Clone, Copy, Debug)]
 pub struct Metric<F: 'static> {
     /// Its name without prefix and suffix.
     pub name: &'static str,
-    /// How its value develops.
+    /// Its type.
     pub kind: Kind,
-    /// What it counts, with its unit.
+    /// The help text: what it measures, with the unit.
     pub help: &'static str,
-    /// Its value.
+    /// Reads its value.
     pub value: fn(&F) -> u64,
 }
 
 impl<F> Metric<F> {
-    /// The name as a scrape shows it.
+    /// The name in a scrape, with prefix and suffix.
     #[must_use]
     pub fn exposed_name(&self) -> String {
         let suffix = match self.kind {
@@ -47,7 +47,7 @@
     }
 }
 
-/// The values of a table of metrics at one moment.
+/// A table of metrics and the values of one moment.
 #[derive(Debug)]
 struct Sample<F: 'static> {
     table: &'static [Metric<F>],
@@ -80,7 +80,7 @@
     value.encode(encoder)
 }
 
-/// The text of all metrics of a table.
+/// The text of a scrape: all metrics of a table.
 #[must_use]
 pub fn encode<F: Debug + Send + Sync + 'static>(table: &'static [Metric<F>], figures: F) -> String {
     let mut registry = Registry::with_prefix(PREFIX);
--- a/sorreldoor/src/metrics/mod.rs
+++ b/sorreldoor/src/metrics/mod.rs
@@ -1,8 +1,8 @@
-//! Metrics of a process in the OpenMetrics text format, which Prometheus reads.
+//! Metrics of a process, exposed over HTTP in the OpenMetrics text format, which
+//! Prometheus scrapes.
 //!
-//! The tables of this module are the source of `docs/metrics.md`; a test holds
-//! the page against them. Metrics have no labels, so nothing of a client's
-//! request can appear in one.
+//! `docs/metrics.md` is generated from the tables of this module. Metrics have no
+//! labels, so that no content of a client's request can appear in them.
 
 mod core_metrics;
 mod edge_metrics;
--- a/sorreldoor/src/metrics/server.rs
+++ b/sorreldoor/src/metrics/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP endpoint that is scraped.
+//! The HTTP endpoint for scrapes.
 
 use super::CONTENT_TYPE;
 use crate::error::ErrorCode;
@@ -10,19 +10,19 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Scrapers that may be connected at once.
+/// The maximum number of open connections of scrapers.
 const MAX_CONNECTIONS: usize = 8;
 
-/// Where a process shows its metrics: written as `PORT/PATH`.
+/// Port and path of the metrics endpoint; written as `PORT/PATH`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsEndpoint {
-    /// The port that it listens on.
+    /// The TCP port.
     pub port: u16,
-    /// The path of its one page, with the leading slash.
+    /// The path of the metrics, with the leading slash.
     pub path: String,
 }
 
-/// A text that is no [`MetricsEndpoint`].
+/// A text that is not a valid [`MetricsEndpoint`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseEndpointError {
     text: String,
@@ -54,14 +54,14 @@
 }
 
 impl MetricsEndpoint {
-    /// The address that it listens on.
+    /// The address to listen on.
     #[must_use]
     pub fn address(&self, ip: IpAddr) -> SocketAddr {
         (ip, self.port).into()
     }
 }
 
-/// Serves the page for as long as it is polled; `encode` makes its text.
+/// Serves the metrics until the future is dropped; `encode` returns their text.
 pub(crate) async fn serve(
     listener: TcpListener,
     endpoint: MetricsEndpoint,
