--- a/sorreldoor/src/configuration/hosted.rs
+++ b/sorreldoor/src/configuration/hosted.rs
@@ -127,7 +127,7 @@
     /// The tenants that may send requests.
     pub tenants: Tenants,
     /// Indices of the routes of each host (in lower case), sorted by
-    /// [`match_order`].
+    /// `match_order`.
     pub by_host: HashMap<String, Vec<u32>>,
 }
 
