--- a/sorreldoor/tests/hosted.rs
+++ b/sorreldoor/tests/hosted.rs
@@ -1,5 +1,5 @@
-//! The `hosted` section of a configuration: parsing, validation, and operators'
-//! changes of complete documents and of single items.
+//! The `hosted` section of a configuration: parsing, validation, and changes of
+//! complete documents and of single items.
 
 use sorreldoor::configuration::hosted::Kind;
 use sorreldoor::configuration::{self, Configuration, Site};
@@ -31,9 +31,9 @@
 }
 
 #[test]
-fn the_hosted_section_is_parsed_completely() {
-    let configuration = parse_document(DOC).expect("it is good");
-    let hosted_routes = configuration.hosted.expect("it is there");
+fn every_field_of_the_hosted_section_is_parsed() {
+    let configuration = parse_document(DOC).expect("a valid document");
+    let hosted_routes = configuration.hosted.expect("a hosted section");
     let route = &hosted_routes.routes[0];
     assert_eq!(
         (route.kind, route.timeout_ms, route.latency_target_ms),
@@ -48,7 +48,7 @@
         (true, true, 400)
     );
     assert_eq!(route.homes, [1]);
-    // an unknown home region does not allow serving in every region
+    // an unknown home region must not become an empty list, which allows all regions
     assert_eq!(hosted_routes.routes[2].homes, [u8::MAX]);
     assert_eq!(hosted_routes.routes[1].split, [(1, 1)]);
     let service = &hosted_routes.services[0];
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn invalid_hosted_sections_are_rejected() {
+fn each_invalid_hosted_section_is_rejected() {
     let bad = [
         (r#""service":"t""#, r#""service":"u""#),
         (r#""prefix":"/x/y/""#, r#""prefix":"/x/""#),
@@ -97,7 +97,7 @@
     let zero_weights = DOC.replace(":90}", ":0}").replace(":10}", ":0}");
     let faults = parse_document(&zero_weights).expect_err("weights sum to 0");
     assert!(faults[0].contains("split"), "{faults:?}");
-    // without a hosted section all other sections are validated as before
+    // without a hosted section the other sections are required
     assert!(parse_document("{}").is_err());
     assert!(parse_document(r#"{"hosted":{}}"#).is_ok());
 }
@@ -116,11 +116,11 @@
 }
 
 #[test]
-fn thousands_of_routes_are_read_and_found() {
+fn a_route_is_found_among_thousands() {
     let hosted_routes = parse_document(&document_with_routes(6000))
-        .expect("good")
+        .expect("a valid document")
         .hosted
-        .expect("there");
+        .expect("a hosted section");
     for i in [0, 1, 17, 5999] {
         let host = format!("h{}.example", i % 3);
         assert_eq!(
@@ -199,7 +199,7 @@
         document: doc,
     });
     assert_eq!(outcome, Outcome::Applied { version: 8 });
-    // a proposal of an older core, without the field, is decoded
+    // the encoding of older cores, without the field, is still decoded
     #[derive(serde::Serialize)]
     enum Legacy {
         Put { base: u64, doc: String },
@@ -215,8 +215,8 @@
     ));
 }
 
-/// A document is returned as it was put, with unknown fields, the order of lists and
-/// numbers; the image of the state preserves it too.
+/// Unknown fields, the order of lists and the form of numbers are preserved, also in
+/// the image of the state.
 #[test]
 fn a_stored_document_is_returned_field_for_field() {
     use simd_json::prelude::*;
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn items_are_set_and_deleted_by_name() {
+fn items_are_set_and_deleted_by_name_and_an_invalid_change_has_no_effect() {
     use simd_json::prelude::*;
     let mut state = TestState::new();
     state.put(0, 7);
@@ -262,7 +262,7 @@
         state.hosted().get("note").and_then(|n| n.as_str()),
         Some("kept")
     );
-    // the complete result is validated, and an invalid change leaves no trace
+    // the resulting section is validated, and an invalid change has no effect
     let before = state.0.view();
     for (set, drop) in [
         ("{}", r#"{"services":["t"]}"#),
@@ -307,8 +307,8 @@
     assert_eq!(state.0.view().evacuated, Vec::<u16>::new());
 }
 
-/// The encoding of a byte string has about its length, and the list of numbers
-/// that an older core wrote is decoded as well.
+/// A byte string is encoded in about its length; the list of numbers written by older
+/// cores is still decoded.
 #[test]
 fn byte_strings_are_encoded_compactly() {
     let body = Body::Data(Arc::new(vec![200; 10_000]));
