--- a/sorreldoor/tests/settings.rs
+++ b/sorreldoor/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and configurations: every fault has its exact message and path.
+//! Faults of settings and configurations: each has its path and message.
 
 use sorreldoor::configuration::{parse, Site};
 use sorreldoor::settings::{Overrides, Role, Settings};
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_data_folder_must_be_writable() {
+fn a_data_folder_that_is_not_writable_is_a_fault() {
     let text = valid_with(
         r#""node":"n""#,
         r#""node":"n","listen":"127.0.0.1:81","data":"/proc/none""#,
@@ -196,7 +196,7 @@
     }
 }
 
-/// The keys that were renamed, with their old names, a value and the bounds.
+/// Renamed keys: current name, deprecated name, a valid value, and the bounds.
 const RENAMED: [(&str, &str, u64, &str); 4] = [
     ("lease_ms", "permit_ms", 700, "500 to 2500"),
     ("max_body", "most_body", 2048, "1024 to 67108864"),
@@ -205,7 +205,7 @@
 ];
 
 #[test]
-fn a_renamed_key_is_accepted_under_its_old_name() {
+fn a_renamed_key_is_accepted_under_either_name() {
     for (current, deprecated, value, _) in RENAMED {
         for key in [current, deprecated] {
             let text = valid_with(r#""node":"n""#, &format!(r#""node":"n","{key}":{value}"#));
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_renamed_key_is_validated_under_the_name_given() {
+fn a_fault_of_a_renamed_key_has_the_given_name() {
     for (current, deprecated, value, bounds) in RENAMED {
         for key in [current, deprecated] {
             let text = valid_with(r#""node":"n""#, &format!(r#""node":"n","{key}":0"#));
