--- a/sorreldoor/tests/metrics.rs
+++ b/sorreldoor/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: their names, their text, and the endpoint that shows them.
+//! Metrics: names, text of a scrape, and the endpoint.
 
 use sorreldoor::balancer::Counts;
 use sorreldoor::metrics::{
@@ -8,11 +8,11 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Prometheus' rules: lower case, no suffix that the format adds itself, and a
-/// text that tells what it is.
+/// Prometheus' conventions: unique names in lower case, without the suffix that the
+/// format adds, and a help text.
 fn assert_conventions<F>(table: &[Metric<F>]) {
     let names: BTreeSet<&str> = table.iter().map(|metric| metric.name).collect();
-    assert_eq!(names.len(), table.len(), "each name stands once");
+    assert_eq!(names.len(), table.len(), "names are unique");
     for metric in table {
         let valid = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_';
         assert!(metric.name.chars().all(valid), "{}", metric.name);
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn names_follow_the_conventions() {
+fn metric_names_follow_prometheus_conventions() {
     assert_conventions(CORE_METRICS);
     assert_conventions(EDGE_METRICS);
 }
 
 #[test]
-fn the_text_has_each_metric_with_its_value() {
+fn a_scrape_has_each_metric_with_its_value() {
     let figures = EdgeFigures {
         ready: true,
         configuration_version: 138,
@@ -54,7 +54,7 @@
     assert!(text.ends_with("# EOF\n"), "{text}");
 }
 
-/// Without labels nothing of a request can get into a metric.
+/// Labels could expose content of requests.
 #[test]
 fn no_metric_has_a_label() {
     let core = encode(CORE_METRICS, CoreFigures::default());
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn every_metric_of_a_table_is_exposed_under_its_name() {
+fn every_core_metric_is_exposed_under_its_name() {
     let text = encode(CORE_METRICS, CoreFigures::default());
     for metric in CORE_METRICS {
         let start = format!("{} ", metric.exposed_name());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_endpoint_is_a_port_and_a_path() {
+fn an_endpoint_is_parsed_from_port_and_path() {
     let endpoint: MetricsEndpoint = "9464/metrics".parse().expect("valid");
     assert_eq!((endpoint.port, endpoint.path.as_str()), (9464, "/metrics"));
     let nested: MetricsEndpoint = "80/a/b".parse().expect("valid");
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_setting_is_checked() {
+fn the_metrics_setting_is_validated() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples/press-edge.json");
     let text = std::fs::read_to_string(path).expect("an example");
     let parse = |metrics: &str| {
