--- a/sorreldoor/tests/worker_list.rs
+++ b/sorreldoor/tests/worker_list.rs
@@ -1,4 +1,4 @@
-//! The list of workers at one core: when it is read, and how it is numbered.
+//! The worker list of one core: when it is read, and how it is versioned.
 
 use sorreldoor::control_plane::worker_list::WorkerListCache;
 use sorreldoor::discovery::{Worker, WorkerRegistry};
@@ -25,12 +25,15 @@
 }
 
 #[test]
-fn reads_do_not_overlap_and_respect_the_interval() {
+fn reads_do_not_overlap_and_keep_the_interval() {
     let mut workers = WorkerListCache::new(Some(INTERVAL_MS), 0);
     assert!(workers.begin_read(0));
-    assert!(!workers.begin_read(INTERVAL_MS), "one is under way");
+    assert!(!workers.begin_read(INTERVAL_MS), "a read is in progress");
     assert!(workers.read_failed("refused".into()));
-    assert!(!workers.read_failed("refused".into()), "told once");
+    assert!(
+        !workers.read_failed("refused".into()),
+        "a repeated error is not news"
+    );
     assert_eq!(workers.last_error(), Some("refused"));
     assert!(workers.begin_read(INTERVAL_MS));
     // a read without a result times out after five seconds
@@ -38,7 +41,7 @@
     assert!(workers.begin_read(INTERVAL_MS + 5000));
     assert!(
         !WorkerListCache::new(None, 0).begin_read(9000),
-        "told by others"
+        "a core without an interval does not read the list"
     );
 }
 
@@ -46,7 +49,7 @@
 fn a_lease_holder_versions_lists_above_all_earlier_holders() {
     let mut workers = WorkerListCache::new(Some(INTERVAL_MS), 0);
     let first_list = workers.read_done(registry(0, &["a"]), None, 0);
-    let first_list = first_list.expect("any list is better than none");
+    let first_list = first_list.expect("the first list is adopted without a lease");
     assert!(workers.adopt(first_list, 0));
     assert_eq!(workers.read_done(registry(0, &["a", "b"]), None, 10), None);
     let leased = workers.read_done(registry(0, &["a"]), Some(3), 20);
