--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -140,7 +140,8 @@
     /// Sets the name of the edge; its hash picks the seed to try first.
     pub fn with_node_name(self, node: &str) -> CoreSubscription {
         // edges that start at once must not all try the same seed first
-        let next_core = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
+        let next_core =
+            crate::placement::hash_pair(node, "seed") as usize % self.cores.len().max(1);
         CoreSubscription {
             next_core,
             node_name: node.to_string(),
@@ -388,7 +389,9 @@
     /// Replaces the cores; those of the edge's own region (`true`) are tried first.
     pub fn set_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
         let name = &self.node_name;
-        cores.sort_by_key(|(addr, near)| (!near, crate::placement::mix(name, &addr.to_string())));
+        cores.sort_by_key(|(addr, near)| {
+            (!near, crate::placement::hash_pair(name, &addr.to_string()))
+        });
         if !cores.is_empty() && cores != self.cores {
             self.cores = cores;
             let is_session = |(addr, _): &(SocketAddr, bool)| Some(*addr) == self.session_addr;
