--- a/sorreldoor/src/control_plane/client.rs
+++ b/sorreldoor/src/control_plane/client.rs
@@ -6,7 +6,7 @@
 use crate::replicated_state::{Command, View};
 use crate::runtime::EventSender;
 use crate::types::{NodeId, ProposalId};
-use crate::wire::{EdgeEndpoint, OpOutcome};
+use crate::wire::{EdgeEndpoint, ProposalOutcome};
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::future::timeout;
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub enum ControllerReply {
     /// The outcome of a change, or of a search for one.
-    Change(OpOutcome),
+    Change(ProposalOutcome),
     /// The state that was read.
     State(StateSnapshot),
 }
@@ -112,10 +112,10 @@
         reply.ok()?.ok()
     }
 
-    async fn request_outcome(&self, event: impl FnOnce(u64) -> ControllerEvent) -> OpOutcome {
+    async fn request_outcome(&self, event: impl FnOnce(u64) -> ControllerEvent) -> ProposalOutcome {
         match self.request(event).await {
             Some(ControllerReply::Change(outcome)) => outcome,
-            _ => OpOutcome::Unknown,
+            _ => ProposalOutcome::Unknown,
         }
     }
 
@@ -131,7 +131,7 @@
 
     /// Proposes a change. The outcome is `Unknown` where none came in time;
     /// the same change may then be proposed again under the same id.
-    pub async fn change(&self, proposal_id: ProposalId, command: Command) -> OpOutcome {
+    pub async fn change(&self, proposal_id: ProposalId, command: Command) -> ProposalOutcome {
         self.request_outcome(|request_id| ControllerEvent::Change {
             request_id,
             proposal_id,
@@ -141,7 +141,7 @@
     }
 
     /// The outcome of an earlier proposal.
-    pub async fn find_outcome(&self, proposal_id: ProposalId) -> OpOutcome {
+    pub async fn find_outcome(&self, proposal_id: ProposalId) -> ProposalOutcome {
         self.request_outcome(|request_id| ControllerEvent::ReadOutcome {
             request_id,
             proposal_id,
@@ -150,7 +150,7 @@
     }
 
     /// Removes a core from the membership without waiting for a replacement.
-    pub async fn remove_core(&self, proposal_id: ProposalId, core: NodeId) -> OpOutcome {
+    pub async fn remove_core(&self, proposal_id: ProposalId, core: NodeId) -> ProposalOutcome {
         self.request_outcome(|request_id| ControllerEvent::RemoveCore {
             request_id,
             proposal_id,
--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -8,7 +8,7 @@
 use crate::order_id::format_proposal_id;
 use crate::replicated_state::{encode, Command, DocumentSummary, Outcome};
 use crate::types::ProposalId;
-use crate::wire::{OpOutcome, Payload};
+use crate::wire::{Payload, ProposalOutcome};
 use std::sync::Arc;
 
 impl Controller {
@@ -19,11 +19,11 @@
         command: Command,
     ) {
         if self.consensus.is_none() || self.leaving {
-            return self.change_done(requester, OpOutcome::NotTaken);
+            return self.change_done(requester, ProposalOutcome::Rejected);
         }
         if self.consensus.as_ref().is_some_and(|c| c.is_partitioned()) {
             // the operator does better to try another core at once
-            return self.change_done(requester, OpOutcome::Unknown);
+            return self.change_done(requester, ProposalOutcome::Unknown);
         }
         self.proposals.wait(proposal_id, requester);
         let command = self.bind_to_zone_state(command);
@@ -54,7 +54,7 @@
         result: Result<Arc<Vec<u8>>, ProposalError>,
     ) {
         let outcome = proposals::outcome(result);
-        let accepted = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
+        let accepted = matches!(outcome, ProposalOutcome::Committed(Outcome::Applied { .. }));
         self.singleton.proposal_ended(proposal_id, accepted);
         let requesters = self.proposals.finished(proposal_id);
         if !requesters.is_empty() {
@@ -65,10 +65,10 @@
         }
     }
 
-    fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &OpOutcome) {
+    fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &ProposalOutcome) {
         let id = format_proposal_id(proposal_id);
         let (event, about) = match outcome {
-            OpOutcome::Got(Outcome::Applied { version }) => (
+            ProposalOutcome::Committed(Outcome::Applied { version }) => (
                 LogEvent::ChangeCommitted,
                 format!("{id} as serial {version}: {}", self.document_summary()),
             ),
@@ -84,7 +84,7 @@
             .unwrap_or_default()
     }
 
-    pub(super) fn change_done(&mut self, requester: Requester, outcome: OpOutcome) {
+    pub(super) fn change_done(&mut self, requester: Requester, outcome: ProposalOutcome) {
         match requester {
             Requester::Http { request_id } => self.out.push(ControllerEffect::ChangeDone {
                 request_id,
@@ -92,7 +92,7 @@
             }),
             Requester::Edge { conn, request_id } => self.send(
                 conn,
-                Payload::OpDone {
+                Payload::ProposalResult {
                     request_id,
                     outcome,
                 },
--- a/sorreldoor/src/control_plane/controller/frames.rs
+++ b/sorreldoor/src/control_plane/controller/frames.rs
@@ -113,12 +113,12 @@
                 self.on_renewal(conn, renewal);
             }
             Payload::UsageReport(report) => self.on_usage_report(conn, &report),
-            Payload::Op {
+            Payload::Propose {
                 request_id,
                 proposal_id,
                 cmd,
             } => self.change(Requester::Edge { conn, request_id }, proposal_id, cmd),
-            Payload::OpFind {
+            Payload::OutcomeQuery {
                 request_id,
                 proposal_id,
             } => {
--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -158,7 +158,7 @@
             id,
             claimant,
         }),
-        Payload::Sent { requests } => Some(Event::Sent(requests)),
+        Payload::SentRequests { requests } => Some(Event::Sent(requests)),
         _ => None,
     }
 }
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -8,7 +8,7 @@
 use crate::control_plane::membership::{Health, Observed};
 use crate::log_events::LogEvent;
 use crate::types::{NodeId, ProposalId};
-use crate::wire::{OpOutcome, Payload};
+use crate::wire::{Payload, ProposalOutcome};
 
 impl Controller {
     /// As leader, begin the membership change that is due.
@@ -65,7 +65,7 @@
         if rest.is_empty() || core == self.me.id {
             self.out.push(ControllerEffect::ChangeDone {
                 request_id,
-                outcome: OpOutcome::NotTaken,
+                outcome: ProposalOutcome::Rejected,
             });
             return;
         }
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -7,7 +7,7 @@
 use crate::invariants::{broken, Invariant};
 use crate::replicated_state::decode;
 use crate::types::ProposalId;
-use crate::wire::{OpOutcome, StateDelta};
+use crate::wire::{ProposalOutcome, StateDelta};
 
 impl Controller {
     pub(super) fn read(&mut self, read: Read) {
@@ -90,13 +90,13 @@
     }
 
     /// The outcome of a proposal as far as the record tells.
-    fn recorded_outcome(&self, proposal_id: ProposalId, proved: bool) -> OpOutcome {
+    fn recorded_outcome(&self, proposal_id: ProposalId, proved: bool) -> ProposalOutcome {
         let record = self.consensus.as_ref().map(|c| c.state_machine());
         let bytes = record.and_then(|record| record.recorded_outcome(proposal_id));
         match bytes.and_then(|bytes| decode(&bytes)) {
-            Some(outcome) => OpOutcome::Got(outcome),
-            None if proved => OpOutcome::Nothing,
-            None => OpOutcome::Unknown,
+            Some(outcome) => ProposalOutcome::Committed(outcome),
+            None if proved => ProposalOutcome::NotFound,
+            None => ProposalOutcome::Unknown,
         }
     }
 }
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -124,7 +124,7 @@
         /// Id of the event that requested it.
         request_id: u64,
         /// The result, or that it is not known.
-        outcome: OpOutcome,
+        outcome: ProposalOutcome,
     },
     /// The status may be read now; `proved` if the state is proved current.
     StatusReady {
--- a/sorreldoor/src/control_plane/proposals.rs
+++ b/sorreldoor/src/control_plane/proposals.rs
@@ -5,7 +5,7 @@
 use crate::consensus::ProposalError;
 use crate::replicated_state::{decode, Outcome};
 use crate::types::{NodeId, ProposalId};
-use crate::wire::{Hello, OpOutcome};
+use crate::wire::{Hello, ProposalOutcome};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -28,13 +28,15 @@
 }
 
 /// The outcome of a proposal, from the result that consensus gives.
-pub(super) fn outcome(result: Result<Arc<Vec<u8>>, ProposalError>) -> OpOutcome {
+pub(super) fn outcome(result: Result<Arc<Vec<u8>>, ProposalError>) -> ProposalOutcome {
     match result {
         // a membership change has no outcome of its own but having happened
-        Ok(bytes) if bytes.is_empty() => OpOutcome::Got(Outcome::Applied { version: 0 }),
-        Ok(bytes) => decode(&bytes).map_or(OpOutcome::Unknown, OpOutcome::Got),
-        Err(ProposalError::OutcomeUnknown) => OpOutcome::Unknown,
-        Err(ProposalError::Dropped) => OpOutcome::NotTaken,
+        Ok(bytes) if bytes.is_empty() => {
+            ProposalOutcome::Committed(Outcome::Applied { version: 0 })
+        }
+        Ok(bytes) => decode(&bytes).map_or(ProposalOutcome::Unknown, ProposalOutcome::Committed),
+        Err(ProposalError::OutcomeUnknown) => ProposalOutcome::Unknown,
+        Err(ProposalError::Dropped) => ProposalOutcome::Rejected,
     }
 }
 
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -14,7 +14,7 @@
 use crate::runtime::EventSender;
 use crate::settings::Settings;
 use crate::types::{ProposalId, RegionId};
-use crate::wire::OpOutcome;
+use crate::wire::ProposalOutcome;
 use async_std::future::timeout;
 use http_types::{Method, Request, Response};
 use simd_json::prelude::*;
@@ -202,6 +202,6 @@
 fn proposal_response(proposal_id: ProposalId, reply: Option<Reply>) -> Response {
     match reply {
         Some(Reply::ProposalResult(outcome)) => operator_api::result(proposal_id, &outcome),
-        _ => operator_api::result(proposal_id, &OpOutcome::Unknown),
+        _ => operator_api::result(proposal_id, &ProposalOutcome::Unknown),
     }
 }
--- a/sorreldoor/src/gateway/controller.rs
+++ b/sorreldoor/src/gateway/controller.rs
@@ -104,7 +104,7 @@
                 proposal_id,
                 cmd,
             } => {
-                let payload = Payload::Op {
+                let payload = Payload::Propose {
                     request_id,
                     proposal_id,
                     cmd,
@@ -115,7 +115,7 @@
                 request_id,
                 proposal_id,
             } => {
-                let payload = Payload::OpFind {
+                let payload = Payload::OutcomeQuery {
                     request_id,
                     proposal_id,
                 };
--- a/sorreldoor/src/gateway/event.rs
+++ b/sorreldoor/src/gateway/event.rs
@@ -9,7 +9,7 @@
 use crate::replicated_state::Command;
 use crate::runtime::Prioritized;
 use crate::types::ProposalId;
-use crate::wire::{OpOutcome, Payload};
+use crate::wire::{Payload, ProposalOutcome};
 use std::net::SocketAddr;
 
 /// An input of the edge controller. Each `request_id` names the caller that
@@ -102,7 +102,7 @@
     /// HTTP addresses of edges to try in this order, or why there are none.
     EdgesLocated(RequestId, Result<Vec<String>, ErrorCode>),
     /// What became of a proposal.
-    ProposalResult(RequestId, OpOutcome),
+    ProposalResult(RequestId, ProposalOutcome),
     /// Whether the configuration is proved current.
     ConfigurationRead(RequestId, bool),
     /// A status or an explanation, as JSON.
--- a/sorreldoor/src/gateway/pending_calls.rs
+++ b/sorreldoor/src/gateway/pending_calls.rs
@@ -4,7 +4,7 @@
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{RequestId, RequestProfile};
 use crate::replicated_state::View;
-use crate::wire::OpOutcome;
+use crate::wire::ProposalOutcome;
 use async_std::channel::{bounded, Receiver, Sender};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,7 +22,7 @@
     Redirect(String),
     WorkerResponse(WorkerResponse),
     EdgesLocated(Result<Vec<String>, ErrorCode>),
-    ProposalResult(OpOutcome),
+    ProposalResult(ProposalOutcome),
     ConfigurationRead {
         /// The view is proved current.
         proved: bool,
--- a/sorreldoor/src/gateway/queries.rs
+++ b/sorreldoor/src/gateway/queries.rs
@@ -5,7 +5,7 @@
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{RequestId, RequestSpec};
 use crate::json::Value;
-use crate::wire::{OpOutcome, Payload};
+use crate::wire::{Payload, ProposalOutcome};
 use simd_json::prelude::*;
 
 impl EdgeController {
@@ -56,7 +56,7 @@
     pub(super) fn forward_proposal(&mut self, request_id: RequestId, payload: Payload) {
         let Some(conn) = self.pull.conn else {
             // nothing has left this node, so the change is certainly not made
-            let outcome = OpOutcome::NotTaken;
+            let outcome = ProposalOutcome::Rejected;
             self.effects
                 .push(EdgeEffect::ProposalResult(request_id, outcome));
             return;
--- a/sorreldoor/src/gateway/releases.rs
+++ b/sorreldoor/src/gateway/releases.rs
@@ -114,7 +114,7 @@
             .collect();
         if !requests.is_empty() {
             self.effects
-                .push(EdgeEffect::Send(conn, Payload::Sent { requests }));
+                .push(EdgeEffect::Send(conn, Payload::SentRequests { requests }));
         }
     }
 }
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -8,7 +8,7 @@
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::subscription::Granted;
-use crate::wire::{EncodedUpdate, OpOutcome, Payload, StateDelta, LARGE_UPDATE};
+use crate::wire::{EncodedUpdate, Payload, ProposalOutcome, StateDelta, LARGE_UPDATE};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -42,7 +42,7 @@
             .collect();
         for request_id in lost {
             // it was sent on that connection, so it may have been accepted
-            self.on_proposal_result(request_id, OpOutcome::Unknown);
+            self.on_proposal_result(request_id, ProposalOutcome::Unknown);
         }
     }
 
@@ -64,7 +64,7 @@
                     .on_claim_result(&mut self.cluster, result, lease_valid, self.now);
             }
             Payload::Released { request_id } => self.pending_releases.confirm(request_id),
-            Payload::OpDone {
+            Payload::ProposalResult {
                 request_id,
                 outcome,
             } => self.on_proposal_result(request_id, outcome),
@@ -97,7 +97,7 @@
         }
     }
 
-    fn on_proposal_result(&mut self, request_id: RequestId, outcome: OpOutcome) {
+    fn on_proposal_result(&mut self, request_id: RequestId, outcome: ProposalOutcome) {
         if self.pending_proposals.remove(&request_id).is_some() {
             self.effects
                 .push(EdgeEffect::ProposalResult(request_id, outcome));
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -9,7 +9,7 @@
 use crate::order_id::{format_proposal_id, parse_proposal_id, random_proposal_id};
 use crate::replicated_state::{Command, Outcome};
 use crate::types::ProposalId;
-use crate::wire::OpOutcome;
+use crate::wire::ProposalOutcome;
 use http_types::{Method, Request, Response};
 use simd_json::prelude::*;
 use std::time::Duration;
@@ -161,36 +161,36 @@
 }
 
 /// The response to a change: applied, rejected, or outcome unknown.
-pub fn result(proposal_id: ProposalId, outcome: &OpOutcome) -> Response {
+pub fn result(proposal_id: ProposalId, outcome: &ProposalOutcome) -> Response {
     let mut v = Value::object();
     let _ = v.insert("proposal", format_proposal_id(proposal_id));
     let error_code = match outcome {
-        OpOutcome::Got(Outcome::Applied { version }) => {
+        ProposalOutcome::Committed(Outcome::Applied { version }) => {
             let _ = v.insert("taken", true);
             let _ = v.insert("serial", *version);
             return http::ok(v);
         }
-        OpOutcome::Got(Outcome::Stale { version }) => {
+        ProposalOutcome::Committed(Outcome::Stale { version }) => {
             let _ = v.insert("serial", *version);
             ErrorCode::StaleVersion
         }
-        OpOutcome::Got(Outcome::Invalid { faults }) => {
+        ProposalOutcome::Committed(Outcome::Invalid { faults }) => {
             let _ = v.insert("faults", list(faults));
             ErrorCode::InvalidConfiguration
         }
-        OpOutcome::Got(Outcome::StaleEpoch { epoch }) => {
+        ProposalOutcome::Committed(Outcome::StaleEpoch { epoch }) => {
             let _ = v.insert("epoch", *epoch);
             ErrorCode::StaleVersion
         }
-        OpOutcome::Got(Outcome::BaseAhead { version }) => {
+        ProposalOutcome::Committed(Outcome::BaseAhead { version }) => {
             let _ = v.insert("serial", *version);
             ErrorCode::BaseVersionAhead
         }
-        OpOutcome::Got(Outcome::Unknown { .. }) | OpOutcome::Unknown => {
+        ProposalOutcome::Committed(Outcome::Unknown { .. }) | ProposalOutcome::Unknown => {
             ErrorCode::ChangeOutcomeUnknown
         }
-        OpOutcome::NotTaken => ErrorCode::ChangeNotAccepted,
-        OpOutcome::Nothing => ErrorCode::UnknownProposal,
+        ProposalOutcome::Rejected => ErrorCode::ChangeNotAccepted,
+        ProposalOutcome::NotFound => ErrorCode::UnknownProposal,
     };
     // an unknown outcome must not be read as applied or as rejected
     if !matches!(
--- a/sorreldoor/src/wire/mod.rs
+++ b/sorreldoor/src/wire/mod.rs
@@ -13,7 +13,7 @@
 pub use codec::{length, mark, pack, unpack, Refused, MOST_FRAME, PROTO};
 pub use hello::Hello;
 pub use lease::{EncodedUpdate, KnownVersions, StateDelta, Unverified, LARGE_UPDATE};
-pub use payload::{OpOutcome, Payload};
+pub use payload::{Payload, ProposalOutcome};
 pub use session::{EdgeEndpoint, EdgeSession, EdgeStatus, RouteLatency, SessionReport};
 
 /// Whether a field has its default and is left out of the frame.
--- a/sorreldoor/src/wire/payload.rs
+++ b/sorreldoor/src/wire/payload.rs
@@ -57,7 +57,8 @@
         delta: StateDelta,
     },
     /// An edge passes on a proposal.
-    Op {
+    #[serde(rename = "Op")]
+    Propose {
         /// The edge's number for it; the result carries it back.
         #[serde(rename = "rid")]
         request_id: u64,
@@ -68,7 +69,8 @@
         cmd: Command,
     },
     /// An edge asks for the outcome of an earlier proposal.
-    OpFind {
+    #[serde(rename = "OpFind")]
+    OutcomeQuery {
         /// The edge's number for the query.
         #[serde(rename = "rid")]
         request_id: u64,
@@ -76,13 +78,14 @@
         #[serde(rename = "pid")]
         proposal_id: ProposalId,
     },
-    /// Answer to `Op` and `OpFind`.
-    OpDone {
+    /// Answer to `Propose` and `OutcomeQuery`.
+    #[serde(rename = "OpDone")]
+    ProposalResult {
         /// Number of the proposal or query.
         #[serde(rename = "rid")]
         request_id: u64,
         /// What is known of the outcome.
-        outcome: OpOutcome,
+        outcome: ProposalOutcome,
     },
     /// An edge claims the id of a request.
     Claim {
@@ -158,7 +161,8 @@
     },
     /// Requests that an edge has sent recently, for a core that may have lost
     /// their claims.
-    Sent {
+    #[serde(rename = "Sent")]
+    SentRequests {
         /// The requests, each with its claimant.
         #[serde(rename = "all")]
         requests: Vec<SentRequest>,
@@ -188,15 +192,18 @@
 
 /// What a core answers on a proposal or on a query for one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum OpOutcome {
+pub enum ProposalOutcome {
     /// The proposal was committed, with this outcome.
-    Got(Outcome),
+    #[serde(rename = "Got")]
+    Committed(Outcome),
     /// Not known: the proposal may have been committed or may yet be.
     Unknown,
     /// The proposal was not accepted and has no effect.
-    NotTaken,
+    #[serde(rename = "NotTaken")]
+    Rejected,
     /// No outcome is recorded under the id that was asked for.
-    Nothing,
+    #[serde(rename = "Nothing")]
+    NotFound,
 }
 
 impl Payload {
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -9,8 +9,8 @@
 use sorreldoor::store::DurableState;
 use sorreldoor::wire::{
     BootstrapMessage, ClaimVote, ClaimsPage, EdgeEndpoint, EdgeSession, EdgeStatus, EncodedUpdate,
-    Hello, KnownVersions, OpOutcome, Payload, RouteLatency, SentRequest, SessionReport, StateDelta,
-    Unverified,
+    Hello, KnownVersions, Payload, ProposalOutcome, RouteLatency, SentRequest, SessionReport,
+    StateDelta, Unverified,
 };
 use std::sync::Arc;
 
@@ -261,7 +261,7 @@
             ok: false,
             delta: StateDelta::default(),
         },
-        Payload::OpFind {
+        Payload::OutcomeQuery {
             request_id: 5,
             proposal_id: 1 << 70,
         },
@@ -284,7 +284,7 @@
             claimant: 9,
         },
         Payload::ReleaseAck { claimant: 9 },
-        Payload::Sent {
+        Payload::SentRequests {
             requests: vec![SentRequest {
                 id: "abc".into(),
                 claimant: 9,
@@ -326,18 +326,30 @@
         });
         all.push(Payload::ClaimVoteReply { vote_id: 1, vote });
     }
-    let op = |cmd| Payload::Op {
+    let op = |cmd| Payload::Propose {
         request_id: 5,
         proposal_id: 6,
         cmd,
     };
     all.extend(commands().into_iter().map(op));
-    let done = |outcome| Payload::OpDone {
+    let done = |outcome| Payload::ProposalResult {
         request_id: 5,
         outcome,
     };
-    all.extend(outcomes().into_iter().map(OpOutcome::Got).map(done));
-    all.extend([OpOutcome::Unknown, OpOutcome::NotTaken, OpOutcome::Nothing].map(done));
+    all.extend(
+        outcomes()
+            .into_iter()
+            .map(ProposalOutcome::Committed)
+            .map(done),
+    );
+    all.extend(
+        [
+            ProposalOutcome::Unknown,
+            ProposalOutcome::Rejected,
+            ProposalOutcome::NotFound,
+        ]
+        .map(done),
+    );
     all.extend(messages().into_iter().map(Payload::Consensus));
     all
 }
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -95,12 +95,12 @@
             edge_status,
             unverified: sorreldoor::wire::Unverified::None,
         },
-        Payload::Op {
+        Payload::Propose {
             request_id: 1,
             proposal_id: 2,
             cmd: command,
         },
-        Payload::Sent { requests },
+        Payload::SentRequests { requests },
         Payload::Ping { no: 0 },
     ]
 }
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -10,7 +10,7 @@
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::runtime::Reducer;
-use sorreldoor::wire::{Hello, OpOutcome};
+use sorreldoor::wire::{Hello, ProposalOutcome};
 use std::net::SocketAddr;
 
 /// A core: its controller, disk, and the values that it stores.
@@ -245,7 +245,7 @@
         );
     }
 
-    fn change_done(&mut self, request_id: u64, outcome: OpOutcome) {
+    fn change_done(&mut self, request_id: u64, outcome: ProposalOutcome) {
         let Some(i) = self
             .pending
             .iter()
@@ -254,13 +254,13 @@
             return;
         };
         match outcome {
-            OpOutcome::Got(Outcome::Applied { version }) => {
+            ProposalOutcome::Committed(Outcome::Applied { version }) => {
                 self.commit_ms.push(self.now - self.pending[i].since);
                 self.pending[i].version = Some(version);
                 self.record_applied_changes();
             }
             // an invalid configuration stays invalid; the report shows it as missing
-            OpOutcome::Got(Outcome::Invalid { .. }) => {
+            ProposalOutcome::Committed(Outcome::Invalid { .. }) => {
                 self.pending.remove(i);
             }
             _ => {
--- a/testbed/src/capacity/meter.rs
+++ b/testbed/src/capacity/meter.rs
@@ -83,7 +83,9 @@
         Payload::Loads(_) => "loads",
         Payload::Ping { .. } => "ping",
         Payload::Hello(_) | Payload::Bootstrap(_) => "hello",
-        Payload::Op { .. } | Payload::OpFind { .. } | Payload::OpDone { .. } => "op",
+        Payload::Propose { .. } | Payload::OutcomeQuery { .. } | Payload::ProposalResult { .. } => {
+            "op"
+        }
         // new kinds of payload are counted here until they have a kind of their own
         _ => "claims",
     }
--- a/testbed/src/site/checker.rs
+++ b/testbed/src/site/checker.rs
@@ -4,7 +4,7 @@
 use super::{ClientOutcome, World};
 use sorreldoor::replicated_state::Outcome;
 use sorreldoor::types::Millis;
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::collections::BTreeMap;
 
 /// Within so long of its acknowledgement a configuration holds everywhere.
@@ -67,7 +67,7 @@
 
 fn acknowledged_changes(world: &World) -> Vec<Acknowledged> {
     let acknowledged = world.changes.iter().filter_map(|change| {
-        let Some(OpOutcome::Got(Outcome::Applied { version })) = &change.outcome else {
+        let Some(ProposalOutcome::Committed(Outcome::Applied { version })) = &change.outcome else {
             return None;
         };
         Some(Acknowledged {
@@ -155,7 +155,7 @@
         .changes
         .iter()
         .filter(|change| change.zone == readmits && change.base >= version)
-        .filter(|change| matches!(change.outcome, None | Some(OpOutcome::Unknown)))
+        .filter(|change| matches!(change.outcome, None | Some(ProposalOutcome::Unknown)))
         .map(|change| change.start);
     told.chain(unknown).min().unwrap_or(Millis::MAX)
 }
@@ -186,7 +186,7 @@
 fn races(world: &World, violations: &mut Vec<String>) {
     let mut winners: BTreeMap<u64, u64> = BTreeMap::new();
     for change in &world.changes {
-        let Some(OpOutcome::Got(Outcome::Applied { version })) = &change.outcome else {
+        let Some(ProposalOutcome::Committed(Outcome::Applied { version })) = &change.outcome else {
             continue;
         };
         if *version != change.base + 1 {
--- a/testbed/src/site/configuration_history.rs
+++ b/testbed/src/site/configuration_history.rs
@@ -7,7 +7,7 @@
 use simd_json::prelude::*;
 use sorreldoor::json::{self, Value};
 use sorreldoor::replicated_state::{Command, Outcome};
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -63,12 +63,12 @@
 /// Whether a change may still be applied, or have been, after this answer. One
 /// that was told `BaseAhead` is undecided: another copy of it may be applied once
 /// the base exists (`docs/control-safety.md`, point 2).
-fn is_undecided(outcome: &Option<OpOutcome>) -> bool {
+fn is_undecided(outcome: &Option<ProposalOutcome>) -> bool {
     matches!(
         outcome,
         None | Some(
-            OpOutcome::Unknown
-                | OpOutcome::Got(Outcome::Unknown { .. } | Outcome::BaseAhead { .. })
+            ProposalOutcome::Unknown
+                | ProposalOutcome::Committed(Outcome::Unknown { .. } | Outcome::BaseAhead { .. })
         )
     )
 }
@@ -76,7 +76,7 @@
 /// The commands that may have made a version: the acknowledged one, or, if
 /// there is none, all on its base whose outcome is undecided.
 fn commands_for(world: &World, version: u64) -> Vec<&Command> {
-    let committed = OpOutcome::Got(Outcome::Applied { version });
+    let committed = ProposalOutcome::Committed(Outcome::Applied { version });
     let acknowledged: Vec<&Command> = world
         .changes
         .iter()
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -5,7 +5,7 @@
 use sorreldoor::gateway::EdgeEvent;
 use sorreldoor::replicated_state::Command;
 use sorreldoor::types::ProposalId;
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::sync::Arc;
 
 /// Ids of the changes of operators that do not retry start here.
@@ -78,7 +78,7 @@
     }
 
     /// A process answers a change.
-    pub(crate) fn changed(&mut self, request_id: u64, outcome: OpOutcome) {
+    pub(crate) fn changed(&mut self, request_id: u64, outcome: ProposalOutcome) {
         let now = self.now;
         self.proposal_answered(request_id, &outcome);
         let mut changes = self.changes.iter_mut();
--- a/testbed/src/site/proposals.rs
+++ b/testbed/src/site/proposals.rs
@@ -7,7 +7,7 @@
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::replicated_state::{Command, Outcome};
 use sorreldoor::types::{Millis, ProposalId};
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 
 /// How many proposals operators have in flight at once.
 const MAX_IN_FLIGHT: usize = 8;
@@ -40,7 +40,7 @@
     proposal: usize,
     process: usize,
     start: Millis,
-    answer: Option<(Millis, OpOutcome)>,
+    answer: Option<(Millis, ProposalOutcome)>,
     /// A clear answer has reached the operator.
     acknowledged: bool,
 }
@@ -93,8 +93,14 @@
             .filter_map(|attempt| attempt.answer.as_ref());
         let (mut committed, mut rejected) = (0, 0);
         for (_, outcome) in all.clone() {
-            committed += usize::from(matches!(outcome, OpOutcome::Got(Outcome::Applied { .. })));
-            rejected += usize::from(matches!(outcome, OpOutcome::Got(Outcome::Stale { .. })));
+            committed += usize::from(matches!(
+                outcome,
+                ProposalOutcome::Committed(Outcome::Applied { .. })
+            ));
+            rejected += usize::from(matches!(
+                outcome,
+                ProposalOutcome::Committed(Outcome::Stale { .. })
+            ));
         }
         (
             committed,
@@ -123,10 +129,10 @@
             .answer
             .as_ref()
             .and_then(|(at, outcome)| match outcome {
-                OpOutcome::Got(Outcome::Applied { version }) => {
+                ProposalOutcome::Committed(Outcome::Applied { version }) => {
                     Some((*at, Answer::Committed(*version)))
                 }
-                OpOutcome::Got(Outcome::Stale { .. } | Outcome::Invalid { .. }) => {
+                ProposalOutcome::Committed(Outcome::Stale { .. } | Outcome::Invalid { .. }) => {
                     Some((*at, Answer::Rejected))
                 }
                 _ => None,
@@ -270,7 +276,7 @@
     }
 
     /// A node answers an attempt.
-    pub(crate) fn proposal_answered(&mut self, request_id: u64, outcome: &OpOutcome) {
+    pub(crate) fn proposal_answered(&mut self, request_id: u64, outcome: &ProposalOutcome) {
         let now = self.now;
         let mut open = self.proposals.attempts.iter().rev();
         let from_last = open.position(|a| a.request_id == request_id && a.answer.is_none());
@@ -281,7 +287,7 @@
         let attempt = &mut self.proposals.attempts[index];
         attempt.answer = Some((now, outcome.clone()));
         let process = attempt.process;
-        let committed = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
+        let committed = matches!(outcome, ProposalOutcome::Committed(Outcome::Applied { .. }));
         if committed && self.processes[process].core && self.rng.chance(self.operator_faults.killed)
         {
             // it dies as it acknowledges; the answer may or may not get out
@@ -306,8 +312,8 @@
         self.after(down, move |world| world.start_if_down(process));
     }
 
-    fn proposal_acknowledged(&mut self, attempt: usize, outcome: OpOutcome) {
-        let OpOutcome::Got(outcome) = outcome else {
+    fn proposal_acknowledged(&mut self, attempt: usize, outcome: ProposalOutcome) {
+        let ProposalOutcome::Committed(outcome) = outcome else {
             return;
         };
         let proposal = self.proposals.attempts[attempt].proposal;
--- a/testbed/src/site/records.rs
+++ b/testbed/src/site/records.rs
@@ -3,7 +3,7 @@
 use sorreldoor::log_events::LogEvent;
 use sorreldoor::replicated_state::Command;
 use sorreldoor::types::Millis;
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::sync::Arc;
 
 /// A configuration change as its operator saw it.
@@ -19,7 +19,7 @@
     /// The zone that it evacuates (true) or readmits, if it does.
     pub zone: Option<(u16, bool)>,
     pub cmd: Command,
-    pub outcome: Option<OpOutcome>,
+    pub outcome: Option<ProposalOutcome>,
 }
 
 /// A core's answer to a read of the configuration.
--- a/testbed/tests/site/configurations.rs
+++ b/testbed/tests/site/configurations.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use sorreldoor::replicated_state::Outcome;
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::collections::BTreeMap;
 use testbed::site::FaultMix;
 
@@ -27,10 +27,10 @@
     let mut n = BTreeMap::new();
     for c in &world.changes {
         let k = match &c.outcome {
-            Some(OpOutcome::Got(Outcome::Applied { .. })) => "taken",
-            Some(OpOutcome::Got(Outcome::Invalid { .. })) => "faulty",
-            Some(OpOutcome::Got(Outcome::Stale { .. })) => "stale",
-            Some(OpOutcome::NotTaken) => "not taken",
+            Some(ProposalOutcome::Committed(Outcome::Applied { .. })) => "taken",
+            Some(ProposalOutcome::Committed(Outcome::Invalid { .. })) => "faulty",
+            Some(ProposalOutcome::Committed(Outcome::Stale { .. })) => "stale",
+            Some(ProposalOutcome::Rejected) => "not taken",
             _ => "unknown",
         };
         *n.entry(k).or_default() += 1;
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -13,7 +13,7 @@
 use sorreldoor::log_events::LogEvent;
 use sorreldoor::pacing::Pacing;
 use sorreldoor::types::{Millis, ProposalId};
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::time::Duration;
 use testbed::site::Partition;
 
@@ -221,7 +221,7 @@
         let c = world.change(isolated_core, change);
         world.run_for(20);
         let outcome = &world.changes[c].outcome;
-        assert_eq!(*outcome, Some(OpOutcome::Unknown), "seed {seed}");
+        assert_eq!(*outcome, Some(ProposalOutcome::Unknown), "seed {seed}");
         assert_no_violations(&world, seed);
     }
 }
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -6,7 +6,7 @@
 use sorreldoor::consensus::Member;
 use sorreldoor::replicated_state::Outcome;
 use sorreldoor::types::Millis;
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::net::SocketAddr;
 use testbed::site::FaultMix;
 
@@ -85,7 +85,7 @@
     let end = world.now + 10_000;
     world.run_until(end, |world| world.changes[c].outcome.is_some());
     let applied = Outcome::Applied { version: base + 1 };
-    world.changes[c].outcome == Some(OpOutcome::Got(applied))
+    world.changes[c].outcome == Some(ProposalOutcome::Committed(applied))
 }
 
 #[test]
--- a/testbed/tests/site/linearizability.rs
+++ b/testbed/tests/site/linearizability.rs
@@ -4,7 +4,7 @@
 use super::*;
 use sorreldoor::invariants::{break_only, Invariant};
 use sorreldoor::replicated_state::{Command, Outcome};
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use testbed::site::linearizability::{violation, Answer, Call, Operation};
 use testbed::site::{FaultMix, OperatorFaults, INITIAL_STATE};
 
@@ -206,7 +206,7 @@
         let done = world.run_until(end, |world| world.changes[c].outcome.is_some());
         let committed = matches!(
             world.changes[c].outcome,
-            Some(OpOutcome::Got(Outcome::Applied { .. }))
+            Some(ProposalOutcome::Committed(Outcome::Applied { .. }))
         );
         assert!(
             done && committed,
--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -315,11 +315,11 @@
 #[test]
 fn a_lost_acknowledgement_is_detected() {
     use sorreldoor::replicated_state::Outcome;
-    use sorreldoor::wire::OpOutcome;
+    use sorreldoor::wire::ProposalOutcome;
     let mut world = ready_world(1);
     let at = world.edges()[0];
     let c = world.change(at, zone_change(8, 0, false));
-    world.changes[c].outcome = Some(OpOutcome::Got(Outcome::Applied { version: 9 }));
+    world.changes[c].outcome = Some(ProposalOutcome::Committed(Outcome::Applied { version: 9 }));
     assert!(world
         .lost_acknowledged_changes()
         .iter()
--- a/testbed/tests/site/support.rs
+++ b/testbed/tests/site/support.rs
@@ -2,7 +2,7 @@
 
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::{Command, Outcome};
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use testbed::fleet::{archive, press, SitePreset};
 use testbed::site::{check, ClientOutcome, World};
 
@@ -76,7 +76,10 @@
 /// Whether a change of the world was acknowledged.
 pub fn was_committed(world: &World, change: usize) -> bool {
     let outcome = &world.changes[change].outcome;
-    matches!(outcome, Some(OpOutcome::Got(Outcome::Applied { .. })))
+    matches!(
+        outcome,
+        Some(ProposalOutcome::Committed(Outcome::Applied { .. }))
+    )
 }
 
 /// The newest version that any core has applied.
