--- a/sorreldoor/src/control_plane/distribution.rs
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -8,7 +8,7 @@
 use crate::net::Conn;
 use crate::replicated_state::{encode, ReplicatedState};
 use crate::types::Millis;
-use crate::wire::{mark, KnownVersions, StateDelta};
+use crate::wire::{stable_hash, KnownVersions, StateDelta};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -98,6 +98,6 @@
     let cores: Vec<(String, u8)> = voters
         .map(|member| (member.addr.clone(), member.region))
         .collect();
-    let version = mark(&encode(&cores));
+    let version = stable_hash(&encode(&cores));
     (version != known && !cores.is_empty()).then_some((version, cores))
 }
--- a/sorreldoor/src/control_plane/sessions.rs
+++ b/sorreldoor/src/control_plane/sessions.rs
@@ -4,7 +4,7 @@
 use crate::net::Conn;
 use crate::replicated_state::encode;
 use crate::types::{Millis, NodeId};
-use crate::wire::{mark, EdgeEndpoint, EdgeSession, EdgeStatus, Hello, SessionReport};
+use crate::wire::{stable_hash, EdgeEndpoint, EdgeSession, EdgeStatus, Hello, SessionReport};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -256,7 +256,7 @@
         if endpoints != *self.endpoints.endpoints {
             let encoded = encode(&endpoints);
             self.endpoints = EndpointList {
-                version: mark(&encoded),
+                version: stable_hash(&encoded),
                 endpoints: Arc::new(endpoints),
                 encoded_bytes: encoded.len(),
             };
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -5,7 +5,7 @@
 use crate::net::Conn;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
-use crate::wire::{EncodedUpdate, LARGE_UPDATE};
+use crate::wire::{EncodedUpdate, LARGE_UPDATE_BYTES};
 use std::collections::BTreeMap;
 
 /// Bytes of large updates in flight from one core, at most: what a link of
@@ -69,7 +69,7 @@
         }
         let update = self.encoded(record, known);
         let bytes = update.bytes.len();
-        if bytes > LARGE_UPDATE && !broken(Invariant::CopiesBounded) {
+        if bytes > LARGE_UPDATE_BYTES && !broken(Invariant::CopiesBounded) {
             if !self.has_capacity(bytes) {
                 return NextUpdate::Withheld;
             }
--- a/sorreldoor/src/doctor/observe.rs
+++ b/sorreldoor/src/doctor/observe.rs
@@ -5,7 +5,7 @@
 use crate::json::{self, Value};
 use crate::settings::Settings;
 use crate::store::probe_directory;
-use crate::wire::{self, Hello, Payload, Refused};
+use crate::wire::{self, FrameError, Hello, Payload};
 use async_std::future::timeout;
 use async_std::io::ReadExt;
 use async_std::net::TcpStream;
@@ -92,10 +92,12 @@
 /// Reads the `Hello` that a core sends first on any connection.
 async fn probe_seed(address: SocketAddr, site: &str) -> SeedStatus {
     let frame = timeout(TIMEOUT, read_frame(address)).await.ok().flatten();
-    match frame.map(|frame| wire::unpack(site, &frame)) {
+    match frame.map(|frame| wire::decode_frame(site, &frame)) {
         Some(Ok(Payload::Hello(hello))) => SeedStatus::Core(Box::new(hello)),
-        Some(Err(Refused::Site(hash))) => SeedStatus::OtherSite(format!("mark {hash:x}")),
-        Some(Err(Refused::Protocol(version))) => SeedStatus::OtherProtocol(version),
+        Some(Err(FrameError::SiteMismatch(hash))) => {
+            SeedStatus::OtherSite(format!("mark {hash:x}"))
+        }
+        Some(Err(FrameError::ProtocolMismatch(version))) => SeedStatus::OtherProtocol(version),
         _ => SeedStatus::Unreached,
     }
 }
@@ -104,7 +106,7 @@
     let mut stream = TcpStream::connect(address).await.ok()?;
     let mut header = [0; 4];
     stream.read_exact(&mut header).await.ok()?;
-    let length = wire::length(header).ok()?;
+    let length = wire::frame_length(header).ok()?;
     let mut frame = vec![0; length];
     stream.read_exact(&mut frame).await.ok()?;
     Some(frame)
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -8,7 +8,7 @@
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::subscription::Granted;
-use crate::wire::{EncodedUpdate, Payload, ProposalOutcome, StateDelta, LARGE_UPDATE};
+use crate::wire::{EncodedUpdate, Payload, ProposalOutcome, StateDelta, LARGE_UPDATE_BYTES};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -149,7 +149,7 @@
         if !self.cluster.apply_view(self.replica.view()) {
             self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
-        if encoded.bytes.len() > LARGE_UPDATE {
+        if encoded.bytes.len() > LARGE_UPDATE_BYTES {
             // the core sends nothing more before this is acknowledged
             if let Some(conn) = self.pull.conn {
                 let renewal = self.pull.renew(conn, self.now);
--- a/sorreldoor/src/net/connection.rs
+++ b/sorreldoor/src/net/connection.rs
@@ -63,13 +63,13 @@
             if !matches!(read, Ok(Ok(()))) {
                 return;
             }
-            let unpacked = match wire::length(head) {
+            let unpacked = match wire::frame_length(head) {
                 Err(refused) => Err(refused),
                 Ok(length) => {
                     let Some(bytes) = read_frame(&mut stream, length).await else {
                         return;
                     };
-                    wire::unpack(&self.site_fingerprint, &bytes)
+                    wire::decode_frame(&self.site_fingerprint, &bytes)
                 }
             };
             match unpacked {
--- a/sorreldoor/src/net/mod.rs
+++ b/sorreldoor/src/net/mod.rs
@@ -124,7 +124,7 @@
         let Some(outgoing) = outgoing else {
             return false;
         };
-        let pushed = outgoing.push(wire::pack(&self.site_fingerprint, payload));
+        let pushed = outgoing.push(wire::encode_frame(&self.site_fingerprint, payload));
         if pushed == Push::Full {
             let dropped = self.dropped_frames.fetch_add(1, Ordering::Relaxed);
             if dropped.is_multiple_of(LOGGED_DROPS) {
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -364,7 +364,7 @@
             weights: Vec::new(),
             regions: update.regions,
         };
-        if encoded.bytes.len() > LARGE_UPDATE {
+        if encoded.bytes.len() > LARGE_UPDATE_BYTES {
             // the core sends nothing more until this is acknowledged
             self.renew();
         }
--- a/sorreldoor/src/wire/lease.rs
+++ b/sorreldoor/src/wire/lease.rs
@@ -20,17 +20,17 @@
     /// Epoch and version of the load reports, as by `Loads::mark`.
     #[serde(default, skip_serializing_if = "zero")]
     pub loads: (u64, u64),
-    /// Hash of the list of edges, see `mark`.
+    /// Hash of the list of edges, see `stable_hash`.
     #[serde(default, skip_serializing_if = "zero")]
     pub edge_sessions: u64,
-    /// Hash of the addresses and regions of the voters, see `mark`.
+    /// Hash of the addresses and regions of the voters, see `stable_hash`.
     #[serde(default, skip_serializing_if = "zero")]
     pub cores: u64,
 }
 
 /// Bytes above which an update is large: an edge acknowledges it at once by a
 /// renewal, and is sent no other before that.
-pub const LARGE_UPDATE: usize = 16 << 10;
+pub const LARGE_UPDATE_BYTES: usize = 16 << 10;
 
 /// Updates of fewer bytes are not compressed.
 const COMPRESS_FROM: usize = 1 << 10;
--- a/sorreldoor/src/wire/mod.rs
+++ b/sorreldoor/src/wire/mod.rs
@@ -10,9 +10,12 @@
 
 pub use bootstrap::BootstrapMessage;
 pub use claims::{ClaimVote, ClaimsPage, SentRequest, VoteId};
-pub use codec::{length, mark, pack, unpack, Refused, MOST_FRAME, PROTO};
+pub use codec::{
+    decode_frame, encode_frame, frame_length, stable_hash, FrameError, MAX_FRAME_BYTES,
+    PROTOCOL_VERSION,
+};
 pub use hello::Hello;
-pub use lease::{EncodedUpdate, KnownVersions, StateDelta, Unverified, LARGE_UPDATE};
+pub use lease::{EncodedUpdate, KnownVersions, StateDelta, Unverified, LARGE_UPDATE_BYTES};
 pub use payload::{Payload, ProposalOutcome};
 pub use session::{EdgeEndpoint, EdgeSession, EdgeStatus, RouteLatency, SessionReport};
 
--- a/sorreldoor/tests/formats/main.rs
+++ b/sorreldoor/tests/formats/main.rs
@@ -4,7 +4,7 @@
 //! The samples were written by the release before the renaming of types and
 //! fields. A line that differs means that nodes of two builds would not
 //! understand each other, or that a data folder would not be read. Only a
-//! deliberate change of format, with a new `PROTO` and a reader for the old
+//! deliberate change of format, with a new `PROTOCOL_VERSION` and a reader for the old
 //! data, may replace a line (`SORRELDOOR_WRITE_SAMPLES=1 cargo test`).
 
 mod legacy;
@@ -15,7 +15,7 @@
 use sorreldoor::consensus::{Save, StateMachine};
 use sorreldoor::replicated_state::{decode, encode, ReplicatedState};
 use sorreldoor::store::DurableState;
-use sorreldoor::wire::{pack, unpack};
+use sorreldoor::wire::{decode_frame, encode_frame};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -42,7 +42,10 @@
 fn samples() -> BTreeMap<String, Vec<u8>> {
     let mut all = BTreeMap::new();
     for (index, payload) in payloads().iter().enumerate() {
-        all.insert(format!("frame-{index:02}"), pack(SITE_NAME, payload));
+        all.insert(
+            format!("frame-{index:02}"),
+            encode_frame(SITE_NAME, payload),
+        );
     }
     for (index, save) in saves().iter().enumerate() {
         all.insert(format!("save-{index:02}"), encode(save));
@@ -87,7 +90,7 @@
     let stored_samples = stored_samples();
     for (index, payload) in payloads().iter().enumerate() {
         let body = &stored_samples[&format!("frame-{index:02}")][4..];
-        assert_eq!(unpack(SITE_NAME, body).as_ref(), Ok(payload));
+        assert_eq!(decode_frame(SITE_NAME, body).as_ref(), Ok(payload));
     }
     for (index, save) in saves().iter().enumerate() {
         let decoded: Option<Save> = decode(&stored_samples[&format!("save-{index:02}")]);
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -7,7 +7,9 @@
 use sorreldoor::json;
 use sorreldoor::replicated_state::{encode, Command, Outcome, ReplicatedState};
 use sorreldoor::settings::{Overrides, Role, Settings};
-use sorreldoor::wire::{length, pack, unpack, EdgeStatus, Hello, KnownVersions, Payload};
+use sorreldoor::wire::{
+    decode_frame, encode_frame, frame_length, EdgeStatus, Hello, KnownVersions, Payload,
+};
 use std::path::Path;
 use std::sync::Arc;
 
@@ -111,9 +113,9 @@
     for seed in 1..4000 {
         let mut random = Random::new(seed);
         let all = frames();
-        let frame = pack("site", &all[random.below(all.len())]);
+        let frame = encode_frame("site", &all[random.below(all.len())]);
         let damaged_bytes = mutate(&mut random, &frame[4..]);
-        match unpack("site", &damaged_bytes) {
+        match decode_frame("site", &damaged_bytes) {
             Ok(_) => decoded += 1,
             Err(error) => {
                 rejected += 1;
@@ -126,7 +128,9 @@
             random.next() as u8,
             random.next() as u8,
         ];
-        assert!(length(length_prefix).map_or(true, |n| n <= sorreldoor::wire::MOST_FRAME));
+        assert!(
+            frame_length(length_prefix).map_or(true, |n| n <= sorreldoor::wire::MAX_FRAME_BYTES)
+        );
     }
     println!("{decoded} read, {rejected} refused");
     assert!(rejected > 2000 && decoded > 20);
--- a/sorreldoor/tests/updates/delivery.rs
+++ b/sorreldoor/tests/updates/delivery.rs
@@ -3,7 +3,7 @@
 use super::{with_routes, Core};
 use sorreldoor::control_plane::updates::{NextUpdate, Updates, MAX_IN_FLIGHT};
 use sorreldoor::net::{self, Push};
-use sorreldoor::wire::{EncodedUpdate, LARGE_UPDATE};
+use sorreldoor::wire::{EncodedUpdate, LARGE_UPDATE_BYTES};
 use std::sync::Arc;
 
 /// A node that has not yet applied a large update is told to poll again, and is
@@ -16,7 +16,7 @@
     let NextUpdate::Send(first_update) = updates.next(&core.record, 1, 0, 0) else {
         panic!("a blank edge is sent the whole");
     };
-    assert!(first_update.bytes.len() > LARGE_UPDATE);
+    assert!(first_update.bytes.len() > LARGE_UPDATE_BYTES);
     for now in [100, 200, 900] {
         core.set_route(now as usize, now);
         assert_eq!(updates.next(&core.record, 1, 0, now), NextUpdate::Withheld);
@@ -27,7 +27,7 @@
     else {
         panic!("it lacks three changes");
     };
-    assert!(next_update.bytes.len() < LARGE_UPDATE);
+    assert!(next_update.bytes.len() < LARGE_UPDATE_BYTES);
     assert_eq!(updates.in_flight(), 0);
     let newest = core.record.revision();
     assert_eq!(
--- a/testbed/src/capacity/network.rs
+++ b/testbed/src/capacity/network.rs
@@ -170,7 +170,7 @@
             _ => Vec::new(),
         };
         let m = &mut self.processes[p].meter;
-        let b = m.time("pack", || wire::pack(SITE_MARK, &payload));
+        let b = m.time("pack", || wire::encode_frame(SITE_MARK, &payload));
         m.flow("out", to, k, b.len());
         parts.iter().for_each(|(k, n)| m.part("out", k, *n));
         let q = &mut self.processes[t].meter;
@@ -182,7 +182,7 @@
         let hollow = matches!(&self.processes[t].role,
             Role::Node(n) if matches!(**n, Node::HollowNode(_)));
         // a frame too long for a receiver must be rejected here too
-        let body = if hollow && b.len() - 4 <= wire::MOST_FRAME {
+        let body = if hollow && b.len() - 4 <= wire::MAX_FRAME_BYTES {
             FrameBody::Plain(Box::new(payload))
         } else {
             FrameBody::Packed(b, k)
@@ -206,8 +206,10 @@
             FrameBody::Packed(b, k) => {
                 let head = [b[0], b[1], b[2], b[3]];
                 let m = &mut self.processes[p].meter;
-                let read = || wire::length(head).and_then(|_| wire::unpack(SITE_MARK, &b[4..]));
-                (k, m.time("unpack", read).ok().map(Box::new))
+                let read = || {
+                    wire::frame_length(head).and_then(|_| wire::decode_frame(SITE_MARK, &b[4..]))
+                };
+                (k, m.time("decode_frame", read).ok().map(Box::new))
             }
         };
         match payload {
--- a/testbed/src/sim/uplink.rs
+++ b/testbed/src/sim/uplink.rs
@@ -47,5 +47,5 @@
 
 /// The encoded size of a message.
 pub fn frame_bytes(msg: &Msg) -> u64 {
-    wire::pack("", &Payload::Consensus(msg.clone())).len() as u64
+    wire::encode_frame("", &Payload::Consensus(msg.clone())).len() as u64
 }
--- a/testbed/src/site/network.rs
+++ b/testbed/src/site/network.rs
@@ -199,7 +199,7 @@
         };
         let to_end = usize::from(connection.endpoints[0].process == process);
         let to = connection.endpoints[to_end].process;
-        let bytes = sorreldoor::wire::pack("", &payload).len() as u64;
+        let bytes = sorreldoor::wire::encode_frame("", &payload).len() as u64;
         *self.bytes.entry((process, to)).or_default() += bytes;
         if is_about_claims(&payload) {
             self.claims_traffic.frames += 1;
--- a/testbed/src/site/processor.rs
+++ b/testbed/src/site/processor.rs
@@ -29,7 +29,7 @@
 impl World {
     /// The size of a frame, where it is charged for.
     pub(super) fn charged_bytes(&self, payload: &Payload) -> usize {
-        let encoded = self.cpu_costs.map(|_| wire::pack("", payload));
+        let encoded = self.cpu_costs.map(|_| wire::encode_frame("", payload));
         encoded.map_or(0, |frame| frame.len())
     }
 
--- a/testbed/tests/doors/main.rs
+++ b/testbed/tests/doors/main.rs
@@ -12,7 +12,7 @@
 use simd_json::prelude::*;
 use sorreldoor::http::{Call, Called};
 use sorreldoor::json;
-use sorreldoor::wire::{pack, Payload, PROTO};
+use sorreldoor::wire::{encode_frame, Payload, PROTOCOL_VERSION};
 use std::net::SocketAddr;
 use std::time::Duration;
 use testbed::fleet::{configuration, press, Fleet, SitePreset};
@@ -308,12 +308,15 @@
     let core = &fleet.nodes[fleet.cores()[0]];
     let address = core.listen.unwrap();
     let ping = Payload::Ping { no: 0 };
-    let mut foreign_frame = pack("other/north,south/n1@0,s1@1", &ping);
+    let mut foreign_frame = encode_frame("other/north,south/n1@0,s1@1", &ping);
     send_raw(address, &foreign_frame);
-    foreign_frame[4..6].copy_from_slice(&(PROTO + 1).to_le_bytes());
+    foreign_frame[4..6].copy_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
     send_raw(address, &foreign_frame);
     send_raw(address, &[255, 255, 255, 127, 0, 0]);
-    send_raw(address, &[6, 0, 0, 0, PROTO as u8, 0, 200, 201, 202, 203]);
+    send_raw(
+        address,
+        &[6, 0, 0, 0, PROTOCOL_VERSION as u8, 0, 200, 201, 202, 203],
+    );
     let log = fleet.root.join(format!("{}.log", core.name));
     assert!(fleet.until(WAIT_LIMIT, |_| {
         let text = std::fs::read_to_string(&log).unwrap_or_default();
