--- a/sorreldoor/src/wire/claims.rs
+++ b/sorreldoor/src/wire/claims.rs
@@ -1,4 +1,5 @@
-//! Claims on request ids (idempotency keys): votes, and reads between peers.
+//! Claims on request ids (idempotency keys): votes of the cores, and pages of
+//! their claim tables.
 
 use crate::consensus::ClaimRecord;
 use serde::{Deserialize, Serialize};
@@ -22,7 +23,7 @@
     Full,
 }
 
-/// A request that an edge has sent itself, under its claim.
+/// A request that an edge has sent under its own claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u128)", into = "(String, u128)")]
 pub struct SentRequest {
@@ -47,7 +48,7 @@
 /// Consecutive entries of a claim table, in the order of their insertion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimsPage {
-    /// Offset that was asked for.
+    /// Offset of the first claim, as requested.
     #[serde(rename = "from")]
     pub start: u64,
     /// The claims, each with its remaining retention.
@@ -55,7 +56,7 @@
     pub claims: Vec<ClaimRecord>,
     /// Offset at which the next page starts.
     pub next: u64,
-    /// Whether the sender knows of no claims beyond this page.
+    /// Whether this is the last page.
     #[serde(rename = "end")]
     pub last: bool,
 }
--- a/sorreldoor/src/wire/hello.rs
+++ b/sorreldoor/src/wire/hello.rs
@@ -1,11 +1,11 @@
-//! The introduction of a node on a new connection.
+//! The handshake on a new connection: a node's description of itself.
 
-use super::zero;
+use super::is_default;
 use crate::types::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// What a node says of itself: the first frame that it sends on a connection,
-/// and sent again by a core when it joins the site or stops.
+/// A node's description of itself: the first frame that it sends on a
+/// connection. A core sends it again when it joins the site or stops.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     /// Identity of a core in the consensus group; an edge draws one at its
@@ -26,13 +26,14 @@
     pub http: String,
     /// For cores: whether it belongs to a site that has been bootstrapped.
     pub founded: bool,
-    /// Random number of this run of the process: differs at every start.
+    /// Random number drawn at the start of the process; identifies this run.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// For cores: its process has been told to stop.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// For cores: whether its process is shutting down.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub stopping: bool,
-    /// For cores: by its settings it is a learner for good and never votes.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// For cores: whether its settings make it a permanent learner, which never
+    /// votes.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub learner_only: bool,
 }
--- a/sorreldoor/src/wire/lease.rs
+++ b/sorreldoor/src/wire/lease.rs
@@ -1,44 +1,45 @@
-//! Renewals of an edge's lease, and the state that grants carry.
+//! Lease renewal: the versions of state that an edge reports, and the newer
+//! state that a grant returns.
 
-use super::{zero, EdgeEndpoint};
+use super::{is_default, EdgeEndpoint};
 use crate::discovery::{Loads, WorkerRegistry};
 use crate::replicated_state::{decode, encode, StateUpdate};
 use lz4_flex::block;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Versions that an edge has of each source of state. A grant carries the
-/// sources of which the core has other ones. 0 stands for nothing yet.
+/// Version that an edge has of each source of state; 0 where it has none yet.
+/// A grant carries the sources whose version differs at the core.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownVersions {
     /// Revision of the replicated state.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub record: u64,
     /// Version of the worker registry.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub registry: u64,
     /// Epoch and version of the load reports, as by `Loads::mark`.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub loads: (u64, u64),
     /// Hash of the list of edges, see `stable_hash`.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub edge_sessions: u64,
     /// Hash of the addresses and regions of the voters, see `stable_hash`.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub cores: u64,
 }
 
-/// Bytes above which an update is large: an edge acknowledges it at once by a
-/// renewal, and is sent no other before that.
+/// Size above which an update is large: an edge acknowledges it at once by a
+/// renewal, and a core sends it no further update until then.
 pub const LARGE_UPDATE_BYTES: usize = 16 << 10;
 
-/// Updates of fewer bytes are not compressed.
-const COMPRESS_FROM: usize = 1 << 10;
-/// Bytes of an update at most, once it is decompressed.
-const MAX_UPDATE: usize = 64 << 20;
+/// Minimum size of an update to be compressed.
+const MIN_COMPRESSED_BYTES: usize = 1 << 10;
+/// Maximum size of an update after decompression.
+const MAX_UPDATE_BYTES: usize = 64 << 20;
 
-/// An update of the replicated state, encoded once for all edges that lack the
-/// same revisions.
+/// An update of the replicated state, encoded once and sent to all edges that
+/// lack the same revisions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EncodedUpdate {
     /// Revision that the update leads to.
@@ -48,13 +49,12 @@
     pub version: u64,
     /// Whether there is a configuration at that revision.
     pub has_document: bool,
-    /// The `StateUpdate` in CBOR, compressed or not. Shared, since many edges are
-    /// sent the same.
+    /// The `StateUpdate` in CBOR, possibly compressed.
     #[serde(serialize_with = "as_bytes")]
     pub bytes: Arc<Vec<u8>>,
-    /// Bytes of the CBOR if `bytes` is an LZ4 block of it; 0: it is not compressed.
-    /// Routes resemble one another, and an edge's link may be narrow.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// Length of the CBOR if `bytes` is an LZ4 block; 0 if `bytes` is not
+    /// compressed.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub uncompressed_len: usize,
 }
 
@@ -76,61 +76,62 @@
         }
     }
 
-    /// Decodes the update; `None` if its bytes cannot be read.
+    /// Decodes the update; `None` if its bytes cannot be decoded or would exceed
+    /// `MAX_UPDATE_BYTES`.
     pub fn update(&self) -> Option<StateUpdate> {
         match self.uncompressed_len {
             0 => decode(&self.bytes),
-            len if len > MAX_UPDATE => None,
+            len if len > MAX_UPDATE_BYTES => None,
             len => decode(&block::decompress(&self.bytes, len).ok()?),
         }
     }
 }
 
-/// The bytes as an LZ4 block; none if that does not make them fewer.
+/// The bytes as an LZ4 block; `None` if they are short or the block is not
+/// smaller.
 fn compress(bytes: &[u8]) -> Option<Vec<u8>> {
-    let worthwhile = bytes.len() >= COMPRESS_FROM;
+    let worthwhile = bytes.len() >= MIN_COMPRESSED_BYTES;
     let compressed = worthwhile.then(|| block::compress(bytes))?;
     (compressed.len() < bytes.len()).then_some(compressed)
 }
 
-/// The state that an edge lacks, as a grant carries it: a source is absent if
-/// the edge has its newest version.
+/// The state that an edge lacks. A source is absent if the edge has its newest
+/// version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateDelta {
     /// Update of the replicated state, from the revision that the edge has.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub record: Option<EncodedUpdate>,
-    /// A newer revision exists but could not be sent yet, so that the edge
-    /// should ask again soon. Such a grant proves nothing about the state that
-    /// the edge has.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// A newer revision exists but is not sent yet; the edge should renew again
+    /// soon. Such a grant does not confirm that the edge's state is current.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub record_withheld: bool,
-    /// The worker registry, whole.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// The complete worker registry.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub registry: Option<Arc<WorkerRegistry>>,
-    /// The load reports, whole.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// The complete load reports.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub loads: Option<Arc<Loads>>,
-    /// All edges, under the hash that `KnownVersions` reports.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// The hash and the list of all edges; see `KnownVersions::edge_sessions`.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub edge_sessions: Option<(u64, Vec<EdgeEndpoint>)>,
-    /// Address, as `IP:PORT`, and region of each voter, under the hash that
-    /// `KnownVersions` reports.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// The hash and the list of the voters, each with its address as `IP:PORT`
+    /// and its region; see `KnownVersions::cores`.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub cores: Option<(u64, Vec<(String, u8)>)>,
 }
 
-/// Which state that no leader has confirmed an edge accepts as long as it has
-/// had no confirmed one.
+/// Which unverified state an edge accepts until it first receives state that a
+/// leader has confirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unverified {
-    /// No such state.
+    /// None.
     #[default]
     None,
-    /// From a core that no leader has confirmed since its start, as after a
-    /// loss of all cores.
+    /// The state of a core that no leader has confirmed since the core's start:
+    /// applies after a failure of all cores.
     FromStarting,
-    /// Also from a core that knows no leader, as after a loss of the majority:
-    /// the edge has found none that knows one.
+    /// The state of any core, also of one that knows no leader: applies after a
+    /// loss of the quorum, when the edge has found no core that knows one.
     FromAny,
 }
--- a/sorreldoor/src/wire/mod.rs
+++ b/sorreldoor/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! Frames between the nodes of a site: the messages, and their encoding.
+//! The frame protocol between the nodes of a site: message types and their
+//! encoding.
 
 mod bootstrap;
 mod claims;
@@ -19,7 +20,7 @@
 pub use payload::{Payload, ProposalOutcome};
 pub use session::{EdgeEndpoint, EdgeSession, EdgeStatus, RouteLatency, SessionReport};
 
-/// Whether a field has its default and is left out of the frame.
-fn zero<T: Default + PartialEq>(t: &T) -> bool {
+/// Whether a value equals its default, so that serialization skips the field.
+fn is_default<T: Default + PartialEq>(t: &T) -> bool {
     *t == T::default()
 }
--- a/sorreldoor/src/wire/payload.rs
+++ b/sorreldoor/src/wire/payload.rs
@@ -1,6 +1,8 @@
-//! The content of a frame, and the outcomes of proposals.
+//! The payload of a frame, and the outcomes of proposals.
 
-use super::{zero, BootstrapMessage, ClaimVote, ClaimsPage, EdgeStatus, Hello, KnownVersions};
+use super::{
+    is_default, BootstrapMessage, ClaimVote, ClaimsPage, EdgeStatus, Hello, KnownVersions,
+};
 use super::{SentRequest, SessionReport, StateDelta, Unverified, VoteId};
 use crate::consensus::{ClaimRecord, Msg};
 use crate::discovery::{Loads, WorkerRegistry};
@@ -10,62 +12,63 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The content of a frame. Variant and field names are part of the protocol.
+/// The content of a frame. The serialized names of variants and fields are part
+/// of the protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Both sides: the first frame on a connection; a core sends it again when
-    /// it joins the site or stops.
+    /// The first frame that each side sends on a connection; a core sends it
+    /// again when it joins the site or stops.
     Hello(Hello),
     /// Between cores: a message of the consensus protocol.
     Consensus(Msg),
     /// Between cores: cluster bootstrap.
     #[serde(rename = "Founding")]
     Bootstrap(BootstrapMessage),
-    /// Between cores: sessions of the sender.
+    /// Between cores: the edges that have a session with the sender.
     SessionReport(SessionReport),
     /// The platform's list of workers, between cores and from a core to its
     /// edges.
     WorkerRegistry(Arc<WorkerRegistry>),
     /// Between cores: load reports, from the holder of the singleton role.
     Loads(Arc<Loads>),
-    /// An edge renews its lease, and asks for the state that it lacks.
+    /// An edge renews its lease and requests the state that it lacks.
     Renew {
         /// Number of the renewal; the grant carries it back.
         no: u64,
-        /// What the edge has.
-        #[serde(default, skip_serializing_if = "zero")]
+        /// Versions of the state that the edge has.
+        #[serde(default, skip_serializing_if = "is_default")]
         have: KnownVersions,
-        /// How the edge does.
-        #[serde(default, skip_serializing_if = "zero")]
+        /// Status of the edge.
+        #[serde(default, skip_serializing_if = "is_default")]
         #[serde(rename = "doing")]
         edge_status: EdgeStatus,
-        /// Whether it accepts state that no leader has confirmed.
-        #[serde(default, skip_serializing_if = "zero")]
+        /// Which state it accepts that no leader has confirmed.
+        #[serde(default, skip_serializing_if = "is_default")]
         unverified: Unverified,
     },
-    /// A core's answer to a renewal. One that is not proved may be followed by
-    /// a proved one under the same number.
+    /// A core's answer to a renewal. A grant with `ok` may follow one without it
+    /// under the same number.
     Grant {
         /// Number of the renewal.
         no: u64,
-        /// Whether the core's state was proved current after the renewal
-        /// arrived: only then is the lease granted.
+        /// Whether a read index confirmed, after the renewal arrived, that the
+        /// core's state is current. The lease is granted only if so.
         ok: bool,
-        /// What the edge lacks.
-        #[serde(default, skip_serializing_if = "zero")]
+        /// The state that the edge lacks.
+        #[serde(default, skip_serializing_if = "is_default")]
         #[serde(rename = "news")]
         delta: StateDelta,
     },
-    /// An edge passes on a proposal.
+    /// An edge forwards a proposal.
     #[serde(rename = "Op")]
     Propose {
         /// The edge's number for it; the result carries it back.
         #[serde(rename = "rid")]
         request_id: u64,
-        /// Identifies the proposal, also when it is sent twice.
+        /// Identifies the proposal; retries carry the same id.
         #[serde(rename = "pid")]
         proposal_id: ProposalId,
-        /// The change that is proposed.
+        /// The proposed change.
         cmd: Command,
     },
     /// An edge asks for the outcome of an earlier proposal.
@@ -84,7 +87,7 @@
         /// Number of the proposal or query.
         #[serde(rename = "rid")]
         request_id: u64,
-        /// What is known of the outcome.
+        /// The outcome as far as the core knows it.
         outcome: ProposalOutcome,
     },
     /// An edge claims the id of a request.
@@ -143,7 +146,7 @@
         #[serde(rename = "rid")]
         request_id: u64,
     },
-    /// A core passes a release on to its peers.
+    /// A core forwards a release to its peers.
     #[serde(rename = "Free")]
     PeerRelease {
         /// The id that was claimed.
@@ -176,12 +179,12 @@
     },
     /// Answer to `ClaimsPageRequest`.
     ClaimsPage(ClaimsPage),
-    /// What tenants have requested at an edge.
+    /// Usage of the tenants at an edge.
     UsageReport(UsageReport),
-    /// Answer to `UsageReport`, also sent unasked.
+    /// Answer to `UsageReport`; also sent without one.
     AdmissionUpdate(AdmissionUpdate),
-    /// Between cores: what the sender's edges have reported since it started,
-    /// for the tenants of which that has changed.
+    /// Between cores: usage that the sender's edges have reported since it
+    /// started, for the tenants whose usage has changed.
     UsageTotals(Vec<TenantUsage>),
     /// Keeps an idle connection alive.
     Ping {
@@ -190,24 +193,24 @@
     },
 }
 
-/// What a core answers on a proposal or on a query for one.
+/// A core's answer to a proposal or to a query for its outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
     /// The proposal was committed, with this outcome.
     #[serde(rename = "Got")]
     Committed(Outcome),
-    /// Not known: the proposal may have been committed or may yet be.
+    /// The proposal may have been committed, or may still be.
     Unknown,
     /// The proposal was not accepted and has no effect.
     #[serde(rename = "NotTaken")]
     Rejected,
-    /// No outcome is recorded under the id that was asked for.
+    /// No outcome is recorded under the requested id.
     #[serde(rename = "Nothing")]
     NotFound,
 }
 
 impl Payload {
-    /// Whether it is a message of consensus, which is handled before others.
+    /// Whether it is a consensus message, which has priority over the others.
     #[must_use]
     pub fn is_consensus(&self) -> bool {
         matches!(self, Payload::Consensus(_))
--- a/sorreldoor/src/wire/session.rs
+++ b/sorreldoor/src/wire/session.rs
@@ -1,20 +1,21 @@
-//! Sessions of edges with cores, and what is reported of them.
+//! Sessions of edges with cores: the status that edges send, and the reports
+//! that cores exchange.
 
-use super::{zero, Hello};
+use super::{is_default, Hello};
 use crate::types::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// An edge as the core of its session knows it. Cores tell it to each other in
-/// a `SessionReport`.
+/// The state of an edge at the core with which it has its session. Cores
+/// exchange it in a `SessionReport`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EdgeSession {
-    /// The introduction that began the session.
+    /// The hello that began the session.
     pub hello: Hello,
     /// Version of the configuration that the edge applies; 0 before its first
     /// renewal, and where reports carry no counters.
     #[serde(rename = "serial")]
     pub version: u64,
-    /// Whether the edge was ready to serve at its last renewal, which takes a
+    /// Whether the edge was ready to serve at its last renewal, which requires a
     /// valid lease.
     #[serde(rename = "permit")]
     pub lease: bool,
@@ -27,7 +28,7 @@
     pub took: Vec<RouteLatency>,
 }
 
-/// What an edge needs to know of another: where it is, and whether it serves.
+/// The location and readiness of an edge, for the other edges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdgeEndpoint {
     /// Name of the node in its settings.
@@ -40,8 +41,8 @@
     pub http: String,
     /// Whether it was ready to serve at its last renewal.
     pub ready: bool,
-    /// Requests in flight; counted in evacuated zones only, else 0.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// Requests in flight if its zone is evacuated, otherwise 0.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub running: u32,
 }
 
@@ -64,13 +65,13 @@
 pub struct SessionReport {
     /// The core that reports.
     pub core: NodeId,
-    /// Run of its process: a report of a new one counts whatever its version
-    /// is.
+    /// Identifies the run of its process. A report of a new incarnation is
+    /// accepted with any version.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// Rises with each change of the sessions within an incarnation. An older
-    /// version than the one known is dropped, since frames of two connections
-    /// may overtake each other.
+    /// Incremented with each change of the sessions within an incarnation. The
+    /// receiver drops versions older than the one it has, since frames of two
+    /// connections may arrive out of order.
     #[serde(rename = "serial")]
     pub version: u64,
     /// All sessions of that core.
@@ -81,27 +82,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EdgeStatus {
     /// Version of the configuration that it applies; 0 before the first.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     #[serde(rename = "serial")]
     pub version: u64,
-    /// Whether it is ready to serve, which takes a valid lease.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// Whether it is ready to serve, which requires a valid lease.
+    #[serde(default, skip_serializing_if = "is_default")]
     #[serde(rename = "permit")]
     pub lease: bool,
     /// Requests in flight.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub running: u32,
-    /// Requests accepted since its start. Only gateways count these and the
-    /// next three.
-    #[serde(default, skip_serializing_if = "zero")]
+    /// Requests accepted since its start. Only gateways report this field and
+    /// the next three.
+    #[serde(default, skip_serializing_if = "is_default")]
     pub first: u64,
     /// Retries since its start.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub again: u64,
     /// Requests rejected since its start.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub shed: u64,
     /// Latency totals of the routes of its configuration.
-    #[serde(default, skip_serializing_if = "zero")]
+    #[serde(default, skip_serializing_if = "is_default")]
     pub took: Vec<RouteLatency>,
 }
