--- a/sorreldoor/src/net/connection.rs
+++ b/sorreldoor/src/net/connection.rs
@@ -1,6 +1,8 @@
-//! One connection from its establishment to its end.
+//! The lifetime of one connection: socket options, reader and writer.
 
-use super::{locked, queue, Closed, Conn, Dial, Net, NetEvent, OutgoingFrames, USER_TIMEOUT};
+use super::{
+    locked, queue, Closed, Conn, Net, NetEvent, OutgoingFrames, OutgoingTarget, USER_TIMEOUT,
+};
 use crate::log_events::{log_event, LogEvent};
 use crate::runtime::Prioritized;
 use crate::wire;
@@ -15,27 +17,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A connection on which nothing arrives for so long is closed.
+/// A connection that receives no data for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes of a frame that must arrive within `IDLE_TIMEOUT`, or the connection
-/// counts as dead.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Each chunk of a frame must arrive within `IDLE_TIMEOUT`, or the connection is
+/// closed.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 impl<E: Prioritized + Send + 'static> Net<E> {
-    /// Serves a connection until it ends, with events for all that happens.
+    /// Serves a connection until it is closed, and reports its events.
     pub(super) async fn run_connection(
         self,
         stream: TcpStream,
-        dialled: Option<(SocketAddr, Arc<Dial>)>,
+        dialled: Option<(SocketAddr, Arc<OutgoingTarget>)>,
     ) {
         let conn = self.next_conn.fetch_add(1, Ordering::Relaxed);
         set_options(&stream);
         let (outgoing, frames, closed) = queue();
         locked(&self.outgoing).insert(conn, outgoing);
-        if let Some((_, dial)) = &dialled {
-            dial.conn.store(conn, Ordering::SeqCst);
-            // it may have been told to stop while it was connecting
-            if dial.stopped.load(Ordering::SeqCst) {
+        if let Some((_, target)) = &dialled {
+            target.conn.store(conn, Ordering::SeqCst);
+            // `undial` may have been called during the connection attempt
+            if target.stopped.load(Ordering::SeqCst) {
                 return self.close(conn);
             }
         }
@@ -58,13 +60,13 @@
 
     async fn read_frames(&self, conn: Conn, mut stream: TcpStream) {
         loop {
-            let mut head = [0; 4];
-            let read = timeout(IDLE_TIMEOUT, stream.read_exact(&mut head)).await;
+            let mut prefix = [0; 4];
+            let read = timeout(IDLE_TIMEOUT, stream.read_exact(&mut prefix)).await;
             if !matches!(read, Ok(Ok(()))) {
                 return;
             }
-            let unpacked = match wire::frame_length(head) {
-                Err(refused) => Err(refused),
+            let decoded = match wire::frame_length(prefix) {
+                Err(error) => Err(error),
                 Ok(length) => {
                     let Some(bytes) = read_frame(&mut stream, length).await else {
                         return;
@@ -72,17 +74,17 @@
                     wire::decode_frame(&self.site_fingerprint, &bytes)
                 }
             };
-            match unpacked {
+            match decoded {
                 Ok(payload) => {
                     let payload = Box::new(payload);
                     if !self.report(NetEvent::Frame { conn, payload }).await {
                         return;
                     }
                 }
-                Err(refused) => {
+                Err(error) => {
                     let from = stream.peer_addr().map(|addr| addr.to_string());
                     let from = from.unwrap_or_default();
-                    log_event(LogEvent::FrameRejected, format!("from {from}: {refused}"));
+                    log_event(LogEvent::FrameRejected, format!("from {from}: {error}"));
                     return;
                 }
             }
@@ -90,18 +92,19 @@
     }
 }
 
-/// Without these a connection works as well, only later or longer.
+/// Sets socket options. Failures are ignored, since a connection works without
+/// them: only with more latency, and with later detection of a lost peer.
 fn set_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = set_tcp_user_timeout(stream, USER_TIMEOUT.as_millis() as u32);
 }
 
-/// Reads a frame's bytes. A slow link may take its time, as long as something
-/// comes.
+/// Reads a frame of `length` bytes in chunks, so that a slow link may take longer
+/// than `IDLE_TIMEOUT` in total; `None` if the connection fails or times out.
 async fn read_frame(stream: &mut TcpStream, length: usize) -> Option<Vec<u8>> {
     let mut frame = vec![0; length];
-    for piece in frame.chunks_mut(PIECE_BYTES) {
-        timeout(IDLE_TIMEOUT, stream.read_exact(piece))
+    for chunk in frame.chunks_mut(READ_CHUNK_BYTES) {
+        timeout(IDLE_TIMEOUT, stream.read_exact(chunk))
             .await
             .ok()?
             .ok()?;
--- a/sorreldoor/src/net/mod.rs
+++ b/sorreldoor/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! Connections that carry frames: redialled when lost, with bounded queues.
+//! Connections that carry frames. Outgoing connections are re-established when
+//! lost; every connection has a bounded queue of outgoing frames.
 
 mod connection;
 mod outgoing;
@@ -21,61 +22,65 @@
 /// Number of a connection, unique within the process.
 pub type Conn = u64;
 
-/// Data that a peer's machine has not acknowledged for so long ends the
-/// connection: the machine has lost its power or is cut off (TCP_USER_TIMEOUT,
-/// RFC 5482). A frozen process is not meant, as its machine acknowledges.
+/// A connection is closed when sent data stays unacknowledged for this long
+/// (TCP_USER_TIMEOUT, RFC 5482): the peer's machine is down or unreachable. The
+/// kernel acknowledges data for a suspended process, which this does not detect.
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-const MIN_REDIAL_MS: u64 = 50;
-/// Where all start at once, nobody should come late by the backoff alone.
-const MAX_REDIAL_MS: u64 = 200;
+const MIN_RECONNECT_BACKOFF_MS: u64 = 50;
+/// Kept short, so that nodes that start together connect without much delay.
+const MAX_RECONNECT_BACKOFF_MS: u64 = 200;
 /// How long to wait after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Of so many dropped frames one is logged: a peer that does not read would
-/// fill the log as well.
-const LOGGED_DROPS: u64 = 1000;
+/// One in this many dropped frames is logged, so that a peer that does not read
+/// cannot flood the log.
+const DROPS_PER_LOG_LINE: u64 = 1000;
 
-/// What happens on the connections of a `Net`, in order for each of them.
+/// An event on one of the connections of a `Net`. Events of one connection are
+/// in order.
 #[derive(Debug)]
 pub enum NetEvent {
     /// A connection is established, and frames may be sent on it.
     Up {
         /// The new connection.
         conn: Conn,
-        /// The address given to `Net::dial`; `None` if the peer connected.
+        /// The address given to `Net::dial`; `None` if the peer opened the
+        /// connection.
         dialled: Option<SocketAddr>,
     },
     /// A frame was received.
     Frame {
-        /// The connection it came on.
+        /// The connection that received it.
         conn: Conn,
         /// Its content.
         payload: Box<Payload>,
     },
-    /// A connection is closed. A dialled address is dialled again.
+    /// A connection is closed. One opened by `Net::dial` is re-established.
     Down {
         /// The connection that is closed.
         conn: Conn,
     },
 }
 
-/// A standing dial: whether to stop, and the connection it has now.
+/// An address to which `Net` maintains a connection.
 #[derive(Default)]
-struct Dial {
+struct OutgoingTarget {
+    /// Set by `Net::undial`: no new connection is opened.
     stopped: AtomicBool,
+    /// The latest connection; 0 before the first one.
     conn: AtomicU64,
 }
 
-/// All frame connections of a process. Events go to one queue, as the type `E`
-/// of its receiver.
+/// All frame connections of a process. Events are sent to one queue, converted
+/// to its event type `E`.
 pub struct Net<E> {
     site_fingerprint: Arc<String>,
     events: EventSender<E>,
     wrap_event: fn(NetEvent) -> E,
     outgoing: Arc<Mutex<HashMap<Conn, Outgoing>>>,
     next_conn: Arc<AtomicU64>,
-    dials: Arc<Mutex<HashMap<SocketAddr, Arc<Dial>>>>,
+    targets: Arc<Mutex<HashMap<SocketAddr, Arc<OutgoingTarget>>>>,
     max_connections: usize,
     dropped_frames: Arc<AtomicU64>,
 }
@@ -88,7 +93,7 @@
             wrap_event: self.wrap_event,
             outgoing: self.outgoing.clone(),
             next_conn: self.next_conn.clone(),
-            dials: self.dials.clone(),
+            targets: self.targets.clone(),
             max_connections: self.max_connections,
             dropped_frames: self.dropped_frames.clone(),
         }
@@ -111,14 +116,14 @@
             wrap_event,
             outgoing: Arc::default(),
             next_conn: Arc::new(AtomicU64::new(1)),
-            dials: Arc::default(),
+            targets: Arc::default(),
             max_connections,
             dropped_frames: Arc::default(),
         }
     }
 
-    /// Queues a frame; false if it was dropped since the connection is closed
-    /// or too far behind.
+    /// Queues a frame; returns false if it was dropped because the connection is
+    /// closed or its queue is full.
     pub fn send(&self, conn: Conn, payload: &Payload) -> bool {
         let outgoing = locked(&self.outgoing).get(&conn).cloned();
         let Some(outgoing) = outgoing else {
@@ -127,7 +132,7 @@
         let pushed = outgoing.push(wire::encode_frame(&self.site_fingerprint, payload));
         if pushed == Push::Full {
             let dropped = self.dropped_frames.fetch_add(1, Ordering::Relaxed);
-            if dropped.is_multiple_of(LOGGED_DROPS) {
+            if dropped.is_multiple_of(DROPS_PER_LOG_LINE) {
                 log_event(LogEvent::QueueFull, format!("to connection {conn}"));
             }
         }
@@ -141,14 +146,15 @@
         }
     }
 
-    /// Accepts connections for ever. Beyond the bound they are closed at once.
+    /// Accepts connections until its task ends. Those beyond `max_connections` are
+    /// closed at once.
     pub async fn listen(self, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 task::sleep(ACCEPT_BACKOFF).await;
                 continue;
             };
-            // a flood of connections must not take the node's memory
+            // bounds the memory that a flood of connections can use
             if locked(&self.outgoing).len() >= self.max_connections {
                 continue;
             }
@@ -157,41 +163,46 @@
         }
     }
 
-    /// Keeps a connection to `addr` until `undial`, with retries after 50 to
-    /// 200 ms. `to` is the address to connect to, which differs from `addr`
-    /// where the settings map it.
+    /// Maintains a connection to `addr` until `undial`, with exponential backoff
+    /// between attempts. `to` is the address to connect to, which differs from
+    /// `addr` where the settings map it.
     pub fn dial(&self, addr: SocketAddr, to: SocketAddr) {
-        let dial = Arc::new(Dial::default());
+        let target = Arc::new(OutgoingTarget::default());
         {
-            let mut dials = locked(&self.dials);
-            if dials.contains_key(&addr) {
+            let mut targets = locked(&self.targets);
+            if targets.contains_key(&addr) {
                 return;
             }
-            dials.insert(addr, dial.clone());
+            targets.insert(addr, target.clone());
         }
         let net = self.clone();
-        task::spawn(async move { net.keep_dialling(addr, to, dial).await });
+        task::spawn(async move { net.maintain_connection(addr, to, target).await });
     }
 
-    async fn keep_dialling(self, addr: SocketAddr, to: SocketAddr, dial: Arc<Dial>) {
-        let mut backoff_ms = MIN_REDIAL_MS;
-        while !dial.stopped.load(Ordering::SeqCst) {
+    async fn maintain_connection(
+        self,
+        addr: SocketAddr,
+        to: SocketAddr,
+        target: Arc<OutgoingTarget>,
+    ) {
+        let mut backoff_ms = MIN_RECONNECT_BACKOFF_MS;
+        while !target.stopped.load(Ordering::SeqCst) {
             if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await {
-                backoff_ms = MIN_REDIAL_MS;
-                let dialled = Some((addr, dial.clone()));
+                backoff_ms = MIN_RECONNECT_BACKOFF_MS;
+                let dialled = Some((addr, target.clone()));
                 self.clone().run_connection(stream, dialled).await;
             }
             task::sleep(Duration::from_millis(backoff_ms)).await;
-            backoff_ms = (backoff_ms * 2).min(MAX_REDIAL_MS);
+            backoff_ms = (backoff_ms * 2).min(MAX_RECONNECT_BACKOFF_MS);
         }
     }
 
-    /// Stops dialling `addr`, and closes its connection.
+    /// Stops connecting to `addr`, and closes its connection.
     pub fn undial(&self, addr: SocketAddr) {
-        let dial = locked(&self.dials).remove(&addr);
-        if let Some(dial) = dial {
-            dial.stopped.store(true, Ordering::SeqCst);
-            self.close(dial.conn.load(Ordering::SeqCst));
+        let target = locked(&self.targets).remove(&addr);
+        if let Some(target) = target {
+            target.stopped.store(true, Ordering::SeqCst);
+            self.close(target.conn.load(Ordering::SeqCst));
         }
     }
 }
--- a/sorreldoor/src/net/outgoing.rs
+++ b/sorreldoor/src/net/outgoing.rs
@@ -1,22 +1,22 @@
-//! The frames that wait to be written to one connection.
+//! The bounded queue of frames to be written to one connection.
 
 use async_std::channel::{bounded, Receiver, Sender, TrySendError};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Frames that may wait for one connection.
+/// Maximum number of queued frames per connection.
 const MAX_QUEUED_FRAMES: usize = 1024;
-/// Bytes that may wait for one connection, beside a single frame of any size.
+/// Maximum bytes of queued frames per connection; a single frame may be larger.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 
-/// What became of a frame that was to be queued.
+/// The result of queueing a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Push {
-    /// It waits to be written.
+    /// The frame is queued.
     Queued,
-    /// Too much waits already; the frame is dropped.
+    /// The queue is full; the frame is dropped.
     Full,
-    /// The connection is closed.
+    /// The connection is closed; the frame is dropped.
     Closed,
 }
 
@@ -25,7 +25,7 @@
 pub struct Outgoing {
     frames: Sender<Vec<u8>>,
     queued_bytes: Arc<AtomicUsize>,
-    /// Never carries anything: its end tells the connection to end.
+    /// Carries no messages: closing it signals the connection to close.
     open: Sender<()>,
 }
 
@@ -35,7 +35,7 @@
     queued_bytes: Arc<AtomicUsize>,
 }
 
-/// Ends once the sending end of the queue was closed.
+/// Signals that the sending end of the queue was closed.
 pub struct Closed {
     open: Receiver<()>,
 }
@@ -65,9 +65,9 @@
     /// Queues an encoded frame.
     pub fn push(&self, frame: Vec<u8>) -> Push {
         let bytes = frame.len();
-        let waiting = self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let fits = waiting == 0 || waiting + bytes <= MAX_QUEUED_BYTES;
-        let sent = match fits {
+        let queued = self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let has_room = queued == 0 || queued + bytes <= MAX_QUEUED_BYTES;
+        let sent = match has_room {
             true => self.frames.try_send(frame),
             false => Err(TrySendError::Full(frame)),
         };
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Ends the connection at once, whatever waits to be written: a peer that
-    /// takes nothing would otherwise hold it open.
+    /// Closes the connection at once and drops the queued frames: a peer that
+    /// does not read would otherwise keep it open.
     pub fn close(&self) {
         self.frames.close();
         self.open.close();
@@ -90,22 +90,22 @@
 }
 
 impl OutgoingFrames {
-    /// Waits for the next frame; `None` once the connection is closed. The
-    /// frame counts as waiting until [`OutgoingFrames::written`].
+    /// Waits for the next frame; `None` once the connection is closed. The frame
+    /// counts as queued until [`OutgoingFrames::written`].
     pub async fn next(&self) -> Option<Vec<u8>> {
         self.frames.recv().await.ok()
     }
 
-    /// Makes room for others in place of a frame that is written.
+    /// Subtracts a written frame from the queued bytes.
     pub fn written(&self, frame: &[u8]) {
         self.queued_bytes.fetch_sub(frame.len(), Ordering::Relaxed);
     }
 }
 
 impl Closed {
-    /// Waits until the connection is to end.
+    /// Waits until the sending end is closed.
     pub async fn wait(&self) {
-        // nothing is ever sent, so this ends with an error
+        // nothing is ever sent, so this returns an error on close
         let _ = self.open.recv().await;
     }
 }
