--- a/sorreldoor/src/store/disk.rs
+++ b/sorreldoor/src/store/disk.rs
@@ -6,12 +6,13 @@
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Named files in one directory. After a loss of power, what was written to a
-/// file since its last `sync`, and names created since the last
-/// `sync_directory`, may be present, lost or torn, each independently. Every
-/// operation fails with the error of the file system.
+/// Named files in one directory. After a power loss, each write to a file since
+/// its last `sync`, and each name created since the last `sync_directory`, may be
+/// present, lost or torn independently of the others. Every operation fails with
+/// the error of the file system.
 pub trait Disk: Send {
-    /// Creates the file unless it exists; true if it was created.
+    /// Opens a file and creates it if it is missing; returns whether it was
+    /// created.
     fn create(&mut self, name: &str) -> io::Result<bool>;
     /// The length of a file in bytes.
     fn length(&mut self, name: &str) -> io::Result<u64>;
@@ -23,11 +24,11 @@
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()>;
     /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Makes the names of files durable.
+    /// Makes the names of created files durable.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the file system. Files stay open.
+/// A directory of the file system. It keeps its files open.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
--- a/sorreldoor/src/store/durable_state.rs
+++ b/sorreldoor/src/store/durable_state.rs
@@ -1,5 +1,5 @@
-//! The state that a sequence of saves adds up to; the same for the disk and
-//! for the simulators.
+//! The durable state of a core and the changes to it. The store and the
+//! simulators apply the same changes.
 
 use crate::consensus::{
     ClaimRecord, Entry, HardState, LogPosition, RaftLog, RecoveredState, Save, Snapshot,
@@ -9,20 +9,20 @@
 use std::borrow::Cow;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a claim of the previous release is retained, which stored no time.
+/// Retention of claims that the previous release stored, which recorded none.
 const LEGACY_CLAIM_MS: Millis = 900_000;
 
-/// One change, as a batch record holds it.
+/// One change to the state, as stored in a batch record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Change<'a> {
     /// A save of consensus, with its sequence number.
     Save(u64, Cow<'a, Save>),
-    /// A small value beside the log, under its name.
+    /// Sets the small value with this name.
     Put(Cow<'a, str>, Cow<'a, [u8]>),
 }
 
-/// All that a core stores. Snapshots and entries are shared with the
-/// consensus in memory, not copied.
+/// The complete durable state of a core, kept in memory by its store. Snapshots
+/// and entries are shared with consensus, not copied.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DurableState {
     /// The term, the vote and the commit index.
@@ -32,7 +32,7 @@
     pub snapshot: Option<Snapshot>,
     /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Claims as the previous release stored them.
+    /// Claims in the format of the previous release.
     #[serde(default, rename = "claims")]
     legacy_claims: VecDeque<(String, u128)>,
     /// Claims on idempotency keys by key, until they expire.
@@ -46,7 +46,7 @@
 }
 
 impl DurableState {
-    /// Applies a change; one that was applied before has no effect.
+    /// Applies a change. A save that was applied before has no effect.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Save(seq, save) => self.apply_save(*seq, save),
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Applies the save number `seq`; one that was applied before has no
-    /// effect.
+    /// Applies the save with the sequence number `seq`; no effect if that number
+    /// was applied before.
     pub fn apply_save(&mut self, seq: u64, save: &Save) {
         if seq <= self.seq {
             return;
@@ -72,8 +72,8 @@
             } => self.append(*from, entries, *commit),
             Save::LegacyClaims(claims) => self.legacy_claims.extend(claims.iter().cloned()),
             Save::ClaimRecords(claims) => {
-                let rows = claims.iter().map(|claim| (claim.id.clone(), claim.clone()));
-                self.claims.extend(rows);
+                let by_id = claims.iter().map(|claim| (claim.id.clone(), claim.clone()));
+                self.claims.extend(by_id);
             }
             Save::ReleasedClaims(ids) => ids.iter().for_each(|id| self.remove_claim(id)),
             Save::Snapshot {
--- a/sorreldoor/src/store/durable_store.rs
+++ b/sorreldoor/src/store/durable_store.rs
@@ -1,4 +1,5 @@
-//! The store of a core: recovery at the start, then durable changes.
+//! The store of a core: it recovers the state on opening, then makes each change
+//! durable before it returns.
 
 use super::damage::Damage;
 use super::disk::{Directory, Disk};
@@ -12,15 +13,15 @@
 use std::io;
 use std::path::Path;
 
-/// The value that marks a member that lost its state to damage.
-const REJOINS: &str = "rejoins";
+/// Name of the value that marks a member whose state was discarded as damaged.
+const MUST_REJOIN_NAME: &str = "rejoins";
 
-/// A state in memory that is stored on a disk.
+/// The state of a core, held in memory and stored on a disk.
 pub struct DurableStore<D> {
     files: LogFiles<D>,
     state: DurableState,
-    /// Sequence number of the last save of the previous process; those of
-    /// this one are counted from there.
+    /// Sequence number of the last save of the previous process. Callers number
+    /// their saves from 1; this is added to them.
     first_seq: u64,
 }
 
@@ -28,9 +29,9 @@
 pub struct OpenedStore<D> {
     /// The store, ready for changes.
     pub store: DurableStore<D>,
-    /// An unfinished record at the end was dropped.
+    /// Whether an unfinished record at the end of the log was dropped.
     pub torn: bool,
-    /// Synced bytes were lost, so the state was discarded.
+    /// The damage for which the stored state was discarded, if any.
     pub damage: Option<Damage>,
 }
 
@@ -39,7 +40,7 @@
     /// stored there.
     ///
     /// # Errors
-    /// The disk refuses; nothing that was synced has been changed.
+    /// A disk operation fails; the synced state is unchanged.
     pub fn open_directory(path: &Path) -> io::Result<OpenedStore<Directory>> {
         let directory = Directory::new(path)?;
         let opened = DurableStore::open(directory, || legacy::read(path))?;
@@ -53,7 +54,7 @@
     /// release; it is called only if nothing was ever stored here.
     ///
     /// # Errors
-    /// The disk refuses; nothing that was synced has been changed.
+    /// A disk operation fails; the synced state is unchanged.
     pub fn open(
         mut disk: D,
         read_legacy: impl FnOnce() -> io::Result<LegacyState>,
@@ -63,7 +64,7 @@
                 disk.sync(file)?;
             }
         }
-        // names that an earlier start created may not be synced yet
+        // an earlier start may have created names without syncing them
         disk.sync_directory()?;
         let recovery = recover(&mut disk)?;
         let mut store = DurableStore {
@@ -110,21 +111,21 @@
         self.state.values.get(name).map(Vec::as_slice)
     }
 
-    /// Whether this member lost its state to damage, so that it may join a
-    /// site but never found one.
+    /// Whether this member's state was discarded as damaged. Such a member may
+    /// join a site but must not bootstrap one.
     pub fn must_rejoin(&self) -> bool {
-        self.state.values.contains_key(REJOINS)
+        self.state.values.contains_key(MUST_REJOIN_NAME)
     }
 
-    /// Returns the disk, for tests of what is left on it.
+    /// Returns the disk, for tests that inspect its contents.
     pub fn into_disk(self) -> D {
         self.files.into_disk()
     }
 
-    /// Replaces a damaged state by an empty one in one step.
+    /// Atomically replaces a damaged state by an empty one with the rejoin mark.
     fn discard_state(&mut self) -> io::Result<()> {
         self.state = DurableState::default();
-        let mark = Change::Put(Cow::Borrowed(REJOINS), Cow::Borrowed(&[1]));
+        let mark = Change::Put(Cow::Borrowed(MUST_REJOIN_NAME), Cow::Borrowed(&[1]));
         self.state.apply(&mark);
         self.files.checkpoint(&self.state)
     }
--- a/sorreldoor/src/store/legacy.rs
+++ b/sorreldoor/src/store/legacy.rs
@@ -1,5 +1,5 @@
-//! Reader of the previous release's storage: an image, a log of `okaywal`, and
-//! small files beside them. It is never written.
+//! Reader for the storage of the previous release: an image, an `okaywal` log
+//! and small files. Nothing is written in this format.
 
 use super::damage::{Damage, LegacyBatchSnafu, LegacyGapSnafu, LegacyImageSnafu, LegacyLogSnafu};
 use super::DurableState;
@@ -11,7 +11,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Starts every batch, so that batches can be found behind damage.
+/// Starts every batch, so that batches after a damaged one can be found.
 const MAGIC: &[u8; 8] = b"SDbatch1";
 const IMAGE: &str = "image";
 const LOG: &str = "log";
@@ -24,7 +24,7 @@
     Absent,
     /// Its complete state.
     State(Box<DurableState>),
-    /// A state that cannot be trusted.
+    /// A state that is damaged and must be discarded.
     Damaged(Damage),
 }
 
@@ -59,7 +59,7 @@
 /// Removes the files of the previous release.
 ///
 /// # Errors
-/// The disk refuses.
+/// A file cannot be removed, or the directory cannot be synced.
 pub(super) fn remove(directory: &Path) -> io::Result<()> {
     let mut removed = false;
     for name in VALUES.iter().chain([&IMAGE]) {
@@ -93,19 +93,19 @@
 #[derive(Debug, Default)]
 struct Replay {
     state: DurableState,
-    /// Number of the last good batch.
+    /// Number of the last batch that was read.
     batch: u64,
     damage: Option<Damage>,
 }
 
 #[derive(Debug)]
-struct Reader(Arc<Mutex<Replay>>);
+struct ReplayManager(Arc<Mutex<Replay>>);
 
-impl LogManager for Reader {
+impl LogManager for ReplayManager {
     fn recover(&mut self, entry: &mut Entry<'_>) -> io::Result<()> {
         let chunks = entry.read_all_chunks().ok().flatten();
         let first = chunks.and_then(|chunks| chunks.into_iter().next());
-        // whether this is a torn end or a hole shows in what follows
+        // a later batch, if there is one, shows that this is not the torn end
         let Some((number, saves)) = first.and_then(|bytes| decode_batch(&bytes)) else {
             return Ok(());
         };
@@ -133,7 +133,9 @@
         _entries: &mut SegmentReader,
         _log: &WriteAheadLog,
     ) -> io::Result<()> {
-        Err(io::Error::other("this log is only read"))
+        Err(io::Error::other(
+            "the log of the previous release is read-only",
+        ))
     }
 }
 
@@ -160,14 +162,14 @@
     if !logs.try_exists()? {
         return Ok(Ok(state));
     }
-    drop_unused_segments(logs)?;
+    remove_headerless_segments(logs)?;
     let highest = highest_batch(logs)?;
     let replay = Arc::new(Mutex::new(Replay {
         state,
         batch,
         damage: None,
     }));
-    let log = match Configuration::default_for(logs).open(Reader(replay.clone())) {
+    let log = match Configuration::default_for(logs).open(ReplayManager(replay.clone())) {
         Ok(log) => log,
         Err(error) if is_damage(&error) => {
             let reason = error.to_string();
@@ -177,10 +179,10 @@
     };
     drop(log);
     let mut replay = lock(&replay);
-    // the last batch may be unfinished, one before it may not
+    // only the last batch may be unfinished
     let next = replay.batch + 1;
-    let lost = (highest > next).then(|| LegacyBatchSnafu { batch: next }.build());
-    let damage = replay.damage.take().or(lost);
+    let unreadable = (highest > next).then(|| LegacyBatchSnafu { batch: next }.build());
+    let damage = replay.damage.take().or(unreadable);
     Ok(damage.map_or_else(|| Ok(std::mem::take(&mut replay.state)), Err))
 }
 
@@ -189,10 +191,9 @@
     matches!(error.kind(), UnexpectedEof | InvalidData)
 }
 
-/// Removes segments without a header, which `okaywal` refuses to open. A
-/// segment is created before its first batch is synced, so a loss of power
-/// may leave one.
-fn drop_unused_segments(logs: &Path) -> io::Result<()> {
+/// Removes segments without a header, which `okaywal` cannot open. A segment is
+/// created before its first batch is synced, so a power loss can leave one.
+fn remove_headerless_segments(logs: &Path) -> io::Result<()> {
     for file in fs::read_dir(logs)? {
         let path = file?.path();
         let bytes = fs::read(&path)?;
@@ -203,7 +204,7 @@
     Ok(())
 }
 
-/// The highest batch number anywhere in the segments in use.
+/// The highest batch number in any segment, including damaged ones.
 fn highest_batch(logs: &Path) -> io::Result<u64> {
     let mut highest = 0;
     for file in fs::read_dir(logs)? {
--- a/sorreldoor/src/store/log_files.rs
+++ b/sorreldoor/src/store/log_files.rs
@@ -1,10 +1,10 @@
-//! The two files of a store: checkpoints and the write-ahead log.
+//! The two files of a store, each a checkpoint followed by a write-ahead log.
 //!
-//! One file is active: it starts with a checkpoint, the complete state, and
-//! each batch of changes is appended as a numbered record and synced. From
-//! time to time a checkpoint starts the other file, which becomes the active
-//! one. The newest state is the one whose last complete record has the
-//! highest number.
+//! One file is active. It starts with a checkpoint (the complete state), and
+//! each batch of changes is appended as a numbered record and synced. When a
+//! checkpoint is due, it is written to the other file, which then becomes the
+//! active one. The newest state is that of the file whose last complete record
+//! has the higher number.
 
 use super::disk::Disk;
 use super::durable_state::{Change, DurableState};
@@ -14,8 +14,8 @@
 use crate::consensus::Save;
 use std::io;
 
-/// A checkpoint is due when the records after the last one take this many
-/// bytes and twice the length of that checkpoint.
+/// A checkpoint is due when the records after the last one exceed this size plus
+/// twice the size of that checkpoint.
 const MIN_LOG_BYTES: u64 = 256 * 1024;
 
 /// The files of a store, open for writing.
@@ -27,15 +27,16 @@
     active: usize,
     /// Offset of the next record in the active file.
     end: u64,
+    /// Length of the checkpoint in the active file, in bytes.
     checkpoint_length: u64,
-    /// A failed append may have left bytes behind `end`.
+    /// A failed append may have left bytes after `end`.
     tail_dirty: bool,
-    /// A failed checkpoint may be in the inactive file.
+    /// The inactive file may contain a failed checkpoint.
     inactive_dirty: bool,
 }
 
 impl<D: Disk> LogFiles<D> {
-    /// Files that are neither recovered nor written yet.
+    /// Wraps a disk; `initialize`, `resume` or `skip_damaged` must follow.
     pub(super) fn new(disk: D) -> LogFiles<D> {
         LogFiles {
             disk,
@@ -48,12 +49,12 @@
         }
     }
 
-    /// Returns the disk, for tests of what is left on it.
+    /// Returns the disk, for tests that inspect its contents.
     pub(super) fn into_disk(self) -> D {
         self.disk
     }
 
-    /// Starts an empty store.
+    /// Truncates both files and writes the checkpoint of an empty state.
     pub(super) fn initialize(&mut self) -> io::Result<()> {
         let bytes = first_record();
         for file in FILES {
@@ -69,12 +70,11 @@
         Ok(())
     }
 
-    /// Continues after the last record of the previous process, and returns
-    /// the state there. What that process left may not be synced, and a sync
-    /// that failed may have dropped bytes that can still be read: the last
-    /// record, the only one that this may concern, is written again as it
-    /// is. The other file is truncated, so that nothing unsynced of it can
-    /// count later.
+    /// Continues after the last record of the previous process, and returns the
+    /// recovered state. That record is rewritten and synced, because it may be
+    /// readable but not durable, for instance after a failed sync; earlier ones
+    /// were synced. The other file is truncated, so that no unsynced checkpoint
+    /// in it can be recovered later.
     pub(super) fn resume(&mut self, recovered: RecoveredState) -> io::Result<DurableState> {
         self.number = recovered.number;
         self.active = recovered.file;
@@ -91,20 +91,21 @@
         Ok(recovered.state)
     }
 
-    /// Numbers the next record behind all of a damaged store; the file that
-    /// shows the damage stays until the next checkpoint is synced.
+    /// Continues the numbering after the highest record of a damaged store. The
+    /// file that shows the damage is kept until the next checkpoint is synced.
     pub(super) fn skip_damaged(&mut self, damaged: &DamagedStore) {
         self.number = damaged.highest_number;
         self.active = damaged.file;
     }
 
-    /// Makes changes durable that `state` already contains.
+    /// Makes changes durable, by a checkpoint of `state`, which already includes
+    /// them, or by an append to the log.
     pub(super) fn commit(&mut self, state: &DurableState, changes: &[Change]) -> io::Result<()> {
         self.clear_inactive()?;
         if self.checkpoint_due(changes) && self.checkpoint(state).is_ok() {
             return Ok(());
         }
-        // a disk that is nearly full may still take the change alone
+        // on a nearly full disk an append may succeed where a checkpoint failed
         self.clear_inactive()?;
         self.append(changes)
     }
@@ -122,8 +123,8 @@
         1 - self.active
     }
 
-    /// Truncates a failed checkpoint: it may be complete on the disk, and
-    /// would be taken for newer than what is appended to the active file.
+    /// Truncates a failed checkpoint. It may be complete on the disk, and a
+    /// recovery would prefer it to later records in the active file.
     fn clear_inactive(&mut self) -> io::Result<()> {
         if self.inactive_dirty {
             let inactive = FILES[self.inactive()];
@@ -134,7 +135,7 @@
         Ok(())
     }
 
-    /// Writes the complete state to the inactive file and activates it.
+    /// Writes the complete state to the inactive file, which becomes active.
     pub(super) fn checkpoint(&mut self, state: &DurableState) -> io::Result<()> {
         let inactive = self.inactive();
         let target = RecordTarget {
@@ -152,7 +153,7 @@
         self.number += 1;
         self.end = length;
         self.checkpoint_length = length;
-        // only to free its space: whatever comes back of it is older
+        // only frees space: if the truncation is lost, its records are older
         let _ = self.disk.set_length(FILES[self.active], 0);
         self.active = inactive;
         Ok(())
--- a/sorreldoor/src/store/mod.rs
+++ b/sorreldoor/src/store/mod.rs
@@ -1,5 +1,5 @@
 //! Durable storage of a core: a checkpoint and a write-ahead log of numbered
-//! records. Nothing counts as stored before it is synced.
+//! records. A change is reported as stored only after it is synced.
 
 mod damage;
 mod disk;
@@ -26,17 +26,17 @@
 pub const FILES: [&str; 2] = ["state-a", "state-b"];
 
 /// Storage of a core's state. A change is durable once the call returns `Ok`.
-/// After an error the caller must retry the same call: until one succeeds,
+/// After an error the caller must retry the same call; until a retry succeeds,
 /// the change may or may not be on the disk.
 pub trait Store: Send {
     /// Stores a batch of saves with their sequence numbers.
     ///
     /// # Errors
-    /// The disk refuses.
+    /// A disk operation fails.
     fn save(&mut self, batch: &[(u64, Save)]) -> io::Result<()>;
     /// Stores a small value under a name.
     ///
     /// # Errors
-    /// The disk refuses.
+    /// A disk operation fails.
     fn put(&mut self, name: &str, value: &[u8]) -> io::Result<()>;
 }
--- a/sorreldoor/src/store/probe.rs
+++ b/sorreldoor/src/store/probe.rs
@@ -1,16 +1,16 @@
-//! Checks that a directory can be written to.
+//! A check that a directory is writable.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// The name and the content of the file that is written.
+/// Name and content of the file that the check writes.
 const PROBE: &str = "probe";
 
-/// Creates, syncs and removes a small file.
+/// Creates, syncs and removes a small file in the directory.
 ///
 /// # Errors
-/// The directory takes no files.
+/// One of these steps fails.
 pub fn probe_directory(directory: &Path) -> io::Result<()> {
     let path = directory.join(PROBE);
     let mut file = File::create(&path)?;
--- a/sorreldoor/src/store/record.rs
+++ b/sorreldoor/src/store/record.rs
@@ -1,5 +1,5 @@
 //! The format of records in a file: a header with a number and checksums,
-//! then the payload in CBOR.
+//! followed by the payload in CBOR.
 
 use super::disk::Disk;
 use crate::replicated_state::encode;
@@ -11,8 +11,8 @@
 /// Length of a header: magic (8 bytes), kind (4), number (8), payload length
 /// (8), payload checksum (4) and header checksum (4), all little-endian.
 const HEADER_BYTES: usize = 36;
-/// Longer records are written in chunks, so that none is held in memory
-/// twice.
+/// Size of the write buffer; longer records are written in chunks, so that their
+/// encoding is never completely in memory.
 const CHUNK_BYTES: usize = 64 * 1024;
 
 /// What the payload of a record is.
@@ -24,6 +24,7 @@
     Batch = 2,
 }
 
+/// The header of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Header {
     pub(super) kind: RecordKind,
@@ -75,16 +76,16 @@
 }
 
 impl Record {
-    /// Its length in the file in bytes, header included.
+    /// Length of the record in the file in bytes, including the header.
     pub(super) fn length(&self) -> u64 {
         HEADER_BYTES as u64 + self.header.payload_length
     }
 }
 
-/// The complete record that starts at `offset`, if there is one.
+/// Reads the record at `offset`; `None` if there is no complete one.
 ///
 /// # Errors
-/// The disk cannot be read; an incomplete record is no error.
+/// The disk cannot be read; an incomplete record is not an error.
 pub(super) fn read_record(
     disk: &mut impl Disk,
     file: &str,
@@ -107,8 +108,8 @@
     Ok(intact.then_some(Record { header, payload }))
 }
 
-/// All valid headers at any position from `offset` on, whether or not their
-/// records are complete.
+/// Finds all valid headers from `offset` on, at any alignment, also those of
+/// incomplete records.
 ///
 /// # Errors
 /// The disk cannot be read.
@@ -131,7 +132,7 @@
     Ok(headers)
 }
 
-/// Encodes a record that is short enough to be held in memory.
+/// Encodes a short record in memory.
 pub(super) fn record_bytes(kind: RecordKind, number: u64, content: &impl Serialize) -> Vec<u8> {
     let payload = encode(content);
     let header = Header {
@@ -143,10 +144,10 @@
     [&header.encode()[..], &payload].concat()
 }
 
-/// Reads the bytes from `start` to `end` and writes them again as they are.
+/// Reads the bytes from `start` to `end` and writes them back unchanged.
 ///
 /// # Errors
-/// The disk refuses.
+/// A read or write fails.
 pub(super) fn rewrite(disk: &mut impl Disk, file: &str, start: u64, end: u64) -> io::Result<()> {
     let mut position = start;
     while position < end {
@@ -158,7 +159,7 @@
     Ok(())
 }
 
-/// Where a record is written, and as what.
+/// The position, kind and number of a record to be written.
 pub(super) struct RecordTarget<'a> {
     pub(super) file: &'a str,
     pub(super) offset: u64,
@@ -166,10 +167,10 @@
     pub(super) number: u64,
 }
 
-/// Writes one record without a sync; returns its length in bytes.
+/// Writes one record without syncing it; returns its length in bytes.
 ///
 /// # Errors
-/// The disk refuses a write; part of the record may be in the file then.
+/// A write fails; the file may then contain part of the record.
 pub(super) fn write_record(
     disk: &mut impl Disk,
     target: &RecordTarget,
@@ -189,11 +190,12 @@
     writer.finish()
 }
 
+/// Buffers the encoded payload and writes it in chunks.
 struct RecordWriter<'a, D> {
     disk: &'a mut D,
     target: &'a RecordTarget<'a>,
     buffer: Vec<u8>,
-    /// Bytes written so far, the space for the header included.
+    /// Bytes written so far, including the space for the header.
     written: u64,
     checksum: Hasher,
 }
@@ -207,7 +209,8 @@
         Ok(())
     }
 
-    /// Writes a short record at once; a longer one gets its header last.
+    /// Writes the rest of the record and its header. A record that fits the
+    /// buffer takes one write; the header of a longer one is written last.
     fn finish(mut self) -> io::Result<u64> {
         let length = self.written + self.buffer.len() as u64;
         let header = Header {
--- a/sorreldoor/src/store/recovery.rs
+++ b/sorreldoor/src/store/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery from the two files of a store. It tells a write that was never
-//! finished (a torn record) from damage to what had been synced.
+//! Recovery from the two files of a store. It distinguishes an unfinished write
+//! (a torn record) from damage to synced records.
 
 use super::damage::Damage;
 use super::disk::Disk;
@@ -9,40 +9,42 @@
 use crate::replicated_state::decode;
 use std::io;
 
-/// Number of the very first record.
+/// Number of the first record of a store.
 pub(super) const FIRST_NUMBER: u64 = 1;
 
 /// The result of a recovery.
 pub(super) enum Recovery {
     /// Nothing was ever stored.
     Empty,
+    /// An intact state.
     State(Box<RecoveredState>),
-    /// Synced bytes were lost.
+    /// Synced records are damaged.
     Damaged(DamagedStore),
 }
 
 /// The newest state that was stored.
 pub(super) struct RecoveredState {
     pub(super) state: DurableState,
-    /// Number of the last record.
+    /// Number of the last complete record.
     pub(super) number: u64,
-    /// Index into `FILES`.
+    /// Index of the file in `FILES`.
     pub(super) file: usize,
     /// Offset at which the last record starts.
     pub(super) last_record: u64,
     /// Offset at which the last record ends.
     pub(super) end: u64,
+    /// Length of the checkpoint in bytes.
     pub(super) checkpoint_length: u64,
-    /// An unfinished record stands behind the last one.
+    /// Whether an unfinished record follows the last complete one.
     pub(super) torn: bool,
 }
 
-/// What is known of a damaged store.
+/// The result of reading a damaged store.
 pub(super) struct DamagedStore {
-    /// No number up to this one may be used again.
+    /// The highest record number found; new records need higher ones.
     pub(super) highest_number: u64,
-    /// The file that shows the damage; it must stay until its successor is
-    /// synced.
+    /// Index of the file that shows the damage. It must be kept until the next
+    /// checkpoint is synced.
     pub(super) file: usize,
     pub(super) damage: Damage,
 }
@@ -50,7 +52,9 @@
 /// One file, read up to its last complete record.
 struct Replay {
     state: DurableState,
+    /// Number of the checkpoint.
     checkpoint: u64,
+    /// Number of the last complete record.
     number: u64,
     last_record: u64,
     end: u64,
@@ -60,10 +64,10 @@
 /// Reads both files and chooses the newest state.
 ///
 /// # Errors
-/// The disk cannot be read, or holds records of another release.
+/// The disk cannot be read, or an intact record cannot be decoded.
 pub(super) fn recover(disk: &mut impl Disk) -> io::Result<Recovery> {
     let mut replays = [replay(disk, FILES[0])?, replay(disk, FILES[1])?];
-    // of two equal ones the newer checkpoint is the one that was synced
+    // if both end with the same number, the newer checkpoint is the synced record
     let key = |replay: &Option<Replay>| replay.as_ref().map(|r| (r.number, r.checkpoint));
     let chosen = usize::from(key(&replays[1]) > key(&replays[0]));
     let Some(replay) = replays[chosen].take() else {
@@ -85,18 +89,20 @@
     })))
 }
 
-/// Damage that shows in record headers after the last complete record
-/// `number`: those behind it in the chosen file, and those in the other file.
+/// Detects damage by record headers that must not exist if `number` is the last
+/// record: `following` are the headers after it in the chosen file, `other` those
+/// in the other file.
 fn find_damage(
     chosen: usize,
     number: u64,
     following: &[Header],
     other: &[Header],
 ) -> Option<DamagedStore> {
-    // at most one record is ever written between two syncs
+    // each record is synced before the next is written, so only one can be torn
     let following = following.iter().map(|header| header.number);
     let gap = following.filter(|n| *n > number + 1).max();
-    // the first record behind a checkpoint is written once that is synced
+    // a checkpoint is synced before a batch is appended to it, so a batch that is
+    // newer proves that a synced checkpoint was lost
     let newer = other.iter().filter(|header| match header.kind {
         RecordKind::Checkpoint => header.number > number + 1,
         RecordKind::Batch => header.number > number,
@@ -123,7 +129,7 @@
         return Ok(None);
     }
     let mut replay = Replay {
-        state: decode(&first.payload).ok_or_else(other_release)?,
+        state: decode(&first.payload).ok_or_else(undecodable_record)?,
         checkpoint: first.header.number,
         number: first.header.number,
         last_record: 0,
@@ -135,7 +141,8 @@
         if record.header.kind != RecordKind::Batch || record.header.number != replay.number + 1 {
             break;
         }
-        let changes: Vec<Change<'static>> = decode(&record.payload).ok_or_else(other_release)?;
+        let changes: Vec<Change<'static>> =
+            decode(&record.payload).ok_or_else(undecodable_record)?;
         changes.iter().for_each(|change| replay.state.apply(change));
         replay.number += 1;
         replay.last_record = replay.end;
@@ -144,13 +151,13 @@
     Ok(Some(replay))
 }
 
-fn other_release() -> io::Error {
-    let reason = "a record is whole but cannot be decoded: written by another release?";
+fn undecodable_record() -> io::Error {
+    let reason = "an intact record cannot be decoded; it may be from another release";
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-/// No file starts with a complete checkpoint: the very first one was never
-/// finished, or what was synced is damaged.
+/// Handles files of which none starts with a complete checkpoint: either the
+/// first checkpoint was never finished, or synced data is damaged.
 fn recover_without_checkpoint(disk: &mut impl Disk) -> io::Result<Recovery> {
     let first = first_record();
     let mut empty = true;
@@ -178,14 +185,14 @@
     }))
 }
 
-/// Whether `bytes` may be left of an unfinished write of `record`: lost bytes
-/// of a torn write are read as zero.
+/// Whether `bytes` can result from an unfinished write of `record`, in which
+/// lost bytes read as zero.
 fn is_torn(bytes: &[u8], record: &[u8]) -> bool {
     let mut pairs = bytes.iter().zip(record);
     pairs.all(|(byte, expected)| *byte == 0 || byte == expected)
 }
 
-/// The very first record of a store: always these bytes.
+/// The bytes of the first record of every store: a checkpoint of an empty state.
 pub(super) fn first_record() -> Vec<u8> {
     record_bytes(
         RecordKind::Checkpoint,
