--- a/sorreldoor/src/runtime/event_queue.rs
+++ b/sorreldoor/src/runtime/event_queue.rs
@@ -1,19 +1,19 @@
-//! The bounded queue from a process' tasks and threads to its event loop. It has
-//! two lanes: urgent events are handled before ordinary ones, so that a flood of
-//! the latter delays no election. Events of one lane stay in order.
+//! The bounded queue from the tasks and threads of a process to its event loop.
+//! It has two lanes: urgent events are handled before ordinary ones, so that a
+//! flood of ordinary events does not delay elections. Each lane is in order.
 
 use async_std::channel::{bounded, Receiver, Sender, TrySendError};
 use futures_lite::future;
 
-/// Which lane an event takes.
+/// An event with a priority, which determines its lane.
 pub trait Prioritized {
-    /// Whether it is handled before ordinary events that came earlier.
+    /// Whether it is handled before ordinary events, also earlier ones.
     fn is_urgent(&self) -> bool {
         false
     }
 }
 
-/// The queue was closed, or is full where the sender does not wait.
+/// Why an event could not be queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
     /// The event loop has ended.
@@ -36,7 +36,7 @@
     ordinary: Receiver<T>,
 }
 
-/// A queue with `capacity` events in each lane.
+/// Creates a queue with room for `capacity` events in each lane.
 #[must_use]
 pub fn event_queue<T>(capacity: usize) -> (EventSender<T>, EventReceiver<T>) {
     let (urgent_sender, urgent_receiver) = bounded(capacity);
@@ -102,10 +102,10 @@
 }
 
 impl<T> EventReceiver<T> {
-    /// Waits for the next event: an urgent one, if there is any. `None` once all
-    /// senders are gone.
+    /// Waits for the next event: an urgent one if there is any. `None` once all
+    /// senders are dropped and the queue is empty.
     pub async fn recv(&self) -> Option<T> {
-        // the first future that is ready wins, in this order
+        // `or` polls the urgent lane first
         future::or(self.urgent.recv(), self.ordinary.recv())
             .await
             .ok()
--- a/sorreldoor/src/runtime/mod.rs
+++ b/sorreldoor/src/runtime/mod.rs
@@ -7,50 +7,53 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The time of one process, by its monotonic clock and by the wall clock.
+/// A reading of both clocks of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Milliseconds since the process started, suspended time included.
+    /// Milliseconds since the process started, including suspended time where the
+    /// operating system supports it.
     pub monotonic_ms: u64,
     /// Milliseconds since the Unix epoch; may jump in either direction.
     pub wall: i64,
 }
 
-/// A source of time; simulators bring their own.
+/// A source of time; simulators implement it with virtual time.
 pub trait Clock {
-    /// The time now.
+    /// The current time.
     fn now(&self) -> Now;
 }
 
 /// A state machine that is advanced by one event at a time. It reads no clock
 /// and does no I/O, so that a simulator can replay it.
 pub trait Reducer {
-    /// What goes in: frames, timers, completions.
+    /// Input: frames, timers, completions.
     type Event;
-    /// What comes out: frames to send, state to store, connections to open.
+    /// Output: frames to send, state to store, connections to open.
     type Effect;
-    /// Handles one event and returns its effects in the order they must happen.
+    /// Handles one event; returns its effects in the order in which they must be
+    /// carried out.
     fn step(&mut self, event: Self::Event, now: Now) -> Vec<Self::Effect>;
 }
 
 /// Carries out a reducer's effects.
 pub trait EffectHandler<R: Reducer> {
     /// Carries out one effect.
-    fn handle(&mut self, r: &mut R, effect: R::Effect);
-    /// Whether the event loop goes on after this event.
-    fn keeps_running(&mut self, r: &R) -> bool;
+    fn handle(&mut self, reducer: &mut R, effect: R::Effect);
+    /// Whether the event loop continues; called after each event.
+    fn keeps_running(&mut self, reducer: &R) -> bool;
 }
 
-/// The machine's clocks, in milliseconds. Where the system offers it, time
-/// that the machine spent suspended counts as time gone by.
+/// The clocks of the operating system. On Linux and Android the monotonic clock
+/// includes the time that the machine was suspended.
 pub struct SystemClock {
-    started: u64,
+    /// Monotonic reading at the start of the process, in milliseconds.
+    started_ms: u64,
 }
 
 #[cfg(any(target_os = "linux", target_os = "android"))]
 fn elapsed_ms() -> u64 {
-    let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    t.tv_sec as u64 * 1000 + t.tv_nsec as u64 / 1_000_000
+    let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+    time.tv_sec as u64 * 1000 + time.tv_nsec as u64 / 1_000_000
 }
 
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
@@ -66,7 +69,7 @@
 impl Default for SystemClock {
     fn default() -> SystemClock {
         SystemClock {
-            started: elapsed_ms(),
+            started_ms: elapsed_ms(),
         }
     }
 }
@@ -74,18 +77,19 @@
 impl Clock for SystemClock {
     fn now(&self) -> Now {
         Now {
-            monotonic_ms: elapsed_ms().saturating_sub(self.started),
+            monotonic_ms: elapsed_ms().saturating_sub(self.started_ms),
             wall: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
-                .map_or(0, |d| d.as_millis() as i64),
+                .map_or(0, |since_epoch| since_epoch.as_millis() as i64),
         }
     }
 }
 
-/// Runs a reducer on the current thread: events from its queue go in, effects
-/// go to the handler, until the handler or the end of the queue stops it.
+/// Runs a reducer on the current thread: passes it the events of a queue and
+/// passes its effects to the handler. Returns when the handler stops the loop or
+/// the queue is closed.
 pub fn run_event_loop<R, C, H>(
-    r: &mut R,
+    reducer: &mut R,
     clock: &C,
     handler: &mut H,
     events: &EventReceiver<R::Event>,
@@ -95,10 +99,10 @@
     H: EffectHandler<R>,
 {
     while let Some(event) = events.recv_blocking() {
-        for effect in r.step(event, clock.now()) {
-            handler.handle(r, effect);
+        for effect in reducer.step(event, clock.now()) {
+            handler.handle(reducer, effect);
         }
-        if !handler.keeps_running(r) {
+        if !handler.keeps_running(reducer) {
             return;
         }
     }
