--- a/sorreldoor/tests/store/cost.rs
+++ b/sorreldoor/tests/store/cost.rs
@@ -19,17 +19,17 @@
     }
     let state = disk.state();
     let bytes = (state.bytes - before.1) / 100;
-    println!("a change of 600 bytes writes {bytes} bytes");
+    println!("a change of 600 bytes takes {bytes} bytes on the disk");
     assert_eq!(
         (state.writes - before.0, state.syncs - before.2),
         (100, 100)
     );
-    assert!(bytes < 800, "{bytes} bytes a change of 600");
+    assert!(bytes < 800, "{bytes} bytes written for a change of 600");
 }
 
 /// 20,000 saves with a snapshot of 200 kB after every 512.
 #[test]
-fn space_and_writes_stay_bounded() {
+fn disk_space_and_written_bytes_stay_bounded() {
     const CHANGES: u64 = 20_000;
     let disk = SimDisk::new(1);
     let mut store = open(&disk).unwrap().store;
@@ -47,8 +47,10 @@
     let state = disk.state();
     let bytes = state.bytes as u64 / CHANGES;
     let syncs = state.syncs as f64 / CHANGES as f64;
-    println!("{bytes} bytes and {syncs:.3} syncs a change; {peak_bytes} bytes on the disk at most");
+    println!(
+        "{bytes} bytes and {syncs:.3} syncs per change; at most {peak_bytes} bytes on the disk"
+    );
     assert!(peak_bytes < 1_300_000, "{peak_bytes} bytes on the disk");
-    assert!(bytes < 1600, "{bytes} bytes a change");
-    assert!(syncs < 1.01, "{syncs} syncs a change");
+    assert!(bytes < 1600, "{bytes} bytes per change");
+    assert!(syncs < 1.01, "{syncs} syncs per change");
 }
--- a/sorreldoor/tests/store/crash.rs
+++ b/sorreldoor/tests/store/crash.rs
@@ -6,8 +6,8 @@
 const SEEDS: u64 = 3000;
 const LIFETIMES: usize = 12;
 
-/// Opens the store after start-ups that were interrupted by a kill or a power
-/// loss; the disk itself is healthy, so an uninterrupted start-up succeeds.
+/// Opens the store after a random number of starts that are interrupted by a kill
+/// or a power loss. The disk does not fail, so the last start succeeds.
 fn start_after_crashes(
     disk: &SimDisk,
     random: &mut Random,
@@ -15,15 +15,21 @@
     while random.chance(2) {
         disk.kill_after(random.below(12));
         if let Ok(opened) = open(disk) {
-            assert_eq!(opened.damage, None, "a crash is taken for damage");
+            assert_eq!(
+                opened.damage, None,
+                "a crash must not be reported as damage"
+            );
         }
         disk.revive();
         if random.chance(2) {
             disk.lose_power();
         }
     }
-    let opened = open(disk).expect("a start on a sound disk succeeds");
-    assert_eq!(opened.damage, None, "a crash is taken for damage");
+    let opened = open(disk).expect("a start on a healthy disk succeeds");
+    assert_eq!(
+        opened.damage, None,
+        "a crash must not be reported as damage"
+    );
     opened.store
 }
 
@@ -52,8 +58,8 @@
     }
 }
 
-/// Every point between two operations, from the first start on, each with
-/// several seeds for which unsynced writes and directory entries are lost.
+/// A power loss at each operation from the first start on; the seeds vary which
+/// unsynced writes and directory entries are lost.
 #[test]
 fn acknowledged_changes_survive_a_crash_at_every_operation() {
     for point in 0..400 {
@@ -68,7 +74,7 @@
             }
             disk.revive();
             disk.lose_power();
-            let opened = open(&disk).expect("a start on a sound disk succeeds");
+            let opened = open(&disk).expect("a start on a healthy disk succeeds");
             assert_eq!(opened.damage, None, "seed {seed}, point {point}");
             workload.restart(opened.store.state());
         }
--- a/sorreldoor/tests/store/damage.rs
+++ b/sorreldoor/tests/store/damage.rs
@@ -1,10 +1,11 @@
-//! Corruption of synced bytes is distinguished from torn writes.
+//! Recovery distinguishes corruption of synced bytes from torn writes.
 
 use super::sim_disk::SimDisk;
 use super::workload::{append, open, snapshot};
 use sorreldoor::store::{DurableStore, Store, FILES};
 
-/// A disk with a checkpoint and some records after it, and its active file.
+/// A disk with a checkpoint and several records after it; also returns the name
+/// of its active file.
 fn populated_disk(seed: u64) -> (SimDisk, &'static str) {
     let disk = SimDisk::new(seed);
     let mut store = open(&disk).unwrap().store;
@@ -33,9 +34,13 @@
     assert!(store.must_rejoin());
     assert!(
         store.consensus_state().is_none(),
-        "nothing is left of the old state"
+        "the old consensus state is discarded"
+    );
+    assert_eq!(
+        store.value("identity"),
+        None,
+        "the old identity is discarded"
     );
-    assert_eq!(store.value("identity"), None, "the old name is gone");
 }
 
 #[test]
@@ -50,7 +55,7 @@
         drop(opened);
         disk.lose_power();
         let opened = open(&disk).unwrap();
-        assert_eq!(opened.damage, None, "it is said once");
+        assert_eq!(opened.damage, None, "damage is reported once");
         assert_state_discarded(&opened.store);
     }
 }
@@ -72,7 +77,10 @@
             assert_eq!(opened.torn, offset > start || !truncate, "byte {offset}");
             assert_eq!(opened.store.state().entries.len(), 6, "byte {offset}");
             drop(opened);
-            assert!(!open(&disk).unwrap().torn, "byte {offset}: it is cut");
+            assert!(
+                !open(&disk).unwrap().torn,
+                "byte {offset}: the torn record was truncated"
+            );
         }
     }
 }
--- a/sorreldoor/tests/store/disk_faults.rs
+++ b/sorreldoor/tests/store/disk_faults.rs
@@ -1,18 +1,18 @@
-//! Disks that are full or fail for a while, with crashes in between.
+//! Disks that are full or fail temporarily, with crashes in between.
 
 use super::sim_disk::{Random, SimDisk};
 use super::workload::{append, open, snapshot, Workload};
 use sorreldoor::store::{Store, FILES};
 
 #[test]
-fn a_failing_disk_loses_nothing_that_was_acknowledged() {
+fn acknowledged_changes_survive_disk_errors() {
     for seed in 0..2000 {
         let disk = SimDisk::new(seed);
         let mut random = Random::new(seed);
         let mut workload = Workload::new(seed);
         for _ in 0..8 {
             disk.state().fails_one_in = 0;
-            let opened = open(&disk).expect("a healed disk lets the store start");
+            let opened = open(&disk).expect("a start on a healthy disk succeeds");
             assert_eq!(opened.damage, None, "seed {seed}");
             let mut store = opened.store;
             workload.restart(store.state());
@@ -73,10 +73,10 @@
     assert_eq!(open(&disk).unwrap().store.state().entries.len(), 9);
 }
 
-/// A checkpoint whose sync failed was truncated, but the truncation was not
-/// synced either: after a power loss it may be complete, and must be ignored.
+/// A checkpoint fails to sync, and so does its truncation: after a power loss it
+/// may be complete on the disk, and recovery must ignore it.
 #[test]
-fn a_failed_checkpoint_does_not_come_back() {
+fn a_failed_checkpoint_is_not_recovered_after_a_power_loss() {
     for seed in 0..500 {
         let disk = SimDisk::new(seed);
         let mut store = open(&disk).unwrap().store;
@@ -94,8 +94,8 @@
     }
 }
 
-/// The remains of a failed write are truncated, so that the next start does
-/// not take them for a torn write.
+/// Bytes of a failed write are truncated; otherwise the next start would report a
+/// torn write.
 #[test]
 fn a_failed_append_leaves_no_bytes_after_a_shorter_record() {
     for seed in 0..50 {
--- a/sorreldoor/tests/store/legacy.rs
+++ b/sorreldoor/tests/store/legacy.rs
@@ -1,4 +1,5 @@
-//! Migration of a data folder of the previous release: an image, an okaywal log and small files.
+//! Migration of a data directory of the previous release: an image, an okaywal
+//! log and small files.
 
 use super::workload::{append, snapshot};
 use okaywal::{Configuration, LogManager, WriteAheadLog};
@@ -22,7 +23,7 @@
         _: &mut okaywal::SegmentReader,
         _: &WriteAheadLog,
     ) -> io::Result<()> {
-        Err(io::Error::other("kept"))
+        Err(io::Error::other("checkpoints are disabled"))
     }
 }
 
@@ -99,8 +100,8 @@
     assert_eq!(open(&path).store.state().entries.len(), 6);
 }
 
-/// Regression: a segment that was created but never synced, and is short or
-/// lacks its first bytes after a power loss, once kept cores from starting.
+/// Regression: after a power loss, a segment that was created but never synced
+/// has no header; okaywal fails to open it, and the core did not start.
 #[test]
 fn a_segment_without_its_header_is_not_corruption() {
     for length in [0, 1, 4] {
@@ -132,7 +133,7 @@
         (opened.damage, opened.store.state().entries.len()),
         (None, 4)
     );
-    // the checksum of a batch, and the length of one
+    // corrupt the checksum of a batch, then its length
     for (name, relative_offset) in [("flipped", 60isize), ("length", -14)] {
         let path = complete_folder(name);
         corrupt_batch(&path, 6, &|bytes, offset| {
--- a/sorreldoor/tests/store/main.rs
+++ b/sorreldoor/tests/store/main.rs
@@ -1,4 +1,5 @@
-//! The store on disks with power loss, torn writes, no space, I/O errors and corruption.
+//! The store on disks with power loss, torn writes, no space, I/O errors and
+//! corruption.
 
 mod cost;
 mod crash;
--- a/sorreldoor/tests/store/sim_disk.rs
+++ b/sorreldoor/tests/store/sim_disk.rs
@@ -1,11 +1,12 @@
-//! An in-memory disk that loses unsynced writes, tears writes, fills up and fails as real ones do.
+//! An in-memory disk that can lose or tear unsynced writes, run out of space and
+//! fail operations.
 
 use sorreldoor::store::Disk;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A small repeatable generator (xorshift).
+/// A seeded pseudorandom generator (xorshift).
 #[derive(Clone, Debug)]
 pub struct Random(u64);
 
@@ -31,7 +32,7 @@
     Write {
         offset: usize,
         bytes: Vec<u8>,
-        /// Set when a sync of it failed: no later sync writes it.
+        /// Set when a sync of it failed: later syncs do not write it.
         dropped: bool,
     },
     Length(usize),
@@ -81,8 +82,8 @@
                     overwrite(&mut self.durable, offset, &bytes);
                 }
                 (Unsynced::Write { offset, bytes, .. }, 2) => {
-                    let kept = random.below(bytes.len() + 1);
-                    overwrite(&mut self.durable, offset, &bytes[..kept]);
+                    let written = random.below(bytes.len() + 1);
+                    overwrite(&mut self.durable, offset, &bytes[..written]);
                 }
                 (Unsynced::Write { offset, bytes, .. }, _) => {
                     for (sector, part) in bytes.chunks(64).enumerate() {
@@ -109,13 +110,13 @@
 pub struct State {
     files: BTreeMap<String, SimFile>,
     random: Random,
-    /// Operations that still succeed before the process is dead.
+    /// Operations until the process is killed.
     operations_left: usize,
-    /// The disk rejects every change as out of space.
+    /// Every change fails for lack of space.
     pub full: bool,
-    /// One in so many changes or syncs fails; 0: none.
+    /// One in this many changes or syncs fails; 0 means none.
     pub fails_one_in: usize,
-    /// Every sync fails, and nothing else does.
+    /// Every sync fails, but no other operation.
     pub syncs_fail: bool,
     pub operations: usize,
     pub writes: usize,
@@ -123,7 +124,7 @@
     pub syncs: usize,
 }
 
-/// Handles share one disk, so that it outlives the store on it.
+/// A handle to a disk. Clones share the disk, so that it outlives its store.
 #[derive(Clone, Debug)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
@@ -147,7 +148,7 @@
         self.0.lock().unwrap()
     }
 
-    /// Kills the process after `operations` more operations.
+    /// Kills the process after this many more operations.
     pub fn kill_after(&self, operations: usize) {
         self.state().operations_left = operations;
     }
@@ -173,28 +174,29 @@
         }
     }
 
-    /// Gives `act` the bytes of a file, to inspect or corrupt.
+    /// Passes the durable bytes of a file to `act`, which may change them; returns
+    /// its result.
     pub fn with_bytes<T>(&self, name: &str, act: impl FnOnce(&mut Vec<u8>) -> T) -> T {
         let mut state = self.state();
         let file = state.files.entry(name.to_string()).or_default();
-        let out = act(&mut file.durable);
+        let result = act(&mut file.durable);
         file.visible = file.durable.clone();
-        out
+        result
     }
 }
 
 impl State {
-    fn step(&mut self) -> io::Result<()> {
+    fn count_operation(&mut self) -> io::Result<()> {
         if self.operations_left == 0 {
-            return Err(io::Error::other("the process is dead"));
+            return Err(io::Error::other("the process was killed"));
         }
         self.operations_left = self.operations_left.saturating_sub(1);
         self.operations += 1;
         Ok(())
     }
 
-    fn change(&mut self) -> io::Result<()> {
-        self.step()?;
+    fn begin_change(&mut self) -> io::Result<()> {
+        self.count_operation()?;
         if self.full {
             return Err(ErrorKind::StorageFull.into());
         }
@@ -215,7 +217,7 @@
 impl Disk for SimDisk {
     fn create(&mut self, name: &str) -> io::Result<bool> {
         let mut state = self.state();
-        state.step()?;
+        state.count_operation()?;
         if state.files.contains_key(name) {
             return Ok(false);
         }
@@ -232,7 +234,7 @@
 
     fn set_length(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut state = self.state();
-        state.change()?;
+        state.begin_change()?;
         let file = state.file(name)?;
         file.visible.resize(length as usize, 0);
         file.unsynced.push(Unsynced::Length(length as usize));
@@ -250,17 +252,17 @@
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state();
-        state.change()?;
+        state.begin_change()?;
         state.writes += 1;
         state.bytes += bytes.len();
-        // a refused write may have taken some of its bytes
-        let refused = state.fails();
-        let taken = match refused {
+        // a failed write may have written some of its bytes
+        let failed = state.fails();
+        let written = match failed {
             true => state.random.below(bytes.len() + 1),
             false => bytes.len(),
         };
         let offset = offset as usize;
-        let bytes = bytes[..taken].to_vec();
+        let bytes = bytes[..written].to_vec();
         let file = state.file(name)?;
         overwrite(&mut file.visible, offset, &bytes);
         let dropped = false;
@@ -269,7 +271,7 @@
             bytes,
             dropped,
         });
-        match refused {
+        match failed {
             true => Err(ErrorKind::StorageFull.into()),
             false => Ok(()),
         }
@@ -277,10 +279,10 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.change()?;
+        state.begin_change()?;
         state.syncs += 1;
-        let refused = state.syncs_fail || state.fails();
-        if !refused {
+        let failed = state.syncs_fail || state.fails();
+        if !failed {
             state.file(name)?.sync();
             return Ok(());
         }
@@ -296,7 +298,7 @@
 
     fn sync_directory(&mut self) -> io::Result<()> {
         let mut state = self.state();
-        state.step()?;
+        state.count_operation()?;
         let files = state.files.values_mut();
         files.for_each(|file| file.name_synced = true);
         Ok(())
--- a/sorreldoor/tests/store/state.rs
+++ b/sorreldoor/tests/store/state.rs
@@ -1,4 +1,4 @@
-//! Folding saves into the durable state.
+//! Application of saves to the durable state.
 
 use serde::Serialize;
 use sorreldoor::consensus::{ClaimRecord, Entry, HardState, Save, Snapshot};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn claims_of_the_previous_release_are_read() {
+fn claims_of_the_previous_release_are_recovered() {
     let legacy = LegacyImage {
         hard: HardState::default(),
         snap: None,
@@ -26,7 +26,7 @@
         seq: 3,
     };
     let mut state: DurableState = decode(&encode(&legacy)).expect("an image of that release");
-    // its saves are still in the log after the image
+    // the log after the image holds a save of the same release
     state.apply_save(4, &Save::LegacyClaims(vec![("later".into(), 8)]));
     let (id, claimant, retention_ms) = ("old".to_string(), 9, 5);
     state.apply_save(
--- a/sorreldoor/tests/store/workload.rs
+++ b/sorreldoor/tests/store/workload.rs
@@ -1,4 +1,5 @@
-//! A random workload on a store, and the states that a restart may recover.
+//! A random workload on a store, with a model of the states that a restart may
+//! recover.
 
 use super::sim_disk::{Random, SimDisk};
 use sorreldoor::consensus::{Body, ClaimRecord, Entry, HardState, LogPosition, Save, Snapshot};
@@ -48,14 +49,14 @@
     Put(&'static str, Vec<u8>),
 }
 
-/// Generates calls, and models the state that the store must hold after each.
+/// Generates calls and models the state that the store must have after each one.
 pub struct Workload {
     random: Random,
     /// The state after all acknowledged calls.
     pub acknowledged: DurableState,
     /// Calls that failed and have not been retried yet.
     pending: Vec<Call>,
-    /// Last save number issued since the restart.
+    /// Sequence number of the last save issued since the restart.
     issued: u64,
     first_seq: u64,
 }
@@ -71,26 +72,26 @@
         }
     }
 
-    /// Restarts on the recovered state, which must be the acknowledged state
+    /// Continues from the recovered state, which must be the acknowledged state
     /// plus any subset of the pending calls.
-    pub fn restart(&mut self, found: &DurableState) {
+    pub fn restart(&mut self, recovered: &DurableState) {
         let choices = 1 << self.pending.len();
-        let possible_outcome =
-            (0..choices).any(|choice| encode(&self.possible(choice)) == encode(found));
+        let is_possible =
+            (0..choices).any(|choice| encode(&self.possible(choice)) == encode(recovered));
         assert!(
-            possible_outcome,
-            "found up to save {}, kept up to {}, {} calls pending",
-            found.seq,
+            is_possible,
+            "recovered up to save {}, acknowledged up to {}, {} calls pending",
+            recovered.seq,
             self.acknowledged.seq,
             self.pending.len()
         );
-        self.acknowledged = found.clone();
+        self.acknowledged = recovered.clone();
         self.pending.clear();
         self.issued = 0;
-        self.first_seq = found.seq;
+        self.first_seq = recovered.seq;
     }
 
-    /// The state if the pending calls in the bit set `choice` were applied.
+    /// The state with the pending calls in the bit set `choice` applied.
     fn possible(&self, choice: usize) -> DurableState {
         let mut state = self.acknowledged.clone();
         for (index, call) in self.pending.iter().enumerate() {
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Makes one call, at times a put while a failed save is pending; returns
-    /// false if the store rejects it.
+    /// Makes one call: a retry of a failed one, a new one, or sometimes a put while
+    /// a failed save is pending. Returns false if the call fails.
     pub fn step(&mut self, store: &mut impl Store) -> bool {
         let put_allowed = self.pending.len() == 1 && matches!(self.pending[0], Call::Save(_));
         let call = match self.pending.last() {
@@ -141,8 +142,8 @@
         let mut acknowledged = std::mem::take(&mut self.acknowledged);
         self.apply(&mut acknowledged, &call);
         self.acknowledged = acknowledged;
-        // a checkpoint includes an earlier failed save, which the next restart
-        // may recover: it stays pending until it is acknowledged
+        // a checkpoint may include an earlier failed save, which a restart may then
+        // recover: it stays pending until it is acknowledged
         true
     }
 
