--- a/sorreldoor/tests/formats/legacy.rs
+++ b/sorreldoor/tests/formats/legacy.rs
@@ -1,4 +1,4 @@
-//! Snapshots of earlier releases are read.
+//! Compatibility with snapshots of earlier releases.
 
 use super::parse_hex;
 use sorreldoor::configuration::tenants::ApiKey;
@@ -7,18 +7,18 @@
 use sorreldoor::replicated_state::{Command, Outcome, ReplicatedState};
 use std::sync::Arc;
 
-/// A snapshot of the release with protocol 5, which knew no tenants and kept
-/// their list among the other settings.
-const RECORD_OF_PROTOCOL_5: &str = include_str!("record-protocol-5.txt");
+/// A snapshot of the release with protocol 5, which stored the list of tenants as
+/// an uninterpreted part of the configuration.
+const PROTOCOL_5_SNAPSHOT: &str = include_str!("record-protocol-5.txt");
 
 #[test]
-fn tenants_of_a_release_that_did_not_know_them_are_in_force() {
+fn tenants_in_a_protocol_5_snapshot_are_enforced() {
     let site = Site {
         regions: vec!["r".into()],
         zones: vec![("z".into(), 0)],
     };
     let mut state = ReplicatedState::new(Arc::new(site));
-    assert!(state.load(&parse_hex(RECORD_OF_PROTOCOL_5.trim())));
+    assert!(state.load(&parse_hex(PROTOCOL_5_SNAPSHOT.trim())));
     let hosted = |state: &ReplicatedState| {
         let configuration = state.configuration().expect("a configuration");
         configuration.hosted.clone().expect("hosted routes")
--- a/sorreldoor/tests/formats/main.rs
+++ b/sorreldoor/tests/formats/main.rs
@@ -1,11 +1,10 @@
-//! Frames between nodes and stored data keep their bytes: each sample is
-//! encoded and compared with `formats/samples.txt`, then read back from there.
+//! The formats of frames and stored data are stable: each sample is encoded and
+//! compared with `formats/samples.txt`, and decoded from there.
 //!
-//! The samples were written by the release before the renaming of types and
-//! fields. A line that differs means that nodes of two builds would not
-//! understand each other, or that a data folder would not be read. Only a
-//! deliberate change of format, with a new `PROTOCOL_VERSION` and a reader for the old
-//! data, may replace a line (`SORRELDOOR_WRITE_SAMPLES=1 cargo test`).
+//! A differing line means that this build cannot exchange frames with an earlier
+//! one or cannot read its data directory. Replace a line only for a deliberate
+//! change of format, with a new `PROTOCOL_VERSION` and a reader for the old data
+//! (`SORRELDOOR_WRITE_SAMPLES=1 cargo test`).
 
 mod legacy;
 mod messages;
@@ -60,7 +59,7 @@
 
 fn stored_samples() -> BTreeMap<String, Vec<u8>> {
     let text =
-        std::fs::read_to_string(samples_path()).expect("the samples are kept beside the test");
+        std::fs::read_to_string(samples_path()).expect("tests/formats/samples.txt can be read");
     let lines = text.lines().filter_map(|line| line.split_once(' '));
     lines
         .map(|(name, hex)| (name.to_string(), parse_hex(hex)))
@@ -75,7 +74,7 @@
             .iter()
             .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
         std::fs::write(samples_path(), lines.collect::<String>())
-            .expect("the samples can be written");
+            .expect("tests/formats/samples.txt can be written");
     }
     let stored_samples = stored_samples();
     let stored_names: Vec<_> = stored_samples.keys().collect();
--- a/sorreldoor/tests/formats/samples.rs
+++ b/sorreldoor/tests/formats/samples.rs
@@ -166,7 +166,7 @@
     ]
 }
 
-/// The state after all commands, and its revision before the ninth of them.
+/// The state after all commands, and its revision before the ninth command.
 pub(super) fn records() -> (ReplicatedState, u64) {
     let mut record = ReplicatedState::new(site());
     let mut revision = 0;
@@ -336,20 +336,14 @@
         request_id: 5,
         outcome,
     };
-    all.extend(
-        outcomes()
-            .into_iter()
-            .map(ProposalOutcome::Committed)
-            .map(done),
-    );
-    all.extend(
-        [
-            ProposalOutcome::Unknown,
-            ProposalOutcome::Rejected,
-            ProposalOutcome::NotFound,
-        ]
-        .map(done),
-    );
+    let committed = outcomes().into_iter().map(ProposalOutcome::Committed);
+    all.extend(committed.map(done));
+    let uncommitted = [
+        ProposalOutcome::Unknown,
+        ProposalOutcome::Rejected,
+        ProposalOutcome::NotFound,
+    ];
+    all.extend(uncommitted.map(done));
     all.extend(messages().into_iter().map(Payload::Consensus));
     all
 }
--- a/sorreldoor/tests/fuzz.rs
+++ b/sorreldoor/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Seeded fuzzing of everything that is parsed from outside: the result is a
-//! value within bounds or an error with a message, never a panic.
+//! Seeded fuzzing of every parser of external input: the result is a value
+//! within bounds or an error with a message, never a panic.
 
 use sorreldoor::configuration::{self, Site};
 use sorreldoor::consensus::StateMachine;
@@ -30,9 +30,9 @@
     }
 }
 
-/// A copy of `from` with a few bytes changed, dropped, duplicated or replaced.
-fn mutate(random: &mut Random, from: &[u8]) -> Vec<u8> {
-    let mut bytes = from.to_vec();
+/// A copy of `original` with a few bytes changed, dropped, duplicated or replaced.
+fn mutate(random: &mut Random, original: &[u8]) -> Vec<u8> {
+    let mut bytes = original.to_vec();
     for _ in 0..1 + random.below(4) {
         let (i, j) = (random.below(bytes.len()), random.below(bytes.len()));
         let (start, end) = (i.min(j), i.max(j).min(i.min(j) + 40));
@@ -132,7 +132,7 @@
             frame_length(length_prefix).map_or(true, |n| n <= sorreldoor::wire::MAX_FRAME_BYTES)
         );
     }
-    println!("{decoded} read, {rejected} refused");
+    println!("{decoded} decoded, {rejected} rejected");
     assert!(rejected > 2000 && decoded > 20);
 }
 
@@ -140,7 +140,7 @@
 fn damaged_configurations_and_patches_are_rejected_or_valid() {
     let site = site();
     let document = example("press-setup.json");
-    let (valid, _) = configuration::parse(&document, &site).expect("the example is good");
+    let (valid, _) = configuration::parse(&document, &site).expect("the example is valid");
     let (mut parsed, mut rejected) = (0, 0);
     for seed in 1..2500 {
         let mut random = Random::new(seed);
@@ -167,11 +167,11 @@
         }
     }
     println!(
-        "{parsed} read, {rejected} faulty; {} routes in the good one",
+        "{parsed} parsed, {rejected} rejected; the valid one has {} routes",
         valid.routes.len()
     );
     assert!(rejected > 1000 && parsed > 5);
-    // patches of a state: applied completely or not at all
+    // a patch is applied completely or not at all
     let mut state = ReplicatedState::new(Arc::new(site));
     let text = String::from_utf8(document).unwrap();
     let put = Command::Put {
@@ -204,26 +204,26 @@
 }
 
 #[test]
-fn damaged_settings_registries_and_load_reports_are_rejected() {
+fn damaged_settings_registries_and_load_reports_are_rejected_or_parsed() {
     let site = site();
-    let list = br#"{"serial":7,"workers":[{"name":"gpu0","addr":"10.0.0.5:9000","group":"gpu","zone":"n1","state":"up"},{"name":"w","addr":"10.0.0.6:9000","group":"web","zone":"s1","state":"leaving"}]}"#;
-    let load = br#"{"worker":"gpu0","running":1,"queued":0,"slots":4,"finished":120,"adapters":["a"],"weights":"v1"}"#;
+    let registry_json = br#"{"serial":7,"workers":[{"name":"gpu0","addr":"10.0.0.5:9000","group":"gpu","zone":"n1","state":"up"},{"name":"w","addr":"10.0.0.6:9000","group":"web","zone":"s1","state":"leaving"}]}"#;
+    let load_json = br#"{"worker":"gpu0","running":1,"queued":0,"slots":4,"finished":120,"adapters":["a"],"weights":"v1"}"#;
     let settings = example("press-edge.json");
-    let mut faults = 0;
+    let mut rejected = 0;
     for seed in 1..2500 {
         let mut random = Random::new(seed);
-        let registry = read_registry(&mutate(&mut random, list), &site);
-        faults += usize::from(registry.is_err_and(|error| !error.is_empty()));
-        let load_report = read_load(&mutate(&mut random, load), "gpu0");
-        faults += usize::from(load_report.is_err_and(|error| !error.is_empty()));
+        let registry = read_registry(&mutate(&mut random, registry_json), &site);
+        rejected += usize::from(registry.is_err_and(|error| !error.is_empty()));
+        let load_report = read_load(&mutate(&mut random, load_json), "gpu0");
+        rejected += usize::from(load_report.is_err_and(|error| !error.is_empty()));
         let parsed_settings = Settings::parse(
             &mutate(&mut random, &settings),
             &Overrides::default(),
             Role::Edge,
         );
-        faults += usize::from(parsed_settings.is_err_and(|error| !error.is_empty()));
+        rejected += usize::from(parsed_settings.is_err_and(|error| !error.is_empty()));
         let _ = json::parse(&mutate(&mut random, &settings), 1 << 16);
     }
-    println!("{faults} faults named");
-    assert!(faults > 3500);
+    println!("{rejected} inputs rejected");
+    assert!(rejected > 3500);
 }
