--- a/testbed/src/disk.rs
+++ b/testbed/src/disk.rs
@@ -1,5 +1,5 @@
 //! A simulated disk in virtual time: writes become durable in order after a
-//! sync delay, and a crash loses those that were still pending.
+//! sync delay, and a crash drops those that are still pending.
 
 use sorreldoor::consensus::Save;
 use sorreldoor::store::DurableState;
@@ -8,26 +8,30 @@
 
 /// One core's disk: its durable contents and the writes that are pending.
 pub struct Disk {
-    /// What a restart reads back.
+    /// The state that a restart recovers.
     pub durable: DurableState,
-    /// How long one sync takes.
+    /// Duration of one sync.
     pub sync_ms: Millis,
     /// No sync completes while this is set.
     pub stuck: bool,
     /// Bytes of log entries and snapshots written since the disk was created.
     pub saved_bytes: u64,
     unsynced: VecDeque<(u64, Save)>,
+    /// Completion time of the running sync.
     busy_until: Millis,
+    /// Completion time of the sync after the running one.
     next_until: Millis,
+    /// Sequence number of the last durable save when the process started; added
+    /// to the numbers of its own saves.
     first_seq: u64,
 }
 
-fn size(save: &Save) -> u64 {
-    const SMALL: usize = 64;
+fn size_bytes(save: &Save) -> u64 {
+    const OTHER_SAVE_BYTES: usize = 64;
     let bytes = match save {
         Save::Append { entries, .. } => entries.iter().map(|e| e.bytes()).sum(),
         Save::Snapshot { snapshot, .. } => snapshot.image.len(),
-        _ => SMALL,
+        _ => OTHER_SAVE_BYTES,
     };
     bytes as u64
 }
@@ -48,25 +52,25 @@
 }
 
 impl Disk {
-    /// Called as a process starts: its writes are numbered from the last
+    /// Starts a new process, whose saves are numbered from 1 after the last
     /// durable one.
     pub fn open(&mut self) {
         self.first_seq = self.durable.seq;
     }
 
-    /// Queues a write and returns the time at which it will be durable.
+    /// Queues a write; returns the time at which it will be durable.
     pub fn queue(&mut self, seq: u64, save: Save, now: Millis) -> Millis {
-        self.saved_bytes += size(&save);
+        self.saved_bytes += size_bytes(&save);
         self.unsynced.push_back((seq, save));
         // writes queued during a sync share the next one
         if now >= self.busy_until {
-            let next_runs = now < self.next_until;
-            self.busy_until = if next_runs {
+            let next_running = now < self.next_until;
+            self.busy_until = if next_running {
                 self.next_until
             } else {
                 now + self.sync_ms
             };
-            if !next_runs {
+            if !next_running {
                 return self.busy_until;
             }
         }
@@ -78,21 +82,22 @@
 
     /// Makes all writes up to the given sequence number durable.
     pub fn synced(&mut self, up_to: u64) {
-        while self.unsynced.front().is_some_and(|(s, _)| *s <= up_to) {
-            if let Some((s, save)) = self.unsynced.pop_front() {
-                self.durable.apply_save(s + self.first_seq, &save);
+        while self.unsynced.front().is_some_and(|(seq, _)| *seq <= up_to) {
+            if let Some((seq, save)) = self.unsynced.pop_front() {
+                self.durable.apply_save(seq + self.first_seq, &save);
             }
         }
     }
 
-    /// How many writes are not durable yet.
+    /// The number of pending writes.
     pub fn unsynced(&self) -> usize {
         self.unsynced.len()
     }
 
-    /// Drops the pending writes except for the first `survive`.
-    pub fn crash(&mut self, survive: usize) {
-        let survivors: Vec<(u64, Save)> = self.unsynced.drain(..).take(survive).collect();
+    /// Drops the pending writes, except the first `surviving`, which become
+    /// durable.
+    pub fn crash(&mut self, surviving: usize) {
+        let survivors: Vec<(u64, Save)> = self.unsynced.drain(..).take(surviving).collect();
         for (seq, save) in survivors {
             self.durable.apply_save(seq + self.first_seq, &save);
         }
