--- a/testbed/src/link.rs
+++ b/testbed/src/link.rs
@@ -1,4 +1,4 @@
-//! A stretch of network: bytes arrive later by a set delay, or not at all.
+//! A TCP proxy that delays traffic, and can block it.
 
 use async_std::channel::{bounded, Receiver, Sender};
 use async_std::io::prelude::*;
@@ -9,37 +9,44 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// A listener whose connections are forwarded to one address with a delay.
 pub struct Link {
+    /// The address that accepts connections.
     pub addr: SocketAddr,
-    set_blocked: Arc<AtomicBool>,
+    blocked: Arc<AtomicBool>,
 }
 
 impl Link {
-    /// Listen on a free port and carry what comes to `to`.
+    /// Listens on a free port and forwards each connection to `to`, with `delay`
+    /// in each direction.
+    ///
+    /// # Errors
+    /// No port can be opened.
     pub async fn start(to: SocketAddr, delay: Duration) -> async_std::io::Result<Link> {
-        let l = TcpListener::bind("127.0.0.1:0").await?;
-        let addr = l.local_addr()?;
-        let set_blocked = Arc::new(AtomicBool::new(false));
-        task::spawn(accept(l, to, delay, set_blocked.clone()));
-        Ok(Link { addr, set_blocked })
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let addr = listener.local_addr()?;
+        let blocked = Arc::new(AtomicBool::new(false));
+        task::spawn(accept(listener, to, delay, blocked.clone()));
+        Ok(Link { addr, blocked })
     }
 
-    /// While cut, nothing passes and nobody is told.
-    pub fn set_blocked(&self, on: bool) {
-        self.set_blocked.store(on, Ordering::SeqCst);
+    /// Blocks or unblocks the link. While it is blocked, established connections
+    /// stay open but forward no bytes; new ones are closed after a while.
+    pub fn set_blocked(&self, blocked: bool) {
+        self.blocked.store(blocked, Ordering::SeqCst);
     }
 }
 
-async fn accept(l: TcpListener, to: SocketAddr, delay: Duration, set_blocked: Arc<AtomicBool>) {
+async fn accept(listener: TcpListener, to: SocketAddr, delay: Duration, blocked: Arc<AtomicBool>) {
     loop {
-        let Ok((near, _)) = l.accept().await else {
+        let Ok((near, _)) = listener.accept().await else {
             continue;
         };
-        let set_blocked = set_blocked.clone();
+        let blocked = blocked.clone();
         task::spawn(async move {
-            // the way there takes its time before anything can be sent
+            // the handshake takes one delay before data can be sent
             task::sleep(delay).await;
-            if set_blocked.load(Ordering::SeqCst) {
+            if blocked.load(Ordering::SeqCst) {
                 task::sleep(Duration::from_secs(2)).await;
                 return;
             }
@@ -49,45 +56,49 @@
             };
             let _ = near.set_nodelay(true);
             let _ = far.set_nodelay(true);
-            task::spawn(carry(near.clone(), far.clone(), delay, set_blocked.clone()));
-            carry(far, near, delay, set_blocked).await;
+            task::spawn(forward(near.clone(), far.clone(), delay, blocked.clone()));
+            forward(far, near, delay, blocked).await;
         });
     }
 }
 
-async fn carry(mut from: TcpStream, to: TcpStream, delay: Duration, set_blocked: Arc<AtomicBool>) {
-    let (tx, rx): (Sender<(Instant, Vec<u8>)>, _) = bounded(1024);
-    let out = task::spawn(deliver(rx, to, set_blocked));
-    let mut b = vec![0; 16 * 1024];
-    while let Ok(n) = from.read(&mut b).await {
-        if n == 0 {
+async fn forward(mut from: TcpStream, to: TcpStream, delay: Duration, blocked: Arc<AtomicBool>) {
+    let (sender, receiver): (Sender<(Instant, Vec<u8>)>, _) = bounded(1024);
+    let delivery = task::spawn(deliver(receiver, to, blocked));
+    let mut buffer = vec![0; 16 * 1024];
+    while let Ok(length) = from.read(&mut buffer).await {
+        if length == 0 {
             break;
         }
-        let at = Instant::now() + delay;
-        if tx.send((at, b[..n].to_vec())).await.is_err() {
+        let deliver_at = Instant::now() + delay;
+        if sender
+            .send((deliver_at, buffer[..length].to_vec()))
+            .await
+            .is_err()
+        {
             break;
         }
     }
-    drop(tx);
-    out.await;
+    drop(sender);
+    delivery.await;
 }
 
 async fn deliver(
-    rx: Receiver<(Instant, Vec<u8>)>,
+    receiver: Receiver<(Instant, Vec<u8>)>,
     mut to: TcpStream,
-    set_blocked: Arc<AtomicBool>,
+    blocked: Arc<AtomicBool>,
 ) {
-    while let Ok((at, b)) = rx.recv().await {
-        let left = at.saturating_duration_since(Instant::now());
-        if !left.is_zero() {
-            task::sleep(left).await;
+    while let Ok((deliver_at, bytes)) = receiver.recv().await {
+        let remaining = deliver_at.saturating_duration_since(Instant::now());
+        if !remaining.is_zero() {
+            task::sleep(remaining).await;
         }
-        // a TCP stream cannot lose bytes in its middle, so a cut holds
-        // them back, and what came before it arrives after it
-        while set_blocked.load(Ordering::SeqCst) {
+        // a TCP stream cannot lose bytes, so a blocked link holds them until it is
+        // unblocked
+        while blocked.load(Ordering::SeqCst) {
             task::sleep(Duration::from_millis(20)).await;
         }
-        if to.write_all(&b).await.is_err() {
+        if to.write_all(&bytes).await.is_err() {
             return;
         }
     }
