--- a/sorreldoor/src/control_plane/membership/from_settings.rs
+++ b/sorreldoor/src/control_plane/membership/from_settings.rs
@@ -1,17 +1,17 @@
-//! The membership policy that a core's settings ask for.
+//! The membership policy of a core's settings.
 
-use super::Policy;
+use super::MembershipPolicy;
 use crate::settings::Settings;
 
-impl From<&Settings> for Policy {
-    fn from(settings: &Settings) -> Policy {
-        let (zones, silent_ms) = (settings.tolerate_zones, settings.replace_ms);
+impl From<&Settings> for MembershipPolicy {
+    fn from(settings: &Settings) -> MembershipPolicy {
+        let (zones, replace_after_ms) = (settings.tolerate_zones, settings.replace_ms);
         match settings.tolerate_nodes {
-            Some(nodes) => Policy::tolerating(nodes, zones, silent_ms),
-            None => Policy {
-                voters: settings.cores,
-                zones,
-                silent_ms,
+            Some(nodes) => MembershipPolicy::tolerating(nodes, zones, replace_after_ms),
+            None => MembershipPolicy {
+                target_voters: settings.cores,
+                tolerated_zones: zones,
+                replace_after_ms,
             },
         }
     }
--- a/sorreldoor/src/proxy/daemon.rs
+++ b/sorreldoor/src/proxy/daemon.rs
@@ -1,22 +1,23 @@
-//! The proxy's daemon: sockets, timers and signals around its controller.
+//! The proxy daemon: sockets, timers and signals, and the loop that drives the
+//! controller.
 
 use super::controller::{ControllerEffect, ControllerEvent, ProxyController};
 use super::dialect::Dialect;
 use super::drain::Drain;
-use super::listener::accept;
+use super::listener::accept_connections;
 use super::shared_state::SharedState;
 use super::status_endpoint::{
     serve_status_endpoint, NodeStatus, RequestHandler, StatusEndpoint, StatusHandler,
 };
 use crate::balancer::{Balancer, Locality, SiteLimits};
+use crate::ids::random_id;
 use crate::log_events::{log_event, LogEvent};
 use crate::metrics::{self, EDGE_METRICS};
 use crate::net::{Net, NetEvent};
-use crate::order_id::random_id;
 use crate::runtime::{event_queue, Clock, EventReceiver, Reducer};
 use crate::settings::Settings;
 use crate::start_error::{BindSnafu, SignalsSnafu, StartError};
-use crate::subscription::Pull;
+use crate::subscription::CoreSubscription;
 use async_std::future::timeout;
 use async_std::net::TcpListener;
 use async_std::task;
@@ -26,27 +27,27 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Events that may wait for the controller.
+/// Capacity of the controller's event queue.
 const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Between ticks of the controller.
+/// Time between ticks of the controller.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Between evictions of expired connections to workers.
+/// Time between evictions of expired connections to workers.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// What a proxy node needs beside the settings that all nodes have.
+/// The settings of a proxy node.
 pub struct ProxyOptions {
     /// The settings that all nodes have.
     pub settings: Settings,
     /// Limits on retries and slow start, for all nodes together.
     pub bounds: SiteLimits,
-    /// From the signal to stop until the process must have ended.
+    /// Grace period: from the signal to stop until the process must have exited.
     pub grace: Duration,
 }
 
-/// Runs a proxy node until it is told to stop and has drained.
+/// Runs a proxy node until it receives the signal to stop and has drained.
 ///
 /// # Errors
-/// What could not be set up: a signal handler, or a listener.
+/// [`StartError`] if a signal handler or a listener could not be set up.
 pub fn run<D: Dialect, C: Clock + Send + Sync + 'static>(
     options: ProxyOptions,
     dialect: D,
@@ -59,8 +60,13 @@
         grace,
     } = options;
     let controller = new_controller(&settings, bounds, &clock);
-    let dial_addrs = settings.reach.clone();
-    let shared = Arc::new(SharedState::new(controller, dialect, clock, dial_addrs));
+    let address_overrides = settings.reach.clone();
+    let shared = Arc::new(SharedState::new(
+        controller,
+        dialect,
+        clock,
+        address_overrides,
+    ));
     let (events, received) = event_queue(EVENT_QUEUE_LENGTH);
     let net = Net::new(
         settings.site_fingerprint(),
@@ -83,7 +89,11 @@
             task::spawn(metrics::serve(listener, endpoint, encode));
         }
         log_event(LogEvent::Started, format!("edge {}", settings.node));
-        task::spawn(accept(clients, shared.clone(), settings.max_connections));
+        task::spawn(accept_connections(
+            clients,
+            shared.clone(),
+            settings.max_connections,
+        ));
         run_controller(shared, net, received, grace, &settings).await;
         log_event(LogEvent::Stopped, "edge");
         Ok(())
@@ -100,14 +110,14 @@
         regions: settings.names.zones.iter().map(|(_, r)| *r).collect(),
     };
     let balancer = Balancer::new(locality, bounds, random_id());
-    let subscription = Pull::new(
+    let subscription = CoreSubscription::new(
         &settings.seeds,
         settings.lease_ms,
         now.monotonic_ms,
         now.wall,
     )
-    .named(&settings.node)
-    .paced(&settings.pacing);
+    .with_node_name(&settings.node)
+    .with_pacing(&settings.pacing);
     ProxyController::new(identity, settings.names.clone(), subscription, balancer)
 }
 
@@ -132,7 +142,7 @@
     })
 }
 
-/// Feeds the controller until the node has drained.
+/// Steps the controller with events and ticks until the node has drained.
 async fn run_controller<D: Dialect, C: Clock>(
     shared: Arc<SharedState<D, C>>,
     net: Net<ControllerEvent>,
@@ -175,7 +185,7 @@
 ) -> Vec<ControllerEffect> {
     let now = shared.clock.now();
     let mut controller = shared.lock();
-    controller.running = shared.requests_in_flight.load(Ordering::Relaxed) as u32;
+    controller.requests_in_flight = shared.requests_in_flight.load(Ordering::Relaxed) as u32;
     controller.step(event, now)
 }
 
--- a/sorreldoor/src/proxy/forward_request.rs
+++ b/sorreldoor/src/proxy/forward_request.rs
@@ -1,13 +1,12 @@
-//! One client request from its first attempt to its end: attempts one after
-//! the other, as the balancer decides, until the client has its response or an
-//! error answer.
+//! Forwarding one client request: the balancer chooses a worker for each
+//! attempt, until the client has received a response.
 
-use super::attempt::Event;
 use super::client::Client;
 use super::delivery::Delivery;
 use super::dialect::Dialect;
+use super::request_state::RequestEvent;
 use super::shared_state::SharedState;
-use super::upstream::{run_attempt, AttemptResult, ClientRequest, Exchange};
+use super::upstream::{run_attempt, Attempt, AttemptResult, ClientRequest};
 use crate::balancer::{Decision, RequestId};
 use crate::configuration::hosted::Route;
 use crate::error::ErrorCode;
@@ -17,11 +16,12 @@
 use futures_lite::future::or;
 use std::time::Duration;
 
-/// What the balancer knows of a request at one moment.
+/// The balancer's decision on a request, and what an attempt needs beside it.
 struct Placement {
     decision: Decision,
-    /// None once the configuration has no route for it.
+    /// `None` if the current configuration has no route for the request.
     route: Option<Route>,
+    /// Milliseconds of the monotonic clock.
     deadline: Millis,
 }
 
@@ -47,28 +47,29 @@
             }
         };
         let Some(route) = placement.route else {
-            return client.answer_error(ErrorCode::UnknownRoute, 0).await;
+            return client.send_error(ErrorCode::UnknownRoute, 0).await;
         };
-        let exchange = Exchange {
+        let attempt = Attempt {
             shared,
             request,
             target: &target,
             route: &route,
             deadline: placement.deadline,
         };
-        match run_attempt(&exchange, client, &mut delivery).await {
+        match run_attempt(&attempt, client, &mut delivery).await {
             AttemptResult::Finished { keep_alive } => return keep_alive,
             AttemptResult::Ended => {}
         }
     }
 }
 
+/// Obtains the balancer's decision on the request.
 fn place<D: Dialect, C: Clock>(shared: &SharedState<D, C>, request_id: RequestId) -> Placement {
     let now = shared.now();
     let mut controller = shared.lock();
     let balancer = &mut controller.balancer;
     if shared.is_queue_closed() {
-        balancer.record_event(request_id, Event::Shutdown);
+        balancer.record_event(request_id, RequestEvent::Shutdown);
     }
     let decision = balancer.decide(request_id, now);
     Placement {
@@ -78,7 +79,8 @@
     }
 }
 
-/// Ends a request that is not sent to any (other) worker.
+/// Ends a request of which no further attempt is made; returns whether the
+/// client's connection stays open.
 async fn reject(
     client: &mut Client,
     mut delivery: Delivery,
@@ -86,16 +88,17 @@
     retry_after_ms: Millis,
 ) -> bool {
     if delivery.head_sent {
-        // closing without a last chunk shows that the stream is incomplete
+        // closing without the last chunk marks the stream as incomplete
         return false;
     }
     if let Some(response) = delivery.error_response.take() {
         return client.write(&response).await;
     }
-    client.answer_error(error, retry_after_ms).await
+    client.send_error(error, retry_after_ms).await
 }
 
-/// Waits until woken or the time-out; false once the client has disconnected.
+/// Waits until the balancer may have a worker for the request, or for
+/// `timeout_ms`. Returns false if the client has disconnected.
 async fn wait_in_queue<D: Dialect, C: Clock>(
     shared: &SharedState<D, C>,
     client: &Client,
--- a/sorreldoor/src/proxy/mod.rs
+++ b/sorreldoor/src/proxy/mod.rs
@@ -1,11 +1,11 @@
-//! The reverse proxy of hosted routes: requests and responses pass byte for
-//! byte, the balancer decides where each attempt goes, and a [`Dialect`] knows
-//! the names of headers.
+//! The reverse proxy of hosted routes. It forwards requests and responses byte
+//! for byte, except for hop-by-hop headers and those that a [`Dialect`] defines.
+//! The balancer chooses a worker for each attempt and decides on retries.
 //!
-//! The way of a request: [`accept`] → `serve_connection` → `request_reader` →
-//! `forward_request` (one round per attempt) → `upstream::run_attempt`.
+//! A request passes through [`accept_connections`], `serve_connection`,
+//! `request_reader`, `forward_request` (a loop over the attempts), and
+//! `upstream::run_attempt`.
 
-pub mod attempt;
 mod client;
 mod controller;
 mod daemon;
@@ -17,6 +17,7 @@
 mod listener;
 mod plain_dialect;
 mod request_reader;
+pub mod request_state;
 mod response_writer;
 mod serve_connection;
 mod shared_state;
@@ -27,7 +28,7 @@
 pub use controller::{ControllerEffect, ControllerEvent, ProxyController, ReadyEdge};
 pub use daemon::{run, ProxyOptions};
 pub use dialect::{Dialect, ForwardHeaders, PromptSegment, RequestMetadata, ResponseMetadata};
-pub use listener::accept;
+pub use listener::accept_connections;
 pub use plain_dialect::PlainDialect;
 pub use shared_state::SharedState;
 pub use status_endpoint::{
--- a/sorreldoor/tests/balancer.rs
+++ b/sorreldoor/tests/balancer.rs
@@ -145,7 +145,7 @@
 fn metadata(segments: &[(u64, u32)]) -> RequestMetadata {
     RequestMetadata {
         deadline_ms: Some(5000),
-        tokens_in: segments.iter().map(|segment| segment.1).sum(),
+        prompt_tokens: segments.iter().map(|segment| segment.1).sum(),
         prompt_segments: segments
             .iter()
             .map(|(id, tokens)| PromptSegment {
--- a/testbed/src/capacity/cores.rs
+++ b/testbed/src/capacity/cores.rs
@@ -4,7 +4,7 @@
 use super::{workload, Pending, Process, Role, SimEvent, World};
 use crate::disk::Disk;
 use sorreldoor::consensus::{Member, Timing};
-use sorreldoor::control_plane::membership::Policy;
+use sorreldoor::control_plane::membership::MembershipPolicy;
 use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEffect, ControllerEvent};
 use sorreldoor::discovery;
 use sorreldoor::pacing::Pacing;
@@ -25,22 +25,22 @@
     /// The only constructor of a core's controller.
     fn new_controller(&mut self, process: usize, incarnation: u64) -> Controller {
         let start = ControllerConfig {
-            me: self.hello(process, incarnation),
+            own_hello: self.hello(process, incarnation),
             site: self.site.clone(),
-            seeds: self.seeds(),
-            cores: self.size.cores,
-            membership: Policy {
-                voters: self.size.cores,
-                zones: 1,
-                silent_ms: 30_000,
+            seed_addresses: self.seeds(),
+            founder_count: self.size.cores,
+            membership_policy: MembershipPolicy {
+                target_voters: self.size.cores,
+                tolerated_zones: 1,
+                replace_after_ms: 30_000,
             },
             timing: Timing::for_ack(2000),
             seed: self.rng.draw(),
-            promise: None,
-            sure: false,
-            most_claims: self.size.most_claims,
-            bootstrap: true,
-            grow: false,
+            promised_founders: None,
+            claims_caught_up: false,
+            max_claims: self.size.most_claims,
+            may_bootstrap: true,
+            only_seeds_bootstrap: false,
             pacing: Pacing::default(),
             worker_poll_ms: None,
         };
@@ -135,7 +135,7 @@
                     .flow("disk", "own", "save", bytes);
                 self.at(at, SimEvent::Saved(process, incarnation, seq));
             }
-            ControllerEffect::Keep(what, bytes) => {
+            ControllerEffect::StoreValue(what, bytes) => {
                 if let Role::Core(core) = &mut self.processes[process].role {
                     match what {
                         "sure" => core.sure = true,
@@ -175,7 +175,7 @@
         self.controller(
             process,
             "registry",
-            ControllerEvent::WorkerRegistry(registry),
+            ControllerEvent::WorkerListRead(registry),
         );
         self.after(500, SimEvent::PollRegistry(process, incarnation));
     }
@@ -190,14 +190,18 @@
         for text in &texts {
             meter.flow("in", "worker", "load", text.len());
         }
-        let rows = meter.time("parse", || {
+        let loads = meter.time("parse", || {
             let all = texts.iter().enumerate();
             all.filter_map(|(i, text)| {
                 discovery::read_load(text.as_bytes(), &workload::worker(i)).ok()
             })
             .collect()
         });
-        self.controller(process, "loads", ControllerEvent::Loads { epoch, rows });
+        self.controller(
+            process,
+            "loads",
+            ControllerEvent::LoadsPolled { epoch, loads },
+        );
     }
 
     /// Proposes an operator's change at a random core, and schedules the next.
@@ -240,7 +244,7 @@
             ControllerEvent::Change {
                 request_id,
                 proposal_id,
-                cmd: command,
+                command,
             },
         );
     }
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -5,11 +5,11 @@
 use super::World;
 use crate::disk::Disk;
 use sorreldoor::consensus::Member;
-use sorreldoor::control_plane::membership::Policy;
+use sorreldoor::control_plane::membership::MembershipPolicy;
 use sorreldoor::control_plane::{Controller, ControllerConfig, ControllerEvent};
 use sorreldoor::gateway::request_table::ClusterView;
 use sorreldoor::gateway::{EdgeController, EdgeEvent};
-use sorreldoor::subscription::Pull;
+use sorreldoor::subscription::CoreSubscription;
 use sorreldoor::types::Millis;
 use sorreldoor::wire::Hello;
 use std::collections::BTreeMap;
@@ -184,18 +184,18 @@
         state.disk.open();
         let stored = Some(&state.disk.durable).filter(|stored| !stored.has_no_saves());
         let config = ControllerConfig {
-            me,
+            own_hello: me,
             site: self.site.clone(),
-            seeds: (0..SEED_CORES).map(seed_address).collect(),
-            cores: usize::from(SEED_CORES),
-            membership: Policy::tolerating(self.tolerate, 1, self.replace_ms),
+            seed_addresses: (0..SEED_CORES).map(seed_address).collect(),
+            founder_count: usize::from(SEED_CORES),
+            membership_policy: MembershipPolicy::tolerating(self.tolerate, 1, self.replace_ms),
             timing,
             seed,
-            promise: state.promise.clone(),
-            sure: state.sure,
-            most_claims: self.max_claims,
-            bootstrap: state.bootstrap,
-            grow: self.grow,
+            promised_founders: state.promise.clone(),
+            claims_caught_up: state.sure,
+            max_claims: self.max_claims,
+            may_bootstrap: state.bootstrap,
+            only_seeds_bootstrap: self.grow,
             pacing: self.pacing.clone(),
             worker_poll_ms: self.singleton_poll_ms,
         };
@@ -212,9 +212,9 @@
             state.region,
         );
         let (now, wall) = (self.monotonic_ms(process), self.wall(process));
-        let subscription = Pull::new(&seeds, self.lease_ms, now, wall)
-            .named(&state.name)
-            .paced(&self.pacing);
+        let subscription = CoreSubscription::new(&seeds, self.lease_ms, now, wall)
+            .with_node_name(&state.name)
+            .with_pacing(&self.pacing);
         EdgeController::new(me, cluster, subscription)
     }
 
