--- a/sorreldoor/src/gateway/attempt.rs
+++ b/sorreldoor/src/gateway/attempt.rs
@@ -1,12 +1,12 @@
-//! The task that carries out one attempt of a request at a worker: connect,
-//! wait for permission, send, and bring back a complete response or a stream.
+//! The task that carries out one attempt of a request at a worker: it connects,
+//! waits for permission, sends the request and relays the response.
 
 use super::event::EdgeEvent;
 use super::stream_relay::StreamRelay;
 use super::worker_exchange::{AttemptCommand, StreamPart, WorkerRequest, WorkerResponse};
 use crate::error::ErrorCode;
 use crate::gateway::request_table::{AttemptEvent, AttemptReport, AttemptToken, RequestId};
-use crate::http::{self, Broke, Call};
+use crate::http::{self, Call, CallError};
 use crate::invariants::{broken, Invariant};
 use crate::json;
 use crate::runtime::EventSender;
@@ -47,7 +47,7 @@
 
     /// Carries out the attempt at the worker with this address.
     pub async fn run(self, worker: SocketAddr) {
-        let Ok(stream) = http::open(worker, CONNECT_TIMEOUT).await else {
+        let Ok(stream) = http::connect(worker, CONNECT_TIMEOUT).await else {
             return self.report(AttemptEvent::ConnectFailed).await;
         };
         self.report(AttemptEvent::Connected).await;
@@ -55,7 +55,7 @@
             return;
         };
         let sent = timeout(self.request.timeout, self.send(stream, adapter)).await;
-        match sent.unwrap_or(Err(Broke::Late)) {
+        match sent.unwrap_or(Err(CallError::TimedOut)) {
             Ok(response) if self.is_stream(&response) => self.relay_stream(response).await,
             Ok(response) => self.read_complete(response).await,
             Err(error) => self.report(AttemptEvent::Failed(error_code(error))).await,
@@ -66,7 +66,11 @@
         self.request.streamed && u16::from(response.status()) == 200
     }
 
-    async fn send(&self, stream: TcpStream, adapter: Option<String>) -> Result<Response, Broke> {
+    async fn send(
+        &self,
+        stream: TcpStream,
+        adapter: Option<String>,
+    ) -> Result<Response, CallError> {
         let request = &self.request;
         let mut headers = vec![
             ("x-errand-id", request.id.clone()),
@@ -79,20 +83,20 @@
         let call = Call {
             method: request.method,
             path: request.path.clone(),
-            heads: headers,
+            headers,
             body: request.body.clone(),
         };
         http::send(stream, call).await
     }
 
     async fn read_complete(&self, response: Response) {
-        // a worker that reports that it did not run the request is believed
+        // reported by the worker itself, so a retry is safe
         let not_run = response
             .header("x-ran")
             .is_some_and(|values| values.last().as_str() == "no");
-        let read = http::whole(response, MAX_RESPONSE_BYTES);
+        let read = http::read_response(response, MAX_RESPONSE_BYTES);
         let read = timeout(self.request.timeout, read).await;
-        let response = match read.unwrap_or(Err(Broke::Late)) {
+        let response = match read.unwrap_or(Err(CallError::TimedOut)) {
             Ok(response) => response,
             Err(error) => return self.report(AttemptEvent::Failed(error_code(error))).await,
         };
@@ -104,7 +108,7 @@
         }
         let _ = self.response.try_send(WorkerResponse::Complete {
             status: response.status,
-            content_type: response.kind,
+            content_type: response.content_type,
             location: response.location,
             body: response.body,
         });
@@ -112,8 +116,8 @@
     }
 
     /// Checks that a complete response belongs to this request.
-    fn validate(&self, response: &http::Called) -> Result<(), ErrorCode> {
-        let id = response.request.as_deref();
+    fn validate(&self, response: &http::CompleteResponse) -> Result<(), ErrorCode> {
+        let id = response.request_id.as_deref();
         let other_id = id.is_some_and(|id| id != self.request.id);
         if other_id && !broken(Invariant::ResultOwner) {
             return Err(ErrorCode::MismatchedRequestId);
@@ -121,7 +125,7 @@
         if !self.request.model {
             return Ok(());
         }
-        let is_json = has_media_type(&response.kind, "application/json")
+        let is_json = has_media_type(&response.content_type, "application/json")
             && json::parse(&response.body, MAX_RESPONSE_BYTES).is_ok();
         if id.is_none() || !is_json {
             return Err(ErrorCode::InvalidWorkerResponse);
@@ -138,7 +142,7 @@
             .header("content-type")
             .map_or("", |values| values.last().as_str());
         let is_ndjson = has_media_type(content_type, "application/x-ndjson");
-        if !http::framed(response) || !is_ndjson || id.is_none() {
+        if !http::has_valid_framing(response) || !is_ndjson || id.is_none() {
             return Err(ErrorCode::InvalidWorkerResponse);
         }
         if id != Some(&self.request.id) {
@@ -167,7 +171,7 @@
                 AttemptEvent::StreamEnded
             }
             Err(error_code) => {
-                // the caller must not take this for the end of the stream
+                // distinguishes the failure from the end of the stream
                 let _ = parts.send(StreamPart::Broken(error_code)).await;
                 AttemptEvent::Failed(error_code)
             }
@@ -176,16 +180,16 @@
     }
 }
 
-/// Whether a content type has this media type, whatever its parameters.
+/// Whether a content type has this media type; parameters are ignored.
 fn has_media_type(content_type: &str, media_type: &str) -> bool {
     let essence = content_type.split(';').next().unwrap_or("").trim();
     essence.eq_ignore_ascii_case(media_type)
 }
 
-fn error_code(error: Broke) -> ErrorCode {
+fn error_code(error: CallError) -> ErrorCode {
     match error {
-        Broke::Short => ErrorCode::TruncatedResponse,
-        Broke::Garbage => ErrorCode::InvalidWorkerResponse,
+        CallError::Truncated => ErrorCode::TruncatedResponse,
+        CallError::InvalidResponse => ErrorCode::InvalidWorkerResponse,
         _ => ErrorCode::WorkerDisconnected,
     }
 }
