--- a/sorreldoor/src/control_plane/controller/changes.rs
+++ b/sorreldoor/src/control_plane/controller/changes.rs
@@ -9,7 +9,7 @@
 use crate::log_events::LogEvent;
 use crate::replicated_state::{encode, Command, DocumentSummary, Outcome};
 use crate::types::ProposalId;
-use crate::wire::{OpOutcome, Payload};
+use crate::wire::{Payload, ProposalOutcome};
 use std::sync::Arc;
 
 impl Controller {
@@ -22,11 +22,11 @@
         command: Command,
     ) {
         if self.consensus.is_none() || self.stopping {
-            return self.send_outcome(requester, OpOutcome::NotTaken);
+            return self.send_outcome(requester, ProposalOutcome::Rejected);
         }
         if self.consensus.as_ref().is_some_and(|c| c.is_partitioned()) {
             // a wait would time out; another core may reach the quorum
-            return self.send_outcome(requester, OpOutcome::Unknown);
+            return self.send_outcome(requester, ProposalOutcome::Unknown);
         }
         self.proposals.add_requester(proposal_id, requester);
         let command = self.bind_to_zone_state(command);
@@ -57,7 +57,7 @@
         result: Result<Arc<Vec<u8>>, ProposalError>,
     ) {
         let outcome = proposals::outcome(result);
-        let accepted = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
+        let accepted = matches!(outcome, ProposalOutcome::Committed(Outcome::Applied { .. }));
         self.singleton.proposal_ended(proposal_id, accepted);
         let requesters = self.proposals.take_requesters(proposal_id);
         if !requesters.is_empty() {
@@ -68,10 +68,10 @@
         }
     }
 
-    fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &OpOutcome) {
+    fn log_outcome(&mut self, proposal_id: ProposalId, outcome: &ProposalOutcome) {
         let id = format_proposal_id(proposal_id);
         let (event, details) = match outcome {
-            OpOutcome::Got(Outcome::Applied { version }) => (
+            ProposalOutcome::Committed(Outcome::Applied { version }) => (
                 LogEvent::ChangeCommitted,
                 format!("{id} as serial {version}: {}", self.document_summary()),
             ),
@@ -88,7 +88,7 @@
     }
 
     /// Answers the requester of a change, or of the outcome of one.
-    pub(super) fn send_outcome(&mut self, requester: Requester, outcome: OpOutcome) {
+    pub(super) fn send_outcome(&mut self, requester: Requester, outcome: ProposalOutcome) {
         match requester {
             Requester::Http { request_id } => self.effects.push(ControllerEffect::ChangeDone {
                 request_id,
@@ -96,7 +96,7 @@
             }),
             Requester::Edge { conn, request_id } => self.send(
                 conn,
-                Payload::OpDone {
+                Payload::ProposalResult {
                     request_id,
                     outcome,
                 },
--- a/sorreldoor/src/control_plane/events.rs
+++ b/sorreldoor/src/control_plane/events.rs
@@ -125,7 +125,7 @@
         /// Id of the event that requested it.
         request_id: u64,
         /// The outcome, which may be that it is unknown.
-        outcome: OpOutcome,
+        outcome: ProposalOutcome,
     },
     /// The status and the state may be read now.
     StatusReady {
--- a/sorreldoor/src/doctor/observe.rs
+++ b/sorreldoor/src/doctor/observe.rs
@@ -5,7 +5,7 @@
 use crate::json::{self, Value};
 use crate::settings::Settings;
 use crate::store::probe_directory;
-use crate::wire::{self, Hello, Payload, Refused};
+use crate::wire::{self, FrameError, Hello, Payload};
 use async_std::future::timeout;
 use async_std::io::ReadExt;
 use async_std::net::TcpStream;
@@ -96,10 +96,12 @@
         .await
         .ok()
         .flatten();
-    match frame.map(|frame| wire::unpack(site, &frame)) {
+    match frame.map(|frame| wire::decode_frame(site, &frame)) {
         Some(Ok(Payload::Hello(hello))) => SeedStatus::Core(Box::new(hello)),
-        Some(Err(Refused::Site(hash))) => SeedStatus::OtherSite(format!("fingerprint {hash:x}")),
-        Some(Err(Refused::Protocol(version))) => SeedStatus::OtherProtocol(version),
+        Some(Err(FrameError::SiteMismatch(hash))) => {
+            SeedStatus::OtherSite(format!("fingerprint {hash:x}"))
+        }
+        Some(Err(FrameError::ProtocolMismatch(version))) => SeedStatus::OtherProtocol(version),
         _ => SeedStatus::Unreachable,
     }
 }
@@ -108,7 +110,7 @@
     let mut stream = TcpStream::connect(address).await.ok()?;
     let mut header = [0; 4];
     stream.read_exact(&mut header).await.ok()?;
-    let length = wire::length(header).ok()?;
+    let length = wire::frame_length(header).ok()?;
     let mut frame = vec![0; length];
     stream.read_exact(&mut frame).await.ok()?;
     Some(frame)
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -363,7 +363,7 @@
             weights: Vec::new(),
             regions: update.regions,
         };
-        if encoded.bytes.len() > LARGE_UPDATE {
+        if encoded.bytes.len() > LARGE_UPDATE_BYTES {
             // the core sends no more state until a large update is acknowledged
             self.renew();
         }
--- a/sorreldoor/tests/updates/delivery.rs
+++ b/sorreldoor/tests/updates/delivery.rs
@@ -3,7 +3,7 @@
 use super::{with_routes, Core};
 use sorreldoor::control_plane::updates::{NextUpdate, Updates, MAX_IN_FLIGHT};
 use sorreldoor::net::{self, Push};
-use sorreldoor::wire::{EncodedUpdate, LARGE_UPDATE};
+use sorreldoor::wire::{EncodedUpdate, LARGE_UPDATE_BYTES};
 use std::sync::Arc;
 
 /// Until an edge has applied a large update, further updates are withheld.
@@ -15,7 +15,7 @@
     let NextUpdate::Send(first_update) = updates.next(&core.state, 1, 0, 0) else {
         panic!("an edge without state is sent the complete update");
     };
-    assert!(first_update.bytes.len() > LARGE_UPDATE);
+    assert!(first_update.bytes.len() > LARGE_UPDATE_BYTES);
     for now in [100, 200, 900] {
         core.set_route(now as usize, now);
         assert_eq!(updates.next(&core.state, 1, 0, now), NextUpdate::Withheld);
@@ -26,7 +26,7 @@
     else {
         panic!("the edge lacks three changes");
     };
-    assert!(next_update.bytes.len() < LARGE_UPDATE);
+    assert!(next_update.bytes.len() < LARGE_UPDATE_BYTES);
     assert_eq!(updates.in_flight(), 0);
     let newest = core.state.revision();
     assert_eq!(
