--- a/sorreldoor/src/control_plane/controller/workers.rs
+++ b/sorreldoor/src/control_plane/controller/workers.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl Controller {
-    /// Reads the list if that is due. CompleteResponse on the holder of the singleton role
+    /// Reads the list if that is due. Called on the holder of the singleton role
     /// only, since a read is expensive for the platform.
     pub(super) fn read_worker_list(&mut self) {
         if self.worker_list.begin_read(self.now) {
