--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -1,8 +1,7 @@
-//! An edge's subscription to the state of the cores. The edge keeps a session
-//! with one core and sends it lease renewals; each grant brings the state that
-//! the edge lacks and, if the core has confirmed with its leader that the state
-//! is current, extends the lease. If none is granted in time, one more core gets
-//! a renewal (a hedge), and the session moves to the first core that grants one.
+//! An edge's subscription to the cores' state. It renews its lease at one core; each
+//! grant brings the state that the edge lacks, and extends the lease if the core has
+//! confirmed that this state is current. If no grant arrives in time, one more core
+//! gets a renewal (a hedge), and the session moves to the first that grants one.
 
 mod candidates;
 mod lease;
@@ -29,8 +28,7 @@
 /// Time after the start of an edge in which it uses `STARTUP_RENEW_MS`; four
 /// times as long while no core has confirmed its state.
 const STARTUP_MS: Millis = 1500;
-/// Time beyond `unverified_after_ms` in which a starting edge accepts
-/// unconfirmed state from starting cores only; after it, from any core.
+/// Time beyond `unverified_after_ms` before unconfirmed state is accepted from any core.
 const LEADER_SEARCH_MS: Millis = 1000;
 
 /// An edge's subscription and lease: a state machine without I/O. Its owner calls
@@ -75,8 +73,7 @@
 pub enum GrantOutcome {
     /// The state is confirmed and the lease extended; the delta is applied.
     Confirmed,
-    /// The state is not confirmed, but accepted because the edge has no confirmed
-    /// state yet; the lease is extended and the delta applied.
+    /// Unconfirmed state, accepted only by an edge without confirmed state: as `Confirmed`.
     Unverified,
     /// The lease is not extended, and the delta is ignored.
     Rejected,
