--- a/testbed/src/site/checker.rs
+++ b/testbed/src/site/checker.rs
@@ -28,8 +28,8 @@
 #[must_use]
 pub fn check(world: &World) -> Vec<String> {
     let mut violations = world.violations.clone();
-    configuration_history::executed_once(world, &mut violations);
-    configuration_history::allowed_only(world, &mut violations);
+    configuration_history::check_executions(world, &mut violations);
+    configuration_history::check_forwarding(world, &mut violations);
     responses(world, &mut violations);
     configurations(world, &mut violations);
     draining(world, &mut violations);
--- a/testbed/src/site/clients.rs
+++ b/testbed/src/site/clients.rs
@@ -309,7 +309,7 @@
     }
 
     /// An edge died: its attempts and its clients' connections are lost.
-    pub(crate) fn fail_edge_requests(&mut self, edge: usize) {
+    pub(crate) fn lose_client_connections(&mut self, edge: usize) {
         self.drop_attempts(edge);
         let lost: Vec<u64> = self
             .clients
--- a/testbed/src/site/clocks.rs
+++ b/testbed/src/site/clocks.rs
@@ -16,17 +16,18 @@
         state.frozen_until = state.frozen_until.max(self.now + ms);
         let at = state.frozen_until;
         if clock_stops {
-            state.monotonic_ms -= ms as i64;
+            state.monotonic_offset_ms -= ms as i64;
         }
         self.at(at, move |world| world.wake(process));
     }
 
     pub(super) fn monotonic_ms(&self, process: usize) -> Millis {
-        (CLOCK_START_MS + self.now as i64 + self.processes[process].monotonic_ms).max(0) as Millis
+        (CLOCK_START_MS + self.now as i64 + self.processes[process].monotonic_offset_ms).max(0)
+            as Millis
     }
 
     pub(super) fn wall(&self, process: usize) -> i64 {
-        self.now as i64 + self.processes[process].wall
+        self.now as i64 + self.processes[process].wall_offset_ms
     }
 
     pub(super) fn clocks(&self, process: usize) -> Now {
@@ -66,7 +67,7 @@
         }
         let arrived_at = self.now;
         let action: Action = Box::new(move |world: &mut World| {
-            world.note_wait(process, arrived_at);
+            world.record_wait(process, arrived_at);
             action(world);
         });
         let inbox = &mut self.processes[process].inbox;
--- a/testbed/src/site/configuration_history.rs
+++ b/testbed/src/site/configuration_history.rs
@@ -235,10 +235,10 @@
 
 /// Requests are forwarded and executed only as an acknowledged configuration
 /// allows.
-pub(super) fn allowed_only(world: &World, violations: &mut Vec<String>) {
+pub(super) fn check_forwarding(world: &World, violations: &mut Vec<String>) {
     let history = ConfigurationHistory::new(world);
     for request in &world.forwarded {
-        forwarded_as_allowed(world, &history, request, violations);
+        check_forwarded_request(world, &history, request, violations);
     }
     for (i, worker) in world.workers.iter().enumerate() {
         for Execution { id, .. } in &worker.executions {
@@ -259,7 +259,7 @@
     }
 }
 
-fn forwarded_as_allowed(
+fn check_forwarded_request(
     world: &World,
     history: &ConfigurationHistory,
     request: &ForwardedRequest,
@@ -292,7 +292,7 @@
 /// No request is executed twice unless the configuration that it was first
 /// sent under declares its route idempotent; and none is executed whose client
 /// was told that it would not be.
-pub(super) fn executed_once(world: &World, violations: &mut Vec<String>) {
+pub(super) fn check_executions(world: &World, violations: &mut Vec<String>) {
     let history = ConfigurationHistory::new(world);
     let mut first: BTreeMap<&str, &ForwardedRequest> = BTreeMap::new();
     for request in &world.forwarded {
--- a/testbed/src/site/fault_injection.rs
+++ b/testbed/src/site/fault_injection.rs
@@ -78,27 +78,27 @@
         self.after(interval, move |world| world.inject_faults(mix, end));
     }
 
-    pub(super) fn any_process(&mut self) -> usize {
+    pub(super) fn random_process(&mut self) -> usize {
         self.rng.below(self.processes.len() as u64) as usize
     }
 
-    pub(super) fn any_core(&mut self) -> usize {
+    pub(super) fn random_core(&mut self) -> usize {
         let cores = self.cores();
         cores[self.rng.below(cores.len() as u64) as usize]
     }
 
-    pub(super) fn any_edge(&mut self) -> usize {
+    pub(super) fn random_edge(&mut self) -> usize {
         let edges = self.edges();
         edges[self.rng.below(edges.len() as u64) as usize]
     }
 
-    fn any_worker(&mut self) -> usize {
+    fn random_worker(&mut self) -> usize {
         self.rng.below(self.workers.len() as u64) as usize
     }
 
     fn inject_fault(&mut self, mix: FaultMix) {
-        let process = self.any_process();
-        let peer = self.any_process();
+        let process = self.random_process();
+        let peer = self.random_process();
         let state = &self.processes[process];
         let allowed = if state.core { mix.cores } else { mix.edges };
         let duration = MIN_DURATION_MS + self.rng.below(DURATION_SPREAD_MS);
@@ -114,18 +114,18 @@
             3 if mix.clocks && allowed => {
                 // wall clocks jump both ways, monotonic ones never
                 let jump = self.rng.below(WALL_JUMP_MS) as i64;
-                self.processes[process].wall += jump - (WALL_JUMP_MS / 2) as i64;
+                self.processes[process].wall_offset_ms += jump - (WALL_JUMP_MS / 2) as i64;
             }
             4..=6 if !mix.links => {}
             4 if process != peer => self.block_link_both_ways(process, peer, duration),
             5 if process != peer => self.block_link(process, peer, duration),
             6 => self.isolate_temporarily(process, duration),
             7 if mix.cores => {
-                let core = self.any_core();
+                let core = self.random_core();
                 self.processes[core].disk.sync_ms = 1 + self.rng.below(SLOW_SYNC_MS);
             }
             8 if mix.cores => {
-                let core = self.any_core();
+                let core = self.random_core();
                 self.processes[core].disk.stuck = true;
                 self.after(duration, move |world| {
                     world.processes[core].disk.stuck = false
@@ -161,7 +161,7 @@
     }
 
     fn crash_or_freeze_worker(&mut self, duration: Millis) {
-        let worker = self.any_worker();
+        let worker = self.random_worker();
         if self.rng.chance(WORKER_CRASH_PERCENT) {
             self.crash_worker(worker);
             self.after(duration, move |world| world.restart_worker(worker));
@@ -171,8 +171,8 @@
     }
 
     fn block_worker_link(&mut self, duration: Millis) {
-        let worker = self.any_worker();
-        let edge = self.any_edge();
+        let worker = self.random_worker();
+        let edge = self.random_edge();
         self.blocked_worker_links.insert((edge, worker));
         self.after(duration, move |world| {
             world.blocked_worker_links.remove(&(edge, worker));
@@ -188,7 +188,7 @@
     /// An operator evacuates or readmits a zone, based on the version that a
     /// random process knows.
     pub fn random_zone_change(&mut self) {
-        let process = self.any_process();
+        let process = self.random_process();
         let version = self.version_at(process);
         let zone = self.rng.below(self.site.zones.len() as u64) as u16;
         let evacuated = self.rng.chance(40);
--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -78,7 +78,7 @@
     pub proposals: Proposals,
     pub operator_faults: OperatorFaults,
     /// Entries that a core keeps before it compacts its log into a snapshot.
-    pub keep_log: Option<u64>,
+    pub snapshot_entries: Option<u64>,
     /// Answered reads of the configuration, by request.
     pub reads: BTreeMap<u64, Read>,
     pub forwarded: Vec<ForwardedRequest>,
@@ -98,10 +98,10 @@
     /// What events cost cores; none: nothing.
     pub cpu_costs: Option<CpuCosts>,
     /// Cores beyond the seeds may become members.
-    pub grow: bool,
-    pub replace_ms: Millis,
+    pub only_seeds_bootstrap: bool,
+    pub replace_after_ms: Millis,
     /// Cores that may be lost at once.
-    pub tolerate: usize,
+    pub tolerated_core_losses: usize,
     /// Only the holder of the singleton role reads the list of workers, this
     /// often; if not set, every core is given it.
     pub singleton_poll_ms: Option<Millis>,
@@ -165,7 +165,7 @@
             changes: Vec::new(),
             proposals: Proposals::default(),
             operator_faults: OperatorFaults::default(),
-            keep_log: None,
+            snapshot_entries: None,
             reads: BTreeMap::new(),
             forwarded: Vec::new(),
             opened_attempts: Vec::new(),
@@ -177,9 +177,9 @@
             max_claims: 200_000,
             pacing: Pacing::default(),
             cpu_costs: None,
-            grow: false,
-            replace_ms: 10_000,
-            tolerate: 1,
+            only_seeds_bootstrap: false,
+            replace_after_ms: 10_000,
+            tolerated_core_losses: 1,
             singleton_poll_ms: None,
             registry_reads: 0,
             bytes: BTreeMap::new(),
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -78,7 +78,7 @@
     }
 
     /// A process answers a change.
-    pub(crate) fn changed(&mut self, request_id: u64, outcome: OpOutcome) {
+    pub(crate) fn change_answered(&mut self, request_id: u64, outcome: OpOutcome) {
         let now = self.now;
         self.proposal_answered(request_id, &outcome);
         let mut changes = self.changes.iter_mut();
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -73,9 +73,11 @@
     fn core_effect(&mut self, process: usize, effect: ControllerEffect) {
         match effect {
             ControllerEffect::Save(seq, save) => self.save(process, seq, save),
-            ControllerEffect::StoreValue("sure", _) => self.processes[process].sure = true,
+            ControllerEffect::StoreValue("sure", _) => {
+                self.processes[process].claims_caught_up = true
+            }
             ControllerEffect::StoreValue(_, bytes) => {
-                self.processes[process].promise = decode(&bytes)
+                self.processes[process].promised_founders = decode(&bytes)
             }
             ControllerEffect::Send(conn, payload) => self.send(process, conn, payload),
             ControllerEffect::Connect(addr) => self.connect(process, addr),
@@ -84,13 +86,13 @@
             ControllerEffect::ChangeDone {
                 request_id,
                 outcome,
-            } => self.changed(request_id, outcome),
+            } => self.change_answered(request_id, outcome),
             ControllerEffect::ViewReady {
                 request_id,
                 confirmed,
             } => {
                 self.record_read(process, request_id, confirmed);
-                self.viewed(process, request_id, confirmed);
+                self.read_answered(process, request_id, confirmed);
             }
             ControllerEffect::StatusReady { .. } => {}
             ControllerEffect::ReadWorkerList => self.read_registry(process),
@@ -107,7 +109,9 @@
             EdgeEffect::Send(conn, payload) => self.send(process, conn, payload),
             EdgeEffect::Connect(addr) => self.connect(process, addr),
             EdgeEffect::Disconnect(addr) => self.disconnect(process, addr),
-            EdgeEffect::ProposalResult(request_id, outcome) => self.changed(request_id, outcome),
+            EdgeEffect::ProposalResult(request_id, outcome) => {
+                self.change_answered(request_id, outcome)
+            }
             EdgeEffect::Request(effect) => self.request_effect(process, effect),
             EdgeEffect::Admitted(request_id, profile) => {
                 self.send_body(process, request_id, profile)
--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -56,16 +56,16 @@
     /// What arrived while it was frozen, in order, by incarnation.
     pub(crate) inbox: Inbox,
     /// How far this process' clocks are from true time.
-    pub monotonic_ms: i64,
-    pub wall: i64,
+    pub monotonic_offset_ms: i64,
+    pub wall_offset_ms: i64,
     /// The addresses it wants connections to, each with the id of the dial.
     pub peer_addresses: BTreeMap<SocketAddr, u64>,
     pub disk: Disk,
     /// What a core keeps on disk while it founds a site.
-    pub promise: Option<Vec<Member>>,
-    pub sure: bool,
+    pub promised_founders: Option<Vec<Member>>,
+    pub claims_caught_up: bool,
     /// It may found a site.
-    pub bootstrap: bool,
+    pub may_bootstrap: bool,
     /// An edge's attempts in flight, by token.
     pub attempts: BTreeMap<u64, Attempt>,
 }
@@ -118,13 +118,13 @@
             wake_scheduled: false,
             longest_backlog_ms: 0,
             inbox: Inbox::default(),
-            monotonic_ms: 0,
-            wall: 0,
+            monotonic_offset_ms: 0,
+            wall_offset_ms: 0,
             peer_addresses: BTreeMap::new(),
             disk: Disk::default(),
-            promise: None,
-            sure: false,
-            bootstrap: true,
+            promised_founders: None,
+            claims_caught_up: false,
+            may_bootstrap: true,
             attempts: BTreeMap::new(),
         });
         self.processes.len() - 1
@@ -149,8 +149,8 @@
         let id = self.random_process_id();
         let state = &mut self.processes[process];
         state.disk = Disk::default();
-        state.promise = None;
-        state.sure = false;
+        state.promised_founders = None;
+        state.claims_caught_up = false;
         state.id = id;
     }
 
@@ -179,7 +179,7 @@
     fn new_controller(&mut self, process: usize, me: Hello, seed: u64) -> Controller {
         let now = self.monotonic_ms(process);
         let mut timing = self.pacing.timing(self.ack_ms);
-        timing.snapshot_entries = self.keep_log.unwrap_or(timing.snapshot_entries);
+        timing.snapshot_entries = self.snapshot_entries.unwrap_or(timing.snapshot_entries);
         let state = &mut self.processes[process];
         state.disk.open();
         let stored = Some(&state.disk.durable).filter(|stored| !stored.has_no_saves());
@@ -188,14 +188,18 @@
             site: self.site.clone(),
             seed_addresses: (0..SEED_CORES).map(seed_address).collect(),
             founder_count: usize::from(SEED_CORES),
-            membership_policy: MembershipPolicy::tolerating(self.tolerate, 1, self.replace_ms),
+            membership_policy: MembershipPolicy::tolerating(
+                self.tolerated_core_losses,
+                1,
+                self.replace_after_ms,
+            ),
             timing,
             seed,
-            promised_founders: state.promise.clone(),
-            claims_caught_up: state.sure,
+            promised_founders: state.promised_founders.clone(),
+            claims_caught_up: state.claims_caught_up,
             max_claims: self.max_claims,
-            may_bootstrap: state.bootstrap,
-            only_seeds_bootstrap: self.grow,
+            may_bootstrap: state.may_bootstrap,
+            only_seeds_bootstrap: self.only_seeds_bootstrap,
             pacing: self.pacing.clone(),
             worker_poll_ms: self.singleton_poll_ms,
         };
@@ -273,7 +277,7 @@
         state.inbox.clear();
         state.disk.crash(survive);
         self.close_all(process);
-        self.fail_edge_requests(process);
+        self.lose_client_connections(process);
     }
 }
 
--- a/testbed/src/site/processor.rs
+++ b/testbed/src/site/processor.rs
@@ -54,7 +54,7 @@
     }
 
     /// A process handles an event that had to wait.
-    pub(super) fn note_wait(&mut self, process: usize, arrived_at: Millis) {
+    pub(super) fn record_wait(&mut self, process: usize, arrived_at: Millis) {
         let waited = self.now - arrived_at;
         let longest = &mut self.processes[process].longest_backlog_ms;
         *longest = waited.max(*longest);
--- a/testbed/src/site/proposals.rs
+++ b/testbed/src/site/proposals.rs
@@ -64,13 +64,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OperatorFaults {
     /// Answers that never arrive.
-    pub lost: u64,
+    pub lost_answer_percent: u64,
     /// Cores that die as they acknowledge.
-    pub killed: u64,
+    pub crash_on_commit_percent: u64,
     /// Proposals based on a version that is itself still in flight.
-    pub ahead: u64,
+    pub pending_base_percent: u64,
     /// Acknowledged proposals that are sent again later on.
-    pub repeated: u64,
+    pub resend_percent: u64,
 }
 
 /// All proposals and reads of a run.
@@ -169,14 +169,14 @@
         if self.proposals.in_flight() < MAX_IN_FLIGHT {
             self.propose_changes();
         }
-        self.read_at_any_core();
+        self.read_at_random_core();
         let gap_ms = 20 + self.rng.below(250);
         self.after(gap_ms, move |world| world.run_operators(end));
     }
 
     fn propose_changes(&mut self) {
         let mut base = self.proposals.known.max(INITIAL_STATE.0);
-        if self.rng.chance(self.operator_faults.ahead) {
+        if self.rng.chance(self.operator_faults.pending_base_percent) {
             let open = self.proposals.all.iter().filter(|proposal| !proposal.done);
             base = open.map(|proposal| proposal.version).max().unwrap_or(base);
         }
@@ -215,7 +215,7 @@
     /// Sends a proposal to any node.
     fn send_proposal(&mut self, proposal: usize, retries: u64) {
         let request_id = self.number();
-        let process = self.any_target();
+        let process = self.random_target();
         self.proposals.attempts.push(ProposalAttempt {
             request_id,
             proposal,
@@ -232,11 +232,11 @@
         });
     }
 
-    fn any_target(&mut self) -> usize {
+    fn random_target(&mut self) -> usize {
         if self.rng.chance(75) {
-            self.any_core()
+            self.random_core()
         } else {
-            self.any_edge()
+            self.random_edge()
         }
     }
 
@@ -282,12 +282,16 @@
         attempt.answer = Some((now, outcome.clone()));
         let process = attempt.process;
         let committed = matches!(outcome, OpOutcome::Got(Outcome::Applied { .. }));
-        if committed && self.processes[process].core && self.rng.chance(self.operator_faults.killed)
+        if committed
+            && self.processes[process].core
+            && self
+                .rng
+                .chance(self.operator_faults.crash_on_commit_percent)
         {
             // it dies as it acknowledges; the answer may or may not get out
             self.after(0, move |world| world.crash_temporarily(process));
         }
-        if self.rng.chance(self.operator_faults.lost) {
+        if self.rng.chance(self.operator_faults.lost_answer_percent) {
             return;
         }
         let outcome = outcome.clone();
@@ -314,7 +318,7 @@
         match outcome {
             Outcome::Applied { version } => {
                 self.proposals.known = self.proposals.known.max(version);
-                if self.rng.chance(self.operator_faults.repeated) {
+                if self.rng.chance(self.operator_faults.resend_percent) {
                     let later = self.rng.below(8000);
                     self.after(later, move |world| world.send_proposal(proposal, 0));
                 }
@@ -327,9 +331,9 @@
         self.proposals.all[proposal].done = true;
     }
 
-    fn read_at_any_core(&mut self) {
+    fn read_at_random_core(&mut self) {
         let request_id = self.number();
-        let process = self.any_core();
+        let process = self.random_core();
         self.proposals.configuration_reads.push(ConfigurationRead {
             request_id,
             start: self.now,
@@ -342,7 +346,7 @@
     }
 
     /// A core answers a read with its configuration, proved current if `ok`.
-    pub(crate) fn viewed(&mut self, process: usize, request_id: u64, ok: bool) {
+    pub(crate) fn read_answered(&mut self, process: usize, request_id: u64, ok: bool) {
         let record = self
             .controller(process)
             .and_then(|controller| controller.consensus());
--- a/testbed/src/site/random_configuration.rs
+++ b/testbed/src/site/random_configuration.rs
@@ -149,7 +149,7 @@
     }
 
     fn propose_random_document(&mut self) {
-        let process = self.any_process();
+        let process = self.random_process();
         let Some(current) = self.version_at(process) else {
             return;
         };
@@ -161,7 +161,7 @@
         };
         let command = self.random_command(base);
         if self.rng.chance(RIVAL_PERCENT) {
-            let rival_process = self.any_process();
+            let rival_process = self.random_process();
             let doc = self.random_marked_document();
             let rival = Command::Put {
                 base,
--- a/testbed/src/site/startup.rs
+++ b/testbed/src/site/startup.rs
@@ -39,7 +39,7 @@
     ) -> World {
         let mut world = World::new(seed, preset);
         customize(&mut world);
-        let founded = world.run_until(world.now + BOOTSTRAP_MS, World::is_founded);
+        let founded = world.run_until(world.now + BOOTSTRAP_MS, World::is_bootstrapped);
         assert!(founded, "seed {seed}: the site is founded");
         let command = Command::Put {
             base: 0,
@@ -58,7 +58,7 @@
 
     /// Whether there is a leader and every core has joined: two cores may
     /// found a site and elect a leader before the third hears of it.
-    fn is_founded(&self) -> bool {
+    fn is_bootstrapped(&self) -> bool {
         let has_joined = |core: &usize| {
             let controller = self.controller(*core);
             controller.is_some_and(|controller| controller.consensus().is_some())
--- a/testbed/src/site/traffic.rs
+++ b/testbed/src/site/traffic.rs
@@ -17,19 +17,19 @@
         edges.retain(|edge| pick(self, *edge));
         if !edges.is_empty() {
             let edge = edges[self.rng.below(edges.len() as u64) as usize];
-            self.send_any_request(edge);
+            self.send_random_request(edge);
         }
         let gap = self.request_gap(per_s);
         self.after(gap, move |world| world.traffic(per_s, end, pick));
     }
 
-    fn send_any_request(&mut self, edge: usize) {
-        let key = self.any_prefix_key();
+    fn send_random_request(&mut self, edge: usize) {
+        let key = self.random_prefix_key();
         match self.rng.below(10) {
             0..=4 => self.send_request(edge, "verdict", &key, None),
             5 => self.send_request(edge, "draft", "", None),
             6 => {
-                let home = self.any_region();
+                let home = self.random_region();
                 self.send_request(edge, "question", "", Some(home))
             }
             _ => self.send_request(edge, "page", "", None),
@@ -38,14 +38,14 @@
 
     /// As [`World::traffic`] over all edges, but each client names its home
     /// region, so that any route may be bound to it.
-    pub fn homed_traffic(&mut self, per_s: u64, end: Millis) {
+    pub fn home_region_traffic(&mut self, per_s: u64, end: Millis) {
         if self.now >= end {
             return;
         }
         let edges = self.edges();
         let edge = edges[self.rng.below(edges.len() as u64) as usize];
-        let home = self.any_region();
-        let key = self.any_prefix_key();
+        let home = self.random_region();
+        let key = self.random_prefix_key();
         let route = match self.rng.below(10) {
             0..=2 => "verdict",
             3..=4 => "draft",
@@ -55,14 +55,14 @@
         let key = if route == "verdict" { &key } else { "" };
         self.send_request(edge, route, key, Some(home));
         let gap = self.request_gap(per_s);
-        self.after(gap, move |world| world.homed_traffic(per_s, end));
+        self.after(gap, move |world| world.home_region_traffic(per_s, end));
     }
 
-    fn any_prefix_key(&mut self) -> String {
+    fn random_prefix_key(&mut self) -> String {
         format!("prefix{}", self.rng.below(PREFIX_KEYS))
     }
 
-    fn any_region(&mut self) -> u8 {
+    fn random_region(&mut self) -> u8 {
         self.rng.below(self.site.regions.len() as u64) as u8
     }
 
--- a/testbed/src/site/worker_execution.rs
+++ b/testbed/src/site/worker_execution.rs
@@ -92,7 +92,7 @@
         let (from, to) = (state.region, self.processes[request.edge].region);
         let delay = self.delay(from, to);
         if position.next == 0 {
-            self.notify_edge(worker, request.clone(), AttemptEvent::StreamStarted);
+            self.send_to_edge(worker, request.clone(), AttemptEvent::StreamStarted);
         }
         let event_of = request.clone();
         self.after(delay + 1, move |world| {
@@ -132,6 +132,6 @@
             return;
         }
         self.start_executions(worker);
-        self.notify_edge(worker, request, event);
+        self.send_to_edge(worker, request, event);
     }
 }
--- a/testbed/src/site/worker_requests.rs
+++ b/testbed/src/site/worker_requests.rs
@@ -26,7 +26,7 @@
 
 impl World {
     /// A worker sends an event of an attempt to its edge.
-    pub(super) fn notify_edge(
+    pub(super) fn send_to_edge(
         &mut self,
         worker: usize,
         request: WorkerRequest,
@@ -177,7 +177,7 @@
         let cancelled = !attempts.contains_key(&request.token);
         if !self.workers[worker].up || self.workers[worker].incarnation != incarnation {
             let event = AttemptEvent::Failed(ErrorCode::WorkerDisconnected);
-            return self.notify_edge(worker, request, event);
+            return self.send_to_edge(worker, request, event);
         }
         // a client that cancelled before leaves a closed connection here
         if cancelled && self.rng.chance(CANCELLED_UNSEEN_PERCENT) {
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -247,7 +247,7 @@
         let running = state.running.drain(..);
         let lost: Vec<WorkerRequest> = running.chain(state.waiting.drain(..)).collect();
         for request in lost {
-            self.notify_edge(
+            self.send_to_edge(
                 worker,
                 request,
                 AttemptEvent::Failed(ErrorCode::WorkerDisconnected),
--- a/testbed/tests/site/configurations.rs
+++ b/testbed/tests/site/configurations.rs
@@ -12,7 +12,7 @@
     let doc = testbed::fleet::configuration(&preset);
     let mut world = World::ready_customized(seed, preset, &doc, World::split_worker_groups);
     let end = world.now + 20_000;
-    world.homed_traffic(90, end);
+    world.home_region_traffic(90, end);
     world.random_document_changes(500, end);
     if let Some(s) = faults {
         world.inject_faults(s, end);
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -74,9 +74,9 @@
     let mut world = World::ready_customized(seed, preset, &doc, |world| {
         world.singleton_poll_ms = Some(500);
         world.pacing = hosted_pacing();
-        world.grow = true;
-        world.replace_ms = 2000;
-        world.tolerate = if more > 0 { 2 } else { 1 };
+        world.only_seeds_bootstrap = true;
+        world.replace_after_ms = 2000;
+        world.tolerated_core_losses = if more > 0 { 2 } else { 1 };
         for n in 0..more {
             let zones = world.site.zones.clone();
             let zone = n % zones.len();
@@ -87,7 +87,7 @@
         }
     });
     // of six cores one stands by
-    let voters = world.cores().len().min(2 * world.tolerate + 1);
+    let voters = world.cores().len().min(2 * world.tolerated_core_losses + 1);
     let end = world.now + 10_000;
     let voters_complete = world.run_until(end, |world| {
         let a = world.leader().and_then(|c| world.controller(c));
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -13,9 +13,9 @@
 /// Three seeds, and as many cores again that are no seeds.
 pub fn six_cores(seed: u64) -> World {
     let mut world = World::new(seed, press());
-    world.grow = true;
-    world.tolerate = 2;
-    world.replace_ms = 1500;
+    world.only_seeds_bootstrap = true;
+    world.tolerated_core_losses = 2;
+    world.replace_after_ms = 1500;
     for (z, (name, region)) in world.site.zones.clone().into_iter().enumerate() {
         let addr: SocketAddr = ([127, 0, 0, 1], 7050 + z as u16).into();
         let p = world.add(&format!("more-{name}"), true, z as u16, region, Some(addr));
@@ -55,7 +55,7 @@
     let (ms, changing) = members(world);
     let mut all: Vec<u64> = ms.iter().map(|m| m.id).collect();
     all.sort();
-    let wanted = (2 * world.tolerate + 1).min(all.len());
+    let wanted = (2 * world.tolerated_core_losses + 1).min(all.len());
     !all.is_empty() && !changing && all == ids(world) && voters(world).len() == wanted
 }
 
@@ -72,7 +72,7 @@
         voters(&world)
     );
     for c in world.cores() {
-        world.processes[c].bootstrap = false;
+        world.processes[c].may_bootstrap = false;
     }
     world
 }
@@ -119,7 +119,7 @@
 fn a_wiped_core_is_a_member_again_soon() {
     for seed in seeds(7100..7115) {
         let mut world = grown(seed);
-        world.replace_ms = 60_000;
+        world.replace_after_ms = 60_000;
         assert!(replace_configuration(&mut world, 0));
         let c = world.cores()[(seed % 6) as usize];
         let was = world.processes[c].id;
@@ -173,7 +173,7 @@
         let wait = world.rng.below(1500);
         world.run_for(wait);
         let n = world.replace_core(c);
-        world.processes[n].bootstrap = false;
+        world.processes[n].may_bootstrap = false;
         let from = world.now;
         let done = world.run_until(from + 8000, membership_is_stable);
         assert!(
@@ -220,7 +220,7 @@
     for seed in 7500..7510 {
         let mut world = six_cores(seed);
         for c in world.cores() {
-            world.processes[c].bootstrap = false;
+            world.processes[c].may_bootstrap = false;
         }
         world.run_for(20_000);
         let founded = |c: &usize| {
@@ -236,7 +236,7 @@
         let promised = |world: &World| {
             world.cores().iter().all(|c| {
                 let seed = *c < 3;
-                !seed || world.processes[*c].promise.is_some()
+                !seed || world.processes[*c].promised_founders.is_some()
             })
         };
         let end = world.now + 5000;
@@ -244,7 +244,7 @@
         let all = world.cores();
         for c in &all {
             world.crash(*c);
-            world.processes[*c].bootstrap = false;
+            world.processes[*c].may_bootstrap = false;
             world.processes[*c].disk = Default::default();
         }
         all.iter().for_each(|c| world.start(*c));
@@ -281,7 +281,7 @@
                 }
                 1 => {
                     let n = world.replace_core(c);
-                    world.processes[n].bootstrap = false;
+                    world.processes[n].may_bootstrap = false;
                 }
                 _ => world.start(c),
             }
--- a/testbed/tests/site/herd.rs
+++ b/testbed/tests/site/herd.rs
@@ -28,9 +28,9 @@
     let world = World::ready_customized(seed, preset, &doc, |world| {
         world.singleton_poll_ms = Some(500);
         world.pacing = frugal_pacing();
-        world.grow = true;
-        world.tolerate = 2;
-        world.replace_ms = 1500;
+        world.only_seeds_bootstrap = true;
+        world.tolerated_core_losses = 2;
+        world.replace_after_ms = 1500;
         for (zone, (name, region)) in world.site.zones.clone().into_iter().enumerate() {
             let addr = ([127, 0, 0, 1], 7050 + zone as u16).into();
             let name = format!("more-{name}");
@@ -45,7 +45,7 @@
         "seed {seed}"
     );
     for core in world.cores() {
-        world.processes[core].bootstrap = false;
+        world.processes[core].may_bootstrap = false;
     }
     world
 }
--- a/testbed/tests/site/linearizability.rs
+++ b/testbed/tests/site/linearizability.rs
@@ -9,10 +9,10 @@
 use testbed::site::{FaultMix, OperatorFaults, INITIAL_STATE};
 
 const FAULTS: OperatorFaults = OperatorFaults {
-    lost: 25,
-    killed: 10,
-    ahead: 25,
-    repeated: 60,
+    lost_answer_percent: 25,
+    crash_on_commit_percent: 10,
+    pending_base_percent: 25,
+    resend_percent: 60,
 };
 
 /// Cores die, freeze, are partitioned and have slow disks while operators work;
@@ -40,7 +40,7 @@
 fn with_lost_answers(seed: u64) -> World {
     let mut world = ready_world(seed);
     world.operator_faults = OperatorFaults {
-        killed: 0,
+        crash_on_commit_percent: 0,
         ..FAULTS
     };
     let end = world.now + 8000;
@@ -53,7 +53,8 @@
 fn with_restarts(seed: u64) -> World {
     let preset = preset_for(seed);
     let doc = testbed::fleet::configuration(&preset);
-    let mut world = World::ready_customized(seed, preset, &doc, |world| world.keep_log = Some(4));
+    let mut world =
+        World::ready_customized(seed, preset, &doc, |world| world.snapshot_entries = Some(4));
     world.operator_faults = FAULTS;
     let end = world.now + 12_000;
     world.run_operators(end);
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -12,8 +12,8 @@
 /// Three cores, each in a zone of its own.
 fn three_core_world(seed: u64) -> World {
     let mut world = World::new(seed, preset_for(seed));
-    world.grow = true;
-    world.replace_ms = 1500;
+    world.only_seeds_bootstrap = true;
+    world.replace_after_ms = 1500;
     let end = world.now + 8000;
     // two of them may found the site before the third has heard of it
     let ready = |world: &World| {
@@ -30,7 +30,7 @@
         members(&world)
     );
     for c in world.cores() {
-        world.processes[c].bootstrap = false;
+        world.processes[c].may_bootstrap = false;
     }
     world
 }
@@ -49,7 +49,7 @@
 /// The new one first, and a second later SIGTERM to the old one.
 fn replace_planned(world: &mut World, core: usize) -> usize {
     let standby = world.replace_core(core);
-    world.processes[standby].bootstrap = false;
+    world.processes[standby].may_bootstrap = false;
     world.run_for(1000);
     stop(world, core);
     standby
@@ -144,7 +144,7 @@
             world.crash(core);
             world.after(2000, move |world| {
                 let standby = world.replace_core(core);
-                world.processes[standby].bootstrap = false;
+                world.processes[standby].may_bootstrap = false;
             });
         }
         Second::Power => {
@@ -231,7 +231,7 @@
             let stopping = up(&world)[(seed as usize) % 3];
             let old_id = world.processes[stopping].id;
             let standby = world.replace_core(stopping);
-            world.processes[standby].bootstrap = false;
+            world.processes[standby].may_bootstrap = false;
             let id = world.processes[standby].id;
             let joined = |world: &World| members(world).0.iter().any(|m| m.id == id);
             let end = world.now + 3000;
--- a/testbed/tests/site/restarts.rs
+++ b/testbed/tests/site/restarts.rs
@@ -155,7 +155,7 @@
         let top = version_of(&world, e);
         crash_all(&mut world);
         world.wipe(wiped);
-        world.processes[wiped].bootstrap = false;
+        world.processes[wiped].may_bootstrap = false;
         // this edge reaches none but the wiped core, which reaches no other
         let others: Vec<usize> = cs.iter().copied().filter(|c| *c != wiped).collect();
         for c in &others {
