--- a/testbed/src/site/clients.rs
+++ b/testbed/src/site/clients.rs
@@ -1,5 +1,5 @@
-//! Simulated clients: they send requests, follow redirects, retry as they are
-//! told to, and record exactly what they were answered.
+//! Simulated clients: they send requests, follow redirects, retry after the delay
+//! in a rejection, and record every response.
 
 use super::workers::WorkerRequest;
 use super::{ReceivedBody, World};
@@ -8,17 +8,17 @@
 use sorreldoor::gateway::EdgeEvent;
 use sorreldoor::types::Millis;
 
-/// One way between a client and its edge.
+/// One-way delay between a client and its edge.
 const CLIENT_DELAY_MS: Millis = 1;
-/// Clients that are told to retry after some seconds spread over one more.
+/// Random addition to the delay of a retry.
 const RETRY_JITTER_MS: Millis = 1000;
 
-/// How a request ended for its client.
+/// The outcome of a request at its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutcome {
     /// The request is still in flight.
     Pending,
-    /// A complete response, produced for the request of the given client.
+    /// A complete response; the number is the client for whom it was produced.
     Complete(u64),
     /// A stream that ended with its terminating event.
     StreamComplete,
@@ -33,7 +33,7 @@
 }
 
 impl ClientOutcome {
-    /// Whether it promises that the request neither ran nor will.
+    /// Whether it promises that the request was not executed and will not be.
     #[must_use]
     pub fn promises_not_executed(&self) -> bool {
         use ErrorCode::*;
@@ -55,7 +55,7 @@
     pub id: String,
     /// The prefix key for affinity; may be empty.
     pub key: String,
-    /// The region that the request is bound to, by index.
+    /// The home region of the request, by index.
     pub home: Option<u8>,
     /// The edge, by process.
     pub edge: usize,
@@ -71,7 +71,7 @@
     pub stream_started: bool,
     /// The request was sent again under its id, at another edge.
     pub retried: bool,
-    /// Earlier attempts that were rejected and retried as told.
+    /// Earlier attempts that were rejected and retried after the given delay.
     pub retries: u32,
     pub redirected: bool,
 }
@@ -92,7 +92,7 @@
 }
 
 impl World {
-    /// Sends a new request to an edge; the number of its client.
+    /// Sends a new request to an edge; returns the number of its client.
     pub fn send_request(&mut self, edge: usize, route: &str, key: &str, home: Option<u8>) -> u64 {
         let client_id = self.number();
         let client = Client {
@@ -117,8 +117,8 @@
         client_id
     }
 
-    /// Sends the request of a client again, under its id, to another edge; the
-    /// number of the client that does so.
+    /// Sends the request of a client again, under its id, to another edge; returns
+    /// the number of the new client.
     pub fn retry_request(&mut self, client_id: u64, edge: usize) -> u64 {
         let first = self.clients[&client_id].clone();
         if let Some(client) = self.clients.get_mut(&client_id) {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Sends the head of a request; the body follows once it is admitted.
+    /// Sends the head of a request; the body follows after its admission.
     fn request_admission(&mut self, client_id: u64) {
         let edge = self.clients[&client_id].edge;
         if !self.processes[edge].up {
@@ -165,7 +165,7 @@
         });
     }
 
-    /// The edge has admitted a request: its client sends the body.
+    /// Sends the body of a request that the edge has admitted.
     pub(crate) fn send_body(&mut self, edge: usize, client_id: u64, profile: RequestProfile) {
         let incarnation = self.processes[edge].incarnation;
         // the configuration under which the edge admits it
@@ -187,13 +187,13 @@
         });
     }
 
-    /// The client of an edge's request, unless it has gone to another edge.
+    /// The client of an edge's request, unless it was redirected to another edge.
     pub(crate) fn client_of(&self, edge: usize, request_id: u64) -> Option<u64> {
         let client = self.clients.get(&request_id)?;
         (client.edge == edge).then_some(request_id)
     }
 
-    /// Records how a pending request ended.
+    /// Records the outcome of a request that is still pending.
     pub(crate) fn finish_client(&mut self, client_id: u64, outcome: ClientOutcome) {
         let now = self.now;
         let client = self.clients.get_mut(&client_id);
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The edge rejects a request.
+    /// Records a rejection by the edge; the client may retry.
     pub(crate) fn reject(&mut self, client_id: u64, error_code: ErrorCode, retry_after_s: u64) {
         let client = self.clients.get(&client_id);
         let pending = client.is_some_and(Client::is_pending);
@@ -213,8 +213,8 @@
         }
     }
 
-    /// A client does as it was told: it retries after so many seconds, at a
-    /// ready edge of its region if there is one, until its retries are spent.
+    /// Schedules a client's retry after the given delay, at a ready edge of its
+    /// region if there is one, unless it has used all its retries.
     fn retry_later(&mut self, client_id: u64, retry_after_s: u64) {
         let retries = self.clients[&client_id].retries + 1;
         if retries > self.max_client_retries {
@@ -252,7 +252,7 @@
         }
     }
 
-    /// The edge redirects a request; its client follows once.
+    /// Redirects a request to another edge; a client follows one redirect only.
     pub(crate) fn redirect(&mut self, client_id: u64, name: String) {
         let mut processes = self.processes.iter();
         let target = processes.position(|process| process.name == name);
@@ -269,7 +269,7 @@
         }
     }
 
-    /// The edge passes an attempt's response on: complete, or a stream's head.
+    /// Forwards an attempt's response to the client: complete, or a stream's head.
     pub(crate) fn deliver_response(&mut self, edge: usize, client_id: u64, token: u64) {
         let attempt = self.processes[edge].attempts.get(&token);
         match attempt.and_then(|attempt| attempt.completed_for) {
@@ -282,7 +282,7 @@
         }
     }
 
-    /// An event of a stream arrives at the edge, which passes it on.
+    /// Forwards an event of a stream through the edge to the client.
     pub(crate) fn deliver_stream_event(&mut self, request: WorkerRequest, seq: u64, last: bool) {
         let (edge, incarnation) = (request.edge, request.incarnation);
         self.deliver_to_process(edge, incarnation, move |world| {
@@ -300,7 +300,7 @@
         });
     }
 
-    /// The edge reports that a stream broke, if it had started.
+    /// Records a broken stream, if it had started.
     pub(crate) fn break_stream(&mut self, client_id: u64) {
         let client = self.clients.get(&client_id);
         if client.is_some_and(|client| client.stream_started) {
@@ -308,7 +308,7 @@
         }
     }
 
-    /// An edge died: its attempts and its clients' connections are lost.
+    /// Drops a crashed edge's attempts and its clients' connections.
     pub(crate) fn lose_client_connections(&mut self, edge: usize) {
         self.drop_attempts(edge);
         let lost: Vec<u64> = self
@@ -322,7 +322,7 @@
         }
     }
 
-    /// A client closes its connection before the response is complete.
+    /// Closes a client's connection before the response is complete.
     pub fn cancel_request(&mut self, client_id: u64) {
         let edge = self.clients[&client_id].edge;
         let incarnation = self.processes[edge].incarnation;
