--- a/testbed/src/site/clocks.rs
+++ b/testbed/src/site/clocks.rs
@@ -1,16 +1,17 @@
-//! Frozen processes, and what each process' clocks read.
+//! Freezing processes, each process' clocks, and the delivery of events to a
+//! process that may be down, frozen or busy.
 
 use super::inbox::Lane;
 use super::{Action, World};
 use sorreldoor::runtime::Now;
 use sorreldoor::types::Millis;
 
-/// What clocks read as time begins: far from zero, so that one that stopped
-/// never goes below it.
+/// The reading of monotonic clocks at the start of a run; large, so that a clock
+/// that was stopped stays above zero.
 const CLOCK_START_MS: i64 = 1_000_000;
 
 impl World {
-    /// Freezes a process for a while, and its monotonic clock too if asked to.
+    /// Freezes a process for `ms`, with its monotonic clock if `clock_stops`.
     pub fn freeze(&mut self, process: usize, ms: Millis, clock_stops: bool) {
         let state = &mut self.processes[process];
         state.frozen_until = state.frozen_until.max(self.now + ms);
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Delivers something to a process: dropped if it is down or in another
-    /// incarnation, and queued while it is frozen or busy.
+    /// Runs an action at a process: drops it if the process is down or in another
+    /// incarnation, and queues it while the process is frozen or busy.
     pub(crate) fn deliver_to_process(
         &mut self,
         process: usize,
@@ -48,8 +49,8 @@
         self.deliver_in_lane(process, incarnation, Lane::Ordinary, action);
     }
 
-    /// As [`World::deliver_to_process`], in the lane of urgent events, as in the
-    /// event queue of a daemon.
+    /// As [`World::deliver_to_process`], in one of the two lanes of a daemon's
+    /// event queue.
     pub(super) fn deliver_in_lane(
         &mut self,
         process: usize,
@@ -75,7 +76,8 @@
         self.schedule_wake(process);
     }
 
-    /// Has a process that waits for its processor go on when that is free.
+    /// Schedules [`World::wake`] for when the processor of a process with queued
+    /// events is free.
     fn schedule_wake(&mut self, process: usize) {
         let state = &self.processes[process];
         if state.wake_scheduled || state.frozen_until > self.now || state.inbox.is_empty() {
@@ -89,8 +91,8 @@
         });
     }
 
-    /// A process thaws, or its processor is free: everything that arrived
-    /// meanwhile is delivered, in order, until it freezes or is busy again.
+    /// Delivers the queued events of a process in order, until it is frozen or
+    /// busy.
     fn wake(&mut self, process: usize) {
         while self.processes[process].frozen_until <= self.now {
             if self.busy_until(process).is_some() {
