--- a/testbed/src/site/fault_injection.rs
+++ b/testbed/src/site/fault_injection.rs
@@ -1,5 +1,5 @@
 //! Random fault injection: crashes, freezes, partitions, slow and stuck disks,
-//! clock jumps and dead workers, each for a while; and healing them all.
+//! clock jumps and worker failures; and healing all of them.
 
 use super::World;
 use sorreldoor::replicated_state::Command;
@@ -14,7 +14,7 @@
     /// Blocked links between processes.
     pub links: bool,
     pub clocks: bool,
-    /// Operators evacuate and readmit zones meanwhile.
+    /// Operators evacuate and readmit random zones.
     pub changes: bool,
     /// The longest time between faults.
     pub max_interval_ms: Millis,
@@ -50,22 +50,23 @@
     }
 }
 
-/// A fault lasts at least this long,
+/// The shortest duration of a fault.
 const MIN_DURATION_MS: Millis = 200;
-/// and at most so much longer.
+/// Random addition to the duration of a fault.
 const DURATION_SPREAD_MS: Millis = 5000;
 const MIN_INTERVAL_MS: Millis = 100;
-/// How often, in percent, a frozen process' clock stops with it.
+/// How often, in percent, a frozen process' monotonic clock stops too.
 const CLOCK_STOPS_PERCENT: u64 = 30;
-/// Wall clocks jump by up to half of this in either direction.
+/// Range of a wall clock's jump: up to half of it in either direction.
 const WALL_JUMP_MS: u64 = 8000;
-/// Syncs of a slow disk take up to this long.
+/// The longest sync of a slow disk.
 const SLOW_SYNC_MS: Millis = 120;
-/// How often, in percent, a worker dies rather than freezes.
+/// How often, in percent, a faulty worker crashes rather than freezes.
 const WORKER_CRASH_PERCENT: u64 = 50;
 
 impl World {
-    /// Injects random faults of the mix until `end`; each heals after a while.
+    /// Injects random faults of the mix until `end`. Most heal by themselves; a slow
+    /// disk or a clock jump lasts.
     pub fn inject_faults(&mut self, mix: FaultMix, end: Millis) {
         if self.now >= end {
             return;
@@ -112,7 +113,7 @@
                 self.freeze(process, duration, clock_stops && mix.clocks);
             }
             3 if mix.clocks && allowed => {
-                // wall clocks jump both ways, monotonic ones never
+                // wall clocks jump both ways; monotonic clocks do not jump
                 let jump = self.rng.below(WALL_JUMP_MS) as i64;
                 self.processes[process].wall_offset_ms += jump - (WALL_JUMP_MS / 2) as i64;
             }
@@ -185,8 +186,8 @@
         }
     }
 
-    /// An operator evacuates or readmits a zone, based on the version that a
-    /// random process knows.
+    /// Submits the evacuation or readmission of a random zone to a random process,
+    /// based on that process' version.
     pub fn random_zone_change(&mut self) {
         let process = self.random_process();
         let version = self.version_at(process);
@@ -204,7 +205,7 @@
         }
     }
 
-    /// All processes and workers of a zone die at once.
+    /// Crashes all processes and workers of a zone.
     pub fn crash_zone(&mut self, zone: u16) {
         for process in 0..self.processes.len() {
             if self.processes[process].zone == zone && self.processes[process].up {
@@ -232,7 +233,8 @@
         }
     }
 
-    /// Ends all partitions and disk faults, and starts what is down.
+    /// Ends all partitions and disk faults, and starts all processes and workers that
+    /// are down.
     pub fn heal(&mut self) {
         self.blocked_links.clear();
         self.blocked_worker_links.clear();
