--- a/testbed/src/site/half_open.rs
+++ b/testbed/src/site/half_open.rs
@@ -1,19 +1,16 @@
-//! Connections that are dead at one end only. A machine that loses power says
-//! nothing: the other end of each of its connections goes on sending into the
-//! void, and learns that the connection is dead
+//! Half-open connections: one end has lost power, and the surviving end has not
+//! been notified. The surviving end closes the connection
 //!
-//! - when its next retransmission reaches the machine after its return, which
-//!   answers with a reset, unless that is lost;
-//! - when what it has sent stays unacknowledged for the TCP user time-out, where
-//!   the program sets one;
-//! - or when nothing has arrived for the program's own idle time-out.
+//! - when a retransmission reaches the restarted machine and its reset arrives;
+//! - when data stays unacknowledged for the TCP user time-out, if one is set;
+//! - or when nothing has arrived for the product's own idle time-out.
 
 use super::network::{Connection, IDLE_TIMEOUT_MS};
 use super::World;
 use sorreldoor::types::Millis;
 
-/// The first retransmission after a loss of power; each further one comes after
-/// twice as long (RFC 6298).
+/// The first retransmission after a loss of power; the interval doubles with each
+/// further one (RFC 6298).
 const FIRST_RETRANSMISSION_MS: Millis = 200;
 
 /// What happens to connections whose machine loses power.
@@ -21,8 +18,8 @@
 pub struct HalfOpenFaults {
     /// How often, in percent, no reset reaches the surviving end.
     pub lost_reset_percent: u64,
-    /// Data that stays unacknowledged for so long closes a connection; none if
-    /// the program sets no such time-out.
+    /// The TCP user time-out: unacknowledged data of this age closes a connection;
+    /// `None` if it is not set.
     pub user_timeout_ms: Option<Millis>,
 }
 
@@ -39,7 +36,7 @@
 pub(crate) struct HalfOpen {
     conn: u64,
     connection: Connection,
-    /// Which of the two ends is left.
+    /// The index of the surviving endpoint.
     survivor: usize,
     since: Millis,
     reset_lost: bool,
@@ -53,20 +50,20 @@
 }
 
 impl World {
-    /// A machine loses power: its process dies and its unsynced writes are lost
-    /// or torn as in [`World::crash`], but nobody is told.
+    /// Cuts the power of a machine: its process dies and its unsynced writes are
+    /// lost or torn as in [`World::crash`], but its peers are not notified.
     pub fn power_off(&mut self, process: usize) {
         for conn in self.connections_that(|c| c.ends_at(process)) {
             self.make_half_open(conn, process);
         }
-        // ends that were half-open towards others are gone with the machine
+        // half-open connections that survived at this machine end with it
         let is_own = |half: &HalfOpen| half.connection.endpoints[half.survivor].process == process;
         self.half_open.retain(|half| !is_own(half));
         self.crash(process);
     }
 
-    /// The connections that `dialler` made to `listener` end there, and the
-    /// dialler is not told: its reset or its last packet was lost.
+    /// Closes the connections that `dialler` made to `listener` at the listener
+    /// only, as if the last packet to the dialler was lost.
     pub fn close_at_far_end(&mut self, dialler: usize, listener: usize) {
         let is_dialled = |c: &Connection| {
             c.endpoints[0].process == dialler && c.endpoints[1].process == listener
@@ -94,7 +91,7 @@
         });
     }
 
-    /// Closes the half-open connections whose surviving end has noticed.
+    /// Closes the half-open connections that the surviving end detects as dead.
     pub(super) fn poll_half_open(&mut self) {
         for mut half in std::mem::take(&mut self.half_open) {
             if self.is_noticed(&mut half) {
@@ -117,8 +114,8 @@
         timed_out || idle || self.is_reset(half)
     }
 
-    /// Whether a retransmission reaches the machine, which is back, and its
-    /// reset comes through.
+    /// Whether a retransmission is due and reaches the restarted machine, and its
+    /// reset arrives.
     fn is_reset(&self, half: &mut HalfOpen) -> bool {
         if self.now < half.next_retransmission_at {
             return false;
@@ -128,7 +125,7 @@
         self.processes[half.lost_process()].up && !half.reset_lost
     }
 
-    /// The surviving end closes a half-open connection by itself.
+    /// Closes a half-open connection at the request of its surviving end.
     pub(super) fn close_half_open(&mut self, conn: u64) {
         let position = self.half_open.iter().position(|half| half.conn == conn);
         if let Some(position) = position {
@@ -141,7 +138,7 @@
         let end = &half.connection.endpoints[half.survivor];
         let (process, incarnation) = (end.process, end.incarnation);
         self.notify_closed(half.conn, process, incarnation, 0);
-        // only a survivor that had dialled dials again
+        // only a survivor that had dialled the connection dials again
         self.redial_after(&half.connection, 0);
     }
 }
