--- a/testbed/src/site/inbox.rs
+++ b/testbed/src/site/inbox.rs
@@ -1,5 +1,5 @@
-//! What has arrived at a process and is not handled yet, in the two lanes of the
-//! product's event queue.
+//! The queue of events that a process has not handled yet, with the two lanes of
+//! the product's event queue.
 
 use super::Action;
 use sorreldoor::invariants::{broken, Invariant};
@@ -24,8 +24,8 @@
     }
 }
 
-/// Events in the order in which they are to be handled, each with the
-/// incarnation of the process that it is for.
+/// Queued events, each with the incarnation of the process that it is for; urgent
+/// ones are handled first.
 #[derive(Default)]
 pub(crate) struct Inbox {
     urgent: VecDeque<(u64, Action)>,
