--- a/testbed/src/site/linearizability.rs
+++ b/testbed/src/site/linearizability.rs
@@ -1,19 +1,18 @@
-//! Whether a history of proposals and reads is linearizable: whether all
-//! operations can be put in one order that agrees with real time, in which a
-//! register with compare-and-set by version gives every answer that was given.
+//! Checks that a history of proposals and reads is linearizable: that some order of
+//! the operations agrees with real time, and a register with compare-and-set by
+//! version gives every recorded answer in that order.
 //!
 //! The search is that of Wing and Gong ("Testing and Verifying Concurrent
-//! Objects", 1993): at each point any operation may come next that started
-//! before every remaining one had ended; states that failed before are not
-//! searched again.
+//! Objects", 1993): the next operation may be any that started before the first
+//! end among the remaining ones; states from which the search failed are memoized.
 
 use sorreldoor::types::{Millis, ProposalId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What was called.
+/// The call of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// Replace the content on top of version `base` by that of `id`.
+    /// Replaces the content of version `base` by that of proposal `id`, as `version`.
     CompareAndSet {
         id: ProposalId,
         base: u64,
@@ -22,7 +21,7 @@
     Read,
 }
 
-/// What it returned.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Committed(u64),
@@ -31,11 +30,11 @@
         version: u64,
         content: ProposalId,
     },
-    /// No clear answer: it may take effect at any time from then on, or never.
+    /// No definite answer: it may take effect at any time after its start, or never.
     Unknown,
 }
 
-/// One call with its answer; without an end if there is no answer.
+/// A call with its answer; `end` is `None` if there is no definite answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
     pub start: Millis,
@@ -44,7 +43,7 @@
     pub answer: Answer,
 }
 
-/// The register: version and content, and the proposals that were committed.
+/// The register: version, content, and the version of each committed proposal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Register {
     version: u64,
@@ -52,7 +51,7 @@
     committed: BTreeMap<ProposalId, u64>,
 }
 
-/// What an operation does to the register if it comes next.
+/// The effect of an operation on the register if it comes next.
 enum Next {
     Impossible,
     NoChange,
@@ -85,7 +84,7 @@
             Answer::Unknown if before.is_none() && valid => {
                 Next::Change(self.committing(id, version))
             }
-            // only what can never become valid may be rejected
+            // a proposal may be rejected only if it can never become valid
             Answer::Rejected => {
                 let passed = base < self.version;
                 no_change_if(before.is_none() && (passed || (base == self.version && !valid)))
@@ -113,64 +112,65 @@
 
 struct Search<'a> {
     history: &'a [Operation],
-    /// Points from which the search failed: the operations left and the register.
+    /// Points from which the search failed: the remaining operations and the register.
     failed: BTreeSet<(Vec<usize>, Register)>,
-    /// The fewest operations left at any failed point, and the first that cannot follow.
-    stuck: (usize, String),
+    /// The fewest remaining operations at any failed point, with a description of the
+    /// operation that could not follow.
+    closest_failure: (usize, String),
 }
 
 impl Search<'_> {
-    /// Whether the operations that are left can follow on this register.
-    fn ends(&mut self, mut left: Vec<usize>, register: Register) -> bool {
-        self.skip_unchanging(&mut left, &register);
-        let Some(limit) = self.first_end(&left) else {
-            // what is left has no answer, and need not take effect
+    /// Whether the remaining operations can follow from this state of the register.
+    fn can_complete(&mut self, mut remaining: Vec<usize>, register: Register) -> bool {
+        self.skip_no_change(&mut remaining, &register);
+        let Some(limit) = self.earliest_end(&remaining) else {
+            // the remaining operations have no answer, and need not take effect
             return true;
         };
-        let point = (left.clone(), register);
+        let point = (remaining.clone(), register);
         if self.failed.contains(&point) {
             return false;
         }
-        let (left, register) = &point;
-        for i in self.candidates(left, limit) {
+        let (remaining, register) = &point;
+        for i in self.candidates(remaining, limit) {
             if let Next::Change(next) = register.apply(&self.history[i]) {
-                let rest = left.iter().copied().filter(|j| *j != i).collect();
-                if self.ends(rest, next) {
+                let rest = remaining.iter().copied().filter(|j| *j != i).collect();
+                if self.can_complete(rest, next) {
                     return true;
                 }
             }
         }
-        self.note_stuck(left, limit, register);
+        self.record_failure(remaining, limit, register);
         self.failed.insert(point);
         false
     }
 
-    /// Operations that agree with the register and do not change it may come
-    /// at once: that excludes none of the others.
-    fn skip_unchanging(&self, left: &mut Vec<usize>, register: &Register) {
-        while let Some(limit) = self.first_end(left) {
-            let before = left.len();
-            left.retain(|i| {
+    /// Removes operations that agree with the register and do not change it: placing
+    /// them first excludes no order of the others.
+    fn skip_no_change(&self, remaining: &mut Vec<usize>, register: &Register) {
+        while let Some(limit) = self.earliest_end(remaining) {
+            let before = remaining.len();
+            remaining.retain(|i| {
                 let op = &self.history[*i];
                 op.start > limit || !matches!(register.apply(op), Next::NoChange)
             });
-            if left.len() == before {
+            if remaining.len() == before {
                 return;
             }
         }
     }
 
-    /// The earliest end of the operations that are left.
-    fn first_end(&self, left: &[usize]) -> Option<Millis> {
-        left.iter().filter_map(|i| self.history[*i].end).min()
+    /// The earliest end of the remaining operations.
+    fn earliest_end(&self, remaining: &[usize]) -> Option<Millis> {
+        remaining.iter().filter_map(|i| self.history[*i].end).min()
     }
 
-    /// The operations that may come next; of unanswered attempts of one
-    /// proposal the first stands for all.
-    fn candidates(&self, left: &[usize], limit: Millis) -> Vec<usize> {
+    /// The operations that may come next, with only the first of several unanswered
+    /// attempts of one proposal.
+    fn candidates(&self, remaining: &[usize], limit: Millis) -> Vec<usize> {
         let mut open = Vec::new();
         let mut all = Vec::new();
-        for i in left.iter().copied() {
+        for i in remaining.iter().copied() {
             let op = &self.history[i];
             if op.start > limit {
                 continue;
@@ -186,52 +186,54 @@
         all
     }
 
-    fn note_stuck(&mut self, left: &[usize], limit: Millis, register: &Register) {
-        if left.len() >= self.stuck.0 {
+    fn record_failure(&mut self, remaining: &[usize], limit: Millis, register: &Register) {
+        if remaining.len() >= self.closest_failure.0 {
             return;
         }
-        let first = left.iter().find(|i| self.history[**i].end == Some(limit));
+        let first = remaining
+            .iter()
+            .find(|i| self.history[**i].end == Some(limit));
         let op = first.map(|i| &self.history[*i]);
         let (version, content) = (register.version, register.content);
-        self.stuck = (
-            left.len(),
+        self.closest_failure = (
+            remaining.len(),
             format!("not linearizable: {op:?} at version {version} of {content:x}"),
         );
     }
 }
 
-/// Why a history that starts at a version and content is not linearizable, or
-/// lets a proposal take effect that was rejected at any attempt.
-pub fn violation(history: &[Operation], first: (u64, ProposalId)) -> Option<String> {
-    let rejected = ids(history, |a| *a == Answer::Rejected);
-    let committed = ids(history, |a| matches!(a, Answer::Committed(_)));
+/// Describes why a history is not linearizable from the initial version and content,
+/// or which proposal was both rejected and committed; `None` if it is linearizable.
+pub fn violation(history: &[Operation], initial: (u64, ProposalId)) -> Option<String> {
+    let rejected = proposal_ids(history, |a| *a == Answer::Rejected);
+    let committed = proposal_ids(history, |a| matches!(a, Answer::Committed(_)));
     if let Some(id) = rejected.intersection(&committed).next() {
         return Some(format!("proposal {id:x} was rejected and committed"));
     }
-    let may_act = |op: &&Operation| match op.call {
+    let may_take_effect = |op: &&Operation| match op.call {
         Call::CompareAndSet { id, .. } => op.answer != Answer::Unknown || !rejected.contains(&id),
         Call::Read => true,
     };
-    let mut history: Vec<Operation> = history.iter().filter(may_act).cloned().collect();
+    let mut history: Vec<Operation> = history.iter().filter(may_take_effect).cloned().collect();
     history.sort_by_key(|op| op.start);
     let mut search = Search {
         history: &history,
         failed: BTreeSet::new(),
-        stuck: (usize::MAX, String::new()),
+        closest_failure: (usize::MAX, String::new()),
     };
     let register = Register {
-        version: first.0,
-        content: first.1,
+        version: initial.0,
+        content: initial.1,
         committed: BTreeMap::new(),
     };
-    let ok = search.ends((0..history.len()).collect(), register);
-    (!ok).then_some(search.stuck.1)
+    let linearizable = search.can_complete((0..history.len()).collect(), register);
+    (!linearizable).then_some(search.closest_failure.1)
 }
 
-fn ids(history: &[Operation], f: impl Fn(&Answer) -> bool) -> BTreeSet<ProposalId> {
-    let of = |op: &Operation| match op.call {
-        Call::CompareAndSet { id, .. } if f(&op.answer) => Some(id),
+fn proposal_ids(history: &[Operation], matches: impl Fn(&Answer) -> bool) -> BTreeSet<ProposalId> {
+    let id_of = |op: &Operation| match op.call {
+        Call::CompareAndSet { id, .. } if matches(&op.answer) => Some(id),
         _ => None,
     };
-    history.iter().filter_map(of).collect()
+    history.iter().filter_map(id_of).collect()
 }
