--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -48,11 +48,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Something that happens at a point of virtual time.
+/// An action scheduled for a point of virtual time.
 type Action = Box<dyn FnOnce(&mut World)>;
 
 /// The simulated site and the records of its run. Processes and workers are
-/// named by their index, clients by number, times are in milliseconds.
+/// identified by index, clients by number; times are in milliseconds.
 pub struct World {
     pub now: Millis,
     pub rng: Rand,
@@ -60,10 +60,11 @@
     pub site: Arc<Site>,
     pub processes: Vec<Process>,
     pub(crate) connections: BTreeMap<u64, network::Connection>,
-    /// Connections whose other end has lost power, until they are noticed.
+    /// Connections whose other end has lost power, until the surviving end closes
+    /// them.
     pub(crate) half_open: Vec<half_open::HalfOpen>,
     pub half_open_faults: HalfOpenFaults,
-    /// Pairs of processes (from, to) between which nothing passes.
+    /// Pairs of processes (from, to); what is sent over such a link is withheld.
     pub blocked_links: BTreeSet<(usize, usize)>,
     pub workers: Vec<SimulatedWorker>,
     /// Pairs of an edge (by process) and a worker that it cannot reach.
@@ -74,7 +75,7 @@
     pub draining_since: BTreeMap<usize, Millis>,
     pub clients: BTreeMap<u64, Client>,
     pub changes: Vec<Change>,
-    /// Changes that are retried until they have a clear answer.
+    /// Changes that operators retry until each has a definite outcome.
     pub proposals: Proposals,
     pub operator_faults: OperatorFaults,
     /// Entries that a core keeps before it compacts its log into a snapshot.
@@ -85,46 +86,50 @@
     /// When an edge opened a connection to a worker, and for which client.
     pub opened_attempts: Vec<(Millis, u64)>,
     pub received_bodies: Vec<ReceivedBody>,
-    /// Violations found while the run went on.
+    /// Violations recorded during the run.
     pub violations: Vec<String>,
     pub log_records: Vec<LogRecord>,
-    /// Within so long a change is acknowledged as a rule.
+    /// The target time for acknowledging a change, from which cores derive their
+    /// consensus timing.
     pub ack_ms: Millis,
-    /// How long edges serve on one renewal; longer only to break an invariant.
+    /// How long an edge's lease lasts after a renewal.
     pub lease_ms: Millis,
+    /// Idempotency claims that each core has room for.
     pub max_claims: usize,
     /// Settings of every node of the site.
     pub pacing: Pacing,
-    /// What events cost cores; none: nothing.
+    /// Processor time that events cost cores; `None`: events are instantaneous.
     pub cpu_costs: Option<CpuCosts>,
-    /// Cores beyond the seeds may become members.
+    /// Only the seed cores bootstrap the site; others join it as members.
     pub only_seeds_bootstrap: bool,
+    /// How long a core must be lost before another takes its place.
     pub replace_after_ms: Millis,
-    /// Cores that may be lost at once.
+    /// Cores that the membership policy tolerates losing at once.
     pub tolerated_core_losses: usize,
-    /// Only the holder of the singleton role reads the list of workers, this
-    /// often; if not set, every core is given it.
+    /// The interval at which the holder of the singleton role reads the list of
+    /// workers; if `None`, every core is sent the list instead.
     pub singleton_poll_ms: Option<Millis>,
     /// Reads of the list of workers by the holder of the singleton role.
     pub registry_reads: u64,
-    /// Bytes of frames sent from one process to another.
+    /// Bytes of frames sent, by sending and receiving process.
     pub bytes: BTreeMap<(usize, usize), u64>,
-    /// How often a client that is rejected retries.
+    /// How many times a client retries a rejected request.
     pub max_client_retries: u32,
-    /// After how many seconds it does so, whatever it was told.
+    /// The delay of such a retry in seconds; if `None`, clients follow the
+    /// response's `Retry-After`.
     pub fixed_retry_after_s: Option<u64>,
-    /// Whether clients choose their requests' ids.
+    /// Whether clients choose their requests' idempotency keys.
     pub client_chosen_ids: bool,
     pub claims_traffic: ClaimsTraffic,
-    /// Actions to come, by time and, at one time, in the order of scheduling.
+    /// Scheduled actions, by time and then by order of scheduling.
     queue: BTreeMap<(Millis, u64), Action>,
     scheduled: u64,
     last_number: u64,
 }
 
-/// Actions that may wait at once; a site of three hundred nodes has some thousands.
+/// Limit on queued actions, far above the thousands that a site of 300 nodes has.
 const MAX_SCHEDULED: usize = 200_000;
-/// When connections are looked at for the first time.
+/// When connections are polled for the first time.
 const FIRST_POLL_MS: Millis = 100;
 
 /// The regions and zones of a preset, both sorted by name.
@@ -216,8 +221,8 @@
         self.run_until(end, |_| false);
     }
 
-    /// Lets virtual time pass until `end` or until a condition holds; whether
-    /// it holds.
+    /// Lets virtual time pass until `end` or until a condition holds; returns
+    /// whether it holds.
     pub fn run_until(&mut self, end: Millis, condition: impl Fn(&World) -> bool) -> bool {
         while let Some((at, _)) = self.queue.keys().next().copied() {
             if condition(self) {
@@ -227,10 +232,10 @@
                 break;
             }
             self.now = self.now.max(at);
-            // messages that beget messages would never end
+            // a message loop between processes would never end
             assert!(
                 self.queue.len() < MAX_SCHEDULED,
-                "too many actions wait at {}: a message loop",
+                "too many actions queued at {} ms: a message loop",
                 self.now
             );
             if let Some((_, action)) = self.queue.pop_first() {
@@ -241,7 +246,8 @@
         condition(self)
     }
 
-    /// A number that no request, client or connection of this run has.
+    /// A number that is unique among the requests, clients and connections of the
+    /// run.
     pub fn number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -257,15 +263,15 @@
         base + self.rng.below(2)
     }
 
-    /// The index of the process of that name.
+    /// The index of the process with this name.
     ///
     /// # Panics
-    /// If there is none.
+    /// If no process has it.
     pub fn process(&self, name: &str) -> usize {
         self.processes
             .iter()
             .position(|process| process.name == name)
-            .expect("a process of that name")
+            .expect("a process with this name")
     }
 
     /// The indices of all edges, up or not.
