--- a/testbed/src/site/network.rs
+++ b/testbed/src/site/network.rs
@@ -1,6 +1,6 @@
-//! Connections between processes: ordered and delayed, and silent while their
-//! link is blocked. What is sent over a blocked link is withheld, as by TCP,
-//! and delivered if the link heals before the connection times out.
+//! Connections between processes: ordered and delayed. What is sent over a blocked
+//! link is withheld, as by TCP, and delivered if the link heals before the
+//! connection times out.
 
 use super::inbox::Lane;
 use super::World;
@@ -10,31 +10,31 @@
 use std::collections::btree_map::Entry;
 use std::net::SocketAddr;
 
-/// A connection over which nothing arrives for so long is closed.
+/// A connection on which nothing arrives for this long is closed.
 pub(super) const IDLE_TIMEOUT_MS: Millis = 3000;
-/// Until both ends of a closed connection notice.
+/// Delay until both ends of a closed connection are notified.
 const CLOSE_MS: Millis = 2;
-/// Between attempts to dial an address that cannot be reached.
+/// Interval between attempts to dial an unreachable address.
 const DIAL_RETRY_MS: Millis = 300;
-/// Between the loss of a connection and the next dial.
+/// Delay between the loss of a connection and the next dial.
 const REDIAL_MS: Millis = 50;
-/// Between looks at all connections.
+/// Interval at which all connections are polled.
 const POLL_MS: Millis = 100;
-/// How long a core is down that is restarted behind a partition.
+/// Downtime of a core that restarts while partitioned.
 const PARTITIONED_RESTART_MS: Millis = 300;
 
 /// How a core is partitioned from the other cores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Partition {
-    /// Nothing passes either way; connections fall silent.
+    /// Both directions are blocked; connections stay open.
     Blackhole,
-    /// Nothing passes from the core; it still receives.
+    /// What the core sends is blocked; it still receives.
     OutboundBlocked,
-    /// Nothing passes to the core; it still sends.
+    /// What is sent to the core is blocked; it still sends.
     InboundBlocked,
-    /// Connections break at once, and no new one is made.
+    /// Connections are reset at once, and new ones fail.
     Reset,
-    /// The core is killed as the partition begins, and restarts behind it.
+    /// The core crashes as the partition begins, and restarts while partitioned.
     Restarted,
 }
 
@@ -49,7 +49,7 @@
     ];
 }
 
-/// Bytes and frames that the idempotency claims cost.
+/// Network and disk traffic of idempotency claims.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClaimsTraffic {
     pub frames: u64,
@@ -62,9 +62,9 @@
 pub(crate) struct Endpoint {
     pub process: usize,
     pub incarnation: u64,
-    /// Sent by the other end and withheld while the link is blocked.
+    /// Payloads from the other end, withheld while the link is blocked.
     withheld: Vec<Payload>,
-    /// When the last payload on its way here arrives.
+    /// When the last payload in transit to this end arrives.
     last_delivery_at: Millis,
     pub(super) last_received_at: Millis,
 }
@@ -72,7 +72,7 @@
 /// A connection; endpoint 0 dialled it.
 pub(crate) struct Connection {
     pub endpoints: [Endpoint; 2],
-    /// The dial that made it.
+    /// The id of the [`Dial`] that established it.
     dial_id: u64,
 }
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// A process that dials an address, and for which of its wishes.
+/// A process' standing request for a connection to an address.
 #[derive(Clone, Copy)]
 struct Dial {
     process: usize,
@@ -97,8 +97,8 @@
 }
 
 impl World {
-    /// A process wants a connection to an address, and gets it back when it
-    /// breaks, until it calls [`World::disconnect`].
+    /// Keeps a process connected to an address, redialling when the connection
+    /// breaks, until [`World::disconnect`].
     pub(crate) fn connect(&mut self, process: usize, addr: SocketAddr) {
         let id = self.number();
         let state = &mut self.processes[process];
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A process no longer wants a connection to an address.
+    /// Closes a process' connections to an address and stops dialling it.
     pub(crate) fn disconnect(&mut self, process: usize, addr: SocketAddr) {
         self.processes[process].peer_addresses.remove(&addr);
         let is_dialled = |c: &Connection| {
@@ -141,7 +141,7 @@
         self.blocked_links.contains(&(a, b)) || self.blocked_links.contains(&(b, a))
     }
 
-    /// Dials until it connects, for as long as the process wants it.
+    /// Dials until the connection is established or no longer wanted.
     fn dial(&mut self, dial: Dial) {
         if !self.is_wanted(dial) {
             return;
@@ -190,7 +190,7 @@
         });
     }
 
-    /// A process sends a payload; lost if the connection is closed.
+    /// Sends a payload of a process; it is lost if the connection is closed.
     pub(crate) fn send(&mut self, process: usize, conn: u64, payload: Payload) {
         let charged_bytes = self.charged_bytes(&payload);
         self.charge_frame(process, charged_bytes);
@@ -239,8 +239,8 @@
         });
     }
 
-    /// Delivers what healed links withheld, and closes connections that are
-    /// silent for too long; then again and again.
+    /// Delivers what was withheld on links that have healed, closes idle
+    /// connections, and schedules the next poll.
     pub(crate) fn poll_connections(&mut self) {
         for conn in self.connections_that(|_| true) {
             for to_end in 0..2 {
@@ -264,14 +264,14 @@
                 self.transmit(from, conn, to_end, payload);
             }
         }
-        // a frozen process does not notice the time-out
+        // a frozen process does not act on the time-out
         if idle && self.processes[to].frozen_until <= self.now {
             self.close(conn);
         }
     }
 
-    /// Closes a connection; the ends notice at once, or, if their link is
-    /// blocked, by the idle time-out.
+    /// Closes a connection; its ends are notified at once, or after the idle
+    /// time-out if their link is blocked.
     pub(crate) fn close(&mut self, conn: u64) {
         let Some(connection) = self.connections.get(&conn) else {
             return self.close_half_open(conn);
@@ -292,7 +292,7 @@
         self.redial_after(&connection, wait);
     }
 
-    /// One end learns that a connection is closed.
+    /// Notifies one end after `wait` that its connection is closed.
     pub(super) fn notify_closed(
         &mut self,
         conn: u64,
@@ -307,7 +307,7 @@
         });
     }
 
-    /// The end that dialled a connection, now closed, dials again.
+    /// Has the end that dialled a closed connection dial again.
     pub(super) fn redial_after(&mut self, connection: &Connection, wait: Millis) {
         let [dialler, listener] = &connection.endpoints;
         if let Some(addr) = self.processes[listener.process].addr {
@@ -347,7 +347,8 @@
         }
     }
 
-    /// Both ends of the connections between two processes see them end at once.
+    /// Closes the connections between two processes, blocked or not, and notifies
+    /// both ends.
     fn reset_connections(&mut self, a: usize, b: usize) {
         for conn in self.connections_that(|c| c.joins(a, b)) {
             self.close_after(conn, CLOSE_MS);
