--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: changes submitted to any process, and their outcomes.
+//! Operators' configuration changes, submitted to any process, and their outcomes.
 
 use super::{Change, Read, World};
 use sorreldoor::control_plane::ControllerEvent;
@@ -8,11 +8,11 @@
 use sorreldoor::wire::OpOutcome;
 use std::sync::Arc;
 
-/// Ids of the changes of operators that do not retry start here.
+/// Offset of the proposal ids of changes that are not retried.
 const CHANGE_IDS: ProposalId = 1 << 80;
 
 impl World {
-    /// The version of the configuration that a process knows of.
+    /// The version of the configuration at a process, if it is up and has one.
     pub fn version_at(&self, process: usize) -> Option<u64> {
         match (self.controller(process), self.edge_controller(process)) {
             (Some(controller), _) => controller
@@ -23,14 +23,14 @@
         }
     }
 
-    /// The document that an edge acts on now.
+    /// The configuration document that an edge applies now.
     pub fn doc_at(&self, process: usize) -> Arc<String> {
         self.edge_controller(process)
             .and_then(|controller| controller.cluster.snapshot.view.document.clone())
             .unwrap_or_default()
     }
 
-    /// Submits a change to a process; its index in `changes`.
+    /// Submits a change to a process; returns its index in `changes`.
     pub fn change(&mut self, process: usize, cmd: Command) -> usize {
         let request_id = self.number();
         let proposal_id = ProposalId::from(request_id) + CHANGE_IDS;
@@ -49,7 +49,7 @@
         self.changes.len() - 1
     }
 
-    /// A change reaches a process.
+    /// Delivers a change to a process.
     pub(super) fn submit(
         &mut self,
         process: usize,
@@ -77,7 +77,7 @@
         });
     }
 
-    /// A process answers a change.
+    /// Records the first outcome of a change.
     pub(crate) fn change_answered(&mut self, request_id: u64, outcome: OpOutcome) {
         let now = self.now;
         self.proposal_answered(request_id, &outcome);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A core answers a read of the configuration.
+    /// Records a core's answer to a read of the configuration.
     pub(crate) fn record_read(&mut self, core: usize, request_id: u64, ok: bool) {
         let read = Read {
             at: self.now,
@@ -101,7 +101,7 @@
 }
 
 /// The version that a change is based on, and the zone that it evacuates
-/// (true) or readmits.
+/// (true) or readmits (false), if any.
 fn base_and_zone(cmd: &Command) -> (u64, Option<(u16, bool)>) {
     match cmd {
         Command::Put { base, .. } | Command::MergePatch { base, .. } => (*base, None),
