--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -1,4 +1,4 @@
-//! Steps of the processes' reducers, and what their effects do to the world.
+//! Steps the processes' reducers and carries out their effects.
 
 use super::inbox::Lane;
 use super::{LogRecord, Role, World};
@@ -12,11 +12,11 @@
 use sorreldoor::runtime::Reducer;
 use sorreldoor::types::Millis;
 
-/// How long the platform takes to answer for the list of workers.
+/// Latency of a read of the platform's list of workers.
 const REGISTRY_READ_MS: Millis = 20;
-/// How long the health checks of the workers take.
+/// Latency of the health checks of the workers.
 const HEALTH_CHECK_MS: Millis = 40;
-/// Between looks at a disk whose syncs do not complete.
+/// Interval at which the sync of a stuck disk is tried again.
 const STUCK_DISK_RETRY_MS: Millis = 50;
 
 impl World {
@@ -159,7 +159,8 @@
         });
     }
 
-    /// The holder of the singleton role reads the platform's list of workers.
+    /// Starts a read of the platform's list of workers by the holder of the
+    /// singleton role.
     fn read_registry(&mut self, process: usize) {
         self.registry_reads += 1;
         let registry = WorkerRegistry {
@@ -172,7 +173,7 @@
         });
     }
 
-    /// The platform's answer reaches a core.
+    /// Delivers the platform's list of workers to a core.
     pub(super) fn deliver_registry(
         &mut self,
         process: usize,
