--- a/testbed/src/site/processes.rs
+++ b/testbed/src/site/processes.rs
@@ -1,4 +1,4 @@
-//! The site's processes: creating, starting, ticking and killing them.
+//! The site's processes: creating, starting, ticking and crashing them.
 
 use super::inbox::{Inbox, Lane};
 use super::worker_requests::Attempt;
@@ -22,7 +22,7 @@
 const SEED_CORES: u16 = 3;
 const EDGE_TICK_MS: Millis = 20;
 const REGISTRY_POLL_MS: Millis = 500;
-/// The processes of a new site start within so long.
+/// The processes of a new site start within this time of each other.
 const START_SPREAD_MS: Millis = 200;
 
 /// What a process runs while it is up.
@@ -35,36 +35,38 @@
 /// One process with its machine: clocks, disk and connections.
 pub struct Process {
     pub name: String,
-    /// A core; else an edge.
+    /// Whether it is a core; otherwise it is an edge.
     pub core: bool,
     pub zone: u16,
     pub region: u8,
-    /// Where a core listens for the others.
+    /// The address on which a core listens.
     pub addr: Option<SocketAddr>,
     pub id: u64,
     pub up: bool,
-    /// Raised at every start and crash; events of an older one are dropped.
+    /// Incremented at every start and crash; events of an older one are dropped.
     pub incarnation: u64,
     pub role: Role,
     pub frozen_until: Millis,
-    /// Its processor is busy until then, in microseconds; see [`CpuCosts`].
+    /// When its processor is free, in microseconds; see [`CpuCosts`].
     pub(crate) busy_until_us: u64,
-    /// Its next event is scheduled for when its processor is free.
+    /// Whether [`World::wake`] is scheduled for when its processor is free.
     pub(crate) wake_scheduled: bool,
-    /// The longest that an event waited for the processor, about.
+    /// The longest time that an event was queued for the processor.
     pub longest_backlog_ms: Millis,
-    /// What arrived while it was frozen, in order, by incarnation.
+    /// Events that arrived while it was frozen or busy.
     pub(crate) inbox: Inbox,
-    /// How far this process' clocks are from true time.
+    /// Offset of its monotonic clock from virtual time.
     pub monotonic_offset_ms: i64,
+    /// Offset of its wall clock from virtual time.
     pub wall_offset_ms: i64,
-    /// The addresses it wants connections to, each with the id of the dial.
+    /// The addresses that it keeps connections to, each with the id of the dial.
     pub peer_addresses: BTreeMap<SocketAddr, u64>,
     pub disk: Disk,
-    /// What a core keeps on disk while it founds a site.
+    /// On disk: the founders that a core has promised to bootstrap the site with.
     pub promised_founders: Option<Vec<Member>>,
+    /// On disk: a core has copied its peers' idempotency claims.
     pub claims_caught_up: bool,
-    /// It may found a site.
+    /// Whether it may bootstrap a site.
     pub may_bootstrap: bool,
     /// An edge's attempts in flight, by token.
     pub attempts: BTreeMap<u64, Attempt>,
@@ -75,7 +77,8 @@
 }
 
 impl World {
-    /// Creates a core and the preset's edges in every zone, and starts all.
+    /// Creates a core and the preset's edges in every zone, and schedules their
+    /// starts.
     pub(crate) fn add_processes(&mut self) {
         let zones = self.site.zones.clone();
         for (z, (zone, region)) in zones.iter().enumerate() {
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Creates a process that is down; its index.
+    /// Creates a process that is down; returns its index.
     pub fn add(
         &mut self,
         name: &str,
@@ -134,7 +137,8 @@
         self.rng.draw() >> 1
     }
 
-    /// Starts a blank core at a new address, in the zone of a lost one.
+    /// Starts a core with an empty disk at a new address, in the zone of a lost
+    /// one; returns its index.
     pub fn replace_core(&mut self, lost: usize) -> usize {
         let port = FIRST_REPLACEMENT_PORT + self.processes.len() as u16;
         let addr: SocketAddr = ([127, 0, 0, 1], port).into();
@@ -144,7 +148,7 @@
         core
     }
 
-    /// Empties a machine's disk; its core starts under another id.
+    /// Erases the disk of a core; it starts under a new id.
     pub fn wipe(&mut self, process: usize) {
         let id = self.random_process_id();
         let state = &mut self.processes[process];
@@ -157,7 +161,7 @@
     /// Starts a process from what is on its disk.
     pub fn start(&mut self, process: usize) {
         let seed = self.rng.draw();
-        // a node's own incarnation, unlike the process', is drawn at random
+        // the incarnation in the node's hello is random, unlike the simulation's
         let node_incarnation = self.rng.draw();
         let state = &mut self.processes[process];
         state.up = true;
@@ -263,8 +267,7 @@
         });
     }
 
-    /// Kills a process; of the writes that are not durable yet a random
-    /// number survives.
+    /// Crashes a process; a random prefix of its unsynced writes survives.
     pub fn crash(&mut self, process: usize) {
         let unsynced = self.processes[process].disk.unsynced() as u64;
         let survive = self.rng.below(unsynced + 1) as usize;
