--- a/testbed/src/site/proposals.rs
+++ b/testbed/src/site/proposals.rs
@@ -1,6 +1,6 @@
 //! Operators that keep several proposals in flight and retry each, unchanged,
-//! at another node until it has a clear answer; and the history of all their
-//! attempts and reads for the check of linearizability.
+//! at another node until its outcome is definite; and the history of all their
+//! attempts and reads for the linearizability check.
 
 use super::linearizability::{Answer, Call, Operation};
 use super::World;
@@ -9,19 +9,19 @@
 use sorreldoor::types::{Millis, ProposalId};
 use sorreldoor::wire::OpOutcome;
 
-/// How many proposals operators have in flight at once.
+/// Limit on the proposals in flight.
 const MAX_IN_FLIGHT: usize = 8;
-/// Without an answer for so long an operator retries at another node.
+/// Time without a definite answer after which an operator retries at another node.
 const RETRY_TIMEOUT_MS: Millis = 900;
-/// How long an operator retries one proposal.
+/// Age at which an operator stops retrying a proposal.
 const PROPOSAL_DEADLINE_MS: Millis = 15_000;
 /// The longest one-way delay of a call or an answer.
 const MAX_ONE_WAY_DELAY_MS: Millis = 40;
-/// The configuration that a world starts with: its version and the proposal
-/// that it came from.
+/// The configuration that a world starts with: its version and the id of the
+/// proposal that it came from.
 pub const INITIAL_STATE: (u64, ProposalId) = (1, 0);
 
-/// One proposal, however often it is sent.
+/// One proposal, with all its attempts.
 struct Proposal {
     id: ProposalId,
     base: u64,
@@ -30,7 +30,7 @@
     marker: String,
     cmd: Command,
     proposed_at: Millis,
-    /// The operator has a clear answer, or has given up.
+    /// The operator has a definite answer, or has stopped retrying.
     done: bool,
 }
 
@@ -41,7 +41,7 @@
     process: usize,
     start: Millis,
     answer: Option<(Millis, OpOutcome)>,
-    /// A clear answer has reached the operator.
+    /// A definite answer has reached the operator.
     acknowledged: bool,
 }
 
@@ -52,7 +52,7 @@
     answer: Option<ReadAnswer>,
 }
 
-/// What a core showed as current.
+/// What a core returned as its current configuration.
 #[derive(Clone, Copy)]
 struct ReadAnswer {
     at: Millis,
@@ -60,16 +60,16 @@
     content: ProposalId,
 }
 
-/// Faults around proposals, in percent of the cases.
+/// How often, in percent, each fault around a proposal occurs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OperatorFaults {
-    /// Answers that never arrive.
+    /// An answer is lost on its way to the operator.
     pub lost_answer_percent: u64,
-    /// Cores that die as they acknowledge.
+    /// A core crashes as it acknowledges.
     pub crash_on_commit_percent: u64,
-    /// Proposals based on a version that is itself still in flight.
+    /// A proposal is based on the version of one that is still in flight.
     pub pending_base_percent: u64,
-    /// Acknowledged proposals that are sent again later on.
+    /// An acknowledged proposal is sent again later.
     pub resend_percent: u64,
 }
 
@@ -79,13 +79,13 @@
     all: Vec<Proposal>,
     attempts: Vec<ProposalAttempt>,
     configuration_reads: Vec<ConfigurationRead>,
-    /// The newest version that operators know of.
-    known: u64,
+    /// The newest version that operators have been answered with.
+    newest_known_version: u64,
 }
 
 impl Proposals {
-    /// How many attempts were committed, rejected, and left without a clear
-    /// answer.
+    /// The number of attempts that were committed, rejected, and left without a
+    /// definite answer.
     pub fn counts(&self) -> (usize, usize, usize) {
         let all = self
             .attempts
@@ -175,15 +175,15 @@
     }
 
     fn propose_changes(&mut self) {
-        let mut base = self.proposals.known.max(INITIAL_STATE.0);
+        let mut base = self.proposals.newest_known_version.max(INITIAL_STATE.0);
         if self.rng.chance(self.operator_faults.pending_base_percent) {
             let open = self.proposals.all.iter().filter(|proposal| !proposal.done);
             base = open.map(|proposal| proposal.version).max().unwrap_or(base);
         }
-        // at times the version is not above the current one
+        // one in four is invalid: its version does not exceed its base
         let version = base + self.rng.below(4);
         self.propose(base, version);
-        // another operator races, often with the same version
+        // another operator proposes on the same base, often the same version
         if self.rng.chance(50) {
             let rival = version + self.rng.below(2);
             self.propose(base, rival);
@@ -212,7 +212,7 @@
         self.send_proposal(proposal, 0);
     }
 
-    /// Sends a proposal to any node.
+    /// Sends a proposal to a random node.
     fn send_proposal(&mut self, proposal: usize, retries: u64) {
         let request_id = self.number();
         let process = self.random_target();
@@ -269,7 +269,7 @@
         });
     }
 
-    /// A node answers an attempt.
+    /// Records a node's first answer to an attempt, and sends it to the operator.
     pub(crate) fn proposal_answered(&mut self, request_id: u64, outcome: &OpOutcome) {
         let now = self.now;
         let mut open = self.proposals.attempts.iter().rev();
@@ -288,7 +288,7 @@
                 .rng
                 .chance(self.operator_faults.crash_on_commit_percent)
         {
-            // it dies as it acknowledges; the answer may or may not get out
+            // it crashes as it acknowledges; the answer may or may not be sent
             self.after(0, move |world| world.crash_temporarily(process));
         }
         if self.rng.chance(self.operator_faults.lost_answer_percent) {
@@ -317,13 +317,17 @@
         let proposal = self.proposals.attempts[attempt].proposal;
         match outcome {
             Outcome::Applied { version } => {
-                self.proposals.known = self.proposals.known.max(version);
+                self.proposals.newest_known_version =
+                    self.proposals.newest_known_version.max(version);
                 if self.rng.chance(self.operator_faults.resend_percent) {
                     let later = self.rng.below(8000);
                     self.after(later, move |world| world.send_proposal(proposal, 0));
                 }
             }
-            Outcome::Stale { version } => self.proposals.known = self.proposals.known.max(version),
+            Outcome::Stale { version } => {
+                self.proposals.newest_known_version =
+                    self.proposals.newest_known_version.max(version)
+            }
             Outcome::Invalid { .. } => {}
             _ => return,
         }
@@ -345,7 +349,7 @@
         });
     }
 
-    /// A core answers a read with its configuration, proved current if `ok`.
+    /// Records a core's answer to a read; only one confirmed as current counts.
     pub(crate) fn read_answered(&mut self, process: usize, request_id: u64, ok: bool) {
         let record = self
             .controller(process)
