--- a/testbed/src/site/random_configuration.rs
+++ b/testbed/src/site/random_configuration.rs
@@ -1,16 +1,16 @@
-//! Random configurations and patches as operators may submit them: routes and
-//! services added, removed, renamed and changed; some of them invalid.
+//! Random configurations and patches that add, remove, rename and change routes and
+//! services; some of them are invalid.
 
 use super::World;
 use crate::rand::Rand;
 use sorreldoor::replicated_state::Command;
 use sorreldoor::types::Millis;
 
-/// How often, in percent, another operator races a change.
+/// How often, in percent, another operator submits a change on the same base.
 const RIVAL_PERCENT: u64 = 25;
 
 /// The routes: name, kind, whether streamed, and deadline in milliseconds.
-/// These stay as they are, for the simulated workers know no others.
+/// They are fixed because the simulated clients use them.
 const ROUTES: [(&str, &str, bool, u64); 4] = [
     ("verdict", "prefix", true, 20_000),
     ("draft", "decode", true, 60_000),
@@ -48,8 +48,8 @@
         let weighted = rng.below(llms.len() as u64) as usize;
         let all = llms.iter().enumerate();
         all.map(|(j, s)| {
-            let world = [0, 30, 100][rng.below(3) as usize];
-            share(rng, s, if j == weighted { 50 } else { world })
+            let other_weight = [0, 30, 100][rng.below(3) as usize];
+            share(rng, s, if j == weighted { 50 } else { other_weight })
         })
         .collect()
     };
@@ -59,7 +59,8 @@
     )
 }
 
-/// A random configuration with a service that only it names, by the marker.
+/// A random configuration with a service named after `marker`, which no other
+/// document has.
 pub fn random_document(rng: &mut Rand, regions: &[String], marker: u64) -> String {
     let llms: Vec<String> = [["llm", "big"], ["alt", "zed"]]
         .iter()
@@ -102,7 +103,8 @@
     )
 }
 
-/// The document with a misspelt key, unknown names, cut short, or out of range.
+/// The document made invalid: a misspelt key, unknown names, cut short, or a value
+/// out of range.
 fn corrupted(rng: &mut Rand, doc: &str) -> String {
     match rng.below(4) {
         0 => doc.replacen("\"weight\"", "\"weigth\"", 1),
@@ -139,7 +141,7 @@
 }
 
 impl World {
-    /// Moves half the workers of each kind to a second group.
+    /// Moves every other worker to a second group of its kind.
     pub fn split_worker_groups(&mut self) {
         for (i, worker) in self.registry.workers.iter_mut().enumerate() {
             if i % 2 == 1 {
@@ -153,7 +155,7 @@
         let Some(current) = self.version_at(process) else {
             return;
         };
-        // some are based on an old version, or on one that does not exist yet
+        // one in ten is based on an old version, one in ten on a future one
         let base = match self.rng.below(10) {
             0 => current.saturating_sub(1),
             1 => current + 1,
@@ -202,16 +204,16 @@
         }
     }
 
-    /// Operators submit random configurations until `end`, one every
-    /// `mean_interval` or so.
-    pub fn random_document_changes(&mut self, mean_interval: Millis, end: Millis) {
+    /// Submits random configurations until `end`, about one every
+    /// `mean_interval_ms`.
+    pub fn random_document_changes(&mut self, mean_interval_ms: Millis, end: Millis) {
         if self.now >= end {
             return;
         }
         self.propose_random_document();
-        let interval = 50 + self.rng.below(2 * mean_interval);
+        let interval = 50 + self.rng.below(2 * mean_interval_ms);
         self.after(interval, move |world| {
-            world.random_document_changes(mean_interval, end)
+            world.random_document_changes(mean_interval_ms, end)
         });
     }
 }
