--- a/testbed/src/site/records.rs
+++ b/testbed/src/site/records.rs
@@ -1,4 +1,4 @@
-//! What a run records for the checker and the tests.
+//! Records of a run, for the checker and the tests.
 
 use sorreldoor::log_events::LogEvent;
 use sorreldoor::replicated_state::Command;
@@ -6,7 +6,7 @@
 use sorreldoor::wire::OpOutcome;
 use std::sync::Arc;
 
-/// A configuration change as its operator saw it.
+/// A configuration change and the outcome that its operator received.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub request_id: u64,
@@ -16,7 +16,7 @@
     pub end: Millis,
     /// The version that it is based on.
     pub base: u64,
-    /// The zone that it evacuates (true) or readmits, if it does.
+    /// The zone that it evacuates (true) or readmits (false), if any.
     pub zone: Option<(u16, bool)>,
     pub cmd: Command,
     pub outcome: Option<OpOutcome>,
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Read {
     pub at: Millis,
-    /// It was proved current after the read was requested.
+    /// Whether it was confirmed to be current after the read was requested.
     pub ok: bool,
     pub version: u64,
 }
@@ -37,7 +37,7 @@
     pub at: Millis,
     pub edge: usize,
     pub worker: usize,
-    /// The configuration that the edge acted on.
+    /// The version of the configuration that the edge applied.
     pub version: u64,
     pub doc: Arc<String>,
     pub id: String,
@@ -56,7 +56,7 @@
     pub doc: Arc<String>,
 }
 
-/// A line that a process logged.
+/// A log event of a process.
 #[derive(Clone, Debug)]
 pub struct LogRecord {
     pub at: Millis,
