--- a/testbed/src/site/startup.rs
+++ b/testbed/src/site/startup.rs
@@ -1,4 +1,4 @@
-//! Bringing a simulated site to the point from which most tests start.
+//! Starts a simulated site that is bootstrapped, configured and serving.
 
 use super::World;
 use crate::fleet::{configuration, SitePreset};
@@ -8,7 +8,7 @@
 const BOOTSTRAP_MS: Millis = 20_000;
 const FIRST_CHANGE_MS: Millis = 10_000;
 const READY_MS: Millis = 10_000;
-/// Left to itself for so long once every edge serves.
+/// Time for the site to settle once every edge serves.
 const SETTLE_MS: Millis = 1500;
 
 impl World {
@@ -16,7 +16,7 @@
     /// whose edges all serve.
     ///
     /// # Panics
-    /// If that takes too long.
+    /// If the site is not bootstrapped or serving within its time limit.
     #[must_use]
     pub fn ready(seed: u64, preset: SitePreset) -> World {
         let doc = configuration(&preset);
@@ -29,7 +29,8 @@
         World::ready_customized(seed, preset, doc, |_| {})
     }
 
-    /// As [`World::ready_with`], with something changed before time begins.
+    /// As [`World::ready_with`]; `customize` changes the world before the run
+    /// starts.
     #[must_use]
     pub fn ready_customized(
         seed: u64,
@@ -39,8 +40,8 @@
     ) -> World {
         let mut world = World::new(seed, preset);
         customize(&mut world);
-        let founded = world.run_until(world.now + BOOTSTRAP_MS, World::is_bootstrapped);
-        assert!(founded, "seed {seed}: the site is founded");
+        let bootstrapped = world.run_until(world.now + BOOTSTRAP_MS, World::is_bootstrapped);
+        assert!(bootstrapped, "seed {seed}: the site is not bootstrapped");
         let command = Command::Put {
             base: 0,
             new_version: None,
@@ -51,13 +52,13 @@
             world.changes[change].outcome.is_some()
         });
         let ready = world.run_until(world.now + READY_MS, World::every_edge_serves);
-        assert!(ready, "seed {seed}: every edge serves");
+        assert!(ready, "seed {seed}: some edge does not serve");
         world.run_for(SETTLE_MS);
         world
     }
 
     /// Whether there is a leader and every core has joined: two cores may
-    /// found a site and elect a leader before the third hears of it.
+    /// bootstrap the site and elect a leader before the third joins.
     fn is_bootstrapped(&self) -> bool {
         let has_joined = |core: &usize| {
             let controller = self.controller(*core);
