--- a/testbed/src/site/traffic.rs
+++ b/testbed/src/site/traffic.rs
@@ -1,14 +1,14 @@
-//! Generated traffic: the mix of a deployment's requests at a given rate.
+//! Generated traffic: a deployment's mix of requests at a given rate.
 
 use super::World;
 use sorreldoor::types::Millis;
 
-/// How many prefix keys the requests of a mix share.
+/// The number of prefix keys that the requests share.
 const PREFIX_KEYS: u64 = 24;
 
 impl World {
-    /// Requests of the usual mix until `end`, `per_s` a second in all, spread
-    /// over the edges that `pick` allows.
+    /// Sends requests of the usual mix until `end`, `per_s` a second in total, to
+    /// random edges among those for which `pick` holds.
     pub fn traffic(&mut self, per_s: u64, end: Millis, pick: fn(&World, usize) -> bool) {
         if self.now >= end {
             return;
@@ -36,8 +36,8 @@
         };
     }
 
-    /// As [`World::traffic`] over all edges, but each client names its home
-    /// region, so that any route may be bound to it.
+    /// As [`World::traffic`] over all edges, but each request names a home region,
+    /// so that a configuration may bind any route to it.
     pub fn home_region_traffic(&mut self, per_s: u64, end: Millis) {
         if self.now >= end {
             return;
