--- a/testbed/src/site/worker_execution.rs
+++ b/testbed/src/site/worker_execution.rs
@@ -6,10 +6,10 @@
 use sorreldoor::gateway::request_table::AttemptEvent;
 use sorreldoor::types::Millis;
 
-/// Between the last event of a stream and its end.
+/// Delay between the last event of a stream and its end.
 const STREAM_END_MS: Millis = 2;
 
-/// A stream that a worker sends: its next event and the number of all.
+/// Position in a stream that a worker sends: its next event, and their number.
 #[derive(Clone, Copy)]
 struct StreamPosition {
     next: u64,
