--- a/testbed/src/site/worker_requests.rs
+++ b/testbed/src/site/worker_requests.rs
@@ -1,5 +1,5 @@
-//! The way of a request between an edge and a worker: connecting, forwarding,
-//! cancelling, and the worker's answers.
+//! The exchange between an edge and a worker: connecting, forwarding, cancelling,
+//! and the worker's responses.
 
 use super::workers::{worker_at, WorkerRequest};
 use super::{ForwardedRequest, World};
@@ -8,24 +8,24 @@
 use sorreldoor::gateway::EdgeEvent;
 use sorreldoor::types::Millis;
 
-/// How long an edge waits for a connection to an unreachable worker.
+/// Time after which an edge's connection attempt to an unreachable worker fails.
 const CONNECT_TIMEOUT_MS: Millis = 800;
-/// How often, in percent, a worker does not see the body of a request whose
-/// client cancelled before it arrived.
+/// How often, in percent, a worker does not execute a request that was cancelled
+/// before it arrived.
 const CANCELLED_UNSEEN_PERCENT: u64 = 50;
 
-/// An attempt as the edge's task keeps it.
+/// An edge's attempt to execute a request at a worker.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub worker: usize,
     pub worker_incarnation: u64,
     pub request_id: u64,
-    /// The client whose request the complete response here answers.
+    /// Once the response is complete: the client whose request it answers.
     pub completed_for: Option<u64>,
 }
 
 impl World {
-    /// A worker sends an event of an attempt to its edge.
+    /// Sends an event of an attempt from a worker to its edge.
     pub(super) fn send_to_edge(
         &mut self,
         worker: usize,
@@ -52,7 +52,7 @@
                     attempt.completed_for = Some(request.client);
                 }
             }
-            // the edge's task itself reports the break to the client
+            // the edge's task reports the broken stream to the client itself
             if matches!(event, AttemptEvent::Failed(_)) && attempts.contains_key(&token) {
                 world.break_stream(request_id);
             }
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Carries out what an edge's request table decided.
+    /// Carries out an effect of an edge's request table.
     pub(crate) fn request_effect(&mut self, edge: usize, effect: RequestEffect) {
         match effect {
             RequestEffect::Connect {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The edge sends a request over the connection of an attempt.
+    /// Sends a request over the connection of an attempt.
     fn forward(&mut self, edge: usize, request_id: u64, token: u64) {
         let Some(attempt) = self.processes[edge].attempts.get(&token).cloned() else {
             return;
@@ -179,7 +179,7 @@
             let event = AttemptEvent::Failed(ErrorCode::WorkerDisconnected);
             return self.send_to_edge(worker, request, event);
         }
-        // a client that cancelled before leaves a closed connection here
+        // the worker may find the connection of a cancelled request closed
         if cancelled && self.rng.chance(CANCELLED_UNSEEN_PERCENT) {
             return;
         }
@@ -187,8 +187,8 @@
         self.start_executions(worker);
     }
 
-    /// The edge drops a connection: the worker notices after the delay of the
-    /// link, and cancels the request, whether it waits or runs.
+    /// Closes the connection of an attempt: after the delay of the link the worker
+    /// cancels the request, whether it is queued or running.
     fn drop_attempt(&mut self, edge: usize, token: u64) {
         let Some(attempt) = self.processes[edge].attempts.remove(&token) else {
             return;
@@ -202,7 +202,7 @@
         self.break_stream(attempt.request_id);
     }
 
-    /// An edge dies: all its connections to workers close.
+    /// Closes all connections of a crashed edge to workers.
     pub(crate) fn drop_attempts(&mut self, edge: usize) {
         let tokens: Vec<u64> = self.processes[edge].attempts.keys().copied().collect();
         for token in tokens {
