--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -15,18 +15,18 @@
 const CACHED_PREFIXES: usize = 8;
 const MODEL_SLOTS: u32 = 4;
 const WEB_SLOTS: u32 = 16;
-/// Requests that the usual configuration sends to a worker that just started
-/// (slow start); one more for every two that it has finished.
+/// Requests in flight that the usual configuration allows at a worker that just
+/// started (slow start); one more for every two that it has finished.
 const SLOW_START_LIMIT: u64 = 2;
 
-/// One request as a worker sees it.
+/// One attempt of a request at a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerRequest {
     /// The edge that sent it, by process, and that edge's incarnation.
     pub edge: usize,
     pub incarnation: u64,
     pub request_id: u64,
-    /// The edge's attempt.
+    /// Identifies the attempt at its edge.
     pub token: u64,
     pub client: u64,
     /// The idempotency key.
@@ -34,7 +34,7 @@
 }
 
 impl WorkerRequest {
-    /// Whether both stand for the same attempt of the same edge.
+    /// Whether it is this attempt of this edge.
     pub(super) fn same_attempt(&self, edge: usize, token: u64) -> bool {
         self.token == token && self.edge == edge
     }
@@ -49,34 +49,34 @@
     pub id: String,
 }
 
-/// A model or web worker and all that it did.
+/// A model or web worker and the record of its executions.
 pub struct SimulatedWorker {
     pub name: String,
-    /// A model worker; else a web worker.
+    /// Whether it is a model worker; otherwise it is a web worker.
     pub model: bool,
     pub zone: u16,
     pub region: u8,
     pub slots: u32,
     pub up: bool,
-    /// Raised at every start and crash; events of an older one are ignored.
+    /// Incremented at every start and crash; events of an older one are ignored.
     pub incarnation: u64,
     pub frozen_until: Millis,
     pub running: Vec<WorkerRequest>,
     pub waiting: VecDeque<WorkerRequest>,
     /// Requests finished since the last start.
     pub finished: u64,
-    /// All that ever began to run, over all incarnations.
+    /// All executions that began, over all incarnations.
     pub executions: Vec<Execution>,
     /// Prefixes in the cache, the most recently used last.
     pub cache: VecDeque<String>,
     pub hits: u64,
     pub misses: u64,
     pub peak_in_flight: usize,
-    /// The most requests here beyond the slow-start limit.
+    /// The most requests in flight beyond the slow-start limit.
     pub slow_start_excess: u32,
-    /// Time to read a prefix that is not cached.
+    /// Time to process a prompt prefix that is not cached.
     pub prefill_ms: Millis,
-    /// Time to read the rest of a prompt.
+    /// Time to process the rest of a prompt.
     pub tail_ms: Millis,
     /// Time between the events of a stream.
     pub gap_ms: Millis,
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Looks a prefix up and makes it the most recently used one; whether it
-    /// was cached. Requests without a prefix never hit.
+    /// Looks a prefix up and makes it the most recently used one; returns whether
+    /// it was cached. Requests without a prefix never hit.
     pub(super) fn use_prefix(&mut self, key: String) -> bool {
         if key.is_empty() {
             return false;
@@ -143,7 +143,7 @@
         self.running.retain(|r| !r.same_attempt(edge, token));
     }
 
-    /// Frees the slot of an attempt; whether it ran here.
+    /// Frees the slot of an attempt; returns whether it was running here.
     pub(super) fn finish(&mut self, edge: usize, token: u64) -> bool {
         let before = self.running.len();
         self.running.retain(|r| !r.same_attempt(edge, token));
@@ -209,15 +209,15 @@
             .push(SimulatedWorker::new(name, model, zone, region));
     }
 
-    /// The index of the worker of that name.
+    /// The index of the worker with this name.
     ///
     /// # Panics
-    /// If there is none.
+    /// If no worker has it.
     pub fn worker(&self, name: &str) -> usize {
         self.workers
             .iter()
             .position(|worker| worker.name == name)
-            .expect("a worker of that name")
+            .expect("a worker with this name")
     }
 
     /// The group under which the platform lists a worker.
@@ -228,7 +228,7 @@
         row.map_or_else(String::new, |row| row.group.clone())
     }
 
-    /// The platform lists a worker as draining.
+    /// Lists a worker as draining at the platform.
     pub fn drain_worker(&mut self, worker: usize) {
         let name = self.workers[worker].name.clone();
         let registered = self.registry.workers.iter_mut();
@@ -239,7 +239,7 @@
         self.draining_since.insert(worker, self.now);
     }
 
-    /// A worker dies: all its requests break.
+    /// Crashes a worker: all its attempts fail.
     pub fn crash_worker(&mut self, worker: usize) {
         let state = &mut self.workers[worker];
         state.up = false;
@@ -255,7 +255,7 @@
         }
     }
 
-    /// A worker starts with an empty cache.
+    /// Starts a worker with an empty cache.
     pub fn restart_worker(&mut self, worker: usize) {
         let state = &mut self.workers[worker];
         state.up = true;
@@ -265,8 +265,8 @@
         state.frozen_until = 0;
     }
 
-    /// What a worker answers to a health check; not live if it is down,
-    /// frozen or unknown.
+    /// A worker's answer to a health check; not live if it is down, frozen or
+    /// unknown.
     pub(crate) fn worker_load(&self, name: &str) -> Load {
         let worker = self.workers.iter().find(|worker| worker.name == name);
         match worker {
