--- a/testbed/src/site/checker.rs
+++ b/testbed/src/site/checker.rs
@@ -1,4 +1,4 @@
-//! The checker: what must never happen, looked for in the records of a run.
+//! The checker: finds violated invariants in the records of a run.
 
 use super::configuration_history;
 use super::{ClientOutcome, World};
@@ -7,52 +7,59 @@
 use sorreldoor::wire::OpOutcome;
 use std::collections::BTreeMap;
 
-/// Within so long of its acknowledgement a configuration holds everywhere.
-const CONFIGURATION_MS: Millis = 3000;
-/// Within so long of being listed as draining a worker gets nothing new.
-const DRAINING_MS: Millis = 4000;
-/// Within so long of its acknowledgement an evacuation holds everywhere.
-const EVACUATED_MS: Millis = 5000;
-/// Retries are counted over windows of this length,
+/// Time from the acknowledgement of a configuration until all edges apply it.
+const CONFIGURATION_LIMIT_MS: Millis = 3000;
+/// Time from the listing of a worker as draining until it gets no new requests.
+const DRAINING_LIMIT_MS: Millis = 4000;
+/// Time from the acknowledgement of an evacuation until the zone gets no requests.
+const EVACUATION_LIMIT_MS: Millis = 5000;
+/// Window over which retries are compared with first attempts.
 const RETRY_WINDOW_MS: Millis = 5000;
-/// in which at least so many first attempts began.
-const RETRY_WINDOW_LEAST: u64 = 100;
-/// Spilled requests are counted over windows of this length,
+/// First attempts that a window must have to be checked.
+const MIN_WINDOW_FIRST_ATTEMPTS: u64 = 100;
+/// Window over which spilled requests are compared with all requests.
 const SPILL_WINDOW_MS: Millis = 2000;
-/// in which at least so many requests came.
-const SPILL_WINDOW_LEAST: u64 = 20;
+/// Requests that a window must have to be counted.
+const MIN_WINDOW_REQUESTS: u64 = 20;
 /// Requests beyond the slow-start limit that a worker may hold.
 const SLOW_START_TOLERANCE: u32 = 2;
 
-/// Everything in a run that must never happen; empty for a correct run.
+/// The violated invariants of a run; empty for a correct run.
 #[must_use]
 pub fn check(world: &World) -> Vec<String> {
     let mut violations = world.violations.clone();
     configuration_history::check_executions(world, &mut violations);
     configuration_history::check_forwarding(world, &mut violations);
-    responses(world, &mut violations);
-    configurations(world, &mut violations);
-    draining(world, &mut violations);
-    evacuated(world, &mut violations);
-    races(world, &mut violations);
+    check_responses(world, &mut violations);
+    check_versions(world, &mut violations);
+    check_draining(world, &mut violations);
+    check_evacuations(world, &mut violations);
+    check_races(world, &mut violations);
     violations
 }
 
-/// A response answers its own client; a stream is a prefix of the true one,
-/// and complete if it ended.
-fn responses(world: &World, violations: &mut Vec<String>) {
+/// A complete response reaches the client that it was produced for; a stream's
+/// events arrive in order, and all of them if the stream ended.
+fn check_responses(world: &World, violations: &mut Vec<String>) {
     for (id, client) in &world.clients {
         if matches!(client.outcome, ClientOutcome::Complete(of) if of != *id) {
-            violations.push(format!("client {id} got {:?}", client.outcome));
+            violations.push(format!(
+                "client {id} got a response of another: {:?}",
+                client.outcome
+            ));
         }
         let events = &client.received_events;
         let in_order = events.iter().enumerate().all(|(i, seq)| *seq == i as u64);
         if !in_order {
-            violations.push(format!("client {id} received events {events:?}"));
+            violations.push(format!(
+                "client {id} received events out of order: {events:?}"
+            ));
         }
         let ended = client.outcome == ClientOutcome::StreamComplete;
         if ended && events.len() as u64 != client.events {
-            violations.push(format!("client {id} received an end after {events:?}"));
+            violations.push(format!(
+                "client {id} received the end of its stream after events {events:?}"
+            ));
         }
     }
 }
@@ -61,7 +68,7 @@
 struct Acknowledged {
     at: Millis,
     version: u64,
-    /// The zone that it evacuates (true) or readmits.
+    /// The zone that it evacuates (true) or readmits (false), if any.
     zone: Option<(u16, bool)>,
 }
 
@@ -79,44 +86,47 @@
     acknowledged.collect()
 }
 
-/// Soon after an acknowledgement no edge forwards under an older version, and
-/// none ever goes back to an older one.
-fn configurations(world: &World, violations: &mut Vec<String>) {
+/// `CONFIGURATION_LIMIT_MS` after an acknowledgement no edge forwards under an older
+/// version, and an edge's version never decreases.
+fn check_versions(world: &World, violations: &mut Vec<String>) {
     let acknowledged = acknowledged_changes(world);
     let mut last: BTreeMap<usize, u64> = BTreeMap::new();
     for request in &world.forwarded {
         let due = acknowledged
             .iter()
-            .filter(|change| change.at + CONFIGURATION_MS < request.at)
+            .filter(|change| change.at + CONFIGURATION_LIMIT_MS < request.at)
             .map(|change| change.version)
             .max()
             .unwrap_or(0);
         let edge = &world.processes[request.edge].name;
         if request.version < due {
             violations.push(format!(
-                "{edge} acted on version {} at {}, {due} was due",
+                "{edge} acted on version {} at {}, expected at least {due}",
                 request.version, request.at
             ));
         }
         let before = last.entry(request.edge).or_default();
         if request.version < *before {
-            violations.push(format!("{edge} stepped back"));
+            violations.push(format!(
+                "{edge} went back from version {before} to {}",
+                request.version
+            ));
         }
         *before = (*before).max(request.version);
     }
 }
 
-fn draining(world: &World, violations: &mut Vec<String>) {
+fn check_draining(world: &World, violations: &mut Vec<String>) {
     for request in &world.forwarded {
         let since = world.draining_since.get(&request.worker);
-        if since.is_some_and(|since| since + DRAINING_MS < request.at) {
+        if since.is_some_and(|since| since + DRAINING_LIMIT_MS < request.at) {
             let worker = &world.workers[request.worker].name;
             violations.push(format!("draining {worker} got {}", request.id));
         }
     }
 }
 
-/// A span in which an evacuated zone must get nothing.
+/// A period in which an evacuated zone must get no requests.
 struct Evacuation {
     zone: u16,
     from: Millis,
@@ -135,7 +145,7 @@
         let (zone, true) = change.zone? else {
             return None;
         };
-        let from = change.at + EVACUATED_MS;
+        let from = change.at + EVACUATION_LIMIT_MS;
         let until = readmitted_at(world, &acknowledged, zone, change.version);
         Some(Evacuation { zone, from, until })
     });
@@ -143,11 +153,11 @@
 }
 
 /// When a zone that was evacuated as of `version` may first be readmitted: a
-/// readmission may take effect before its operator is told, or without its
-/// operator ever being told.
+/// readmission may take effect before it is acknowledged, or without ever being
+/// acknowledged.
 fn readmitted_at(world: &World, acknowledged: &[Acknowledged], zone: u16, version: u64) -> Millis {
     let readmits = Some((zone, false));
-    let told = acknowledged
+    let acknowledged_at = acknowledged
         .iter()
         .filter(|change| change.version > version && change.zone == readmits)
         .map(|change| change.at.saturating_sub(world.ack_ms));
@@ -157,12 +167,12 @@
         .filter(|change| change.zone == readmits && change.base >= version)
         .filter(|change| matches!(change.outcome, None | Some(OpOutcome::Unknown)))
         .map(|change| change.start);
-    told.chain(unknown).min().unwrap_or(Millis::MAX)
+    acknowledged_at.chain(unknown).min().unwrap_or(Millis::MAX)
 }
 
-/// Soon after its acknowledged evacuation a zone's workers and edges get no
-/// request, until the zone is readmitted.
-fn evacuated(world: &World, violations: &mut Vec<String>) {
+/// `EVACUATION_LIMIT_MS` after its acknowledged evacuation a zone's workers and edges get
+/// no requests, until the zone is readmitted.
+fn check_evacuations(world: &World, violations: &mut Vec<String>) {
     let evacuations = evacuations(world);
     for request in &world.forwarded {
         let zone = world.workers[request.worker].zone;
@@ -177,13 +187,14 @@
         let forbidden = evacuations.iter().filter(|e| e.forbids(zone, body.at));
         violations.extend(forbidden.map(|_| {
             let (client, at) = (body.client, body.at);
-            format!("edge in evacuated zone {zone} received {client} at {at}")
+            format!("edge in evacuated zone {zone} received a request of client {client} at {at}")
         }));
     }
 }
 
-/// Of changes that race on one version at most one is committed.
-fn races(world: &World, violations: &mut Vec<String>) {
+/// Of the changes based on one version at most one is committed, as the next
+/// version.
+fn check_races(world: &World, violations: &mut Vec<String>) {
     let mut winners: BTreeMap<u64, u64> = BTreeMap::new();
     for change in &world.changes {
         let Some(OpOutcome::Got(Outcome::Applied { version })) = &change.outcome else {
@@ -191,11 +202,13 @@
         };
         if *version != change.base + 1 {
             let base = change.base;
-            violations.push(format!("a change on {base} was committed as {version}"));
+            violations.push(format!(
+                "a change based on version {base} was committed as {version}"
+            ));
         }
         let winner = winners.entry(*version).or_insert(change.request_id);
         if *winner != change.request_id {
-            violations.push(format!("two changes were committed as {version}"));
+            violations.push(format!("two changes were committed as version {version}"));
         }
     }
 }
@@ -213,15 +226,15 @@
         self.retries += u64::from(!is_first);
     }
 
-    /// More than a fifth, beyond the small reserve that each edge may spend.
+    /// Whether retries exceed a fifth of the first attempts, plus two per edge.
     fn over_budget(self, edges: usize) -> bool {
         self.retries > self.first / 5 + 2 * edges as u64
     }
 }
 
 impl World {
-    /// Cores that are up and lack a change that was acknowledged; to be called
-    /// after all faults have healed.
+    /// The running cores that lack an acknowledged change; only meaningful after
+    /// all faults have healed.
     #[must_use]
     pub fn lost_acknowledged_changes(&self) -> Vec<String> {
         let acknowledged = acknowledged_changes(self);
@@ -231,13 +244,14 @@
             let consensus = self.controller(core)?.consensus()?;
             let version = consensus.state_machine().version();
             let name = &self.processes[core].name;
-            (version < newest).then(|| format!("{name} is at {version}, {newest} was acked"))
+            (version < newest)
+                .then(|| format!("{name} is at version {version}, {newest} was acked"))
         });
         behind.collect()
     }
 
-    /// Retries of all edges against first attempts, in total and in every
-    /// window that saw some traffic.
+    /// The periods in which the retries of all edges exceeded the budget: the
+    /// whole run, and each window with enough first attempts.
     #[must_use]
     pub fn retry_budget_violations(&self) -> Vec<String> {
         let mut total = AttemptCounts::default();
@@ -257,20 +271,24 @@
         let mut violations = Vec::new();
         if total.over_budget(edges) {
             let AttemptCounts { first, retries } = total;
-            violations.push(format!("{retries} retries of {first} in all"));
+            violations.push(format!(
+                "{retries} retries of {first} first attempts in total"
+            ));
         }
         for (window, counts) in windows {
             let AttemptCounts { first, retries } = counts;
-            if first >= RETRY_WINDOW_LEAST && counts.over_budget(edges) {
+            if first >= MIN_WINDOW_FIRST_ATTEMPTS && counts.over_budget(edges) {
                 let from_s = window * RETRY_WINDOW_MS / 1000;
-                violations.push(format!("{retries} retries of {first} from {from_s} s on"));
+                violations.push(format!(
+                    "{retries} retries of {first} first attempts from {from_s} s on"
+                ));
             }
         }
         violations
     }
 
-    /// By region: the most of its requests, in percent, that went to another
-    /// region within any window of a period, over all its edges.
+    /// For each region, the highest percentage of the requests at its edges that
+    /// were forwarded to other regions in any window of the period.
     #[must_use]
     pub fn spill_percent(&self, from: Millis, to: Millis) -> Vec<u64> {
         let regions = 0..self.site.regions.len() as u8;
@@ -280,7 +298,7 @@
     }
 
     fn spill_percent_of(&self, region: u8, period: std::ops::Range<Millis>) -> u64 {
-        /// Requests of a window, and those of them that were spilled.
+        /// The requests of a window, and how many were spilled.
         type Window = (u64, u64);
         let mut windows: BTreeMap<Millis, Window> = BTreeMap::new();
         let is_home = |edge: usize| self.processes[edge].region == region;
@@ -301,12 +319,12 @@
         }
         let busy = windows
             .values()
-            .filter(|(requests, _)| *requests >= SPILL_WINDOW_LEAST);
+            .filter(|(requests, _)| *requests >= MIN_WINDOW_REQUESTS);
         let percents = busy.map(|(requests, spilled)| spilled * 100 / requests);
         percents.max().unwrap_or(0)
     }
 
-    /// Workers that ever held far more than slow start allows.
+    /// Workers that exceeded the slow-start limit by more than the tolerance.
     #[must_use]
     pub fn slow_start_violations(&self) -> Vec<String> {
         self.workers
@@ -314,7 +332,7 @@
             .filter(|worker| worker.model && worker.slow_start_excess > SLOW_START_TOLERANCE)
             .map(|worker| {
                 let (name, excess) = (&worker.name, worker.slow_start_excess);
-                format!("{name} got {excess} beyond slow start")
+                format!("{name} had {excess} requests beyond slow start")
             })
             .collect()
     }
--- a/testbed/src/site/configuration_history.rs
+++ b/testbed/src/site/configuration_history.rs
@@ -1,6 +1,6 @@
-//! Which configurations each version may stand for, worked out from the
-//! operators' changes and their outcomes alone, and what such a configuration
-//! allows. Nothing here uses the product's own reading of a configuration.
+//! The configurations that each version may stand for, derived from the operators'
+//! changes and their outcomes alone, and checks of requests against them. Nothing
+//! here uses the product's own parsing of configurations.
 
 use super::workers::Execution;
 use super::{ForwardedRequest, World};
@@ -16,10 +16,10 @@
 
 /// The configurations of a run, by version.
 struct ConfigurationHistory {
-    /// The documents that a version may stand for: one, or a few where the
-    /// outcome of a change is unknown.
+    /// The documents that a version may stand for: several if the outcome of a
+    /// change is unknown.
     candidates: BTreeMap<u64, Vec<Rc<Value>>>,
-    /// Documents that were parsed before, by the address of their text.
+    /// Cache of parsed documents, by the address of their text.
     parsed: RefCell<BTreeMap<usize, Rc<Value>>>,
 }
 
@@ -48,7 +48,7 @@
     json::parse(text.as_bytes(), usize::MAX).ok()
 }
 
-/// The document that a command makes of another.
+/// The document that results from applying a command; `None` if there is none.
 fn apply(command: &Command, before: &Option<Rc<Value>>) -> Option<Rc<Value>> {
     match command {
         Command::Put { document, .. } => parse(document).map(Rc::new),
@@ -60,9 +60,9 @@
     }
 }
 
-/// Whether a change may still be applied, or have been, after this answer. One
-/// that was told `BaseAhead` is undecided: another copy of it may be applied once
-/// the base exists (`docs/control-safety.md`, point 2).
+/// Whether this outcome leaves open if the change is applied. `BaseAhead` does:
+/// another copy of the change may be applied once the base exists
+/// (`docs/control-safety.md`, point 2).
 fn is_undecided(outcome: &Option<OpOutcome>) -> bool {
     matches!(
         outcome,
@@ -73,8 +73,8 @@
     )
 }
 
-/// The commands that may have made a version: the acknowledged one, or, if
-/// there is none, all on its base whose outcome is undecided.
+/// The commands that may have produced a version: the acknowledged one, or, if
+/// there is none, all undecided ones on its base.
 fn commands_for(world: &World, version: u64) -> Vec<&Command> {
     let committed = OpOutcome::Got(Outcome::Applied { version });
     let acknowledged: Vec<&Command> = world
@@ -131,7 +131,7 @@
             .clone()
     }
 
-    /// Whether the document is one that the version may stand for.
+    /// Whether the version may stand for the document.
     fn is_candidate(&self, version: u64, doc: &Arc<String>) -> bool {
         let document = self.parsed(doc);
         let candidates = self.candidates.get(&version);
@@ -139,47 +139,53 @@
     }
 }
 
-/// A switch of a route that is set in the document.
+/// Whether a boolean setting of a route is true in the document.
 fn has_flag(doc: &Value, route: &str, key: &str) -> bool {
     let route = doc.get("routes").and_then(|routes| routes.get(route));
     let flag = route.and_then(|route| route.get(key));
     flag.and_then(|flag| flag.as_bool()) == Some(true)
 }
 
-/// Why a configuration does not allow a request where it went.
+/// Why a configuration does not allow a request's destination.
 enum Forbidden {
     NoRoute,
     NoShare { route: String, group: String },
-    Bound { home: Option<u8>, from: u8, to: u8 },
+    HomeMismatch { home: Option<u8>, from: u8, to: u8 },
     NoSpill { from: String, to: String },
 }
 
 impl fmt::Display for Forbidden {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Forbidden::NoRoute => write!(f, "no such route"),
+            Forbidden::NoRoute => write!(f, "the configuration has no such route"),
             Forbidden::NoShare { route, group } => {
                 write!(f, "no share of {route} has group {group}")
             }
-            Forbidden::Bound { home, from, to } => {
-                write!(f, "bound to {home:?}, went {from} to {to}")
+            Forbidden::HomeMismatch { home, from, to } => {
+                write!(
+                    f,
+                    "bound to region {home:?}, sent from region {from} to {to}"
+                )
             }
             Forbidden::NoSpill { from, to } => write!(f, "no spill from {from} to {to}"),
         }
     }
 }
 
-/// Where a request went: its route, the worker's group, the edge's and the
-/// worker's regions, and the region that its client is bound to.
+/// Where a request was forwarded.
 struct Destination<'a> {
     route: &'a str,
+    /// The worker's group.
     group: &'a str,
+    /// The edge's region.
     from: u8,
+    /// The worker's region.
     to: u8,
+    /// The home region of the request.
     home: Option<u8>,
 }
 
-/// Whether a share of the route that takes any traffic has the group.
+/// Whether a service with a positive share of the route contains the group.
 fn has_share(doc: &Value, route: &Value, group: &str) -> bool {
     let Some(shares) = route.get("shares").and_then(|shares| shares.as_object()) else {
         return false;
@@ -198,7 +204,7 @@
     })
 }
 
-/// Whether the document lets a request go where it went.
+/// Returns an error if the document does not allow a request's destination.
 fn allows(world: &World, doc: &Value, request: &Destination) -> Result<(), Forbidden> {
     let Destination {
         route,
@@ -218,7 +224,7 @@
         });
     }
     if has_flag(doc, route, "home") && (home != Some(to) || from != to) {
-        return Err(Forbidden::Bound { home, from, to });
+        return Err(Forbidden::HomeMismatch { home, from, to });
     }
     let name = |region: u8| world.site.regions[usize::from(region)].as_str();
     let spill = doc.get("spill").and_then(|spill| spill.get(name(from)));
@@ -233,8 +239,8 @@
     Ok(())
 }
 
-/// Requests are forwarded and executed only as an acknowledged configuration
-/// allows.
+/// Requests are forwarded, and bodies accepted, only as an acknowledged
+/// configuration allows; workers execute only what edges forwarded.
 pub(super) fn check_forwarding(world: &World, violations: &mut Vec<String>) {
     let history = ConfigurationHistory::new(world);
     for request in &world.forwarded {
@@ -245,7 +251,9 @@
             let mut forwarded = world.forwarded.iter();
             if !forwarded.any(|request| request.worker == i && request.id == *id) {
                 let name = &worker.name;
-                violations.push(format!("{name} executed {id}, which no edge sent it"));
+                violations.push(format!(
+                    "{name} executed {id}, which no edge forwarded to it"
+                ));
             }
         }
     }
@@ -254,7 +262,10 @@
         let doc = history.parsed(&body.doc);
         let edge = &world.processes[body.edge];
         if has_flag(&doc, &client.route, "home") && client.home != Some(edge.region) {
-            violations.push(format!("body of {} went to {}", client.id, edge.name));
+            violations.push(format!(
+                "body of {} was sent to {}, outside its home region",
+                client.id, edge.name
+            ));
         }
     }
 }
@@ -269,7 +280,7 @@
     let worker = &world.workers[request.worker];
     if !history.is_candidate(request.version, &request.doc) {
         violations.push(format!(
-            "{} acted at {} on a configuration nobody acknowledged, as version {}",
+            "{} acted at {} on an unacknowledged configuration, as version {}",
             edge.name, request.at, request.version
         ));
     }
@@ -289,9 +300,9 @@
     }
 }
 
-/// No request is executed twice unless the configuration that it was first
-/// sent under declares its route idempotent; and none is executed whose client
-/// was told that it would not be.
+/// A request is executed at most once unless the configuration under which it was
+/// first forwarded declares its route idempotent, and not at all if its client got
+/// a rejection that promises so.
 pub(super) fn check_executions(world: &World, violations: &mut Vec<String>) {
     let history = ConfigurationHistory::new(world);
     let mut first: BTreeMap<&str, &ForwardedRequest> = BTreeMap::new();
@@ -315,7 +326,7 @@
             violations.push(format!("request {id} ({route}) was executed {count} times"));
         }
     }
-    // one id may be sent to several edges: each client's answer is its own
+    // several clients may use one id: each has its own outcome
     for Execution { at, client, id } in executions() {
         let client = &world.clients[client];
         let request = first.get(id.as_str());
--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -308,7 +308,7 @@
 #[test]
 fn which_change_wins() {
     assert_detected(Invariant::Base, "committed as", races);
-    assert_detected(Invariant::Loser, "nobody acknowledged", races);
+    assert_detected(Invariant::Loser, "unacknowledged configuration", races);
 }
 
 /// A yes that is nowhere to be read back, written by hand.
