--- a/testbed/src/site/half_open.rs
+++ b/testbed/src/site/half_open.rs
@@ -94,7 +94,7 @@
     /// Closes the half-open connections that the surviving end detects as dead.
     pub(super) fn poll_half_open(&mut self) {
         for mut half in std::mem::take(&mut self.half_open) {
-            if self.is_noticed(&mut half) {
+            if self.is_detected(&mut half) {
                 self.end_half_open(half);
             } else {
                 self.half_open.push(half);
@@ -102,7 +102,7 @@
         }
     }
 
-    fn is_noticed(&self, half: &mut HalfOpen) -> bool {
+    fn is_detected(&self, half: &mut HalfOpen) -> bool {
         let end = &half.connection.endpoints[half.survivor];
         if self.processes[end.process].frozen_until > self.now {
             return false;
