--- a/testbed/src/sim/history.rs
+++ b/testbed/src/sim/history.rs
@@ -1,5 +1,5 @@
-//! Invariants of a run, checked from the outside: on the entries that nodes
-//! applied and the results that operators got.
+//! Invariants of a run, checked on the entries that nodes applied and the results
+//! that operators received.
 
 use super::{OperationKind, OperationResult, Sim};
 use sorreldoor::consensus::StateMachine;
@@ -16,20 +16,28 @@
 }
 
 impl History {
-    /// A node applied an entry.
-    pub fn applied(&mut self, node: usize, index: u64, proposal_id: ProposalId, data: &[u8]) {
+    /// Records that a node applied an entry; a violation if another node applied a
+    /// different one at this index.
+    pub fn record_applied(
+        &mut self,
+        node: usize,
+        index: u64,
+        proposal_id: ProposalId,
+        data: &[u8],
+    ) {
         let entry = (proposal_id, data.to_vec());
         let first = self
             .applied_entries
             .entry(index)
             .or_insert_with(|| entry.clone());
         if *first != entry {
-            self.violations
-                .push(format!("node {node} applied another entry at {index}"));
+            self.violations.push(format!(
+                "node {node} applied a different entry at index {index}"
+            ));
         }
     }
 
-    /// A node became Global Leader in a term.
+    /// Records a new Global Leader; a violation if the term had another.
     pub fn record_leader(&mut self, term: u64, id: NodeId) {
         if *self.leaders.entry(term).or_insert(id) != id {
             self.violations.push(format!("two leaders in term {term}"));
@@ -58,10 +66,12 @@
             continue;
         };
         if *version != base + 1 {
-            violations.push(format!("change on {base} was taken as {version}"));
+            violations.push(format!(
+                "a change based on version {base} was committed as {version}"
+            ));
         }
         if *winners.entry(*version).or_insert(operation.proposal_id) != operation.proposal_id {
-            violations.push(format!("two changes were both taken as {version}"));
+            violations.push(format!("two changes were committed as version {version}"));
         }
     }
 }
@@ -93,7 +103,7 @@
         let minimum = previous + u64::from(operation.was_applied());
         if version < minimum {
             violations.push(format!(
-                "{:?} began at {} and showed {version}, but {previous} was shown before",
+                "{:?} started at {} ms and returned version {version}, but {previous} had been returned before",
                 operation.kind, operation.start
             ));
         }
@@ -107,7 +117,7 @@
     for operation in &sim.operations {
         if operation.was_applied() && !applied.contains(&operation.proposal_id) {
             violations.push(format!(
-                "change {} was acked and is nowhere",
+                "change {} was acknowledged but never applied",
                 operation.proposal_id
             ));
         }
@@ -116,7 +126,7 @@
             && applied.contains(&operation.proposal_id)
         {
             violations.push(format!(
-                "change {} was refused and applied",
+                "change {} was rejected but applied",
                 operation.proposal_id
             ));
         }
@@ -140,14 +150,14 @@
         };
         if state.version() < highest_acknowledged {
             violations.push(format!(
-                "node {i} is at {} but {highest_acknowledged} was acked",
+                "node {i} is at version {}, but {highest_acknowledged} was acknowledged",
                 state.version()
             ));
         }
         images.push((i, state.image()));
     }
     if images.windows(2).any(|p| p[0].1 != p[1].1) {
-        violations.push("records differ after healing".into());
+        violations.push("replicated states differ after healing".into());
     }
     violations
 }
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A deterministic simulation of the cores in virtual time: the product's own
-//! consensus code over a network, disks and clocks with injected faults.
+//! A deterministic simulation of a consensus group in virtual time: the product's
+//! own consensus code over a network, disks and clocks with injected faults.
 
 mod faults;
 mod history;
@@ -28,7 +28,7 @@
 /// The interval of a node's ticks.
 pub const TICK: Millis = 10;
 
-/// How often a stuck disk is tried again.
+/// Interval at which the sync of a stuck disk is tried again.
 const STUCK_DISK_POLL_MS: Millis = 50;
 
 /// A scheduled event of the simulation.
@@ -51,9 +51,10 @@
     Unfreeze(usize, u64),
 }
 
+/// Decides from sender, receiver and message whether a message is dropped.
 type Filter = Box<dyn Fn(usize, usize, &Msg) -> bool>;
 
-/// A group of simulated cores, with the queue of events to come.
+/// A group of simulated cores, with the queue of scheduled events.
 pub struct Sim {
     pub now: Millis,
     pub rng: Rand,
@@ -70,8 +71,9 @@
     pub bandwidth: Option<Bandwidth>,
     /// Pairs (from, to) whose messages are lost, by index of the node.
     pub blocked_links: BTreeSet<(usize, usize)>,
-    /// Messages for which the filter (sender, receiver, message) holds are lost.
+    /// Messages for which the filter returns true are lost.
     pub drop_filter: Option<Filter>,
+    /// Messages sent, by kind (see [`message_kind`]).
     pub sent_by_kind: BTreeMap<&'static str, u64>,
     /// Messages sent between regions, by kind.
     pub sent_between_regions: BTreeMap<&'static str, u64>,
@@ -81,6 +83,7 @@
     queue: BTreeMap<(Millis, u64), SimEvent>,
     scheduled_events: u64,
     processed_events: u64,
+    /// Limit on processed events, to detect message loops.
     pub max_events: u64,
 }
 
@@ -218,7 +221,7 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `predicate` holds or `end` has passed; whether it held.
+    /// Runs until `predicate` holds or `end` has passed; returns whether it holds.
     pub fn run_until(&mut self, end: Millis, predicate: impl Fn(&Sim) -> bool) -> bool {
         while let Some(at) = self.queue.keys().next().map(|key| key.0) {
             if predicate(self) {
@@ -232,7 +235,9 @@
             // a message loop between the nodes would never end
             assert!(
                 self.processed_events < self.max_events,
-                "too many events: a message loop"
+                "more than {} events by {} ms: a message loop",
+                self.max_events,
+                self.now
             );
             if let Some((_, event)) = self.queue.pop_first() {
                 self.dispatch(event);
@@ -366,16 +371,16 @@
 pub fn message_kind(message: &Msg) -> &'static str {
     match message {
         Msg::DomainVoteRequest { .. } | Msg::DomainVoteReply { .. } => "domain-vote",
-        Msg::DomainHeartbeat { .. } | Msg::DomainHeartbeatReply { .. } => "domain-beat",
+        Msg::DomainHeartbeat { .. } | Msg::DomainHeartbeatReply { .. } => "domain-heartbeat",
         Msg::VoteRequest { .. } | Msg::VoteReply { .. } => "vote",
-        Msg::Append(request) if request.entries.is_empty() => "beat",
+        Msg::Append(request) if request.entries.is_empty() => "heartbeat",
         Msg::Append { .. } => "append",
-        Msg::AppendReply { .. } => "holds",
+        Msg::AppendReply { .. } => "append-reply",
         Msg::Confirm { .. } => "confirm",
         Msg::Chunk(_) | Msg::ChunkReply { .. } => "chunk",
         Msg::Propose { .. } => "propose",
-        Msg::ProposalResult { .. } => "answered",
+        Msg::ProposalResult { .. } => "proposal-result",
         Msg::ReadIndexRequest { .. } | Msg::ReadIndexReply { .. } => "read",
-        Msg::TimeoutNow { .. } => "move",
+        Msg::TimeoutNow { .. } => "timeout-now",
     }
 }
--- a/testbed/src/sim/node.rs
+++ b/testbed/src/sim/node.rs
@@ -17,6 +17,7 @@
     pub consensus: Option<Consensus<RecordingStateMachine>>,
     pub incarnation: u64,
     pub frozen_until: Millis,
+    /// Events that arrived while the process was frozen.
     pub buffered_events: Vec<Event>,
     pub disk: Disk,
     pub uplink: Uplink,
@@ -103,7 +104,7 @@
         self.frozen_until = 0;
     }
 
-    /// Loses the disk, and the node's identity with it; a new member takes its place.
+    /// Crashes the node and erases its disk; it starts again under the identity `id`.
     pub fn wipe(&mut self, id: NodeId) {
         self.crash(0);
         self.disk = Disk::default();
@@ -151,7 +152,7 @@
     fn apply(&mut self, index: u64, proposal_id: ProposalId, data: &[u8]) -> Vec<u8> {
         self.history
             .borrow_mut()
-            .applied(self.node, index, proposal_id, data);
+            .record_applied(self.node, index, proposal_id, data);
         self.replicated_state.apply(index, proposal_id, data)
     }
     fn recorded_outcome(&self, proposal_id: ProposalId) -> Option<Arc<Vec<u8>>> {
--- a/testbed/src/sim/operations.rs
+++ b/testbed/src/sim/operations.rs
@@ -76,8 +76,7 @@
         proposal_id
     }
 
-    /// Proposes to evacuate a zone or to undo it: the smallest change that
-    /// conflicts with others on the version.
+    /// Proposes to evacuate or readmit a zone, based on version `base`.
     pub fn propose_change(&mut self, node: usize, base: u64) -> ProposalId {
         let proposal_id = self.start_operation(node, OperationKind::ProposeChange { base });
         let zone = (proposal_id % self.site.zones.len() as ProposalId) as u16;
@@ -99,7 +98,7 @@
         proposal_id
     }
 
-    /// Proposes the same change under the same id, at any node.
+    /// Proposes the same change under the same id at this node; a read is not retried.
     pub fn retry(&mut self, node: usize, proposal_id: ProposalId) {
         let operation = &mut self.operations[proposal_id as usize - 1];
         operation.retried = true;
--- a/testbed/src/sim/queries.rs
+++ b/testbed/src/sim/queries.rs
@@ -10,7 +10,7 @@
         let end = self.now + 5000;
         self.run_until(end, |s| s.leader().is_some());
         self.run_for(500);
-        self.leader().expect("a healthy core elects a leader")
+        self.leader().expect("a healthy group elects a leader")
     }
 
     /// Proposes a change at `at` and waits for at most `timeout`; returns its
--- a/testbed/src/sim/uplink.rs
+++ b/testbed/src/sim/uplink.rs
@@ -27,8 +27,9 @@
     /// Bytes sent since the start of the process.
     pub sent_bytes: u64,
     /// The longest time a frame waited in the queue.
-    pub longest_wait: Millis,
-    pub largest_frame: u64,
+    pub longest_wait_ms: Millis,
+    /// The largest frame sent.
+    pub largest_frame_bytes: u64,
 }
 
 impl Uplink {
@@ -37,8 +38,8 @@
         let now_us = now * 1000;
         let begins_us = self.busy_until_us.max(now_us);
         let wait = (begins_us - now_us) / 1000;
-        self.longest_wait = self.longest_wait.max(wait);
-        self.largest_frame = self.largest_frame.max(bytes);
+        self.longest_wait_ms = self.longest_wait_ms.max(wait);
+        self.largest_frame_bytes = self.largest_frame_bytes.max(bytes);
         self.sent_bytes += bytes;
         self.busy_until_us = begins_us + bytes * 1000 / bandwidth.bytes_per_ms;
         self.busy_until_us.div_ceil(1000)
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -32,8 +32,8 @@
     elapsed: Option<Millis>,
     elections: usize,
     /// The longest queueing delay of a frame on the leader's uplink.
-    longest_wait: Millis,
-    largest_frame: u64,
+    longest_wait_ms: Millis,
+    largest_frame_bytes: u64,
 }
 
 /// One member is down for `count` changes of a configuration of `routes`
@@ -60,8 +60,8 @@
     let outcome = ReturnOutcome {
         elapsed,
         elections,
-        longest_wait: uplink.longest_wait,
-        largest_frame: uplink.largest_frame,
+        longest_wait_ms: uplink.longest_wait_ms,
+        largest_frame_bytes: uplink.largest_frame_bytes,
     };
     (sim, outcome)
 }
@@ -90,7 +90,7 @@
             let (mut sim, outcome) = return_after(620, regions, routes, InjectedFault::None);
             println!(
                 "{regions:?}, {routes} routes: caught up in {:?} ms, longest wait {} ms, largest frame {} bytes, {} elections",
-                outcome.elapsed, outcome.longest_wait, outcome.largest_frame, outcome.elections
+                outcome.elapsed, outcome.longest_wait_ms, outcome.largest_frame_bytes, outcome.elections
             );
             assert!(
                 outcome.elapsed.is_some_and(|ms| ms < 5000),
@@ -99,9 +99,9 @@
             assert_eq!(outcome.elections, 0, "{regions:?} {routes}");
             // a heartbeat queues only behind one window and other small frames
             assert!(
-                outcome.longest_wait < 200,
+                outcome.longest_wait_ms < 200,
                 "{regions:?} {routes}: {}",
-                outcome.longest_wait
+                outcome.longest_wait_ms
             );
             assert_invariants(&mut sim);
         }
@@ -119,9 +119,9 @@
     };
     println!(
         "whole: caught up in {:?} ms, longest wait {} ms, largest frame {} bytes, {} elections",
-        outcome.elapsed, outcome.longest_wait, outcome.largest_frame, outcome.elections
+        outcome.elapsed, outcome.longest_wait_ms, outcome.largest_frame_bytes, outcome.elections
     );
-    assert!(outcome.longest_wait >= 200 || outcome.elections > 0);
+    assert!(outcome.longest_wait_ms >= 200 || outcome.elections > 0);
 }
 
 /// Three large configurations in a row, in a group of five; returns the
@@ -135,7 +135,7 @@
     }
     let measured = (
         leaders_since(&sim, started_at),
-        sim.nodes[leader].uplink.longest_wait,
+        sim.nodes[leader].uplink.longest_wait_ms,
     );
     assert_invariants(&mut sim);
     measured
--- a/testbed/tests/conformance/answers.rs
+++ b/testbed/tests/conformance/answers.rs
@@ -138,11 +138,11 @@
 pub fn the_global_leader_answers_after_a_lost_confirmation() {
     let (mut sim, _) = settled_with_leader_in(&[0, 0, 1], 0);
     sim.drop_filter = Some(Box::new(|_, _, m| {
-        matches!(m, Msg::Confirm { .. }) || message_kind(m) == "beat"
+        matches!(m, Msg::Confirm { .. }) || message_kind(m) == "heartbeat"
     }));
     let elapsed = sim.commit_latency(2, 1000).expect("answered");
     assert!(elapsed > 60, "{elapsed}");
-    assert!(sim.sent_by_kind["answered"] > 0);
+    assert!(sim.sent_by_kind["proposal-result"] > 0);
 }
 
 pub fn any_one_core_lost_is_acked_within_ack_ms() {
