--- a/testbed/tests/consensus_sim.rs
+++ b/testbed/tests/consensus_sim.rs
@@ -1,4 +1,5 @@
-//! Seeded storms over the consensus reducers, in virtual time.
+//! Random faults on a simulated consensus group, by seed: no invariant is violated,
+//! and the checker detects each injected fault of the product.
 
 use sorreldoor::consensus::{InjectedFault, Timing};
 use sorreldoor::types::RegionId;
@@ -7,8 +8,7 @@
 fn run(seed: u64, preset: &[RegionId], broken: InjectedFault) -> Vec<String> {
     let mut timing = Timing::for_ack(2000);
     timing.injected_fault = broken;
-    // a snapshot every five entries and twenty kept behind it, so that whoever
-    // lacks more is sent a snapshot
+    // frequent snapshots, so that a lagging node is sent one
     timing.snapshot_entries = 5;
     let mut s = Sim::new(seed, preset, timing);
     s.max_events = 400_000;
@@ -18,49 +18,49 @@
     run_with_faults(&mut s, 12_000);
     let mut w = check_history(&s);
     w.extend(check_convergence(&s));
-    // after healing the core must serve again
+    // after healing the group must commit again
     let at = (seed % preset.len() as u64) as usize;
     let version = s.nodes[at].replicated_state().map_or(0, |r| r.version());
     let p = s.propose_change(at, version);
     s.run_for(4000);
     if !s.operation(p).was_applied() {
         w.push(format!(
-            "after healing a change ended as {:?}",
+            "a change after healing: expected it applied, got {:?}",
             s.operation(p).result
         ));
     }
     w
 }
 
-fn all(preset: &[RegionId], seeds: std::ops::Range<u64>) {
+fn assert_no_violations(preset: &[RegionId], seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let w = run(seed, preset, InjectedFault::None);
-        assert!(w.is_empty(), "seed {seed}, shape {preset:?}: {w:#?}");
+        assert!(w.is_empty(), "seed {seed}, regions {preset:?}: {w:#?}");
     }
 }
 
 #[test]
-fn storms_two_and_one() {
-    all(&[0, 0, 1], 0..150);
+fn random_faults_over_two_cores_and_one() {
+    assert_no_violations(&[0, 0, 1], 0..150);
 }
 
 #[test]
-fn storms_one_region() {
-    all(&[0, 0, 0], 1000..1060);
+fn random_faults_over_one_region() {
+    assert_no_violations(&[0, 0, 0], 1000..1060);
 }
 
 #[test]
-fn storms_three_regions() {
-    all(&[0, 1, 2], 2000..2060);
+fn random_faults_over_three_regions() {
+    assert_no_violations(&[0, 1, 2], 2000..2060);
 }
 
 #[test]
-fn storms_three_by_two() {
-    all(&[0, 0, 0, 1, 1, 1], 3000..3040);
+fn random_faults_over_two_regions_of_three_cores() {
+    assert_no_violations(&[0, 0, 0, 1, 1, 1], 3000..3040);
 }
 
-/// A leader that was cut off, and perhaps stands still, is asked for reads while
-/// another takes changes.
+/// Reads at an isolated and perhaps frozen leader, while its successor commits
+/// changes; returns the violations.
 fn reads_at_a_deposed_leader(seed: u64, broken: InjectedFault, frozen: bool) -> Vec<String> {
     let mut timing = Timing::for_ack(2000);
     timing.injected_fault = broken;
@@ -69,7 +69,7 @@
     s.isolate(old);
     let end = s.now + 3000;
     if frozen {
-        // it wakes as the leader it was, with reads waiting for it
+        // it resumes as the leader that it was, with buffered reads
         s.freeze(old, 2500);
     }
     while s.now < end {
@@ -87,24 +87,25 @@
 }
 
 #[test]
-fn a_deposed_leader_answers_no_read() {
+fn a_deposed_leader_answers_no_read_with_an_old_version() {
     for seed in 0..40 {
         for frozen in [false, true] {
             let wrong = reads_at_a_deposed_leader(seed, InjectedFault::None, frozen);
             assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
         }
     }
-    let unproved = |seed: u64| reads_at_a_deposed_leader(seed, InjectedFault::SkipReadProof, true);
-    let caught = (0..40).find(|seed| !unproved(*seed).is_empty());
-    println!("reads without proof: seen with seed {caught:?}");
+    let without_proof =
+        |seed: u64| reads_at_a_deposed_leader(seed, InjectedFault::SkipReadProof, true);
+    let caught = (0..40).find(|seed| !without_proof(*seed).is_empty());
+    println!("reads without proof: detected with seed {caught:?}");
     assert!(caught.is_some());
 }
 
-/// Rules broken on purpose: the same storms must show each of them, but for
-/// reads without proof. A leader steps down before another can be elected, so
-/// only one that stood still answers them wrongly: a storm of its own shows it.
+/// Each injected fault must be detected. `SkipReadProof` needs a run of its own:
+/// a leader steps down before another can be elected, so only one that was frozen
+/// returns an old version.
 #[test]
-fn the_checker_catches_every_broken_rule() {
+fn the_checker_detects_every_injected_fault() {
     let broken = [
         InjectedFault::SkipVoterMajority,
         InjectedFault::SendBeforeSync,
@@ -118,10 +119,10 @@
                 InjectedFault::SkipReadProof => reads_at_a_deposed_leader(s, b, true),
                 _ => run(s, &[0, 0, 1], b),
             });
-            // a reducer that panics or chatters for ever is caught as well
+            // a reducer that panics or loops is detected as well
             run.map_or(true, |w| !w.is_empty())
         });
-        println!("{b:?} caught by seed {caught:?}");
-        assert!(caught.is_some(), "{b:?} was not caught");
+        println!("{b:?} detected by seed {caught:?}");
+        assert!(caught.is_some(), "{b:?} was not detected");
     }
 }
--- a/testbed/tests/site/configurations.rs
+++ b/testbed/tests/site/configurations.rs
@@ -1,5 +1,5 @@
-//! Whole configurations and edits under traffic and faults: no service that no configuration
-//! allowed, nothing of a refused or losing document, no old one.
+//! Random configuration changes under traffic and faults: requests are forwarded only
+//! as a committed configuration that is current allows.
 
 use super::*;
 use sorreldoor::replicated_state::Outcome;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn no_request_goes_where_no_configuration_allows() {
+fn requests_go_only_where_a_configuration_allows() {
     let mut sum: BTreeMap<&str, usize> = BTreeMap::new();
     let (mut n, mut of) = (0, 0);
     let mut violations = Vec::new();
@@ -62,9 +62,9 @@
             .values()
             .filter(|c| c.outcome == ClientOutcome::Pending)
             .count();
-        assert_eq!(open, 0, "seed {seed}: without any result");
+        assert_eq!(open, 0, "seed {seed}: clients are still pending");
     }
-    println!("{} things wrong", violations.len());
+    println!("{} violations", violations.len());
     violations.truncate(20);
     assert!(violations.is_empty(), "{violations:#?}");
     println!("changes: {sum:?}; served {n} of {of}");
--- a/testbed/tests/site/freshness/halves.rs
+++ b/testbed/tests/site/freshness/halves.rs
@@ -1,11 +1,12 @@
-//! The cores are cut into two halves, whatever number of losses is tolerated;
-//! edges and operators reach both. Nothing is lost by it, and no core shows as
-//! current what is older than what was acknowledged.
+//! The cores are partitioned into two halves, both reachable by edges and operators:
+//! no acknowledged change is lost, and no core returns an older configuration as
+//! current.
 
 use super::*;
 
 const HALVES_MS: Millis = 9000;
-/// Cuts the cores into two halves of sizes that differ by one at most.
+
+/// Partitions the cores into two random halves whose sizes differ by at most one.
 fn cut_into_halves(world: &mut World) {
     let mut cores = world.cores();
     let mut half = Vec::new();
@@ -36,7 +37,7 @@
     monitor
 }
 
-/// What is over a bound in some days of a layout.
+/// The bounds that runs of a layout exceeded.
 fn halves_exceeded(layout_index: u64, days: std::ops::Range<u64>) -> Vec<String> {
     let (name, ..) = layout(layout_index);
     let mut over = Vec::new();
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_half_that_answers_reads_without_proof_is_seen() {
+fn reads_without_proof_in_a_half_are_detected() {
     break_only(Some(Invariant::Proof));
     let over = halves_exceeded(5, 9300..9304);
     break_only(None);
--- a/testbed/tests/site/freshness/monitor.rs
+++ b/testbed/tests/site/freshness/monitor.rs
@@ -1,9 +1,9 @@
-//! Operators that retry proposals and read at every core, and how late anything
-//! took effect.
+//! Operators that retry proposals and read at every core, and a measure of how late
+//! changes took effect.
 
 use super::*;
 
-/// A change as its operator sees it: retried at other cores until it commits.
+/// A change of two racing operators, retried at other cores until it commits.
 pub(super) struct Proposal {
     sent_at: Millis,
     base: u64,
@@ -13,19 +13,19 @@
     pub acknowledged: Option<(Millis, u64)>,
 }
 
-/// Changes one after the other, and how late anything took effect.
+/// Submits one change after another and records the longest delays.
 #[derive(Default)]
 pub(super) struct FreshnessMonitor {
     pub proposals: Vec<Proposal>,
-    /// The longest that an edge used a version older than the acknowledged one.
+    /// The longest time that an edge applied a version older than the acknowledged one.
     pub max_staleness_ms: Millis,
     pub max_staleness_at: String,
     pub max_ack_ms: Millis,
     /// Reads in flight.
     reads: Vec<PendingRead>,
-    /// The longest that a read took.
+    /// The longest duration of a read.
     pub max_read_ms: Millis,
-    /// Stale versions that a core showed as current.
+    /// Stale versions that a core returned as current.
     pub violations: Vec<String>,
 }
 
@@ -70,8 +70,8 @@
 }
 
 impl FreshnessMonitor {
-    /// Two operators make proposals on the same version, and go on to other cores
-    /// until one has been taken.
+    /// Has two operators propose on the same version and retry at other cores until
+    /// one proposal is committed, again and again for `ms`.
     pub fn run(&mut self, world: &mut World, ms: Millis) {
         let end = world.now + ms;
         let mut next = world.now;
@@ -164,7 +164,7 @@
             if answer.ok && answer.version < read.newest {
                 let name = &world.processes[read.core].name;
                 self.violations.push(format!(
-                    "{name} showed {} for {} at {}",
+                    "{name} returned version {}, expected at least {}, at {} ms",
                     answer.version, read.newest, answer.at
                 ));
             }
@@ -198,8 +198,10 @@
             let late = world.now - since;
             if late > self.max_staleness_ms {
                 self.max_staleness_ms = late;
-                self.max_staleness_at =
-                    format!("{} lacks {s} at {}", world.processes[e].name, world.now);
+                self.max_staleness_at = format!(
+                    "{} lacks version {s} at {} ms",
+                    world.processes[e].name, world.now
+                );
             }
         }
     }
--- a/testbed/tests/site/freshness/starts.rs
+++ b/testbed/tests/site/freshness/starts.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-/// The longest that a record which is not proved current may be served where
-/// another core can be asked.
+/// The longest time that an edge may serve by an unverified state while it can reach
+/// another core.
 const UNVERIFIED_MS: Millis = 1000;
 
-/// The longest that edges which start while a core is partitioned serve by
-/// something older than was acknowledged before they started.
+/// How long edges that start while a core is partitioned serve by a version older
+/// than the one acknowledged before they started.
 fn old_after_start(seed: u64, cut: Partition) -> Millis {
     let mut world = site(seed, press(), 0);
     let isolated_core = world.leader().expect("led");
@@ -22,7 +22,7 @@
     let newest = acknowledged
         .map(|(_, version)| version)
         .max()
-        .expect("an order");
+        .expect("an acknowledged change");
     world.run_for(1000);
     for e in world.edges() {
         world.crash(e);
@@ -42,13 +42,13 @@
     let fresh = |e: &usize| world.version_at(*e) >= Some(newest);
     assert!(
         world.edges().iter().all(fresh),
-        "seed {seed}: all are fresh"
+        "seed {seed}: some edge lacks the newest version"
     );
     old
 }
 
-/// An edge that starts takes no old record from a core behind a cut, or, where
-/// that core has started too, only until another has been asked.
+/// A starting edge uses no stale state of a partitioned core, or, if that core has
+/// restarted too, only for a limited time.
 #[test]
 fn a_starting_edge_uses_no_stale_state_for_long() {
     let most = |cut: Partition| seeds(9200..9206).map(|s| old_after_start(s, cut)).max();
@@ -68,6 +68,6 @@
     break_only(Some(Invariant::Unverified));
     let broken = most(Partition::Blackhole);
     break_only(None);
-    println!("any record: old for {broken:?} ms");
+    println!("with unverified state accepted at once: old for {broken:?} ms");
     assert!(broken > Some(0));
 }
--- a/testbed/tests/site/main.rs
+++ b/testbed/tests/site/main.rs
@@ -1,5 +1,5 @@
-//! Complete sites in virtual time, under every kind of fault: no invariant is
-//! ever violated, and service recovers within its bounds.
+//! Simulated complete sites under every kind of fault: no invariant is violated, and
+//! service recovers within its bounds.
 
 mod changes;
 mod claims;
@@ -29,7 +29,7 @@
 use testbed::site::{check, ClientOutcome, World};
 
 #[test]
-fn a_calm_day_serves_everyone() {
+fn without_faults_nearly_every_request_is_served() {
     for seed in 0..2 {
         let mut world = ready_world(seed);
         let end = world.now + 10_000;
--- a/testbed/tests/site/power_loss.rs
+++ b/testbed/tests/site/power_loss.rs
@@ -1,20 +1,20 @@
-//! All machines lose their power at once, and as many of the voters as may be
-//! lost come back with empty disks: those that are left form a majority again
-//! soon, and nothing acknowledged is lost.
+//! All machines lose power at once, and two of five voters return with empty disks:
+//! the other three form a quorum again within the limit, and no acknowledged change
+//! is lost.
 
 use super::growth::grown;
 use super::*;
 use sorreldoor::types::Millis;
 use testbed::site::HalfOpenFaults;
 
-/// The machines are without power for this long, and come back within
+/// How long the machines are without power; they restart within
 /// `RETURN_SPREAD_MS` of each other.
 const DOWN_MS: Millis = 1000;
 const RETURN_SPREAD_MS: Millis = 300;
-/// From the last return until a change is acknowledged.
+/// Limit from the last restart until a change is acknowledged.
 const RECOVERY_MS: Millis = 2500;
 const LIMIT_MS: Millis = 20_000;
-/// Between two tries of a change.
+/// Interval between attempts to commit a change.
 const RETRY_MS: Millis = 20;
 
 /// The pairs of five voters that lose their disks.
@@ -23,8 +23,8 @@
     all.collect()
 }
 
-/// Voters replaced before, by losses of power one after another, so that the
-/// standby has changed.
+/// Replaces up to two voters by cutting their power in turn, so that another core
+/// is the standby.
 fn move_votes(world: &mut World, seed: u64) {
     let cores = world.cores();
     for k in 0..seed % 3 {
@@ -73,7 +73,7 @@
     };
     assert!(growth::replace_configuration(&mut world, 0), "seed {seed}");
     move_votes(&mut world, seed);
-    // one loss of all power before, without lost disks, as days have it
+    // one earlier loss of all power, without lost disks
     power_off_all(&mut world, &[]);
     let gap = 1000 + world.rng.below(3000);
     world.run_for(gap);
--- a/testbed/tests/site/support.rs
+++ b/testbed/tests/site/support.rs
@@ -1,4 +1,4 @@
-//! Helpers that the modules of this test share.
+//! Helpers shared by the modules of this test.
 
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::{Command, Outcome};
@@ -6,7 +6,7 @@
 use testbed::fleet::{archive, press, SitePreset};
 use testbed::site::{check, ClientOutcome, World};
 
-/// Asserts that a run, all of whose faults have healed, broke no rule.
+/// Asserts that a run violated no invariant; all its faults must have healed.
 pub fn assert_no_violations(world: &World, seed: u64) {
     let mut violations = check(world);
     violations.extend(world.lost_acknowledged_changes());
@@ -15,11 +15,10 @@
     assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
 }
 
-/// How often each range of seeds is run, with others each time, unless
-/// SORRELDOOR_SEEDS says otherwise.
+/// How many disjoint sets of seeds each test runs, unless SORRELDOOR_SEEDS is set.
 const DEFAULT_TIMES: u64 = 2;
 
-/// The seeds of a test, and as many more times over as SORRELDOOR_SEEDS says.
+/// The seeds of a test, repeated at an offset for each set of SORRELDOOR_SEEDS.
 pub fn seeds(range: std::ops::Range<u64>) -> impl Iterator<Item = u64> {
     let times = std::env::var("SORRELDOOR_SEEDS").ok();
     let times: u64 = times.and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_TIMES);
@@ -34,14 +33,14 @@
     )
 }
 
-/// How many clients were served, and how many there are.
+/// The number of clients that were served, and of all clients.
 pub fn served(world: &World) -> (usize, usize) {
     let clients = world.clients.values();
     let served = clients.filter(|client| ok(&client.outcome)).count();
     (served, world.clients.len())
 }
 
-/// The two deployments by turns.
+/// One of the two deployments, alternating by seed.
 pub fn preset_for(seed: u64) -> SitePreset {
     if seed.is_multiple_of(2) {
         press()
@@ -86,7 +85,7 @@
     versions.max().unwrap_or(0)
 }
 
-/// As on machines where bytes and calls are expensive.
+/// Pacing for sites with expensive traffic.
 pub fn frugal_pacing() -> Pacing {
     Pacing {
         tick_ms: 20,
--- a/testbed/tests/site/tuning.rs
+++ b/testbed/tests/site/tuning.rs
@@ -1,9 +1,10 @@
-//! Mixes that swing between long prompts and long answers, at both sites'
-//! sizes, while workers are replaced one by one and then all come back cold.
+//! Traffic that alternates between long prompts and long responses, on both
+//! deployments, while workers are replaced one by one and then half of them at once.
 
 use super::*;
 
-/// `per_s` requests of one route, spread over the edges; prefixes are new ones.
+/// Sends `per_s` requests a second of one route to random edges, mostly with
+/// uncached prefixes.
 fn crowd(world: &mut World, route: &'static str, per_s: u64, from: u64, to: u64) {
     let mut at = from;
     while at < to {
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn swinging_mixes_over_workers_replaced_one_by_one() {
+fn alternating_traffic_recovers_while_workers_are_replaced() {
     for (seed, preset) in [
         (5000, press()),
         (5001, archive()),
@@ -76,13 +77,13 @@
             k * 100 / n.max(1)
         };
         let (swing, calm) = (of(2000, 38_000), of(50_000, 60_000));
-        // an request is served when one of its tries was
+        // a request is served if any of its attempts was
         let mut ids = std::collections::BTreeMap::<&str, bool>::new();
         for c in world.clients.values() {
             *ids.entry(c.id.as_str()).or_default() |= ok(&c.outcome);
         }
         let done = ids.values().filter(|d| **d).count() * 100 / ids.len();
-        println!("seed {seed}: tries served in the swings {swing} %, after them {calm} %; errands served in the end {done} % of {}", ids.len());
+        println!("seed {seed}: attempts served during the alternation {swing} %, after it {calm} %; requests served in the end {done} % of {}", ids.len());
         assert!(calm >= 95 && done >= 90, "{calm} {done}");
     }
 }
