--- a/testbed/tests/site/changes.rs
+++ b/testbed/tests/site/changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes and the platform's, and who must follow them when.
+//! Changes by operators and the platform: when edges and cores must apply them.
 
 use super::*;
 
@@ -21,17 +21,14 @@
         let late = world
             .forwarded
             .iter()
-            .filter(|controller| controller.worker == k && controller.at > left);
-        let last = late
-            .map(|controller| controller.at - left)
-            .max()
-            .unwrap_or(0);
-        println!("seed {seed}: last new errand {last} ms after leaving");
+            .filter(|request| request.worker == k && request.at > left);
+        let last = late.map(|request| request.at - left).max().unwrap_or(0);
+        println!("seed {seed}: last new request {last} ms after the worker was listed as draining");
     }
 }
 
 #[test]
-fn an_evacuated_zone_gets_nothing_and_comes_back() {
+fn an_evacuated_zone_gets_nothing_until_it_is_readmitted() {
     for seed in seeds(500..520) {
         let mut world = ready_world(seed);
         let end = world.now + 25_000;
@@ -39,8 +36,8 @@
         world.run_for(1000);
         let zone = world.rng.below(3) as u16;
         let at = world.edges()[0];
-        let sleeper = world.edges()[4];
-        world.freeze(sleeper, 4000, seed % 3 == 0);
+        let frozen = world.edges()[4];
+        world.freeze(frozen, 4000, seed % 3 == 0);
         let c = world.change(at, zone_change(1, zone, true));
         world.run_for(9000);
         assert!(world.changes[c].outcome.is_some());
@@ -48,12 +45,13 @@
         world.change(at, back);
         let from = world.now;
         world.run_for(5000);
-        let served_again = world.forwarded.iter().any(|controller| {
-            controller.at > from && world.workers[controller.worker].zone == zone
-        });
+        let served_again = world
+            .forwarded
+            .iter()
+            .any(|request| request.at > from && world.workers[request.worker].zone == zone);
         assert!(
             served_again,
-            "seed {seed}: the zone is served again within 5 s"
+            "seed {seed}: the readmitted zone got no request within 5 s"
         );
         world.run_for(40_000);
         assert_no_violations(&world, seed);
@@ -67,7 +65,7 @@
         let end = world.now + 12_000;
         world.traffic(120, end, |_, _| true);
         world.run_for(500);
-        // cut some edges, freeze some, and kill a core right after the yes
+        // isolate an edge, freeze two, and crash the leader right after the acknowledgement
         let (a, b, c) = (world.edges()[1], world.edges()[5], world.edges()[8]);
         world.isolate(a);
         world.freeze(b, 4000, true);
@@ -96,7 +94,7 @@
             let wait = world.rng.below(400);
             world.run_for(wait);
         }
-        // the closing loss: one disk machine for good, all others killed
+        // all processes crash, and one core does not return
         let lost = world.cores()[world.rng.below(3) as usize];
         for p in 0..world.processes.len() {
             world.crash(p);
@@ -110,7 +108,7 @@
         assert_no_violations(&world, seed);
         assert!(
             world.leader().is_some(),
-            "seed {seed}: two cores of three lead"
+            "seed {seed}: two of three cores have no leader"
         );
         for e in world.edges() {
             let controller = world.edge_controller(e).expect("edges are up");
@@ -124,7 +122,7 @@
 }
 
 #[test]
-fn racing_operators_never_both_win() {
+fn of_racing_changes_at_most_one_is_committed() {
     for seed in seeds(800..830) {
         let mut world = ready_world(seed);
         for round in 0..20u64 {
@@ -162,14 +160,17 @@
             .filter_map(|controller| controller.consensus())
             .map(|a| a.state_machine().version());
         let top = top.max().unwrap_or(0);
-        assert!(top > 8, "seed {seed}: operators got on to {top} only");
+        assert!(
+            top > 8,
+            "seed {seed}: expected more than 8 versions, got {top}"
+        );
     }
 }
 
 #[test]
 fn a_core_is_replaced_by_a_blank_one_at_a_new_address() {
-    // 10913: the lost core's membership was given up, and the leader died before the
-    // other old core had heard of it
+    // 10913: the leader crashes after removing the lost core, before the other core
+    // has received the removal
     for seed in seeds(900..915).chain([10_913]) {
         let mut world = ready_world(seed);
         let lost = world.cores()[world.rng.below(3) as usize];
@@ -197,20 +198,20 @@
                     let seats = a.members().iter();
                     let voters: Vec<u64> = seats.filter(|m| m.voter).map(|m| m.id).collect();
                     let replaced = voters.contains(&id) && !voters.contains(&lost_id);
-                    // until its change has ended, the lost one still counts
+                    // until the membership change is complete, the lost core still counts
                     replaced && voters.len() == 3 && a.has_stable_membership()
                 })
         });
-        assert!(done, "seed {seed}: the new core has the lost one's seat");
-        // now another core may be lost
+        assert!(
+            done,
+            "seed {seed}: the new core has not replaced the lost one"
+        );
+        // another core may be lost now
         let other = world.cores().into_iter().find(|c| *c != lost && *c != new);
         world.crash(other.unwrap_or(0));
         world.run_for(3000);
         let l = world.leader();
-        assert!(
-            l.is_some(),
-            "seed {seed}: the site goes on with the new core"
-        );
+        assert!(l.is_some(), "seed {seed}: no leader with the new core");
         world.run_for(40_000);
         assert_no_violations(&world, seed);
     }
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -1,5 +1,5 @@
-//! How soon each edge goes by what was acknowledged, while a core is partitioned
-//! from the other cores: every shape of cut, over several layouts of cores.
+//! How soon each edge applies an acknowledged change while a core is partitioned from
+//! the other cores: every kind of partition, over several layouts of cores.
 
 mod halves;
 mod monitor;
@@ -17,25 +17,24 @@
 use std::time::Duration;
 use testbed::site::Partition;
 
-/// Within so long of an acknowledgement every edge goes by it.
+/// Limit from the acknowledgement of a change until every edge applies it.
 const APPLY_MS: Millis = 3000;
-/// Within so long the majority's side acknowledges a proposal.
+/// Limit from a proposal until a core acknowledges it.
 const ACK_MS: Millis = 5000;
-/// An operator goes on to another core after so long, and gives up at last.
+/// Time without an answer after which an operator retries at another core, and after
+/// which it stops retrying.
 const SILENCE_MS: Millis = 1000;
 const GIVEN_UP_MS: Millis = 20_000;
-/// Between reads of the configuration at every core, and the longest that one
-/// may be held.
+/// Interval between reads at every core, and the limit of a read's duration.
 const READ_EVERY_MS: Millis = 200;
 const READ_MS: Millis = 900;
-/// Between proposals.
+/// Interval between proposals.
 const EVERY_MS: Millis = 700;
 const CUT_MS: Millis = 20_000;
-/// Of six voters two may be lost: the session's, and one tried in vain; two
-/// more are allowed for.
+/// Cores that an edge may try in vain before it reaches a useful one.
 const MOST_USELESS: u64 = 3;
 
-/// As on machines where bytes and calls are dear.
+/// Pacing for sites with expensive traffic, within the freshness budget.
 fn hosted_pacing() -> Pacing {
     let budget = FreshnessBudget::for_apply(APPLY_MS);
     Pacing {
@@ -64,7 +63,7 @@
     }
 }
 
-/// A site with `more` cores beyond one a zone.
+/// A site with one core per zone and `more` further ones.
 fn site(seed: u64, preset: testbed::fleet::SitePreset, more: usize) -> World {
     let spills = r#"{"north": {"south": 50}, "south": {"north": 50}}"#;
     let doc = match preset.regions.len() {
@@ -86,7 +85,7 @@
             world.after(100, move |world| world.start(p));
         }
     });
-    // of six cores one stands by
+    // one of six cores is a standby
     let voters = world.cores().len().min(2 * world.tolerated_core_losses + 1);
     let end = world.now + 10_000;
     let voters_complete = world.run_until(end, |world| {
@@ -94,7 +93,7 @@
         let a = a.and_then(|controller| controller.consensus());
         a.is_some_and(|a| a.members().iter().filter(|m| m.voter).count() == voters)
     });
-    assert!(voters_complete, "seed {seed}: the wanted voters are there");
+    assert!(voters_complete, "seed {seed}: expected {voters} voters");
     world
 }
 
@@ -125,7 +124,7 @@
     monitor
 }
 
-/// What is over a bound in some days of a layout and a cut.
+/// The bounds that runs of a layout and a partition exceeded.
 fn bounds_exceeded(cut: Partition, layout_index: u64, days: std::ops::Range<u64>) -> Vec<String> {
     let (name, ..) = layout(layout_index);
     let mut over = Vec::new();
@@ -154,15 +153,16 @@
             ));
         }
         let violations = monitor.violations.into_iter();
-        over.extend(violations.map(|world| format!("old: {cut:?}, {name}, {seed}: {world}")));
+        over.extend(
+            violations.map(|violation| format!("old: {cut:?}, {name}, {seed}: {violation}")),
+        );
     }
     println!("{cut:?}, {name}: stale {max_staleness_ms} ms, acknowledged {max_ack_ms} ms, read {max_read_ms} ms");
     over
 }
 
-/// The leader is partitioned in every shape: each edge goes by what was
-/// acknowledged within the bound, the majority's side acknowledges each proposal,
-/// and no core shows as current what is not.
+/// With any partition of the leader, edges apply acknowledged changes and cores
+/// acknowledge proposals within the limits, and no core returns an old version.
 #[test]
 fn edges_follow_within_the_bound_under_any_partition() {
     let all = Partition::ALL
@@ -174,7 +174,7 @@
     assert!(over.is_empty(), "{over:#?}");
 }
 
-/// Without any one part of the mechanism a freshness bound is exceeded.
+/// With any one part of the mechanism disabled a freshness bound is exceeded.
 #[test]
 fn each_part_of_freshness_is_needed() {
     for (rule, word) in [
@@ -189,14 +189,13 @@
         println!("{}: {received_events:?}", rule.name());
         assert!(
             received_events.is_some(),
-            "{} broken was not seen",
+            "{} broken was not detected",
             rule.name()
         );
     }
 }
 
-/// The parts of the bound add up to less than it, with as many useless cores
-/// as the largest group may lose.
+/// The parts of the freshness budget add up to less than its total.
 #[test]
 fn the_parts_of_the_budget_add_up() {
     for apply_ms in [3000, 4000] {
@@ -208,8 +207,8 @@
     }
 }
 
-/// A core behind a cut refuses a proposal at once, once an election's time has
-/// gone by, so that its operator goes on to another.
+/// After an election timeout a partitioned core rejects proposals at once, so that
+/// operators retry at another.
 #[test]
 fn a_partitioned_core_rejects_changes_at_once() {
     for seed in seeds(9100..9103) {
--- a/testbed/tests/site/herd.rs
+++ b/testbed/tests/site/herd.rs
@@ -1,21 +1,21 @@
-//! Many edges come to few cores at the same moment, while the cores have to
-//! elect a leader: the work for the edges must not keep the cores from each other.
+//! Many edges connect to few cores at once while the cores elect a leader: the load of
+//! the edges must not delay consensus messages.
 
 use super::*;
 use sorreldoor::invariants::{break_only, Invariant};
 use sorreldoor::types::Millis;
 use testbed::site::CpuCosts;
 
-/// Edges in each of the three zones: as on sites of some 90 and 300 machines.
+/// Edges in each of the three zones, for sites of about 90 and 300 edges.
 const EDGES_PER_ZONE: usize = 30;
 const MORE_EDGES_PER_ZONE: usize = 98;
 const DOWN_MS: Millis = 1000;
-/// From the return of all machines until a change is acknowledged.
+/// Limit from the restart of all machines until a change is acknowledged.
 const RECOVERY_MS: Millis = 3000;
 const LIMIT_MS: Millis = 6000;
-/// Between two tries of a change.
+/// Interval between attempts to commit a change.
 const RETRY_MS: Millis = 20;
-/// From the return of all machines until there is a leader, which stays.
+/// Limit from the restart of all machines until there is a lasting leader.
 const ELECTION_MS: Millis = 1500;
 
 /// A site of six cores, five of them voters, and many edges, all of which serve.
@@ -51,15 +51,15 @@
 }
 
 struct Recovery {
-    /// Until there was a leader, about.
+    /// Time until there was a leader, to the accuracy of the polling.
     led_ms: Millis,
-    /// Until a change was acknowledged.
+    /// Time until a change was acknowledged.
     ms: Millis,
     longest_backlog_ms: Millis,
     elections: usize,
 }
 
-/// All machines lose their power, and two voters their disks as well.
+/// All machines lose power, and two voters lose their disks.
 fn recover(seed: u64, edges_per_zone: usize) -> Recovery {
     let mut world = many_edges(seed, edges_per_zone);
     world.cpu_costs = Some(CpuCosts::THIRD_OF_A_PROCESSOR);
@@ -116,7 +116,7 @@
     }
 }
 
-/// What is over the bound, for some seeds.
+/// The seeds whose recovery exceeded the limit, with its duration.
 fn exceeded(seeds: impl Iterator<Item = u64>, edges_per_zone: usize) -> Vec<(u64, Millis)> {
     let mut over = Vec::new();
     for seed in seeds {
@@ -136,13 +136,13 @@
 }
 
 #[test]
-fn a_herd_of_edges_does_not_keep_the_cores_from_an_election() {
+fn many_edges_at_once_do_not_delay_recovery() {
     let over = exceeded(seeds(43_000..43_003), EDGES_PER_ZONE);
     assert!(over.is_empty(), "{over:?}");
 }
 
-/// With three hundred edges the cores are behind with the work for them for
-/// some seconds (issue "The large fleet"), but not with their own.
+/// With 300 edges the cores have a backlog of edge events for some seconds (issue "The
+/// large fleet"), but none of consensus messages.
 #[test]
 fn three_hundred_edges_do_not_delay_an_election() {
     let recovery = recover(43_010, MORE_EDGES_PER_ZONE);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn consensus_that_waits_behind_the_edges_is_seen() {
+fn consensus_queued_behind_edge_events_is_detected() {
     break_only(Some(Invariant::UrgentLane));
     let recovery = recover(43_010, MORE_EDGES_PER_ZONE);
     break_only(None);
@@ -166,9 +166,9 @@
     assert!(recovery.led_ms > ELECTION_MS || recovery.elections > 1);
 }
 
-/// As it was: each change of a session was merged and reported by itself.
+/// Merging and reporting each session's change by itself causes a longer backlog.
 #[test]
-fn sessions_that_are_reported_one_by_one_are_seen() {
+fn sessions_reported_one_by_one_are_detected() {
     break_only(Some(Invariant::SessionsGathered));
     let one_by_one = recover(43_000, EDGES_PER_ZONE);
     break_only(None);
--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -10,12 +10,13 @@
 
 type Run = fn(u64) -> World;
 
-/// The first seed by which the word shows up, with the rule broken.
+/// Asserts that some seed shows a violation with the expected text if the invariant is
+/// broken, and none at all if it is upheld.
 fn assert_detected(invariant: Invariant, expected: &str, run: Run) {
     break_only(Some(invariant));
     let all_violations = |world: &World| {
         let mut all = all_violations(world);
-        // other configurations warm workers up otherwise
+        // configurations with another slow start violate this check
         all.extend(
             world
                 .slow_start_violations()
@@ -30,12 +31,15 @@
             .any(|violation| violation.contains(expected))
     });
     break_only(None);
-    println!("{}: caught by seed {seed:?} ({expected})", invariant.name());
+    println!(
+        "{}: detected by seed {seed:?} ({expected})",
+        invariant.name()
+    );
     let seed = seed.unwrap_or_else(|| panic!("{} broken was not detected", invariant.name()));
     let with_invariant = all_violations(&run(seed));
     assert!(
         with_invariant.is_empty(),
-        "{} kept: {with_invariant:#?}",
+        "{} upheld: {with_invariant:#?}",
         invariant.name()
     );
 }
@@ -47,7 +51,7 @@
     all
 }
 
-/// Faults end, and all requests have time to finish.
+/// Heals all faults and leaves all requests time to finish.
 fn heal_and_finish(world: &mut World) {
     world.heal();
     world.run_for(60_000);
@@ -257,7 +261,7 @@
 }
 
 #[test]
-fn leases_and_proofs() {
+fn broken_leases_and_proofs_are_detected() {
     assert_detected(
         Invariant::Lease,
         "acted on version",
@@ -278,7 +282,7 @@
 }
 
 #[test]
-fn what_a_configuration_allows() {
+fn forbidden_destinations_are_detected() {
     assert_detected(Invariant::Allowed, "no share of", changes_without_faults);
     assert_detected(Invariant::Spill, "no spill", changes_without_faults);
     assert_detected(Invariant::Home, "bound to", changes_without_faults);
@@ -286,7 +290,7 @@
 }
 
 #[test]
-fn what_executes_once() {
+fn repeated_executions_are_detected() {
     assert_detected(Invariant::Repeat, "times", crashing_workers);
     assert_detected(Invariant::Unknown, "was rejected", crashing_workers);
     assert_detected(Invariant::Refusal, "was rejected", late_claims);
@@ -300,18 +304,18 @@
 }
 
 #[test]
-fn what_is_bounded() {
+fn exceeded_bounds_are_detected() {
     assert_detected(Invariant::Budget, "retries", unreachable_workers);
     assert_detected(Invariant::Warm, "beyond slow start", returning_region);
 }
 
 #[test]
-fn which_change_wins() {
+fn wrong_winners_of_racing_changes_are_detected() {
     assert_detected(Invariant::Base, "committed as", races);
     assert_detected(Invariant::Loser, "unacknowledged configuration", races);
 }
 
-/// A yes that is nowhere to be read back, written by hand.
+/// A change recorded as acknowledged that no core has is reported.
 #[test]
 fn a_lost_acknowledgement_is_detected() {
     use sorreldoor::replicated_state::Outcome;
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -1,5 +1,5 @@
-//! What a site says when nothing happens, lists of workers that only the
-//! singleton role's holder reads, and records that cannot be proved current.
+//! Traffic of an idle site, the list of workers that only the holder of the singleton
+//! role reads, and edges that serve by unverified state.
 
 use super::*;
 use sorreldoor::discovery::{Worker, WorkerRegistry};
@@ -26,7 +26,7 @@
     World::ready_customized(seed, preset, &doc, f)
 }
 
-/// Bytes a second of an edge, both ways, and of a core to other cores.
+/// Bytes per second: of an edge in both directions, and of a core to other cores.
 fn rates(world: &mut World) -> (u64, u64) {
     world.bytes.clear();
     world.run_for(20_000);
@@ -55,7 +55,7 @@
     assert_no_violations(&world, 2);
 }
 
-/// A running request is no news to other edges.
+/// Requests in flight at an edge cause no updates to other edges.
 #[test]
 fn edges_get_no_loads_of_other_edges() {
     for pacing in [Pacing::default(), frugal()] {
@@ -101,8 +101,8 @@
     world.cores().into_iter().find(on)
 }
 
-/// One core reads the list; a list that changes is at every edge at once, and
-/// after the holder is lost another reads on, under newer serials.
+/// One core reads the list; a changed list reaches every edge soon, and after the
+/// holder crashes another core reads it, under newer versions.
 #[test]
 fn only_the_singleton_holder_reads_the_registry() {
     for seed in seeds(7800..7806) {
@@ -120,8 +120,12 @@
         let registry_reads = world.registry_reads;
         world.run_for(10_000);
         let n = world.registry_reads - registry_reads;
-        assert!((7..=11).contains(&n), "seed {seed}: {n} readings in 10 s");
-        assert_eq!(version(&world, e), first, "an unchanged list is no news");
+        assert!((7..=11).contains(&n), "seed {seed}: {n} reads in 10 s");
+        assert_eq!(
+            version(&world, e),
+            first,
+            "an unchanged list got a new version"
+        );
         let k = world.worker("north-gpu0");
         world.drain_worker(k);
         let from = world.now;
@@ -130,8 +134,8 @@
         assert!(world.run_until(from + 1400, received_events), "seed {seed}");
         println!("seed {seed}: at every edge after {} ms", world.now - from);
         let second = version(&world, e);
-        // the holder is killed and comes back at once, or stays away
-        let controller = singleton_holder(&world).expect("someone is on duty");
+        // the holder crashes, and restarts at once or stays down
+        let controller = singleton_holder(&world).expect("a core holds the singleton role");
         world.crash(controller);
         if seed % 2 == 0 {
             world.start(controller);
@@ -141,11 +145,11 @@
         world.run_for(5000);
         assert!(
             world.registry_reads > registry_reads + 2,
-            "seed {seed}: someone reads on"
+            "seed {seed}: no core reads the list any more"
         );
         let all = world.edges();
         let newer = all.iter().all(|e| version(&world, *e) > second);
-        assert!(newer, "seed {seed}: a new holder's list is newer");
+        assert!(newer, "seed {seed}: the new holder's list is not newer");
         assert_no_violations(&world, seed);
     }
 }
@@ -165,7 +169,7 @@
     }
 }
 
-/// Time that goes by is no news; what ends later than it was to is.
+/// Remaining times that only elapsed are no change; a later end is one.
 #[test]
 fn an_unchanged_registry_gets_no_new_version() {
     let version = 1;
@@ -174,7 +178,7 @@
     assert!(r.same(&[warming_worker(5000)], 0));
     assert!(r.same(&[warming_worker(3000)], 2000));
     assert!(r.same(&[warming_worker(0)], 5000));
-    // it became cold anew
+    // it became cold again
     assert!(!r.same(&[warming_worker(5000)], 4500));
     assert!(!r.same(&[], 0));
     let left = Worker {
@@ -185,9 +189,9 @@
     assert_eq!(r.aged(1500).workers[0].cold_ms, 3500);
 }
 
-/// Two of three cores are gone for good. An edge that starts now has nothing
-/// and takes what the last one has; edges that had a proof serve no more, and
-/// once a majority is back only what is proved counts.
+/// With two of three cores down, an edge that starts serves by the third's unverified
+/// state, and edges that had verified state stop serving; once a quorum is back, edges
+/// accept only verified state again.
 #[test]
 fn an_edge_without_state_accepts_unverified_state() {
     for seed in seeds(7900..7910) {
@@ -205,7 +209,10 @@
                 .is_some_and(|controller| controller.ready().is_ok())
         };
         world.run_for(2500);
-        assert!(!ready(&world, fresh), "seed {seed}: not before its time");
+        assert!(
+            !ready(&world, fresh),
+            "seed {seed}: served before the configured delay"
+        );
         let end = world.now + 12_000;
         assert!(
             world.run_until(end, |world| ready(world, fresh)),
@@ -216,27 +223,30 @@
             2500 + world.now + 12_000 - end
         );
         world.run_for(5000);
-        assert!(ready(&world, fresh), "seed {seed}: and goes on");
+        assert!(ready(&world, fresh), "seed {seed}: stopped serving");
         assert!(
             !ready(&world, old),
-            "seed {seed}: it had a proof, and needs one"
+            "seed {seed}: served without a proof after having had one"
         );
         world.start(all[0]);
         world.start(all[1]);
         let end = world.now + 8000;
         let both = |world: &World| ready(world, old) && ready(world, fresh);
         assert!(world.run_until(end, both), "seed {seed}");
-        // now that it was proved, it holds to proofs
+        // an edge that has had verified state accepts no other
         world.run_for(1000);
         world.crash(all[0]);
         world.crash(all[1]);
         world.run_for(5000);
-        assert!(!ready(&world, fresh), "seed {seed}: it has had a proof");
+        assert!(
+            !ready(&world, fresh),
+            "seed {seed}: served without a proof after having had one"
+        );
         assert_no_violations(&world, seed);
     }
 }
 
-/// Without the setting an edge waits for a proof however long it takes.
+/// Without the setting an edge serves no unverified state.
 #[test]
 fn unverified_state_is_accepted_only_where_configured() {
     let mut world = world_with(3, |_| {});
--- a/testbed/tests/site/replacing.rs
+++ b/testbed/tests/site/replacing.rs
@@ -1,12 +1,12 @@
-//! Planned replacements of cores, and losses right after them: a majority is
-//! left, and nothing acknowledged is lost.
+//! Planned replacements of cores and faults right after them: a quorum remains, and no
+//! acknowledged change is lost.
 
 use super::growth::{grown, ids, members, membership_is_stable, voters};
 use super::*;
 use sorreldoor::control_plane::ControllerEvent;
 use sorreldoor::types::Millis;
 
-/// What a new machine has to get ready, on small sites.
+/// Time for a new core to catch up on a small site.
 const SYNC_MS: Millis = 4000;
 
 /// Three cores, each in a zone of its own.
@@ -15,7 +15,7 @@
     world.only_seeds_bootstrap = true;
     world.replace_after_ms = 1500;
     let end = world.now + 8000;
-    // two of them may found the site before the third has heard of it
+    // two cores may bootstrap the site before the third joins
     let ready = |world: &World| {
         let has = |c: &usize| {
             world
@@ -35,7 +35,7 @@
     world
 }
 
-/// SIGTERM: the process ends by itself a little later.
+/// Stops a core as on SIGTERM: its process ends 300 ms later.
 fn stop(world: &mut World, core: usize) {
     world.core_step(core, ControllerEvent::Stop);
     let incarnation = world.processes[core].incarnation;
@@ -46,7 +46,7 @@
     });
 }
 
-/// The new one first, and a second later SIGTERM to the old one.
+/// Starts a replacement, and a second later stops the old core.
 fn replace_planned(world: &mut World, core: usize) -> usize {
     let standby = world.replace_core(core);
     world.processes[standby].may_bootstrap = false;
@@ -97,7 +97,7 @@
     committed
 }
 
-/// Every core that is up is a member, and voters of that many are right.
+/// Asserts that changes are committed and the membership is stable within the limits.
 fn recovers(world: &mut World, seed: u64) {
     assert!(
         replace_configuration(world),
@@ -124,8 +124,8 @@
     Wiped,
     Frozen,
     Partition,
-    /// All lose power, and one loses its disk as well.
-    Closing,
+    /// All cores crash, and one loses its disk.
+    AllCrash,
 }
 
 const SECONDS: [Second; 7] = [
@@ -135,7 +135,7 @@
     Second::Wiped,
     Second::Frozen,
     Second::Partition,
-    Second::Closing,
+    Second::AllCrash,
 ];
 
 fn inject_second_fault(world: &mut World, core: usize, second: Second) {
@@ -166,7 +166,7 @@
             world.isolate(core);
             world.after(5000, |world| world.blocked_links.clear());
         }
-        Second::Closing => {
+        Second::AllCrash => {
             for c in up(world) {
                 world.crash(c);
                 if c == core {
@@ -184,15 +184,15 @@
     let stopping = all[(seed as usize) % all.len()];
     let stopped_at = world.now;
     replace_planned(&mut world, stopping);
-    // from here on the old one does not count any more
+    // afterwards the old core is no longer needed
     changes_until(&mut world, None, stopped_at + sync_ms);
     let rest: Vec<usize> = up(&world);
     let other = rest[world.rng.below(rest.len() as u64) as usize];
     inject_second_fault(&mut world, other, second);
-    // the one that is struck is not asked meanwhile
+    // no changes are proposed at the faulty core
     let end = world.now + 6000;
     let committed = changes_until(&mut world, Some(other), end);
-    println!("seed {seed}, {second:?}: {committed} changes taken after it");
+    println!("seed {seed}, {second:?}: {committed} changes committed after it");
     assert!(
         committed >= 3,
         "seed {seed}, {second:?}: {:?}",
@@ -237,7 +237,10 @@
             let end = world.now + 3000;
             assert!(world.run_until(end, joined), "seed {seed}");
             world.run_for(500);
-            assert!(!voters(&world).contains(&id), "three voters are enough");
+            assert!(
+                !voters(&world).contains(&id),
+                "the standby votes beside three voters"
+            );
             let stopped_at = world.now;
             if graceful {
                 stop(&mut world, stopping);
@@ -248,12 +251,16 @@
                 let v = voters(world);
                 v.contains(&id) && !v.contains(&old_id) && !members(world).1
             };
-            // after a lost leader an election comes first
+            // a crashed leader requires an election first
             let limit_ms = if graceful { 1200 } else { 3200 };
             let done = world.run_until(stopped_at + limit_ms, standby_is_voter);
-            assert!(done, "seed {seed}, told {graceful}: {:?}", members(&world));
+            assert!(
+                done,
+                "seed {seed}, graceful {graceful}: {:?}",
+                members(&world)
+            );
             println!(
-                "seed {seed}, told {graceful}: after {} ms",
+                "seed {seed}, graceful {graceful}: after {} ms",
                 world.now - stopped_at
             );
         }
--- a/testbed/tests/site/requests.rs
+++ b/testbed/tests/site/requests.rs
@@ -1,4 +1,4 @@
-//! Requests, under everything that can fail around them.
+//! Requests under random faults.
 
 use super::*;
 use sorreldoor::error::ErrorCode;
@@ -29,7 +29,7 @@
             .collect();
         assert!(
             open.is_empty(),
-            "seed {seed}: without any result: {open:#?}"
+            "seed {seed}: clients are still pending: {open:#?}"
         );
         for c in world.clients.values() {
             *kinds
@@ -45,8 +45,8 @@
         of += all;
     }
     println!("{kinds:?}");
-    println!("served in storms: {n} of {of}");
-    // zones stand empty and nodes die every 0.7 s: about half is served
+    println!("served under random faults: {n} of {of}");
+    // with zones evacuated and a fault every 0.7 s about half is served
     assert!(n * 100 > of * 45, "{n} of {of}");
 }
 
@@ -68,7 +68,7 @@
         for e in world.edges() {
             let c = &world
                 .edge_controller(e)
-                .expect("no edge was hurt")
+                .expect("the edge is up")
                 .table
                 .counters;
             first += c.accepted;
@@ -115,13 +115,13 @@
         ));
         let elapsed_ms = c.end - c.start;
         println!("seed {seed}: given up after {elapsed_ms} ms of 5000");
-        // never later than the cutoff and one alarm
+        // at the latest one tick after the deadline
         assert!(elapsed_ms <= 5040, "{elapsed_ms}");
     }
 }
 
-/// Clients that hear nothing, or not enough, ask again under the same id at
-/// another edge, while edges, cores and workers die.
+/// Clients without a complete response retry under the same id at another edge, while
+/// edges, cores and workers crash.
 #[test]
 fn a_retry_at_another_edge_does_not_execute_again() {
     let (mut requests, mut retries) = (0, 0);
@@ -131,6 +131,6 @@
         requests += world.clients.len();
         assert_no_violations(&world, seed);
     }
-    println!("{retries} of {requests} errands were asked again");
+    println!("{retries} of {requests} requests were retried");
     assert!(retries > 500);
 }
--- a/testbed/tests/site/restarts.rs
+++ b/testbed/tests/site/restarts.rs
@@ -1,10 +1,10 @@
-//! All processes die and come back: what was committed serves at once, by
-//! older records too, and nothing an edge has had is ever undone.
+//! Restarts of all processes: edges serve by committed state before there is a leader,
+//! and no edge ever goes back to older state.
 
 use super::*;
 use sorreldoor::types::Millis;
 
-/// As on machines where bytes and calls are dear.
+/// A site with the pacing for expensive traffic.
 fn frugal_world(seed: u64) -> World {
     let preset = preset_for(seed);
     let doc = testbed::fleet::configuration(&preset);
@@ -46,7 +46,7 @@
     })
 }
 
-/// What each edge acts by, which must only grow within its life.
+/// The versions that each edge applies; none decreases while the process runs.
 fn versions(world: &World) -> Vec<(u64, u64, u64)> {
     let of = |e: &usize| {
         let controller = world.edge_controller(*e)?;
@@ -63,7 +63,8 @@
         .collect()
 }
 
-/// Run until `f` holds, with an eye on what edges act by at every step.
+/// Runs until `f` holds and returns the time taken; asserts that no edge's version
+/// decreases.
 fn time_until(world: &mut World, limit_ms: Millis, f: impl Fn(&World) -> bool) -> Option<Millis> {
     let from = world.now;
     let mut was = versions(world);
@@ -109,9 +110,9 @@
         first_serving_ms.push(first_serving);
         all_serving_ms.push(first_serving + all_serving);
         leader_elected_ms.push(first_serving + all_serving + leader_elected);
-        // what is acknowledged is there, and proved, by every edge
+        // every edge has the acknowledged change and serves by verified state
         let top = 2;
-        // a leader may have been elected this very moment
+        // the leader may have been elected just now
         let there = |world: &World| newest_version(world) >= top;
         assert!(time_until(&mut world, 500, there).is_some(), "seed {seed}");
         let proved = |world: &World| {
@@ -143,7 +144,7 @@
         .map_or(0, |controller| controller.cluster.snapshot.view.version)
 }
 
-/// A core that lost its disk has nothing to tell, and says nothing for news.
+/// An edge ignores the empty state of a core that lost its disk.
 #[test]
 fn the_empty_state_of_a_wiped_core_is_no_update() {
     for seed in seeds(8300..8310) {
@@ -156,7 +157,7 @@
         crash_all(&mut world);
         world.wipe(wiped);
         world.processes[wiped].may_bootstrap = false;
-        // this edge reaches none but the wiped core, which reaches no other
+        // this edge reaches only the wiped core, which reaches no other core
         let others: Vec<usize> = cs.iter().copied().filter(|c| *c != wiped).collect();
         for c in &others {
             world.partition_pair(e, *c);
@@ -182,8 +183,8 @@
     }
 }
 
-/// A core partitioned from the others serves what it has to an edge that starts;
-/// the edge finds those that a majority reaches, and goes by their record.
+/// An edge that starts at a partitioned core serves by its unverified state, then finds
+/// a core with a quorum and applies its newer state.
 #[test]
 fn an_unverified_session_looks_for_a_quorum() {
     for seed in seeds(8400..8410) {
@@ -196,7 +197,7 @@
         }
         world.run_for(3000);
         world.crash(e);
-        // it comes to the cut one first
+        // it connects to the partitioned core first
         let others: Vec<usize> = cs.iter().copied().filter(|c| *c != cut).collect();
         others.iter().for_each(|c| world.partition_pair(e, *c));
         world.run_for(500);
--- a/testbed/tests/site/retry_after.rs
+++ b/testbed/tests/site/retry_after.rs
@@ -1,10 +1,10 @@
-//! Crowds and outages with clients who do as they are told: what comes back,
-//! when, and what is served meanwhile.
+//! Overload and outages with clients that follow `Retry-After`: the rate of retries and
+//! the share of requests served.
 
 use super::*;
 use std::collections::BTreeMap;
 
-/// By second: first tries, second ones, and those served of all.
+/// For each second: first attempts, retries, and how many of both were served.
 type Wave = BTreeMap<u64, (u64, u64, u64)>;
 
 fn wave(world: &World, from: u64) -> Wave {
@@ -18,8 +18,7 @@
     out
 }
 
-/// Second tries by seconds, as a share of what first ones came at the time,
-/// and of all.
+/// Retries in a range of seconds, in percent of the first attempts.
 fn share(wave: &Wave, from: u64, to: u64) -> u64 {
     let part = wave.range(from..to).map(|(_, second)| *second);
     let (a, b) = part.fold((0, 0), |(a, b), second| (a + second.0, b + second.1));
@@ -43,8 +42,8 @@
     world
 }
 
-/// Four times what the site bears, for ten seconds.
-fn crowd(seed: u64, fixed_retry_after_s: Option<u64>) -> Wave {
+/// Ten seconds of overload.
+fn overload(seed: u64, fixed_retry_after_s: Option<u64>) -> Wave {
     let mut world = slow(seed, fixed_retry_after_s);
     let from = world.now;
     world.traffic(60, from + 60_000, |_, _| true);
@@ -64,7 +63,7 @@
     let (mut obeying, mut fixed_delay) = ((0, 0, 0), (0, 0, 0));
     for seed in 0..2 {
         for (fixed_retry_after_s, totals) in [(None, &mut obeying), (Some(1), &mut fixed_delay)] {
-            let wave = crowd(seed, fixed_retry_after_s);
+            let wave = overload(seed, fixed_retry_after_s);
             let peak = wave.values().map(|second| second.1).max().unwrap_or(0);
             totals.0 += share(&wave, 11, 20);
             totals.1 = totals.1.max(peak);
@@ -72,7 +71,7 @@
         }
     }
     println!(
-        "as told: second tries {} % of first ones in the crowd, {} a second at most, {} % served after it; all after 1 s: {} %, {}, {} %",
+        "Retry-After: retries {} % of first attempts in the overload, {} a second at most, {} % served after it; fixed 1 s: {} %, {}, {} %",
         obeying.0 / 2,
         obeying.1,
         obeying.2 / 2,
@@ -109,7 +108,7 @@
         let worst = (11..58).map(|s| share(&wave, s, s + 3)).max().unwrap_or(0);
         let all = share(&wave, 0, 60);
         let after = served_of(&wave, 32, 36);
-        println!("seed {seed}: second tries {all} % in all, {worst} % in the worst 3 s, {peak} a second at most; 12 s after the return {after} % served");
+        println!("seed {seed}: retries {all} % in total, {worst} % in the worst 3 s, {peak} a second at most; 12 s after the return {after} % served");
         assert!(all <= 20 && worst <= 35, "{all} {worst}");
         assert!(after >= 95, "{after}");
         assert!(
