--- a/testbed/tests/site/claims.rs
+++ b/testbed/tests/site/claims.rs
@@ -1,11 +1,12 @@
-//! Claims on request ids, where they could be lost, kept too long, or tie.
+//! Idempotency claims: none is lost or kept too long, and one of two racing requests
+//! wins.
 
 use super::*;
 use sorreldoor::error::ErrorCode;
 use testbed::site::ClaimsTraffic;
 
-/// A core is lost for good while another was partitioned; its blank follower can
-/// hear only of that one, which missed what was claimed meanwhile.
+/// A core is lost for good after another was partitioned; the blank core that replaces
+/// it can reach only the latter, which missed the claims made meanwhile.
 pub fn blank_core_reaches_one_peer_only(seed: u64) -> World {
     let mut world = World::ready(seed, press());
     let cores = world.cores();
@@ -26,7 +27,7 @@
         .map(|(n, _)| *n)
         .collect();
     world.crash(c);
-    // edges would tell what they sent; these have forgotten it
+    // restarted edges do not report the claims of the requests that they forwarded
     for e in world.edges() {
         world.crash(e);
         world.start(e);
@@ -36,19 +37,19 @@
     world.partition_pair(a, d);
     let id = world.processes[d].id;
     let end = world.now + 60_000;
-    let seated = world.run_until(end, |world| {
+    let became_voter = world.run_until(end, |world| {
         world
             .controller(b)
             .and_then(|controller| controller.consensus())
             .is_some_and(|x| {
                 let voters = x.members().iter().filter(|m| m.voter);
                 let ids: Vec<u64> = voters.map(|m| m.id).collect();
-                // until its change has ended, the lost core still counts
+                // until the membership change is complete, the lost core still counts
                 ids.len() == 3 && ids.contains(&id) && x.has_stable_membership()
             })
     });
-    // it gets no membership where the core that it cannot reach leads
-    if seated {
+    // it does not become a voter if the core that it cannot reach leads
+    if became_voter {
         world.isolate(a);
         world.run_for(4000);
         for n in ran.into_iter().take(60) {
@@ -71,12 +72,12 @@
         retried_count += world.clients.values().filter(|c| c.retried).count();
         assert_no_violations(&world, seed);
     }
-    println!("{retried_count} ids asked again");
+    println!("{retried_count} requests retried");
     assert!(retried_count > 200);
 }
 
-/// Room for claims runs out: requests are shed with a time to come back, none
-/// is forgotten, and once their time is over there is room again.
+/// When the claim table is full, requests are rejected and no claim is dropped; after
+/// the claims expire, requests are accepted again.
 #[test]
 fn without_capacity_for_claims_requests_are_shed_and_none_forgotten() {
     for seed in seeds(3300..3304) {
@@ -99,7 +100,7 @@
         }
         world.run_for(60_000);
         assert_no_violations(&world, seed);
-        // cutoff and the time on top are over for all
+        // by now all claims have expired
         world.run_for(370_000);
         let before = world.clients.len();
         let end = world.now + 500;
@@ -111,8 +112,8 @@
     }
 }
 
-/// What was shed without having run may come back under its id: nobody is
-/// told that it was taken, however messages about it were lost or late.
+/// A rejected request that was not executed may be retried under its id: it is never
+/// rejected as a duplicate, however messages about its claim were lost or delayed.
 #[test]
 fn what_never_executed_is_not_claimed_for_ever() {
     let mut rejected_as_duplicate = 0;
@@ -126,7 +127,7 @@
         let end = world.now + 10_000;
         world.traffic(40, end, |_, _| true);
         while world.now < end {
-            // sessions are cut while claims and their ends are on the way
+            // links are blocked while claims and their releases are in transit
             let (e, c) = (
                 world.edges()[world.rng.below(9) as usize],
                 world.cores()[world.rng.below(3) as usize],
@@ -169,12 +170,12 @@
             );
         }
     }
-    println!("{rejected_as_duplicate} told that it was taken");
+    println!("{rejected_as_duplicate} rejected as duplicates");
     assert_eq!(rejected_as_duplicate, 0);
 }
 
-/// One id at two edges at the same moment, all cores up or one of them lost:
-/// it runs once, and neither waits long.
+/// One id at two edges at almost the same time, with all cores up or one down: at most
+/// one request is executed, and neither waits long.
 #[test]
 fn of_two_edges_racing_for_one_id_one_wins() {
     for lost in [false, true] {
@@ -218,7 +219,7 @@
     }
 }
 
-/// What claims cost, on pairs of runs with and without clients' own ids.
+/// The cost of claims, compared in runs with and without client-chosen ids.
 #[test]
 fn claims_cost_little() {
     for (name, preset) in [("press", press()), ("archive", archive())] {
@@ -253,7 +254,7 @@
         }
         let [without, with] = mean_latency.map(|t| t / seeds_run);
         println!(
-            "{name}: {} frames and {} bytes sent, {} bytes synced an errand; mean {}.{:02} ms against {}.{:02} ms",
+            "{name}: {} frames and {} bytes sent, {} bytes synced per request; mean {}.{:02} ms against {}.{:02} ms",
             traffic_sum.frames / n, traffic_sum.frame_bytes / n, traffic_sum.disk_bytes / n, with / 100, with % 100, without / 100, without % 100
         );
         assert!(
--- a/testbed/tests/site/founding.rs
+++ b/testbed/tests/site/founding.rs
@@ -1,9 +1,9 @@
-//! Founding a site: once, by all, whatever happens meanwhile.
+//! Bootstrapping a site under faults: there is never more than one group of voters.
 
 use super::*;
 use std::collections::BTreeSet;
 
-fn sets(world: &World) -> BTreeSet<Vec<u64>> {
+fn voter_sets(world: &World) -> BTreeSet<Vec<u64>> {
     world
         .cores()
         .into_iter()
@@ -23,8 +23,8 @@
         .collect()
 }
 
-/// Cores are cut, killed and wiped while they found. However it goes there is
-/// never more than one site, and a wiped disk has no vote.
+/// Cores are partitioned, crashed and wiped during the bootstrap; there is never more
+/// than one site.
 #[test]
 fn no_two_sites_are_ever_bootstrapped() {
     let mut founded = 0;
@@ -65,10 +65,10 @@
             })
             .collect();
         assert!(leaders.len() <= 1, "seed {seed}: {leaders:?}");
-        let s = sets(&world);
+        let s = voter_sets(&world);
         assert!(s.len() <= 1, "seed {seed}: {s:?}");
         founded += usize::from(!leaders.is_empty());
     }
-    println!("{founded} of 80 sites were founded in spite of it all");
+    println!("{founded} of 80 sites were bootstrapped");
     assert!(founded > 20, "{founded}");
 }
--- a/testbed/tests/site/growth.rs
+++ b/testbed/tests/site/growth.rs
@@ -1,6 +1,6 @@
-//! A site founded by its seeds: of further cores as many become voters as the
-//! losses to be borne ask for, the rest stand by; a blank one gets its place
-//! back, and none of it loses what was acknowledged.
+//! A site bootstrapped by its seeds, with further cores: as many become voters as the
+//! tolerated losses require, the others are standbys; lost and blank cores are replaced,
+//! and no acknowledged change is lost.
 
 use super::*;
 use sorreldoor::consensus::Member;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use testbed::site::FaultMix;
 
-/// Three seeds, and as many cores again that are no seeds.
+/// A new site with three seed cores and three others.
 pub fn six_cores(seed: u64) -> World {
     let mut world = World::new(seed, press());
     world.only_seeds_bootstrap = true;
@@ -25,7 +25,7 @@
     world
 }
 
-/// The members as the leader knows them, and whether a change is under way.
+/// The members according to the leader, and whether a membership change is in progress.
 pub fn members(world: &World) -> (Vec<Member>, bool) {
     let a = world
         .leader()
@@ -49,8 +49,8 @@
     ids
 }
 
-/// All cores that are up are the members, and nobody else; as many of them
-/// vote as are wanted, or all; and no change is under way.
+/// Whether exactly the cores that are up are members, the target number of them (or
+/// all) vote, and no membership change is in progress.
 pub fn membership_is_stable(world: &World) -> bool {
     let (ms, changing) = members(world);
     let mut all: Vec<u64> = ms.iter().map(|m| m.id).collect();
@@ -103,7 +103,7 @@
             world.now
         );
         assert!(replace_configuration(&mut world, 0), "seed {seed}");
-        // any two of six may be lost
+        // any two of six cores may be lost
         let all = world.cores();
         world.crash(all[(seed % 6) as usize]);
         world.crash(all[((seed + 3) % 6) as usize]);
@@ -113,8 +113,8 @@
     }
 }
 
-/// A core that lost its disk has a new identity and no record of earlier
-/// acknowledgements; it rejoins long before any silence time-out would apply.
+/// A core that lost its disk rejoins under a new identity, long before it would count as
+/// lost.
 #[test]
 fn a_wiped_core_is_a_member_again_soon() {
     for seed in seeds(7100..7115) {
@@ -135,7 +135,7 @@
             ids(&world)
         );
         assert!(!voters(&world).contains(&was));
-        println!("seed {seed}: seat back after {} ms", world.now - from);
+        println!("seed {seed}: member again after {} ms", world.now - from);
         assert!(replace_configuration(&mut world, 1), "seed {seed}");
         world.run_for(2000);
         world.run_for(4000);
@@ -143,7 +143,7 @@
     }
 }
 
-/// A site of three that does not grow does the same.
+/// The same on a site of three seed cores.
 #[test]
 fn a_wiped_core_of_three_is_a_member_again_soon() {
     for seed in 7200..7206 {
@@ -189,7 +189,7 @@
     }
 }
 
-/// A core that was down so long that it was removed rejoins and catches up.
+/// A core that was partitioned until it was removed rejoins and catches up.
 #[test]
 fn a_removed_core_joins_again() {
     for seed in 7400..7405 {
@@ -197,10 +197,10 @@
         let c = world.cores()[(seed % 6) as usize];
         world.isolate(c);
         world.run_for(30_000);
-        // the standby votes in its place, and it is no member any more
-        let given_up = world.processes[c].id;
+        // the standby votes in its place, and the core is no longer a member
+        let removed = world.processes[c].id;
         let (ms, _) = members(&world);
-        assert!(ms.iter().all(|m| m.id != given_up), "seed {seed}");
+        assert!(ms.iter().all(|m| m.id != removed), "seed {seed}");
         assert_eq!(voters(&world).len(), 5, "seed {seed}");
         world.blocked_links.clear();
         let end = world.now + 10_000;
@@ -230,7 +230,7 @@
         };
         assert!(!world.cores().iter().any(founded), "seed {seed}");
     }
-    // nor by what it promised in a life in which it had leave
+    // nor after a restart without permission, if it promised founders before
     for seed in 7510..7520 {
         let mut world = six_cores(seed);
         let promised = |world: &World| {
@@ -258,8 +258,8 @@
     }
 }
 
-/// One core at a time is killed, wiped or replaced, under changes; whatever
-/// was acknowledged stays, and the site is whole in the end.
+/// One core at a time is crashed, wiped or replaced, under changes; no acknowledged
+/// change is lost, and the membership becomes stable again.
 #[test]
 fn growth_under_losses_keeps_acknowledged_changes() {
     for seed in seeds(7600..7620) {
@@ -305,7 +305,7 @@
     }
 }
 
-/// Random faults over six cores: kills, freezes and cuts, no disk lost.
+/// Random faults over six cores, without lost disks.
 #[test]
 fn random_faults_over_six_cores() {
     for seed in seeds(7700..7706) {
--- a/testbed/tests/site/half_open.rs
+++ b/testbed/tests/site/half_open.rs
@@ -1,6 +1,5 @@
-//! Connections that are dead at one end: a core that lost its power and is
-//! back must be reached at once by those that stayed up, although no reset tells
-//! them that their connections to it are dead.
+//! Half-open connections: a core that restarts after a loss of power is reached again
+//! at once, even if its peers got no reset of their old connections.
 
 use super::growth::grown;
 use super::*;
@@ -8,18 +7,17 @@
 use sorreldoor::types::Millis;
 use testbed::site::HalfOpenFaults;
 
-/// How long the returning core is without power: back before anybody has missed
-/// it, and after its leader had to step down.
+/// How long the returning core is without power: shorter than any time-out, and until
+/// after the leader stepped down.
 const DOWN_MS: [Millis; 2] = [150, 1000];
-/// From its return until a change is acknowledged: its start and an election.
+/// Limit from its restart until a change is acknowledged, with an election.
 const RECOVERY_MS: Millis = 1500;
 const LIMIT_MS: Millis = 12_000;
-/// Between two tries of a change.
+/// Interval between attempts to commit a change.
 const RETRY_MS: Millis = 20;
 
-/// A site of five voters and a standby. Two voters and the standby lose their
-/// power for good, and a third voter for a second: then all three that are left
-/// are needed, and the returning one must be reached in both directions.
+/// Of five voters and a standby, two voters and the standby lose power for good, and a
+/// third voter for `down_ms`: the quorum then needs the returning core.
 fn recovery_ms(seed: u64, down_ms: Millis, faults: HalfOpenFaults) -> Option<Millis> {
     let mut world = grown(seed);
     world.half_open_faults = faults;
@@ -47,7 +45,7 @@
     Some(recovered)
 }
 
-/// Proposes changes at a core until one is acknowledged; how long that took.
+/// Proposes changes at a core until one is acknowledged; returns the time taken.
 fn time_to_commit(world: &mut World, core: usize) -> Option<Millis> {
     let from = world.now;
     while world.now < from + LIMIT_MS {
@@ -65,7 +63,7 @@
     None
 }
 
-/// Times of recovery over many seeds; one that never recovered counts as the limit.
+/// Recovery times over many seeds, with `LIMIT_MS` for runs that did not recover.
 fn recoveries(faults: HalfOpenFaults) -> Vec<Millis> {
     let cases = seeds(41_000..41_016).flat_map(|seed| DOWN_MS.map(|down_ms| (seed, down_ms)));
     let mut recovered: Vec<Millis> = cases
@@ -80,7 +78,7 @@
     recovered
 }
 
-/// No reset ever comes through, and the system closes nothing by itself.
+/// All resets are lost, and there is no TCP user time-out.
 const SILENT: HalfOpenFaults = HalfOpenFaults {
     lost_reset_percent: 100,
     user_timeout_ms: None,
@@ -104,8 +102,8 @@
     );
 }
 
-/// Without the closing of superseded connections frames to the returned core are
-/// lost for as long as the old connection counts as open.
+/// If superseded connections are not closed, frames to the returned core are lost until
+/// the old connection times out.
 #[test]
 fn superseded_connections_must_be_closed() {
     break_only(Some(Invariant::Superseded));
@@ -117,9 +115,8 @@
     );
 }
 
-/// A core closes its end of a connection that another has dialled, and the other
-/// is not told. The other's messages must take the connection that still
-/// receives, and the leader must not lose touch with its only quorum for longer.
+/// Every other core closes its end of the leader's connections without notice; returns
+/// the time until the leader commits a change over other connections.
 fn silently_closed_ms(seed: u64) -> Millis {
     let mut world = grown(seed);
     world.half_open_faults = SILENT;
@@ -142,7 +139,7 @@
     longest
 }
 
-/// Frames take another connection once one has fallen silent.
+/// Limit until frames use another connection.
 const OTHER_CONNECTION_MS: Millis = 2600;
 
 #[test]
--- a/testbed/tests/site/linearizability.rs
+++ b/testbed/tests/site/linearizability.rs
@@ -1,5 +1,5 @@
-//! Operators' proposals under faults: every history of answers and reads is
-//! that of one register with compare-and-set by version.
+//! Operators' proposals under faults: every history of proposals and reads is
+//! linearizable as a register with compare-and-set by version.
 
 use super::*;
 use sorreldoor::invariants::{break_only, Invariant};
@@ -15,8 +15,7 @@
     resend_percent: 60,
 };
 
-/// Cores die, freeze, are partitioned and have slow disks while operators work;
-/// snapshots are made every few entries.
+/// Cores crash, freeze, are partitioned and have slow disks while operators propose.
 fn under_random_faults(seed: u64) -> World {
     let mut world = ready_world(seed);
     world.operator_faults = FAULTS;
@@ -36,7 +35,7 @@
     world
 }
 
-/// Answers are lost and copies are late, and nothing else goes wrong.
+/// Answers are lost and proposals are resent late, without other faults.
 fn with_lost_answers(seed: u64) -> World {
     let mut world = ready_world(seed);
     world.operator_faults = OperatorFaults {
@@ -49,7 +48,7 @@
     world
 }
 
-/// All cores are killed together, again and again, with snapshots made often.
+/// All cores crash together repeatedly, with frequent snapshots.
 fn with_restarts(seed: u64) -> World {
     let preset = preset_for(seed);
     let doc = testbed::fleet::configuration(&preset);
@@ -71,8 +70,8 @@
     world
 }
 
-/// The leader is partitioned from the other cores, one way or both, and comes
-/// back; operators reach both sides.
+/// The leader is repeatedly partitioned from the other cores, in one direction or both;
+/// operators reach both sides.
 fn with_partitioned_leader(seed: u64) -> World {
     let mut world = ready_world(seed);
     world.operator_faults = FAULTS;
@@ -81,12 +80,12 @@
     while world.now < end {
         world.run_for(1500);
         let leader = world.leader().unwrap_or(0);
-        let preset = world.rng.below(3);
+        let direction = world.rng.below(3);
         for other in world.cores().into_iter().filter(|c| *c != leader) {
-            if preset != 1 {
+            if direction != 1 {
                 world.blocked_links.insert((leader, other));
             }
-            if preset != 2 {
+            if direction != 2 {
                 world.blocked_links.insert((other, leader));
             }
         }
@@ -113,11 +112,11 @@
         open += counts.2;
     }
     println!(
-        "{committed} sendings acknowledged, {rejected} refused, {open} without a clear answer"
+        "{committed} attempts committed, {rejected} rejected, {open} without a definite answer"
     );
     assert!(
         committed > 100 && rejected > 50 && open > 50,
-        "too little to see"
+        "too few attempts of some kind: {committed}, {rejected}, {open}"
     );
 }
 
@@ -151,8 +150,8 @@
         violations.map(|violation| println!("{}: seed {seed}: {violation}", rule.name()))
     };
     let seed = (0..30).find(|seed| detected(seed).is_some());
-    let seed = seed.unwrap_or_else(|| panic!("{} broken was not seen", rule.name()));
-    assert_eq!(violations(&run(seed)), None, "{} kept", rule.name());
+    let seed = seed.unwrap_or_else(|| panic!("{} broken was not detected", rule.name()));
+    assert_eq!(violations(&run(seed)), None, "{} upheld", rule.name());
 }
 
 #[test]
@@ -180,8 +179,8 @@
     assert_detected(Invariant::TakenInImage, with_restarts);
 }
 
-/// One copy of an evacuation waits at a partitioned core, another is
-/// acknowledged; the zone is readmitted, and then the cut ends.
+/// An evacuation is pending at a partitioned core while another is acknowledged and the
+/// zone readmitted; then the partition heals.
 fn with_delayed_evacuation(seed: u64) -> World {
     let mut world = ready_world(seed);
     let leader = world.leader().unwrap_or(0);
@@ -227,20 +226,23 @@
     let records = cores.filter_map(|c| c.consensus());
     records
         .into_iter()
-        .any(|answer| answer.state_machine().is_evacuated(0))
+        .any(|consensus| consensus.state_machine().is_evacuated(0))
 }
 
 #[test]
 fn a_delayed_duplicate_does_not_evacuate_the_zone_again() {
     for seed in seeds(5400..5420) {
         let world = with_delayed_evacuation(seed);
-        assert!(!is_evacuated(&world), "seed {seed}: emptied again");
+        assert!(
+            !is_evacuated(&world),
+            "seed {seed}: the zone was evacuated again"
+        );
     }
     break_only(Some(Invariant::EvacuateOnce));
     let detected = (5400..5420).find(|seed| is_evacuated(&with_delayed_evacuation(*seed)));
     break_only(None);
-    println!("evacuate-once: seen by seed {detected:?}");
-    assert!(detected.is_some(), "evacuate-once broken was not seen");
+    println!("evacuate-once: detected by seed {detected:?}");
+    assert!(detected.is_some(), "evacuate-once broken was not detected");
 }
 
 fn compare_and_set(
@@ -270,7 +272,7 @@
 fn the_checker_distinguishes_linearizable_histories() {
     let (answer, b) = ((1, 1, 3), (2, 1, 3));
     let committed = Answer::Committed(3);
-    let assert_no_violations = [
+    let linearizable = [
         // the unanswered copy took effect late
         vec![
             compare_and_set(0, None, answer, Answer::Unknown),
@@ -286,10 +288,10 @@
             compare_and_set(5, Some(8), answer, committed.clone()),
         ],
     ];
-    for history in assert_no_violations {
+    for history in linearizable {
         assert_eq!(violation(&history, INITIAL_STATE), None, "{history:?}");
     }
-    let unsound = [
+    let not_linearizable = [
         // both of two rivals were acknowledged
         vec![
             compare_and_set(0, Some(9), answer, committed.clone()),
@@ -304,27 +306,27 @@
             compare_and_set(0, Some(2), answer, committed.clone()),
             compare_and_set(3, Some(4), answer, Answer::Rejected),
         ],
-        // rejected, and in force
+        // rejected, but read as committed
         vec![
             compare_and_set(0, Some(2), answer, Answer::Rejected),
             read(3, 3, 1),
         ],
         // rejected though it might have been committed
         vec![compare_and_set(0, Some(2), answer, Answer::Rejected)],
-        // nobody made this proposal, or it took effect before it was made
+        // the proposal was never made, or took effect before it was made
         vec![read(3, 3, 7)],
         vec![
             read(1, 3, 1),
             compare_and_set(5, Some(7), answer, committed.clone()),
         ],
-        // a read goes back
+        // a later read returns an older version
         vec![
             compare_and_set(0, None, answer, Answer::Unknown),
             read(5, 3, 1),
             read(9, 1, 0),
         ],
     ];
-    for history in unsound {
+    for history in not_linearizable {
         assert!(violation(&history, INITIAL_STATE).is_some(), "{history:?}");
     }
 }
--- a/testbed/tests/site/loads.rs
+++ b/testbed/tests/site/loads.rs
@@ -1,4 +1,4 @@
-//! Crowds and swinging mixes: tuning within bounds, and warm prefixes.
+//! Load: weight tuning stays within its bounds, prefix affinity, and overload.
 
 use super::*;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
             }
         }
         for (i, k) in world.workers.iter_mut().enumerate() {
-            // the slow ones are older machines
+            // every other model worker is slower
             let by = if i % 2 == 0 || !k.model { 1 } else { 4 };
             k.tail_ms *= 2 * by;
             k.prefill_ms *= by;
@@ -29,7 +29,8 @@
     })
 }
 
-/// Served, shed, and mean time of those served, of one route.
+/// The requests of a route that were served and not served, and the mean duration of
+/// those served.
 fn tally(world: &World, route: &str) -> (usize, usize, u64) {
     let all = world.clients.values().filter(|c| c.route == route);
     let (mut n, mut reject, mut sum) = (0, 0, 0);
@@ -44,7 +45,7 @@
     (n, reject, sum / n.max(1) as u64)
 }
 
-/// The weight that verdicts give the slow service, sampled over a run.
+/// Runs traffic and samples the weight of the slow service in the verdict route.
 fn run(world: &mut World, per_s: u64, ms: u64) -> Vec<u32> {
     let end = world.now + ms;
     world.traffic(per_s, end, |_, _| true);
@@ -57,7 +58,7 @@
         let v = a.map(|a| a.state_machine().view()).unwrap_or_default();
         let s = a
             .and_then(|a| a.state_machine().configuration().cloned())
-            .expect("a setup");
+            .expect("a configuration");
         let route = s.route("verdict").unwrap_or(0);
         let slow = s.services.iter().position(|s| s.name == "s").unwrap_or(0) as u16;
         let now = sorreldoor::weight_tuning::weight(&v.weights, route, slow).unwrap_or(50);
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn tuning_helps_within_its_bounds_and_does_not_swing() {
+fn tuning_shortens_requests_within_its_bounds_without_oscillation() {
     let (mut sum_even, mut sum_tuned) = (0, 0);
     for seed in 0..4 {
         let mut even = two(seed, "decode", "");
@@ -93,7 +94,7 @@
         println!(
             "seed {seed}: drafts even {a:?}, tuned {b:?}; slow weight to {last}, {r} reversals"
         );
-        assert!(ws.iter().all(|world| (10..=90).contains(world)), "{ws:?}");
+        assert!(ws.iter().all(|weight| (10..=90).contains(weight)), "{ws:?}");
         assert!(last < 45, "{ws:?}");
         assert!(r <= 4, "{ws:?}");
         sum_even += a.2;
@@ -101,17 +102,17 @@
         assert_no_violations(&tuned, seed);
     }
     println!("sum of means: even {sum_even} ms, tuned {sum_tuned} ms");
-    // beyond what seeds differ by
+    // more than the difference between seeds
     assert!(sum_tuned * 100 < sum_even * 88, "{sum_even} {sum_tuned}");
 }
 
 #[test]
 fn prefixes_stay_with_the_worker_that_caches_them() {
     let share = |world: &World| {
-        let (controller, m) = world.workers.iter().fold((0, 0), |(controller, m), k| {
-            (controller + k.hits, m + k.misses)
+        let (hits, misses) = world.workers.iter().fold((0, 0), |(hits, misses), k| {
+            (hits + k.hits, misses + k.misses)
         });
-        controller * 100 / (controller + m).max(1)
+        hits * 100 / (hits + misses).max(1)
     };
     for seed in 0..4 {
         let mut with = two(seed, "prefix", "");
@@ -124,8 +125,8 @@
     }
 }
 
-/// A crowd far beyond what the site bears: sheds are honest, nothing breaks,
-/// and once it is gone everyone is served again.
+/// Under a heavy overload no invariant is violated, and afterwards nearly every request
+/// is served again.
 #[test]
 fn an_overload_is_shed_and_leaves_nothing_behind() {
     for seed in 0..4 {
--- a/testbed/tests/site/members.rs
+++ b/testbed/tests/site/members.rs
@@ -1,4 +1,5 @@
-//! Who is a member: dead, frozen and one-way-cut nodes, and flapping ones.
+//! Edges' sessions and the list of ready edges, with crashed, frozen and partitioned
+//! nodes.
 
 use super::*;
 
@@ -14,8 +15,8 @@
         })
 }
 
-/// An edge that hears nothing, though it is heard, stops serving with its
-/// lease, and goes on through another core.
+/// An edge that its core's frames do not reach opens a session at another core and
+/// serves again.
 #[test]
 fn an_edge_behind_a_one_way_partition_moves_to_another_core() {
     for seed in 1300..1315 {
@@ -39,7 +40,7 @@
         });
         assert!(
             redirected,
-            "seed {seed}: it serves again through another core"
+            "seed {seed}: the edge does not serve through another core"
         );
         println!(
             "seed {seed}: serving through another core after {} ms",
@@ -50,8 +51,8 @@
     }
 }
 
-/// Dead, frozen or partitioned: clients are no longer sent there, and are again
-/// once it is back; a short freeze changes nothing.
+/// A crashed, frozen or partitioned edge is taken off the list until it serves again; a
+/// short freeze does not take it off.
 #[test]
 fn clients_are_not_redirected_to_edges_that_do_not_serve() {
     for seed in 1400..1410 {
@@ -66,7 +67,7 @@
                 _ => world.isolate(e),
             }
             let from = world.now;
-            // a client sent to it meanwhile loses its time, so it must be soon
+            // clients redirected to it meanwhile wait in vain, so the limit is short
             let end = from + 2500;
             let unlisted = world.run_until(end, |world| !listed(world, &name));
             assert!(unlisted, "seed {seed}, {how}");
@@ -91,14 +92,17 @@
             world.freeze(e, 350, false);
             for _ in 0..8 {
                 world.run_for(100);
-                assert!(listed(&world, &name), "a short pause is no death");
+                assert!(
+                    listed(&world, &name),
+                    "an edge was unlisted after a short freeze"
+                );
             }
         }
     }
 }
 
-/// Every edge comes to a core of its own region, where there is one, and
-/// those of a region spread over its cores.
+/// Every edge has its session at a core of its own region if there is one, and returns
+/// there after using another.
 #[test]
 fn edges_prefer_cores_of_their_own_region() {
     for seed in 1500..1510 {
@@ -120,7 +124,7 @@
                 "seed {seed}"
             );
         }
-        // its core lost, an edge goes on elsewhere, and comes back later
+        // an edge serves elsewhere while its core is down, and returns later
         let e = world.edges()[0];
         let c = at(&world, e).expect("a session");
         world.crash(c);
--- a/testbed/tests/site/regions.rs
+++ b/testbed/tests/site/regions.rs
@@ -1,4 +1,4 @@
-//! Regions lost and back.
+//! Loss and return of a region's workers.
 
 use super::*;
 use sorreldoor::error::ErrorCode;
@@ -57,7 +57,7 @@
     }
 }
 
-/// While a region is lost, what is bound to it is shed at once and honestly.
+/// While a region has no workers, requests bound to it are rejected at once.
 #[test]
 fn home_bound_requests_of_a_lost_region_are_rejected_at_once() {
     for seed in seeds(1100..1110) {
--- a/testbed/tests/site/zones.rs
+++ b/testbed/tests/site/zones.rs
@@ -1,12 +1,12 @@
-//! Whole zones and regions lost or partitioned, each layout; and the closing
-//! fault straight after an acknowledgement.
+//! Loss and partition of whole zones and regions, and crashes right after an
+//! acknowledgement.
 
 use super::*;
 use sorreldoor::replicated_state::Command;
 use testbed::site::Client;
 
-/// An operator's change at some process that is up, tried until it is committed;
-/// how long that took from the first try on.
+/// Proposes changes at random processes until one is committed; returns the time since
+/// the first attempt, or `None` after `most`.
 fn time_to_commit(world: &mut World, most: u64) -> Option<u64> {
     let from = world.now;
     while world.now - from < most {
@@ -48,9 +48,9 @@
     (k, n)
 }
 
-/// Every process and worker of a zone crashes at once, and returns cold.
+/// All processes and workers of a zone crash at once and later restart.
 #[test]
-fn any_zone_may_be_lost() {
+fn service_continues_without_any_one_zone() {
     for zone in 0..3u16 {
         let (mut slowest, mut least, mut back) = (0, 100, 100);
         for seed in seeds(4000..4010) {
@@ -62,7 +62,7 @@
             let from = world.now;
             world.crash_zone(zone);
             let elapsed_ms =
-                time_to_commit(&mut world, 10_000).expect("a change is taken with a zone lost");
+                time_to_commit(&mut world, 10_000).expect("a change is committed with a zone lost");
             slowest = slowest.max(elapsed_ms);
             world.run_for(12_000);
             let lost = world.now;
@@ -79,7 +79,7 @@
             let (k, n) = of(&world, lost + 12_000, lost + 16_000, |_, _| true);
             back = back.min(k * 100 / n.max(1));
         }
-        println!("zone {zone} lost, 10 seeds: a change taken after {slowest} ms at most; from 3 s on {least} % served at least; 12 s after its return {back} %");
+        println!("zone {zone} lost, 10 seeds: a change committed after {slowest} ms at most; from 3 s on {least} % served at least; 12 s after its return {back} %");
         assert!(slowest <= 2000, "{slowest}");
         assert!(least >= 75 && back >= 95, "{least} {back}");
     }
@@ -87,7 +87,7 @@
 
 /// The regions cannot reach each other, clients and operators on both sides.
 #[test]
-fn a_partition_between_the_regions() {
+fn during_a_partition_only_the_larger_region_serves() {
     for seed in seeds(4100..4110) {
         let mut world = ready_world(seed);
         let end = world.now + 40_000;
@@ -107,7 +107,7 @@
                 }
             }
         }
-        // where most cores are, all goes on
+        // the region with most cores continues to serve
         let majority_region = if seed % 2 == 0 { 0 } else { 1 };
         assert_eq!(
             world
@@ -148,12 +148,12 @@
             world.processes[c.edge].region != majority_region
         });
         let (x, y) = of(&world, cut + 3000, cut + 8000, |_, _| true);
-        println!("seed {seed}: larger side served {k} of {n}, {} yeses; smaller {a} of {b}, {} yeses; after it {x} of {y}", committed_in(majority_region), committed_in(1 - majority_region));
+        println!("seed {seed}: larger side served {k} of {n}, {} changes committed; smaller {a} of {b}, {} changes committed; after it {x} of {y}", committed_in(majority_region), committed_in(1 - majority_region));
         assert!(
             k * 100 >= n * 90 && committed_in(majority_region) >= 3,
             "{k} of {n}"
         );
-        // the smaller side cannot know that its configuration is current: it is honest
+        // the smaller side cannot verify that its configuration is current
         assert!(
             a == 0 && committed_in(1 - majority_region) == 0,
             "{a} of {b}"
@@ -162,11 +162,10 @@
     }
 }
 
-/// The closing fault: right after the yes to a configuration, an edit or an
-/// evacuation, a disk machine or a zone is gone for good and everything else
-/// is killed, or only that.
+/// Right after the acknowledgement of a change a core or a zone is lost for good, with
+/// or without a restart of everything else.
 #[test]
-fn the_closing_fault_loses_no_acknowledged_change() {
+fn a_crash_after_an_acknowledgement_loses_no_change() {
     let mut n = 0;
     for seed in seeds(4200..4260) {
         let mut world = ready_world(seed);
@@ -193,7 +192,7 @@
         let end = world.now + 4000;
         world.run_until(end, |world| world.changes[c].outcome.is_some());
         assert!(was_committed(&world, c), "seed {seed}");
-        // the very millisecond of the yes
+        // in the millisecond of the acknowledgement
         let zone = world.rng.below(3) as u16;
         let entire_zone = world.rng.chance(50);
         let all = world.rng.chance(60);
@@ -216,25 +215,24 @@
         assert_eq!(up.len(), 2);
         assert!(
             world.leader().is_some(),
-            "seed {seed}: two cores of three lead"
+            "seed {seed}: two of three cores have no leader"
         );
         assert_no_violations(&world, seed);
         for e in world.edges().into_iter().filter(|e| world.processes[*e].up) {
             let controller = world.edge_controller(e).expect("an edge that is up");
             assert!(
                 controller.cluster.snapshot.view.version >= 2,
-                "seed {seed}: read back at every edge"
+                "seed {seed}: an edge lacks the change"
             );
             n += 1;
         }
     }
-    println!("60 closing faults, read back at {n} edges");
+    println!("the change is at {n} edges");
 }
 
-/// Spill counted over the whole fleet, a region's workers lost or its zones
-/// evacuated one after the other: never above the limit.
+/// The spill from a region without workers stays within its limit over all edges.
 #[test]
-fn spill_keeps_to_its_limit_over_the_fleet() {
+fn spill_over_all_edges_stays_within_its_limit() {
     for seed in seeds(4300..4306) {
         let preset = if seed % 2 == 0 { press() } else { archive() };
         let doc = testbed::fleet::configuration(&preset).replace(": 50}", ": 30}");
@@ -253,9 +251,9 @@
         world.run_for(80_000);
         assert_no_violations(&world, seed);
         let shares = world.spill_percent(from, from + 14_000);
-        println!("seed {seed}: most that spilt in any 2 s, by region: {shares:?}");
+        println!("seed {seed}: highest spill in any 2 s, in percent by region: {shares:?}");
         assert!(shares.iter().any(|s| *s > 10), "{shares:?}");
-        // thirty, and what edges had kept or a window cuts in two
+        // the limit of 30, plus budget that edges had saved and requests split by a window
         assert!(shares.iter().all(|s| *s <= 37), "{shares:?}");
     }
 }
