--- a/testbed/tests/conformance/answers.rs
+++ b/testbed/tests/conformance/answers.rs
@@ -1,4 +1,4 @@
-//! When entries are replicated, committed, acknowledged and read.
+//! Replication, commit, acknowledgement and reads of entries.
 
 use super::*;
 use sorreldoor::consensus::Msg;
@@ -9,8 +9,8 @@
     let before = sim.sent_by_kind.get("append").copied().unwrap_or(0);
     let far_before = sim.sent_between_regions.get("append").copied().unwrap_or(0);
     sim.commit_latency(leader, 500).expect("taken");
-    // one append to the other Domain Leader, two in the own region, and two
-    // more that the other Domain Leader forwards
+    // one append to the other Domain Leader, two within the leader's region, and
+    // two that the other Domain Leader forwards
     assert_eq!(sim.sent_by_kind["append"] - before, 5);
     assert_eq!(sim.sent_between_regions["append"] - far_before, 1);
 }
@@ -76,7 +76,7 @@
         from == 2 && matches!(m, Msg::AppendReply { .. })
     }));
     sim.commit_latency(2, 500)
-        .expect("the Domain Leader answers");
+        .expect("the Domain Leader acknowledges");
     let top = sim.highest_version();
     let read_id = sim.read(leader);
     sim.run_for(1000);
@@ -94,11 +94,11 @@
     sim.run_for(1500);
     let elapsed = sim
         .commit_latency(3, ACK_MS)
-        .expect("answered by the Global Leader");
+        .expect("acknowledged by the Global Leader");
     assert!(elapsed <= ACK_MS / 2, "{elapsed}");
 }
 
-/// Messages 1 to 6 of the paper, each lost for a while.
+/// Each of the messages 1 to 6 of the CD-Raft paper is lost for 300 ms.
 pub fn each_message_of_the_paper_may_be_lost() {
     type MessageFilter = fn(usize, usize, &Msg) -> bool;
     let table: [(&str, MessageFilter); 6] = [
@@ -110,7 +110,7 @@
             f < 3 && t < 3 && matches!(m, Msg::Append { .. })
         }),
         ("4 confirmation", |_, _, m| matches!(m, Msg::Confirm { .. })),
-        ("5 entry in the asker's region", |f, t, m| {
+        ("5 entry in the proposer's region", |f, t, m| {
             f >= 3 && t >= 3 && matches!(m, Msg::Append { .. })
         }),
         ("6 acknowledgement", |f, t, m| {
@@ -202,14 +202,14 @@
 
 /// A core whose disk accepts writes again rejoins without a restart: it
 /// follows, and can lead when its vote is needed.
-pub fn a_healed_disk_takes_part_again() {
+pub fn a_core_with_a_healed_disk_takes_part_again() {
     use sorreldoor::consensus::Event;
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
     sim.deliver(leader, Event::SaveFailed);
     sim.run_for(3000);
     assert!(sim.leader().is_some_and(|n| n != leader));
     let top = sim.commit_latency((leader + 1) % 3, ACK_MS);
-    assert!(top.is_some(), "the others go on");
+    assert!(top.is_some(), "the other cores commit");
     sim.deliver(leader, Event::SaveRecovered);
     sim.run_for(3000);
     let applied_index = |sim: &Sim, i: usize| sim.nodes[i].consensus.as_ref().map(|a| a.applied());
@@ -221,13 +221,16 @@
     let other = sim.leader().unwrap();
     sim.crash(other);
     sim.run_for(5000);
-    assert!(sim.leader().is_some(), "it counts for a majority again");
+    assert!(
+        sim.leader().is_some(),
+        "no leader with the healed core's vote"
+    );
     assert!(sim.commit_latency(leader, ACK_MS).is_some());
     assert_invariants(&sim);
 }
 
-/// A core whose disk fails or is stuck gives up leadership.
-pub fn a_bad_disk_steps_aside() {
+/// A leader whose disk fails or is stuck steps down.
+pub fn a_leader_with_a_bad_disk_steps_down() {
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
     let op_id = sim.propose_change(leader, sim.highest_version());
     sim.deliver(leader, sorreldoor::consensus::Event::SaveFailed);
@@ -246,7 +249,10 @@
     sim.nodes[leader].disk.stuck = true;
     sim.propose_change(leader, sim.highest_version());
     let end = sim.now + ACK_MS;
-    let noticed = sim.run_until(end, |sim| sim.leader().is_some_and(|n| n != leader));
-    assert!(noticed, "a stuck disk is noticed within ackMs");
+    let stepped_down = sim.run_until(end, |sim| sim.leader().is_some_and(|n| n != leader));
+    assert!(
+        stepped_down,
+        "no other leader within {ACK_MS} ms of a stuck disk"
+    );
     assert_invariants(&sim);
 }
--- a/testbed/tests/conformance/elections.rs
+++ b/testbed/tests/conformance/elections.rs
@@ -1,4 +1,4 @@
-//! Elections, and the region that the leader is in.
+//! Elections and leadership transfers.
 
 use super::*;
 use sorreldoor::consensus::StateChange;
@@ -27,7 +27,7 @@
 pub fn an_election_needs_all_but_one_domain_leader() {
     let mut sim = new_sim(3, &[0, 1, 2]);
     let leader = sim.wait_for_leader();
-    // only two of three regions are left: enough; of four, three are needed
+    // two of three Domain Leaders suffice; of four, three are needed
     sim.crash(leader);
     sim.run_for(3000);
     assert!(sim.leader().is_some());
@@ -61,7 +61,7 @@
     sim.run_for(600);
     let a = other(&sim, 0);
     sim.commit_latency(leader, 1900)
-        .expect("the region alone has the core's majority");
+        .expect("the region alone has a majority of all cores");
     // the leader crashes; the other region's core returns with a stale log
     sim.blocked_links.clear();
     sim.crash(leader);
@@ -132,13 +132,15 @@
         .iter()
         .filter(|(_, _, n)| matches!(n, StateChange::TransferringLeadership { .. }))
         .count();
-    assert!(moves <= 1, "{moves} moves in a minute of even asking");
+    assert!(
+        moves <= 1,
+        "{moves} transfers in a minute of evenly spread proposals"
+    );
 }
 
-/// Found by a replacement that never ended: reads starved the Domain Leader's
-/// heartbeats, so its region elected another, and the two swapped every Tp.
+/// Frequent reads do not starve the heartbeats of a Domain Leader.
 #[test]
-fn steady_reading_does_not_unseat_domain_leaders() {
+fn steady_reads_depose_no_domain_leader() {
     let (mut sim, leader) = settled_with_leader_in(&[0, 0, 1], 0);
     let end = sim.now + 20_000;
     let before = sim.state_changes.len();
--- a/testbed/tests/conformance/losses.rs
+++ b/testbed/tests/conformance/losses.rs
@@ -66,7 +66,7 @@
     time_to_leader(sim)
 }
 
-/// Ends the leader's process: the others see their connections to it close.
+/// Crashes the leader and closes its peers' connections to it.
 fn end_process(sim: &mut Sim, leader: usize) {
     sim.crash(leader);
     let id = sim.nodes[leader].id;
@@ -74,11 +74,11 @@
 }
 
 #[test]
-fn cores_that_all_died_soon_have_a_leader() {
+fn a_leader_is_elected_soon_after_all_cores_crash() {
     for (regions, inter_region_ms) in SITES {
         let (median, longest) = median_and_longest(regions, inter_region_ms, restart_all_cores);
         println!(
-            "all died, {regions:?} at {inter_region_ms} ms: median {median} ms, most {longest} ms"
+            "all crashed, {regions:?} at {inter_region_ms} ms: median {median} ms, most {longest} ms"
         );
         assert!(
             median < 400 && longest < 900,
@@ -88,14 +88,14 @@
 }
 
 #[test]
-fn a_leader_whose_process_ends_is_soon_replaced() {
+fn a_crashed_leader_is_replaced_soon() {
     for (regions, inter_region_ms) in SITES {
         let (median, longest) = median_and_longest(regions, inter_region_ms, |sim| {
             let leader = sim.wait_for_leader();
             end_process(sim, leader);
             time_to_leader(sim)
         });
-        println!("leader killed, {regions:?} at {inter_region_ms} ms: median {median} ms, most {longest} ms");
+        println!("leader crashed, {regions:?} at {inter_region_ms} ms: median {median} ms, most {longest} ms");
         assert!(
             median < 500 && longest < 1600,
             "{regions:?} {inter_region_ms}: {median} {longest}"
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_leader_that_is_silent_is_replaced() {
+fn an_isolated_leader_is_replaced() {
     for (regions, inter_region_ms) in SITES {
         let (median, longest) = median_and_longest(regions, inter_region_ms, |sim| {
             let leader = sim.wait_for_leader();
@@ -120,7 +120,7 @@
             sim.heal();
             elapsed
         });
-        println!("leader silent, {regions:?} at {inter_region_ms} ms: median {median} ms, most {longest} ms");
+        println!("leader isolated, {regions:?} at {inter_region_ms} ms: median {median} ms, most {longest} ms");
         assert!(
             median < 1300 && longest < 2500,
             "{regions:?} {inter_region_ms}: {median} {longest}"
@@ -128,9 +128,9 @@
     }
 }
 
-/// A core that only lost its connection to a live leader does not depose it.
+/// A core that lost only its connection to a running leader does not depose it.
 #[test]
-fn a_closed_connection_alone_unseats_no_leader() {
+fn a_closed_connection_alone_deposes_no_leader() {
     for (seed, (regions, inter_region_ms)) in (0..).zip(SITES) {
         let mut sim = settled_sim(seed, regions, inter_region_ms);
         let leader = sim.wait_for_leader();
--- a/testbed/tests/conformance/lost_links.rs
+++ b/testbed/tests/conformance/lost_links.rs
@@ -1,6 +1,5 @@
-//! Leaders and candidates whose peers are lost or do not hear them: neither
-//! keeps the group from a leader or from commits for longer than needed. Each
-//! mechanism is taken away once, and its absence seen.
+//! Leaders and candidates with lost peers or one-way links: the group elects a leader
+//! and commits within the limits, and without each mechanism exceeds them.
 
 use super::assert_invariants;
 use sorreldoor::consensus::{InjectedFault, StateChange, Timing};
@@ -9,16 +8,16 @@
 use testbed::sim::Sim;
 
 const SEEDS: u64 = 40;
-/// A deaf candidate is in the way only where campaigns coincide.
+/// More seeds, since a deaf candidate matters only if campaigns coincide.
 const DEAF_SEEDS: u64 = 400;
 const REGION_DELAY_MS: Millis = 35;
-/// Until a change is acknowledged after its group has lost a relay.
+/// Limit from the loss of a relay until a change is acknowledged.
 const COMMIT_MS: Millis = 1500;
-/// Until another core leads once the leader does not hear any more: it steps
-/// down, the others notice, and campaign.
+/// Limit from the moment when the leader receives nothing any more until another core
+/// leads.
 const DEAF_LEADER_MS: Millis = 2600;
-/// From the loss of a leader whose region has no majority then, until a change
-/// is acknowledged.
+/// Limit from the loss of a leader whose region then has no majority until a change is
+/// acknowledged.
 const LOST_REGION_MS: Millis = 1300;
 
 fn settled(seed: u64, regions: &[RegionId], fault: InjectedFault) -> (Sim, usize) {
@@ -49,8 +48,8 @@
     })
 }
 
-/// A leader that needs a region, and loses its Domain Leader at the same moment
-/// as another voter: how often it stepped down, over all seeds.
+/// How often, over all seeds, a leader steps down that loses the other region's Domain
+/// Leader (its relay) and a voter of its own region at once.
 fn step_downs_without_relay(fault: InjectedFault) -> usize {
     let mut step_downs = 0;
     for seed in 0..SEEDS {
@@ -81,19 +80,19 @@
 }
 
 #[test]
-fn a_silent_relay_that_is_relied_on_is_seen() {
+fn relying_on_a_silent_relay_is_detected() {
     let step_downs = step_downs_without_relay(InjectedFault::KeepSilentRelay);
     println!("{step_downs} times");
     assert!(step_downs > 0);
 }
 
-/// The longest until another core leads, after the leader has become deaf: it
-/// sends, and nothing reaches it.
+/// The longest time until another core leads after the leader became deaf: it sends,
+/// but receives nothing.
 fn longest_with_deaf_leader(fault: InjectedFault) -> Millis {
     let mut longest = 0;
     for seed in 0..DEAF_SEEDS {
         let (mut sim, deaf) = settled(seed, &[1, 0, 0], fault);
-        // of two campaigns that coincide the one of the higher identity goes on
+        // of two coinciding campaigns the one with the higher node id continues
         if deaf != 2 {
             continue;
         }
@@ -120,13 +119,13 @@
 }
 
 #[test]
-fn yielding_to_a_deaf_candidate_again_and_again_is_seen() {
+fn always_yielding_to_a_deaf_candidate_is_detected() {
     let longest = longest_with_deaf_leader(InjectedFault::YieldAlways);
     assert!(longest > DEAF_LEADER_MS, "{longest}");
 }
 
-/// The longest until a change is acknowledged, after a leader is lost whose region
-/// has no majority without it.
+/// The longest time until a change is acknowledged after the loss of a leader without
+/// which its region has no majority.
 fn longest_without_region(fault: InjectedFault) -> Millis {
     let mut longest = 0;
     for seed in 0..SEEDS {
@@ -148,13 +147,13 @@
 }
 
 #[test]
-fn commits_do_not_wait_for_a_region_that_was_lost_before() {
+fn commits_do_not_wait_for_a_region_without_a_majority() {
     let longest = longest_without_region(InjectedFault::None);
     assert!(longest <= LOST_REGION_MS, "{longest}");
 }
 
 #[test]
-fn waiting_for_silent_regions_is_seen() {
+fn waiting_for_silent_regions_is_detected() {
     let longest = longest_without_region(InjectedFault::WaitForSilentRegions);
     assert!(longest > LOST_REGION_MS, "{longest}");
 }
--- a/testbed/tests/conformance/main.rs
+++ b/testbed/tests/conformance/main.rs
@@ -1,4 +1,4 @@
-//! Conformance of the real reducers to the design document, clause by clause.
+//! Conformance of the consensus reducers to the design, one check per clause.
 
 mod answers;
 mod elections;
@@ -15,6 +15,8 @@
     Sim::new(seed, regions, Timing::for_ack(ACK_MS))
 }
 
+/// A group whose Global Leader is in `region`, from the first seed that elects one
+/// there.
 pub fn settled_with_leader_in(regions: &[RegionId], region: RegionId) -> (Sim, usize) {
     for seed in 0..200 {
         let mut sim = new_sim(seed, regions);
@@ -62,11 +64,11 @@
             answers::entries_cross_once_to_each_other_domain_leader,
         ),
         (
-            "domain leader answers on confirmation",
+            "domain leader acknowledges on confirmation",
             answers::the_domain_leader_answers_after_one_round_trip,
         ),
         (
-            "fast return against none",
+            "with and without fast return",
             answers::without_fast_return_it_takes_two,
         ),
         (
@@ -86,15 +88,15 @@
             elections::an_election_needs_a_majority_of_all_cores,
         ),
         (
-            "the newest log leads",
+            "the newest log is elected",
             elections::a_stale_log_is_not_elected,
         ),
         (
-            "region lost: global leader answers",
+            "region lost: global leader acknowledges",
             answers::the_global_leader_answers_a_region_without_majority,
         ),
         (
-            "confirmation lost: global leader answers",
+            "confirmation lost: global leader acknowledges",
             answers::the_global_leader_answers_after_a_lost_confirmation,
         ),
         (
@@ -106,35 +108,35 @@
             answers::any_one_core_lost_is_acked_within_ack_ms,
         ),
         (
-            "a returning core is no usurper",
+            "a returning core deposes no leader",
             elections::a_returning_core_does_not_depose_the_leader,
         ),
         (
-            "a death at each step of a move",
+            "a crash at each step of a leadership transfer",
             elections::a_leadership_transfer_survives_a_crash_at_each_step,
         ),
         (
-            "a failed or stuck disk steps aside",
-            answers::a_bad_disk_steps_aside,
+            "a leader with a failed or stuck disk steps down",
+            answers::a_leader_with_a_bad_disk_steps_down,
         ),
         (
-            "a healed disk takes part again",
-            answers::a_healed_disk_takes_part_again,
+            "a core with a healed disk takes part again",
+            answers::a_core_with_a_healed_disk_takes_part_again,
         ),
         (
             "terms fence late confirmations",
             answers::a_deposed_leaders_late_confirmation_is_ignored,
         ),
         (
-            "a retry gets the first answer",
+            "a retry is not applied again",
             answers::a_retry_gets_the_first_answer,
         ),
         (
-            "the leader moves by Ls",
+            "leadership moves to the region with most proposals",
             elections::the_leader_moves_to_the_region_with_most_proposals,
         ),
         (
-            "hysteresis on moves",
+            "hysteresis on leadership transfers",
             elections::evenly_spread_proposals_do_not_move_the_leader,
         ),
     ];
@@ -144,5 +146,5 @@
             failed.push(*clause);
         }
     }
-    assert!(failed.is_empty(), "clauses not held: {failed:#?}");
+    assert!(failed.is_empty(), "failed clauses: {failed:#?}");
 }
