--- a/testbed/tests/catch_up/bounds.rs
+++ b/testbed/tests/catch_up/bounds.rs
@@ -1,8 +1,9 @@
-//! Log, snapshots and transfers stay bounded, and an install is complete.
+//! Logs, snapshots and transfers stay bounded, and an installed snapshot replaces
+//! conflicting entries.
 
 use super::*;
 
-/// Time to catch up while snapshots are made faster than one can be sent.
+/// Time to catch up while new snapshots are taken faster than one can be sent.
 fn catch_up_with_frequent_snapshots(fault: InjectedFault) -> Option<Millis> {
     let mut sim = Sim::new(
         2,
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_snapshot_is_of_use_though_newer_ones_were_made() {
+fn a_transferred_snapshot_is_usable_after_newer_ones_were_taken() {
     let elapsed = catch_up_with_frequent_snapshots(InjectedFault::None);
     println!("a snapshot every two changes: {elapsed:?} ms");
     assert!(elapsed.is_some());
@@ -45,8 +46,8 @@
     );
 }
 
-/// A deposed leader's uncommitted entries are discarded for the snapshot whose
-/// range overlaps them; returns the violations.
+/// Installs a snapshot at a deposed leader whose uncommitted entries overlap it; returns
+/// the violations.
 fn conflicting_install(fault: InjectedFault) -> Vec<String> {
     let mut sim = Sim::new(
         4,
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn an_install_takes_the_place_of_conflicting_entries() {
+fn an_installed_snapshot_replaces_conflicting_entries() {
     let violations = conflicting_install(InjectedFault::None);
     assert!(violations.is_empty(), "{violations:#?}");
     let run = std::panic::catch_unwind(|| conflicting_install(InjectedFault::KeepConflictingLog));
@@ -85,7 +86,6 @@
     assert!(run.map_or(true, |violations| !violations.is_empty()));
 }
 
-/// Whatever might grow with the number of changes, over 5,000 of them.
 #[test]
 fn log_snapshots_and_memory_stay_bounded_over_5000_changes() {
     let (mut sim, leader) = settled_group(1, &[0, 0, 0], 1600, InjectedFault::None);
@@ -138,9 +138,9 @@
     assert_invariants(&mut sim);
 }
 
-/// Message loss, partitions, crashes and stuck disks during large configuration
-/// changes; chunks are lost, duplicated and reordered, or sent over a slow link.
-fn run_storm_with_large_configurations(
+/// Random faults during large configuration changes; chunks are lost, duplicated and
+/// reordered, or sent over a slow link.
+fn random_faults_with_large_configurations(
     seed: u64,
     regions: &[RegionId],
     bandwidth: Option<Bandwidth>,
@@ -185,13 +185,13 @@
 }
 
 #[test]
-fn storms_with_large_configurations_break_nothing() {
+fn random_faults_with_large_configurations_violate_no_invariant() {
     for (i, regions) in LAYOUTS.iter().enumerate() {
         for seed in 0..8 {
             let seed = seed + 100 * i as u64;
-            run_storm_with_large_configurations(seed, regions, None);
+            random_faults_with_large_configurations(seed, regions, None);
             let slow = Bandwidth::megabits_per_second(10);
-            run_storm_with_large_configurations(seed, regions, Some(slow));
+            random_faults_with_large_configurations(seed, regions, Some(slow));
         }
     }
 }
--- a/testbed/tests/catch_up/main.rs
+++ b/testbed/tests/catch_up/main.rs
@@ -27,7 +27,7 @@
     &[0, 0, 1, 1, 2, 2],
 ];
 
-/// What a member's return cost, while the configuration kept changing.
+/// Measurements of a member's return while the configuration kept changing.
 struct ReturnOutcome {
     elapsed: Option<Millis>,
     elections: usize,
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn large_entries_do_not_unseat_a_leader() {
+fn large_entries_in_chunks_depose_no_leader() {
     let (elections, wait) = put_large_configurations(InjectedFault::None);
     println!("large entries in chunks: {elections} elections, longest wait {wait} ms");
     assert_eq!(elections, 0);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn large_entries_sent_whole_unseat_the_leader() {
+fn large_entries_sent_whole_depose_the_leader() {
     let run = std::panic::catch_unwind(|| put_large_configurations(InjectedFault::SendUnchunked));
     println!("large entries whole: {run:?}");
     assert!(run.map_or(true, |(elections, wait)| elections > 0 || wait >= 250));
@@ -214,7 +214,7 @@
     commit_changes(&mut sim, leader, 20);
     sim.nodes[slow].disk.stuck = false;
     let elapsed = time_to_catch_up(&mut sim, leader, slow, 20_000);
-    println!("250 ms a sync and a stall of 2 s: {elapsed:?} ms after it");
+    println!("250 ms per sync and a stall of 2 s: caught up {elapsed:?} ms after it");
     assert!(elapsed.is_some_and(|ms| ms < 5000), "{elapsed:?}");
     assert_invariants(&mut sim);
 }
@@ -245,7 +245,7 @@
 
 /// The leader crashes at any moment of an install; its successor continues.
 #[test]
-fn a_leader_change_during_an_install_is_survived() {
+fn an_install_continues_after_a_leader_change() {
     for offset_ms in (20..700).step_by(40) {
         let (mut sim, leader) =
             settled_group(offset_ms, &[0, 0, 0, 1, 1], 1600, InjectedFault::None);
@@ -264,7 +264,7 @@
         let next = sim.leader().expect("a leader");
         assert!(
             applied(&sim, next) >= 560,
-            "{offset_ms}: it holds what was committed"
+            "{offset_ms}: the new leader lacks committed entries"
         );
         let elapsed = time_to_catch_up(&mut sim, next, absent_member, 20_000);
         assert!(
@@ -278,7 +278,7 @@
 
 /// An interruption costs the data in flight, not the complete snapshot.
 #[test]
-fn a_transfer_goes_on_after_a_break_where_it_was() {
+fn an_interrupted_transfer_resumes_where_it_stopped() {
     let (mut sim, leader) = settled_group(9, &[0, 0, 0], 5000, InjectedFault::None);
     let absent_member = any_follower(&sim, leader);
     sim.crash(absent_member);
@@ -294,7 +294,9 @@
     }
     let elapsed = time_to_catch_up(&mut sim, leader, absent_member, 20_000);
     let sent = sim.nodes[leader].uplink.sent_bytes;
-    println!("three breaks: {elapsed:?} ms, {sent} bytes sent for an image of {snapshot_bytes}");
+    println!(
+        "three interruptions: {elapsed:?} ms, {sent} bytes sent for a snapshot of {snapshot_bytes}"
+    );
     assert!(elapsed.is_some_and(|ms| ms < 5000), "{elapsed:?}");
     // three windows are lost; the rest are heartbeats and changes
     let lost = 3 * (TRANSFER_WINDOW_BYTES + TRANSFER_CHUNK_BYTES) as u64;
--- a/testbed/tests/catch_up/power_loss.rs
+++ b/testbed/tests/catch_up/power_loss.rs
@@ -1,15 +1,14 @@
-//! All cores lose their power while a large change is on its way, and two of
-//! five voters never come back: the three that are left, whose logs differ, agree
-//! again soon.
+//! All cores lose power while a large change is being replicated, and two of five voters
+//! do not return: the other three, whose logs differ, commit again within the limit.
 
 use super::support::*;
 use super::*;
 
-/// Bytes of the documents are about 180 times as many.
+/// Routes in each document, of about 180 bytes each.
 const ROUTES: usize = 600;
 const DOWN_MS: Millis = 1000;
 const LIMIT_MS: Millis = 15_000;
-/// From the return of the survivors until a change is acknowledged.
+/// Limit from the restart of the survivors until a change is acknowledged.
 const RECOVERY_MS: Millis = 3000;
 
 fn recovery_ms(seed: u64) -> Option<Millis> {
@@ -58,7 +57,7 @@
 }
 
 #[test]
-fn survivors_agree_after_a_loss_of_power_during_a_large_change() {
+fn three_of_five_voters_recover_after_a_loss_of_power_during_a_large_change() {
     let mut all = Vec::new();
     for seed in 0..60 {
         let recovered = recovery_ms(seed).unwrap_or(LIMIT_MS);
--- a/testbed/tests/catch_up/support.rs
+++ b/testbed/tests/catch_up/support.rs
@@ -1,4 +1,4 @@
-//! Groups of cores with many changes behind them.
+//! Helpers that set up groups, commit changes and measure the time to catch up.
 
 use super::*;
 
