--- a/testbed/tests/restart.rs
+++ b/testbed/tests/restart.rs
@@ -1,5 +1,5 @@
-//! Members that start again: none leads, votes or answers by less than what
-//! was committed.
+//! Restarted members: none leads or answers reads without the committed entries, and a
+//! wiped one does not vote under its old identity.
 
 use sorreldoor::consensus::{InjectedFault, Save, Timing};
 use sorreldoor::types::{NodeId, RegionId};
@@ -18,20 +18,20 @@
     s.commit_latency(at, 4000).is_some()
 }
 
-/// The highest index that any node knows to be committed.
+/// The highest commit index of any node.
 fn committed(s: &Sim) -> u64 {
     let nodes = s.nodes.iter().filter_map(|n| n.consensus.as_ref());
     nodes.map(|c| c.committed()).max().unwrap_or(0)
 }
 
-/// Whether any node leads now whose log lacks what was `committed`.
+/// Whether the log of the current leader ends before index `committed`.
 fn leads_with_old_state(s: &Sim, committed: u64) -> bool {
     let leader = s.leader().and_then(|l| s.nodes[l].consensus.as_ref());
     leader.is_some_and(|c| c.log().last().index < committed)
 }
 
-/// One member is down while the others change the configuration; it comes
-/// back as the leader dies, so it is needed for the majority.
+/// A member misses changes and restarts as the leader crashes, so that its vote is
+/// needed; returns whether stale state led or an invariant was violated.
 fn returns_as_the_leader_dies(seed: u64, preset: &[RegionId], broken: InjectedFault) -> bool {
     let mut s = Sim::new(seed, preset, timing(broken));
     let leader = s.wait_for_leader();
@@ -66,12 +66,12 @@
     }
     let caught = (0..20)
         .find(|s| returns_as_the_leader_dies(*s, &[0, 0, 0], InjectedFault::VoteForStaleLog));
-    println!("votes for older logs: seen with seed {caught:?}");
+    println!("votes for older logs: detected with seed {caught:?}");
     assert!(caught.is_some());
 }
 
-/// Entries are on two of three; one of the two dies, the other loses its disk.
-/// Whether the third then leads without them.
+/// Of the two members that hold the entries one crashes and the other loses its disk;
+/// returns whether the third then leads without them.
 fn wiped_as(identity: Option<NodeId>) -> bool {
     let mut s = Sim::new(3, &[0, 0, 0], timing(InjectedFault::None));
     let leader = s.wait_for_leader();
@@ -92,13 +92,16 @@
 
 #[test]
 fn a_wiped_member_does_not_vote_under_its_old_identity() {
-    assert!(!wiped_as(Some(99)), "a new identity has no vote");
-    // the rule taken away: its blank vote elects one that lacks the entries
+    assert!(
+        !wiped_as(Some(99)),
+        "a vote under a new identity was counted"
+    );
+    // under the old identity its vote elects a leader that lacks the entries
     assert!(wiped_as(None));
 }
 
-/// What a member replays at its start is committed, and is nevertheless not
-/// given out as current before a leader has proved itself.
+/// A restarted member answers no read from its replayed state before a leader has
+/// confirmed it as current.
 #[test]
 fn replayed_state_is_not_read_as_current() {
     for seed in 0..10 {
@@ -119,10 +122,10 @@
             .replicated_state()
             .map_or(0, |r| r.version());
         assert!((10..=20).contains(&replayed), "seed {seed}: {replayed}");
-        let behind_the_cut = s.read(restarted);
+        let read_while_isolated = s.read(restarted);
         s.run_for(6000);
         assert_eq!(
-            s.operation(behind_the_cut).result,
+            s.operation(read_while_isolated).result,
             OperationResult::Unknown,
             "seed {seed}"
         );
@@ -140,9 +143,9 @@
     }
 }
 
-/// All lose power right after an acknowledgement, and one its disk; how long
-/// until a leader is there, and until it answers a read.
-fn one_wiped_and_all_dark(seed: u64, preset: &[RegionId], wiped: usize) -> (u64, u64) {
+/// All members crash and one loses its disk; returns the time until there is a leader,
+/// and until it answers a read.
+fn restart_all_with_one_wiped(seed: u64, preset: &[RegionId], wiped: usize) -> (u64, u64) {
     let pacing = sorreldoor::pacing::Pacing {
         beat_ms: Some(150),
         ..Default::default()
@@ -173,7 +176,7 @@
 }
 
 #[test]
-fn a_site_with_one_disk_lost_is_soon_read_again() {
+fn reads_succeed_soon_after_a_full_restart_with_one_disk_lost() {
     for preset in [
         &[0, 0, 0][..],
         &[0, 0, 1],
@@ -182,7 +185,7 @@
     ] {
         for wiped in 0..preset.len() {
             let mut all: Vec<(u64, u64)> = (0..30)
-                .map(|seed| one_wiped_and_all_dark(seed, preset, wiped))
+                .map(|seed| restart_all_with_one_wiped(seed, preset, wiped))
                 .collect();
             all.sort_unstable_by_key(|(_, read)| *read);
             let (led, read) = all[all.len() - 1];
@@ -194,7 +197,7 @@
     }
 }
 
-/// A member whose snapshot cannot be read does not go on without it.
+/// A member does not start with an unreadable snapshot.
 #[test]
 #[should_panic(expected = "cannot read the snapshot")]
 fn an_unreadable_snapshot_stops_the_start() {
@@ -206,7 +209,7 @@
         .durable
         .snapshot
         .clone()
-        .expect("a founded core has one");
+        .expect("a bootstrapped core has one");
     snapshot.image = Arc::new(b"not an image".to_vec());
     let seq = disk.durable.seq + 1;
     let discard_log = false;
