--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -185,10 +185,10 @@
         break_only(Some(rule));
         let over = bounds_exceeded(Partition::InboundBlocked, 1, 9000..9003);
         break_only(None);
-        let received_events = over.iter().find(|o| o.starts_with(word));
-        println!("{}: {received_events:?}", rule.name());
+        let detected = over.iter().find(|o| o.starts_with(word));
+        println!("{}: {detected:?}", rule.name());
         assert!(
-            received_events.is_some(),
+            detected.is_some(),
             "{} broken was not detected",
             rule.name()
         );
--- a/testbed/tests/site/loads.rs
+++ b/testbed/tests/site/loads.rs
@@ -49,7 +49,7 @@
 fn run(world: &mut World, per_s: u64, ms: u64) -> Vec<u32> {
     let end = world.now + ms;
     world.traffic(per_s, end, |_, _| true);
-    let mut received_events = Vec::new();
+    let mut weights = Vec::new();
     while world.now < end {
         world.run_for(200);
         let a = world
@@ -62,10 +62,10 @@
         let route = s.route("verdict").unwrap_or(0);
         let slow = s.services.iter().position(|s| s.name == "s").unwrap_or(0) as u16;
         let now = sorreldoor::weight_tuning::weight(&v.weights, route, slow).unwrap_or(50);
-        received_events.push(now);
+        weights.push(now);
     }
     world.run_for(12_000);
-    received_events
+    weights
 }
 
 fn reversals(ws: &[u32]) -> usize {
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -129,16 +129,15 @@
         let k = world.worker("north-gpu0");
         world.drain_worker(k);
         let from = world.now;
-        let received_events =
-            |world: &World| world.edges().iter().all(|e| version(world, *e) > first);
-        assert!(world.run_until(from + 1400, received_events), "seed {seed}");
+        let all_updated = |world: &World| world.edges().iter().all(|e| version(world, *e) > first);
+        assert!(world.run_until(from + 1400, all_updated), "seed {seed}");
         println!("seed {seed}: at every edge after {} ms", world.now - from);
         let second = version(&world, e);
         // the holder crashes, and restarts at once or stays down
-        let controller = singleton_holder(&world).expect("a core holds the singleton role");
-        world.crash(controller);
+        let holder = singleton_holder(&world).expect("a core holds the singleton role");
+        world.crash(holder);
         if seed % 2 == 0 {
-            world.start(controller);
+            world.start(holder);
         }
         world.run_for(8000);
         let registry_reads = world.registry_reads;
