--- a/sorreldoor/src/control_plane/controller/edges.rs
+++ b/sorreldoor/src/control_plane/controller/edges.rs
@@ -6,7 +6,7 @@
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::reads::Read;
 use crate::control_plane::sessions::{SessionChange, SESSION_TIMEOUT_MS};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::log_events::LogEvent;
 use crate::net::Conn;
 use crate::types::{Millis, NodeId};
@@ -53,7 +53,7 @@
     /// edges may connect at the same time.
     fn sessions_changed(&mut self) {
         self.sessions.mark_changed();
-        if broken(Invariant::SessionsGathered) {
+        if is_disabled(Invariant::SessionsBatched) {
             self.merge_sessions();
             self.report_sessions(true);
         }
@@ -102,7 +102,7 @@
     }
 
     pub(super) fn on_session_report(&mut self, from: NodeId, report: SessionReport) {
-        if self.sessions.on_report(from, report) && broken(Invariant::SessionsGathered) {
+        if self.sessions.on_report(from, report) && is_disabled(Invariant::SessionsBatched) {
             self.merge_sessions();
         }
     }
@@ -131,11 +131,12 @@
             SessionChange::Status => {}
         }
         let consensus = self.consensus.as_ref();
-        let has_leader = consensus.is_some_and(|c| c.has_leader()) || broken(Invariant::Proof);
+        let has_leader = consensus.is_some_and(|c| c.has_leader())
+            || is_disabled(Invariant::QuorumConfirmedRead);
         let sends_unverified = match renewal.unverified {
             Unverified::None => false,
             Unverified::FromStarting => {
-                !self.reads.ever_confirmed() || broken(Invariant::Unverified)
+                !self.reads.ever_confirmed() || is_disabled(Invariant::ConfirmedStateOnly)
             }
             Unverified::FromAny => !has_leader,
         };
--- a/sorreldoor/src/gateway/api.rs
+++ b/sorreldoor/src/gateway/api.rs
@@ -1,5 +1,5 @@
-//! The HTTP API of an edge: health, queries and operators' requests. Callers'
-//! requests are in [`super::request_api`].
+//! The HTTP API of an edge: health checks, queries and operators' requests.
+//! [`super::request_api`] serves callers' requests.
 
 use super::event::EdgeEvent;
 use super::pending_calls::{PendingCalls, Reply};
@@ -76,26 +76,26 @@
     async fn ready(&self) -> Response {
         match self.query_status().await {
             Some((_, Ok(()))) => http::json(200, "{\"ready\":true}".into()),
-            Some((_, Err(error_code))) => http::shed(error_code, "", 1),
-            None => http::shed(ErrorCode::ShuttingDown, "", 1),
+            Some((_, Err(error_code))) => http::error_response(error_code, "", 1),
+            None => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     async fn status(&self) -> Response {
         match self.query_status().await {
             Some((json, _)) => http::json(200, json),
-            None => http::shed(ErrorCode::ShuttingDown, "", 1),
+            None => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     async fn metrics(&self) -> Response {
         match self.query_status().await {
-            Some((json, _)) => operator_api::metrics(&json),
-            None => http::shed(ErrorCode::ShuttingDown, "", 1),
+            Some((json, _)) => operator_api::metrics_response(&json),
+            None => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
-    /// The region with this name.
+    /// The region with this name; `InvalidRequestField` if there is none.
     pub(super) fn region(&self, name: Option<String>) -> Result<Option<RegionId>, ErrorCode> {
         let Some(name) = name else { return Ok(None) };
         let region = self.settings.names.region(&name);
@@ -105,11 +105,11 @@
     /// The request that a query string describes.
     fn described_request(&self, request: &Request) -> Result<RequestSpec, ErrorCode> {
         Ok(RequestSpec {
-            home: self.region(http::query(request, "region"))?,
-            route: http::query(request, "route").ok_or(ErrorCode::InvalidRequestField)?,
-            key: http::query(request, "key").unwrap_or_default(),
+            home: self.region(http::query_parameter(request, "region"))?,
+            route: http::query_parameter(request, "route").ok_or(ErrorCode::InvalidRequestField)?,
+            key: http::query_parameter(request, "key").unwrap_or_default(),
             id: ids::format_proposal_id(ids::random_proposal_id()),
-            adapter: http::query(request, "adapter"),
+            adapter: http::query_parameter(request, "adapter"),
             ..RequestSpec::default()
         })
     }
@@ -117,20 +117,20 @@
     async fn explain(&self, request: &Request) -> Response {
         let spec = match self.described_request(request) {
             Ok(spec) => spec,
-            Err(error_code) => return http::shed(error_code, "", 1),
+            Err(error_code) => return http::error_response(error_code, "", 1),
         };
         let reply = self.query(|request_id| EdgeEvent::Explain { request_id, spec });
         match reply.await {
             Some(Reply::Status { json, .. }) => http::json(200, json),
-            Some(Reply::EdgesLocated(Err(error_code))) => http::shed(error_code, "", 1),
-            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
+            Some(Reply::EdgesLocated(Err(error_code))) => http::error_response(error_code, "", 1),
+            _ => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     async fn locate_edges(&self, request: &Request) -> Response {
         let spec = match self.described_request(request) {
             Ok(spec) => spec,
-            Err(error_code) => return http::shed(error_code, "", 1),
+            Err(error_code) => return http::error_response(error_code, "", 1),
         };
         let reply = self.query(|request_id| EdgeEvent::LocateEdges { request_id, spec });
         match reply.await {
@@ -140,22 +140,22 @@
                 let _ = v.insert("ttl_ms", EDGES_TTL_MS);
                 http::ok(v)
             }
-            Some(Reply::EdgesLocated(Err(error_code))) => http::shed(error_code, "", 1),
-            _ => http::shed(ErrorCode::ShuttingDown, "", 1),
+            Some(Reply::EdgesLocated(Err(error_code))) => http::error_response(error_code, "", 1),
+            _ => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 
     async fn serve_operator(&self, request: &mut Request, path: &str) -> Response {
-        match operator_api::read(request, &self.settings.names).await {
-            None => http::shed(ErrorCode::UnknownPath, path, 1),
-            Some(Err(error_code)) => http::shed(error_code, "", 1),
+        match operator_api::parse_request(request, &self.settings.names).await {
+            None => http::error_response(ErrorCode::UnknownPath, path, 1),
+            Some(Err(error_code)) => http::error_response(error_code, "", 1),
             Some(Ok(operation)) => self.operate(operation).await,
         }
     }
 
     async fn operate(&self, operation: OperatorRequest) -> Response {
         match operation {
-            OperatorRequest::Check { faults } => operator_api::checked(&faults),
+            OperatorRequest::Check { faults } => operator_api::check_response(&faults),
             OperatorRequest::Change { proposal_id, cmd } => {
                 let reply = self.query(|request_id| EdgeEvent::Propose {
                     request_id,
@@ -174,7 +174,9 @@
             OperatorRequest::Configuration => self.configuration().await,
             OperatorRequest::Status => self.status().await,
             OperatorRequest::Metrics => self.metrics().await,
-            OperatorRequest::DropCore { .. } => http::shed(ErrorCode::UnknownPath, "ask a core", 1),
+            OperatorRequest::DropCore { .. } => {
+                http::error_response(ErrorCode::UnknownPath, "ask a core", 1)
+            }
         }
     }
 
@@ -184,7 +186,7 @@
             Some(Reply::ConfigurationRead { proved: true, view }) => {
                 self.configuration_response(&view)
             }
-            _ => http::shed(ErrorCode::NoControlPlane, "", 1),
+            _ => http::error_response(ErrorCode::NoControlPlane, "", 1),
         }
     }
 
@@ -195,13 +197,15 @@
             .iter()
             .map(|zone| self.settings.names.zone_name(*zone).to_string())
             .collect();
-        operator_api::configuration_view(view.version, document, &evacuated)
+        operator_api::configuration_response(view.version, document, &evacuated)
     }
 }
 
 fn proposal_response(proposal_id: ProposalId, reply: Option<Reply>) -> Response {
     match reply {
-        Some(Reply::ProposalResult(outcome)) => operator_api::result(proposal_id, &outcome),
-        _ => operator_api::result(proposal_id, &OpOutcome::Unknown),
+        Some(Reply::ProposalResult(outcome)) => {
+            operator_api::change_response(proposal_id, &outcome)
+        }
+        _ => operator_api::change_response(proposal_id, &OpOutcome::Unknown),
     }
 }
--- a/sorreldoor/src/gateway/request_api.rs
+++ b/sorreldoor/src/gateway/request_api.rs
@@ -20,12 +20,12 @@
 const REQUEST_PREFIXES: [&str; 2] = ["/v1/request/", "/v1/errand/"];
 /// Time for the body of a request to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait for a response; any deadline is shorter.
+/// Longest wait for a response; longer than any request's deadline.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(700);
-/// The path that a model worker takes requests at.
+/// The path at which a model worker accepts requests.
 const MODEL_WORKER_PATH: &str = "/errand";
 
-/// What follows the prefix in the path of a request, if it is one.
+/// The part after the prefix in the path of a request; `None` for other paths.
 pub(super) fn request_path(path: &str) -> Option<&str> {
     REQUEST_PREFIXES
         .iter()
@@ -45,7 +45,7 @@
         let (route, tail) = route_path.split_once('/').unwrap_or((route_path, ""));
         let mut spec = match self.read_spec(http_request, route) {
             Ok(spec) => spec,
-            Err(error_code) => return http::shed(error_code, "", 1),
+            Err(error_code) => return http::error_response(error_code, "", 1),
         };
         // a request that is not admitted is rejected before its body is read
         let head = spec.clone();
@@ -56,11 +56,11 @@
         spec.profile = match admission.await {
             Some(Reply::Admitted(profile)) => profile,
             Some(reply) => return final_response(reply, path, &spec.id),
-            None => return http::shed(ErrorCode::ShuttingDown, "", 1),
+            None => return http::error_response(ErrorCode::ShuttingDown, "", 1),
         };
         match self.read_request(http_request, &spec, tail).await {
             Ok(request) => self.submit(spec, request, path, peer).await,
-            Err(error_code) => http::shed(error_code, "", 1),
+            Err(error_code) => http::error_response(error_code, "", 1),
         }
     }
 
@@ -108,7 +108,7 @@
             return Err(ErrorCode::MethodNotAllowed);
         }
         let max_bytes = self.settings.max_body;
-        let body = http::body(http_request, max_bytes, BODY_TIMEOUT).await?;
+        let body = http::read_body(http_request, max_bytes, BODY_TIMEOUT).await?;
         if model && json::parse(&body, max_bytes).is_err() {
             return Err(ErrorCode::InvalidJson);
         }
@@ -166,7 +166,7 @@
                 watch.stop();
                 final_response(reply, path, &id)
             }
-            None => http::shed(ErrorCode::ShuttingDown, "", 1),
+            None => http::error_response(ErrorCode::ShuttingDown, "", 1),
         }
     }
 }
@@ -177,9 +177,9 @@
         Reply::Rejected {
             error_code,
             retry_after_s,
-        } => http::shed(error_code, "", retry_after_s),
+        } => http::error_response(error_code, "", retry_after_s),
         Reply::Redirect(addr) => {
-            let mut response = http::shed(ErrorCode::HomeRegionRedirect, &addr, 1);
+            let mut response = http::error_response(ErrorCode::HomeRegionRedirect, &addr, 1);
             response.insert_header("location", format!("http://{addr}{path}"));
             response
         }
@@ -202,13 +202,17 @@
             }
             response
         }
-        _ => http::shed(ErrorCode::ShuttingDown, "", 1),
+        _ => http::error_response(ErrorCode::ShuttingDown, "", 1),
     };
     response.insert_header("x-errand-id", id);
     response
 }
 
-fn stream_response(parts: Receiver<StreamPart>, id: &str, watch: http::Watch) -> Response {
+fn stream_response(
+    parts: Receiver<StreamPart>,
+    id: &str,
+    watch: http::DisconnectWatch,
+) -> Response {
     let mut response = Response::new(StatusCode::Ok);
     let body = EventStreamBody::new(parts, watch);
     response.set_body(Body::from_reader(body, None));
--- a/sorreldoor/src/gateway/request_table/eligibility.rs
+++ b/sorreldoor/src/gateway/request_table/eligibility.rs
@@ -1,9 +1,9 @@
-//! Which workers the configuration in force allows for a request, checked at
-//! the moment of sending.
+//! Eligibility: which workers the current configuration allows for a request,
+//! checked again at the moment of sending.
 
 use super::{ClusterView, Request, RequestProfile};
 use crate::configuration::{Configuration, Route, Share};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::placement::Candidate;
 use crate::weight_tuning;
 
@@ -16,10 +16,10 @@
 
 /// Whether requests of the route must stay in their home region.
 pub(super) fn is_home_bound(route: &Route) -> bool {
-    route.home && !broken(Invariant::Home)
+    route.home && !is_disabled(Invariant::HomeRegion)
 }
 
-/// Whether the current configuration calls the request idempotent.
+/// Whether the request's route is idempotent in the current configuration.
 pub(super) fn is_idempotent(cluster: &ClusterView, request: &Request) -> bool {
     current_route(cluster, request).is_some_and(|route| route.repeatable)
 }
@@ -29,7 +29,7 @@
 pub(super) fn may_send_to(cluster: &ClusterView, request: &Request, worker: usize) -> bool {
     let candidate = cluster.candidate(worker);
     candidate.is_some_and(|candidate| {
-        broken(Invariant::Allowed)
+        is_disabled(Invariant::AllowedWorker)
             || is_eligible(cluster, request, candidate, Some(&request.service))
     })
 }
@@ -47,8 +47,8 @@
 
 /// Whether a worker is eligible, through one service or through any.
 ///
-/// The configuration may change between matching and sending; only what the
-/// current one allows may be done under it.
+/// The configuration may change between matching and sending, so the current
+/// one is checked at both.
 fn is_eligible(
     cluster: &ClusterView,
     request: &Request,
@@ -89,7 +89,7 @@
     let limit = configuration.spill.get(&regions);
     candidate.region == cluster.region
         || limit.is_some_and(|percent| *percent > 0)
-        || broken(Invariant::Spill)
+        || is_disabled(Invariant::SpillLimit)
 }
 
 fn share_allows(
--- a/sorreldoor/src/gateway/request_table/matching.rs
+++ b/sorreldoor/src/gateway/request_table/matching.rs
@@ -50,7 +50,7 @@
             Some(Match { placement, spilled })
         };
         let local_percent = local_percent(cluster, route);
-        if placement::mix(&request.spec.id, "part") % 100 < local_percent {
+        if placement::hash_pair(&request.spec.id, "part") % 100 < local_percent {
             local().or_else(remote)
         } else {
             remote().or_else(local)
@@ -121,7 +121,7 @@
 }
 
 /// Percentage of requests that try their own region first. While a region
-/// recovers with cold caches, part of what it could take goes elsewhere.
+/// recovers with cold caches, the rest try other regions first.
 fn local_percent(cluster: &ClusterView, route: &Route) -> u64 {
     match cluster.recovery(cluster.region) {
         Recovery::Returning(percent) if !route.home && route.kind != Kind::Fetch => {
--- a/sorreldoor/src/gateway/run.rs
+++ b/sorreldoor/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! The edge daemon: the thread of the controller, and the tasks and
+//! The edge daemon: runs the controller's event loop, and the tasks and
 //! connections that carry out its effects.
 
 use super::api::Api;
@@ -27,7 +27,7 @@
 /// Events that may wait for the controller.
 const EVENT_QUEUE: usize = 8192;
 const TICK: Duration = Duration::from_millis(20);
-/// Interval at which attempts that have left the table are dropped.
+/// Interval at which attempts of ended requests are dropped.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for the last responses to reach their callers before the exit.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
@@ -62,7 +62,7 @@
         EdgeEvent::Net as fn(NetEvent) -> EdgeEvent,
         settings.max_connections,
     );
-    let gate = http::Gate::default();
+    let shutdown = http::ShutdownHandle::default();
     let api = Api {
         settings: settings.clone(),
         events: events.clone(),
@@ -72,20 +72,20 @@
     task::spawn(http::serve(
         listener,
         max_connections,
-        gate.clone(),
+        shutdown.clone(),
         move |request, peer| api.clone().handle(request, peer),
     ));
     log_event(LogEvent::Started, format!("edge {}", settings.node));
     log_event(LogEvent::Listening, format!("http {}", settings.http));
-    crate::run::ticker(events.clone(), TICK, || EdgeEvent::Tick);
-    crate::run::on_term(events.clone(), || EdgeEvent::Shutdown).context(SignalsSnafu)?;
+    crate::run::start_ticker(events.clone(), TICK, || EdgeEvent::Tick);
+    crate::run::on_termination(events.clone(), || EdgeEvent::Shutdown).context(SignalsSnafu)?;
     let mut daemon = Daemon {
         net,
         settings,
         calls,
         events,
         attempts: HashMap::new(),
-        gate,
+        shutdown,
         shutdown_deadline: None,
         sweep_at: Instant::now(),
     };
@@ -122,8 +122,8 @@
     calls: PendingCalls,
     events: runtime::EventSender<EdgeEvent>,
     attempts: HashMap<AttemptToken, Attempt>,
-    gate: http::Gate,
-    /// When the daemon ends, whatever still runs; set once it shuts down.
+    shutdown: http::ShutdownHandle,
+    /// When the daemon exits even if requests still run; set once it shuts down.
     shutdown_deadline: Option<Instant>,
     sweep_at: Instant,
 }
@@ -134,19 +134,19 @@
             self.sweep_at = Instant::now() + SWEEP_INTERVAL;
             self.sweep_attempts(controller);
         }
-        if controller.is_leaving() && self.shutdown_deadline.is_none() {
+        if controller.is_shutting_down() && self.shutdown_deadline.is_none() {
             let drain_time = Duration::from_millis(self.settings.drain_ms);
             self.shutdown_deadline = Some(Instant::now() + drain_time);
         }
         let Some(deadline) = self.shutdown_deadline else {
             return true;
         };
-        // requests in the table are finished first; then no connection is
-        // accepted any more, and those that are open get their response
+        // the requests in the table complete first; then the server accepts no
+        // more connections, and the open ones get their responses
         if controller.is_idle() {
-            self.gate.shut();
+            self.shutdown.begin();
         }
-        let drained = controller.is_idle() && self.gate.open() == 0;
+        let drained = controller.is_idle() && self.shutdown.open_connections() == 0;
         !drained && Instant::now() < deadline
     }
 
@@ -182,8 +182,8 @@
 }
 
 impl Daemon {
-    /// Drops attempts that have left the table. One that has ended is kept
-    /// while its last event waits for the controller.
+    /// Drops attempts that no request in the table refers to. One that has ended
+    /// is kept until the controller has handled its last event.
     fn sweep_attempts(&mut self, controller: &EdgeController) {
         let requests = controller.table.requests.values();
         let tokens: HashSet<AttemptToken> = requests.map(|request| request.token).collect();
--- a/sorreldoor/src/gateway/status.rs
+++ b/sorreldoor/src/gateway/status.rs
@@ -18,7 +18,7 @@
         let _ = v.insert("permit_left_ms", self.pull.lease_left_ms(self.now));
         let _ = v.insert("session", self.pull.conn.is_some());
         let _ = v.insert("core", core);
-        let _ = v.insert("leaving", self.leaving);
+        let _ = v.insert("leaving", self.shutting_down);
         let _ = v.insert("open_errands", self.table.requests.len());
         let _ = v.insert("zones", self.zones_json());
         let _ = v.insert("counts", self.counters_json());
@@ -28,7 +28,7 @@
     fn zones_json(&self) -> Vec<Value> {
         let snapshot = &self.cluster.snapshot;
         let edges = snapshot.edge_sessions.1.iter();
-        operator_api::zones(
+        operator_api::zone_rows(
             &self.cluster.site,
             &snapshot.view.evacuated,
             &snapshot.registry.workers,
--- a/sorreldoor/src/proxy/upstream/response_class.rs
+++ b/sorreldoor/src/proxy/upstream/response_class.rs
@@ -1,7 +1,7 @@
 //! Classification of a response by its head: whether it belongs to the request,
 //! and whether it can be forwarded. Pure functions.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::proxy::dialect::ResponseMetadata;
 use crate::proxy::http1::{Framing, Head};
 use crate::proxy::request_state::RequestEvent;
@@ -35,7 +35,7 @@
     expected: &ExpectedRequest,
 ) -> ResponseClass {
     let success = is_success(head);
-    if !is_own(metadata, expected, success) && !broken(Invariant::AnswerId) {
+    if !is_own(metadata, expected, success) && !is_disabled(Invariant::ResponseAttemptId) {
         return ResponseClass::Unusable(RequestEvent::MismatchedHead);
     }
     if metadata.misdirected {
@@ -45,7 +45,7 @@
         return ResponseClass::Unusable(RequestEvent::Malformed);
     };
     // the end of such a body cannot be distinguished from a broken connection
-    if framing == Framing::Close && success && !broken(Invariant::WholeAnswer) {
+    if framing == Framing::Close && success && !is_disabled(Invariant::DelimitedResponse) {
         return ResponseClass::Unusable(RequestEvent::Malformed);
     }
     match (metadata.not_run, success) {
--- a/sorreldoor/src/subscription/lease.rs
+++ b/sorreldoor/src/subscription/lease.rs
@@ -1,6 +1,6 @@
 //! An edge's lease, and the renewals in flight that extend it.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::types::Millis;
 
@@ -35,7 +35,7 @@
     }
 
     pub fn is_valid(&self, now: Millis) -> bool {
-        now < self.expires_at || broken(Invariant::Lease)
+        now < self.expires_at || is_disabled(Invariant::Lease)
     }
 
     pub fn remaining_ms(&self, now: Millis) -> Millis {
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -7,7 +7,7 @@
 mod candidates;
 mod lease;
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::pacing::Pacing;
 use crate::types::Millis;
@@ -140,7 +140,8 @@
     /// Sets the name of the edge; its hash picks the seed to try first.
     pub fn with_node_name(self, node: &str) -> CoreSubscription {
         // edges that start at once must not all try the same seed first
-        let next_core = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
+        let next_core =
+            crate::placement::hash_pair(node, "seed") as usize % self.cores.len().max(1);
         CoreSubscription {
             next_core,
             node_name: node.to_string(),
@@ -171,7 +172,7 @@
     fn renew_interval(&self, now: Millis) -> Millis {
         let age = now.saturating_sub(self.started_at);
         let is_starting = age < STARTUP_MS || (!self.was_confirmed && age < STARTUP_MS * 4);
-        let is_eager = !self.has_state() || broken(Invariant::Unhurried);
+        let is_eager = !self.has_state() || is_disabled(Invariant::UniformRenewalRate);
         if is_starting && is_eager {
             STARTUP_RENEW_MS.min(self.renew_ms)
         } else {
@@ -181,7 +182,7 @@
 
     /// Milliseconds without a grant after which a renewal is hedged.
     fn hedge_delay(&self) -> Millis {
-        let is_eager = !self.has_state() || broken(Invariant::Unhurried);
+        let is_eager = !self.has_state() || is_disabled(Invariant::UniformRenewalRate);
         if !self.was_confirmed && is_eager {
             STARTUP_HEDGE_MS.min(self.hedge_ms)
         } else {
@@ -223,7 +224,9 @@
         self.last_event_at = now;
         self.last_wall_ms = wall;
         // the monotonic clock may stop while the machine is suspended
-        if (gap > SUSPENSION_GAP_MS || jump > CLOCK_JUMP_MS) && !broken(Invariant::Woken) {
+        if (gap > SUSPENSION_GAP_MS || jump > CLOCK_JUMP_MS)
+            && !is_disabled(Invariant::LeaseVoidAfterSuspension)
+        {
             self.lease.void();
             self.renew_at = now;
             self.hedge_at = now + self.hedge_delay();
@@ -388,7 +391,9 @@
     /// Replaces the cores; those of the edge's own region (`true`) are tried first.
     pub fn set_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
         let name = &self.node_name;
-        cores.sort_by_key(|(addr, near)| (!near, crate::placement::mix(name, &addr.to_string())));
+        cores.sort_by_key(|(addr, near)| {
+            (!near, crate::placement::hash_pair(name, &addr.to_string()))
+        });
         if !cores.is_empty() && cores != self.cores {
             self.cores = cores;
             let is_session = |(addr, _): &(SocketAddr, bool)| Some(*addr) == self.session_addr;
--- a/testbed/src/stub_worker/handlers.rs
+++ b/testbed/src/stub_worker/handlers.rs
@@ -60,7 +60,7 @@
 }
 
 fn set_fault(worker: &Shared, request: &Request) -> Response {
-    let mode = http::query(request, "mode");
+    let mode = http::query_parameter(request, "mode");
     match mode.and_then(|mode| InjectedFault::from_name(&mode)) {
         Some(fault) => {
             lock(&worker.state).fault = fault;
@@ -135,7 +135,7 @@
     request_body: &[u8],
     fault: InjectedFault,
 ) -> Response {
-    let echo = sorreldoor::placement::mix("", &String::from_utf8_lossy(request_body));
+    let echo = sorreldoor::placement::hash_pair("", &String::from_utf8_lossy(request_body));
     let mut result = Value::object();
     let _ = result.insert("errand", id);
     let _ = result.insert("worker", worker.profile.name.as_str());
--- a/testbed/tests/large_config.rs
+++ b/testbed/tests/large_config.rs
@@ -4,7 +4,7 @@
 use sorreldoor::configuration::Site;
 use sorreldoor::consensus::StateMachine;
 use sorreldoor::control_plane::updates::{NextUpdate, Updates, MAX_IN_FLIGHT};
-use sorreldoor::invariants::{break_only, Invariant};
+use sorreldoor::invariants::{disable_only, Invariant};
 use sorreldoor::replicated_state::{encode, Command, ReplicatedState, StateReplica};
 use sorreldoor::wire::EncodedUpdate;
 use std::sync::Arc;
@@ -67,7 +67,7 @@
 #[test]
 fn without_deltas_the_update_of_a_change_grows_with_the_routes() {
     assert!(change_update_bytes(5000) < change_update_bytes(100) + 64);
-    break_only(Some(Invariant::Differences));
+    disable_only(Some(Invariant::DeltaUpdates));
     assert!(change_update_bytes(5000) > 20 * change_update_bytes(100));
 }
 
@@ -85,7 +85,7 @@
 fn without_deletions_in_updates_a_replica_keeps_deleted_routes() {
     let (replica, state) = replica_after_a_deletion();
     assert_eq!(replica.view(), state.view());
-    break_only(Some(Invariant::Deletions));
+    disable_only(Some(Invariant::DeltaDeletions));
     let (replica, state) = replica_after_a_deletion();
     assert_ne!(replica.view(), state.view());
 }
@@ -112,6 +112,6 @@
 #[test]
 fn without_the_bound_updates_in_flight_pile_up() {
     assert!(bytes_sent_to_slow_edges(93, 20) <= MAX_IN_FLIGHT);
-    break_only(Some(Invariant::CopiesBounded));
+    disable_only(Some(Invariant::LargeUpdatesBounded));
     assert!(bytes_sent_to_slow_edges(93, 20) > 50 * MAX_IN_FLIGHT);
 }
