--- a/sorreldoor/src/control_plane/controller/idempotency_keys.rs
+++ b/sorreldoor/src/control_plane/controller/idempotency_keys.rs
@@ -162,7 +162,7 @@
             id,
             claimant,
         }),
-        Payload::Sent { requests } => Some(Event::SentRequests(requests)),
+        Payload::SentRequests { requests } => Some(Event::SentRequests(requests)),
         _ => None,
     }
 }
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -8,7 +8,7 @@
 use crate::invariants::{is_disabled, Invariant};
 use crate::replicated_state::decode;
 use crate::types::ProposalId;
-use crate::wire::{OpOutcome, StateDelta};
+use crate::wire::{ProposalOutcome, StateDelta};
 
 impl Controller {
     /// Queues a read for the next confirmation; answers it as not confirmed at once
@@ -100,13 +100,13 @@
 
     /// The outcome of a proposal as the replicated state has it. `Nothing` if it
     /// has none and is confirmed current, `Unknown` if it has none otherwise.
-    fn recorded_outcome(&self, proposal_id: ProposalId, confirmed: bool) -> OpOutcome {
+    fn recorded_outcome(&self, proposal_id: ProposalId, confirmed: bool) -> ProposalOutcome {
         let state = self.consensus.as_ref().map(|c| c.state_machine());
         let bytes = state.and_then(|state| state.recorded_outcome(proposal_id));
         match bytes.and_then(|bytes| decode(&bytes)) {
-            Some(outcome) => OpOutcome::Got(outcome),
-            None if confirmed => OpOutcome::Nothing,
-            None => OpOutcome::Unknown,
+            Some(outcome) => ProposalOutcome::Committed(outcome),
+            None if confirmed => ProposalOutcome::NotFound,
+            None => ProposalOutcome::Unknown,
         }
     }
 }
--- a/sorreldoor/src/control_plane/distribution.rs
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -9,7 +9,7 @@
 use crate::net::Conn;
 use crate::replicated_state::{encode, ReplicatedState};
 use crate::types::Millis;
-use crate::wire::{mark, KnownVersions, StateDelta};
+use crate::wire::{stable_hash, KnownVersions, StateDelta};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -88,7 +88,8 @@
             registry: sources
                 .registry
                 .filter(|list| list.version > known.registry),
-            loads: Some(sources.loads.clone()).filter(|loads| loads.mark() > known.loads),
+            loads: Some(sources.loads.clone())
+                .filter(|loads| loads.epoch_and_version() > known.loads),
             edge_sessions: sends_endpoints
                 .then(|| (endpoints.version, endpoints.endpoints.to_vec())),
         }
@@ -102,6 +103,6 @@
     let cores: Vec<(String, u8)> = voters
         .map(|member| (member.addr.clone(), member.region))
         .collect();
-    let version = mark(&encode(&cores));
+    let version = stable_hash(&encode(&cores));
     (version != known && !cores.is_empty()).then_some((version, cores))
 }
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -5,7 +5,7 @@
 use crate::net::Conn;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
-use crate::wire::{EncodedUpdate, LARGE_UPDATE};
+use crate::wire::{EncodedUpdate, LARGE_UPDATE_BYTES};
 use std::collections::BTreeMap;
 
 /// Maximum bytes of large updates in flight from one core: a third of a second on
@@ -71,7 +71,7 @@
         }
         let update = self.encoded(state, known);
         let bytes = update.bytes.len();
-        if bytes > LARGE_UPDATE && !is_disabled(Invariant::LargeUpdatesBounded) {
+        if bytes > LARGE_UPDATE_BYTES && !is_disabled(Invariant::LargeUpdatesBounded) {
             if !self.has_capacity(bytes) {
                 return NextUpdate::Withheld;
             }
--- a/sorreldoor/src/gateway/request_table/cluster_view.rs
+++ b/sorreldoor/src/gateway/request_table/cluster_view.rs
@@ -102,7 +102,7 @@
 
     /// Applies a load report, unless it is not newer than the current one.
     pub fn apply_loads(&mut self, loads: Arc<Loads>) {
-        if loads.mark() > self.snapshot.loads.mark() {
+        if loads.epoch_and_version() > self.snapshot.loads.epoch_and_version() {
             self.snapshot.loads = loads;
             self.sent_since_report.fill(0);
             self.rebuild();
@@ -188,7 +188,7 @@
                 .or_default();
             let index = self.worker_index(&worker.name);
             let candidate = self.candidate_of(worker, index, group_index, group, *preceding_slots);
-            *preceding_slots += u64::from(group.warm.first);
+            *preceding_slots += u64::from(group.slow_start.initial_limit);
             self.addresses[index] = Some(worker.addr);
             self.candidates[index] = Some(candidate);
         }
@@ -212,7 +212,7 @@
             &slow_start::WorkerWarmup {
                 region: worker.region,
                 slots,
-                warm: group.warm,
+                slow_start: group.slow_start,
                 finished: load.map_or(0, |load| load.finished),
                 preceding_slots,
                 report_version: loads.version,
--- a/sorreldoor/src/operator_api.rs
+++ b/sorreldoor/src/operator_api.rs
@@ -9,7 +9,7 @@
 use crate::json::Value;
 use crate::replicated_state::{Command, Outcome};
 use crate::types::ProposalId;
-use crate::wire::OpOutcome;
+use crate::wire::ProposalOutcome;
 use http_types::{Method, Request, Response};
 use simd_json::prelude::*;
 use std::time::Duration;
@@ -165,36 +165,36 @@
 
 /// The response to a change: applied, rejected, or outcome unknown. It carries
 /// `Retry-After` if a retry is safe.
-pub fn change_response(proposal_id: ProposalId, outcome: &OpOutcome) -> Response {
+pub fn change_response(proposal_id: ProposalId, outcome: &ProposalOutcome) -> Response {
     let mut body = Value::object();
     let _ = body.insert("proposal", format_proposal_id(proposal_id));
     let error_code = match outcome {
-        OpOutcome::Got(Outcome::Applied { version }) => {
+        ProposalOutcome::Committed(Outcome::Applied { version }) => {
             let _ = body.insert("taken", true);
             let _ = body.insert("serial", *version);
             return http::ok(body);
         }
-        OpOutcome::Got(Outcome::Stale { version }) => {
+        ProposalOutcome::Committed(Outcome::Stale { version }) => {
             let _ = body.insert("serial", *version);
             ErrorCode::StaleVersion
         }
-        OpOutcome::Got(Outcome::Invalid { faults }) => {
+        ProposalOutcome::Committed(Outcome::Invalid { faults }) => {
             let _ = body.insert("faults", string_list(faults));
             ErrorCode::InvalidConfiguration
         }
-        OpOutcome::Got(Outcome::StaleEpoch { epoch }) => {
+        ProposalOutcome::Committed(Outcome::StaleEpoch { epoch }) => {
             let _ = body.insert("epoch", *epoch);
             ErrorCode::StaleVersion
         }
-        OpOutcome::Got(Outcome::BaseAhead { version }) => {
+        ProposalOutcome::Committed(Outcome::BaseAhead { version }) => {
             let _ = body.insert("serial", *version);
             ErrorCode::BaseVersionAhead
         }
-        OpOutcome::Got(Outcome::Unknown { .. }) | OpOutcome::Unknown => {
+        ProposalOutcome::Committed(Outcome::Unknown { .. }) | ProposalOutcome::Unknown => {
             ErrorCode::ChangeOutcomeUnknown
         }
-        OpOutcome::NotTaken => ErrorCode::ChangeNotAccepted,
-        OpOutcome::Nothing => ErrorCode::UnknownProposal,
+        ProposalOutcome::Rejected => ErrorCode::ChangeNotAccepted,
+        ProposalOutcome::NotFound => ErrorCode::UnknownProposal,
     };
     // an unknown outcome must not be read as applied or as rejected
     if !matches!(
--- a/sorreldoor/tests/pages.rs
+++ b/sorreldoor/tests/pages.rs
@@ -159,14 +159,14 @@
     let (route_row, service_row) = (&hosted_routes.routes[1], &hosted_routes.services[1]);
     assert_eq!(
         (
-            route_row.aim_ms,
+            route_row.latency_target_ms,
             route_row.priority,
             route_row.attempts,
             route_row.gap_ms
         ),
         (0, 0, 1, 0)
     );
-    assert!(!route_row.sticky && !route_row.resume && route_row.homes.is_empty());
+    assert!(!route_row.prefix_affinity && !route_row.resume && route_row.homes.is_empty());
     assert_eq!(
         (service_row.max_conns, service_row.health.as_str()),
         (64, "/healthz")
--- a/testbed/src/capacity/meter.rs
+++ b/testbed/src/capacity/meter.rs
@@ -83,7 +83,9 @@
         Payload::Loads(_) => "loads",
         Payload::Ping { .. } => "ping",
         Payload::Hello(_) | Payload::Bootstrap(_) => "hello",
-        Payload::Op { .. } | Payload::OpFind { .. } | Payload::OpDone { .. } => "op",
+        Payload::Propose { .. } | Payload::OutcomeQuery { .. } | Payload::ProposalResult { .. } => {
+            "op"
+        }
         // new kinds of payload are counted here until they have a kind of their own
         _ => "claims",
     }
@@ -103,7 +105,7 @@
             out.push(("registry", self.size("registry", 0, (r.version, 0), r)));
         }
         if let Some(l) = &delta.loads {
-            out.push(("loads", self.size("loads", 0, l.mark(), l)));
+            out.push(("loads", self.size("loads", 0, l.epoch_and_version(), l)));
         }
         if let Some(s) = &delta.edge_sessions {
             out.push(("seats", self.size("seats", core, (s.0, 0), &s.1)));
--- a/testbed/src/site/checker.rs
+++ b/testbed/src/site/checker.rs
@@ -4,7 +4,7 @@
 use super::{ClientOutcome, World};
 use sorreldoor::replicated_state::Outcome;
 use sorreldoor::types::Millis;
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::collections::BTreeMap;
 
 /// Time from the acknowledgement of a configuration until all edges apply it.
@@ -74,7 +74,7 @@
 
 fn acknowledged_changes(world: &World) -> Vec<Acknowledged> {
     let acknowledged = world.changes.iter().filter_map(|change| {
-        let Some(OpOutcome::Got(Outcome::Applied { version })) = &change.outcome else {
+        let Some(ProposalOutcome::Committed(Outcome::Applied { version })) = &change.outcome else {
             return None;
         };
         Some(Acknowledged {
@@ -165,7 +165,7 @@
         .changes
         .iter()
         .filter(|change| change.zone == readmits && change.base >= version)
-        .filter(|change| matches!(change.outcome, None | Some(OpOutcome::Unknown)))
+        .filter(|change| matches!(change.outcome, None | Some(ProposalOutcome::Unknown)))
         .map(|change| change.start);
     acknowledged_at.chain(unknown).min().unwrap_or(Millis::MAX)
 }
@@ -197,7 +197,7 @@
 fn check_races(world: &World, violations: &mut Vec<String>) {
     let mut winners: BTreeMap<u64, u64> = BTreeMap::new();
     for change in &world.changes {
-        let Some(OpOutcome::Got(Outcome::Applied { version })) = &change.outcome else {
+        let Some(ProposalOutcome::Committed(Outcome::Applied { version })) = &change.outcome else {
             continue;
         };
         if *version != change.base + 1 {
--- a/testbed/src/site/operators.rs
+++ b/testbed/src/site/operators.rs
@@ -5,7 +5,7 @@
 use sorreldoor::gateway::EdgeEvent;
 use sorreldoor::replicated_state::Command;
 use sorreldoor::types::ProposalId;
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use std::sync::Arc;
 
 /// Offset of the proposal ids of changes that are not retried.
@@ -78,7 +78,7 @@
     }
 
     /// Records the first outcome of a change.
-    pub(crate) fn change_answered(&mut self, request_id: u64, outcome: OpOutcome) {
+    pub(crate) fn change_answered(&mut self, request_id: u64, outcome: ProposalOutcome) {
         let now = self.now;
         self.proposal_answered(request_id, &outcome);
         let mut changes = self.changes.iter_mut();
--- a/testbed/tests/site/pacing.rs
+++ b/testbed/tests/site/pacing.rs
@@ -8,14 +8,14 @@
 fn frugal() -> Pacing {
     Pacing {
         tick_ms: 50,
-        beat_ms: Some(250),
+        heartbeat_ms: Some(250),
         renew_ms: 1000,
         hedge_ms: 400,
         ping_ms: 500,
-        batch_ms: 200,
-        gather: false,
-        claims: false,
-        accounts: false,
+        read_batch_ms: 200,
+        poll_worker_loads: false,
+        read_peer_claims: false,
+        forward_edge_reports: false,
         unverified_after_ms: None,
     }
 }
@@ -109,7 +109,7 @@
         let mut world = world_with(seed, |world| {
             world.singleton_poll_ms = Some(1000);
             world.pacing = Pacing {
-                gather: true,
+                poll_worker_loads: true,
                 ..frugal()
             };
         });
@@ -174,17 +174,17 @@
     let version = 1;
     let workers = vec![warming_worker(5000)];
     let r = WorkerRegistry { version, workers };
-    assert!(r.same(&[warming_worker(5000)], 0));
-    assert!(r.same(&[warming_worker(3000)], 2000));
-    assert!(r.same(&[warming_worker(0)], 5000));
+    assert!(r.is_unchanged_in(&[warming_worker(5000)], 0));
+    assert!(r.is_unchanged_in(&[warming_worker(3000)], 2000));
+    assert!(r.is_unchanged_in(&[warming_worker(0)], 5000));
     // it became cold again
-    assert!(!r.same(&[warming_worker(5000)], 4500));
-    assert!(!r.same(&[], 0));
+    assert!(!r.is_unchanged_in(&[warming_worker(5000)], 4500));
+    assert!(!r.is_unchanged_in(&[], 0));
     let left = Worker {
         leaves_ms: Some(900),
         ..warming_worker(5000)
     };
-    assert!(!r.same(&[left], 0));
+    assert!(!r.is_unchanged_in(&[left], 0));
     assert_eq!(r.aged(1500).workers[0].cold_ms, 3500);
 }
 
--- a/testbed/tests/site/support.rs
+++ b/testbed/tests/site/support.rs
@@ -2,7 +2,7 @@
 
 use sorreldoor::pacing::Pacing;
 use sorreldoor::replicated_state::{Command, Outcome};
-use sorreldoor::wire::OpOutcome;
+use sorreldoor::wire::ProposalOutcome;
 use testbed::fleet::{archive, press, SitePreset};
 use testbed::site::{check, ClientOutcome, World};
 
@@ -75,7 +75,10 @@
 /// Whether a change of the world was acknowledged.
 pub fn was_committed(world: &World, change: usize) -> bool {
     let outcome = &world.changes[change].outcome;
-    matches!(outcome, Some(OpOutcome::Got(Outcome::Applied { .. })))
+    matches!(
+        outcome,
+        Some(ProposalOutcome::Committed(Outcome::Applied { .. }))
+    )
 }
 
 /// The newest version that any core has applied.
@@ -89,12 +92,12 @@
 pub fn frugal_pacing() -> Pacing {
     Pacing {
         tick_ms: 20,
-        beat_ms: Some(150),
+        heartbeat_ms: Some(150),
         renew_ms: 500,
         ping_ms: 500,
-        gather: false,
-        claims: false,
-        accounts: false,
+        poll_worker_loads: false,
+        read_peer_claims: false,
+        forward_edge_reports: false,
         unverified_after_ms: Some(0),
         ..Pacing::default()
     }
