--- a/testbed/src/site/worker_execution.rs
+++ b/testbed/src/site/worker_execution.rs
@@ -6,10 +6,10 @@
 use sorreldoor::gateway::request_table::AttemptEvent;
 use sorreldoor::types::Millis;
 
-/// Between the last event of a stream and its end.
+/// Delay between the last event of a stream and its end.
 const STREAM_END_MS: Millis = 2;
 
-/// A stream that a worker sends: its next event and the number of all.
+/// Position in a stream that a worker sends: its next event, and their number.
 #[derive(Clone, Copy)]
 struct StreamPosition {
     next: u64,
@@ -92,7 +92,7 @@
         let (from, to) = (state.region, self.processes[request.edge].region);
         let delay = self.delay(from, to);
         if position.next == 0 {
-            self.notify_edge(worker, request.clone(), AttemptEvent::StreamStarted);
+            self.send_to_edge(worker, request.clone(), AttemptEvent::StreamStarted);
         }
         let event_of = request.clone();
         self.after(delay + 1, move |world| {
@@ -132,6 +132,6 @@
             return;
         }
         self.start_executions(worker);
-        self.notify_edge(worker, request, event);
+        self.send_to_edge(worker, request, event);
     }
 }
