--- a/testbed/src/emulator/policy.rs
+++ b/testbed/src/emulator/policy.rs
@@ -11,7 +11,7 @@
 use sorreldoor::types::Millis;
 use std::sync::Arc;
 
-/// The interface of a policy; the calls of the product's balancer.
+/// Chooses workers for the requests of one node; has the methods of [`Balancer`].
 pub trait Policy {
     fn begin(
         &mut self,
@@ -31,10 +31,11 @@
     fn update_registry(&mut self, r: &WorkerRegistry, now: Millis);
     fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis);
     fn update_nodes(&mut self, all: Vec<(String, u16)>);
-    /// Requests under way, and those that wait.
+    /// The number of open requests, and of those that wait for a worker.
     fn open(&self) -> (u64, u64);
 }
 
+/// Host name of all emulated routes.
 pub const HOST: &str = "emul.example";
 
 impl Policy for Balancer {
@@ -88,81 +89,81 @@
     }
 }
 
-/// The policy of all nodes of a run.
+/// The policy that all nodes of a run use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
     Balancer,
     RoundRobin,
     LeastLoad,
-    /// The balancer without fail-over; or without fail-over of begun requests.
-    Stay,
-    StayBegun,
+    /// The balancer without fail-over, or without it after the first event.
+    NoFailOver,
+    NoFailOverOnceBegun,
     /// The balancer, violating one of its invariants.
-    Broken(Violation),
+    Violating(Violation),
 }
 
-/// An invariant to violate, to show that its check can fail.
+/// How [`ViolatingBalancer`] deviates from the balancer, to show that a check can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Attempts that may have run are retried as if they had not.
-    Twice,
+    /// Attempts that may have run are retried as if a worker had rejected them.
+    RetryAfterRun,
     /// Homes of routes are ignored.
-    Homes,
+    IgnoreHomes,
     /// Evacuations are ignored.
-    Zones,
-    /// Draining workers get requests.
-    Drains,
-    /// Retries have no budget.
-    Budget,
+    IgnoreEvacuations,
+    /// Draining workers still get requests.
+    IgnoreDrains,
+    /// The retry budget is not enforced.
+    UnlimitedRetries,
     /// Slow start is ignored.
-    Cold,
-    /// Later configurations are ignored.
-    Routes,
-    /// A request is never decided on.
-    Mute,
-    /// No violation: requests do not fail over, or not once they have begun.
-    Stay,
-    StayBegun,
+    IgnoreSlowStart,
+    /// Configurations after the first are ignored.
+    IgnoreNewConfigurations,
+    /// Every request waits until its client gives up.
+    NeverDecide,
+    /// No invariant violated: requests do not fail over, or not after their first event.
+    NoFailOver,
+    NoFailOverOnceBegun,
 }
 
 impl PolicyKind {
     pub fn name(self) -> &'static str {
         match self {
-            PolicyKind::Balancer => "table",
+            PolicyKind::Balancer => "balancer",
             PolicyKind::RoundRobin => "round robin",
             PolicyKind::LeastLoad => "least load",
-            PolicyKind::Stay => "table, no moves",
-            PolicyKind::StayBegun => "table, none midway",
-            PolicyKind::Broken(_) => "broken table",
+            PolicyKind::NoFailOver => "balancer, no fail-over",
+            PolicyKind::NoFailOverOnceBegun => "balancer, no fail-over once begun",
+            PolicyKind::Violating(_) => "violating balancer",
         }
     }
 
-    pub fn make(self, place: Locality, mut bounds: SiteLimits, seed: u64) -> Box<dyn Policy> {
+    pub fn make(self, locality: Locality, mut limits: SiteLimits, seed: u64) -> Box<dyn Policy> {
         match self {
-            PolicyKind::Balancer => Box::new(Balancer::new(place, bounds, seed)),
+            PolicyKind::Balancer => Box::new(Balancer::new(locality, limits, seed)),
             PolicyKind::RoundRobin | PolicyKind::LeastLoad => {
-                Box::new(BaselinePolicy::new(self, seed, &place.node))
+                Box::new(BaselinePolicy::new(self, seed, &locality.node))
             }
-            PolicyKind::Stay | PolicyKind::StayBegun => {
-                let b = match self {
-                    PolicyKind::Stay => Violation::Stay,
-                    _ => Violation::StayBegun,
+            PolicyKind::NoFailOver | PolicyKind::NoFailOverOnceBegun => {
+                let violation = match self {
+                    PolicyKind::NoFailOver => Violation::NoFailOver,
+                    _ => Violation::NoFailOverOnceBegun,
                 };
                 Box::new(ViolatingBalancer::new(
-                    Balancer::new(place, bounds, seed),
-                    b,
+                    Balancer::new(locality, limits, seed),
+                    violation,
                 ))
             }
-            PolicyKind::Broken(b) => {
-                if b == Violation::Budget {
-                    (bounds.retry_ratio, bounds.retry_slack) = (1e6, 1e6);
+            PolicyKind::Violating(violation) => {
+                if violation == Violation::UnlimitedRetries {
+                    (limits.retry_ratio, limits.retry_slack) = (1e6, 1e6);
                 }
-                if b == Violation::Cold {
-                    bounds.warmup_excess = 1e6;
+                if violation == Violation::IgnoreSlowStart {
+                    limits.warmup_excess = 1e6;
                 }
                 Box::new(ViolatingBalancer::new(
-                    Balancer::new(place, bounds, seed),
-                    b,
+                    Balancer::new(locality, limits, seed),
+                    violation,
                 ))
             }
         }
--- a/testbed/src/emulator/violation.rs
+++ b/testbed/src/emulator/violation.rs
@@ -40,14 +40,14 @@
         Policy::begin(&mut self.balancer, path, requested, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
-        if self.violation == Violation::Mute {
+        if self.violation == Violation::NeverDecide {
             return Decision::Wait(20);
         }
         self.balancer.decide(request_id, now)
     }
     fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
         let h = match h {
-            AttemptOutcome::Failed if self.violation == Violation::Twice => {
+            AttemptOutcome::Failed if self.violation == Violation::RetryAfterRun => {
                 AttemptOutcome::Rejected(None)
             }
             h => h,
@@ -62,8 +62,8 @@
     }
     fn may_fail_over(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
         let stays = match self.violation {
-            Violation::Stay => true,
-            Violation::StayBegun => self.begun.contains(&request_id),
+            Violation::NoFailOver => true,
+            Violation::NoFailOverOnceBegun => self.begun.contains(&request_id),
             _ => false,
         };
         !stays && self.balancer.may_fail_over(request_id, silent, now)
@@ -82,7 +82,7 @@
         self.balancer.route(request_id).cloned()
     }
     fn apply_configuration(&mut self, h: Arc<Hosted>, now: Millis) {
-        if self.violation == Violation::Routes
+        if self.violation == Violation::IgnoreNewConfigurations
             && std::mem::replace(&mut self.has_configuration, true)
         {
             return;
@@ -90,21 +90,21 @@
         let mut own = (*h).clone();
         let each = own.routes.iter_mut().map(Arc::make_mut);
         match self.violation {
-            Violation::Homes => each.for_each(|r| r.homes.clear()),
-            Violation::Twice => each.for_each(|r| r.attempts = r.attempts.max(2)),
+            Violation::IgnoreHomes => each.for_each(|r| r.homes.clear()),
+            Violation::RetryAfterRun => each.for_each(|r| r.attempts = r.attempts.max(2)),
             _ => {}
         }
         self.balancer.apply_configuration(Arc::new(own), now);
     }
     fn update_registry(&mut self, r: &WorkerRegistry, now: Millis) {
         let mut own = r.clone();
-        if self.violation == Violation::Drains {
+        if self.violation == Violation::IgnoreDrains {
             own.workers.iter_mut().for_each(|w| w.leaving = false);
         }
         self.balancer.update_registry(&own, now);
     }
     fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
-        if self.violation != Violation::Zones {
+        if self.violation != Violation::IgnoreEvacuations {
             self.balancer.set_evacuated_zones(zones, now);
         }
     }
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -115,8 +115,8 @@
     let invariants: &[PolicyKind] = match (a.table, a.moves) {
         (_, true) => &[
             PolicyKind::Balancer,
-            PolicyKind::StayBegun,
-            PolicyKind::Stay,
+            PolicyKind::NoFailOverOnceBegun,
+            PolicyKind::NoFailOver,
         ],
         (true, _) => &[PolicyKind::Balancer],
         _ => &[
--- a/testbed/tests/emulator.rs
+++ b/testbed/tests/emulator.rs
@@ -98,7 +98,7 @@
     f(&mut m);
     let mut found = Vec::new();
     for seed in 0..6 {
-        let (violations, _) = play(seed, &m, PolicyKind::Broken(b));
+        let (violations, _) = play(seed, &m, PolicyKind::Violating(b));
         if violations.iter().any(|w| w.starts_with(policy_kind)) {
             return;
         }
@@ -121,33 +121,33 @@
 
 #[test]
 fn each_check_can_fail() {
-    assert_detected(Violation::Twice, "TWICE", |m| {
+    assert_detected(Violation::RetryAfterRun, "TWICE", |m| {
         m.troubles = vec![one("lose", 3, 0.5, 1)];
     });
-    assert_detected(Violation::Twice, "REFUSED", |m| {
+    assert_detected(Violation::RetryAfterRun, "REFUSED", |m| {
         m.troubles = vec![one("lose", 4, 1.0, 1)];
     });
-    assert_detected(Violation::Homes, "HOME", |_| {});
-    assert_detected(Violation::Zones, "EVAC", |m| {
+    assert_detected(Violation::IgnoreHomes, "HOME", |_| {});
+    assert_detected(Violation::IgnoreEvacuations, "EVAC", |m| {
         m.troubles = vec![one("evacuate", 0, 0.0, 0)];
     });
-    assert_detected(Violation::Drains, "DRAIN", |m| {
+    assert_detected(Violation::IgnoreDrains, "DRAIN", |m| {
         m.bounds.drain_ms = 2000;
         m.troubles = vec![one("drain", 3, 0.0, 0)];
     });
-    assert_detected(Violation::Routes, "CONFIG", |m| {
+    assert_detected(Violation::IgnoreNewConfigurations, "CONFIG", |m| {
         let t = one("route", 2, 0.0, 2);
         m.troubles = vec![t];
     });
-    assert_detected(Violation::Mute, "END", |_| {});
-    assert_detected(Violation::Cold, "FAILBACK", |m| {
+    assert_detected(Violation::NeverDecide, "END", |_| {});
+    assert_detected(Violation::IgnoreSlowStart, "FAILBACK", |m| {
         m.services[0].warmup_per_s = 2.0;
         m.services[0].warmup_ms = 8000;
         m.troubles = vec![one("crash", 6, 0.0, 0)];
         m.troubles[0].for_s = 2.0;
         m.load = 0.5;
     });
-    assert_detected(Violation::Budget, "BUDGET", |m| {
+    assert_detected(Violation::UnlimitedRetries, "BUDGET", |m| {
         m.bounds.retry_slack = 4.0;
         m.classes[1].attempts = 4;
         m.troubles = vec![one("lose", 8, 0.9, 0)];
