--- a/testbed/src/emulator/baseline.rs
+++ b/testbed/src/emulator/baseline.rs
@@ -1,4 +1,4 @@
-//! Baseline policies, round robin and least load, to compare the balancer with.
+//! Baseline policies that the balancer is compared with: round robin and least load.
 
 use super::policy::{Policy, PolicyKind, HOST};
 use crate::rand::Rand;
@@ -11,24 +11,29 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
+/// A worker and its load as this node knows it.
 #[derive(Debug, Default)]
 struct Endpoint {
-    w: Option<Worker>,
-    mine: u32,
-    others: u32,
+    worker: Option<Worker>,
+    /// Open attempts of this node.
+    own_attempts: u32,
+    /// Requests of other nodes, from the latest load report.
+    other_load: u32,
 }
 
 #[derive(Debug)]
 struct BaselineRequest {
     path: String,
     deadline: Millis,
-    at: Option<usize>,
+    endpoint: Option<usize>,
     tried: Vec<usize>,
+    /// Whether an attempt may have run.
     ran: bool,
-    last: ErrorCode,
+    last_error: ErrorCode,
 }
 
-/// Round robin or least load, within homes, drains and routes.
+/// Round robin or least load among the workers of the route that are in its homes,
+/// not draining, and not in an evacuated zone.
 #[derive(Debug)]
 pub struct BaselinePolicy {
     policy_kind: PolicyKind,
@@ -37,9 +42,9 @@
     endpoints: Vec<Endpoint>,
     by_name: HashMap<String, usize>,
     evacuated: Vec<u16>,
-    pinned: HashMap<RequestId, BaselineRequest>,
-    next: RequestId,
-    turn: usize,
+    requests: HashMap<RequestId, BaselineRequest>,
+    next_request_id: RequestId,
+    next_endpoint: usize,
 }
 
 impl BaselinePolicy {
@@ -51,47 +56,54 @@
             endpoints: Vec::new(),
             by_name: HashMap::new(),
             evacuated: Vec::new(),
-            pinned: HashMap::new(),
-            next: 1,
-            turn: 0,
+            requests: HashMap::new(),
+            next_request_id: 1,
+            next_endpoint: 0,
         }
     }
 
-    fn found(&self, path: &str) -> Option<&Route> {
+    fn find_route(&self, path: &str) -> Option<&Route> {
         let i = self.hosted.find(HOST, path)?;
         self.hosted.routes.get(i as usize).map(|r| &**r)
     }
 
-    fn choose_node(&mut self, h: &BaselineRequest) -> Option<usize> {
-        let r = self.found(&h.path)?.clone();
-        let all: u32 = r.split.iter().map(|(_, w)| w).sum();
-        let mut n = self.rng.below(u64::from(all)) as u32;
-        let service_index = r.split.iter().find(|(_, w)| {
-            let hit = n < *w;
-            n = n.saturating_sub(*w);
+    fn choose_worker(&mut self, request: &BaselineRequest) -> Option<usize> {
+        let r = self.find_route(&request.path)?.clone();
+        let total_weight: u32 = r.split.iter().map(|(_, w)| w).sum();
+        let mut position = self.rng.below(u64::from(total_weight)) as u32;
+        let chosen = r.split.iter().find(|(_, w)| {
+            let hit = position < *w;
+            position = position.saturating_sub(*w);
             hit
         })?;
-        let name = &self.hosted.services[service_index.0 as usize].name;
-        let fits = |i: &usize| {
-            let s = &self.endpoints[*i];
-            s.w.as_ref().is_some_and(|w| {
+        let name = &self.hosted.services[chosen.0 as usize].name;
+        let eligible = |i: &usize| {
+            let endpoint = &self.endpoints[*i];
+            endpoint.worker.as_ref().is_some_and(|w| {
                 w.group == *name
                     && !w.leaving
                     && w.leaves_ms.is_none()
                     && !self.evacuated.contains(&w.zone)
                     && (r.homes.is_empty() || r.homes.contains(&w.region))
-                    && !h.tried.contains(i)
+                    && !request.tried.contains(i)
             })
         };
-        let n = self.endpoints.len();
-        let all: Vec<usize> = (0..n).map(|i| (self.turn + i) % n).filter(fits).collect();
-        self.turn = self.turn.wrapping_add(1) % n.max(1);
+        let count = self.endpoints.len();
+        let eligible_endpoints: Vec<usize> = (0..count)
+            .map(|i| (self.next_endpoint + i) % count)
+            .filter(eligible)
+            .collect();
+        self.next_endpoint = self.next_endpoint.wrapping_add(1) % count.max(1);
         match self.policy_kind {
             PolicyKind::LeastLoad => {
-                let load = |i: &usize| self.endpoints[*i].mine + self.endpoints[*i].others;
-                all.into_iter().min_by_key(load)
+                let load =
+                    |i: &usize| self.endpoints[*i].own_attempts + self.endpoints[*i].other_load;
+                eligible_endpoints.into_iter().min_by_key(load)
             }
-            _ => all.first().copied().inspect(|i| self.turn = i + 1),
+            _ => eligible_endpoints
+                .first()
+                .copied()
+                .inspect(|i| self.next_endpoint = i + 1),
         }
     }
 }
@@ -100,58 +112,66 @@
     fn begin(
         &mut self,
         path: &str,
-        requested: RequestMetadata,
+        metadata: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
-        let r = self.found(path).ok_or(ErrorCode::UnknownRoute)?;
+        let r = self.find_route(path).ok_or(ErrorCode::UnknownRoute)?;
         let deadline = now
-            + requested
+            + metadata
                 .deadline_ms
                 .unwrap_or(u64::MAX / 4)
                 .min(r.timeout_ms);
-        self.next += 1;
-        self.pinned.insert(
-            self.next,
+        self.next_request_id += 1;
+        self.requests.insert(
+            self.next_request_id,
             BaselineRequest {
                 path: path.into(),
                 deadline,
-                at: None,
+                endpoint: None,
                 tried: Vec::new(),
                 ran: false,
-                last: ErrorCode::NoWorker,
+                last_error: ErrorCode::NoWorker,
             },
         );
-        Ok(self.next)
+        Ok(self.next_request_id)
     }
 
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
-        let Some(mut h) = self.pinned.remove(&request_id) else {
+        let Some(mut request) = self.requests.remove(&request_id) else {
             return Decision::Reject(ErrorCode::NotSent, 0);
         };
-        let r = self.found(&h.path).cloned();
-        let p = match r {
+        let route = self.find_route(&request.path).cloned();
+        let decision = match route {
             None => Decision::Reject(ErrorCode::UnknownRoute, 0),
-            Some(r) if h.ran && !r.repeatable() => Decision::Reject(ErrorCode::OutcomeUnknown, 0),
-            Some(r) if h.tried.len() as u32 >= r.attempts.max(1) || now + 5 > h.deadline => {
-                let p = if h.ran {
+            Some(r) if request.ran && !r.repeatable() => {
+                Decision::Reject(ErrorCode::OutcomeUnknown, 0)
+            }
+            Some(r)
+                if request.tried.len() as u32 >= r.attempts.max(1)
+                    || now + 5 > request.deadline =>
+            {
+                let error = if request.ran {
                     ErrorCode::WorkerDisconnected
                 } else {
-                    h.last
+                    request.last_error
                 };
-                Decision::Reject(p, 200)
+                Decision::Reject(error, 200)
             }
-            Some(r) => match self.choose_node(&h) {
+            Some(r) => match self.choose_worker(&request) {
                 None => Decision::Reject(ErrorCode::NoWorker, 200),
                 Some(i) => {
-                    h.tried.push(i);
-                    h.at = Some(i);
-                    self.endpoints[i].mine += 1;
-                    let w = self.endpoints[i].w.clone().unwrap_or_else(Worker::blank);
+                    request.tried.push(i);
+                    request.endpoint = Some(i);
+                    self.endpoints[i].own_attempts += 1;
+                    let w = self.endpoints[i]
+                        .worker
+                        .clone()
+                        .unwrap_or_else(Worker::blank);
                     Decision::Send(Target {
                         endpoint_index: i as u32,
                         name: w.name,
                         addr: w.addr,
-                        time_left_ms: h.deadline.saturating_sub(now),
+                        time_left_ms: request.deadline.saturating_sub(now),
                         priority: Some(r.priority),
                         max_conns: 64,
                         tenant: None,
@@ -160,35 +180,35 @@
                 }
             },
         };
-        self.pinned.insert(request_id, h);
-        p
+        self.requests.insert(request_id, request);
+        decision
     }
 
-    fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, _: Millis) {
-        let Some(r) = self.pinned.get_mut(&request_id) else {
+    fn record_outcome(&mut self, request_id: RequestId, outcome: AttemptOutcome, _: Millis) {
+        let Some(r) = self.requests.get_mut(&request_id) else {
             return;
         };
-        let Some(i) = r.at else { return };
+        let Some(i) = r.endpoint else { return };
         let s = &mut self.endpoints[i];
-        let load = match &h {
+        let load = match &outcome {
             AttemptOutcome::HeadReceived { load, .. } | AttemptOutcome::Rejected(load) => *load,
             _ => None,
         };
         if let Some(load) = load {
-            s.others = (load.running + load.waiting).saturating_sub(s.mine);
+            s.other_load = (load.running + load.waiting).saturating_sub(s.own_attempts);
         }
         if matches!(
-            h,
+            outcome,
             AttemptOutcome::HeadReceived { .. } | AttemptOutcome::FirstEvent
         ) {
             return;
         }
         r.ran |= matches!(
-            h,
+            outcome,
             AttemptOutcome::Failed | AttemptOutcome::Completed(_) | AttemptOutcome::Canceled
         );
-        r.at = None;
-        s.mine = s.mine.saturating_sub(1);
+        r.endpoint = None;
+        s.own_attempts = s.own_attempts.saturating_sub(1);
     }
 
     fn may_fail_over(&mut self, _: RequestId, _: Millis, _: Millis) -> bool {
@@ -199,7 +219,7 @@
 
     fn finish(&mut self, request_id: RequestId, now: Millis) {
         self.record_outcome(request_id, AttemptOutcome::Canceled, now);
-        self.pinned.remove(&request_id);
+        self.requests.remove(&request_id);
     }
 
     fn take_ready(&mut self, _: Millis) -> Vec<RequestId> {
@@ -207,26 +227,29 @@
     }
 
     fn deadline(&self, request_id: RequestId) -> Millis {
-        self.pinned.get(&request_id).map_or(0, |h| h.deadline)
+        self.requests
+            .get(&request_id)
+            .map_or(0, |request| request.deadline)
     }
 
     fn route(&self, request_id: RequestId) -> Option<Route> {
-        self.found(&self.pinned.get(&request_id)?.path).cloned()
+        self.find_route(&self.requests.get(&request_id)?.path)
+            .cloned()
     }
 
-    fn apply_configuration(&mut self, h: Arc<Hosted>, _: Millis) {
-        self.hosted = h;
+    fn apply_configuration(&mut self, configuration: Arc<Hosted>, _: Millis) {
+        self.hosted = configuration;
     }
 
-    fn update_registry(&mut self, r: &WorkerRegistry, _: Millis) {
-        self.endpoints.iter_mut().for_each(|s| s.w = None);
-        for w in &r.workers {
+    fn update_registry(&mut self, registry: &WorkerRegistry, _: Millis) {
+        self.endpoints.iter_mut().for_each(|s| s.worker = None);
+        for w in &registry.workers {
             let n = self.endpoints.len();
             let i = *self.by_name.entry(w.name.clone()).or_insert(n);
             if i == n {
                 self.endpoints.push(Endpoint::default());
             }
-            self.endpoints[i].w = Some(w.clone());
+            self.endpoints[i].worker = Some(w.clone());
         }
     }
 
@@ -237,6 +260,6 @@
     fn update_nodes(&mut self, _: Vec<(String, u16)>) {}
 
     fn open(&self) -> (u64, u64) {
-        (self.pinned.len() as u64, 0)
+        (self.requests.len() as u64, 0)
     }
 }
--- a/testbed/src/emulator/check.rs
+++ b/testbed/src/emulator/check.rs
@@ -13,31 +13,31 @@
     };
     let mut out: BTreeSet<String> = w.violations.iter().filter(first_cases).cloned().collect();
     let parts: [fn(&World) -> Vec<String>; 7] = [
-        check_runs,
-        homes,
-        zones,
+        check_single_run,
+        check_homes,
+        check_evacuations,
         check_drains,
-        routes,
-        check_ends,
-        check_budgets,
+        check_routes,
+        check_no_open_requests,
+        check_retry_budgets,
     ];
     for f in parts {
         out.extend(f(w).into_iter().take(3));
     }
-    out.extend(slow_starts(w).into_iter().take(3));
+    out.extend(check_slow_starts(w).into_iter().take(3));
     out.into_iter().collect()
 }
 
 impl World {
     /// Whether a node was without faults of its own for long enough.
-    fn in_touch(&self, n: usize, at: Micros) -> bool {
+    fn connected_to_control_plane(&self, n: usize, at: Micros) -> bool {
         let span = micros(self.mix.bounds.contact_ms as f64);
         let fault_spans = |(a, b): &(Micros, Micros)| *a <= at && at < b.saturating_add(span);
         !self.nodes[n].fault_spans.iter().any(fault_spans)
     }
 
     fn class(&self, t: usize) -> &ClassMix {
-        &self.mix.classes[self.client_requests[self.client_attempts[t].ask].class]
+        &self.mix.classes[self.client_requests[self.client_attempts[t].request_index].class]
     }
 
     /// A route is there in every configuration that may be in force.
@@ -55,7 +55,7 @@
         let preemption_victim = micros(self.class(t).aim_ms as f64 / 4.0 + 50.0);
         if x.worker_attempts == 0
             && self.now > x.sent + preemption_victim
-            && self.in_touch(x.node, self.now)
+            && self.connected_to_control_plane(x.node, self.now)
         {
             let (c, ms) = (&self.class(t).name, x.sent / 1000);
             let s = format!(
@@ -70,18 +70,18 @@
     fn allowed(&self, class: usize, at: Micros, now: Micros) -> Vec<usize> {
         let span = micros(self.mix.bounds.apply_ms as f64);
         let old = |i: &usize| {
-            let next = self.versions.get(i + 1);
-            self.versions[*i].0 <= now && next.is_none_or(|(t, _)| t + span >= at)
+            let next = self.configuration_versions.get(i + 1);
+            self.configuration_versions[*i].0 <= now && next.is_none_or(|(t, _)| t + span >= at)
         };
-        (0..self.versions.len())
+        (0..self.configuration_versions.len())
             .filter(old)
-            .flat_map(|i| &self.versions[i].1.routes[class].split)
+            .flat_map(|i| &self.configuration_versions[i].1.routes[class].split)
             .map(|(s, _)| *s as usize)
             .collect()
     }
 }
 
-fn check_runs(w: &World) -> Vec<String> {
+fn check_single_run(w: &World) -> Vec<String> {
     let mut out = Vec::new();
     for (t, x) in w.client_attempts.iter().enumerate() {
         let c = w.class(t);
@@ -102,7 +102,7 @@
     out
 }
 
-fn homes(w: &World) -> Vec<String> {
+fn check_homes(w: &World) -> Vec<String> {
     let bad = |a: &&Arrival| {
         let h = &w.class(a.client_attempt).homes;
         !a.misdirected && !h.is_empty() && !h.contains(&w.workers[a.worker].region)
@@ -116,12 +116,14 @@
     w.arrivals.iter().filter(bad).map(describe).collect()
 }
 
-fn zones(w: &World) -> Vec<String> {
+fn check_evacuations(w: &World) -> Vec<String> {
     let span = micros(w.mix.bounds.evac_ms as f64);
     let bad = |a: &&Arrival| {
         let z = w.workers[a.worker].zone;
         let hit = |e: &Evacuation| e.zone == z && a.at > e.from + span && a.at < e.to;
-        !a.misdirected && w.evacuations.iter().any(hit) && w.in_touch(a.node, a.sent)
+        !a.misdirected
+            && w.evacuations.iter().any(hit)
+            && w.connected_to_control_plane(a.node, a.sent)
     };
     let describe = |a: &Arrival| {
         format!(
@@ -136,7 +138,9 @@
 fn check_drains(w: &World) -> Vec<String> {
     let bad = |a: &&Arrival| {
         let closed_at = w.workers[a.worker].closed_at;
-        !a.misdirected && closed_at.is_some_and(|t| a.at > t) && w.in_touch(a.node, a.sent)
+        !a.misdirected
+            && closed_at.is_some_and(|t| a.at > t)
+            && w.connected_to_control_plane(a.node, a.sent)
     };
     let describe = |a: &Arrival| {
         let x = &w.workers[a.worker];
@@ -148,11 +152,11 @@
     w.arrivals.iter().filter(bad).map(describe).collect()
 }
 
-fn routes(w: &World) -> Vec<String> {
+fn check_routes(w: &World) -> Vec<String> {
     let mut out = Vec::new();
     for a in w.arrivals.iter().filter(|a| !a.misdirected) {
         let t = &w.client_attempts[a.client_attempt];
-        let class = w.client_requests[t.ask].class;
+        let class = w.client_requests[t.request_index].class;
         let service_index = w.workers[a.worker].service_index;
         let ever = |(_, h): &(Micros, Arc<Hosted>)| {
             h.routes[class]
@@ -160,13 +164,15 @@
                 .iter()
                 .any(|(s, _)| *s as usize == service_index)
         };
-        if !w.versions.iter().any(ever) {
+        if !w.configuration_versions.iter().any(ever) {
             out.push(format!(
                 "ROUTE: try {} at a service that never had it",
                 a.client_attempt
             ));
         }
-        if !w.allowed(class, t.sent, a.at).contains(&service_index) && w.in_touch(a.node, a.sent) {
+        if !w.allowed(class, t.sent, a.at).contains(&service_index)
+            && w.connected_to_control_plane(a.node, a.sent)
+        {
             out.push(format!(
                 "CONFIG: try {} sent at {} us by an older route",
                 a.client_attempt, t.sent
@@ -176,7 +182,7 @@
     out
 }
 
-fn check_ends(w: &World) -> Vec<String> {
+fn check_no_open_requests(w: &World) -> Vec<String> {
     let mut out = Vec::new();
     let open = w.client_requests.iter().filter(|a| a.end.is_none()).count();
     if open > 0 {
@@ -203,7 +209,7 @@
     v.partition_point(|t| *t <= b) - v.partition_point(|t| *t <= a)
 }
 
-fn check_budgets(w: &World) -> Vec<String> {
+fn check_retry_budgets(w: &World) -> Vec<String> {
     let b = &w.mix.bounds;
     let span = micros(b.retry_window_ms as f64);
     let mut out = Vec::new();
@@ -220,7 +226,7 @@
             }
         }
         let on = |t: &&ClientAttempt| {
-            let c = w.client_requests[t.ask].class;
+            let c = w.client_requests[t.request_index].class;
             w.allowed(c, t.sent, t.sent).contains(&s)
         };
         let mut requested: Vec<Micros> = w
@@ -251,7 +257,7 @@
     out
 }
 
-fn slow_starts(w: &World) -> Vec<String> {
+fn check_slow_starts(w: &World) -> Vec<String> {
     let b = &w.mix.bounds;
     let mut by: HashMap<usize, Vec<(Micros, Micros)>> = HashMap::new();
     for a in w.arrivals.iter().filter(|a| !a.misdirected) {
--- a/testbed/src/emulator/clients.rs
+++ b/testbed/src/emulator/clients.rs
@@ -9,38 +9,38 @@
 pub(crate) struct ClientRequest {
     pub class: usize,
     pub zone: usize,
-    pub at: Micros,
-    pub parts: Vec<PromptSegment>,
+    pub arrived_at: Micros,
+    pub prompt_segments: Vec<PromptSegment>,
     pub events: u32,
     /// Events received, when the first and the last came, and the longest gap.
     pub events_received: u32,
-    pub first: Option<Micros>,
-    pub last: Micros,
+    pub first_event_at: Option<Micros>,
+    pub last_event_at: Micros,
     pub max_gap: Micros,
-    pub tries: u32,
-    pub end: Option<End>,
+    pub attempts: u32,
+    pub end: Option<RequestEnd>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum End {
+pub(crate) enum RequestEnd {
     Served(Micros),
-    Refused,
+    Rejected,
     Failed,
 }
 
 /// One attempt of a client, under an id of its own.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientAttempt {
-    pub ask: usize,
+    pub request_index: usize,
     pub node: usize,
     pub incarnation: u32,
     pub sent: Micros,
     pub deadline: Micros,
     /// The attempt resumes the stream behind this event.
-    pub from: u32,
+    pub resumed_after: u32,
     pub events_received: u32,
-    pub last_heard: Micros,
-    pub over: bool,
+    pub last_message_at: Micros,
+    pub ended: bool,
     pub rejected: bool,
     pub worker_attempts: u32,
     /// The worker attempts that ran.
@@ -72,7 +72,7 @@
 
     pub(super) fn next_arrival(&mut self, z: usize) {
         let (rate, top) = self.rate(z);
-        if self.now >= self.end() || top <= 0.0 {
+        if self.now >= self.arrivals_end() || top <= 0.0 {
             return;
         }
         if unit(&mut self.arrival_rng) * top < rate {
@@ -94,8 +94,8 @@
         let class = class.unwrap_or(0);
         let c = &m.classes[class];
         let stream = c.kind == "stream";
-        let parts = match stream {
-            true => self.parts(class, c),
+        let prompt_segments = match stream {
+            true => self.draw_prompt(class, c),
             false => Vec::new(),
         };
         let events = match stream {
@@ -106,20 +106,20 @@
         self.client_requests.push(ClientRequest {
             class,
             zone: self.zone_redirects[z],
-            at: self.now,
-            parts,
+            arrived_at: self.now,
+            prompt_segments,
             events,
             events_received: 0,
-            first: None,
-            last: self.now,
+            first_event_at: None,
+            last_event_at: self.now,
             max_gap: 0,
-            tries: 0,
+            attempts: 0,
             end: None,
         });
         self.start_attempt(i);
     }
 
-    fn parts(&mut self, class: usize, c: &ClassMix) -> Vec<PromptSegment> {
+    fn draw_prompt(&mut self, class: usize, c: &ClassMix) -> Vec<PromptSegment> {
         let mut out = Vec::new();
         let mut item = 0u64;
         // the deepest part decides, and those before it hang on it
@@ -164,12 +164,12 @@
     fn start_attempt(&mut self, i: usize) {
         let (z, class) = (self.client_requests[i].zone, self.client_requests[i].class);
         let deadline =
-            self.client_requests[i].at + micros(self.mix.classes[class].deadline_ms as f64);
+            self.client_requests[i].arrived_at + micros(self.mix.classes[class].deadline_ms as f64);
         let mut failed = Vec::new();
         let mut at = self.now + micros(self.mix.client_ms);
         let node = loop {
             let Some(n) = self.choose_node(z, &failed) else {
-                self.client_requests[i].end = Some(End::Failed);
+                self.client_requests[i].end = Some(RequestEnd::Failed);
                 return;
             };
             if self.nodes[n].up {
@@ -179,81 +179,81 @@
             failed.push(n);
             at += 2 * micros(self.mix.client_ms);
         };
-        self.client_requests[i].tries += 1;
+        self.client_requests[i].attempts += 1;
         let t = self.client_attempts.len();
-        let from = self.client_requests[i].events_received;
+        let resumed_after = self.client_requests[i].events_received;
         self.client_attempts.push(ClientAttempt {
-            ask: i,
+            request_index: i,
             node,
             incarnation: self.nodes[node].incarnation,
             sent: self.now,
             deadline,
-            from,
-            events_received: from,
-            last_heard: self.now,
-            over: false,
+            resumed_after,
+            events_received: resumed_after,
+            last_message_at: self.now,
+            ended: false,
             rejected: false,
             worker_attempts: 0,
             ran: Vec::new(),
         });
         let incarnation = self.nodes[node].incarnation;
         self.push(at, SimEvent::RequestArrived(node, incarnation, t));
-        let after = self.silence(t).min(deadline);
+        let after = self.silence_limit(t).min(deadline);
         self.push(after, SimEvent::ClientTimeout(t));
     }
 
     /// When the client times out without another event.
-    fn silence(&self, t: usize) -> Micros {
+    fn silence_limit(&self, t: usize) -> Micros {
         let tr = &self.client_attempts[t];
-        let c = &self.mix.classes[self.client_requests[tr.ask].class];
+        let c = &self.mix.classes[self.client_requests[tr.request_index].class];
         let ms = match c.kind.as_str() {
             "stream" => 2000.max(4 * c.aim_ms).max(8 * c.gap_ms),
             _ => 1 << 32,
         };
-        tr.last_heard + micros(ms as f64)
+        tr.last_message_at + micros(ms as f64)
     }
 
     pub(super) fn client_timeout(&mut self, t: usize) {
         let tr = &self.client_attempts[t];
-        if tr.over {
+        if tr.ended {
             return;
         }
-        let at = self.silence(t).min(tr.deadline);
+        let at = self.silence_limit(t).min(tr.deadline);
         if self.now < at {
             return self.push(at, SimEvent::ClientTimeout(t));
         }
         let (n, incarnation) = (tr.node, tr.incarnation);
         self.check_never_sent(t);
-        self.client_attempts[t].over = true;
+        self.client_attempts[t].ended = true;
         let gone = self.now + micros(self.mix.client_ms);
-        self.push(gone, SimEvent::ClientGone(n, incarnation, t));
-        self.retry_later(t, false, 0);
+        self.push(gone, SimEvent::ClientDisconnected(n, incarnation, t));
+        self.retry_or_end(t, false, 0);
     }
 
     /// Retries after a backoff if that is safe and in time.
-    fn retry_later(&mut self, t: usize, promised: bool, retry_after_ms: u64) {
-        let i = self.client_attempts[t].ask;
+    fn retry_or_end(&mut self, t: usize, rejected: bool, retry_after_ms: u64) {
+        let i = self.client_attempts[t].request_index;
         let c = &self.mix.classes[self.client_requests[i].class];
         let deadline = self.client_attempts[t].deadline;
         let left = deadline.saturating_sub(self.now);
         let backoff = (retry_after_ms * 1000).min(left / 3).max(1000);
-        let may = promised || c.repeatable();
-        if may && self.client_requests[i].tries <= c.tries && left > 2 * backoff {
+        let may = rejected || c.repeatable();
+        if may && self.client_requests[i].attempts <= c.tries && left > 2 * backoff {
             return self.call_at(self.now + backoff, move |w| w.start_attempt(i));
         }
-        self.client_requests[i].end = Some(match promised {
-            true => End::Refused,
-            false => End::Failed,
+        self.client_requests[i].end = Some(match rejected {
+            true => RequestEnd::Rejected,
+            false => RequestEnd::Failed,
         });
     }
 
     pub(super) fn client_receives(&mut self, t: usize, m: ClientMessage) {
-        if self.client_attempts[t].over {
+        if self.client_attempts[t].ended {
             return;
         }
         let now = self.now;
-        let i = self.client_attempts[t].ask;
-        self.client_attempts[t].last_heard = now;
+        let i = self.client_attempts[t].request_index;
+        self.client_attempts[t].last_message_at = now;
         match m {
             ClientMessage::Event(number, _) => {
                 if number != self.client_attempts[t].events_received + 1 {
@@ -263,37 +263,37 @@
                 }
                 self.client_attempts[t].events_received = number;
                 let a = &mut self.client_requests[i];
-                match a.first {
-                    Some(_) => a.max_gap = a.max_gap.max(now - a.last),
-                    None => a.first = Some(now),
+                match a.first_event_at {
+                    Some(_) => a.max_gap = a.max_gap.max(now - a.last_event_at),
+                    None => a.first_event_at = Some(now),
                 }
-                (a.events_received, a.last) = (number, now);
+                (a.events_received, a.last_event_at) = (number, now);
             }
             ClientMessage::End => {
-                self.client_attempts[t].over = true;
+                self.client_attempts[t].ended = true;
                 let a = &mut self.client_requests[i];
                 let stream = self.mix.classes[a.class].kind == "stream";
                 if stream && a.events_received != a.events {
                     let s = format!("ORDER: ended after {} of {}", a.events_received, a.events);
                     self.violations.insert(s);
                 }
-                a.first.get_or_insert(now);
-                a.end = Some(End::Served(now));
+                a.first_event_at.get_or_insert(now);
+                a.end = Some(RequestEnd::Served(now));
             }
             ClientMessage::Answer(status, retry_after_ms) => {
-                self.client_attempts[t].over = true;
-                let promised = matches!(status, 503 | 429);
-                self.client_attempts[t].rejected = promised;
+                self.client_attempts[t].ended = true;
+                let rejected = matches!(status, 503 | 429);
+                self.client_attempts[t].rejected = rejected;
                 self.check_status(t, status);
                 if matches!(status, 400..=404) {
-                    self.client_requests[i].end = Some(End::Failed);
+                    self.client_requests[i].end = Some(RequestEnd::Failed);
                     return;
                 }
-                self.retry_later(t, promised, retry_after_ms);
+                self.retry_or_end(t, rejected, retry_after_ms);
             }
             ClientMessage::Cut => {
-                self.client_attempts[t].over = true;
-                self.retry_later(t, false, 0);
+                self.client_attempts[t].ended = true;
+                self.retry_or_end(t, false, 0);
             }
         }
     }
--- a/testbed/src/emulator/control_plane.rs
+++ b/testbed/src/emulator/control_plane.rs
@@ -55,14 +55,14 @@
 
     /// Changes the configuration: it is acknowledged now and then broadcast.
     pub(super) fn change_configuration(&mut self, f: impl FnOnce(&mut Hosted)) {
-        let Some((_, last)) = self.versions.last() else {
+        let Some((_, last)) = self.configuration_versions.last() else {
             return;
         };
         let mut h = (**last).clone();
         f(&mut h);
         index(&mut h);
         let h = Arc::new(h);
-        self.versions.push((self.now, h.clone()));
+        self.configuration_versions.push((self.now, h.clone()));
         self.broadcast(ControlUpdate::Hosted(h));
     }
 
@@ -111,7 +111,7 @@
                 policy,
                 in_progress: Default::default(),
                 by_attempt: HashMap::new(),
-                pool: HashMap::new(),
+                idle_connections: HashMap::new(),
             });
         }
         (0..self.nodes.len()).for_each(|n| self.send_snapshot(n));
@@ -160,7 +160,7 @@
 
     /// Sends a node all that it needs after a start.
     pub(super) fn send_snapshot(&mut self, i: usize) {
-        if let Some((_, h)) = self.versions.last().cloned() {
+        if let Some((_, h)) = self.configuration_versions.last().cloned() {
             self.deliver(i, ControlUpdate::Hosted(h));
         }
         self.deliver(i, ControlUpdate::WorkerRegistry(self.registry.clone()));
@@ -182,12 +182,12 @@
         (x.up, x.incarnation, x.policy, x.received) = (true, incarnation, policy, (false, false));
         x.in_progress.clear();
         x.by_attempt.clear();
-        x.pool.clear();
+        x.idle_connections.clear();
         self.send_snapshot(i);
     }
 
     pub(super) fn apply_update(&mut self, n: usize, x: ControlUpdate) {
-        let now = self.ms();
+        let now = self.now_ms();
         let node = &mut self.nodes[n];
         match x {
             ControlUpdate::Hosted(h) => {
--- a/testbed/src/emulator/engine.rs
+++ b/testbed/src/emulator/engine.rs
@@ -12,32 +12,37 @@
     pub attempt_id: u64,
     pub priority: u8,
     pub order: u64,
-    pub parts: Vec<PromptSegment>,
+    pub prompt_segments: Vec<PromptSegment>,
     /// Tokens that the client has already, and the total.
-    pub from: u32,
+    pub received: u32,
     pub total: u32,
     /// Tokens generated here so far.
-    pub made: u32,
-    pub until: u64,
+    pub generated: u32,
+    pub deadline: u64,
 }
 
 #[derive(Clone, Debug)]
 struct RunningTask {
-    t: Task,
+    task: Task,
     /// Cached segments that it uses.
     pinned: Vec<u64>,
     /// Tokens of memory of its own.
-    own: u64,
+    own_tokens: u64,
     prefill_left: u32,
     planned_tokens: u32,
     /// Segments to be cached after prefill.
-    fresh: Vec<PromptSegment>,
+    uncached_segments: Vec<PromptSegment>,
 }
 
 impl RunningTask {
     /// Pairs of the prompt tokens planned for a step with those before them.
     fn planned_pairs(&self) -> f64 {
-        let prompt: u32 = self.t.parts.iter().map(|part| part.tokens).sum();
+        let prompt: u32 = self
+            .task
+            .prompt_segments
+            .iter()
+            .map(|part| part.tokens)
+            .sum();
         let before = f64::from(prompt.saturating_sub(self.prefill_left));
         let planned = f64::from(self.planned_tokens);
         planned * (before + planned / 2.0)
@@ -48,7 +53,7 @@
 struct CachedSegment {
     tokens: u32,
     refs: u32,
-    used: u64,
+    last_used: u64,
 }
 
 /// A result of a step, for the task `attempt_id`.
@@ -70,16 +75,16 @@
 pub struct Engine {
     pub mix: EngineMix,
     pub slots: u32,
-    queue: BTreeMap<(u8, u64), Task>,
-    run: Vec<RunningTask>,
+    waiting_tasks: BTreeMap<(u8, u64), Task>,
+    running_tasks: Vec<RunningTask>,
     prefix_cache: HashMap<u64, CachedSegment>,
-    idle: BTreeSet<(u64, u64)>,
-    used: u64,
-    clock: u64,
+    unpinned_segments: BTreeSet<(u64, u64)>,
+    used_tokens: u64,
+    use_count: u64,
     pub stepping: bool,
     /// Tasks preempted for want of memory or a slot.
     pub preemptions: u64,
-    out: Vec<EngineEvent>,
+    events: Vec<EngineEvent>,
 }
 
 impl Engine {
@@ -87,85 +92,89 @@
         Engine {
             mix: mix.clone(),
             slots,
-            queue: BTreeMap::new(),
-            run: Vec::new(),
+            waiting_tasks: BTreeMap::new(),
+            running_tasks: Vec::new(),
             prefix_cache: HashMap::new(),
-            idle: BTreeSet::new(),
-            used: 0,
-            clock: 0,
+            unpinned_segments: BTreeSet::new(),
+            used_tokens: 0,
+            use_count: 0,
             stepping: false,
             preemptions: 0,
-            out: Vec::new(),
+            events: Vec::new(),
         }
     }
 
     pub fn running(&self) -> u32 {
-        self.run.len() as u32
+        self.running_tasks.len() as u32
     }
 
     pub fn waiting(&self) -> u32 {
-        self.queue.len() as u32
+        self.waiting_tasks.len() as u32
     }
 
-    pub fn add(&mut self, t: Task) {
-        self.queue.insert((t.priority, t.order), t);
+    pub fn enqueue(&mut self, t: Task) {
+        self.waiting_tasks.insert((t.priority, t.order), t);
     }
 
     /// Whether a task needs more memory than the engine has.
-    pub fn too_large(&self, parts: &[PromptSegment], tokens: u32) -> bool {
+    pub fn exceeds_memory(&self, parts: &[PromptSegment], tokens: u32) -> bool {
         let sum: u64 = parts.iter().map(|p| u64::from(p.tokens)).sum();
         sum + u64::from(tokens) > self.mix.tokens
     }
 
     /// Removes a task, as its client is gone.
-    pub fn drop_task(&mut self, attempt_id: u64) {
-        self.queue.retain(|_, t| t.attempt_id != attempt_id);
-        if let Some(i) = self.run.iter().position(|r| r.t.attempt_id == attempt_id) {
+    pub fn cancel_task(&mut self, attempt_id: u64) {
+        self.waiting_tasks.retain(|_, t| t.attempt_id != attempt_id);
+        if let Some(i) = self
+            .running_tasks
+            .iter()
+            .position(|r| r.task.attempt_id == attempt_id)
+        {
             self.remove_running(i);
         }
     }
 
     fn remove_running(&mut self, i: usize) -> Task {
-        let r = self.run.remove(i);
-        self.used -= r.own;
+        let r = self.running_tasks.remove(i);
+        self.used_tokens -= r.own_tokens;
         for id in &r.pinned {
             self.unpin(*id);
         }
-        r.t
+        r.task
     }
 
     fn pin(&mut self, id: u64) {
-        self.clock += 1;
-        let c = self.clock;
+        self.use_count += 1;
+        let c = self.use_count;
         if let Some(k) = self.prefix_cache.get_mut(&id) {
             if k.refs == 0 {
-                self.idle.remove(&(k.used, id));
+                self.unpinned_segments.remove(&(k.last_used, id));
             }
             k.refs += 1;
-            k.used = c;
+            k.last_used = c;
         }
     }
 
     fn unpin(&mut self, id: u64) {
-        self.clock += 1;
-        let c = self.clock;
+        self.use_count += 1;
+        let c = self.use_count;
         if let Some(k) = self.prefix_cache.get_mut(&id) {
             k.refs -= 1;
-            k.used = c;
+            k.last_used = c;
             if k.refs == 0 {
-                self.idle.insert((c, id));
+                self.unpinned_segments.insert((c, id));
             }
         }
     }
 
     /// Evicts least recently used segments until `need` more tokens fit.
     fn evict_for(&mut self, need: u64) -> bool {
-        while self.used + need > self.mix.tokens {
-            let Some((_, id)) = self.idle.pop_first() else {
+        while self.used_tokens + need > self.mix.tokens {
+            let Some((_, id)) = self.unpinned_segments.pop_first() else {
                 return false;
             };
             if let Some(k) = self.prefix_cache.remove(&id) {
-                self.used -= u64::from(k.tokens);
+                self.used_tokens -= u64::from(k.tokens);
             }
         }
         true
@@ -173,22 +182,22 @@
 
     /// The newest among the least urgent, if less urgent than `than`.
     fn preemption_victim(&self, than: Option<u8>) -> Option<usize> {
-        let all = self.run.iter().enumerate();
-        all.filter(|(_, r)| than.is_none_or(|p| r.t.priority > p))
-            .max_by_key(|(_, r)| (r.t.priority, r.t.order))
+        let all = self.running_tasks.iter().enumerate();
+        all.filter(|(_, r)| than.is_none_or(|p| r.task.priority > p))
+            .max_by_key(|(_, r)| (r.task.priority, r.task.order))
             .map(|(i, _)| i)
     }
 
     fn preempt(&mut self, i: usize) {
         let t = self.remove_running(i);
         self.preemptions += 1;
-        self.add(t);
+        self.enqueue(t);
     }
 
     fn admit(&mut self) {
-        while let Some(e) = self.queue.first_entry() {
+        while let Some(e) = self.waiting_tasks.first_entry() {
             let p = e.get().priority;
-            if self.run.len() as u32 >= self.slots {
+            if self.running_tasks.len() as u32 >= self.slots {
                 match self.preemption_victim(Some(p)) {
                     Some(i) => self.preempt(i),
                     None => return,
@@ -197,57 +206,62 @@
             }
             let t = e.remove();
             let hits = t
-                .parts
+                .prompt_segments
                 .iter()
                 .take_while(|x| self.prefix_cache.contains_key(&x.id));
             let n = hits.count();
-            let pinned: Vec<u64> = t.parts[..n].iter().map(|x| x.id).collect();
+            let pinned: Vec<u64> = t.prompt_segments[..n].iter().map(|x| x.id).collect();
             pinned.iter().for_each(|id| self.pin(*id));
-            let rest: u32 = t.parts[n..].iter().map(|x| x.tokens).sum();
+            let rest: u32 = t.prompt_segments[n..].iter().map(|x| x.tokens).sum();
             // even for a fully cached prompt the last token is computed
-            let prefill_left = (rest + t.from + t.made).max(1);
+            let prefill_left = (rest + t.received + t.generated).max(1);
             while !self.evict_for(u64::from(prefill_left) + 1) {
                 match self.preemption_victim(Some(p)) {
                     Some(i) => self.preempt(i),
                     None => {
                         pinned.iter().for_each(|id| self.unpin(*id));
-                        self.add(t);
+                        self.enqueue(t);
                         return;
                     }
                 }
             }
-            self.used += u64::from(prefill_left);
-            self.out.push(EngineEvent::Admitted(t.attempt_id));
-            self.run.push(RunningTask {
+            self.used_tokens += u64::from(prefill_left);
+            self.events.push(EngineEvent::Admitted(t.attempt_id));
+            self.running_tasks.push(RunningTask {
                 pinned,
-                own: u64::from(prefill_left),
+                own_tokens: u64::from(prefill_left),
                 prefill_left,
                 planned_tokens: 0,
-                fresh: t.parts[n..].to_vec(),
-                t,
+                uncached_segments: t.prompt_segments[n..].to_vec(),
+                task: t,
             });
         }
     }
 
     /// Plans the next step; how long it takes, in milliseconds, unless idle.
-    pub fn plan(&mut self) -> Option<f64> {
+    pub fn plan_step(&mut self) -> Option<f64> {
         self.admit();
-        if self.run.is_empty() {
+        if self.running_tasks.is_empty() {
             return None;
         }
         let mut left = self.mix.chunk;
-        for r in &mut self.run {
+        for r in &mut self.running_tasks {
             r.planned_tokens = r.prefill_left.min(left);
             left -= r.planned_tokens;
         }
         let m = &self.mix;
-        let of = |r: &RunningTask| f64::from(r.t.made + r.t.from) + r.own as f64;
-        let context: f64 = self.run.iter().map(of).sum::<f64>() + self.pinned_tokens();
+        let of =
+            |r: &RunningTask| f64::from(r.task.generated + r.task.received) + r.own_tokens as f64;
+        let context: f64 = self.running_tasks.iter().map(of).sum::<f64>() + self.pinned_tokens();
         let prefill_tokens = f64::from(m.chunk - left);
-        let pairs: f64 = self.run.iter().map(RunningTask::planned_pairs).sum();
+        let pairs: f64 = self
+            .running_tasks
+            .iter()
+            .map(RunningTask::planned_pairs)
+            .sum();
         Some(
             m.step_ms
-                + m.per_slot_ms * self.run.len() as f64
+                + m.per_slot_ms * self.running_tasks.len() as f64
                 + m.per_k_ms * context / 1000.0
                 + prefill_tokens / m.read_per_ms
                 + m.pairs_ms_per_m * pairs / 1e6,
@@ -255,17 +269,17 @@
     }
 
     fn pinned_tokens(&self) -> f64 {
-        let ids = self.run.iter().flat_map(|r| &r.pinned);
+        let ids = self.running_tasks.iter().flat_map(|r| &r.pinned);
         ids.filter_map(|id| self.prefix_cache.get(id))
             .map(|k| f64::from(k.tokens))
             .sum()
     }
 
     /// The step is over.
-    pub fn finish(&mut self, now: u64) -> Vec<EngineEvent> {
+    pub fn finish_step(&mut self, now: u64) -> Vec<EngineEvent> {
         let mut done = Vec::new();
-        for i in 0..self.run.len() {
-            let r = &mut self.run[i];
+        for i in 0..self.running_tasks.len() {
+            let r = &mut self.running_tasks[i];
             let was = r.prefill_left;
             r.prefill_left -= r.planned_tokens;
             r.planned_tokens = 0;
@@ -275,25 +289,26 @@
             if was > 0 {
                 self.cache_prefilled(i);
             }
-            let r = &mut self.run[i];
-            r.t.made += 1;
-            r.own += 1;
-            self.used += 1;
-            let (attempt_id, at) = (r.t.attempt_id, r.t.from + r.t.made);
-            if r.t.made == 1 {
-                self.out.push(EngineEvent::FirstToken(attempt_id));
+            let r = &mut self.running_tasks[i];
+            r.task.generated += 1;
+            r.own_tokens += 1;
+            self.used_tokens += 1;
+            let (attempt_id, at) = (r.task.attempt_id, r.task.received + r.task.generated);
+            if r.task.generated == 1 {
+                self.events.push(EngineEvent::FirstToken(attempt_id));
             }
-            let end = at >= r.t.total;
+            let end = at >= r.task.total;
             if end || at % self.mix.stride == 0 {
                 let number = at.div_ceil(self.mix.stride);
-                self.out.push(EngineEvent::Event(attempt_id, number, end));
+                self.events
+                    .push(EngineEvent::Event(attempt_id, number, end));
             }
             if end {
                 done.push(attempt_id);
             }
         }
         done.iter()
-            .for_each(|attempt_id| self.drop_task(*attempt_id));
+            .for_each(|attempt_id| self.cancel_task(*attempt_id));
         self.expire_tasks(now);
         while !self.evict_for(0) {
             match self.preemption_victim(None) {
@@ -301,47 +316,53 @@
                 None => break,
             }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.events)
     }
 
     /// Adds the segments that a task read to the prefix cache.
     fn cache_prefilled(&mut self, i: usize) {
-        for p in std::mem::take(&mut self.run[i].fresh) {
-            self.out
-                .push(EngineEvent::Prefilled(self.run[i].t.attempt_id, p));
+        for p in std::mem::take(&mut self.running_tasks[i].uncached_segments) {
+            self.events.push(EngineEvent::Prefilled(
+                self.running_tasks[i].task.attempt_id,
+                p,
+            ));
             let t = u64::from(p.tokens);
-            self.run[i].own -= t.min(self.run[i].own);
+            self.running_tasks[i].own_tokens -= t.min(self.running_tasks[i].own_tokens);
             match self.prefix_cache.entry(p.id) {
                 // another task read the same segment meanwhile
-                Entry::Occupied(_) => self.used -= t,
+                Entry::Occupied(_) => self.used_tokens -= t,
                 Entry::Vacant(v) => {
                     v.insert(CachedSegment {
                         tokens: p.tokens,
                         refs: 0,
-                        used: 0,
+                        last_used: 0,
                     });
-                    self.idle.insert((0, p.id));
+                    self.unpinned_segments.insert((0, p.id));
                 }
             }
             self.pin(p.id);
-            self.run[i].pinned.push(p.id);
+            self.running_tasks[i].pinned.push(p.id);
         }
     }
 
     fn expire_tasks(&mut self, now: u64) {
-        let late = |t: &&Task| t.until <= now;
-        let w = self.queue.values().filter(late);
-        let r = self.run.iter().map(|r| &r.t).filter(late);
-        let all: Vec<(u64, bool)> = w.chain(r).map(|t| (t.attempt_id, t.made > 0)).collect();
+        let late = |t: &&Task| t.deadline <= now;
+        let w = self.waiting_tasks.values().filter(late);
+        let r = self.running_tasks.iter().map(|r| &r.task).filter(late);
+        let all: Vec<(u64, bool)> = w
+            .chain(r)
+            .map(|t| (t.attempt_id, t.generated > 0))
+            .collect();
         for (attempt_id, began) in all {
-            self.drop_task(attempt_id);
-            self.out.push(EngineEvent::Expired(attempt_id, began));
+            self.cancel_task(attempt_id);
+            self.events.push(EngineEvent::Expired(attempt_id, began));
         }
     }
 
     /// Everything under way, as at a crash.
-    pub fn all(&self) -> Vec<u64> {
-        let w = self.queue.values().map(|t| t.attempt_id);
-        w.chain(self.run.iter().map(|r| r.t.attempt_id)).collect()
+    pub fn task_ids(&self) -> Vec<u64> {
+        let w = self.waiting_tasks.values().map(|t| t.attempt_id);
+        w.chain(self.running_tasks.iter().map(|r| r.task.attempt_id))
+            .collect()
     }
 }
--- a/testbed/src/emulator/faults.rs
+++ b/testbed/src/emulator/faults.rs
@@ -212,7 +212,7 @@
         self.call_at(self.now + micros(ms + 500.0), move |w| {
             w.unregister(i);
             w.end_worker(i);
-            w.free_addrs.push((w.now, addr));
+            w.free_addresses.push((w.now, addr));
             w.publish_registry();
         });
     }
@@ -232,12 +232,12 @@
             let at = from + self.delay(self.nodes[n].zone, self.worker_attempts[s as usize].zone);
             self.push(at, SimEvent::Close(s));
         }
-        let idle = std::mem::take(&mut self.nodes[n].pool);
+        let idle = std::mem::take(&mut self.nodes[n].idle_connections);
         for (w, p) in idle {
             let c = &mut self.workers[w].conns;
             *c = c.saturating_sub(p.len() as u32);
         }
-        let open = |t: &ClientAttempt| !t.over && t.node == n && t.incarnation == incarnation;
+        let open = |t: &ClientAttempt| !t.ended && t.node == n && t.incarnation == incarnation;
         let all = (0..self.client_attempts.len()).filter(|t| open(&self.client_attempts[*t]));
         let all: Vec<usize> = all.collect();
         for t in all {
@@ -251,7 +251,7 @@
     /// Tasks at engines that were never answered, for the end of a run.
     pub(super) fn unanswered_tasks(&self) -> usize {
         let of = |w: &EmulatedWorker| match &w.backend {
-            Backend::Engine(e) if w.ended_at.is_none() => e.all().len(),
+            Backend::Engine(e) if w.ended_at.is_none() => e.task_ids().len(),
             _ => 0,
         };
         self.workers.iter().map(of).sum()
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -80,7 +80,7 @@
     /// The next possible arrival of a request in this zone.
     NextArrival(usize),
     RequestArrived(usize, u32, usize),
-    ClientGone(usize, u32, usize),
+    ClientDisconnected(usize, u32, usize),
     Syn(u64),
     SynAck(u64, bool),
     RequestReceived(u64),
@@ -90,7 +90,7 @@
     PlainWorkDone(u64),
     FromWorker(u64, WorkerMessage),
     Timer(u64),
-    Wake(usize, u32, u64, u64),
+    WaitOver(usize, u32, u64, u64),
     ControlUpdate(usize, u32, ControlUpdate),
     ClientMessage(usize, ClientMessage),
     ClientTimeout(usize),
@@ -157,7 +157,7 @@
     pub(crate) worker_attempts: Vec<WorkerAttempt>,
     pub(crate) registry: Arc<WorkerRegistry>,
     /// Configurations with the time of their acknowledgement.
-    pub(crate) versions: Vec<(Micros, Arc<Hosted>)>,
+    pub(crate) configuration_versions: Vec<(Micros, Arc<Hosted>)>,
     pub(crate) evacuated: Vec<u16>,
     pub(crate) evacuations: Vec<Evacuation>,
     pub(crate) arrivals: Vec<Arrival>,
@@ -173,10 +173,10 @@
     pub(crate) rate_factors: Vec<f64>,
     pub(crate) zone_redirects: Vec<usize>,
     /// Addresses of ended workers, with the time they became free.
-    pub(crate) free_addrs: Vec<(Micros, SocketAddr)>,
-    pub(crate) addrs: u32,
+    pub(crate) free_addresses: Vec<(Micros, SocketAddr)>,
+    pub(crate) addresses_created: u32,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
-    count: u64,
+    event_count: u64,
 }
 
 impl World {
@@ -196,7 +196,7 @@
             client_attempts: Vec::new(),
             worker_attempts: Vec::new(),
             registry: Arc::default(),
-            versions: Vec::new(),
+            configuration_versions: Vec::new(),
             evacuated: Vec::new(),
             evacuations: Vec::new(),
             arrivals: Vec::new(),
@@ -206,14 +206,14 @@
             violations: BTreeSet::new(),
             rate_factors: vec![1.0; mix.classes.len()],
             zone_redirects: (0..mix.zones.len()).collect(),
-            free_addrs: Vec::new(),
-            addrs: 0,
+            free_addresses: Vec::new(),
+            addresses_created: 0,
             queue: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             mix,
         };
         w.create_workers();
-        w.versions.push((0, Arc::new(w.hosted())));
+        w.configuration_versions.push((0, Arc::new(w.hosted())));
         w.create_nodes();
         let at = micros(10_000.0);
         (0..w.mix.zones.len()).for_each(|z| w.push(at, SimEvent::NextArrival(z)));
@@ -233,18 +233,18 @@
         self
     }
 
-    pub(crate) fn ms(&self) -> u64 {
+    pub(crate) fn now_ms(&self) -> u64 {
         self.now / 1000
     }
 
     /// When the last request may arrive.
-    pub(crate) fn end(&self) -> Micros {
+    pub(crate) fn arrivals_end(&self) -> Micros {
         micros(10_000.0 + self.mix.seconds * 1000.0)
     }
 
     pub(crate) fn push(&mut self, at: Micros, ev: SimEvent) {
-        self.count += 1;
-        let (at, number) = (at.max(self.now), self.count);
+        self.event_count += 1;
+        let (at, number) = (at.max(self.now), self.event_count);
         self.queue.push(Reverse(ScheduledEvent { at, number, ev }));
     }
 
@@ -266,8 +266,8 @@
     fn target(&self, ev: &SimEvent) -> Option<(usize, u32)> {
         match ev {
             SimEvent::RequestArrived(n, l, _)
-            | SimEvent::ClientGone(n, l, _)
-            | SimEvent::Wake(n, l, ..)
+            | SimEvent::ClientDisconnected(n, l, _)
+            | SimEvent::WaitOver(n, l, ..)
             | SimEvent::ControlUpdate(n, l, _) => Some((*n, *l)),
             SimEvent::SynAck(s, _) | SimEvent::FromWorker(s, _) | SimEvent::Timer(s) => {
                 let s = &self.worker_attempts[*s as usize];
@@ -296,7 +296,7 @@
         match ev {
             SimEvent::NextArrival(z) => self.next_arrival(z),
             SimEvent::RequestArrived(n, _, t) => self.request_arrived(n, t),
-            SimEvent::ClientGone(n, _, t) => self.client_gone(n, t),
+            SimEvent::ClientDisconnected(n, _, t) => self.client_disconnected(n, t),
             SimEvent::Syn(s) => self.syn(s),
             SimEvent::SynAck(s, ok) => self.syn_ack(s, ok),
             SimEvent::RequestReceived(s) => self.request_received(s),
@@ -306,7 +306,7 @@
             SimEvent::PlainWorkDone(s) => self.plain_work_done(s),
             SimEvent::FromWorker(s, a) => self.worker_message(s, a),
             SimEvent::Timer(s) => self.timer(s),
-            SimEvent::Wake(n, _, request_id, number) => self.woken(n, request_id, number),
+            SimEvent::WaitOver(n, _, request_id, number) => self.wait_over(n, request_id, number),
             SimEvent::ControlUpdate(n, _, x) => self.apply_update(n, x),
             SimEvent::ClientMessage(t, m) => self.client_receives(t, m),
             SimEvent::ClientTimeout(t) => self.client_timeout(t),
--- a/testbed/src/emulator/node.rs
+++ b/testbed/src/emulator/node.rs
@@ -10,13 +10,13 @@
 use std::collections::BTreeMap;
 
 /// As in the proxy, in milliseconds.
-const CONNECT_MS: u64 = 400;
-const LEAST_PATIENCE: u64 = 400;
-const LEAST_SMALL: u64 = 150;
+const CONNECT_TIMEOUT_MS: u64 = 400;
+const MIN_HEAD_TIMEOUT_MS: u64 = 400;
+const MIN_HEDGE_DELAY_MS: u64 = 150;
 /// Idle connections are reused for so long; the shorter time is for requests
 /// that are not idempotent.
-const KEEP: Micros = 4_000_000;
-const FRESH: Micros = 1_500_000;
+const IDLE_REUSE: Micros = 4_000_000;
+const IDLE_REUSE_UNREPEATABLE: Micros = 1_500_000;
 
 /// One attempt of a node at a worker.
 #[derive(Clone, Debug)]
@@ -29,18 +29,18 @@
     pub worker: usize,
     pub addr: SocketAddr,
     pub zone: u16,
-    pub there: Option<usize>,
+    pub connected_worker: Option<usize>,
     /// The worker will reset it: it has too many connections.
     pub over_limit: bool,
     pub sent: Micros,
     /// When the worker stops.
-    pub until: Micros,
+    pub deadline: Micros,
     pub priority: u8,
     /// Events that the client had received.
-    pub last: u32,
+    pub last_event: u32,
     /// Not closed yet, as the node sees it and as the worker does.
     pub open: bool,
-    pub cut: bool,
+    pub replies_stopped: bool,
     pub head_sent: bool,
     pub answer_fault: Option<AnswerFault>,
 }
@@ -57,16 +57,16 @@
     pub attempt_id: u64,
     pub phase: Phase,
     pub stream: bool,
-    pub began: bool,
+    pub first_event_received: bool,
     /// Times in milliseconds: head time-out, its current end, and the deadline.
-    pub patience_ms: u64,
-    pub until: u64,
+    pub head_timeout_ms: u64,
+    pub next_check: u64,
     pub deadline: u64,
-    pub gap: u64,
+    pub max_gap_ms: u64,
     /// When it last sent something, or the attempt was sent.
-    pub since: u64,
+    pub last_activity: u64,
     /// An idempotent request without a stream, hedged early.
-    pub small: bool,
+    pub hedged_early: bool,
 }
 
 /// A request at a node.
@@ -75,11 +75,11 @@
     pub client_attempt: usize,
     pub current: Option<CurrentAttempt>,
     /// Number of waits, so that outdated timers are ignored.
-    pub waits: u64,
+    pub wait_number: u64,
     pub waiting: bool,
-    pub last: u32,
+    pub last_event: u32,
     pub head_sent: bool,
-    pub failed: bool,
+    pub worker_failed: bool,
 }
 
 pub(crate) struct Node {
@@ -97,31 +97,31 @@
     pub policy: Box<dyn Policy>,
     pub in_progress: BTreeMap<RequestId, NodeRequest>,
     pub by_attempt: HashMap<usize, RequestId>,
-    pub pool: HashMap<usize, Vec<Micros>>,
+    pub idle_connections: HashMap<usize, Vec<Micros>>,
 }
 
 impl World {
     /// A request arrived at a node.
     pub(super) fn request_arrived(&mut self, n: usize, t: usize) {
-        let now = self.ms();
+        let now = self.now_ms();
         let tr = &self.client_attempts[t];
-        if tr.over {
+        if tr.ended {
             return;
         }
-        let a = &self.client_requests[tr.ask];
+        let a = &self.client_requests[tr.request_index];
         let c = &self.mix.classes[a.class];
         let requested = RequestMetadata {
             client_attempt_id: format!("{t:x}"),
             deadline_ms: Some((tr.deadline.saturating_sub(tr.sent)) / 1000),
             model: "m".into(),
-            prompt_tokens: a.parts.iter().map(|p| p.tokens).sum(),
+            prompt_tokens: a.prompt_segments.iter().map(|p| p.tokens).sum(),
             max_output_tokens: 0,
-            prompt_segments: a.parts.clone(),
-            last_event: Some(u64::from(tr.from)).filter(|l| *l > 0),
+            prompt_segments: a.prompt_segments.clone(),
+            last_event: Some(u64::from(tr.resumed_after)).filter(|l| *l > 0),
             api_key: None,
         };
         let path = format!("/{}/x", c.name);
-        let (from, x) = (tr.from, &mut self.nodes[n]);
+        let (from, x) = (tr.resumed_after, &mut self.nodes[n]);
         match x.policy.begin(&path, requested, now) {
             Err(p) => self.answer(t, p, 200 * u64::from(p.is_retryable())),
             Ok(request_id) => {
@@ -131,11 +131,11 @@
                     NodeRequest {
                         client_attempt: t,
                         current: None,
-                        waits: 0,
+                        wait_number: 0,
                         waiting: false,
-                        last: from,
+                        last_event: from,
                         head_sent: false,
-                        failed: false,
+                        worker_failed: false,
                     },
                 );
                 self.decide(n, request_id);
@@ -155,33 +155,33 @@
 
     /// The request is over at this node.
     pub(super) fn finish_request(&mut self, n: usize, request_id: RequestId) {
-        let now = self.ms();
+        let now = self.now_ms();
         let x = &mut self.nodes[n];
         x.policy.finish(request_id, now);
         if let Some(j) = x.in_progress.remove(&request_id) {
             x.by_attempt.remove(&j.client_attempt);
         }
-        self.wake(n);
+        self.retry_ready(n);
     }
 
     pub(super) fn decide(&mut self, n: usize, request_id: RequestId) {
-        let now = self.ms();
+        let now = self.now_ms();
         let x = &mut self.nodes[n];
         let Some(j) = x.in_progress.get_mut(&request_id) else {
             return;
         };
         j.waiting = false;
-        j.waits += 1;
-        let (t, number, incarnation) = (j.client_attempt, j.waits, x.incarnation);
+        j.wait_number += 1;
+        let (t, number, incarnation) = (j.client_attempt, j.wait_number, x.incarnation);
         match x.policy.pick(request_id, now) {
             Decision::Send(to) => self.send_attempt(n, request_id, &to),
             Decision::Wait(ms) => {
                 j.waiting = true;
                 let at = self.now + micros(ms.max(1) as f64);
-                self.push(at, SimEvent::Wake(n, incarnation, request_id, number));
+                self.push(at, SimEvent::WaitOver(n, incarnation, request_id, number));
             }
             Decision::Reject(p, retry_after_ms) => {
-                let (head, failed) = (j.head_sent, j.failed);
+                let (head, failed) = (j.head_sent, j.worker_failed);
                 self.finish_request(n, request_id);
                 match (head, failed) {
                     (true, _) => self.send_to_client(t, ClientMessage::Cut),
@@ -193,15 +193,15 @@
     }
 
     /// A wait is over, unless the request waits anew by now.
-    pub(super) fn woken(&mut self, n: usize, request_id: RequestId, number: u64) {
+    pub(super) fn wait_over(&mut self, n: usize, request_id: RequestId, number: u64) {
         let j = self.nodes[n].in_progress.get(&request_id);
-        if j.is_some_and(|j| j.waiting && j.waits == number) {
+        if j.is_some_and(|j| j.waiting && j.wait_number == number) {
             self.decide(n, request_id);
         }
     }
 
-    fn wake(&mut self, n: usize) {
-        let now = self.ms();
+    fn retry_ready(&mut self, n: usize) {
+        let now = self.now_ms();
         let x = &mut self.nodes[n];
         let incarnation = x.incarnation;
         let all = x.policy.take_ready(now);
@@ -209,22 +209,25 @@
             x.in_progress
                 .get(r)
                 .filter(|j| j.waiting)
-                .map(|j| (*r, j.waits))
+                .map(|j| (*r, j.wait_number))
         };
         let all: Vec<(RequestId, u64)> = all.iter().filter_map(of).collect();
         for (request_id, number) in all {
-            self.push(self.now, SimEvent::Wake(n, incarnation, request_id, number));
+            self.push(
+                self.now,
+                SimEvent::WaitOver(n, incarnation, request_id, number),
+            );
         }
     }
 
-    pub(super) fn outcome(&mut self, n: usize, request_id: RequestId, h: AttemptOutcome) {
-        let now = self.ms();
+    pub(super) fn record_outcome(&mut self, n: usize, request_id: RequestId, h: AttemptOutcome) {
+        let now = self.now_ms();
         self.nodes[n].policy.record_outcome(request_id, h, now);
-        self.wake(n);
+        self.retry_ready(n);
     }
 
     fn send_attempt(&mut self, n: usize, request_id: RequestId, to: &Target) {
-        let now = self.ms();
+        let now = self.now_ms();
         let attempt_id = self.worker_attempts.len() as u64;
         let w = self.by_name.get(&to.name).copied().unwrap_or(0);
         let zone = self.workers[w].zone;
@@ -238,27 +241,27 @@
             return self.answer(t, ErrorCode::UnknownRoute, 0);
         };
         let deadline = x.policy.deadline(request_id);
-        let small = route.kind == sorreldoor::configuration::hosted::Kind::Idempotent;
-        let patience = match route.aim_ms {
+        let idempotent = route.kind == sorreldoor::configuration::hosted::Kind::Idempotent;
+        let head_timeout_ms = match route.aim_ms {
             0 => u64::MAX / 4,
-            a if small => (a * 6 / 10).max(LEAST_SMALL),
-            a => a.max(LEAST_PATIENCE),
+            target if idempotent => (target * 6 / 10).max(MIN_HEDGE_DELAY_MS),
+            target => target.max(MIN_HEAD_TIMEOUT_MS),
         };
         let repeatable = route.repeatable();
         j.current = Some(CurrentAttempt {
             attempt_id,
             phase: Phase::Connect,
             stream: route.kind == sorreldoor::configuration::hosted::Kind::Stream,
-            began: false,
-            patience_ms: patience,
-            until: now + CONNECT_MS.min(deadline.saturating_sub(now).max(1)),
+            first_event_received: false,
+            head_timeout_ms: head_timeout_ms,
+            next_check: now + CONNECT_TIMEOUT_MS.min(deadline.saturating_sub(now).max(1)),
             deadline,
-            gap: match route.gap_ms {
-                g if g > 0 && route.resume => g.max(LEAST_PATIENCE),
+            max_gap_ms: match route.gap_ms {
+                g if g > 0 && route.resume => g.max(MIN_HEAD_TIMEOUT_MS),
                 _ => u64::MAX / 4,
             },
-            since: now,
-            small,
+            last_activity: now,
+            hedged_early: idempotent,
         });
         let s = WorkerAttempt {
             node: n,
@@ -268,39 +271,43 @@
             worker: w,
             addr: to.addr,
             zone,
-            there: None,
+            connected_worker: None,
             over_limit: false,
             sent: self.now,
-            until: 0,
+            deadline: 0,
             priority: to.priority.unwrap_or(5),
-            last: j.last,
+            last_event: j.last_event,
             open: true,
-            cut: false,
+            replies_stopped: false,
             head_sent: false,
             answer_fault: None,
         };
         self.worker_attempts.push(s);
-        let within = if repeatable { KEEP } else { FRESH };
-        if self.take_pooled(n, w, within) {
-            self.worker_attempts[attempt_id as usize].there = Some(w);
+        let within = if repeatable {
+            IDLE_REUSE
+        } else {
+            IDLE_REUSE_UNREPEATABLE
+        };
+        if self.take_idle_connection(n, w, within) {
+            self.worker_attempts[attempt_id as usize].connected_worker = Some(w);
             return self.send_request(attempt_id);
         }
-        self.statistics.conns += 1;
+        self.statistics.connections += 1;
         let at = self.now + self.delay(self.nodes[n].zone, zone);
         self.push(at, SimEvent::Syn(attempt_id));
-        self.tick(attempt_id);
+        self.schedule_timer(attempt_id);
     }
 
-    fn take_pooled(&mut self, n: usize, w: usize, within: Micros) -> bool {
+    fn take_idle_connection(&mut self, n: usize, w: usize, within: Micros) -> bool {
         let now = self.now;
         let d = self.delay(self.nodes[n].zone, self.workers[w].zone);
         let wk = &mut self.workers[w];
         let known = wk.ended_at.is_some_and(|t| t + d <= now);
-        let Some(p) = self.nodes[n].pool.get_mut(&w) else {
+        let Some(p) = self.nodes[n].idle_connections.get_mut(&w) else {
             return false;
         };
         let was = p.len();
-        p.retain(|t| !known && t + KEEP > now);
+        p.retain(|t| !known && t + IDLE_REUSE > now);
         wk.conns = wk.conns.saturating_sub((was - p.len()) as u32);
         match p.last() {
             Some(t) if t + within > now => p.pop().is_some(),
@@ -310,7 +317,7 @@
 
     /// The connection is up: the request goes out.
     pub(super) fn send_request(&mut self, attempt_id: u64) {
-        let now = self.ms();
+        let now = self.now_ms();
         let s = &self.worker_attempts[attempt_id as usize];
         let (n, zone) = (s.node, s.zone);
         let d = self.delay(self.nodes[n].zone, zone);
@@ -318,14 +325,14 @@
             return;
         };
         c.phase = Phase::Head;
-        c.until = now.saturating_add(c.patience_ms);
+        c.next_check = now.saturating_add(c.head_timeout_ms);
         let left = c.deadline.saturating_sub(now);
         let at = self.now + d;
         let s = &mut self.worker_attempts[attempt_id as usize];
-        (s.sent, s.until) = (self.now, at + left * 1000);
+        (s.sent, s.deadline) = (self.now, at + left * 1000);
         self.client_attempts[s.client_attempt].worker_attempts += 1;
         self.push(at, SimEvent::RequestReceived(attempt_id));
-        self.tick(attempt_id);
+        self.schedule_timer(attempt_id);
     }
 
     pub(super) fn current(&mut self, attempt_id: u64) -> Option<&mut CurrentAttempt> {
@@ -334,9 +341,9 @@
         j.current.as_mut().filter(|c| c.attempt_id == attempt_id)
     }
 
-    pub(super) fn tick(&mut self, attempt_id: u64) {
+    pub(super) fn schedule_timer(&mut self, attempt_id: u64) {
         if let Some(c) = self.current(attempt_id) {
-            let at = c.until.min(c.deadline) * 1000;
+            let at = c.next_check.min(c.deadline) * 1000;
             self.push(at, SimEvent::Timer(attempt_id));
         }
     }
--- a/testbed/src/emulator/policy.rs
+++ b/testbed/src/emulator/policy.rs
@@ -16,21 +16,21 @@
     fn begin(
         &mut self,
         path: &str,
-        requested: RequestMetadata,
+        metadata: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode>;
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision;
-    fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis);
-    fn may_fail_over(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool;
+    fn record_outcome(&mut self, request_id: RequestId, outcome: AttemptOutcome, now: Millis);
+    fn may_fail_over(&mut self, request_id: RequestId, silent_ms: Millis, now: Millis) -> bool;
     fn record_activity(&mut self, request_id: RequestId, now: Millis);
     fn finish(&mut self, request_id: RequestId, now: Millis);
     fn take_ready(&mut self, now: Millis) -> Vec<RequestId>;
     fn deadline(&self, request_id: RequestId) -> Millis;
     fn route(&self, request_id: RequestId) -> Option<Route>;
-    fn apply_configuration(&mut self, h: Arc<Hosted>, now: Millis);
-    fn update_registry(&mut self, r: &WorkerRegistry, now: Millis);
+    fn apply_configuration(&mut self, configuration: Arc<Hosted>, now: Millis);
+    fn update_registry(&mut self, registry: &WorkerRegistry, now: Millis);
     fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis);
-    fn update_nodes(&mut self, all: Vec<(String, u16)>);
+    fn update_nodes(&mut self, nodes: Vec<(String, u16)>);
     /// The number of open requests, and of those that wait for a worker.
     fn open(&self) -> (u64, u64);
 }
@@ -42,19 +42,19 @@
     fn begin(
         &mut self,
         path: &str,
-        requested: RequestMetadata,
+        metadata: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
-        Balancer::begin(self, HOST, path, requested, now, now)
+        Balancer::begin(self, HOST, path, metadata, now, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
         Balancer::decide(self, request_id, now)
     }
-    fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
-        Balancer::record_outcome(self, request_id, h, now);
+    fn record_outcome(&mut self, request_id: RequestId, outcome: AttemptOutcome, now: Millis) {
+        Balancer::record_outcome(self, request_id, outcome, now);
     }
-    fn may_fail_over(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
-        Balancer::may_fail_over(self, request_id, silent, now)
+    fn may_fail_over(&mut self, request_id: RequestId, silent_ms: Millis, now: Millis) -> bool {
+        Balancer::may_fail_over(self, request_id, silent_ms, now)
     }
     fn record_activity(&mut self, request_id: RequestId, now: Millis) {
         Balancer::record_activity(self, request_id, now);
@@ -71,21 +71,21 @@
     fn route(&self, request_id: RequestId) -> Option<Route> {
         Balancer::route(self, request_id).cloned()
     }
-    fn apply_configuration(&mut self, h: Arc<Hosted>, now: Millis) {
-        Balancer::apply_configuration(self, h, now);
+    fn apply_configuration(&mut self, configuration: Arc<Hosted>, now: Millis) {
+        Balancer::apply_configuration(self, configuration, now);
     }
-    fn update_registry(&mut self, r: &WorkerRegistry, now: Millis) {
-        Balancer::update_registry(self, r, now);
+    fn update_registry(&mut self, registry: &WorkerRegistry, now: Millis) {
+        Balancer::update_registry(self, registry, now);
     }
     fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
         Balancer::set_evacuated_zones(self, zones, now);
     }
-    fn update_nodes(&mut self, all: Vec<(String, u16)>) {
-        Balancer::update_nodes(self, all);
+    fn update_nodes(&mut self, nodes: Vec<(String, u16)>) {
+        Balancer::update_nodes(self, nodes);
     }
     fn open(&self) -> (u64, u64) {
-        let c = self.counts();
-        (c.open, c.waiting)
+        let counts = self.counts();
+        (counts.open, counts.waiting)
     }
 }
 
--- a/testbed/src/emulator/responses.rs
+++ b/testbed/src/emulator/responses.rs
@@ -33,11 +33,15 @@
         self.push(at, SimEvent::Close(attempt_id));
     }
 
-    fn return_to_pool(&mut self, attempt_id: u64) {
+    fn keep_connection(&mut self, attempt_id: u64) {
         let s = &mut self.worker_attempts[attempt_id as usize];
         s.open = false;
         let (n, w) = (s.node, s.worker);
-        self.nodes[n].pool.entry(w).or_default().push(self.now);
+        self.nodes[n]
+            .idle_connections
+            .entry(w)
+            .or_default()
+            .push(self.now);
     }
 
     /// The attempt ended without a usable answer.
@@ -47,12 +51,12 @@
             return;
         };
         match h {
-            AttemptOutcome::Rejected(_) => self.return_to_pool(attempt_id),
+            AttemptOutcome::Rejected(_) => self.keep_connection(attempt_id),
             _ => self.close_connection(attempt_id),
         }
         let left = h == AttemptOutcome::Canceled;
-        self.outcome(s.node, s.request_id, h);
-        let late = self.ms() >= c.deadline;
+        self.record_outcome(s.node, s.request_id, h);
+        let late = self.now_ms() >= c.deadline;
         let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
             return;
         };
@@ -69,13 +73,13 @@
     }
 
     pub(super) fn timer(&mut self, attempt_id: u64) {
-        let (now, s) = (self.ms(), &self.worker_attempts[attempt_id as usize]);
+        let (now, s) = (self.now_ms(), &self.worker_attempts[attempt_id as usize]);
         let (n, request_id) = (s.node, s.request_id);
         let Some(c) = self.current(attempt_id).cloned() else {
             return;
         };
-        if now < c.until.min(c.deadline) {
-            return self.tick(attempt_id);
+        if now < c.next_check.min(c.deadline) {
+            return self.schedule_timer(attempt_id);
         }
         match c.phase {
             Phase::Connect => {
@@ -90,12 +94,12 @@
             _ => {}
         }
         let own = match c.phase {
-            Phase::Body => c.gap,
-            _ => c.patience_ms,
+            Phase::Body => c.max_gap_ms,
+            _ => c.head_timeout_ms,
         };
         // a worker that answers others is slow, but not for twice as long
-        let small = c.small && c.phase == Phase::Head;
-        let slow = small || now >= c.since.saturating_add(2 * own);
+        let hedged_early = c.hedged_early && c.phase == Phase::Head;
+        let slow = hedged_early || now >= c.last_activity.saturating_add(2 * own);
         let silent = if slow { 0 } else { own };
         if c.phase == Phase::Body && !c.stream {
             // once its head is there a plain answer is waited for to the end
@@ -103,14 +107,14 @@
             return self.attempt_failed(attempt_id, AttemptOutcome::Failed);
         }
         if let Some(c) = self.current(attempt_id) {
-            c.until = now + RECHECK_MS;
+            c.next_check = now + RECHECK_MS;
         }
-        self.tick(attempt_id);
+        self.schedule_timer(attempt_id);
     }
 
     pub(super) fn worker_message(&mut self, attempt_id: u64, a: WorkerMessage) {
         let s = self.worker_attempts[attempt_id as usize].clone();
-        let now = self.ms();
+        let now = self.now_ms();
         let Some(c) = self.current(attempt_id) else {
             return;
         };
@@ -129,56 +133,56 @@
             }
             WorkerMessage::Head(l) => {
                 c.phase = Phase::Body;
-                (c.since, c.until) = (now, now.saturating_add(c.gap));
+                (c.last_activity, c.next_check) = (now, now.saturating_add(c.max_gap_ms));
                 let h = AttemptOutcome::HeadReceived {
                     load: Some(l),
                     slow_start_ms: None,
                 };
-                self.outcome(s.node, s.request_id, h);
-                self.tick(attempt_id);
+                self.record_outcome(s.node, s.request_id, h);
+                self.schedule_timer(attempt_id);
             }
             WorkerMessage::Event(number) => {
-                (c.since, c.until) = (now, now.saturating_add(c.gap));
-                let first = !std::mem::replace(&mut c.began, true);
+                (c.last_activity, c.next_check) = (now, now.saturating_add(c.max_gap_ms));
+                let first = !std::mem::replace(&mut c.first_event_received, true);
                 let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
                     return;
                 };
                 // the client already has events that are repeated
-                if number > j.last {
-                    (j.last, j.head_sent) = (number, true);
+                if number > j.last_event {
+                    (j.last_event, j.head_sent) = (number, true);
                     self.send_to_client(s.client_attempt, ClientMessage::Event(number, s.worker));
                 }
                 self.nodes[s.node].policy.record_activity(s.request_id, now);
                 if first {
-                    self.outcome(s.node, s.request_id, AttemptOutcome::FirstEvent);
+                    self.record_outcome(s.node, s.request_id, AttemptOutcome::FirstEvent);
                 }
             }
             WorkerMessage::End => {
-                self.return_to_pool(attempt_id);
-                self.outcome(s.node, s.request_id, AttemptOutcome::Completed(200));
+                self.keep_connection(attempt_id);
+                self.record_outcome(s.node, s.request_id, AttemptOutcome::Completed(200));
                 self.finish_request(s.node, s.request_id);
                 self.send_to_client(s.client_attempt, ClientMessage::End);
             }
             WorkerMessage::TimedOut if c.phase == Phase::Body => {
                 self.attempt_failed(attempt_id, AttemptOutcome::Failed)
             }
-            WorkerMessage::TimedOut => self.failed(attempt_id),
+            WorkerMessage::TimedOut => self.worker_failed(attempt_id),
         }
     }
 
     /// A worker's own failure is the answer, unless another may do better.
-    fn failed(&mut self, attempt_id: u64) {
+    fn worker_failed(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
-        let now = self.ms();
+        let now = self.now_ms();
         let may_fail_over = self.nodes[s.node]
             .policy
             .may_fail_over(s.request_id, 0, now);
-        self.return_to_pool(attempt_id);
-        self.outcome(s.node, s.request_id, AttemptOutcome::Completed(504));
+        self.keep_connection(attempt_id);
+        self.record_outcome(s.node, s.request_id, AttemptOutcome::Completed(504));
         let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
             return;
         };
-        (j.current, j.failed) = (None, true);
+        (j.current, j.worker_failed) = (None, true);
         if may_fail_over || j.head_sent {
             return self.decide(s.node, s.request_id);
         }
@@ -187,7 +191,7 @@
     }
 
     /// The client is gone.
-    pub(super) fn client_gone(&mut self, n: usize, t: usize) {
+    pub(super) fn client_disconnected(&mut self, n: usize, t: usize) {
         let Some(request_id) = self.nodes[n].by_attempt.get(&t).copied() else {
             return;
         };
@@ -203,7 +207,7 @@
             };
             // before the request was sent there is nothing to cancel
             if h == AttemptOutcome::Canceled {
-                self.outcome(n, request_id, h);
+                self.record_outcome(n, request_id, h);
             }
         }
         self.finish_request(n, request_id);
--- a/testbed/src/emulator/statistics.rs
+++ b/testbed/src/emulator/statistics.rs
@@ -1,6 +1,6 @@
 //! Statistics of a run.
 
-use super::clients::End;
+use super::clients::RequestEnd;
 use super::*;
 use sorreldoor::error::ErrorCode;
 use std::collections::BTreeMap;
@@ -14,20 +14,20 @@
     pub rejected: u64,
     pub failed: u64,
     /// Milliseconds to the first event or the whole answer, sorted.
-    pub first: Vec<f64>,
+    pub first_event_ms: Vec<f64>,
     /// The longest gap within a stream, in milliseconds.
-    pub max_gap: f64,
+    pub max_gap_ms: f64,
     /// The longest gap of each stream, in milliseconds, sorted.
-    pub gaps: Vec<f64>,
+    pub gaps_ms: Vec<f64>,
     /// By kind of request: requested, served, and in time.
     pub by_kind: Vec<(String, [u64; 3])>,
     /// Prompt tokens read, and tokens of shared segments read more than once.
     pub prefill_tokens: u64,
     pub recomputed_tokens: u64,
     /// Attempts within a zone, to another zone, to another region.
-    pub here: u64,
-    pub zones: u64,
-    pub regions: u64,
+    pub same_zone_attempts: u64,
+    pub same_region_attempts: u64,
+    pub cross_region_attempts: u64,
     /// Worker attempts beyond the first of a client attempt, and rejections.
     pub retries: u64,
     pub rejections: u64,
@@ -37,10 +37,10 @@
     pub late_rejections: u64,
     /// Rejections by kind of request and error: all, and while idle.
     pub rejections_by_error: BTreeMap<String, (u64, u64)>,
-    pub conns: u64,
+    pub connections: u64,
     pub preemptions: u64,
     /// Served in time, of the requests of each second.
-    pub seconds: Vec<(u32, u32)>,
+    pub by_second: Vec<(u32, u32)>,
     pub value: ValueByKind,
     /// Virtual milliseconds until the last event.
     pub duration_ms: u64,
@@ -58,9 +58,9 @@
             self.failed,
             self.retries,
             self.rejections,
-            self.first_at(0.5),
-            self.first_at(0.95),
-            self.first_at(0.99)
+            self.first_event_quantile(0.5),
+            self.first_event_quantile(0.95),
+            self.first_event_quantile(0.99)
         )
     }
 }
@@ -70,25 +70,25 @@
         self.duration_ms = now / 1000;
     }
 
-    pub(super) fn arrived(&mut self, zone: bool, region: bool) {
+    pub(super) fn count_arrival(&mut self, zone: bool, region: bool) {
         match (zone, region) {
-            (true, _) => self.here += 1,
-            (_, true) => self.zones += 1,
-            _ => self.regions += 1,
+            (true, _) => self.same_zone_attempts += 1,
+            (_, true) => self.same_region_attempts += 1,
+            _ => self.cross_region_attempts += 1,
         }
     }
 
     /// The value below which a share `q` of the first events lies.
-    pub fn first_at(&self, q: f64) -> f64 {
-        at(&self.first, q)
+    pub fn first_event_quantile(&self, q: f64) -> f64 {
+        quantile(&self.first_event_ms, q)
     }
 
-    pub fn gap_at(&self, q: f64) -> f64 {
-        at(&self.gaps, q)
+    pub fn gap_quantile(&self, q: f64) -> f64 {
+        quantile(&self.gaps_ms, q)
     }
 
     /// Percentages by kind of request: served, and in time.
-    pub fn kinds(&self) -> Vec<(&str, f64, f64)> {
+    pub fn percentages_by_kind(&self) -> Vec<(&str, f64, f64)> {
         let of = |a: u64, b: u64| 100.0 * a as f64 / b.max(1) as f64;
         let each = self.by_kind.iter();
         each.map(|(n, k)| (n.as_str(), of(k[1], k[0]), of(k[2], k[0])))
@@ -105,14 +105,14 @@
             (&mut self.failed, o.failed),
             (&mut self.prefill_tokens, o.prefill_tokens),
             (&mut self.recomputed_tokens, o.recomputed_tokens),
-            (&mut self.here, o.here),
-            (&mut self.zones, o.zones),
-            (&mut self.regions, o.regions),
+            (&mut self.same_zone_attempts, o.same_zone_attempts),
+            (&mut self.same_region_attempts, o.same_region_attempts),
+            (&mut self.cross_region_attempts, o.cross_region_attempts),
             (&mut self.retries, o.retries),
             (&mut self.rejections, o.rejections),
             (&mut self.idle_rejections, o.idle_rejections),
             (&mut self.late_rejections, o.late_rejections),
-            (&mut self.conns, o.conns),
+            (&mut self.connections, o.connections),
             (&mut self.preemptions, o.preemptions),
             (&mut self.duration_ms, o.duration_ms),
         ];
@@ -122,10 +122,10 @@
             *w = (w.0 + n.0, w.1 + n.1);
         }
         self.value.add(&o.value);
-        self.first.extend(o.first);
-        self.gaps.extend(o.gaps);
-        self.max_gap = self.max_gap.max(o.max_gap);
-        self.seconds.extend(o.seconds);
+        self.first_event_ms.extend(o.first_event_ms);
+        self.gaps_ms.extend(o.gaps_ms);
+        self.max_gap_ms = self.max_gap_ms.max(o.max_gap_ms);
+        self.by_second.extend(o.by_second);
         if self.by_kind.is_empty() {
             self.by_kind = o.by_kind;
             return;
@@ -136,21 +136,21 @@
     }
 
     pub fn sort(&mut self) {
-        self.first.sort_by(f64::total_cmp);
-        self.gaps.sort_by(f64::total_cmp);
+        self.first_event_ms.sort_by(f64::total_cmp);
+        self.gaps_ms.sort_by(f64::total_cmp);
     }
 
     /// The lowest share in time over `n` seconds in a row.
-    pub fn worst(&self, n: usize) -> f64 {
+    pub fn worst_in_time_share(&self, n: usize) -> f64 {
         let of = |w: &[(u32, u32)]| {
             let (a, b) = w.iter().fold((0, 0), |x, y| (x.0 + y.0, x.1 + y.1));
             f64::from(a) / f64::from(b.max(1))
         };
-        self.seconds.windows(n).map(of).fold(1.0, f64::min)
+        self.by_second.windows(n).map(of).fold(1.0, f64::min)
     }
 }
 
-fn at(v: &[f64], q: f64) -> f64 {
+fn quantile(v: &[f64], q: f64) -> f64 {
     let i = ((v.len() as f64 * q) as usize).min(v.len().saturating_sub(1));
     v.get(i).copied().unwrap_or(0.0)
 }
@@ -158,7 +158,7 @@
 impl World {
     /// Counts a rejection of a client attempt by a node.
     pub(super) fn record_rejection(&mut self, t: usize, p: ErrorCode) {
-        let class = self.client_requests[self.client_attempts[t].ask].class;
+        let class = self.client_requests[self.client_attempts[t].request_index].class;
         let c = &self.mix.classes[class];
         let key = format!("{} {}", c.name, p.code());
         let rejections_by_error = self.statistics.rejections_by_error.entry(key).or_default();
@@ -212,10 +212,10 @@
 
     /// Requests that were not served: kind, time, end, and their attempts.
     pub fn unserved(&self) -> Vec<String> {
-        let bad = |a: &&ClientRequest| !matches!(a.end, Some(End::Served(_)));
+        let bad = |a: &&ClientRequest| !matches!(a.end, Some(RequestEnd::Served(_)));
         let client_requests = self.client_requests.iter().enumerate();
         let of = |(i, a): (usize, &ClientRequest)| {
-            let tries = self.client_attempts.iter().filter(|t| t.ask == i);
+            let tries = self.client_attempts.iter().filter(|t| t.request_index == i);
             let tries: Vec<String> = tries
                 .map(|t| {
                     format!(
@@ -226,10 +226,15 @@
                     )
                 })
                 .collect();
-            let tokens: u32 = a.parts.iter().map(|p| p.tokens).sum();
+            let tokens: u32 = a.prompt_segments.iter().map(|p| p.tokens).sum();
             format!(
                 "{} at {} us, zone {}, {tokens} tokens, {} of {} events, {:?}: {tries:?}",
-                self.mix.classes[a.class].name, a.at, a.zone, a.events_received, a.events, a.end
+                self.mix.classes[a.class].name,
+                a.arrived_at,
+                a.zone,
+                a.events_received,
+                a.events,
+                a.end
             )
         };
         client_requests.filter(|(_, a)| bad(a)).map(of).collect()
@@ -241,36 +246,36 @@
         let m = &self.mix;
         let ms = |x: Micros| x as f64 / 1000.0;
         let mut kinds = vec![[0u64; 3]; m.classes.len()];
-        t.seconds = vec![(0, 0); m.seconds.ceil() as usize + 1];
+        t.by_second = vec![(0, 0); m.seconds.ceil() as usize + 1];
         for a in &self.client_requests {
             let c = &m.classes[a.class];
-            let s = ((a.at.saturating_sub(micros(10_000.0))) / 1_000_000) as usize;
-            let s = s.min(t.seconds.len() - 1);
+            let s = ((a.arrived_at.saturating_sub(micros(10_000.0))) / 1_000_000) as usize;
+            let s = s.min(t.by_second.len() - 1);
             t.requested += 1;
-            t.seconds[s].1 += 1;
+            t.by_second[s].1 += 1;
             kinds[a.class][0] += 1;
             match a.end {
-                Some(End::Served(_)) => {
+                Some(RequestEnd::Served(_)) => {
                     t.served += 1;
                     kinds[a.class][1] += 1;
-                    let first = ms(a.first.unwrap_or(a.at) - a.at);
+                    let first = ms(a.first_event_at.unwrap_or(a.arrived_at) - a.arrived_at);
                     let max_gap = ms(a.max_gap);
                     let late = a.in_time(c) == Some(false);
                     t.late += u64::from(late);
                     kinds[a.class][2] += u64::from(!late);
-                    t.seconds[s].0 += u32::from(!late);
-                    t.first.push(first);
+                    t.by_second[s].0 += u32::from(!late);
+                    t.first_event_ms.push(first);
                     if c.kind == "stream" {
-                        t.gaps.push(max_gap);
+                        t.gaps_ms.push(max_gap);
                     }
                 }
-                Some(End::Refused) => t.rejected += 1,
+                Some(RequestEnd::Rejected) => t.rejected += 1,
                 _ => t.failed += 1,
             }
         }
         t.value = self.value_by_kind();
         t.sort();
-        t.max_gap = t.gaps.last().copied().unwrap_or(0.0);
+        t.max_gap_ms = t.gaps_ms.last().copied().unwrap_or(0.0);
         let beyond = |x: &ClientAttempt| u64::from(x.worker_attempts.saturating_sub(1));
         t.retries = self.client_attempts.iter().map(beyond).sum();
         let ready_nodes = kinds.into_iter().zip(&m.classes);
--- a/testbed/src/emulator/value.rs
+++ b/testbed/src/emulator/value.rs
@@ -1,7 +1,7 @@
 //! What the answers of a run are worth: by kind of request, in time or late, and
 //! by the size of the generation.
 
-use super::clients::{ClientRequest, End};
+use super::clients::{ClientRequest, RequestEnd};
 use super::mix::ClassMix;
 use super::{micros, World};
 
@@ -72,17 +72,17 @@
     /// Whether it was answered within its latency target, with no longer gap in
     /// its stream than allowed; none: it was not served.
     pub(super) fn in_time(&self, class: &ClassMix) -> Option<bool> {
-        let Some(End::Served(_)) = self.end else {
+        let Some(RequestEnd::Served(_)) = self.end else {
             return None;
         };
-        let latency = self.first.unwrap_or(self.at) - self.at;
+        let latency = self.first_event_at.unwrap_or(self.arrived_at) - self.arrived_at;
         let slow = latency > micros(class.aim_ms as f64);
         let stalled = class.gap_ms > 0 && self.max_gap > micros(class.gap_ms as f64);
         Some(!slow && !stalled)
     }
 
     fn size(&self, tokens_per_event: u32) -> f64 {
-        let prompt: u32 = self.parts.iter().map(|part| part.tokens).sum();
+        let prompt: u32 = self.prompt_segments.iter().map(|part| part.tokens).sum();
         f64::from(prompt) + OUTPUT_TOKEN_WEIGHT * f64::from(self.events * tokens_per_event)
     }
 
--- a/testbed/src/emulator/violation.rs
+++ b/testbed/src/emulator/violation.rs
@@ -1,5 +1,5 @@
-//! The product's balancer violating one of its invariants, to show that a check
-//! can fail.
+//! The product's balancer with one deviation: it violates an invariant, so that the
+//! tests can show that the check detects it, or does not fail over.
 
 use super::policy::{Policy, Violation};
 use sorreldoor::balancer::{AttemptOutcome, Balancer, Decision, RequestId};
@@ -11,12 +11,12 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// A balancer that violates one invariant.
+/// Forwards to the balancer, except where `violation` alters an input or a result.
 pub struct ViolatingBalancer {
     balancer: Balancer,
     violation: Violation,
     has_configuration: bool,
-    begun: HashSet<RequestId>,
+    begun_requests: HashSet<RequestId>,
 }
 
 impl ViolatingBalancer {
@@ -25,7 +25,7 @@
             balancer,
             violation,
             has_configuration: false,
-            begun: HashSet::new(),
+            begun_requests: HashSet::new(),
         }
     }
 }
@@ -34,10 +34,10 @@
     fn begin(
         &mut self,
         path: &str,
-        requested: RequestMetadata,
+        metadata: RequestMetadata,
         now: Millis,
     ) -> Result<RequestId, ErrorCode> {
-        Policy::begin(&mut self.balancer, path, requested, now)
+        Policy::begin(&mut self.balancer, path, metadata, now)
     }
     fn pick(&mut self, request_id: RequestId, now: Millis) -> Decision {
         if self.violation == Violation::NeverDecide {
@@ -45,31 +45,31 @@
         }
         self.balancer.decide(request_id, now)
     }
-    fn record_outcome(&mut self, request_id: RequestId, h: AttemptOutcome, now: Millis) {
-        let h = match h {
+    fn record_outcome(&mut self, request_id: RequestId, outcome: AttemptOutcome, now: Millis) {
+        let outcome = match outcome {
             AttemptOutcome::Failed if self.violation == Violation::RetryAfterRun => {
                 AttemptOutcome::Rejected(None)
             }
-            h => h,
+            outcome => outcome,
         };
-        if h == AttemptOutcome::FirstEvent {
-            self.begun.insert(request_id);
+        if outcome == AttemptOutcome::FirstEvent {
+            self.begun_requests.insert(request_id);
         }
-        self.balancer.record_outcome(request_id, h, now);
+        self.balancer.record_outcome(request_id, outcome, now);
     }
     fn record_activity(&mut self, request_id: RequestId, now: Millis) {
         self.balancer.record_activity(request_id, now);
     }
-    fn may_fail_over(&mut self, request_id: RequestId, silent: Millis, now: Millis) -> bool {
-        let stays = match self.violation {
+    fn may_fail_over(&mut self, request_id: RequestId, silent_ms: Millis, now: Millis) -> bool {
+        let fail_over_disabled = match self.violation {
             Violation::NoFailOver => true,
-            Violation::NoFailOverOnceBegun => self.begun.contains(&request_id),
+            Violation::NoFailOverOnceBegun => self.begun_requests.contains(&request_id),
             _ => false,
         };
-        !stays && self.balancer.may_fail_over(request_id, silent, now)
+        !fail_over_disabled && self.balancer.may_fail_over(request_id, silent_ms, now)
     }
     fn finish(&mut self, request_id: RequestId, now: Millis) {
-        self.begun.remove(&request_id);
+        self.begun_requests.remove(&request_id);
         self.balancer.finish(request_id, now);
     }
     fn take_ready(&mut self, now: Millis) -> Vec<RequestId> {
@@ -81,35 +81,35 @@
     fn route(&self, request_id: RequestId) -> Option<Route> {
         self.balancer.route(request_id).cloned()
     }
-    fn apply_configuration(&mut self, h: Arc<Hosted>, now: Millis) {
+    fn apply_configuration(&mut self, configuration: Arc<Hosted>, now: Millis) {
         if self.violation == Violation::IgnoreNewConfigurations
             && std::mem::replace(&mut self.has_configuration, true)
         {
             return;
         }
-        let mut own = (*h).clone();
-        let each = own.routes.iter_mut().map(Arc::make_mut);
+        let mut changed = (*configuration).clone();
+        let each = changed.routes.iter_mut().map(Arc::make_mut);
         match self.violation {
             Violation::IgnoreHomes => each.for_each(|r| r.homes.clear()),
             Violation::RetryAfterRun => each.for_each(|r| r.attempts = r.attempts.max(2)),
             _ => {}
         }
-        self.balancer.apply_configuration(Arc::new(own), now);
+        self.balancer.apply_configuration(Arc::new(changed), now);
     }
-    fn update_registry(&mut self, r: &WorkerRegistry, now: Millis) {
-        let mut own = r.clone();
+    fn update_registry(&mut self, registry: &WorkerRegistry, now: Millis) {
+        let mut changed = registry.clone();
         if self.violation == Violation::IgnoreDrains {
-            own.workers.iter_mut().for_each(|w| w.leaving = false);
+            changed.workers.iter_mut().for_each(|w| w.leaving = false);
         }
-        self.balancer.update_registry(&own, now);
+        self.balancer.update_registry(&changed, now);
     }
     fn set_evacuated_zones(&mut self, zones: Vec<u16>, now: Millis) {
         if self.violation != Violation::IgnoreEvacuations {
             self.balancer.set_evacuated_zones(zones, now);
         }
     }
-    fn update_nodes(&mut self, all: Vec<(String, u16)>) {
-        self.balancer.update_nodes(all);
+    fn update_nodes(&mut self, nodes: Vec<(String, u16)>) {
+        self.balancer.update_nodes(nodes);
     }
     fn open(&self) -> (u64, u64) {
         Policy::open(&self.balancer)
--- a/testbed/src/emulator/worker.rs
+++ b/testbed/src/emulator/worker.rs
@@ -72,7 +72,7 @@
             return;
         }
         let max = self.mix.services[w.service_index].max_conns;
-        self.worker_attempts[attempt_id as usize].there = Some(i);
+        self.worker_attempts[attempt_id as usize].connected_worker = Some(i);
         self.worker_attempts[attempt_id as usize].over_limit = w.conns >= max;
         w.conns += 1;
         let at = self.now + micros(1.0) + self.delay(from, to);
@@ -82,11 +82,11 @@
     /// A request arrives at a worker.
     pub(super) fn request_received(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
-        let Some(i) = s.there else { return };
+        let Some(i) = s.connected_worker else { return };
         if self.workers[i].ended_at.is_some() || s.over_limit {
             return self.reply(attempt_id, WorkerMessage::Reset);
         }
-        if self.workers[i].silent_until > self.now || s.cut {
+        if self.workers[i].silent_until > self.now || s.replies_stopped {
             return;
         }
         let misdirected = s.worker != i;
@@ -101,7 +101,7 @@
         if misdirected {
             return self.reply(attempt_id, WorkerMessage::Misdirected);
         }
-        self.statistics.arrived(
+        self.statistics.count_arrival(
             self.nodes[s.node].zone == self.workers[i].zone,
             self.nodes[s.node].region == self.workers[i].region,
         );
@@ -111,12 +111,12 @@
         let m = self.mix.clone();
         let x = &m.services[self.workers[i].service_index];
         let load = self.load(i);
-        let class =
-            &m.classes[self.client_requests[self.client_attempts[s.client_attempt].ask].class];
-        let a = &self.client_requests[self.client_attempts[s.client_attempt].ask];
+        let class = &m.classes
+            [self.client_requests[self.client_attempts[s.client_attempt].request_index].class];
+        let a = &self.client_requests[self.client_attempts[s.client_attempt].request_index];
         let tokens = a.events * x.engine.as_ref().map_or(1, |e| e.stride);
         let large = match &self.workers[i].backend {
-            Backend::Engine(e) => e.too_large(&a.parts, tokens),
+            Backend::Engine(e) => e.exceeds_memory(&a.prompt_segments, tokens),
             _ => false,
         };
         if self.workers[i].overloaded_until > self.now || load.waiting >= x.queue || large {
@@ -192,8 +192,8 @@
         let mut over = Vec::new();
         while let Some(n) = queue.pop_front() {
             match &self.worker_attempts[n as usize] {
-                s if s.cut => {}
-                s if s.until <= now => over.push(n),
+                s if s.replies_stopped => {}
+                s if s.deadline <= now => over.push(n),
                 _ => {
                     next = Some(n);
                     break;
@@ -205,12 +205,13 @@
         over.into_iter()
             .for_each(|n| self.reply(n, WorkerMessage::Rejected(load)));
         if let Some(n) = next {
-            let c = self.client_requests
-                [self.client_attempts[self.worker_attempts[n as usize].client_attempt].ask]
+            let c = self.client_requests[self.client_attempts
+                [self.worker_attempts[n as usize].client_attempt]
+                .request_index]
                 .class;
             self.start_plain(n, self.mix.classes[c].work_ms);
         }
-        if s.until <= now {
+        if s.deadline <= now {
             return self.reply(attempt_id, WorkerMessage::TimedOut);
         }
         self.reply(attempt_id, WorkerMessage::Head(load));
@@ -221,22 +222,22 @@
     pub(super) fn enqueue_at_engine(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let i = s.worker;
-        if s.cut || self.workers[i].ended_at.is_some() {
+        if s.replies_stopped || self.workers[i].ended_at.is_some() {
             return;
         }
-        let a = &self.client_requests[self.client_attempts[s.client_attempt].ask];
+        let a = &self.client_requests[self.client_attempts[s.client_attempt].request_index];
         let Backend::Engine(e) = &mut self.workers[i].backend else {
             return;
         };
-        e.add(Task {
+        e.enqueue(Task {
             attempt_id,
             priority: s.priority,
             order: self.now << 20 | (attempt_id & 0xf_ffff),
-            parts: a.parts.clone(),
-            from: s.last * e.mix.stride,
+            prompt_segments: a.prompt_segments.clone(),
+            received: s.last_event * e.mix.stride,
             total: a.events * e.mix.stride,
-            made: 0,
-            until: s.until,
+            generated: 0,
+            deadline: s.deadline,
         });
         if !e.stepping {
             self.plan(i);
@@ -248,7 +249,7 @@
         let Backend::Engine(e) = &mut w.backend else {
             return;
         };
-        let ms = e.plan();
+        let ms = e.plan_step();
         e.stepping = ms.is_some();
         if let Some(ms) = ms {
             let at = self.now + micros(ms * w.speed).max(1);
@@ -266,7 +267,7 @@
             return;
         };
         let (early, was) = (e.mix.early_head, e.preemptions);
-        let outs = e.finish(now);
+        let outs = e.finish_step(now);
         self.statistics.preemptions += e.preemptions - was;
         let load = self.load(i);
         for o in outs {
@@ -310,9 +311,10 @@
     }
 
     fn note_read(&mut self, attempt_id: u64, i: usize, p: sorreldoor::proxy::PromptSegment) {
-        let a = &self.client_requests
-            [self.client_attempts[self.worker_attempts[attempt_id as usize].client_attempt].ask];
-        let shared = a.parts.last().is_some_and(|l| l.id != p.id);
+        let a = &self.client_requests[self.client_attempts
+            [self.worker_attempts[attempt_id as usize].client_attempt]
+            .request_index];
+        let shared = a.prompt_segments.last().is_some_and(|l| l.id != p.id);
         if shared
             && !self
                 .prefilled_segments
@@ -327,13 +329,13 @@
     fn reply(&mut self, attempt_id: u64, a: WorkerMessage) {
         let s = &self.worker_attempts[attempt_id as usize];
         let node = s.node;
-        let Some(i) = s.there else { return };
-        if s.cut {
+        let Some(i) = s.connected_worker else { return };
+        if s.replies_stopped {
             return;
         }
         if self.workers[i].silent_until > self.now {
             // what it leaves out here must not be followed by the rest
-            self.worker_attempts[attempt_id as usize].cut = true;
+            self.worker_attempts[attempt_id as usize].replies_stopped = true;
             return;
         }
         let a = match (s.answer_fault, a) {
@@ -353,13 +355,13 @@
 
     /// The node has closed the connection.
     pub(super) fn connection_closed(&mut self, attempt_id: u64) {
-        self.worker_attempts[attempt_id as usize].cut = true;
+        self.worker_attempts[attempt_id as usize].replies_stopped = true;
         let s = self.worker_attempts[attempt_id as usize].clone();
-        let Some(i) = s.there else { return };
+        let Some(i) = s.connected_worker else { return };
         let w = &mut self.workers[i];
         w.conns = w.conns.saturating_sub(1);
         match &mut w.backend {
-            Backend::Engine(e) if s.worker == i => e.drop_task(attempt_id),
+            Backend::Engine(e) if s.worker == i => e.cancel_task(attempt_id),
             Backend::Plain { queue, .. } => queue.retain(|q| *q != attempt_id),
             _ => {}
         }
--- a/testbed/src/emulator/worker_lifecycle.rs
+++ b/testbed/src/emulator/worker_lifecycle.rs
@@ -34,12 +34,12 @@
         let m = self.mix.clone();
         let x: &ServiceMix = &m.services[service_index];
         let reuse = self.now.saturating_sub(micros(2000.0));
-        let free_addrs = self.free_addrs.iter().position(|(t, _)| *t <= reuse);
+        let free_addresses = self.free_addresses.iter().position(|(t, _)| *t <= reuse);
         let addr = addr
-            .or_else(|| free_addrs.map(|i| self.free_addrs.remove(i).1))
+            .or_else(|| free_addresses.map(|i| self.free_addresses.remove(i).1))
             .unwrap_or_else(|| {
-                self.addrs += 1;
-                let [_, a, b, c] = self.addrs.to_be_bytes();
+                self.addresses_created += 1;
+                let [_, a, b, c] = self.addresses_created.to_be_bytes();
                 SocketAddr::from(([10, a, b, c], 80))
             });
         let i = self.workers.len();
@@ -90,7 +90,7 @@
         if self.by_addr.get(&addr) == Some(&i) {
             self.by_addr.remove(&addr);
         }
-        let under = |s: &WorkerAttempt| s.open && s.there == Some(i);
+        let under = |s: &WorkerAttempt| s.open && s.connected_worker == Some(i);
         let all: Vec<u64> = (0..self.worker_attempts.len() as u64)
             .filter(|s| under(&self.worker_attempts[*s as usize]))
             .collect();
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -102,7 +102,7 @@
         let found = check(&w);
         r.violations
             .extend(found.iter().map(|x| format!("seed {seed}: {x}")));
-        r.worst = r.worst.min(t.worst(3));
+        r.worst = r.worst.min(t.worst_in_time_share(3));
         r.t.add(t);
     }
     r.t.sort();
@@ -165,7 +165,7 @@
         .for_each(|r| println!("| {} |", cells(r).join(" | ")));
     for r in &rows {
         let k: Vec<String> =
-            r.t.kinds()
+            r.t.percentages_by_kind()
                 .iter()
                 .map(|(n, s, l)| format!("{n} {s:.2}/{l:.2}"))
                 .collect();
@@ -216,27 +216,27 @@
 fn cells(r: &Row) -> Vec<String> {
     let t = &r.t;
     let of = |a: u64, b: u64| format!("{:.2}", 100.0 * a as f64 / b.max(1) as f64);
-    let worker_attempts = t.here + t.zones + t.regions;
+    let worker_attempts = t.same_zone_attempts + t.same_region_attempts + t.cross_region_attempts;
     vec![
         r.name.to_string(),
         t.requested.to_string(),
         of(t.served, t.requested),
         of(t.late, t.served),
         format!("{:.1}", 100.0 * r.worst),
-        format!("{:.0}", t.first_at(0.5)),
-        format!("{:.0}", t.first_at(0.95)),
-        format!("{:.0}", t.first_at(0.99)),
-        format!("{:.0}", t.gap_at(0.99)),
-        format!("{:.0}", t.max_gap),
+        format!("{:.0}", t.first_event_quantile(0.5)),
+        format!("{:.0}", t.first_event_quantile(0.95)),
+        format!("{:.0}", t.first_event_quantile(0.99)),
+        format!("{:.0}", t.gap_quantile(0.99)),
+        format!("{:.0}", t.max_gap_ms),
         (t.recomputed_tokens / 1000).to_string(),
-        of(t.zones, worker_attempts),
-        of(t.regions, worker_attempts),
+        of(t.same_region_attempts, worker_attempts),
+        of(t.cross_region_attempts, worker_attempts),
         t.retries.to_string(),
         t.rejections.to_string(),
         t.idle_rejections.to_string(),
         t.late_rejections.to_string(),
         t.preemptions.to_string(),
-        t.conns.to_string(),
+        t.connections.to_string(),
         r.violations.len().to_string(),
     ]
 }
@@ -249,7 +249,7 @@
     root.fill(&WHITE)?;
     let most = rows
         .iter()
-        .map(|r| r.t.first_at(0.999))
+        .map(|r| r.t.first_event_quantile(0.999))
         .fold(100.0, f64::max);
     let mut c = ChartBuilder::on(&root)
         .caption("first event within", ("sans-serif", 18))
@@ -266,7 +266,12 @@
         let n = r.t.requested.max(1) as f64;
         let each = (1..=200).map(|k| f64::from(k) / 200.0);
         let at: Vec<(f64, f64)> = each
-            .map(|q| (r.t.first_at(q * 0.999), q * r.t.served as f64 / n))
+            .map(|q| {
+                (
+                    r.t.first_event_quantile(q * 0.999),
+                    q * r.t.served as f64 / n,
+                )
+            })
             .collect();
         c.draw_series(LineSeries::new(at, color))?
             .label(r.name)
--- a/testbed/tests/emulator.rs
+++ b/testbed/tests/emulator.rs
@@ -170,20 +170,20 @@
         attempt_id,
         priority,
         order: attempt_id,
-        parts: vec![part(7, 1000), part(100 + attempt_id, 100)],
-        from: 0,
+        prompt_segments: vec![part(7, 1000), part(100 + attempt_id, 100)],
+        received: 0,
         total,
-        made: 0,
-        until: u64::MAX,
+        generated: 0,
+        deadline: u64::MAX,
     }
 }
 
 /// Steps until nothing is left; all that came of it, and the milliseconds.
 fn drain(e: &mut Engine) -> (Vec<EngineEvent>, f64) {
     let (mut out, mut ms) = (Vec::new(), 0.0);
-    while let Some(t) = e.plan() {
+    while let Some(t) = e.plan_step() {
         ms += t;
-        out.extend(e.finish(0));
+        out.extend(e.finish_step(0));
     }
     (out, ms)
 }
@@ -191,9 +191,9 @@
 #[test]
 fn a_shared_part_is_read_once() {
     let mut e = engine(4, 100_000);
-    e.add(task(1, 5, 2));
+    e.enqueue(task(1, 5, 2));
     let (a, slow_start) = drain(&mut e);
-    e.add(task(2, 5, 2));
+    e.enqueue(task(2, 5, 2));
     let (b, warm) = drain(&mut e);
     let prefill_tokens = |o: &[EngineEvent], id: u64| {
         let hit = |x: &&EngineEvent| matches!(x, EngineEvent::Prefilled(_, p) if p.id == id);
@@ -216,8 +216,8 @@
 #[test]
 fn an_engine_out_of_memory_puts_back_the_newest_of_the_least_urgent() {
     let mut e = engine(4, 1260);
-    e.add(task(1, 1, 40));
-    e.add(task(2, 5, 40));
+    e.enqueue(task(1, 1, 40));
+    e.enqueue(task(2, 5, 40));
     let (out, _) = drain(&mut e);
     assert!(e.preemptions > 0);
     let last = |attempt_id| {
@@ -239,10 +239,10 @@
 #[test]
 fn the_more_urgent_are_let_in_first_and_displace_others() {
     let mut e = engine(1, 100_000);
-    e.add(task(1, 5, 10));
-    e.plan();
-    e.finish(0);
-    e.add(task(2, 0, 3));
+    e.enqueue(task(1, 5, 10));
+    e.plan_step();
+    e.finish_step(0);
+    e.enqueue(task(2, 0, 3));
     let (out, _) = drain(&mut e);
     let end = |attempt_id| {
         let f = |o: &EngineEvent| matches!(o, EngineEvent::Event(s, _, true) if *s == attempt_id);
--- a/testbed/tests/policies.rs
+++ b/testbed/tests/policies.rs
@@ -44,7 +44,7 @@
 /// baseline earns of it.
 fn check_policies(mix: &Mix, floors: &[Floor]) {
     let balancer = play(mix, PolicyKind::Balancer);
-    for ((name, served, _), floor) in balancer.kinds().into_iter().zip(floors) {
+    for ((name, served, _), floor) in balancer.percentages_by_kind().into_iter().zip(floors) {
         println!("{name}: served {served:.2} %");
         assert!(served >= floor.served, "{name}: served {served:.2} %");
     }
