--- a/testbed/src/emulator/clients.rs
+++ b/testbed/src/emulator/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: the requests they send, their time-outs and their retries.
+//! Clients: arrivals of requests, choice of a node, time-outs and retries.
 
 use super::mix::{unit, ClassMix};
 use super::*;
@@ -12,7 +12,7 @@
     pub arrived_at: Micros,
     pub prompt_segments: Vec<PromptSegment>,
     pub events: u32,
-    /// Events received, when the first and the last came, and the longest gap.
+    /// Events received, the times of the first and the last, and the longest gap.
     pub events_received: u32,
     pub first_event_at: Option<Micros>,
     pub last_event_at: Micros,
@@ -36,7 +36,7 @@
     pub incarnation: u32,
     pub sent: Micros,
     pub deadline: Micros,
-    /// The attempt resumes the stream behind this event.
+    /// The attempt resumes the stream after this event.
     pub resumed_after: u32,
     pub events_received: u32,
     pub last_message_at: Micros,
@@ -57,12 +57,12 @@
 }
 
 impl World {
-    /// Arrivals a second in a zone: now, and at most.
+    /// Arrivals per second in a zone: the current rate, and an upper bound for thinning.
     fn rate(&self, z: usize) -> (f64, f64) {
         let m = &self.mix;
         let all = |f: &dyn Fn(usize) -> f64| -> f64 {
             let c = m.classes.iter().enumerate();
-            c.map(|(i, c)| c.per_s * f(i)).sum::<f64>() * m.load * m.share[z]
+            c.map(|(i, c)| c.per_s * f(i)).sum::<f64>() * m.load * m.client_share[z]
         };
         let t = self.now as f64 / 1e6 / m.period_s.max(1.0) + f64::from(m.zones[z]) * 0.5;
         let wave = 1.0 + m.swing * (t * std::f64::consts::TAU).sin();
@@ -70,42 +70,42 @@
         (all(&|i| self.rate_factors[i]) * wave, top)
     }
 
-    pub(super) fn next_arrival(&mut self, z: usize) {
-        let (rate, top) = self.rate(z);
+    pub(super) fn next_arrival(&mut self, zone: usize) {
+        let (rate, top) = self.rate(zone);
         if self.now >= self.arrivals_end() || top <= 0.0 {
             return;
         }
         if unit(&mut self.arrival_rng) * top < rate {
-            self.new_request(z);
+            self.new_request(zone);
         }
         let gap = -unit(&mut self.arrival_rng).ln() / top;
-        self.push(self.now + micros(gap * 1000.0), SimEvent::NextArrival(z));
+        self.push(self.now + micros(gap * 1000.0), SimEvent::NextArrival(zone));
     }
 
-    fn new_request(&mut self, z: usize) {
-        let m = self.mix.clone();
-        let weight = |i: usize| m.classes[i].per_s * self.rate_factors[i];
-        let all: f64 = (0..m.classes.len()).map(weight).sum();
+    fn new_request(&mut self, zone: usize) {
+        let mix = self.mix.clone();
+        let weight = |i: usize| mix.classes[i].per_s * self.rate_factors[i];
+        let all: f64 = (0..mix.classes.len()).map(weight).sum();
         let mut at = unit(&mut self.arrival_rng) * all;
-        let class = (0..m.classes.len()).find(|i| {
+        let class = (0..mix.classes.len()).find(|i| {
             at -= weight(*i);
             at <= 0.0
         });
         let class = class.unwrap_or(0);
-        let c = &m.classes[class];
-        let stream = c.kind == "stream";
+        let kind = &mix.classes[class];
+        let stream = kind.kind == "stream";
         let prompt_segments = match stream {
-            true => self.draw_prompt(class, c),
+            true => self.draw_prompt(class, kind),
             false => Vec::new(),
         };
         let events = match stream {
-            true => (c.events.sample(&mut self.arrival_rng).round() as u32).max(1),
+            true => (kind.events.sample(&mut self.arrival_rng).round() as u32).max(1),
             false => 1,
         };
         let i = self.client_requests.len();
         self.client_requests.push(ClientRequest {
             class,
-            zone: self.zone_redirects[z],
+            zone: self.zone_redirects[zone],
             arrived_at: self.now,
             prompt_segments,
             events,
@@ -122,68 +122,72 @@
     fn draw_prompt(&mut self, class: usize, c: &ClassMix) -> Vec<PromptSegment> {
         let mut out = Vec::new();
         let mut item = 0u64;
-        // the deepest part decides, and those before it hang on it
-        let n = c.parts.last().map_or(0, |p| p.things.max(1));
-        if let Some(p) = c.parts.last() {
+        // the choice of the last segment determines the segments before it
+        let n = c.shared_segments.last().map_or(0, |p| p.distinct.max(1));
+        if let Some(p) = c.shared_segments.last() {
             let u = unit(&mut self.arrival_rng);
             let x = u.powf(1.0 / (1.0 - p.skew.min(0.9)));
             item = ((x * f64::from(n)) as u64).min(u64::from(n) - 1);
         }
-        for (level, p) in c.parts.iter().enumerate() {
-            let at = item % u64::from(p.things.max(1));
+        for (level, p) in c.shared_segments.iter().enumerate() {
+            let at = item % u64::from(p.distinct.max(1));
             let id = (class as u64 + 1) << 56 | (level as u64 + 1) << 48 | at;
             let mut own = Rand::new(id);
             let tokens = p.tokens.sample(&mut own).max(1.0) as u32;
             out.push(PromptSegment { id, tokens });
         }
-        let tokens = c.own.sample(&mut self.arrival_rng).max(1.0) as u32;
+        let tokens = c.own_tokens.sample(&mut self.arrival_rng).max(1.0) as u32;
         let id = 1 << 60 | self.client_requests.len() as u64;
         out.push(PromptSegment { id, tokens });
         out
     }
 
-    /// A random node of the directory, as near to the zone as possible.
-    fn choose_node(&mut self, z: usize, but: &[usize]) -> Option<usize> {
-        let m = &self.mix;
-        let fit = |near: u8| {
+    /// A random node of the directory from the zone, else the region, else any;
+    /// `None` if all are excluded.
+    fn choose_node(&mut self, zone: usize, excluded: &[usize]) -> Option<usize> {
+        let mix = &self.mix;
+        let candidates = |distance: u8| {
             let f = |n: &&usize| {
                 let x = &self.nodes[**n];
-                !but.contains(n)
-                    && match near {
-                        0 => usize::from(x.zone) == z,
-                        1 => x.region == m.zones[z],
+                !excluded.contains(n)
+                    && match distance {
+                        0 => usize::from(x.zone) == zone,
+                        1 => x.region == mix.zones[zone],
                         _ => true,
                     }
             };
             self.ready.iter().filter(f).copied().collect::<Vec<_>>()
         };
-        let all = (0..3).map(fit).find(|v| !v.is_empty())?;
+        let all = (0..3).map(candidates).find(|v| !v.is_empty())?;
         Some(all[self.rng.below(all.len() as u64) as usize])
     }
 
-    fn start_attempt(&mut self, i: usize) {
-        let (z, class) = (self.client_requests[i].zone, self.client_requests[i].class);
-        let deadline =
-            self.client_requests[i].arrived_at + micros(self.mix.classes[class].deadline_ms as f64);
+    fn start_attempt(&mut self, request_index: usize) {
+        let (zone, class) = (
+            self.client_requests[request_index].zone,
+            self.client_requests[request_index].class,
+        );
+        let deadline = self.client_requests[request_index].arrived_at
+            + micros(self.mix.classes[class].deadline_ms as f64);
         let mut failed = Vec::new();
         let mut at = self.now + micros(self.mix.client_ms);
         let node = loop {
-            let Some(n) = self.choose_node(z, &failed) else {
-                self.client_requests[i].end = Some(RequestEnd::Failed);
+            let Some(n) = self.choose_node(zone, &failed) else {
+                self.client_requests[request_index].end = Some(RequestEnd::Failed);
                 return;
             };
             if self.nodes[n].up {
                 break n;
             }
-            // nothing listens there, so the connection is refused at once
+            // the connection is refused at once
             failed.push(n);
             at += 2 * micros(self.mix.client_ms);
         };
-        self.client_requests[i].attempts += 1;
-        let t = self.client_attempts.len();
-        let resumed_after = self.client_requests[i].events_received;
+        self.client_requests[request_index].attempts += 1;
+        let attempt_index = self.client_attempts.len();
+        let resumed_after = self.client_requests[request_index].events_received;
         self.client_attempts.push(ClientAttempt {
-            request_index: i,
+            request_index,
             node,
             incarnation: self.nodes[node].incarnation,
             sent: self.now,
@@ -197,103 +201,116 @@
             ran: Vec::new(),
         });
         let incarnation = self.nodes[node].incarnation;
-        self.push(at, SimEvent::RequestArrived(node, incarnation, t));
-        let after = self.silence_limit(t).min(deadline);
-        self.push(after, SimEvent::ClientTimeout(t));
+        self.push(
+            at,
+            SimEvent::RequestArrived(node, incarnation, attempt_index),
+        );
+        let after = self.silence_limit(attempt_index).min(deadline);
+        self.push(after, SimEvent::ClientTimeout(attempt_index));
     }
 
-    /// When the client times out without another event.
-    fn silence_limit(&self, t: usize) -> Micros {
-        let tr = &self.client_attempts[t];
-        let c = &self.mix.classes[self.client_requests[tr.request_index].class];
-        let ms = match c.kind.as_str() {
-            "stream" => 2000.max(4 * c.aim_ms).max(8 * c.gap_ms),
+    /// When the client times out if no event arrives.
+    fn silence_limit(&self, attempt_index: usize) -> Micros {
+        let attempt = &self.client_attempts[attempt_index];
+        let class = &self.mix.classes[self.client_requests[attempt.request_index].class];
+        let ms = match class.kind.as_str() {
+            "stream" => 2000.max(4 * class.aim_ms).max(8 * class.gap_ms),
             _ => 1 << 32,
         };
-        tr.last_message_at + micros(ms as f64)
+        attempt.last_message_at + micros(ms as f64)
     }
 
-    pub(super) fn client_timeout(&mut self, t: usize) {
-        let tr = &self.client_attempts[t];
-        if tr.ended {
+    pub(super) fn client_timeout(&mut self, attempt_index: usize) {
+        let attempt = &self.client_attempts[attempt_index];
+        if attempt.ended {
             return;
         }
-        let at = self.silence_limit(t).min(tr.deadline);
+        let at = self.silence_limit(attempt_index).min(attempt.deadline);
         if self.now < at {
-            return self.push(at, SimEvent::ClientTimeout(t));
+            return self.push(at, SimEvent::ClientTimeout(attempt_index));
         }
-        let (n, incarnation) = (tr.node, tr.incarnation);
-        self.check_never_sent(t);
-        self.client_attempts[t].ended = true;
+        let (n, incarnation) = (attempt.node, attempt.incarnation);
+        self.check_never_sent(attempt_index);
+        self.client_attempts[attempt_index].ended = true;
         let gone = self.now + micros(self.mix.client_ms);
-        self.push(gone, SimEvent::ClientDisconnected(n, incarnation, t));
-        self.retry_or_end(t, false, 0);
+        self.push(
+            gone,
+            SimEvent::ClientDisconnected(n, incarnation, attempt_index),
+        );
+        self.retry_or_end(attempt_index, false, 0);
     }
 
-    /// Retries after a backoff if that is safe and in time.
-    fn retry_or_end(&mut self, t: usize, rejected: bool, retry_after_ms: u64) {
-        let i = self.client_attempts[t].request_index;
-        let c = &self.mix.classes[self.client_requests[i].class];
-        let deadline = self.client_attempts[t].deadline;
+    /// Retries after a backoff if a repeat is safe (`rejected`: it never ran) and the
+    /// deadline allows it; otherwise the request ends.
+    fn retry_or_end(&mut self, attempt_index: usize, rejected: bool, retry_after_ms: u64) {
+        let request_index = self.client_attempts[attempt_index].request_index;
+        let class = &self.mix.classes[self.client_requests[request_index].class];
+        let deadline = self.client_attempts[attempt_index].deadline;
         let left = deadline.saturating_sub(self.now);
         let backoff = (retry_after_ms * 1000).min(left / 3).max(1000);
-        let may = rejected || c.repeatable();
-        if may && self.client_requests[i].attempts <= c.tries && left > 2 * backoff {
-            return self.call_at(self.now + backoff, move |w| w.start_attempt(i));
+        let may_retry = rejected || class.repeatable();
+        if may_retry
+            && self.client_requests[request_index].attempts <= class.max_retries
+            && left > 2 * backoff
+        {
+            return self.call_at(self.now + backoff, move |w| w.start_attempt(request_index));
         }
-        self.client_requests[i].end = Some(match rejected {
+        self.client_requests[request_index].end = Some(match rejected {
             true => RequestEnd::Rejected,
             false => RequestEnd::Failed,
         });
     }
 
-    pub(super) fn client_receives(&mut self, t: usize, m: ClientMessage) {
-        if self.client_attempts[t].ended {
+    pub(super) fn client_receives(&mut self, attempt_index: usize, m: ClientMessage) {
+        if self.client_attempts[attempt_index].ended {
             return;
         }
         let now = self.now;
-        let i = self.client_attempts[t].request_index;
-        self.client_attempts[t].last_message_at = now;
+        let request_index = self.client_attempts[attempt_index].request_index;
+        self.client_attempts[attempt_index].last_message_at = now;
         match m {
             ClientMessage::Event(number, _) => {
-                if number != self.client_attempts[t].events_received + 1 {
-                    let events_received = self.client_attempts[t].events_received;
+                if number != self.client_attempts[attempt_index].events_received + 1 {
+                    let events_received = self.client_attempts[attempt_index].events_received;
                     self.violations
                         .insert(format!("ORDER: event {number} after {events_received}"));
                 }
-                self.client_attempts[t].events_received = number;
-                let a = &mut self.client_requests[i];
-                match a.first_event_at {
-                    Some(_) => a.max_gap = a.max_gap.max(now - a.last_event_at),
-                    None => a.first_event_at = Some(now),
+                self.client_attempts[attempt_index].events_received = number;
+                let request = &mut self.client_requests[request_index];
+                match request.first_event_at {
+                    Some(_) => request.max_gap = request.max_gap.max(now - request.last_event_at),
+                    None => request.first_event_at = Some(now),
                 }
-                (a.events_received, a.last_event_at) = (number, now);
+                (request.events_received, request.last_event_at) = (number, now);
             }
             ClientMessage::End => {
-                self.client_attempts[t].ended = true;
-                let a = &mut self.client_requests[i];
-                let stream = self.mix.classes[a.class].kind == "stream";
-                if stream && a.events_received != a.events {
-                    let s = format!("ORDER: ended after {} of {}", a.events_received, a.events);
+                self.client_attempts[attempt_index].ended = true;
+                let request = &mut self.client_requests[request_index];
+                let stream = self.mix.classes[request.class].kind == "stream";
+                if stream && request.events_received != request.events {
+                    let s = format!(
+                        "ORDER: ended after {} of {}",
+                        request.events_received, request.events
+                    );
                     self.violations.insert(s);
                 }
-                a.first_event_at.get_or_insert(now);
-                a.end = Some(RequestEnd::Served(now));
+                request.first_event_at.get_or_insert(now);
+                request.end = Some(RequestEnd::Served(now));
             }
             ClientMessage::Answer(status, retry_after_ms) => {
-                self.client_attempts[t].ended = true;
+                self.client_attempts[attempt_index].ended = true;
                 let rejected = matches!(status, 503 | 429);
-                self.client_attempts[t].rejected = rejected;
-                self.check_status(t, status);
+                self.client_attempts[attempt_index].rejected = rejected;
+                self.check_status(attempt_index, status);
                 if matches!(status, 400..=404) {
-                    self.client_requests[i].end = Some(RequestEnd::Failed);
+                    self.client_requests[request_index].end = Some(RequestEnd::Failed);
                     return;
                 }
-                self.retry_or_end(t, rejected, retry_after_ms);
+                self.retry_or_end(attempt_index, rejected, retry_after_ms);
             }
             ClientMessage::Cut => {
-                self.client_attempts[t].ended = true;
-                self.retry_or_end(t, false, 0);
+                self.client_attempts[attempt_index].ended = true;
+                self.retry_or_end(attempt_index, false, 0);
             }
         }
     }
--- a/testbed/src/emulator/control_plane.rs
+++ b/testbed/src/emulator/control_plane.rs
@@ -38,7 +38,7 @@
             priority: c.priority,
             split: vec![(c.service as u16, 1)],
             attempts: c.attempts,
-            sticky: !c.parts.is_empty(),
+            sticky: !c.shared_segments.is_empty(),
             resume: c.resume,
             gap_ms: c.gap_ms,
             homes: c.homes.clone(),
@@ -145,9 +145,9 @@
         (0..self.nodes.len()).for_each(|i| self.deliver(i, n.clone()));
     }
 
-    /// An update reaches a node between `news_ms` and twice that later.
+    /// An update reaches a node between `update_delay_ms` and twice that later.
     fn deliver(&mut self, i: usize, n: ControlUpdate) {
-        let ms = self.mix.news_ms;
+        let ms = self.mix.update_delay_ms;
         let at = self.now + micros((ms + self.rng.below(ms + 1)) as f64);
         // a node's session delivers updates in order
         let x = &mut self.nodes[i];
--- a/testbed/src/emulator/deployments.rs
+++ b/testbed/src/emulator/deployments.rs
@@ -3,9 +3,9 @@
 use super::mix::{BoundsMix, ClassMix, Distribution, EngineMix, Mix, SegmentMix, ServiceMix};
 
 fn classes() -> Vec<ClassMix> {
-    let part = |mean, spread, things, skew| SegmentMix {
+    let part = |mean, spread, distinct, skew| SegmentMix {
         tokens: Distribution::of(mean, spread, mean * 3.0),
-        things,
+        distinct,
         skew,
     };
     vec![
@@ -18,11 +18,11 @@
             deadline_ms: 8000,
             attempts: 1,
             priority: 1,
-            tries: 1,
+            max_retries: 1,
             value: 2.0,
             late_value: 0.6,
-            parts: vec![part(13_300.0, 0.7, 54, 0.3)],
-            own: Distribution::of(3720.0, 1.1, 53_200.0),
+            shared_segments: vec![part(13_300.0, 0.7, 54, 0.3)],
+            own_tokens: Distribution::of(3720.0, 1.1, 53_200.0),
             events: Distribution::of(23.9, 1.4, 95.0),
             ..ClassMix::default()
         },
@@ -35,11 +35,11 @@
             gap_ms: 600,
             deadline_ms: 5000,
             attempts: 2,
-            tries: 1,
+            max_retries: 1,
             value: 3.0,
             late_value: 0.9,
-            parts: vec![part(55.0, 0.4, 8, 0.0), part(37.0, 0.7, 846, 0.3)],
-            own: Distribution::of(291.0, 1.4, 1830.0),
+            shared_segments: vec![part(55.0, 0.4, 8, 0.0), part(37.0, 0.7, 846, 0.3)],
+            own_tokens: Distribution::of(291.0, 1.4, 1830.0),
             events: Distribution::of(9.0, 1.4, 36.0),
             ..ClassMix::default()
         },
@@ -52,7 +52,7 @@
             deadline_ms: 2500,
             attempts: 2,
             priority: 2,
-            tries: 1,
+            max_retries: 1,
             value: 1.0,
             late_value: 0.3,
             work_ms: Distribution {
@@ -74,14 +74,14 @@
         load: 1.0,
         zones: vec![0, 0, 1],
         nodes: vec![5, 3, 4],
-        share: vec![0.25, 0.25, 0.5],
+        client_share: vec![0.25, 0.25, 0.5],
         swing: 0.4,
         period_s: 26.0,
-        here_ms: 0.15,
-        zone_ms: 0.9,
-        region_ms: 35.0,
+        same_zone_ms: 0.15,
+        same_region_ms: 0.9,
+        cross_region_ms: 35.0,
         client_ms: 1.0,
-        news_ms: 400,
+        update_delay_ms: 400,
         bounds: BoundsMix::default(),
         services: vec![
             ServiceMix {
@@ -106,7 +106,7 @@
             },
         ],
         classes: classes(),
-        troubles: Vec::new(),
+        faults: Vec::new(),
     }
 }
 
@@ -115,7 +115,7 @@
     let mut m = two_region_mix();
     m.zones = vec![0, 0, 1, 1, 2, 2];
     m.nodes = vec![16, 16, 16, 15, 15, 15];
-    m.share = vec![1.0 / 6.0; 6];
+    m.client_share = vec![1.0 / 6.0; 6];
     m.load = 900.0 / 297.9;
     m.services[0].workers = vec![15; 6];
     m.services[0].slots = 12;
@@ -134,9 +134,9 @@
 /// nodes, 910 a second. The most urgent requests are the long ones, and the most
 /// frequent ones are bound to two of the regions.
 pub fn uneven_region_mix() -> Mix {
-    let part = |mean, spread, max, things, skew| SegmentMix {
+    let part = |mean, spread, max, distinct, skew| SegmentMix {
         tokens: Distribution::of(mean, spread, max),
-        things,
+        distinct,
         skew,
     };
     let draft = ClassMix {
@@ -149,14 +149,14 @@
         deadline_ms: 12_000,
         attempts: 2,
         priority: 0,
-        tries: 1,
+        max_retries: 1,
         value: 3.0,
         late_value: 0.9,
-        parts: vec![
+        shared_segments: vec![
             part(512.0, 0.4, 1280.0, 1, 0.0),
             part(4870.0, 0.7, 14_600.0, 930, 0.3),
         ],
-        own: Distribution::of(6610.0, 1.4, 54_600.0),
+        own_tokens: Distribution::of(6610.0, 1.4, 54_600.0),
         events: Distribution::of(38.2, 0.44, 112.0),
         ..ClassMix::default()
     };
@@ -170,14 +170,14 @@
         deadline_ms: 2500,
         attempts: 1,
         priority: 1,
-        tries: 1,
+        max_retries: 1,
         value: 2.0,
         late_value: 0.6,
-        parts: vec![
+        shared_segments: vec![
             part(341.0, 0.4, 851.0, 80, 0.0),
             part(227.0, 0.7, 681.0, 2336, 0.3),
         ],
-        own: Distribution::of(1800.0, 1.3, 6870.0),
+        own_tokens: Distribution::of(1800.0, 1.3, 6870.0),
         events: Distribution::of(2.26, 1.4, 9.0),
         ..ClassMix::default()
     };
@@ -190,7 +190,7 @@
         deadline_ms: 3000,
         attempts: 1,
         priority: 2,
-        tries: 1,
+        max_retries: 1,
         value: 1.0,
         late_value: 0.3,
         work_ms: Distribution {
@@ -217,8 +217,8 @@
     Mix {
         zones: vec![0, 2, 1, 0, 2, 1],
         nodes: vec![14, 15, 15, 14, 11, 13],
-        share: vec![1.0 / 6.0; 6],
-        region_ms: 20.0,
+        client_share: vec![1.0 / 6.0; 6],
+        cross_region_ms: 20.0,
         services: vec![
             ServiceMix {
                 name: "model".into(),
--- a/testbed/src/emulator/drawn.rs
+++ b/testbed/src/emulator/drawn.rs
@@ -57,8 +57,12 @@
 
 /// Milliseconds that a request of a kind keeps an engine busy, about.
 fn busy_ms(class: &ClassMix, engine: &EngineMix, slots: u32) -> f64 {
-    let shared: f64 = class.parts.iter().map(|part| part.tokens.mean).sum();
-    let prefill = (class.own.mean + MISS_SHARE * shared) / engine.read_per_ms;
+    let shared: f64 = class
+        .shared_segments
+        .iter()
+        .map(|part| part.tokens.mean)
+        .sum();
+    let prefill = (class.own_tokens.mean + MISS_SHARE * shared) / engine.read_per_ms;
     let steps = class.events.mean * f64::from(engine.stride);
     prefill + steps * engine.step_ms / f64::from(slots)
 }
@@ -106,8 +110,8 @@
         ..two_region_mix().services.remove(1)
     };
     Mix {
-        share: vec![1.0 / zones.len() as f64; zones.len()],
-        region_ms: draw.between((20.0, 55.0)),
+        client_share: vec![1.0 / zones.len() as f64; zones.len()],
+        cross_region_ms: draw.between((20.0, 55.0)),
         zones,
         nodes,
         services: vec![model, web],
@@ -123,7 +127,7 @@
         resume: urgent,
         attempts: 1 + u32::from(urgent),
         priority: u8::from(!urgent),
-        tries: 1,
+        max_retries: 1,
         value: 2.0 + f64::from(u8::from(urgent)),
         late_value: 0.6,
         ..ClassMix::default()
@@ -138,12 +142,12 @@
         aim_ms: u64::from(draw.count(5, 10)) * 100,
         gap_ms: u64::from(draw.count(3, 6)) * 100,
         deadline_ms: 8000,
-        parts: vec![SegmentMix {
+        shared_segments: vec![SegmentMix {
             tokens: Distribution::of(shared, 0.7, shared * 3.0),
-            things: draw.count(30, 900),
+            distinct: draw.count(30, 900),
             skew: 0.3,
         }],
-        own: Distribution::of(own, draw.between((1.0, 1.4)), own * 9.0),
+        own_tokens: Distribution::of(own, draw.between((1.0, 1.4)), own * 9.0),
         events: Distribution::of(draw.between((15.0, 40.0)), 0.6, 110.0),
         ..stream("long", urgent)
     }
@@ -157,12 +161,12 @@
         aim_ms: u64::from(draw.count(6, 8)) * 100,
         gap_ms: u64::from(draw.count(3, 6)) * 100,
         deadline_ms: 4000,
-        parts: vec![SegmentMix {
+        shared_segments: vec![SegmentMix {
             tokens: Distribution::of(shared, 0.6, shared * 3.0),
-            things: draw.count(500, 2500),
+            distinct: draw.count(500, 2500),
             skew: 0.3,
         }],
-        own: Distribution::of(own, 1.3, own * 5.0),
+        own_tokens: Distribution::of(own, 1.3, own * 5.0),
         events: Distribution::of(draw.between((2.0, 9.0)), 1.4, 30.0),
         ..stream("short", urgent)
     }
--- a/testbed/src/emulator/engine.rs
+++ b/testbed/src/emulator/engine.rs
@@ -1,19 +1,19 @@
-//! An emulated inference engine: continuous batching, chunked prefill, and a KV
-//! memory that running requests share with the prefix cache.
+//! An emulated inference engine: continuous batching by priority with preemption,
+//! chunked prefill, and a KV memory shared by running tasks and the prefix cache.
 
 use super::mix::EngineMix;
 use sorreldoor::proxy::PromptSegment;
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A request at an engine.
+/// An attempt at an engine. Lower `priority` is more urgent; `order` breaks ties.
 #[derive(Clone, Debug)]
 pub struct Task {
     pub attempt_id: u64,
     pub priority: u8,
     pub order: u64,
     pub prompt_segments: Vec<PromptSegment>,
-    /// Tokens that the client has already, and the total.
+    /// Tokens that the client has received before this attempt, and the total.
     pub received: u32,
     pub total: u32,
     /// Tokens generated here so far.
@@ -24,18 +24,18 @@
 #[derive(Clone, Debug)]
 struct RunningTask {
     task: Task,
-    /// Cached segments that it uses.
+    /// Cached segments that it uses; they are not evicted.
     pinned: Vec<u64>,
-    /// Tokens of memory of its own.
+    /// Tokens of memory that only this task uses.
     own_tokens: u64,
     prefill_left: u32,
     planned_tokens: u32,
-    /// Segments to be cached after prefill.
+    /// Segments that enter the cache after prefill.
     uncached_segments: Vec<PromptSegment>,
 }
 
 impl RunningTask {
-    /// Pairs of the prompt tokens planned for a step with those before them.
+    /// Number of pairs of a prompt token planned for the step with an earlier one.
     fn planned_pairs(&self) -> f64 {
         let prompt: u32 = self
             .task
@@ -56,7 +56,7 @@
     last_used: u64,
 }
 
-/// A result of a step, for the task `attempt_id`.
+/// A result of a step; the first field is the `attempt_id` of the task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineEvent {
     /// It was admitted to the batch.
@@ -65,12 +65,13 @@
     FirstToken(u64),
     /// The event with this number, and whether it is the last.
     Event(u64, u32, bool),
-    /// Its deadline passed; whether it had generated a token.
+    /// Its deadline passed; true if it had generated a token.
     Expired(u64, bool),
     /// Prefill of this segment is done.
     Prefilled(u64, PromptSegment),
 }
 
+/// The engine of one worker. Its owner alternates `plan_step` and `finish_step`.
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub mix: EngineMix,
@@ -82,7 +83,7 @@
     used_tokens: u64,
     use_count: u64,
     pub stepping: bool,
-    /// Tasks preempted for want of memory or a slot.
+    /// Number of preemptions for lack of memory or of a slot.
     pub preemptions: u64,
     events: Vec<EngineEvent>,
 }
@@ -116,13 +117,13 @@
         self.waiting_tasks.insert((t.priority, t.order), t);
     }
 
-    /// Whether a task needs more memory than the engine has.
+    /// Whether a task needs more memory than the engine has in all.
     pub fn exceeds_memory(&self, parts: &[PromptSegment], tokens: u32) -> bool {
         let sum: u64 = parts.iter().map(|p| u64::from(p.tokens)).sum();
         sum + u64::from(tokens) > self.mix.tokens
     }
 
-    /// Removes a task, as its client is gone.
+    /// Removes a waiting or running task and frees its memory.
     pub fn cancel_task(&mut self, attempt_id: u64) {
         self.waiting_tasks.retain(|_, t| t.attempt_id != attempt_id);
         if let Some(i) = self
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Evicts least recently used segments until `need` more tokens fit.
+    /// Evicts the least recently used unpinned segments until `need` more tokens fit;
+    /// false if they do not fit.
     fn evict_for(&mut self, need: u64) -> bool {
         while self.used_tokens + need > self.mix.tokens {
             let Some((_, id)) = self.unpinned_segments.pop_first() else {
@@ -180,7 +182,8 @@
         true
     }
 
-    /// The newest among the least urgent, if less urgent than `than`.
+    /// The index of the newest of the least urgent running tasks, if less urgent than
+    /// `than`.
     fn preemption_victim(&self, than: Option<u8>) -> Option<usize> {
         let all = self.running_tasks.iter().enumerate();
         all.filter(|(_, r)| than.is_none_or(|p| r.task.priority > p))
@@ -213,7 +216,7 @@
             let pinned: Vec<u64> = t.prompt_segments[..n].iter().map(|x| x.id).collect();
             pinned.iter().for_each(|id| self.pin(*id));
             let rest: u32 = t.prompt_segments[n..].iter().map(|x| x.tokens).sum();
-            // even for a fully cached prompt the last token is computed
+            // the last prompt token is computed even if the whole prompt is cached
             let prefill_left = (rest + t.received + t.generated).max(1);
             while !self.evict_for(u64::from(prefill_left) + 1) {
                 match self.preemption_victim(Some(p)) {
@@ -238,7 +241,8 @@
         }
     }
 
-    /// Plans the next step; how long it takes, in milliseconds, unless idle.
+    /// Admits tasks and plans the next step; returns its duration in milliseconds, or
+    /// `None` if no task runs.
     pub fn plan_step(&mut self) -> Option<f64> {
         self.admit();
         if self.running_tasks.is_empty() {
@@ -275,7 +279,7 @@
             .sum()
     }
 
-    /// The step is over.
+    /// Ends the planned step at `now`; returns its results.
     pub fn finish_step(&mut self, now: u64) -> Vec<EngineEvent> {
         let mut done = Vec::new();
         for i in 0..self.running_tasks.len() {
@@ -319,7 +323,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Adds the segments that a task read to the prefix cache.
+    /// Moves the prefilled segments of a task to the prefix cache.
     fn cache_prefilled(&mut self, i: usize) {
         for p in std::mem::take(&mut self.running_tasks[i].uncached_segments) {
             self.events.push(EngineEvent::Prefilled(
@@ -329,7 +333,7 @@
             let t = u64::from(p.tokens);
             self.running_tasks[i].own_tokens -= t.min(self.running_tasks[i].own_tokens);
             match self.prefix_cache.entry(p.id) {
-                // another task read the same segment meanwhile
+                // another task prefilled the same segment in the meantime
                 Entry::Occupied(_) => self.used_tokens -= t,
                 Entry::Vacant(v) => {
                     v.insert(CachedSegment {
@@ -359,7 +363,7 @@
         }
     }
 
-    /// Everything under way, as at a crash.
+    /// The ids of all waiting and running tasks.
     pub fn task_ids(&self) -> Vec<u64> {
         let w = self.waiting_tasks.values().map(|t| t.attempt_id);
         w.chain(self.running_tasks.iter().map(|r| r.task.attempt_id))
--- a/testbed/src/emulator/faults.rs
+++ b/testbed/src/emulator/faults.rs
@@ -84,7 +84,8 @@
                     let ms = self.mix.services[t.service].warmup_ms;
                     let to = self.now + micros(ms as f64);
                     // nodes know of it only once the list has told them
-                    let apply_update = self.now + micros(2.0 * self.mix.news_ms as f64 + 200.0);
+                    let apply_update =
+                        self.now + micros(2.0 * self.mix.update_delay_ms as f64 + 200.0);
                     self.workers[i].slow_start.push((apply_update.min(to), to));
                 }
                 self.publish_registry();
--- a/testbed/src/emulator/mix.rs
+++ b/testbed/src/emulator/mix.rs
@@ -4,15 +4,16 @@
 use crate::rand::Rand;
 use serde::Deserialize;
 
-/// A lognormal amount with this mean; `tail` of the draws are `tail_x` times it.
+/// A lognormal distribution; a share `tail` of the draws is multiplied by `tail_x`.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Distribution {
     pub mean: f64,
+    /// Standard deviation of the logarithm.
     pub spread: f64,
     pub tail: f64,
     pub tail_x: f64,
-    /// Cut off there; 0: nowhere.
+    /// The largest value that is returned; 0: no limit.
     pub max: f64,
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Over 0 and at most 1.
+/// A uniform number above 0 and at most 1.
 pub fn unit(r: &mut Rand) -> f64 {
     ((r.draw() >> 11) + 1) as f64 / (1u64 << 53) as f64
 }
@@ -56,19 +57,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct EngineMix {
+    /// Fixed part of a step.
     pub step_ms: f64,
+    /// Added to a step for each running task.
     pub per_slot_ms: f64,
-    /// For each 1000 tokens of context in the batch.
+    /// Added to a step for each 1000 tokens of context in the batch.
     pub per_k_ms: f64,
+    /// Prompt tokens prefilled in a millisecond.
     pub read_per_ms: f64,
-    /// Attention: for each million pairs of a prompt token with one before it.
+    /// Attention: added for each million pairs of a prompt token with an earlier one.
     pub pairs_ms_per_m: f64,
-    /// Between arrival and the queue.
+    /// Time from arrival to the queue.
     pub first_ms: f64,
+    /// Generated tokens in one event of a stream.
     pub stride: u32,
+    /// Prompt tokens prefilled in one step, at most.
     pub chunk: u32,
+    /// Capacity of the KV memory.
     pub tokens: u64,
-    /// The head comes on admission, not with the first token.
+    /// The response head is sent on admission, not with the first token.
     pub early_head: bool,
 }
 
@@ -89,6 +96,7 @@
     }
 }
 
+/// A service and its workers.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ServiceMix {
@@ -98,23 +106,25 @@
     pub slots: u32,
     pub queue: u32,
     pub max_conns: u32,
-    /// Slowness factors of workers, assigned in turn.
+    /// Factors on the duration of work, assigned to workers in turn.
     pub speeds: Vec<f64>,
     pub warmup_ms: u64,
     pub warmup_per_s: f64,
     pub engine: Option<EngineMix>,
 }
 
-/// A prompt segment that requests share.
+/// A prompt segment shared by requests: its length, and how many distinct ones exist.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct SegmentMix {
     pub tokens: Distribution,
-    pub things: u32,
-    /// 0: all things alike; 1: as the words of a text.
+    #[serde(rename = "things")]
+    pub distinct: u32,
+    /// Skew of their popularity: 0 is uniform, 1 is as the words of a text (Zipf).
     pub skew: f64,
 }
 
+/// A kind of request: its route, its arrival rate and its size.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ClassMix {
@@ -130,14 +140,17 @@
     pub deadline_ms: u64,
     pub attempts: u32,
     pub priority: u8,
-    /// Retries of the client, at most.
-    pub tries: u32,
-    /// The value of an answer in time, and late.
+    /// Most retries of a client.
+    #[serde(rename = "tries")]
+    pub max_retries: u32,
+    /// The value of an answer within its latency targets, and of a late one.
     pub value: f64,
     pub late_value: f64,
-    pub parts: Vec<SegmentMix>,
-    /// Tokens of its own.
-    pub own: Distribution,
+    #[serde(rename = "parts")]
+    pub shared_segments: Vec<SegmentMix>,
+    /// Prompt tokens that no other request shares.
+    #[serde(rename = "own")]
+    pub own_tokens: Distribution,
     pub events: Distribution,
     pub work_ms: Distribution,
 }
@@ -148,7 +161,7 @@
     }
 }
 
-/// One fault; `World::inject_fault` documents the fields for each kind.
+/// One fault or planned change; `World::inject_fault` documents the fields for each kind.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Fault {
@@ -161,7 +174,7 @@
     pub zone: u16,
 }
 
-/// Limits that are checked; the product gets those that it needs.
+/// Bounds that the checks apply; the balancer gets those of retries and slow start.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct BoundsMix {
@@ -192,31 +205,41 @@
     }
 }
 
+/// The settings of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Mix {
     pub seconds: f64,
-    /// Times all rates.
+    /// Factor on all arrival rates.
     pub load: f64,
     /// The region of each zone.
     pub zones: Vec<u8>,
     /// Nodes in each zone.
     pub nodes: Vec<u32>,
     /// Share of the clients in each zone.
-    pub share: Vec<f64>,
-    /// The rate swings by so much around its mean, within `period_s`.
+    #[serde(rename = "share")]
+    pub client_share: Vec<f64>,
+    /// Amplitude of the sine wave of the arrival rate, as a share of its mean; its
+    /// period is `period_s`.
     pub swing: f64,
     pub period_s: f64,
-    pub here_ms: f64,
-    pub zone_ms: f64,
-    pub region_ms: f64,
+    /// One-way network delays: within a zone, between zones of a region, between regions.
+    #[serde(rename = "here_ms")]
+    pub same_zone_ms: f64,
+    #[serde(rename = "zone_ms")]
+    pub same_region_ms: f64,
+    #[serde(rename = "region_ms")]
+    pub cross_region_ms: f64,
+    /// One-way network delay between a client and a node.
     pub client_ms: f64,
-    /// Control-plane updates reach a node after `news_ms` to twice that.
-    pub news_ms: u64,
+    /// Control-plane updates reach a node after this time to twice that.
+    #[serde(rename = "news_ms")]
+    pub update_delay_ms: u64,
     pub bounds: BoundsMix,
     pub services: Vec<ServiceMix>,
     pub classes: Vec<ClassMix>,
-    pub troubles: Vec<Fault>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 impl Default for Mix {
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -1,7 +1,7 @@
-//! A discrete-event emulation of a site: proxy nodes with the product's own load
-//! balancer, emulated workers with and without engines, clients, and faults.
-//! It replaces the proxy's sockets by events in virtual time, so that policies
-//! can be compared and invariants checked at full size within seconds.
+//! A deterministic discrete-event emulation of a site: proxy nodes that run the real
+//! load balancer, emulated workers with and without inference engines, clients, and
+//! faults. Events in virtual time replace the sockets, so that policies are compared
+//! and invariants checked at the size of a whole site within seconds.
 
 mod baseline;
 mod check;
@@ -55,15 +55,17 @@
 /// A message from a worker on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum WorkerMessage {
+    /// The head of the response.
     Head(LoadReport),
     Event(u32),
-    /// The whole answer, or the end of the stream.
+    /// The body of a plain response, or the end of the stream.
     End,
     Rejected(LoadReport),
     Misdirected,
-    /// A 504: the deadline passed after it started to run.
+    /// Status 504: the deadline passed while the request ran.
     TimedOut,
     Reset,
+    /// Bytes that are no valid response.
     Garbled,
 }
 
@@ -76,8 +78,9 @@
     Nodes(Vec<(String, u16)>),
 }
 
+/// An event of the simulation; `u32` after a node is the node's incarnation.
 pub(crate) enum SimEvent {
-    /// The next possible arrival of a request in this zone.
+    /// A candidate for an arrival in this zone; thinning decides whether a request arrives.
     NextArrival(usize),
     RequestArrived(usize, u32, usize),
     ClientDisconnected(usize, u32, usize),
@@ -97,10 +100,11 @@
     Call(Box<dyn FnOnce(&mut World)>),
 }
 
+/// An event with its time; `number` orders events of the same time.
 struct ScheduledEvent {
     at: Micros,
     number: u64,
-    ev: SimEvent,
+    event: SimEvent,
 }
 
 impl PartialEq for ScheduledEvent {
@@ -120,7 +124,7 @@
     }
 }
 
-/// The arrival of an attempt at a worker.
+/// The arrival of an attempt at a worker, for the checks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     /// When the node sent it, and when it arrived.
@@ -140,10 +144,11 @@
     pub to: Micros,
 }
 
+/// The state of a run: the site, the event queue, and what the checks need.
 pub struct World {
     pub(crate) now: Micros,
     pub(crate) rng: Rand,
-    /// For arrivals alone, so that all policies get the same requests.
+    /// Separate generator of arrivals, so that all policies get the same requests.
     pub(crate) arrival_rng: Rand,
     pub(crate) mix: Arc<Mix>,
     pub(crate) policy_kind: PolicyKind,
@@ -161,18 +166,18 @@
     pub(crate) evacuated: Vec<u16>,
     pub(crate) evacuations: Vec<Evacuation>,
     pub(crate) arrivals: Vec<Arrival>,
-    /// Ready nodes, as the directory lists them.
+    /// Ready nodes, as the directory of nodes lists them.
     pub(crate) ready: Vec<usize>,
-    /// Shared segments that some worker of a service has read.
+    /// Shared segments that some worker of a service has prefilled, by service.
     pub(crate) prefilled_segments: HashSet<(usize, u64)>,
     pub(crate) statistics: RunStatistics,
     /// Violations of invariants found during the run.
     pub(crate) violations: BTreeSet<String>,
-    /// Factors on the arrival rates by kind of request; and the zone that
-    /// clients of each zone use.
+    /// Factors on the arrival rates, by kind of request.
     pub(crate) rate_factors: Vec<f64>,
+    /// The zone that the clients of each zone use.
     pub(crate) zone_redirects: Vec<usize>,
-    /// Addresses of ended workers, with the time they became free.
+    /// Addresses of ended workers, with the time of their end.
     pub(crate) free_addresses: Vec<(Micros, SocketAddr)>,
     pub(crate) addresses_created: u32,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -217,35 +222,38 @@
         w.create_nodes();
         let at = micros(10_000.0);
         (0..w.mix.zones.len()).for_each(|z| w.push(at, SimEvent::NextArrival(z)));
-        for t in w.mix.troubles.clone() {
+        for t in w.mix.faults.clone() {
             w.call_at(at + micros(t.at_s * 1000.0), move |w| w.inject_fault(&t));
         }
         w
     }
 
-    /// Runs the whole mix, until the last client has ended.
+    /// Runs until no event is left; returns the final state.
     pub fn run(mut self) -> World {
         while let Some(Reverse(i)) = self.queue.pop() {
             self.now = i.at;
-            self.step(i.ev);
+            self.step(i.event);
         }
         self.statistics.set_duration(self.now);
         self
     }
 
+    /// The virtual time in milliseconds.
     pub(crate) fn now_ms(&self) -> u64 {
         self.now / 1000
     }
 
-    /// When the last request may arrive.
+    /// The end of arrivals.
     pub(crate) fn arrivals_end(&self) -> Micros {
         micros(10_000.0 + self.mix.seconds * 1000.0)
     }
 
-    pub(crate) fn push(&mut self, at: Micros, ev: SimEvent) {
+    /// Schedules an event, no earlier than now.
+    pub(crate) fn push(&mut self, at: Micros, event: SimEvent) {
         self.event_count += 1;
         let (at, number) = (at.max(self.now), self.event_count);
-        self.queue.push(Reverse(ScheduledEvent { at, number, ev }));
+        self.queue
+            .push(Reverse(ScheduledEvent { at, number, event }));
     }
 
     pub(crate) fn call_at(&mut self, at: Micros, f: impl FnOnce(&mut World) + 'static) {
@@ -256,9 +264,9 @@
     pub(crate) fn delay(&self, a: u16, b: u16) -> Micros {
         let m = &self.mix;
         micros(match (a == b, m.zones[a as usize] == m.zones[b as usize]) {
-            (true, _) => m.here_ms,
-            (_, true) => m.zone_ms,
-            _ => m.region_ms,
+            (true, _) => m.same_zone_ms,
+            (_, true) => m.same_region_ms,
+            _ => m.cross_region_ms,
         })
     }
 
@@ -281,7 +289,7 @@
         if let Some((n, incarnation)) = self.target(&ev) {
             let x = &self.nodes[n];
             if x.up && x.frozen_until > self.now {
-                // a frozen machine's sockets hold what came meanwhile
+                // the socket buffers of a frozen machine keep what arrives
                 let at = x.frozen_until;
                 return self.push(at, ev);
             }
--- a/testbed/src/emulator/responses.rs
+++ b/testbed/src/emulator/responses.rs
@@ -1,11 +1,11 @@
-//! Messages from workers to nodes, and the ends of attempts.
+//! How nodes handle messages from workers, time-outs and disconnected clients.
 
 use super::node::Phase;
 use super::*;
 use sorreldoor::balancer::AttemptOutcome;
 use sorreldoor::error::ErrorCode;
 
-/// Interval of checks for fail-over from a silent worker, in milliseconds.
+/// Interval of checks for fail-over from a silent worker.
 const RECHECK_MS: u64 = 100;
 
 impl World {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Closes the connection of an attempt.
+    /// Closes the connection of an attempt, if it is open.
     fn close_connection(&mut self, attempt_id: u64) {
         let s = &mut self.worker_attempts[attempt_id as usize];
         if !std::mem::replace(&mut s.open, false) {
@@ -44,27 +44,28 @@
             .push(self.now);
     }
 
-    /// The attempt ended without a usable answer.
-    fn attempt_failed(&mut self, attempt_id: u64, h: AttemptOutcome) {
+    /// Ends an attempt without a usable response; the policy decides what follows, unless
+    /// the request was canceled or its deadline passed.
+    fn attempt_failed(&mut self, attempt_id: u64, outcome: AttemptOutcome) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let Some(c) = self.current(attempt_id).cloned() else {
             return;
         };
-        match h {
+        match outcome {
             AttemptOutcome::Rejected(_) => self.keep_connection(attempt_id),
             _ => self.close_connection(attempt_id),
         }
-        let left = h == AttemptOutcome::Canceled;
-        self.record_outcome(s.node, s.request_id, h);
-        let late = self.now_ms() >= c.deadline;
+        let canceled = outcome == AttemptOutcome::Canceled;
+        self.record_outcome(s.node, s.request_id, outcome);
+        let deadline_passed = self.now_ms() >= c.deadline;
         let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
             return;
         };
         j.current = None;
         let head = j.head_sent;
-        if left || (late && c.phase == Phase::Head && !head) {
+        if canceled || (deadline_passed && c.phase == Phase::Head && !head) {
             self.finish_request(s.node, s.request_id);
-            return match left {
+            return match canceled {
                 true => self.send_to_client(s.client_attempt, ClientMessage::Cut),
                 false => self.answer(s.client_attempt, ErrorCode::DeadlineExceeded, 0),
             };
@@ -97,12 +98,12 @@
             Phase::Body => c.max_gap_ms,
             _ => c.head_timeout_ms,
         };
-        // a worker that answers others is slow, but not for twice as long
+        // twice the time-out suffices for fail-over, even if the worker answers others
         let hedged_early = c.hedged_early && c.phase == Phase::Head;
         let slow = hedged_early || now >= c.last_activity.saturating_add(2 * own);
         let silent = if slow { 0 } else { own };
         if c.phase == Phase::Body && !c.stream {
-            // once its head is there a plain answer is waited for to the end
+            // a plain response whose head has arrived is awaited until the deadline
         } else if self.nodes[n].policy.may_fail_over(request_id, silent, now) {
             return self.attempt_failed(attempt_id, AttemptOutcome::Failed);
         }
@@ -147,7 +148,7 @@
                 let Some(j) = self.nodes[s.node].in_progress.get_mut(&s.request_id) else {
                     return;
                 };
-                // the client already has events that are repeated
+                // events that the client has already received are dropped
                 if number > j.last_event {
                     (j.last_event, j.head_sent) = (number, true);
                     self.send_to_client(s.client_attempt, ClientMessage::Event(number, s.worker));
@@ -170,7 +171,7 @@
         }
     }
 
-    /// A worker's own failure is the answer, unless another may do better.
+    /// Passes on a 504 of a worker, unless the request may fail over.
     fn worker_failed(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let now = self.now_ms();
@@ -190,9 +191,9 @@
         self.send_to_client(s.client_attempt, ClientMessage::Answer(504, 0));
     }
 
-    /// The client is gone.
-    pub(super) fn client_disconnected(&mut self, n: usize, t: usize) {
-        let Some(request_id) = self.nodes[n].by_attempt.get(&t).copied() else {
+    /// Ends the request of a client that has disconnected.
+    pub(super) fn client_disconnected(&mut self, n: usize, client_attempt: usize) {
+        let Some(request_id) = self.nodes[n].by_attempt.get(&client_attempt).copied() else {
             return;
         };
         let current = self.nodes[n]
@@ -205,7 +206,7 @@
                 Phase::Connect => AttemptOutcome::ConnectFailed,
                 _ => AttemptOutcome::Canceled,
             };
-            // before the request was sent there is nothing to cancel
+            // nothing to cancel if the request was not sent yet
             if h == AttemptOutcome::Canceled {
                 self.record_outcome(n, request_id, h);
             }
--- a/testbed/src/emulator/statistics.rs
+++ b/testbed/src/emulator/statistics.rs
@@ -202,7 +202,7 @@
                 t.at_s, t.for_s
             )
         };
-        let all: Vec<String> = self.mix.troubles.iter().map(of).collect();
+        let all: Vec<String> = self.mix.faults.iter().map(of).collect();
         format!(
             "{}; own answers {:?}",
             all.join("; "),
--- a/testbed/src/emulator/worker.rs
+++ b/testbed/src/emulator/worker.rs
@@ -189,11 +189,11 @@
         };
         *running -= 1;
         let mut next = None;
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         while let Some(n) = queue.pop_front() {
             match &self.worker_attempts[n as usize] {
                 s if s.replies_stopped => {}
-                s if s.deadline <= now => over.push(n),
+                s if s.deadline <= now => expired.push(n),
                 _ => {
                     next = Some(n);
                     break;
@@ -202,7 +202,8 @@
         }
         *running += u32::from(next.is_some());
         let load = self.load(i);
-        over.into_iter()
+        expired
+            .into_iter()
             .for_each(|n| self.reply(n, WorkerMessage::Rejected(load)));
         if let Some(n) = next {
             let c = self.client_requests[self.client_attempts
@@ -275,7 +276,7 @@
                 EngineEvent::Admitted(attempt_id)
                     if early && !self.worker_attempts[attempt_id as usize].head_sent =>
                 {
-                    self.head(attempt_id, load);
+                    self.send_head(attempt_id, load);
                 }
                 EngineEvent::Admitted(_) => {}
                 EngineEvent::FirstToken(attempt_id) => {
@@ -284,7 +285,7 @@
                         attempt_id,
                     );
                     if !self.worker_attempts[attempt_id as usize].head_sent {
-                        self.head(attempt_id, load);
+                        self.send_head(attempt_id, load);
                     }
                 }
                 EngineEvent::Event(attempt_id, number, end) => {
@@ -299,18 +300,18 @@
                 EngineEvent::Expired(attempt_id, _) => {
                     self.reply(attempt_id, WorkerMessage::Rejected(load))
                 }
-                EngineEvent::Prefilled(attempt_id, p) => self.note_read(attempt_id, i, p),
+                EngineEvent::Prefilled(attempt_id, p) => self.record_prefill(attempt_id, i, p),
             }
         }
         self.plan(i);
     }
 
-    fn head(&mut self, attempt_id: u64, load: LoadReport) {
+    fn send_head(&mut self, attempt_id: u64, load: LoadReport) {
         self.worker_attempts[attempt_id as usize].head_sent = true;
         self.reply(attempt_id, WorkerMessage::Head(load));
     }
 
-    fn note_read(&mut self, attempt_id: u64, i: usize, p: sorreldoor::proxy::PromptSegment) {
+    fn record_prefill(&mut self, attempt_id: u64, i: usize, p: sorreldoor::proxy::PromptSegment) {
         let a = &self.client_requests[self.client_attempts
             [self.worker_attempts[attempt_id as usize].client_attempt]
             .request_index];
@@ -326,7 +327,7 @@
     }
 
     /// Sends a message back on the request's connection.
-    fn reply(&mut self, attempt_id: u64, a: WorkerMessage) {
+    fn reply(&mut self, attempt_id: u64, message: WorkerMessage) {
         let s = &self.worker_attempts[attempt_id as usize];
         let node = s.node;
         let Some(i) = s.connected_worker else { return };
@@ -338,7 +339,7 @@
             self.worker_attempts[attempt_id as usize].replies_stopped = true;
             return;
         }
-        let a = match (s.answer_fault, a) {
+        let message = match (s.answer_fault, message) {
             (
                 Some(AnswerFault::Lost),
                 WorkerMessage::Head(_) | WorkerMessage::Event(_) | WorkerMessage::End,
@@ -347,10 +348,10 @@
                 Some(AnswerFault::Garbled),
                 WorkerMessage::Head(_) | WorkerMessage::Event(_) | WorkerMessage::End,
             ) => WorkerMessage::Garbled,
-            (_, a) => a,
+            (_, message) => message,
         };
         let at = self.now + self.delay(self.workers[i].zone, self.nodes[node].zone);
-        self.push(at, SimEvent::FromWorker(attempt_id, a));
+        self.push(at, SimEvent::FromWorker(attempt_id, message));
     }
 
     /// The node has closed the connection.
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -70,7 +70,7 @@
         m.seconds = a.seconds;
     }
     if a.burst > 1.0 {
-        m.troubles.push(crate::emulator::Fault {
+        m.faults.push(crate::emulator::Fault {
             kind: "burst".into(),
             at_s: m.seconds / 3.0,
             for_s: 8.0,
@@ -90,7 +90,7 @@
     };
     for seed in a.from..a.from + a.n {
         let mut m = m.clone();
-        m.troubles.extend(random_faults(seed, &m, a.troubles));
+        m.faults.extend(random_faults(seed, &m, a.troubles));
         let w = World::new(seed, m, policy_kind).run();
         let t = w.statistics();
         if a.unserved {
--- a/testbed/tests/emulator.rs
+++ b/testbed/tests/emulator.rs
@@ -43,7 +43,7 @@
 #[test]
 fn runs_repeat_for_a_seed() {
     let mut m = small();
-    m.troubles = random_faults(3, &m, 5);
+    m.faults = random_faults(3, &m, 5);
     let (a, b) = (
         play(3, &m, PolicyKind::Balancer),
         play(3, &m, PolicyKind::Balancer),
@@ -63,7 +63,7 @@
     let mut bad = Vec::new();
     for seed in seeds(24) {
         let mut m = small();
-        m.troubles = random_faults(seed, &m, 6);
+        m.faults = random_faults(seed, &m, 6);
         let (violations, t) = play(seed, &m, PolicyKind::Balancer);
         println!("seed {seed}: {t}");
         bad.extend(violations.iter().map(|w| format!("seed {seed}: {w}")));
@@ -84,7 +84,7 @@
             service: 2,
             ..Fault::default()
         };
-        m.troubles = vec![t(2.0, 2, 5.0), t(9.0, 3, 0.0), t(11.0, 2, 0.5)];
+        m.faults = vec![t(2.0, 2, 5.0), t(9.0, 3, 0.0), t(11.0, 2, 0.5)];
         let (violations, t) = play(seed, &m, PolicyKind::Balancer);
         println!("seed {seed}: {t}");
         bad.extend(violations.iter().map(|w| format!("seed {seed}: {w}")));
@@ -122,35 +122,35 @@
 #[test]
 fn each_check_can_fail() {
     assert_detected(Violation::RetryAfterRun, "TWICE", |m| {
-        m.troubles = vec![one("lose", 3, 0.5, 1)];
+        m.faults = vec![one("lose", 3, 0.5, 1)];
     });
     assert_detected(Violation::RetryAfterRun, "REFUSED", |m| {
-        m.troubles = vec![one("lose", 4, 1.0, 1)];
+        m.faults = vec![one("lose", 4, 1.0, 1)];
     });
     assert_detected(Violation::IgnoreHomes, "HOME", |_| {});
     assert_detected(Violation::IgnoreEvacuations, "EVAC", |m| {
-        m.troubles = vec![one("evacuate", 0, 0.0, 0)];
+        m.faults = vec![one("evacuate", 0, 0.0, 0)];
     });
     assert_detected(Violation::IgnoreDrains, "DRAIN", |m| {
         m.bounds.drain_ms = 2000;
-        m.troubles = vec![one("drain", 3, 0.0, 0)];
+        m.faults = vec![one("drain", 3, 0.0, 0)];
     });
     assert_detected(Violation::IgnoreNewConfigurations, "CONFIG", |m| {
         let t = one("route", 2, 0.0, 2);
-        m.troubles = vec![t];
+        m.faults = vec![t];
     });
     assert_detected(Violation::NeverDecide, "END", |_| {});
     assert_detected(Violation::IgnoreSlowStart, "FAILBACK", |m| {
         m.services[0].warmup_per_s = 2.0;
         m.services[0].warmup_ms = 8000;
-        m.troubles = vec![one("crash", 6, 0.0, 0)];
-        m.troubles[0].for_s = 2.0;
+        m.faults = vec![one("crash", 6, 0.0, 0)];
+        m.faults[0].for_s = 2.0;
         m.load = 0.5;
     });
     assert_detected(Violation::UnlimitedRetries, "BUDGET", |m| {
         m.bounds.retry_slack = 4.0;
         m.classes[1].attempts = 4;
-        m.troubles = vec![one("lose", 8, 0.9, 0)];
+        m.faults = vec![one("lose", 8, 0.9, 0)];
     });
 }
 
