--- a/testbed/src/emulator/check.rs
+++ b/testbed/src/emulator/check.rs
@@ -1,8 +1,9 @@
-//! Checks of the invariants over the recorded events of a run.
+//! Checks of invariants over the records of a finished run. Each violation begins with
+//! the name of its invariant, such as `TWICE:`.
 
 use super::*;
 
-/// All violated invariants of a finished run; at most three cases of each.
+/// The violations of a finished run, at most three of each invariant.
 pub fn check(w: &World) -> Vec<String> {
     let kind = |s: &String| s.split(':').next().map(str::to_string);
     let mut found: HashMap<Option<String>, u32> = HashMap::new();
@@ -29,7 +30,7 @@
 }
 
 impl World {
-    /// Whether a node was without faults of its own for long enough.
+    /// Whether a node has had no fault of its own for `contact_ms` before `at`.
     fn connected_to_control_plane(&self, n: usize, at: Micros) -> bool {
         let span = micros(self.mix.bounds.contact_ms as f64);
         let fault_spans = |(a, b): &(Micros, Micros)| *a <= at && at < b.saturating_add(span);
@@ -40,33 +41,36 @@
         &self.mix.classes[self.client_requests[self.client_attempts[t].request_index].class]
     }
 
-    /// A route is there in every configuration that may be in force.
+    /// Records a 404: every configuration that may be in force has the route.
     pub(super) fn check_status(&mut self, t: usize, status: u16) {
         if status == 404 {
             let c = self.class(t).name.clone();
-            self.violations.insert(format!("DENIED: {c} got 404"));
+            self.violations
+                .insert(format!("DENIED: {c} was answered 404"));
         }
     }
 
-    /// The client timed out: by then the node has sent the request or rejected it.
+    /// Records a request that the node neither sent to a worker nor rejected before the
+    /// client timed out.
     pub(super) fn check_never_sent(&mut self, t: usize) {
         let x = &self.client_attempts[t];
-        // one that comes with less time than this may be let go by its caller
-        let preemption_victim = micros(self.class(t).aim_ms as f64 / 4.0 + 50.0);
+        // a client that times out sooner may leave the request undecided
+        let decision_time = micros(self.class(t).aim_ms as f64 / 4.0 + 50.0);
         if x.worker_attempts == 0
-            && self.now > x.sent + preemption_victim
+            && self.now > x.sent + decision_time
             && self.connected_to_control_plane(x.node, self.now)
         {
             let (c, ms) = (&self.class(t).name, x.sent / 1000);
             let s = format!(
-                "END: {c} try of {ms} ms, {} ms long, was held and never sent",
+                "END: {c} attempt sent at {ms} ms was held for {} ms and never sent to a worker",
                 (self.now - x.sent) / 1000
             );
             self.violations.insert(s);
         }
     }
 
-    /// Services that may run a request sent at `at`, as of `now`.
+    /// Services that a request sent at `at` may reach at `now`, by the configurations in
+    /// force in between.
     fn allowed(&self, class: usize, at: Micros, now: Micros) -> Vec<usize> {
         let span = micros(self.mix.bounds.apply_ms as f64);
         let old = |i: &usize| {
@@ -90,35 +94,38 @@
         }
         if x.ran.len() > 1 {
             out.push(format!(
-                "TWICE: {} try {t} ran {} times",
+                "TWICE: {} attempt {t} ran {} times",
                 c.name,
                 x.ran.len()
             ));
         }
         if x.rejected && !x.ran.is_empty() {
-            out.push(format!("REFUSED: {} try {t} was refused and ran", c.name));
+            out.push(format!(
+                "REFUSED: {} attempt {t} was rejected and ran",
+                c.name
+            ));
         }
     }
     out
 }
 
 fn check_homes(w: &World) -> Vec<String> {
-    let bad = |a: &&Arrival| {
+    let violates = |a: &&Arrival| {
         let h = &w.class(a.client_attempt).homes;
         !a.misdirected && !h.is_empty() && !h.contains(&w.workers[a.worker].region)
     };
     let describe = |a: &Arrival| {
         format!(
-            "HOME: try {} at {}",
+            "HOME: attempt {} arrived at {} outside its homes",
             a.client_attempt, w.workers[a.worker].name
         )
     };
-    w.arrivals.iter().filter(bad).map(describe).collect()
+    w.arrivals.iter().filter(violates).map(describe).collect()
 }
 
 fn check_evacuations(w: &World) -> Vec<String> {
     let span = micros(w.mix.bounds.evac_ms as f64);
-    let bad = |a: &&Arrival| {
+    let violates = |a: &&Arrival| {
         let z = w.workers[a.worker].zone;
         let hit = |e: &Evacuation| e.zone == z && a.at > e.from + span && a.at < e.to;
         !a.misdirected
@@ -127,16 +134,16 @@
     };
     let describe = |a: &Arrival| {
         format!(
-            "EVAC: zone {} at {} ms",
+            "EVAC: request arrived in evacuated zone {} at {} ms",
             w.workers[a.worker].zone,
             a.at / 1000
         )
     };
-    w.arrivals.iter().filter(bad).map(describe).collect()
+    w.arrivals.iter().filter(violates).map(describe).collect()
 }
 
 fn check_drains(w: &World) -> Vec<String> {
-    let bad = |a: &&Arrival| {
+    let violates = |a: &&Arrival| {
         let closed_at = w.workers[a.worker].closed_at;
         !a.misdirected
             && closed_at.is_some_and(|t| a.at > t)
@@ -145,11 +152,11 @@
     let describe = |a: &Arrival| {
         let x = &w.workers[a.worker];
         format!(
-            "DRAIN: {} leaving since {:?} us, reached at {} us",
+            "DRAIN: {} draining since {:?} us, request arrived at {} us",
             x.name, x.leaving, a.at
         )
     };
-    w.arrivals.iter().filter(bad).map(describe).collect()
+    w.arrivals.iter().filter(violates).map(describe).collect()
 }
 
 fn check_routes(w: &World) -> Vec<String> {
@@ -166,7 +173,7 @@
         };
         if !w.configuration_versions.iter().any(ever) {
             out.push(format!(
-                "ROUTE: try {} at a service that never had it",
+                "ROUTE: attempt {} at a service that no configuration routes it to",
                 a.client_attempt
             ));
         }
@@ -174,7 +181,7 @@
             && w.connected_to_control_plane(a.node, a.sent)
         {
             out.push(format!(
-                "CONFIG: try {} sent at {} us by an older route",
+                "CONFIG: attempt {} sent at {} us by an outdated route",
                 a.client_attempt, t.sent
             ));
         }
@@ -193,18 +200,18 @@
         if x.up && (open > 0 || waiting > 0 || !x.in_progress.is_empty()) {
             let n = x.in_progress.len();
             out.push(format!(
-                "END: node {i} holds {open}, {waiting} waiting, {n} jobs"
+                "END: node {i} has {open} requests open in its policy, {waiting} waiting, {n} in progress"
             ));
         }
     }
     let left = w.unanswered_tasks();
     if left > 0 {
-        out.push(format!("END: engines hold {left}"));
+        out.push(format!("END: {left} tasks left at engines"));
     }
     out
 }
 
-/// How many of the sorted `v` lie over `a` and up to `b`.
+/// How many of the sorted times `v` lie after `a` and up to `b`.
 fn within(v: &[Micros], a: Micros, b: Micros) -> usize {
     v.partition_point(|t| *t <= b) - v.partition_point(|t| *t <= a)
 }
@@ -215,14 +222,14 @@
     let mut out = Vec::new();
     for (s, service_index) in w.mix.services.iter().enumerate() {
         let mut found = HashSet::new();
-        let mut beyond: Vec<Micros> = Vec::new();
+        let mut retries: Vec<Micros> = Vec::new();
         for a in w
             .arrivals
             .iter()
             .filter(|a| w.workers[a.worker].service_index == s)
         {
             if !found.insert(a.client_attempt) {
-                beyond.push(a.at);
+                retries.push(a.at);
             }
         }
         let on = |t: &&ClientAttempt| {
@@ -236,17 +243,17 @@
             .map(|t| t.sent)
             .collect();
         requested.sort_unstable();
-        beyond.sort_unstable();
-        for end in beyond.iter().flat_map(|t| [*t, *t + span - 1]) {
+        retries.sort_unstable();
+        for end in retries.iter().flat_map(|t| [*t, *t + span - 1]) {
             let from = |n: Micros| end.saturating_sub(n);
             let base = within(&requested, from(span), end)
                 .max(within(&requested, from(2 * span), from(span)))
                 .max(within(&requested, from(span + span / 2), from(span / 2)));
-            let n = within(&beyond, from(span), end);
-            let most = b.retry_ratio * base as f64 + b.retry_slack;
-            if n as f64 > most {
+            let n = within(&retries, from(span), end);
+            let limit = b.retry_ratio * base as f64 + b.retry_slack;
+            if n as f64 > limit {
                 out.push(format!(
-                    "BUDGET: {} had {n} further arrivals by {} ms, over {most:.0}",
+                    "BUDGET: {} got {n} retries within the window up to {} ms, limit {limit:.0}",
                     service_index.name,
                     end / 1000
                 ));
@@ -269,16 +276,16 @@
     let mut out = Vec::new();
     for (i, v) in by {
         let x = &w.workers[i];
-        let most = w.mix.services[x.service_index].warmup_per_s * b.warmup_excess + b.warmup_slack;
+        let limit = w.mix.services[x.service_index].warmup_per_s * b.warmup_excess + b.warmup_slack;
         let worst = v.iter().map(|(end, _)| {
             let from = end.saturating_sub(micros(1000.0));
             let hit = |(at, sent): &&(Micros, Micros)| *at <= *end && *sent > from;
             v.iter().filter(hit).count()
         });
         let worst = worst.max().unwrap_or(0);
-        if worst as f64 > most {
+        if worst as f64 > limit {
             out.push(format!(
-                "FAILBACK: {} took {worst} in a second, over {most:.0}",
+                "FAILBACK: {} got {worst} requests in a second of slow start, limit {limit:.0}",
                 x.name
             ));
         }
--- a/testbed/src/emulator/control_plane.rs
+++ b/testbed/src/emulator/control_plane.rs
@@ -1,5 +1,5 @@
-//! The control plane: updates of configurations, workers, zones and nodes, each
-//! delivered after a random delay.
+//! The control plane: broadcasts configurations, the worker registry, evacuations and
+//! the list of nodes; each update reaches each node after a random delay, in order.
 
 use super::node::Node;
 use super::policy::HOST;
@@ -49,18 +49,18 @@
             routes: routes.map(Arc::new).collect(),
             ..Hosted::default()
         };
-        index(&mut h);
+        index_routes(&mut h);
         h
     }
 
-    /// Changes the configuration: it is acknowledged now and then broadcast.
+    /// Acknowledges a changed configuration now and broadcasts it.
     pub(super) fn change_configuration(&mut self, f: impl FnOnce(&mut Hosted)) {
         let Some((_, last)) = self.configuration_versions.last() else {
             return;
         };
         let mut h = (**last).clone();
         f(&mut h);
-        index(&mut h);
+        index_routes(&mut h);
         let h = Arc::new(h);
         self.configuration_versions.push((self.now, h.clone()));
         self.broadcast(ControlUpdate::Hosted(h));
@@ -115,7 +115,7 @@
             });
         }
         (0..self.nodes.len()).for_each(|n| self.send_snapshot(n));
-        self.directory();
+        self.update_directory();
     }
 
     fn new_policy(&self, name: &str, zone: u16, incarnation: u32) -> Box<dyn Policy> {
@@ -145,11 +145,11 @@
         (0..self.nodes.len()).for_each(|i| self.deliver(i, n.clone()));
     }
 
-    /// An update reaches a node between `update_delay_ms` and twice that later.
+    /// Schedules an update for a node, after `update_delay_ms` to twice that.
     fn deliver(&mut self, i: usize, n: ControlUpdate) {
         let ms = self.mix.update_delay_ms;
         let at = self.now + micros((ms + self.rng.below(ms + 1)) as f64);
-        // a node's session delivers updates in order
+        // updates to a node arrive in order
         let x = &mut self.nodes[i];
         x.last_update = x.last_update.max(at);
         let (at, incarnation) = (x.last_update, x.incarnation);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Sends a node all that it needs after a start.
+    /// Sends a node the current state of all that is broadcast.
     pub(super) fn send_snapshot(&mut self, i: usize) {
         if let Some((_, h)) = self.configuration_versions.last().cloned() {
             self.deliver(i, ControlUpdate::Hosted(h));
@@ -173,7 +173,7 @@
         self.ready.iter().map(of).collect()
     }
 
-    /// Starts a new incarnation of a node, with an empty memory.
+    /// Starts a new incarnation of a node, without any state of the previous one.
     pub(super) fn restart_node(&mut self, i: usize) {
         let x = &self.nodes[i];
         let (name, zone, incarnation) = (x.name.clone(), x.zone, x.incarnation + 1);
@@ -202,15 +202,16 @@
             ControlUpdate::Nodes(all) => node.policy.update_nodes(all),
         }
         if !self.ready.contains(&n) && node.received == (true, true) {
-            self.call_at(self.now + micros(500.0), |w| w.directory());
+            self.call_at(self.now + micros(500.0), |w| w.update_directory());
         }
     }
 
-    /// Updates the list of ready nodes; a frozen node drops out after a time-out.
-    pub(super) fn directory(&mut self) {
-        let silent = micros(2000.0);
+    /// Updates the list of ready nodes and broadcasts a change; a node frozen for longer
+    /// than a time-out is left out.
+    pub(super) fn update_directory(&mut self) {
+        let timeout = micros(2000.0);
         let now = self.now;
-        let fit = |x: &Node| x.up && x.received == (true, true) && x.frozen_until <= now + silent;
+        let fit = |x: &Node| x.up && x.received == (true, true) && x.frozen_until <= now + timeout;
         let all = (0..self.nodes.len()).filter(|n| fit(&self.nodes[*n]));
         let all: Vec<usize> = all.collect();
         if all != self.ready {
@@ -220,6 +221,7 @@
         }
     }
 
+    /// Begins or ends the evacuation of a zone.
     pub(super) fn set_evacuated(&mut self, zone: u16, on: bool) {
         let now = self.now;
         if on {
@@ -241,7 +243,8 @@
     }
 }
 
-fn index(h: &mut Hosted) {
+/// Orders the routes by prefix, longest first, for look-ups.
+fn index_routes(h: &mut Hosted) {
     let mut all: Vec<u32> = (0..h.routes.len() as u32).collect();
     let of = |i: &u32| &h.routes[*i as usize].prefix;
     all.sort_by(|a, b| {
--- a/testbed/src/emulator/deployments.rs
+++ b/testbed/src/emulator/deployments.rs
@@ -1,4 +1,4 @@
-//! Deployments to play: fixed ones, and others drawn from a seed.
+//! Fixed deployments for the comparison of policies.
 
 use super::mix::{BoundsMix, ClassMix, Distribution, EngineMix, Mix, SegmentMix, ServiceMix};
 
@@ -67,7 +67,7 @@
     ]
 }
 
-/// Two regions, three zones; 18 model workers of 48 slots, 12 nodes, 298 a second.
+/// Two regions, three zones; 18 model workers of 48 slots, 12 nodes, 298 requests per second.
 pub fn two_region_mix() -> Mix {
     Mix {
         seconds: 30.0,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Three regions, six zones; 90 model workers of 12 slots, 93 nodes, 900 a second.
+/// Three regions, six zones; 90 model workers of 12 slots, 93 nodes, 900 requests per second.
 pub fn three_region_mix() -> Mix {
     let mut m = two_region_mix();
     m.zones = vec![0, 0, 1, 1, 2, 2];
@@ -131,8 +131,8 @@
 }
 
 /// Three regions of unequal capacity, six zones; 72 model workers of 16 slots, 82
-/// nodes, 910 a second. The most urgent requests are the long ones, and the most
-/// frequent ones are bound to two of the regions.
+/// nodes, 910 requests per second. The most urgent requests are the long ones, and the most
+/// frequent ones are restricted to two of the regions.
 pub fn uneven_region_mix() -> Mix {
     let part = |mean, spread, max, distinct, skew| SegmentMix {
         tokens: Distribution::of(mean, spread, max),
--- a/testbed/src/emulator/drawn.rs
+++ b/testbed/src/emulator/drawn.rs
@@ -1,20 +1,20 @@
-//! Deployments drawn from a seed: regions of unequal capacity, few or many nodes,
-//! short and long prompts, with and without homes. No policy is tuned on them.
+//! Random deployments from a seed: regions of unequal capacity, few or many nodes,
+//! short and long prompts, with and without homes.
 
 use super::deployments::two_region_mix;
 use super::mix::{ClassMix, Distribution, EngineMix, Mix, SegmentMix, ServiceMix};
 use crate::rand::Rand;
 
-/// Share of the time of all engines that the requests ask for, at least and at most.
+/// Range of the share of all engine time that the requests need.
 const UTILIZATION: (f64, f64) = (0.15, 0.4);
-/// Part of it that long prompts take.
+/// Range of the share of that load that long prompts make up.
 const LONG_SHARE: (f64, f64) = (0.2, 0.6);
-/// Requests a second of the plain service for each of its workers.
+/// Requests per second for each worker of the plain service.
 const PLAIN_PER_WORKER: f64 = 25.0;
-/// Of the prompt's shared tokens, those that are read in spite of the prefix cache.
+/// Assumed share of the shared prompt tokens that miss the prefix cache.
 const MISS_SHARE: f64 = 0.3;
 
-/// Draws numbers of a deployment.
+/// Random generator with the draws that a deployment needs.
 struct Draw(Rand);
 
 impl Draw {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The regions that a kind of request is bound to; none: any.
+    /// The regions that a kind of request is restricted to; empty: all regions.
     fn homes(&mut self, regions: u8) -> Vec<u8> {
         match regions > 1 && self.chance(0.5) {
             true => (0..self.count(1, u32::from(regions) - 1) as u8).collect(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Milliseconds that a request of a kind keeps an engine busy, about.
+/// Estimated engine time of a request, in milliseconds.
 fn busy_ms(class: &ClassMix, engine: &EngineMix, slots: u32) -> f64 {
     let shared: f64 = class
         .shared_segments
@@ -67,7 +67,7 @@
     prefill + steps * engine.step_ms / f64::from(slots)
 }
 
-/// A deployment without faults, by its seed.
+/// The deployment of a seed, without faults.
 #[must_use]
 pub fn drawn_mix(seed: u64) -> Mix {
     let mut draw = Draw(Rand::new(seed));
--- a/testbed/src/emulator/faults.rs
+++ b/testbed/src/emulator/faults.rs
@@ -3,13 +3,14 @@
 use super::worker::{AnswerFault, Backend};
 use super::*;
 
-/// A crashed worker stays registered for so long, in milliseconds.
-const CRASH_LISTED: f64 = 3000.0;
-/// A started worker is registered after so long, in milliseconds.
-const START_LISTED: f64 = 500.0;
+/// How long a crashed worker stays registered.
+const CRASH_DEREGISTRATION_MS: f64 = 3000.0;
+/// Time from the start of a worker to its registration.
+const START_REGISTRATION_MS: f64 = 500.0;
 
 impl World {
-    /// Picks `n` random workers of a service that are up and not draining.
+    /// Up to `n` random workers of a service that are up and not draining; one is left
+    /// out, so that the service keeps a worker.
     fn pick_workers(&mut self, service_index: usize, n: u32) -> Vec<usize> {
         let fit = |w: &EmulatedWorker| {
             w.service_index == service_index && w.ended_at.is_none() && w.leaving.is_none()
@@ -17,7 +18,6 @@
         let all = 0..self.workers.len();
         let mut all: Vec<usize> = all.filter(|i| fit(&self.workers[*i])).collect();
         let mut out = Vec::new();
-        // some worker must be left, or there is nothing to compare
         while out.len() < n as usize && all.len() > 1 {
             let i = self.rng.below(all.len() as u64) as usize;
             out.push(all.swap_remove(i));
@@ -25,6 +25,7 @@
         out
     }
 
+    /// Up to `n` random nodes that are up and not frozen; one is left out.
     fn pick_nodes(&mut self, n: u32) -> Vec<usize> {
         let now = self.now;
         let fit = |i: &usize| self.nodes[*i].up && self.nodes[*i].frozen_until <= now;
@@ -37,28 +38,29 @@
         out
     }
 
+    /// Begins a fault, and schedules its end after `for_s`.
     pub(super) fn inject_fault(&mut self, t: &Fault) {
         let end = self.now + micros(t.for_s * 1000.0);
         match t.kind.as_str() {
-            // `count` workers end and, after `for_s` (0: never), start anew
+            // `count` workers crash and restart after `for_s` (0: never)
             "crash" => {
                 let back = (t.for_s > 0.0).then_some(t.for_s);
                 let all = self.pick_workers(t.service, t.count);
                 all.into_iter()
                     .for_each(|i| self.crash_worker(i, back, true));
             }
-            // silent for `for_s`
+            // `count` workers send nothing for `for_s`
             "dark" => {
                 for i in self.pick_workers(t.service, t.count) {
                     self.workers[i].silent_until = end;
                 }
             }
-            // leaving, for good
+            // `count` workers drain and end
             "drain" => {
                 let all = self.pick_workers(t.service, t.count);
                 all.into_iter().for_each(|i| self.drain(i, false));
             }
-            // one after the other leaves, `x` seconds apart, and another starts
+            // `count` workers drain, `x` seconds apart, each replaced by a new one
             "replace" => {
                 let all = self.pick_workers(t.service, t.count);
                 for (n, i) in all.into_iter().enumerate() {
@@ -66,7 +68,7 @@
                     self.call_at(at, move |w| w.drain(i, true));
                 }
             }
-            // gone after `for_s` whatever it runs
+            // `count` workers announce their end and end after `for_s`, even if busy
             "notice" => {
                 for i in self.pick_workers(t.service, t.count) {
                     let w = &mut self.workers[i];
@@ -78,25 +80,24 @@
                 }
                 self.publish_registry();
             }
-            // cold again, for the service's own time
+            // `count` workers enter slow start again, for the service's warm-up time
             "cold" => {
                 for i in self.pick_workers(t.service, t.count) {
                     let ms = self.mix.services[t.service].warmup_ms;
                     let to = self.now + micros(ms as f64);
-                    // nodes know of it only once the list has told them
-                    let apply_update =
-                        self.now + micros(2.0 * self.mix.update_delay_ms as f64 + 200.0);
-                    self.workers[i].slow_start.push((apply_update.min(to), to));
+                    // the bound applies once nodes have the new registry
+                    let known_at = self.now + micros(2.0 * self.mix.update_delay_ms as f64 + 200.0);
+                    self.workers[i].slow_start.push((known_at.min(to), to));
                 }
                 self.publish_registry();
             }
-            // answers 503 for `for_s`
+            // `count` workers answer 503 for `for_s`
             "full" => {
                 for i in self.pick_workers(t.service, t.count) {
                     self.workers[i].overloaded_until = end;
                 }
             }
-            // a share `x` of the answers is lost, or is no answer
+            // a share `x` of the responses of `count` workers is reset, or is garbage
             "lose" | "garble" => {
                 let k = match t.kind.as_str() {
                     "lose" => AnswerFault::Lost,
@@ -106,7 +107,7 @@
                     self.workers[i].answer_fault = Some((k, t.x, end));
                 }
             }
-            // takes `x` times as long
+            // `count` workers take `x` times as long
             "slow" => {
                 for i in self.pick_workers(t.service, t.count) {
                     let was = self.workers[i].speed;
@@ -123,15 +124,16 @@
                     self.nodes[n].frozen_until = end;
                     self.nodes[n].fault_spans.push((self.now, end));
                 }
-                self.call_at(self.now + micros(2000.0), |w| w.directory());
-                self.call_at(end + micros(1000.0), |w| w.directory());
+                self.call_at(self.now + micros(2000.0), |w| w.update_directory());
+                self.call_at(end + micros(1000.0), |w| w.update_directory());
             }
             "evacuate" => {
                 let z = t.zone;
                 self.set_evacuated(z, true);
                 self.call_at(end, move |w| w.set_evacuated(z, false));
             }
-            // kind of request `count` goes to `service`, and back after `for_s`
+            // the kind of request with index `count` is routed to `service`, and back after
+            // `for_s` (0: never)
             "route" => {
                 let (c, s) = (t.count as usize, t.service as u16);
                 let was = self.mix.classes[c].service as u16;
@@ -146,7 +148,7 @@
                     });
                 }
             }
-            // all kinds, or the kind `count` alone, come `x` times as often
+            // all kinds, or the kind with index `count`, arrive `x` times as often
             "burst" | "long" => {
                 let all = t.kind == "burst";
                 let of = move |i: usize| all || i == t.count as usize;
@@ -158,7 +160,7 @@
                     hit.iter().for_each(|i| w.rate_factors[*i] = 1.0);
                 });
             }
-            // callers of a zone turn up in the next one
+            // the clients of a zone use the next zone
             "shift" => {
                 let z = t.zone as usize;
                 self.zone_redirects[z] = (z + 1) % self.zone_redirects.len();
@@ -166,18 +168,18 @@
             }
             k => {
                 self.violations
-                    .insert(format!("MIX: there is no trouble {k:?}"));
+                    .insert(format!("MIX: unknown kind of fault {k:?}"));
             }
         }
     }
 
-    /// Ends a worker at once and restarts it `back` seconds later, at another
-    /// address if its own is taken.
+    /// Ends a worker at once and, if `back` is given, starts another after that many
+    /// seconds, at the same address unless that is taken.
     pub(super) fn crash_worker(&mut self, i: usize, back: Option<f64>, _own: bool) {
         self.end_worker(i);
         let w = &self.workers[i];
         let (service_index, zone, speed, addr) = (w.service_index, w.zone, w.speed, w.addr);
-        self.call_at(self.now + micros(CRASH_LISTED), move |w| {
+        self.call_at(self.now + micros(CRASH_DEREGISTRATION_MS), move |w| {
             w.unregister(i);
             w.publish_registry();
         });
@@ -186,7 +188,7 @@
             let free = !w.by_addr.contains_key(&addr);
             let i = w.start_worker(service_index, zone, speed, free.then_some(addr), true);
             w.workers[i].listed = false;
-            w.call_at(w.now + micros(START_LISTED), move |w| {
+            w.call_at(w.now + micros(START_REGISTRATION_MS), move |w| {
                 w.workers[i].listed = w.workers[i].ended_at.is_none();
                 w.publish_registry();
             });
@@ -218,7 +220,7 @@
         });
     }
 
-    /// Ends the process of a node with all its connections.
+    /// Ends the process of a node with all its connections; it restarts at `back`.
     fn kill_node(&mut self, n: usize, back: Micros) {
         let from = self.now;
         self.nodes[n].up = false;
@@ -245,11 +247,11 @@
             let at = from + micros(self.mix.client_ms);
             self.push(at, SimEvent::ClientMessage(t, ClientMessage::Cut));
         }
-        self.call_at(from + micros(1500.0), |w| w.directory());
+        self.call_at(from + micros(1500.0), |w| w.update_directory());
         self.call_at(back, move |w| w.restart_node(n));
     }
 
-    /// Tasks at engines that were never answered, for the end of a run.
+    /// Number of tasks left at the engines of running workers.
     pub(super) fn unanswered_tasks(&self) -> usize {
         let of = |w: &EmulatedWorker| match &w.backend {
             Backend::Engine(e) if w.ended_at.is_none() => e.task_ids().len(),
--- a/testbed/src/emulator/random_faults.rs
+++ b/testbed/src/emulator/random_faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed.
+//! Random faults from a seed.
 
 use super::mix::{Fault, Mix};
 use crate::rand::Rand;
@@ -9,7 +9,7 @@
     "kill", "freeze", "evacuate", "burst", "long", "shift",
 ];
 
-/// Draws `n` faults within the time of the mix, with time for recovery after them.
+/// `n` faults within the duration of the mix; the last seconds are left for recovery.
 pub fn random_faults(seed: u64, m: &Mix, n: usize) -> Vec<Fault> {
     let mut r = Rand::new(seed ^ 0x5702);
     let nodes: u32 = m.nodes.iter().sum();
--- a/testbed/src/emulator/statistics.rs
+++ b/testbed/src/emulator/statistics.rs
@@ -1,4 +1,4 @@
-//! Statistics of a run.
+//! Statistics of a run: how requests ended, latencies, and the work of the workers.
 
 use super::clients::RequestEnd;
 use super::*;
@@ -9,22 +9,24 @@
 pub struct RunStatistics {
     pub requested: u64,
     pub served: u64,
-    /// Served, but later than the latency target or with too long a gap.
+    /// Served, but later than the latency target or with a gap above the limit.
     pub late: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// Milliseconds to the first event or the whole answer, sorted.
+    /// Time to the first event or to the end of a plain response, sorted.
     pub first_event_ms: Vec<f64>,
-    /// The longest gap within a stream, in milliseconds.
+    /// The longest gap within any stream.
     pub max_gap_ms: f64,
-    /// The longest gap of each stream, in milliseconds, sorted.
+    /// The longest gap of each stream, sorted.
     pub gaps_ms: Vec<f64>,
     /// By kind of request: requested, served, and in time.
     pub by_kind: Vec<(String, [u64; 3])>,
-    /// Prompt tokens read, and tokens of shared segments read more than once.
+    /// Prompt tokens prefilled, and those of shared segments that the same service had
+    /// prefilled before.
     pub prefill_tokens: u64,
     pub recomputed_tokens: u64,
-    /// Attempts within a zone, to another zone, to another region.
+    /// Attempts at workers in the zone of the node, in another zone of its region, and in
+    /// another region.
     pub same_zone_attempts: u64,
     pub same_region_attempts: u64,
     pub cross_region_attempts: u64,
@@ -35,14 +37,14 @@
     /// quarter of the latency target.
     pub idle_rejections: u64,
     pub late_rejections: u64,
-    /// Rejections by kind of request and error: all, and while idle.
+    /// Rejections by kind of request and error: all, and those counted as idle.
     pub rejections_by_error: BTreeMap<String, (u64, u64)>,
     pub connections: u64,
     pub preemptions: u64,
-    /// Served in time, of the requests of each second.
+    /// By second of arrival: requests served in time, and all requests.
     pub by_second: Vec<(u32, u32)>,
     pub value: ValueByKind,
-    /// Virtual milliseconds until the last event.
+    /// Virtual time of the last event.
     pub duration_ms: u64,
 }
 
@@ -50,7 +52,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "asked {} served {} late {} refused {} failed {} retries {} refusals {} first {:.0}/{:.0}/{:.0}",
+            "requests {} served {} late {} rejected {} failed {} retries {} rejections {} first event ms p50/p95/p99 {:.0}/{:.0}/{:.0}",
             self.requested,
             self.served,
             self.late,
@@ -78,11 +80,12 @@
         }
     }
 
-    /// The value below which a share `q` of the first events lies.
+    /// The `q` quantile of the time to the first event, in milliseconds.
     pub fn first_event_quantile(&self, q: f64) -> f64 {
         quantile(&self.first_event_ms, q)
     }
 
+    /// The `q` quantile of the longest gaps of streams, in milliseconds.
     pub fn gap_quantile(&self, q: f64) -> f64 {
         quantile(&self.gaps_ms, q)
     }
@@ -140,7 +143,7 @@
         self.gaps_ms.sort_by(f64::total_cmp);
     }
 
-    /// The lowest share in time over `n` seconds in a row.
+    /// The lowest share of requests served in time within `n` consecutive seconds.
     pub fn worst_in_time_share(&self, n: usize) -> f64 {
         let of = |w: &[(u32, u32)]| {
             let (a, b) = w.iter().fold((0, 0), |x, y| (x.0 + y.0, x.1 + y.1));
@@ -192,25 +195,25 @@
         }
     }
 
-    /// The faults of this run, and the rejections.
+    /// A line with the faults of this run and the rejections.
     pub fn describe(&self) -> String {
         let of = |t: &Fault| {
             let s = &self.mix.services[t.service].name;
             let (k, n, x, z) = (&t.kind, t.count, t.x, t.zone);
             format!(
-                "{k} at {} for {} of {s} n {n} x {x} zone {z}",
+                "{k} at {} s for {} s: service {s}, count {n}, x {x}, zone {z}",
                 t.at_s, t.for_s
             )
         };
         let all: Vec<String> = self.mix.faults.iter().map(of).collect();
         format!(
-            "{}; own answers {:?}",
+            "{}; rejections by error {:?}",
             all.join("; "),
             self.statistics.rejections_by_error
         )
     }
 
-    /// Requests that were not served: kind, time, end, and their attempts.
+    /// A line for each request that was not served: kind, arrival, end, and attempts.
     pub fn unserved(&self) -> Vec<String> {
         let bad = |a: &&ClientRequest| !matches!(a.end, Some(RequestEnd::Served(_)));
         let client_requests = self.client_requests.iter().enumerate();
@@ -219,7 +222,7 @@
             let tries: Vec<String> = tries
                 .map(|t| {
                     format!(
-                        "{} us, {} sends, {} ran",
+                        "{} us, {} worker attempts, {} ran",
                         t.sent,
                         t.worker_attempts,
                         t.ran.len()
@@ -240,7 +243,7 @@
         client_requests.filter(|(_, a)| bad(a)).map(of).collect()
     }
 
-    /// The statistics, once a run is over.
+    /// The statistics of a finished run.
     pub fn statistics(&self) -> RunStatistics {
         let mut t = self.statistics.clone();
         let m = &self.mix;
@@ -276,10 +279,10 @@
         t.value = self.value_by_kind();
         t.sort();
         t.max_gap_ms = t.gaps_ms.last().copied().unwrap_or(0.0);
-        let beyond = |x: &ClientAttempt| u64::from(x.worker_attempts.saturating_sub(1));
-        t.retries = self.client_attempts.iter().map(beyond).sum();
-        let ready_nodes = kinds.into_iter().zip(&m.classes);
-        t.by_kind = ready_nodes.map(|(k, c)| (c.name.clone(), k)).collect();
+        let retries = |x: &ClientAttempt| u64::from(x.worker_attempts.saturating_sub(1));
+        t.retries = self.client_attempts.iter().map(retries).sum();
+        let by_kind = kinds.into_iter().zip(&m.classes);
+        t.by_kind = by_kind.map(|(k, c)| (c.name.clone(), k)).collect();
         t
     }
 }
--- a/testbed/src/emulator/value.rs
+++ b/testbed/src/emulator/value.rs
@@ -1,20 +1,20 @@
-//! What the answers of a run are worth: by kind of request, in time or late, and
-//! by the size of the generation.
+//! The value of the responses of a run: by kind of request, whether in time or late,
+//! and by the size of the request.
 
 use super::clients::{ClientRequest, RequestEnd};
 use super::mix::ClassMix;
 use super::{micros, World};
 
-/// A generated token weighs as much as so many tokens of the prompt.
+/// Weight of a generated token, in prompt tokens.
 const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
 /// Part of the value that does not depend on the size.
 const FIXED_SHARE: f64 = 0.3;
-/// The largest generations are worth so many times the mean.
+/// Upper limit of a request's value, as a multiple of the value at mean size.
 const MAX_SIZE_FACTOR: f64 = 4.0;
-/// The largest requests of a kind that are reported by themselves, as a share.
+/// Share of the requests of a kind that are reported as its largest.
 const LARGEST_SHARE: f64 = 0.1;
 
-/// Value earned and owed, of one kind of request, or of a part of it.
+/// Value earned, and the value owed if all requests were served in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EarnedValue {
     pub earned: f64,
@@ -69,8 +69,8 @@
 }
 
 impl ClientRequest {
-    /// Whether it was answered within its latency target, with no longer gap in
-    /// its stream than allowed; none: it was not served.
+    /// Whether it was answered within its latency target, with no gap above the limit in
+    /// its stream; `None` if it was not served.
     pub(super) fn in_time(&self, class: &ClassMix) -> Option<bool> {
         let Some(RequestEnd::Served(_)) = self.end else {
             return None;
@@ -96,7 +96,7 @@
 }
 
 impl World {
-    /// The value of all requests, once a run is over.
+    /// The value of all requests of a finished run.
     pub(super) fn value_by_kind(&self) -> ValueByKind {
         let kinds = 0..self.mix.classes.len();
         let (all, largest) = kinds.map(|kind| self.value_of_kind(kind)).unzip();
--- a/testbed/src/emulator/worker.rs
+++ b/testbed/src/emulator/worker.rs
@@ -1,22 +1,23 @@
-//! Emulated workers: connections, queues and answers.
+//! Emulated workers: accepting connections, queueing and running requests, replies.
 
 use super::engine::{Engine, EngineEvent, Task};
 use super::*;
 use std::collections::VecDeque;
 
+/// How a worker runs requests: in an inference engine, or one per slot from a queue.
 pub(crate) enum Backend {
     Engine(Box<Engine>),
     Plain { running: u32, queue: VecDeque<u64> },
 }
 
-/// How a worker corrupts some answers.
+/// How a worker corrupts a response: a reset, or invalid bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AnswerFault {
     Lost,
     Garbled,
 }
 
-/// One incarnation of a worker.
+/// One worker process; a restart creates another entry.
 pub(crate) struct EmulatedWorker {
     pub name: String,
     pub addr: SocketAddr,
@@ -27,7 +28,7 @@
     pub slots: u32,
     pub backend: Backend,
     pub ended_at: Option<Micros>,
-    /// Sends nothing until then.
+    /// Sends nothing until this time.
     pub silent_until: Micros,
     pub overloaded_until: Micros,
     pub answer_fault: Option<(AnswerFault, f64, Micros)>,
@@ -35,11 +36,13 @@
     pub slow_start: Vec<(Micros, Micros)>,
     pub recent_arrivals: VecDeque<Micros>,
     pub conns: u32,
-    /// Registered; draining since; announced end.
+    /// In the worker registry.
     pub listed: bool,
+    /// Draining since.
     pub leaving: Option<Micros>,
+    /// The announced time of its end.
     pub leaves: Option<Micros>,
-    /// From then on no request may reach it.
+    /// No request may arrive after this time.
     pub closed_at: Option<Micros>,
 }
 
@@ -142,7 +145,8 @@
         }
     }
 
-    /// Whether a worker in slow start gets more than it can bear, and crashes.
+    /// Counts an arrival; true if the worker is in slow start and got so many requests in
+    /// the last second that it crashes.
     fn overloads_slow_start(&mut self, i: usize) -> bool {
         let now = self.now;
         let w = &mut self.workers[i];
@@ -156,7 +160,7 @@
             w.recent_arrivals.pop_front();
         }
         let slow_start = w.slow_start.iter().any(|(a, b)| (*a..*b).contains(&now));
-        // it falls over at well above what the bound lets through
+        // well above the bound that the balancer must keep
         slow_start && per_s > 0.0 && w.recent_arrivals.len() as f64 > per_s * 2.5 + 10.0
     }
 
@@ -176,7 +180,7 @@
         }
     }
 
-    /// A worker without engine is done with a request.
+    /// Ends a request of a worker without an engine and starts the next one queued.
     pub(super) fn plain_work_done(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let i = s.worker;
@@ -219,7 +223,7 @@
         self.reply(attempt_id, WorkerMessage::End);
     }
 
-    /// A prompt joins the queue of the engine.
+    /// Adds a task to the engine's queue, and starts a step if the engine is idle.
     pub(super) fn enqueue_at_engine(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let i = s.worker;
@@ -335,7 +339,7 @@
             return;
         }
         if self.workers[i].silent_until > self.now {
-            // what it leaves out here must not be followed by the rest
+            // a dropped reply ends the response
             self.worker_attempts[attempt_id as usize].replies_stopped = true;
             return;
         }
@@ -354,7 +358,7 @@
         self.push(at, SimEvent::FromWorker(attempt_id, message));
     }
 
-    /// The node has closed the connection.
+    /// Drops the work of an attempt whose connection the node has closed.
     pub(super) fn connection_closed(&mut self, attempt_id: u64) {
         self.worker_attempts[attempt_id as usize].replies_stopped = true;
         let s = self.worker_attempts[attempt_id as usize].clone();
--- a/testbed/src/emulator/worker_lifecycle.rs
+++ b/testbed/src/emulator/worker_lifecycle.rs
@@ -9,14 +9,12 @@
 impl World {
     pub(super) fn create_workers(&mut self) {
         let m = self.mix.clone();
-        for (s, service_index) in m.services.iter().enumerate() {
-            let zones = service_index.workers.iter().enumerate();
+        for (index, service) in m.services.iter().enumerate() {
+            let zones = service.workers.iter().enumerate();
             let each = zones.flat_map(|(z, n)| (0..*n).map(move |_| z as u16));
             each.enumerate().for_each(|(i, z)| {
-                let speed = service_index
-                    .speeds
-                    .get(i % service_index.speeds.len().max(1));
-                self.start_worker(s, z, speed.copied().unwrap_or(1.0), None, false);
+                let speed = service.speeds.get(i % service.speeds.len().max(1));
+                self.start_worker(index, z, speed.copied().unwrap_or(1.0), None, false);
             });
         }
         self.publish_registry();
@@ -34,9 +32,9 @@
         let m = self.mix.clone();
         let x: &ServiceMix = &m.services[service_index];
         let reuse = self.now.saturating_sub(micros(2000.0));
-        let free_addresses = self.free_addresses.iter().position(|(t, _)| *t <= reuse);
+        let reusable = self.free_addresses.iter().position(|(t, _)| *t <= reuse);
         let addr = addr
-            .or_else(|| free_addresses.map(|i| self.free_addresses.remove(i).1))
+            .or_else(|| reusable.map(|i| self.free_addresses.remove(i).1))
             .unwrap_or_else(|| {
                 self.addresses_created += 1;
                 let [_, a, b, c] = self.addresses_created.to_be_bytes();
@@ -80,7 +78,7 @@
         i
     }
 
-    /// The process ends; its connections are reset.
+    /// Ends the process of a worker; its connections are reset.
     pub(super) fn end_worker(&mut self, i: usize) {
         if self.workers[i].ended_at.is_some() {
             return;
