--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -121,7 +121,7 @@
                 workers.push(w);
             }
         }
-        for i in 0..preset.webs {
+        for i in 0..preset.web_workers {
             let m = WorkerProfile::web(&format!("web{i}"));
             let w = StubWorker::start(m, None)
                 .await
@@ -169,7 +169,7 @@
             for (name, region, addr) in &cores {
                 let away = *region != self.nodes[i].region;
                 let d = if away {
-                    self.preset.far
+                    self.preset.region_delay
                 } else {
                     Duration::ZERO
                 };
--- a/testbed/src/gateway_soak.rs
+++ b/testbed/src/gateway_soak.rs
@@ -17,8 +17,8 @@
 #[derive(Clone, Debug, PartialEq)]
 enum CallerOutcome {
     Served,
-    Refused,
-    Unsure,
+    Rejected,
+    Uncertain,
 }
 
 #[derive(Debug, Default)]
@@ -29,8 +29,8 @@
     /// one.
     pub lost: usize,
     pub served: usize,
-    pub refused: usize,
-    pub unsure: usize,
+    pub rejected: usize,
+    pub uncertain: usize,
     pub violations: Vec<String>,
 }
 
@@ -123,7 +123,7 @@
             shared.attempts.fetch_add(1, Ordering::SeqCst);
             let (outcome, retry_after_s) = send_request(shared, *at, region, &id, kind, &mut r);
             let again = outcome != CallerOutcome::Served;
-            let lost = u64::from(outcome == CallerOutcome::Unsure);
+            let lost = u64::from(outcome == CallerOutcome::Uncertain);
             shared.lost.fetch_add(lost, Ordering::SeqCst);
             lock(&shared.outcomes).insert(id.clone(), outcome);
             if !again || i == 5 {
@@ -180,8 +180,8 @@
     let got = async_std::task::block_on(call(at, c, 1 << 20, CALL_TIMEOUT));
     let retry_after_s = got.as_ref().ok().and_then(|c| c.retry_after_s);
     let outcome = match got {
-        Err(Broke::Unsent) => CallerOutcome::Refused,
-        Err(_) => CallerOutcome::Unsure,
+        Err(Broke::Unsent) => CallerOutcome::Rejected,
+        Err(_) => CallerOutcome::Uncertain,
         Ok(c) if c.status == 200 => {
             let text = String::from_utf8_lossy(&c.body).into_owned();
             let own = c.request.as_deref() == Some(id) && text.contains(id);
@@ -192,8 +192,8 @@
             }
             CallerOutcome::Served
         }
-        Ok(c) if c.status == 503 => CallerOutcome::Refused,
-        Ok(_) => CallerOutcome::Unsure,
+        Ok(c) if c.status == 503 => CallerOutcome::Rejected,
+        Ok(_) => CallerOutcome::Uncertain,
     };
     (outcome, retry_after_s)
 }
@@ -219,8 +219,8 @@
         summary.requests += 1;
         match s {
             CallerOutcome::Served => summary.served += 1,
-            CallerOutcome::Refused => summary.refused += 1,
-            CallerOutcome::Unsure => summary.unsure += 1,
+            CallerOutcome::Rejected => summary.rejected += 1,
+            CallerOutcome::Uncertain => summary.uncertain += 1,
         }
     }
     summary
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -137,7 +137,7 @@
     let t = testbed::gateway_soak::soak(&mut f, a.seed, 24, Duration::from_secs(a.seconds));
     println!(
         "asked {}, served {}, refused {}, unsure {}",
-        t.requests, t.served, t.refused, t.unsure
+        t.requests, t.served, t.rejected, t.uncertain
     );
     t.violations.iter().for_each(|w| println!("violation: {w}"));
     drop(f);
--- a/testbed/src/presets.rs
+++ b/testbed/src/presets.rs
@@ -8,8 +8,8 @@
     pub site: &'static str,
     /// Region, its zones, its model workers.
     pub regions: Vec<(&'static str, Vec<&'static str>, usize)>,
-    pub webs: usize,
-    pub far: Duration,
+    pub web_workers: usize,
+    pub region_delay: Duration,
     pub edges_per_zone: usize,
 }
 
@@ -17,8 +17,8 @@
     SitePreset {
         site: "press",
         regions: vec![("north", vec!["n1", "n2"], 10), ("south", vec!["s1"], 8)],
-        webs: 3,
-        far: Duration::from_millis(25),
+        web_workers: 3,
+        region_delay: Duration::from_millis(25),
         edges_per_zone: 3,
     }
 }
@@ -30,8 +30,8 @@
             ("kharkhorin", vec!["k1"], 5),
             ("ulaanbaatar", vec!["u1", "u2"], 6),
         ],
-        webs: 3,
-        far: Duration::from_millis(35),
+        web_workers: 3,
+        region_delay: Duration::from_millis(35),
         edges_per_zone: 3,
     }
 }
--- a/testbed/src/site/mod.rs
+++ b/testbed/src/site/mod.rs
@@ -252,7 +252,7 @@
         let base = if a == b {
             1
         } else {
-            self.preset.far.as_millis() as Millis
+            self.preset.region_delay.as_millis() as Millis
         };
         base + self.rng.below(2)
     }
--- a/testbed/src/site/workers.rs
+++ b/testbed/src/site/workers.rs
@@ -185,7 +185,7 @@
             }
         }
         let zones = self.site.zones.len();
-        for i in 0..self.preset.webs {
+        for i in 0..self.preset.web_workers {
             self.add_worker(format!("web{i}"), false, (i % zones) as u16);
         }
         self.registry.version = 1;
--- a/testbed/tests/doctor.rs
+++ b/testbed/tests/doctor.rs
@@ -9,7 +9,7 @@
 fn small() -> SitePreset {
     SitePreset {
         regions: vec![("north", vec!["n1", "n2"], 2), ("south", vec!["s1"], 1)],
-        webs: 1,
+        web_workers: 1,
         edges_per_zone: 1,
         ..press()
     }
--- a/testbed/tests/doors/main.rs
+++ b/testbed/tests/doors/main.rs
@@ -24,7 +24,7 @@
 fn small_preset() -> SitePreset {
     SitePreset {
         regions: vec![("north", vec!["n1"], 1), ("south", vec!["s1"], 1)],
-        webs: 1,
+        web_workers: 1,
         edges_per_zone: 1,
         ..press()
     }
--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -185,7 +185,7 @@
         let t = testbed::gateway_soak::soak(&mut f, 7, 12, Duration::from_secs(12));
         println!(
             "{name}: asked {}, served {}, refused {}, unsure {}",
-            t.requests, t.served, t.refused, t.unsure
+            t.requests, t.served, t.rejected, t.uncertain
         );
         assert!(t.violations.is_empty(), "{:#?}", t.violations);
         assert!(t.requests > 100 && t.served * 10 > t.requests * 8);
--- a/testbed/tests/process_faults.rs
+++ b/testbed/tests/process_faults.rs
@@ -60,7 +60,7 @@
 fn sound(t: &SoakSummary) {
     println!(
         "asked {}, tries {}, served {}, refused {}, unsure {}, lost tries {}",
-        t.requests, t.attempts, t.served, t.refused, t.unsure, t.lost
+        t.requests, t.attempts, t.served, t.rejected, t.uncertain, t.lost
     );
     assert!(t.violations.is_empty(), "{:#?}", t.violations);
 }
--- a/testbed/tests/site/freshness.rs
+++ b/testbed/tests/site/freshness.rs
@@ -59,7 +59,7 @@
             ("south", vec!["s1"], 8),
             ("west", vec!["w1"], 4),
         ],
-        far: Duration::from_millis(35),
+        region_delay: Duration::from_millis(35),
         ..press()
     }
 }
