--- a/testbed/tests/policies.rs
+++ b/testbed/tests/policies.rs
@@ -1,5 +1,5 @@
-//! The product's balancer beside simple policies, in virtual time on fixed seeds:
-//! a change that loses what it serves, or falls behind a baseline, shows here.
+//! The balancer against the baseline policies, in virtual time on fixed seeds: it must
+//! reach a floor on each kind of request and earn at least what each baseline earns.
 
 use testbed::emulator::{
     check, three_region_mix, two_region_mix, uneven_region_mix, Mix, PolicyKind, RunStatistics,
@@ -10,8 +10,8 @@
 /// Virtual seconds of each run.
 const SECONDS: f64 = 12.0;
 
-/// Plays a mix under a policy; sums over the seeds.
-fn play(mix: &Mix, policy: PolicyKind) -> RunStatistics {
+/// Runs a mix under a policy; returns the sums over the seeds.
+fn run(mix: &Mix, policy: PolicyKind) -> RunStatistics {
     let mut sum = RunStatistics::default();
     for seed in SEEDS {
         let mix = Mix {
@@ -20,8 +20,8 @@
         };
         let world = World::new(seed, mix, policy).run();
         let violations = check(&world);
-        let broken = policy == PolicyKind::Balancer && !violations.is_empty();
-        assert!(!broken, "seed {seed}: {violations:?}");
+        let violated = policy == PolicyKind::Balancer && !violations.is_empty();
+        assert!(!violated, "seed {seed}: {violations:?}");
         sum.add(world.statistics());
     }
     sum.sort();
@@ -40,16 +40,16 @@
     Floor { served, earned }
 }
 
-/// Without any fault each kind of request reaches its floor, and earns what any
-/// baseline earns of it.
+/// Asserts that, without faults, each kind of request reaches its floor, and earns as
+/// much as under each baseline.
 fn check_policies(mix: &Mix, floors: &[Floor]) {
-    let balancer = play(mix, PolicyKind::Balancer);
+    let balancer = run(mix, PolicyKind::Balancer);
     for ((name, served, _), floor) in balancer.percentages_by_kind().into_iter().zip(floors) {
         println!("{name}: served {served:.2} %");
         assert!(served >= floor.served, "{name}: served {served:.2} %");
     }
     let baselines = [PolicyKind::RoundRobin, PolicyKind::LeastLoad].map(|policy| {
-        let statistics = play(mix, policy);
+        let statistics = run(mix, policy);
         (policy, statistics)
     });
     for (kind, floor) in floors.iter().enumerate() {
@@ -58,18 +58,18 @@
         println!("{name}: earned {earned:.4}");
         assert!(earned >= floor.earned, "{name}: earned {earned:.4}");
         for (policy, statistics) in &baselines {
-            let theirs = statistics.value.all[kind].share();
-            println!("  {}: {theirs:.4}", policy.name());
+            let baseline_earned = statistics.value.all[kind].share();
+            println!("  {}: {baseline_earned:.4}", policy.name());
             assert!(
-                earned + 0.005 >= theirs,
-                "{name}: {policy:?} earns {theirs:.4}"
+                earned + 0.005 >= baseline_earned,
+                "{name}: {policy:?} earns {baseline_earned:.4}"
             );
         }
     }
 }
 
 #[test]
-fn two_regions() {
+fn two_regions_reach_their_floors() {
     check_policies(
         &two_region_mix(),
         &[floor(99.0, 0.74), floor(99.9, 0.99), floor(99.9, 0.99)],
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn three_regions() {
+fn three_regions_reach_their_floors() {
     check_policies(
         &three_region_mix(),
         &[floor(99.9, 0.84), floor(99.9, 0.99), floor(99.9, 0.99)],
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn uneven_regions_with_urgent_long_prompts() {
+fn uneven_regions_with_urgent_long_prompts_reach_their_floors() {
     check_policies(
         &uneven_region_mix(),
         &[floor(99.9, 0.80), floor(99.9, 0.98), floor(99.9, 0.99)],
