--- a/testbed/src/stub_worker/fault.rs
+++ b/testbed/src/stub_worker/fault.rs
@@ -1,25 +1,25 @@
-//! Faults that a stub worker shows on request.
+//! Faults that a test can inject into a stub worker.
 
-/// How a stub worker misbehaves.
+/// How a stub worker handles requests wrongly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
     #[default]
     None,
-    /// Executes the request, then closes the connection without an answer.
+    /// Executes the request, then closes the connection without a response.
     CloseConnection,
     /// States a longer body than it sends.
     TruncatedBody,
     /// A body that is not JSON.
     InvalidJson,
-    /// Names another request in its response.
+    /// States the id of another request in its response.
     WrongRequestId,
-    /// Breaks a stream off after its first event.
+    /// Aborts a stream after its first event.
     TruncatedStream,
     /// Skips an event of a stream.
     SkippedEvent,
-    /// Accepts the request and never answers.
+    /// Executes the request and never responds.
     NoResponse,
-    /// Rejects the request as overloaded, and says that it did not execute.
+    /// Rejects the request with 503 and states that it did not run.
     Reject,
 }
 
--- a/testbed/src/stub_worker/handlers.rs
+++ b/testbed/src/stub_worker/handlers.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface of a stub worker.
 
 use super::slot::WorkerSlot;
-use super::streamed_body::{broken_response, StreamedBody};
+use super::streamed_body::{aborted_response, StreamedBody};
 use super::{InjectedFault, Shared};
 use crate::sync::lock;
 use async_std::channel::bounded;
@@ -15,9 +15,9 @@
 use std::time::Duration;
 
 const MAX_BODY_BYTES: usize = 1 << 24;
-/// Characters of a prompt after its prefix, if the request does not say.
+/// Characters of a prompt after its prefix, if the request does not state them.
 const DEFAULT_TAIL_CHARS: u64 = 100;
-/// How long a web worker takes for a page.
+/// Duration of a page request.
 const PAGE_TIME: Duration = Duration::from_millis(2);
 /// Longer than any client waits.
 const NEVER: Duration = Duration::from_secs(3600);
@@ -34,7 +34,7 @@
     }
 }
 
-/// The load report that health checks read.
+/// Answers a health check with the load report.
 fn load(worker: &Shared) -> Response {
     let state = lock(&worker.state);
     let mut report = Value::object();
@@ -48,6 +48,7 @@
     http::ok(report)
 }
 
+/// Answers with the executed requests and the cache counters, for tests.
 fn log(worker: &Shared) -> Response {
     let state = lock(&worker.state);
     let executed = state.executed.iter().map(|id| Value::from(id.as_str()));
@@ -76,7 +77,7 @@
         .map_or(String::new(), |values| values.last().as_str().to_string())
 }
 
-/// A model's request, answered as a whole or as a stream of events.
+/// Runs a model request; answers with a complete response or a stream of events.
 async fn generate(worker: Arc<Shared>, mut request: Request) -> Response {
     let id = header(&request, "x-errand-id");
     let key = header(&request, "x-prefix-key");
@@ -105,7 +106,7 @@
     };
     match fault {
         InjectedFault::NoResponse => task::sleep(NEVER).await,
-        InjectedFault::CloseConnection => return broken_response(stated_id),
+        InjectedFault::CloseConnection => return aborted_response(stated_id),
         _ => {}
     }
     if events > 0 {
@@ -154,14 +155,13 @@
     response
 }
 
-/// A body that states the text's length and ends after a few bytes of it.
+/// A body that states the length of `text` and ends after `bytes` of it.
 fn truncated(text: &str, bytes: usize) -> Body {
     let start = Cursor::new(text.as_bytes()[..bytes].to_vec());
     Body::from_reader(start, Some(text.len()))
 }
 
-/// Looks a prefix up and makes it the most recently used one; whether it was
-/// cached.
+/// Makes a prefix the most recently used one in the cache; true if it was cached.
 fn use_prefix(worker: &Shared, key: &str) -> bool {
     if key.is_empty() {
         return false;
@@ -244,7 +244,7 @@
     task::sleep(PAGE_TIME).await;
     match fault {
         InjectedFault::NoResponse => task::sleep(NEVER).await,
-        InjectedFault::CloseConnection => return broken_response(id),
+        InjectedFault::CloseConnection => return aborted_response(id),
         _ => {}
     }
     let text = format!("<p>{}</p>", request.url().path());
--- a/testbed/src/stub_worker/mod.rs
+++ b/testbed/src/stub_worker/mod.rs
@@ -1,6 +1,6 @@
-//! Stub workers that serve real connections: model servers with prefill,
-//! decode, slots and a prefix cache, and plain web workers. They record every
-//! execution by request id, and can be made to misbehave.
+//! Stub workers that serve real connections: model servers with prefill, decode, slots
+//! and a prefix cache, and plain web workers. They record the request id of every
+//! execution, and tests can inject faults.
 
 mod fault;
 mod handlers;
@@ -21,23 +21,23 @@
 
 const MAX_CONNECTIONS: usize = 4096;
 
-/// What a stub worker is and how fast it works.
+/// The kind, capacity and speed of a stub worker.
 #[derive(Clone, Debug)]
 pub struct WorkerProfile {
     pub name: String,
-    /// A model worker; else a web worker.
+    /// Whether it is a model worker; otherwise it is a web worker.
     pub model: bool,
     pub slots: usize,
     /// Microseconds of prefill per character of prompt that is not cached.
     pub prefill_us: u64,
     /// Milliseconds of decoding per event.
     pub decode_ms: u64,
-    /// Prefixes that fit the cache.
+    /// Capacity of the prefix cache, in prefixes.
     pub cache: usize,
 }
 
 impl WorkerProfile {
-    /// The usual model worker.
+    /// A model worker with the default capacity.
     #[must_use]
     pub fn model(name: &str) -> WorkerProfile {
         WorkerProfile {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The usual web worker.
+    /// A web worker with the default capacity.
     #[must_use]
     pub fn web(name: &str) -> WorkerProfile {
         WorkerProfile {
@@ -61,7 +61,7 @@
     }
 }
 
-/// What a stub worker has done, and the fault that it shows.
+/// The counters of a stub worker, and its injected fault.
 #[derive(Default)]
 pub struct WorkerState {
     /// Ids of all requests that began to execute, in order.
@@ -85,7 +85,7 @@
     server: Option<task::JoinHandle<()>>,
 }
 
-/// What the handlers of one worker's requests share.
+/// State shared by the request handlers of a worker.
 struct Shared {
     profile: WorkerProfile,
     state: Arc<Mutex<WorkerState>>,
@@ -94,7 +94,7 @@
 }
 
 impl StubWorker {
-    /// Serves on the address, or on a free port of the loopback.
+    /// Starts a worker on the address, or on a free port of the loopback address.
     ///
     /// # Errors
     /// If the address cannot be bound.
--- a/testbed/src/stub_worker/slot.rs
+++ b/testbed/src/stub_worker/slot.rs
@@ -1,4 +1,4 @@
-//! A request's place at a stub worker: queued, then in one of the slots.
+//! The state of a request at a stub worker: queued, then running in a slot.
 
 use super::Shared;
 use crate::sync::lock;
--- a/testbed/src/stub_worker/streamed_body.rs
+++ b/testbed/src/stub_worker/streamed_body.rs
@@ -1,4 +1,4 @@
-//! A response body from chunks that arrive one by one.
+//! A response body fed by a channel, which may end with an error.
 
 use async_std::channel::{bounded, Receiver};
 use async_std::io;
@@ -6,22 +6,22 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The chunks of a channel as a body.
+/// Reads the chunks of a channel as a body.
 pub(super) struct StreamedBody {
     chunks: Receiver<Vec<u8>>,
     buffer: Vec<u8>,
     position: usize,
-    /// Whether the body ends with an error rather than properly.
-    breaks: bool,
+    /// Whether the body ends with an error.
+    aborts: bool,
 }
 
 impl StreamedBody {
-    pub(super) fn new(chunks: Receiver<Vec<u8>>, breaks: bool) -> StreamedBody {
+    pub(super) fn new(chunks: Receiver<Vec<u8>>, aborts: bool) -> StreamedBody {
         StreamedBody {
             chunks,
             buffer: Vec::new(),
             position: 0,
-            breaks,
+            aborts,
         }
     }
 }
@@ -33,8 +33,10 @@
         while body.position >= body.buffer.len() {
             match Pin::new(&mut body.chunks).poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(None) if body.breaks => {
-                    return Poll::Ready(Err(io::Error::other("broken on purpose")))
+                Poll::Ready(None) if body.aborts => {
+                    return Poll::Ready(Err(io::Error::other(
+                        "stream aborted by an injected fault",
+                    )))
                 }
                 Poll::Ready(None) => return Poll::Ready(Ok(&[])),
                 Poll::Ready(Some(chunk)) => {
@@ -73,8 +75,8 @@
     }
 }
 
-/// A response whose chunked body breaks off at once.
-pub(super) fn broken_response(id: String) -> Response {
+/// A response whose chunked body is aborted before its first chunk.
+pub(super) fn aborted_response(id: String) -> Response {
     let (_, no_chunks) = bounded::<Vec<u8>>(1);
     let mut response = Response::new(StatusCode::Ok);
     let body = StreamedBody::new(no_chunks, true);
