--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Policies of placement against each other, on the same mixes and seeds.
+//! The command that compares load balancing policies in the emulator, on the same mixes
+//! and seeds.
 
 use crate::emulator::{
     check, drawn_mix, random_faults, three_region_mix, two_region_mix, uneven_region_mix,
@@ -13,40 +14,51 @@
     #[options(help = "show this help")]
     help: bool,
     #[options(
-        help = "desk, wide, uneven, drawn-SEED, or a JSON file of a mix",
+        help = "desk, wide, uneven, drawn-SEED, or a JSON file with a mix",
         default = "desk"
     )]
     mix: String,
-    #[options(help = "times the rates of the mix", meta = "X", default = "1")]
+    #[options(
+        help = "factor on the arrival rates of the mix",
+        meta = "X",
+        default = "1"
+    )]
     load: f64,
-    #[options(no_short, help = "seconds of asking; 0: the mix's own", default = "0")]
+    #[options(
+        no_short,
+        help = "seconds of arrivals; 0: as the mix says",
+        default = "0"
+    )]
     seconds: f64,
-    #[options(help = "seeds, from 0 on", meta = "N", default = "3")]
+    #[options(help = "number of seeds", meta = "N", default = "3")]
     n: u64,
     #[options(no_short, help = "the first seed", meta = "SEED", default = "0")]
     from: u64,
-    #[options(help = "troubles drawn from each seed", meta = "N", default = "0")]
+    #[options(help = "random faults for each seed", meta = "N", default = "0")]
     troubles: usize,
     #[options(
         no_short,
-        help = "a burst of so many times the rate, 8 s long",
+        help = "factor on the arrival rates during a burst of 8 s",
         default = "1"
     )]
     burst: f64,
-    #[options(no_short, help = "also the table without moves of requests")]
+    #[options(no_short, help = "compare the balancer with and without fail-over")]
     moves: bool,
-    #[options(no_short, help = "the table alone")]
+    #[options(no_short, help = "only the balancer, without baselines")]
     table: bool,
-    #[options(no_short, help = "list requests that were not served")]
+    #[options(no_short, help = "list the requests that were not served")]
     unserved: bool,
-    #[options(help = "plot of time to the first event", meta = "FILE.svg")]
+    #[options(
+        help = "write a plot of the time to the first event",
+        meta = "FILE.svg"
+    )]
     plot: Option<PathBuf>,
 }
 
-/// What one policy came to over all seeds.
+/// The results of one policy over all seeds.
 struct Row {
     name: &'static str,
-    t: RunStatistics,
+    statistics: RunStatistics,
     violations: Vec<String>,
     worst: f64,
 }
@@ -58,7 +70,7 @@
         "uneven" => uneven_region_mix(),
         name if name.starts_with("drawn-") => {
             let seed = name.trim_start_matches("drawn-").parse();
-            drawn_mix(seed.map_err(|_| format!("{name}: the seed is no number"))?)
+            drawn_mix(seed.map_err(|_| format!("{name}: the seed is not a number"))?)
         }
         f => {
             let mut b = std::fs::read(f).map_err(|e| format!("{f}: {e}"))?;
@@ -81,10 +93,10 @@
     Ok(m)
 }
 
-fn play(a: &Args, m: &Mix, policy_kind: PolicyKind) -> Row {
+fn run_policy(a: &Args, m: &Mix, policy_kind: PolicyKind) -> Row {
     let mut r = Row {
         name: policy_kind.name(),
-        t: RunStatistics::default(),
+        statistics: RunStatistics::default(),
         violations: Vec::new(),
         worst: 1.0,
     };
@@ -103,16 +115,16 @@
         r.violations
             .extend(found.iter().map(|x| format!("seed {seed}: {x}")));
         r.worst = r.worst.min(t.worst_in_time_share(3));
-        r.t.add(t);
+        r.statistics.add(t);
     }
-    r.t.sort();
+    r.statistics.sort();
     r
 }
 
-/// Plays every policy and prints a table; false if the product's table broke a rule.
+/// Runs the policies and prints a table; false if the balancer violated an invariant.
 pub fn run(a: &Args) -> Result<bool, String> {
     let m = mix(a)?;
-    let invariants: &[PolicyKind] = match (a.table, a.moves) {
+    let policies: &[PolicyKind] = match (a.table, a.moves) {
         (_, true) => &[
             PolicyKind::Balancer,
             PolicyKind::NoFailOverOnceBegun,
@@ -125,11 +137,11 @@
             PolicyKind::LeastLoad,
         ],
     };
-    let rows: Vec<Row> = invariants.iter().map(|r| play(a, &m, *r)).collect();
+    let rows: Vec<Row> = policies.iter().map(|r| run_policy(a, &m, *r)).collect();
     let workers: u32 = m.services[0].workers.iter().sum();
     let nodes: u32 = m.nodes.iter().sum();
     println!(
-        "{workers} workers of {} slots, {nodes} nodes, {} s, seeds {} to {}, load {}, {} troubles",
+        "{workers} workers of {} slots, {nodes} nodes, {} s, seeds {} to {}, load {}, {} random faults",
         m.services[0].slots,
         m.seconds,
         a.from,
@@ -139,44 +151,46 @@
     );
     let head = [
         "policy",
-        "asked",
+        "requests",
         "served %",
         "late %",
         "worst 3 s %",
-        "first p50",
+        "first event p50",
         "p95",
         "p99 ms",
-        "pause p99",
-        "worst ms",
-        "reread k",
-        "zone %",
-        "region %",
-        "again",
-        "refused",
-        "idle",
-        "slow",
-        "put back",
-        "conns",
-        "rules",
+        "gap p99",
+        "max gap ms",
+        "recomputed k tokens",
+        "other zone %",
+        "other region %",
+        "retries",
+        "rejections",
+        "while idle",
+        "late rejections",
+        "preemptions",
+        "connections",
+        "violations",
     ];
     println!("| {} |", head.join(" | "));
     println!("|{}", " --- |".repeat(head.len()));
     rows.iter()
         .for_each(|r| println!("| {} |", cells(r).join(" | ")));
     for r in &rows {
-        let k: Vec<String> =
-            r.t.percentages_by_kind()
-                .iter()
-                .map(|(n, s, l)| format!("{n} {s:.2}/{l:.2}"))
-                .collect();
+        let k: Vec<String> = r
+            .statistics
+            .percentages_by_kind()
+            .iter()
+            .map(|(n, s, l)| format!("{n} {s:.2}/{l:.2}"))
+            .collect();
         println!("{}: served/in time % {}", r.name, k.join(", "));
-        println!("{}: value earned % {}", r.name, value_text(&r.t));
-        let rejections_by_error =
-            r.t.rejections_by_error
-                .iter()
-                .map(|(k, n)| format!("{k} {} ({} idle)", n.0, n.1));
+        println!("{}: value earned % {}", r.name, value_text(&r.statistics));
+        let rejections_by_error = r
+            .statistics
+            .rejections_by_error
+            .iter()
+            .map(|(k, n)| format!("{k} {} ({} idle)", n.0, n.1));
         println!(
-            "{}: own answers: {}",
+            "{}: rejections by error: {}",
             r.name,
             rejections_by_error.collect::<Vec<_>>().join(", ")
         );
@@ -193,7 +207,8 @@
     Ok(rows[0].violations.is_empty())
 }
 
-/// Value earned in all, by kind, and by the largest tenth of each kind.
+/// Percentages of the value earned: in all, by kind, and by the largest tenth of each
+/// kind.
 fn value_text(statistics: &RunStatistics) -> String {
     let value = &statistics.value;
     let percent = |value: &EarnedValue| 100.0 * value.share();
@@ -214,7 +229,7 @@
 }
 
 fn cells(r: &Row) -> Vec<String> {
-    let t = &r.t;
+    let t = &r.statistics;
     let of = |a: u64, b: u64| format!("{:.2}", 100.0 * a as f64 / b.max(1) as f64);
     let worker_attempts = t.same_zone_attempts + t.same_region_attempts + t.cross_region_attempts;
     vec![
@@ -241,35 +256,35 @@
     ]
 }
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type PlotResult = Result<(), Box<dyn std::error::Error>>;
 
-/// Share of all requests whose first event came within a time.
-fn plot(to: &Path, rows: &[Row]) -> Drawn {
+/// Plots the share of requests whose first event arrived within a time.
+fn plot(to: &Path, rows: &[Row]) -> PlotResult {
     let root = SVGBackend::new(to, (900, 520)).into_drawing_area();
     root.fill(&WHITE)?;
-    let most = rows
+    let max_ms = rows
         .iter()
-        .map(|r| r.t.first_event_quantile(0.999))
+        .map(|r| r.statistics.first_event_quantile(0.999))
         .fold(100.0, f64::max);
     let mut c = ChartBuilder::on(&root)
-        .caption("first event within", ("sans-serif", 18))
+        .caption("time to the first event", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(48)
-        .build_cartesian_2d((10.0..most).log_scale(), 0.0..1.0)?;
+        .build_cartesian_2d((10.0..max_ms).log_scale(), 0.0..1.0)?;
     c.configure_mesh()
         .x_desc("ms")
-        .y_desc("share of all asked")
+        .y_desc("share of all requests")
         .draw()?;
     for (i, r) in rows.iter().enumerate() {
         let color = [BLUE, RED, BLACK][i % 3];
-        let n = r.t.requested.max(1) as f64;
+        let n = r.statistics.requested.max(1) as f64;
         let each = (1..=200).map(|k| f64::from(k) / 200.0);
         let at: Vec<(f64, f64)> = each
             .map(|q| {
                 (
-                    r.t.first_event_quantile(q * 0.999),
-                    q * r.t.served as f64 / n,
+                    r.statistics.first_event_quantile(q * 0.999),
+                    q * r.statistics.served as f64 / n,
                 )
             })
             .collect();
