--- a/testbed/src/faulty_node.rs
+++ b/testbed/src/faulty_node.rs
@@ -1,5 +1,6 @@
-//! A node of the product whose clock and store show the faults that a small
-//! file names, through the product's own traits. The file is read as it changes.
+//! A node of the product with faults injected into its clock and its store, through the
+//! `Clock` and `Store` traits. A JSON file sets the faults and is read again as it
+//! changes.
 
 use crate::sync::lock;
 use simd_json::prelude::*;
@@ -15,35 +16,39 @@
 use std::time::{Duration, Instant};
 
 /// The faults in the file: `wall_ms` is added to the wall clock, `slow_ms` to
-/// every write; `stuck` writes do not end, and a `full` disk fails them.
+/// every write; with `stuck` writes block, and with `full` they fail.
 #[derive(Clone)]
 pub struct NodeFaults {
     file: PathBuf,
-    last: Arc<Mutex<(Option<Instant>, Value)>>,
+    /// When the file was last read, and its content.
+    cached: Arc<Mutex<(Option<Instant>, Value)>>,
 }
 
 impl NodeFaults {
     pub fn new(file: &Path) -> NodeFaults {
         NodeFaults {
             file: file.to_path_buf(),
-            last: Arc::new(Mutex::new((None, Value::default()))),
+            cached: Arc::new(Mutex::new((None, Value::default()))),
         }
     }
 
     fn get(&self, key: &str) -> Option<Value> {
-        let mut l = lock(&self.last);
-        if l.0.is_none_or(|t| t.elapsed() > Duration::from_millis(30)) {
+        let mut cached = lock(&self.cached);
+        if cached
+            .0
+            .is_none_or(|t| t.elapsed() > Duration::from_millis(30))
+        {
             let text = std::fs::read(&self.file).unwrap_or_default();
-            // a file that is just being written does not parse: the last one holds
+            // a partly written file does not parse: keep the last content
             if let Ok(v) = json::parse(&text, 4096) {
-                l.1 = v;
+                cached.1 = v;
             }
-            l.0 = Some(Instant::now());
+            cached.0 = Some(Instant::now());
         }
-        l.1.get(key).cloned()
+        cached.1.get(key).cloned()
     }
 
-    fn num(&self, key: &str) -> i64 {
+    fn number(&self, key: &str) -> i64 {
         self.get(key).and_then(|v| v.as_i64()).unwrap_or(0)
     }
 
@@ -58,7 +63,7 @@
     fn now(&self) -> Now {
         let n = self.0.now();
         Now {
-            wall: n.wall + self.1.num("wall_ms"),
+            wall: n.wall + self.1.number("wall_ms"),
             ..n
         }
     }
@@ -67,12 +72,12 @@
 struct FaultyStore<S>(S, NodeFaults);
 
 impl<S> FaultyStore<S> {
-    /// Delays or fails a write as the file says.
+    /// Delays, blocks or fails a write as the file says.
     fn inject_fault(&self) -> io::Result<()> {
         while self.1.flag("stuck") {
             thread::sleep(Duration::from_millis(20));
         }
-        let slow = self.1.num("slow_ms").max(0) as u64;
+        let slow = self.1.number("slow_ms").max(0) as u64;
         thread::sleep(Duration::from_millis(slow));
         if self.1.flag("full") {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
@@ -96,7 +101,7 @@
 /// Runs one node until it ends.
 ///
 /// # Errors
-/// If its settings are invalid, or as the node itself.
+/// The settings are invalid, or the node fails.
 pub fn run(role: &str, settings: &Path, faults: &Path) -> Result<(), String> {
     let faults = NodeFaults::new(faults);
     let clock = FaultyClock(SystemClock::default(), faults.clone());
--- a/testbed/src/stub_platform.rs
+++ b/testbed/src/stub_platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform: it keeps the worker list and serves it.
+//! A stub of the platform that serves the list of workers over HTTP.
 
 use crate::sync::lock;
 use async_std::io;
@@ -21,14 +21,14 @@
 }
 
 #[derive(Default)]
-struct List {
+struct WorkerList {
     version: u64,
     rows: Vec<WorkerRow>,
 }
 
 pub struct StubPlatform {
     pub addr: SocketAddr,
-    list: Arc<Mutex<List>>,
+    list: Arc<Mutex<WorkerList>>,
 }
 
 impl StubPlatform {
@@ -36,15 +36,15 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let l = TcpListener::bind(addr.unwrap_or(any)).await?;
         let addr = l.local_addr()?;
-        let list: Arc<Mutex<List>> = Arc::default();
-        let shown = list.clone();
+        let list: Arc<Mutex<WorkerList>> = Arc::default();
+        let shared = list.clone();
         task::spawn(http::serve(l, 1024, http::Gate::default(), move |r, _| {
-            show(shown.clone(), r)
+            respond(shared.clone(), r)
         }));
         Ok(StubPlatform { addr, list })
     }
 
-    /// Change the list; every change raises its serial.
+    /// Changes the list and increments its version.
     pub fn change(&self, f: impl FnOnce(&mut Vec<WorkerRow>)) {
         let mut l = lock(&self.list);
         f(&mut l.rows);
@@ -52,7 +52,7 @@
     }
 }
 
-async fn show(list: Arc<Mutex<List>>, req: Request) -> Response {
+async fn respond(list: Arc<Mutex<WorkerList>>, req: Request) -> Response {
     if req.method() != Method::Get || req.url().path() != "/workers" {
         return Response::new(StatusCode::NotFound);
     }
--- a/testbed/src/sync.rs
+++ b/testbed/src/sync.rs
@@ -1,4 +1,4 @@
-//! Locking that does not mind a panic of another thread.
+//! Mutex locking that ignores poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
