--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole site on one machine: twelve processes of the product, the workers,
-//! the platform, and the delays between regions.
+//! A complete site on one machine: a process for each node, stub workers, a stub
+//! platform, and links that delay traffic between regions.
 
 use crate::link::Link;
 pub use crate::presets::{archive, configuration, press, SitePreset};
@@ -16,6 +16,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
+/// A node and its process, if it runs.
 pub struct Node {
     pub name: String,
     pub core: bool,
@@ -25,12 +26,13 @@
     pub http: SocketAddr,
     pub file: PathBuf,
     pub child: Option<Child>,
-    /// Links that this node dials through, by the core's name.
+    /// Links through which this node connects to cores, by the name of the core.
     pub links: BTreeMap<String, Link>,
 }
 
 static ONE_FLEET_AT_A_TIME: Mutex<()> = Mutex::new(());
 
+/// A running site; its nodes are killed on drop.
 pub struct Fleet {
     pub root: PathBuf,
     pub preset: SitePreset,
@@ -38,16 +40,16 @@
     pub platform: StubPlatform,
     pub workers: Vec<StubWorker>,
     pub binary: PathBuf,
-    /// Set for every child: how test builds are told to misbehave.
+    /// Environment variables of every node.
     pub envs: Vec<(String, String)>,
-    /// Nodes run with clocks and disks that can be made to misbehave.
+    /// Whether faults can be injected into the clocks and disks of nodes.
     pub faulty_nodes: bool,
     cores: usize,
-    /// Held for the fleet's life: one fleet at a time in a process.
+    /// Held while the fleet exists: one fleet at a time in a process.
     exclusive: Option<MutexGuard<'static, ()>>,
 }
 
-/// Ports that the system gave, held until the children take them over.
+/// Free ports, bound until the nodes are about to start.
 #[derive(Default)]
 pub struct ReservedPorts(Vec<TcpListener>);
 
@@ -60,7 +62,7 @@
     }
 }
 
-/// The product's program, beside the one that runs.
+/// The product's program, searched in the folders above the running executable.
 pub fn binary() -> PathBuf {
     let me = std::env::current_exe().expect("a running program has a path");
     me.ancestors()
@@ -70,23 +72,24 @@
 }
 
 impl Fleet {
+    /// Starts a fleet with three cores.
     pub fn start(root: &Path, preset: SitePreset) -> Fleet {
         Fleet::start_with(root, preset, 3)
     }
 
-    /// With as many cores as there are zones, if that is not three.
+    /// Starts a fleet whose settings state this number of cores.
     pub fn start_with(root: &Path, preset: SitePreset, cores: usize) -> Fleet {
         Fleet::start_customized(root, preset, cores, |_| {})
     }
 
-    /// With something about it changed before its nodes start.
+    /// Starts a fleet after `with` has changed it.
     pub fn start_customized(
         root: &Path,
         preset: SitePreset,
         cores: usize,
         with: impl FnOnce(&mut Fleet),
     ) -> Fleet {
-        // many fleets at once on one machine would measure the machine
+        // concurrent fleets would overload the machine
         let exclusive = ONE_FLEET_AT_A_TIME
             .lock()
             .unwrap_or_else(|p| p.into_inner());
@@ -100,7 +103,7 @@
     }
 
     async fn create(root: &Path, preset: SitePreset, cores: usize) -> Fleet {
-        std::fs::create_dir_all(root).expect("the fleet's folder can be made");
+        std::fs::create_dir_all(root).expect("the fleet's folder can be created");
         let platform = StubPlatform::start(None)
             .await
             .expect("loopback can be bound");
@@ -156,7 +159,7 @@
         f
     }
 
-    /// Lay the links between nodes and cores, and write the settings.
+    /// Starts the links between nodes and cores, and writes the settings.
     async fn connect(&mut self) {
         let cores: Vec<(String, String, SocketAddr)> = self
             .nodes
@@ -167,8 +170,8 @@
         for i in 0..self.nodes.len() {
             let mut reach = Vec::new();
             for (name, region, addr) in &cores {
-                let away = *region != self.nodes[i].region;
-                let d = if away {
+                let other_region = *region != self.nodes[i].region;
+                let d = if other_region {
                     self.preset.region_delay
                 } else {
                     Duration::ZERO
@@ -181,6 +184,7 @@
         }
     }
 
+    /// Writes the settings of a node; `reach` maps addresses of cores to links.
     pub(crate) fn write(&self, i: usize, seeds: &[SocketAddr], reach: &[(SocketAddr, SocketAddr)]) {
         let n = &self.nodes[i];
         let mut v = Value::object();
@@ -211,11 +215,12 @@
         std::fs::write(&n.file, v.encode()).expect("the fleet's folder can be written");
     }
 
+    /// The index of the node with this name.
     pub fn node(&self, name: &str) -> usize {
         self.nodes
             .iter()
             .position(|n| n.name == name)
-            .expect("a node of that name")
+            .expect("there is a node with this name")
     }
 
     pub fn edges(&self) -> Vec<usize> {
@@ -242,9 +247,9 @@
         ))
     }
 
-    /// Wait until `f` holds; false when `most` has passed without it.
-    pub fn until(&self, most: Duration, mut f: impl FnMut(&Fleet) -> bool) -> bool {
-        let end = Instant::now() + most;
+    /// Waits until `f` holds; false if it does not within `timeout`.
+    pub fn until(&self, timeout: Duration, mut f: impl FnMut(&Fleet) -> bool) -> bool {
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
             if f(self) {
                 return true;
@@ -254,20 +259,22 @@
         f(self)
     }
 
+    /// Whether all cores are ready.
     pub fn founded(&self) -> bool {
         self.cores()
             .iter()
             .all(|i| self.get(*i, "/ready").is_some_and(|(s, _)| s == 200))
     }
 
+    /// Whether all edges are ready.
     pub fn serving(&self) -> bool {
         self.edges()
             .iter()
             .all(|i| self.get(*i, "/ready").is_some_and(|(s, _)| s == 200))
     }
 
-    /// Start again what has ended by itself: a port that the system gave may
-    /// have gone to somebody else's connection before the child could bind it.
+    /// Restarts nodes that have ended: another process may have taken a reserved port
+    /// before the node could bind it.
     fn restart_ended(&mut self) {
         for i in 0..self.nodes.len() {
             let ended = |c: &mut Child| matches!(c.try_wait(), Ok(Some(_)));
@@ -277,7 +284,7 @@
         }
     }
 
-    /// Wait, while starting, until `f` holds.
+    /// Waits up to 60 s until `f` holds, and restarts nodes that have ended.
     fn wait_for(&mut self, f: fn(&Fleet) -> bool) -> bool {
         let end = Instant::now() + Duration::from_secs(60);
         while Instant::now() < end {
@@ -290,14 +297,20 @@
     }
 
     pub fn wait_until_founded(&mut self) {
-        assert!(self.wait_for(Fleet::founded), "the site is founded");
+        assert!(
+            self.wait_for(Fleet::founded),
+            "not all cores became ready within 60 s"
+        );
     }
 
     pub fn wait_until_serving(&mut self) {
-        assert!(self.wait_for(Fleet::serving), "every edge serves");
+        assert!(
+            self.wait_for(Fleet::serving),
+            "not all edges became ready within 60 s"
+        );
     }
 
-    /// Wait for the founding, adopt the usual setup, wait for every edge.
+    /// Waits for the cores, applies the configuration of the preset, waits for the edges.
     pub fn serve(&mut self) {
         self.wait_until_founded();
         let file = self.root.join("setup.json");
@@ -308,7 +321,7 @@
         self.wait_until_serving();
     }
 
-    /// Run the operators' client against a node.
+    /// Runs the `ctl` command against a node; returns its exit code and output.
     pub fn ctl(&self, at: usize, args: &[&str]) -> (i32, String) {
         let out = Command::new(&self.binary)
             .args(["ctl", "--at", &self.nodes[at].http.to_string()])
--- a/testbed/src/fleet_faults.rs
+++ b/testbed/src/fleet_faults.rs
@@ -6,6 +6,7 @@
 use std::process::{Command, Stdio};
 
 impl Fleet {
+    /// Starts the process of a node.
     pub fn spawn(&mut self, i: usize) {
         let n = &mut self.nodes[i];
         let log = std::fs::OpenOptions::new()
@@ -14,22 +15,25 @@
             .open(self.root.join(format!("{}.log", n.name)))
             .expect("the fleet's folder can be written");
         let role = if n.core { "core" } else { "edge" };
-        // a write beyond a limit must fail, as on a full disk, not kill
-        let mut run = Command::new("sh");
-        run.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]);
+        // a write beyond the file size limit fails, as on a full disk, instead of
+        // killing the process
+        let mut command = Command::new("sh");
+        command.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]);
         if self.faulty_nodes {
-            let tricks = self.root.join(format!("{}.tricks", n.name));
-            run.arg(self.binary.with_file_name("testbed"))
+            let faults = self.root.join(format!("{}.tricks", n.name));
+            command
+                .arg(self.binary.with_file_name("testbed"))
                 .args(["node", "--role", role, "--settings"])
                 .arg(&n.file)
                 .arg("--tricks")
-                .arg(tricks);
+                .arg(faults);
         } else {
-            run.arg(&self.binary)
+            command
+                .arg(&self.binary)
                 .args([role, "--settings"])
                 .arg(&n.file);
         }
-        let child = run
+        let child = command
             .envs(self.envs.iter().map(|(k, v)| (k, v)))
             .env("ASYNC_STD_THREAD_COUNT", "2")
             .stdin(Stdio::null())
@@ -40,7 +44,8 @@
         n.child = Some(child);
     }
 
-    /// Lay out a blank core in a lost one's zone, at a new address.
+    /// Adds a core with an empty disk in the zone of a lost one, at a new address; returns
+    /// its index. It is not started.
     pub fn replace(&mut self, lost: usize) -> usize {
         let mut ports = ReservedPorts::default();
         let (zone, region) = (
@@ -56,6 +61,7 @@
         i
     }
 
+    /// Kills a node with SIGKILL and waits for its end.
     pub fn kill(&mut self, i: usize) {
         if let Some(mut c) = self.nodes[i].child.take() {
             let _ = c.kill();
@@ -63,7 +69,7 @@
         }
     }
 
-    /// Send a signal by name to one of this fleet's own children.
+    /// Sends a signal by name to a node, if it runs.
     pub fn signal(&self, i: usize, sig: &str) {
         if let Some(c) = &self.nodes[i].child {
             let _ = Command::new("kill")
@@ -72,7 +78,7 @@
         }
     }
 
-    /// From now on no write of this child beyond a file's first bytes succeeds.
+    /// Makes every write of a node beyond the first 64 bytes of a file fail.
     pub fn limit_file_size(&self, i: usize) {
         if let Some(c) = &self.nodes[i].child {
             let _ = Command::new("prlimit")
@@ -81,11 +87,10 @@
         }
     }
 
-    /// From now on a node's clock and disk fail as this says (see
-    /// [`crate::faulty_node`]).
-    pub fn set_node_faults(&self, i: usize, answer: &str) {
+    /// Sets the clock and disk faults of a node, as JSON (see [`crate::faulty_node`]).
+    pub fn set_node_faults(&self, i: usize, faults: &str) {
         let file = self.root.join(format!("{}.tricks", self.nodes[i].name));
-        std::fs::write(file, answer).expect("the fleet's folder can be written");
+        std::fs::write(file, faults).expect("the fleet's folder can be written");
     }
 
     /// Blocks or unblocks the links between nodes and cores of different regions.
@@ -100,7 +105,7 @@
         }
     }
 
-    /// Stop a node as its platform would, and wait until it has ended.
+    /// Stops a node with SIGTERM and waits for its end; returns its exit code.
     pub fn stop(&mut self, i: usize) -> Option<i32> {
         self.signal(i, "TERM");
         let mut c = self.nodes[i].child.take()?;
--- a/testbed/src/presets.rs
+++ b/testbed/src/presets.rs
@@ -1,4 +1,4 @@
-//! The two deployments: their regions, sizes, delays, and a setup for each.
+//! The two deployments: their regions, sizes and delays, and their configuration.
 
 use std::time::Duration;
 
@@ -6,9 +6,10 @@
 #[derive(Clone, Debug)]
 pub struct SitePreset {
     pub site: &'static str,
-    /// Region, its zones, its model workers.
+    /// Regions with their zones and numbers of model workers.
     pub regions: Vec<(&'static str, Vec<&'static str>, usize)>,
     pub web_workers: usize,
+    /// One-way network delay between regions.
     pub region_delay: Duration,
     pub edges_per_zone: usize,
 }
@@ -36,7 +37,7 @@
     }
 }
 
-/// A setup that serves every kind of errand of a deployment.
+/// A configuration with a route for every kind of request of a deployment.
 pub fn configuration(preset: &SitePreset) -> String {
     let a = preset.regions[0].0;
     let b = preset.regions[1].0;
