--- a/testbed/src/gateway_soak.rs
+++ b/testbed/src/gateway_soak.rs
@@ -1,5 +1,5 @@
-//! A soak of the real fleet: a deployment's mix over real connections while
-//! nodes are killed, frozen and restarted, checked from the workers' own logs.
+//! A soak test of a fleet of real processes: clients send requests of every kind while
+//! nodes are killed, frozen and restarted; checked against the workers' records.
 
 use crate::fleet::Fleet;
 use crate::rand::Rand;
@@ -13,11 +13,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What one request's caller saw, by the request's id.
+/// The result of a request for its caller.
 #[derive(Clone, Debug, PartialEq)]
 enum CallerOutcome {
     Served,
+    /// It did not run.
     Rejected,
+    /// It may have run.
     Uncertain,
 }
 
@@ -25,8 +27,7 @@
 pub struct SoakSummary {
     pub requests: usize,
     pub attempts: usize,
-    /// Attempts, not requests, that ended without an answer or with an uncertain
-    /// one.
+    /// Attempts, not requests, of which the caller does not know whether they ran.
     pub lost: usize,
     pub served: usize,
     pub rejected: usize,
@@ -34,6 +35,7 @@
     pub violations: Vec<String>,
 }
 
+/// State shared by all callers.
 struct Shared {
     stop: AtomicBool,
     next: AtomicU64,
@@ -46,14 +48,14 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Callers in `threads`, faults from `seed`, for `time`; then what was seen.
+/// Runs callers in `threads` threads for `time`, with random faults of `seed`.
 pub fn soak(f: &mut Fleet, seed: u64, threads: usize, time: Duration) -> SoakSummary {
     run_during(f, seed, threads, |f| {
         inject_faults(f, Rand::new(seed), Instant::now() + time)
     })
 }
 
-/// Callers in `threads` while `change` is done to the fleet.
+/// Runs callers in `threads` threads while `change` acts on the fleet.
 pub fn run_during(
     f: &mut Fleet,
     seed: u64,
@@ -88,7 +90,7 @@
     summarize(f, &shared)
 }
 
-/// One node at a time is killed, frozen or restarted, and comes back.
+/// Kills, freezes or restarts one random node at a time until `end`.
 fn inject_faults(f: &mut Fleet, mut r: Rand, end: Instant) {
     while Instant::now() < end {
         let i = r.below(f.nodes.len() as u64) as usize;
@@ -112,24 +114,25 @@
     }
 }
 
+/// Sends requests until the soak stops.
 fn caller(shared: &Shared, mut r: Rand) {
     while !shared.stop.load(Ordering::SeqCst) {
         let id = format!("soak{}", shared.next.fetch_add(1, Ordering::SeqCst));
         let kind = r.below(10);
         let n = shared.edges.len() as u64;
-        // a lost or shed request is asked again under its id, elsewhere
+        // a failed or rejected request is retried with the same id at a random edge
         for i in 0..6 {
             let (at, region) = &shared.edges[r.below(n) as usize];
             shared.attempts.fetch_add(1, Ordering::SeqCst);
             let (outcome, retry_after_s) = send_request(shared, *at, region, &id, kind, &mut r);
-            let again = outcome != CallerOutcome::Served;
+            let failed = outcome != CallerOutcome::Served;
             let lost = u64::from(outcome == CallerOutcome::Uncertain);
             shared.lost.fetch_add(lost, Ordering::SeqCst);
             lock(&shared.outcomes).insert(id.clone(), outcome);
-            if !again || i == 5 {
+            if !failed || i == 5 {
                 break;
             }
-            // it comes back when it was told to, or soon where it heard nothing
+            // wait as Retry-After says, or briefly without it
             let wait = retry_after_s.map_or(300, |s| s.min(20) * 1000);
             thread::sleep(Duration::from_millis(wait + r.below(500)));
         }
@@ -184,11 +187,12 @@
         Err(_) => CallerOutcome::Uncertain,
         Ok(c) if c.status == 200 => {
             let text = String::from_utf8_lossy(&c.body).into_owned();
-            let own = c.request.as_deref() == Some(id) && text.contains(id);
-            let whole = events == 0 || text.lines().count() == events;
+            let own_id = c.request.as_deref() == Some(id) && text.contains(id);
+            let complete = events == 0 || text.lines().count() == events;
             let ended = events == 0 || text.ends_with("\"done\":true}\n");
-            if !(own && whole && ended) {
-                lock(&shared.violations).push(format!("{id} ({path}) got {text:?}"));
+            if !(own_id && complete && ended) {
+                lock(&shared.violations)
+                    .push(format!("{id} ({path}): unexpected response {text:?}"));
             }
             CallerOutcome::Served
         }
@@ -198,7 +202,7 @@
     (outcome, retry_after_s)
 }
 
-/// Compares what callers saw with what the workers ran.
+/// Counts the outcomes, and checks that no model worker request ran twice.
 fn summarize(f: &Fleet, shared: &Shared) -> SoakSummary {
     let mut summary = SoakSummary {
         violations: std::mem::take(&mut *lock(&shared.violations)),
