--- a/testbed/tests/doctor.rs
+++ b/testbed/tests/doctor.rs
@@ -1,12 +1,12 @@
-//! The doctor on fleets made faulty on purpose.
+//! The doctor command on a fleet with injected faults.
 
 use std::process::Command;
 use std::time::Duration;
 use testbed::fleet::{configuration, press, Fleet, SitePreset};
 
-const LONG: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 
-fn small() -> SitePreset {
+fn small_preset() -> SitePreset {
     SitePreset {
         regions: vec![("north", vec!["n1", "n2"], 2), ("south", vec!["s1"], 1)],
         web_workers: 1,
@@ -25,34 +25,37 @@
     (out.status.code().unwrap_or(-1), text)
 }
 
-/// Wait until the doctor says each of these, and check its exit code.
-fn finds(f: &Fleet, at: usize, numbers: &[&str], code: i32) {
+/// Asserts that the doctor prints each of these texts in time, with this exit code.
+fn assert_finds(f: &Fleet, at: usize, findings: &[&str], code: i32) {
     let file = f.nodes[at].file.clone();
-    let ok = f.until(LONG, |f| {
+    let ok = f.until(TIMEOUT, |f| {
         let (c, text) = doctor(f, &file);
-        c == code && numbers.iter().all(|n| text.contains(n))
+        c == code && findings.iter().all(|n| text.contains(n))
     });
     let (c, text) = doctor(f, &file);
-    assert!(ok, "wanted {numbers:?} and {code}; got {c}:\n{text}");
+    assert!(
+        ok,
+        "expected {findings:?} and exit code {code}, got exit code {c}:\n{text}"
+    );
 }
 
 #[test]
-fn the_doctor_finds_what_was_made_faulty() {
+fn the_doctor_reports_each_injected_fault() {
     let d = std::env::temp_dir().join(format!("sorreldoor-doctor-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&d);
-    let mut f = Fleet::start(&d, small());
+    let mut f = Fleet::start(&d, small_preset());
     f.wait_until_founded();
     let edge = f.edges()[0];
-    finds(&f, edge, &["D15 broken no setup"], 2);
+    assert_finds(&f, edge, &["D15 broken no setup"], 2);
     let file = f.root.join("setup.json");
     std::fs::write(&file, configuration(&f.preset)).unwrap();
     f.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
     f.wait_until_serving();
-    finds(&f, edge, &["nothing found"], 0);
+    assert_finds(&f, edge, &["nothing found"], 0);
     f.ctl(0, &["evacuate", "n2", "--base", "1"]);
-    finds(&f, edge, &["D21 note a zone is left emptied"], 0);
+    assert_finds(&f, edge, &["D21 note a zone is left emptied"], 0);
     f.ctl(0, &["return", "n2", "--base", "2"]);
-    // a worker goes dark, and with it the region that has no other
+    // the only model worker of a region stops
     let k = f
         .workers
         .iter()
@@ -61,13 +64,13 @@
     let gone = f.workers.remove(k);
     let addr = gone.addr;
     drop(gone);
-    finds(
+    assert_finds(
         &f,
         edge,
         &["D19 warn a worker is dark", &addr.to_string(), "D22 warn"],
         1,
     );
-    // other settings: another site, and faults
+    // settings of another site, and invalid settings
     let text = std::fs::read_to_string(&f.nodes[edge].file).unwrap();
     let other = f.root.join("other.json");
     std::fs::write(&other, text.replace("\"press\"", "\"mess\"")).unwrap();
@@ -82,15 +85,15 @@
         c == 2 && out.contains("D01") && out.contains("zoo: unknown field"),
         "{out}"
     );
-    // a core dies: its seed, its seat, its region
+    // one core is killed: its seed, its membership and its region are affected
     let lost = f.node("core-s1");
     f.kill(lost);
-    finds(&f, edge, &["D02", "D12 warn", "D13 warn"], 1);
-    // and another: nobody leads, no edge may serve
+    assert_finds(&f, edge, &["D02", "D12 warn", "D13 warn"], 1);
+    // a second core is killed: there is no leader
     let more = f.node("core-n2");
     f.kill(more);
-    finds(&f, edge, &["D10 broken there is no global leader"], 2);
+    assert_finds(&f, edge, &["D10 broken there is no global leader"], 2);
     let last = f.node("core-n1");
     f.kill(last);
-    finds(&f, edge, &["D03 broken no seed address"], 2);
+    assert_finds(&f, edge, &["D03 broken no seed address"], 2);
 }
