--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -198,7 +198,7 @@
 
 /// The leader's next write fails; it reports `disk-failed`, and the other cores go on.
 #[test]
-fn a_leader_whose_disk_fails_reports_it_and_is_replaced() {
+fn a_leader_whose_disk_fails_reports_it_and_the_others_accept_changes() {
     let mut f = start("disk", press());
     let leader = |f: &Fleet| {
         f.cores().into_iter().find(|i| {
