--- a/sorreldoor/src/balancer/decide.rs
+++ b/sorreldoor/src/balancer/decide.rs
@@ -48,7 +48,7 @@
     ) -> Option<RankedService> {
         // requests with the same prefix go to the same service, so that it is
         // prefilled once
-        let affinity = request.prefix_key().filter(|_| route.sticky);
+        let affinity = request.prefix_key().filter(|_| route.prefix_affinity);
         let key = affinity.unwrap_or(request.split_key);
         let weighted = route.split.iter().filter(|(_, weight)| *weight > 0);
         let ranked = weighted.filter_map(|(config_index, weight)| {
@@ -249,7 +249,7 @@
 
 /// Time after its arrival until which a request may wait, in milliseconds.
 fn max_wait(route: &Route, reached_endpoint: bool) -> Millis {
-    let latency_target = match route.aim_ms {
+    let latency_target = match route.latency_target_ms {
         0 => route.timeout_ms / 2,
         target => target,
     };
--- a/sorreldoor/src/invariants.rs
+++ b/sorreldoor/src/invariants.rs
@@ -1,11 +1,11 @@
-//! The invariants of the system, for mutation testing: each is named where the
-//! code upholds it. Builds with the feature `mutants` can disable one, to show
-//! that a check notices; shipped builds have no such switch.
+//! The invariants of the system, for mutation testing: the code that upholds an
+//! invariant names it. Builds with the feature `mutants` can disable invariants,
+//! to show that tests detect the violation; released builds cannot.
 
 macro_rules! invariants {
     ($($rule:ident $name:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-        /// A property that the code upholds, and that a mutant can give up.
+        /// A property that the code upholds and that a mutant can disable.
         pub enum Invariant {
             $(
                 /// Described by the comment on its name in `invariants!`.
@@ -25,113 +25,113 @@
 }
 
 invariants! {
-    // An edge serves only while it holds a lease.
+    // An edge serves requests only while it holds a lease.
     Lease "permit";
     // The lease is void after the process was suspended or the clock jumped.
-    Woken "woken";
-    // A core answers reads as current only once a majority has confirmed it.
-    Proof "proof";
-    // A renewal without an answer goes to one more core.
-    Hedge "hedge";
+    LeaseVoidAfterSuspension "woken";
+    // A read is answered as current only after a majority has confirmed the leader.
+    QuorumConfirmedRead "proof";
+    // A lease renewal without a timely response is hedged to one more core.
+    HedgedRenewal "hedge";
     // A leader without a live quorum steps down.
     StepDown "step-down";
-    // Once a core has confirmed its state, it offers none unconfirmed to edges that start.
-    Unverified "unverified";
+    // After its first confirmation, a core sends starting edges only confirmed state.
+    ConfirmedStateOnly "unverified";
     // A request goes only to workers that the current configuration allows.
-    Allowed "allowed";
+    AllowedWorker "allowed";
     // A request runs only with a key of a tenant, unless its route is public.
     Authenticated "authenticated";
     // The key of a tenant is withheld from workers.
     KeyWithheld "key-withheld";
-    // The requests of a tenant, over all nodes, stay within its quota.
+    // The requests of a tenant over all nodes stay within its quota.
     Quota "quota";
-    // A proxy that is told to stop answers what it has read.
+    // A proxy that shuts down responds to the requests that it has read.
     GracefulDrain "graceful-drain";
-    // A proxy applies each update of the configuration that it is sent.
+    // A proxy applies each configuration update that it receives.
     UpdatesApplied "updates-applied";
     // A home-bound request stays in its home region.
-    Home "home";
+    HomeRegion "home";
     // Requests go to another region only where a spill limit allows it.
-    Spill "spill";
+    SpillLimit "spill";
     // A draining worker takes no new requests.
-    Leaving "leaving";
+    DrainingWorker "leaving";
     // An evacuated zone takes no new requests.
-    Evacuated "emptied";
+    EvacuatedZone "emptied";
     // A worker in slow start takes a growing number of requests.
-    Warm "warm";
+    SlowStart "warm";
     // Retries stay within the retry budget.
-    Budget "budget";
+    RetryBudget "budget";
     // A request that may have run is retried only if it is idempotent.
-    Repeat "repeat";
-    // A request that may have run is not reported as rejected.
-    Unknown "unknown";
-    // An attempt that was given up before sending is not sent.
-    Refusal "refusal";
+    RetryOnlyIdempotent "repeat";
+    // A request that may have run is not reported as not run.
+    UnknownOutcome "unknown";
+    // An attempt that was abandoned before sending is not sent.
+    AbandonedNotSent "refusal";
     // A request with a claim pending is not sent.
-    Claim "claim";
-    // A claim is answered only once it is synced to disk.
+    ClaimBeforeSend "claim";
+    // A claim is acknowledged only after it is synced to disk.
     ClaimSynced "claim-synced";
-    // A core votes on claims only once it has read those of its peers.
-    Learned "learned";
+    // A core votes on claims only after it has read those of its peers.
+    ClaimsCaughtUp "learned";
     // Of two changes based on one version, only the first is applied.
-    Base "base";
+    BaseVersion "base";
     // A change that is rejected leaves no trace in the state.
-    Loser "loser";
-    // A change based on a future version is undecided, not rejected for good.
-    NotYet "not-yet";
+    RejectionLeavesNoTrace "loser";
+    // A change based on a future version may be retried; it is not rejected for good.
+    FutureBase "not-yet";
     // A proposal is applied at most once.
     AppliedOnce "applied-once";
-    // A rejected proposal is not recorded as applied, so it may be decided anew.
-    RefusalKept "refusal-kept";
+    // A rejected proposal is not recorded as applied, so a retry is decided again.
+    RejectionNotRecorded "refusal-kept";
     // Snapshots contain the ids of applied proposals.
-    TakenInImage "taken-in-image";
+    AppliedIdsInSnapshot "taken-in-image";
     // A conditional evacuation that was superseded is not applied.
-    EvacuateOnce "evacuate-once";
+    ConditionalEvacuation "evacuate-once";
     // A body shorter than its Content-Length is not a complete response.
-    ResultLength "result-length";
+    CompleteBody "result-length";
     // A response that names another request is not forwarded.
-    ResultOwner "result-owner";
+    ResponseRequestId "result-owner";
     // Events of a stream are relayed in sequence, and only this request's.
-    Sequence "sequence";
-    // An attempt that may have run is followed by another only if that is harmless.
-    SendOnce "send-once";
+    StreamSequence "sequence";
+    // An attempt that may have run is retried only if running twice is harmless.
+    SafeReattempt "send-once";
     // A client is told that its request did not run only if that is certain.
-    HonestRefusal "honest-refusal";
+    CertainNotRun "honest-refusal";
     // A proxied response must name the attempt that it belongs to.
-    AnswerId "answer-id";
+    ResponseAttemptId "answer-id";
     // A connection with unexpected bytes on it is not reused.
     CleanConnection "clean-connection";
-    // A successful response ended only by the close of its connection is not trusted.
-    WholeAnswer "whole-answer";
-    // Replicas get updates as deltas, unless they are empty or too far behind.
-    Differences "differences";
-    // Updates of item lists contain the deletions.
-    Deletions "deletions";
-    // Connections to an earlier incarnation of a core, or to the identity whose disk
-    // was lost, are closed once the next one introduces itself.
-    Superseded "superseded";
-    // Frames go on a connection that still receives, if there is one.
+    // A successful response that only the close of its connection ends is rejected.
+    DelimitedResponse "whole-answer";
+    // Replicas receive deltas unless they are empty or too far behind.
+    DeltaUpdates "differences";
+    // Delta updates of item lists include deletions.
+    DeltaDeletions "deletions";
+    // When a core connects with a new incarnation, or a new identity after losing its
+    // disk, connections to the previous one are closed.
+    SupersededConnection "superseded";
+    // Frames are sent on a connection that still receives, if there is one.
     LiveConnection "live-connection";
-    // Changes of many sessions are merged and reported together.
-    SessionsGathered "sessions-gathered";
+    // Changes of many sessions are reported in one batch.
+    SessionsBatched "sessions-gathered";
     // Messages of consensus are handled before the work for edges.
-    UrgentLane "urgent-lane";
-    // An edge that has state renews no more often than others.
-    Unhurried "unhurried";
-    // The bytes of endpoint lists that a core sends per time are bounded.
-    EndpointsPaced "endpoints-paced";
+    ConsensusPriority "urgent-lane";
+    // An edge that has state renews at the normal rate.
+    UniformRenewalRate "unhurried";
+    // The rate of endpoint list bytes that a core sends is bounded.
+    EndpointListRate "endpoints-paced";
     // The bytes of large updates in flight are bounded.
-    CopiesBounded "copies-bounded";
+    LargeUpdatesBounded "copies-bounded";
 }
 
 /// Whether a test has disabled this invariant.
 #[cfg(not(feature = "mutants"))]
-pub const fn broken(_: Invariant) -> bool {
+pub const fn is_disabled(_: Invariant) -> bool {
     false
 }
 
 #[cfg(feature = "mutants")]
-pub use switch::{break_only, broken};
+pub use switch::{disable_only, is_disabled};
 
 #[cfg(feature = "mutants")]
 mod switch {
@@ -140,11 +140,11 @@
     use std::sync::OnceLock;
 
     thread_local! {
-        // tests run side by side, each on a thread of its own
-        static ON_THIS_THREAD: Cell<Option<Invariant>> = const { Cell::new(None) };
+        // tests run in parallel, each on its own thread
+        static DISABLED_HERE: Cell<Option<Invariant>> = const { Cell::new(None) };
     }
 
-    /// The invariants that this process was started without.
+    /// The invariants that `SORRELDOOR_BREAK` disables for this process.
     fn from_environment() -> &'static [Invariant] {
         static DISABLED: OnceLock<Vec<Invariant>> = OnceLock::new();
         DISABLED.get_or_init(|| {
@@ -155,12 +155,12 @@
     }
 
     /// Whether a test has disabled this invariant.
-    pub fn broken(invariant: Invariant) -> bool {
-        ON_THIS_THREAD.get() == Some(invariant) || from_environment().contains(&invariant)
+    pub fn is_disabled(invariant: Invariant) -> bool {
+        DISABLED_HERE.get() == Some(invariant) || from_environment().contains(&invariant)
     }
 
-    /// Disables this invariant on this thread from now on, and no other.
-    pub fn break_only(invariant: Option<Invariant>) {
-        ON_THIS_THREAD.set(invariant);
+    /// Disables this invariant, and no other, on the current thread.
+    pub fn disable_only(invariant: Option<Invariant>) {
+        DISABLED_HERE.set(invariant);
     }
 }
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -6,7 +6,7 @@
 use crate::configuration::hosted::Hosted;
 use crate::configuration::Site;
 use crate::discovery::WorkerRegistry;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::log_events::LogEvent;
 use crate::metrics::EdgeFigures;
 use crate::net::{Conn, NetEvent};
@@ -24,6 +24,7 @@
 /// An input of [`ProxyController`].
 #[derive(Debug)]
 pub enum ControllerEvent {
+    /// The periodic timer.
     Tick,
     /// A connection to a core was opened or closed, or a frame arrived.
     Net(NetEvent),
@@ -307,8 +308,8 @@
         }
     }
 
+    // grants and registries may arrive late, and must not replace newer state
     fn apply_delta(&mut self, delta: StateDelta) {
-        // grants and registries may arrive late, and must not replace newer state
         let known = self.subscription.known_versions.record;
         if let Some(update) = delta.record.filter(|u| u.revision > known) {
             self.apply_update(&update);
@@ -335,7 +336,7 @@
 
     fn apply_update(&mut self, encoded: &EncodedUpdate) {
         let applies = |u: &StateUpdate| u.from_revision <= self.view.revision;
-        if self.view.revision > 0 && broken(Invariant::UpdatesApplied) {
+        if self.view.revision > 0 && is_disabled(Invariant::UpdatesApplied) {
             self.subscription.known_versions.record = encoded.revision;
             return;
         }
@@ -354,7 +355,6 @@
         self.subscription.known_versions.record = update.revision;
         self.balancer
             .set_evacuated_zones(update.evacuated.clone(), self.now);
-        // the document is not needed after it was parsed; this saves its memory
         self.view = View {
             revision: update.revision,
             version: update.version,
--- a/sorreldoor/src/proxy/request_state/retry_decision.rs
+++ b/sorreldoor/src/proxy/request_state/retry_decision.rs
@@ -3,7 +3,7 @@
 
 use super::progress::Delivered;
 use super::{Repeatability, RequestProgress, State};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 
 /// The proxy's own response when it forwards no worker's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -35,7 +35,7 @@
     /// Whether the request may run again after an attempt may have run it. Does
     /// not depend on the state of the current attempt.
     pub fn may_run_twice(&self) -> bool {
-        if broken(Invariant::SendOnce) {
+        if is_disabled(Invariant::SafeReattempt) {
             return true;
         }
         let resumable = self.repeatability == Repeatability::ResumableStream;
@@ -53,7 +53,7 @@
         if self.delivered != Delivered::Nothing || self.state == State::Done {
             return FallbackResponse::CloseConnection;
         }
-        if !self.may_have_run() || broken(Invariant::HonestRefusal) {
+        if !self.may_have_run() || is_disabled(Invariant::CertainNotRun) {
             return FallbackResponse::ServiceUnavailable;
         }
         match self.deadline_passed {
--- a/testbed/src/emulator/node.rs
+++ b/testbed/src/emulator/node.rs
@@ -260,7 +260,7 @@
         };
         let deadline = x.policy.deadline(request_id);
         let idempotent = route.kind == sorreldoor::configuration::hosted::Kind::Idempotent;
-        let head_timeout_ms = match route.aim_ms {
+        let head_timeout_ms = match route.latency_target_ms {
             0 => u64::MAX / 4,
             aim_ms if idempotent => (aim_ms * 6 / 10).max(MIN_HEDGE_DELAY_MS),
             aim_ms => aim_ms.max(MIN_HEAD_TIMEOUT_MS),
--- a/testbed/tests/doctor.rs
+++ b/testbed/tests/doctor.rs
@@ -46,14 +46,14 @@
     let mut f = Fleet::start(&d, small_preset());
     f.wait_until_founded();
     let edge = f.edges()[0];
-    assert_finds(&f, edge, &["D15 broken no setup"], 2);
+    assert_finds(&f, edge, &["D15 broken no configuration"], 2);
     let file = f.root.join("setup.json");
     std::fs::write(&file, configuration(&f.preset)).unwrap();
     f.ctl(0, &["put", &file.display().to_string(), "--base", "0"]);
     f.wait_until_serving();
-    assert_finds(&f, edge, &["nothing found"], 0);
+    assert_finds(&f, edge, &["no findings"], 0);
     f.ctl(0, &["evacuate", "n2", "--base", "1"]);
-    assert_finds(&f, edge, &["D21 note a zone is left emptied"], 0);
+    assert_finds(&f, edge, &["D21 note a zone is evacuated"], 0);
     f.ctl(0, &["return", "n2", "--base", "2"]);
     // the only model worker of a region stops
     let k = f
@@ -67,7 +67,11 @@
     assert_finds(
         &f,
         edge,
-        &["D19 warn a worker is dark", &addr.to_string(), "D22 warn"],
+        &[
+            "D19 warn a worker does not report its load",
+            &addr.to_string(),
+            "D22 warn",
+        ],
         1,
     );
     // settings of another site, and invalid settings
