--- a/testbed/src/emulator/drawn.rs
+++ b/testbed/src/emulator/drawn.rs
@@ -1,20 +1,20 @@
-//! Deployments drawn from a seed: regions of unequal capacity, few or many nodes,
-//! short and long prompts, with and without homes. No policy is tuned on them.
+//! Random deployments from a seed: regions of unequal capacity, few or many nodes,
+//! short and long prompts, with and without homes.
 
 use super::deployments::two_region_mix;
 use super::mix::{ClassMix, Distribution, EngineMix, Mix, SegmentMix, ServiceMix};
 use crate::rand::Rand;
 
-/// Share of the time of all engines that the requests ask for, at least and at most.
+/// Range of the share of all engine time that the requests need.
 const UTILIZATION: (f64, f64) = (0.15, 0.4);
-/// Part of it that long prompts take.
+/// Range of the share of that load that long prompts make up.
 const LONG_SHARE: (f64, f64) = (0.2, 0.6);
-/// Requests a second of the plain service for each of its workers.
+/// Requests per second for each worker of the plain service.
 const PLAIN_PER_WORKER: f64 = 25.0;
-/// Of the prompt's shared tokens, those that are read in spite of the prefix cache.
+/// Assumed share of the shared prompt tokens that miss the prefix cache.
 const MISS_SHARE: f64 = 0.3;
 
-/// Draws numbers of a deployment.
+/// Random generator with the draws that a deployment needs.
 struct Draw(Rand);
 
 impl Draw {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The regions that a kind of request is bound to; none: any.
+    /// The regions that a kind of request is restricted to; empty: all regions.
     fn homes(&mut self, regions: u8) -> Vec<u8> {
         match regions > 1 && self.chance(0.5) {
             true => (0..self.count(1, u32::from(regions) - 1) as u8).collect(),
@@ -55,15 +55,19 @@
     }
 }
 
-/// Milliseconds that a request of a kind keeps an engine busy, about.
+/// Estimated engine time of a request, in milliseconds.
 fn busy_ms(class: &ClassMix, engine: &EngineMix, slots: u32) -> f64 {
-    let shared: f64 = class.parts.iter().map(|part| part.tokens.mean).sum();
-    let prefill = (class.own.mean + MISS_SHARE * shared) / engine.read_per_ms;
+    let shared: f64 = class
+        .shared_segments
+        .iter()
+        .map(|part| part.tokens.mean)
+        .sum();
+    let prefill = (class.own_tokens.mean + MISS_SHARE * shared) / engine.read_per_ms;
     let steps = class.events.mean * f64::from(engine.stride);
     prefill + steps * engine.step_ms / f64::from(slots)
 }
 
-/// A deployment without faults, by its seed.
+/// The deployment of a seed, without faults.
 #[must_use]
 pub fn drawn_mix(seed: u64) -> Mix {
     let mut draw = Draw(Rand::new(seed));
@@ -106,8 +110,8 @@
         ..two_region_mix().services.remove(1)
     };
     Mix {
-        share: vec![1.0 / zones.len() as f64; zones.len()],
-        region_ms: draw.between((20.0, 55.0)),
+        client_share: vec![1.0 / zones.len() as f64; zones.len()],
+        cross_region_ms: draw.between((20.0, 55.0)),
         zones,
         nodes,
         services: vec![model, web],
@@ -123,7 +127,7 @@
         resume: urgent,
         attempts: 1 + u32::from(urgent),
         priority: u8::from(!urgent),
-        tries: 1,
+        max_retries: 1,
         value: 2.0 + f64::from(u8::from(urgent)),
         late_value: 0.6,
         ..ClassMix::default()
@@ -138,12 +142,12 @@
         aim_ms: u64::from(draw.count(5, 10)) * 100,
         gap_ms: u64::from(draw.count(3, 6)) * 100,
         deadline_ms: 8000,
-        parts: vec![SegmentMix {
+        shared_segments: vec![SegmentMix {
             tokens: Distribution::of(shared, 0.7, shared * 3.0),
-            things: draw.count(30, 900),
+            distinct: draw.count(30, 900),
             skew: 0.3,
         }],
-        own: Distribution::of(own, draw.between((1.0, 1.4)), own * 9.0),
+        own_tokens: Distribution::of(own, draw.between((1.0, 1.4)), own * 9.0),
         events: Distribution::of(draw.between((15.0, 40.0)), 0.6, 110.0),
         ..stream("long", urgent)
     }
@@ -157,12 +161,12 @@
         aim_ms: u64::from(draw.count(6, 8)) * 100,
         gap_ms: u64::from(draw.count(3, 6)) * 100,
         deadline_ms: 4000,
-        parts: vec![SegmentMix {
+        shared_segments: vec![SegmentMix {
             tokens: Distribution::of(shared, 0.6, shared * 3.0),
-            things: draw.count(500, 2500),
+            distinct: draw.count(500, 2500),
             skew: 0.3,
         }],
-        own: Distribution::of(own, 1.3, own * 5.0),
+        own_tokens: Distribution::of(own, 1.3, own * 5.0),
         events: Distribution::of(draw.between((2.0, 9.0)), 1.4, 30.0),
         ..stream("short", urgent)
     }
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -1,7 +1,7 @@
-//! A discrete-event emulation of a site: proxy nodes with the product's own load
-//! balancer, emulated workers with and without engines, clients, and faults.
-//! It replaces the proxy's sockets by events in virtual time, so that policies
-//! can be compared and invariants checked at full size within seconds.
+//! A deterministic discrete-event emulation of a site: proxy nodes that run the real
+//! load balancer, emulated workers with and without inference engines, clients, and
+//! faults. Events in virtual time replace the sockets, so that policies are compared
+//! and invariants checked at the size of a whole site within seconds.
 
 mod baseline;
 mod check;
@@ -55,15 +55,17 @@
 /// A message from a worker on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum WorkerMessage {
+    /// The head of the response.
     Head(LoadReport),
     Event(u32),
-    /// The whole answer, or the end of the stream.
+    /// The body of a plain response, or the end of the stream.
     End,
     Rejected(LoadReport),
     Misdirected,
-    /// A 504: the deadline passed after it started to run.
+    /// Status 504: the deadline passed while the request ran.
     TimedOut,
     Reset,
+    /// Bytes that are no valid response.
     Garbled,
 }
 
@@ -76,11 +78,12 @@
     Nodes(Vec<(String, u16)>),
 }
 
+/// An event of the simulation; `u32` after a node is the node's incarnation.
 pub(crate) enum SimEvent {
-    /// The next possible arrival of a request in this zone.
+    /// A candidate for an arrival in this zone; thinning decides whether a request arrives.
     NextArrival(usize),
     RequestArrived(usize, u32, usize),
-    ClientGone(usize, u32, usize),
+    ClientDisconnected(usize, u32, usize),
     Syn(u64),
     SynAck(u64, bool),
     RequestReceived(u64),
@@ -90,17 +93,18 @@
     PlainWorkDone(u64),
     FromWorker(u64, WorkerMessage),
     Timer(u64),
-    Wake(usize, u32, u64, u64),
+    WaitOver(usize, u32, u64, u64),
     ControlUpdate(usize, u32, ControlUpdate),
     ClientMessage(usize, ClientMessage),
     ClientTimeout(usize),
     Call(Box<dyn FnOnce(&mut World)>),
 }
 
+/// An event with its time; `number` orders events of the same time.
 struct ScheduledEvent {
     at: Micros,
     number: u64,
-    ev: SimEvent,
+    event: SimEvent,
 }
 
 impl PartialEq for ScheduledEvent {
@@ -120,7 +124,7 @@
     }
 }
 
-/// The arrival of an attempt at a worker.
+/// The arrival of an attempt at a worker, for the checks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     /// When the node sent it, and when it arrived.
@@ -140,10 +144,11 @@
     pub to: Micros,
 }
 
+/// The state of a run: the site, the event queue, and what the checks need.
 pub struct World {
     pub(crate) now: Micros,
     pub(crate) rng: Rand,
-    /// For arrivals alone, so that all policies get the same requests.
+    /// Separate generator of arrivals, so that all policies get the same requests.
     pub(crate) arrival_rng: Rand,
     pub(crate) mix: Arc<Mix>,
     pub(crate) policy_kind: PolicyKind,
@@ -157,26 +162,26 @@
     pub(crate) worker_attempts: Vec<WorkerAttempt>,
     pub(crate) registry: Arc<WorkerRegistry>,
     /// Configurations with the time of their acknowledgement.
-    pub(crate) versions: Vec<(Micros, Arc<Hosted>)>,
+    pub(crate) configuration_versions: Vec<(Micros, Arc<Hosted>)>,
     pub(crate) evacuated: Vec<u16>,
     pub(crate) evacuations: Vec<Evacuation>,
     pub(crate) arrivals: Vec<Arrival>,
-    /// Ready nodes, as the directory lists them.
+    /// Ready nodes, as the directory of nodes lists them.
     pub(crate) ready: Vec<usize>,
-    /// Shared segments that some worker of a service has read.
+    /// Shared segments that some worker of a service has prefilled, by service.
     pub(crate) prefilled_segments: HashSet<(usize, u64)>,
     pub(crate) statistics: RunStatistics,
     /// Violations of invariants found during the run.
     pub(crate) violations: BTreeSet<String>,
-    /// Factors on the arrival rates by kind of request; and the zone that
-    /// clients of each zone use.
+    /// Factors on the arrival rates, by kind of request.
     pub(crate) rate_factors: Vec<f64>,
+    /// The zone that the clients of each zone use.
     pub(crate) zone_redirects: Vec<usize>,
-    /// Addresses of ended workers, with the time they became free.
-    pub(crate) free_addrs: Vec<(Micros, SocketAddr)>,
-    pub(crate) addrs: u32,
+    /// Addresses of ended workers, with the time of their end.
+    pub(crate) free_addresses: Vec<(Micros, SocketAddr)>,
+    pub(crate) addresses_created: u32,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
-    count: u64,
+    event_count: u64,
 }
 
 impl World {
@@ -196,7 +201,7 @@
             client_attempts: Vec::new(),
             worker_attempts: Vec::new(),
             registry: Arc::default(),
-            versions: Vec::new(),
+            configuration_versions: Vec::new(),
             evacuated: Vec::new(),
             evacuations: Vec::new(),
             arrivals: Vec::new(),
@@ -206,46 +211,49 @@
             violations: BTreeSet::new(),
             rate_factors: vec![1.0; mix.classes.len()],
             zone_redirects: (0..mix.zones.len()).collect(),
-            free_addrs: Vec::new(),
-            addrs: 0,
+            free_addresses: Vec::new(),
+            addresses_created: 0,
             queue: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             mix,
         };
         w.create_workers();
-        w.versions.push((0, Arc::new(w.hosted())));
+        w.configuration_versions.push((0, Arc::new(w.hosted())));
         w.create_nodes();
         let at = micros(10_000.0);
         (0..w.mix.zones.len()).for_each(|z| w.push(at, SimEvent::NextArrival(z)));
-        for t in w.mix.troubles.clone() {
+        for t in w.mix.faults.clone() {
             w.call_at(at + micros(t.at_s * 1000.0), move |w| w.inject_fault(&t));
         }
         w
     }
 
-    /// Runs the whole mix, until the last client has ended.
+    /// Runs until no event is left; returns the final state.
     pub fn run(mut self) -> World {
         while let Some(Reverse(i)) = self.queue.pop() {
             self.now = i.at;
-            self.step(i.ev);
+            self.step(i.event);
         }
         self.statistics.set_duration(self.now);
         self
     }
 
-    pub(crate) fn ms(&self) -> u64 {
+    /// The virtual time in milliseconds.
+    pub(crate) fn now_ms(&self) -> u64 {
         self.now / 1000
     }
 
-    /// When the last request may arrive.
-    pub(crate) fn end(&self) -> Micros {
+    /// The end of arrivals.
+    pub(crate) fn arrivals_end(&self) -> Micros {
         micros(10_000.0 + self.mix.seconds * 1000.0)
     }
 
-    pub(crate) fn push(&mut self, at: Micros, ev: SimEvent) {
-        self.count += 1;
-        let (at, number) = (at.max(self.now), self.count);
-        self.queue.push(Reverse(ScheduledEvent { at, number, ev }));
+    /// Schedules an event, no earlier than now.
+    pub(crate) fn push(&mut self, at: Micros, event: SimEvent) {
+        self.event_count += 1;
+        let (at, number) = (at.max(self.now), self.event_count);
+        self.queue
+            .push(Reverse(ScheduledEvent { at, number, event }));
     }
 
     pub(crate) fn call_at(&mut self, at: Micros, f: impl FnOnce(&mut World) + 'static) {
@@ -256,9 +264,9 @@
     pub(crate) fn delay(&self, a: u16, b: u16) -> Micros {
         let m = &self.mix;
         micros(match (a == b, m.zones[a as usize] == m.zones[b as usize]) {
-            (true, _) => m.here_ms,
-            (_, true) => m.zone_ms,
-            _ => m.region_ms,
+            (true, _) => m.same_zone_ms,
+            (_, true) => m.same_region_ms,
+            _ => m.cross_region_ms,
         })
     }
 
@@ -266,8 +274,8 @@
     fn target(&self, ev: &SimEvent) -> Option<(usize, u32)> {
         match ev {
             SimEvent::RequestArrived(n, l, _)
-            | SimEvent::ClientGone(n, l, _)
-            | SimEvent::Wake(n, l, ..)
+            | SimEvent::ClientDisconnected(n, l, _)
+            | SimEvent::WaitOver(n, l, ..)
             | SimEvent::ControlUpdate(n, l, _) => Some((*n, *l)),
             SimEvent::SynAck(s, _) | SimEvent::FromWorker(s, _) | SimEvent::Timer(s) => {
                 let s = &self.worker_attempts[*s as usize];
@@ -281,7 +289,7 @@
         if let Some((n, incarnation)) = self.target(&ev) {
             let x = &self.nodes[n];
             if x.up && x.frozen_until > self.now {
-                // a frozen machine's sockets hold what came meanwhile
+                // the socket buffers of a frozen machine keep what arrives
                 let at = x.frozen_until;
                 return self.push(at, ev);
             }
@@ -296,7 +304,7 @@
         match ev {
             SimEvent::NextArrival(z) => self.next_arrival(z),
             SimEvent::RequestArrived(n, _, t) => self.request_arrived(n, t),
-            SimEvent::ClientGone(n, _, t) => self.client_gone(n, t),
+            SimEvent::ClientDisconnected(n, _, t) => self.client_disconnected(n, t),
             SimEvent::Syn(s) => self.syn(s),
             SimEvent::SynAck(s, ok) => self.syn_ack(s, ok),
             SimEvent::RequestReceived(s) => self.request_received(s),
@@ -306,7 +314,7 @@
             SimEvent::PlainWorkDone(s) => self.plain_work_done(s),
             SimEvent::FromWorker(s, a) => self.worker_message(s, a),
             SimEvent::Timer(s) => self.timer(s),
-            SimEvent::Wake(n, _, request_id, number) => self.woken(n, request_id, number),
+            SimEvent::WaitOver(n, _, request_id, number) => self.wait_over(n, request_id, number),
             SimEvent::ControlUpdate(n, _, x) => self.apply_update(n, x),
             SimEvent::ClientMessage(t, m) => self.client_receives(t, m),
             SimEvent::ClientTimeout(t) => self.client_timeout(t),
--- a/testbed/src/presets.rs
+++ b/testbed/src/presets.rs
@@ -1,4 +1,4 @@
-//! The two deployments: their regions, sizes, delays, and a setup for each.
+//! The two deployments: their regions, sizes and delays, and their configuration.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 #[derive(Clone, Debug)]
 pub struct SitePreset {
     pub site: &'static str,
-    /// Region, its zones, its model workers.
+    /// Regions with their zones and numbers of model workers.
     pub regions: Vec<(&'static str, Vec<&'static str>, usize)>,
-    pub webs: usize,
-    pub far: Duration,
+    pub web_workers: usize,
+    /// One-way network delay between regions.
+    pub region_delay: Duration,
     pub edges_per_zone: usize,
 }
 
@@ -17,8 +18,8 @@
     SitePreset {
         site: "press",
         regions: vec![("north", vec!["n1", "n2"], 10), ("south", vec!["s1"], 8)],
-        webs: 3,
-        far: Duration::from_millis(25),
+        web_workers: 3,
+        region_delay: Duration::from_millis(25),
         edges_per_zone: 3,
     }
 }
@@ -30,13 +31,13 @@
             ("kharkhorin", vec!["k1"], 5),
             ("ulaanbaatar", vec!["u1", "u2"], 6),
         ],
-        webs: 3,
-        far: Duration::from_millis(35),
+        web_workers: 3,
+        region_delay: Duration::from_millis(35),
         edges_per_zone: 3,
     }
 }
 
-/// A setup that serves every kind of errand of a deployment.
+/// A configuration with a route for every kind of request of a deployment.
 pub fn configuration(preset: &SitePreset) -> String {
     let a = preset.regions[0].0;
     let b = preset.regions[1].0;
