--- a/sorreldoor/src/control_plane/api.rs
+++ b/sorreldoor/src/control_plane/api.rs
@@ -25,7 +25,11 @@
 }
 
 impl OperatorServer for HttpOperatorServer {
-    fn start(self, client: ControllerClient, gate: http::Gate) -> Result<(), StartError> {
+    fn start(
+        self,
+        client: ControllerClient,
+        shutdown: http::ShutdownHandle,
+    ) -> Result<(), StartError> {
         let address = self.settings.http;
         let listener = bind("http", address)?;
         let max_connections = self.settings.max_connections;
@@ -34,7 +38,7 @@
         task::spawn(http::serve(
             listener,
             max_connections,
-            gate,
+            shutdown,
             move |request, _| api.clone().handle(request),
         ));
         log_event(LogEvent::Listening, format!("http {address}"));
@@ -61,9 +65,9 @@
         if request.method() == Method::Get && path == "/ready" {
             return self.ready().await;
         }
-        match operator_api::read(&mut request, &self.settings.names).await {
-            None => http::shed(ErrorCode::UnknownPath, &path, RETRY_AFTER_S),
-            Some(Err(code)) => http::shed(code, "", RETRY_AFTER_S),
+        match operator_api::parse_request(&mut request, &self.settings.names).await {
+            None => http::error_response(ErrorCode::UnknownPath, &path, RETRY_AFTER_S),
+            Some(Err(code)) => http::error_response(code, "", RETRY_AFTER_S),
             Some(Ok(request)) => self.handle_operator(request).await,
         }
     }
@@ -74,9 +78,9 @@
                 confirmed: true, ..
             }) => http::json(200, "{\"ready\":true}".into()),
             Some(StateSnapshot { disk_ok: false, .. }) => {
-                http::shed(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
+                http::error_response(ErrorCode::DiskFailed, "", DISK_RETRY_AFTER_S)
             }
-            _ => http::shed(
+            _ => http::error_response(
                 ErrorCode::NoControlPlane,
                 "this core cannot reach a quorum",
                 RETRY_AFTER_S,
@@ -86,18 +90,18 @@
 
     async fn handle_operator(&self, request: OperatorRequest) -> Response {
         match request {
-            OperatorRequest::Check { faults } => operator_api::checked(&faults),
+            OperatorRequest::Check { faults } => operator_api::check_response(&faults),
             OperatorRequest::Change { proposal_id, cmd } => {
                 let outcome = self.client.change(proposal_id, cmd).await;
-                operator_api::result(proposal_id, &outcome)
+                operator_api::change_response(proposal_id, &outcome)
             }
             OperatorRequest::DropCore { proposal_id, id } => {
                 let outcome = self.client.remove_core(proposal_id, id).await;
-                operator_api::result(proposal_id, &outcome)
+                operator_api::change_response(proposal_id, &outcome)
             }
             OperatorRequest::Proposal(proposal_id) => {
                 let outcome = self.client.find_outcome(proposal_id).await;
-                operator_api::result(proposal_id, &outcome)
+                operator_api::change_response(proposal_id, &outcome)
             }
             OperatorRequest::Configuration => self.configuration().await,
             OperatorRequest::Status => match self.client.read_status().await {
@@ -105,7 +109,7 @@
                 None => no_control_plane(),
             },
             OperatorRequest::Metrics => match self.client.read_status().await {
-                Some(state) => operator_api::metrics(&state.status),
+                Some(state) => operator_api::metrics_response(&state.status),
                 None => no_control_plane(),
             },
         }
@@ -120,10 +124,10 @@
         let document = view.document.as_ref().map(|document| document.as_str());
         let zone_name = |zone: &u16| self.settings.names.zone_name(*zone).to_string();
         let evacuated: Vec<String> = view.evacuated.iter().map(zone_name).collect();
-        operator_api::configuration_view(view.version, document, &evacuated)
+        operator_api::configuration_response(view.version, document, &evacuated)
     }
 }
 
 fn no_control_plane() -> Response {
-    http::shed(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
+    http::error_response(ErrorCode::NoControlPlane, "", RETRY_AFTER_S)
 }
--- a/sorreldoor/src/control_plane/controller/membership.rs
+++ b/sorreldoor/src/control_plane/controller/membership.rs
@@ -8,7 +8,7 @@
 use crate::control_plane::membership::{Health, Observation};
 use crate::log_events::LogEvent;
 use crate::types::{NodeId, ProposalId};
-use crate::wire::{OpOutcome, Payload};
+use crate::wire::{Payload, ProposalOutcome};
 
 impl Controller {
     /// On the Global Leader, starts the membership change that is due, if any.
@@ -68,7 +68,7 @@
         if remaining.is_empty() || core == self.own_hello.id {
             self.effects.push(ControllerEffect::ChangeDone {
                 request_id,
-                outcome: OpOutcome::NotTaken,
+                outcome: ProposalOutcome::Rejected,
             });
             return;
         }
--- a/sorreldoor/src/control_plane/controller/reads.rs
+++ b/sorreldoor/src/control_plane/controller/reads.rs
@@ -5,17 +5,17 @@
 use crate::consensus::{Event, StateMachine};
 use crate::control_plane::events::ControllerEffect;
 use crate::control_plane::reads::Read;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::replicated_state::decode;
 use crate::types::ProposalId;
-use crate::wire::{OpOutcome, StateDelta};
+use crate::wire::{ProposalOutcome, StateDelta};
 
 impl Controller {
     /// Queues a read for the next confirmation; answers it as not confirmed at once
     /// where this core is partitioned from the quorum.
     pub(super) fn request_read(&mut self, read: Read) {
         let partitioned = self.consensus.as_ref().is_some_and(|c| c.is_partitioned());
-        if partitioned && !broken(Invariant::Proof) {
+        if partitioned && !is_disabled(Invariant::QuorumConfirmedRead) {
             // a wait would time out; another core may reach the quorum
             return self.answer_reads(vec![read], false);
         }
@@ -32,7 +32,7 @@
             let reads = self.reads.take_queued();
             return self.answer_reads(reads, false);
         }
-        if broken(Invariant::Proof) {
+        if is_disabled(Invariant::QuorumConfirmedRead) {
             let reads = self.reads.take_queued();
             return self.answer_reads(reads, true);
         }
@@ -100,13 +100,13 @@
 
     /// The outcome of a proposal as the replicated state has it. `Nothing` if it
     /// has none and is confirmed current, `Unknown` if it has none otherwise.
-    fn recorded_outcome(&self, proposal_id: ProposalId, confirmed: bool) -> OpOutcome {
+    fn recorded_outcome(&self, proposal_id: ProposalId, confirmed: bool) -> ProposalOutcome {
         let state = self.consensus.as_ref().map(|c| c.state_machine());
         let bytes = state.and_then(|state| state.recorded_outcome(proposal_id));
         match bytes.and_then(|bytes| decode(&bytes)) {
-            Some(outcome) => OpOutcome::Got(outcome),
-            None if confirmed => OpOutcome::Nothing,
-            None => OpOutcome::Unknown,
+            Some(outcome) => ProposalOutcome::Committed(outcome),
+            None if confirmed => ProposalOutcome::NotFound,
+            None => ProposalOutcome::Unknown,
         }
     }
 }
--- a/sorreldoor/src/control_plane/daemon.rs
+++ b/sorreldoor/src/control_plane/daemon.rs
@@ -86,7 +86,7 @@
     S: Store + 'static,
 {
     let settings = Arc::new(settings);
-    let mut store = storage_driver::open(&settings.data.clone().unwrap_or_default())?;
+    let mut store = storage_driver::open(&settings.data_dir.clone().unwrap_or_default())?;
     let id = storage_driver::identity(&mut store);
     let (events, queue) = runtime::event_queue(MAX_QUEUED_EVENTS);
     let address = settings.listen.context(NoListenAddressSnafu)?;
@@ -95,11 +95,11 @@
     let mut controller = Controller::new(config, store.consensus_state(), 0);
     let net = start_net(&settings, listener, &events);
     let client = ControllerClient::new(events.clone(), settings.ack_ms);
-    let gate = http::Gate::default();
+    let shutdown = http::ShutdownHandle::default();
     let node = &settings.node;
     log_event(LogEvent::Started, format!("core {node} ({id:x})"));
     log_event(LogEvent::Listening, format!("frames {address}"));
-    server.start(client.clone(), gate.clone())?;
+    server.start(client.clone(), shutdown.clone())?;
     start_metrics(&settings, &client)?;
     start_event_sources(&settings, source.as_ref(), &events)?;
     let storage = StorageDriver::start(wrap_store(store), events.clone());
@@ -110,7 +110,7 @@
         source,
         storage,
         events,
-        gate,
+        shutdown,
         stop_at: None,
         next_metrics_at: Instant::now(),
     };
@@ -195,8 +195,8 @@
     events: &EventSender<ControllerEvent>,
 ) -> Result<(), StartError> {
     let interval = Duration::from_millis(settings.pacing.tick_ms);
-    crate::run::ticker(events.clone(), interval, || ControllerEvent::Tick);
-    crate::run::on_term(events.clone(), || ControllerEvent::Stop).context(SignalsSnafu)?;
+    crate::run::start_ticker(events.clone(), interval, || ControllerEvent::Tick);
+    crate::run::on_termination(events.clone(), || ControllerEvent::Stop).context(SignalsSnafu)?;
     if let Some(source) = source.filter(|source| source.is_versioned()) {
         task::spawn(watch_workers(source.clone(), events.clone()));
     }
@@ -211,7 +211,7 @@
     source: Option<Arc<dyn WorkerSource>>,
     storage: StorageDriver<S>,
     events: EventSender<ControllerEvent>,
-    gate: http::Gate,
+    shutdown: http::ShutdownHandle,
     /// When the event loop may end; set once the controller is stopping.
     stop_at: Option<Instant>,
     /// When the metrics are published next.
@@ -226,12 +226,13 @@
         if controller.is_stopping() && self.stop_at.is_none() {
             log_event(LogEvent::ShuttingDown, "core");
             self.stop_at = Some(Instant::now() + STOP_DELAY);
-            self.gate.shut();
+            self.shutdown.begin();
         }
         let Some(stop_at) = self.stop_at else {
             return true;
         };
-        let drained = || self.gate.open() == 0 || Instant::now() >= stop_at + DRAIN_TIMEOUT;
+        let drained =
+            || self.shutdown.open_connections() == 0 || Instant::now() >= stop_at + DRAIN_TIMEOUT;
         Instant::now() < stop_at || !drained()
     }
 
--- a/sorreldoor/src/control_plane/distribution.rs
+++ b/sorreldoor/src/control_plane/distribution.rs
@@ -5,11 +5,11 @@
 use super::updates::{NextUpdate, Updates};
 use crate::consensus::Member;
 use crate::discovery::{Loads, WorkerRegistry};
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::replicated_state::{encode, ReplicatedState};
 use crate::types::Millis;
-use crate::wire::{mark, KnownVersions, StateDelta};
+use crate::wire::{stable_hash, KnownVersions, StateDelta};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -52,7 +52,7 @@
         let interval = (bytes / ENDPOINT_BYTES_PER_MS) as Millis;
         let sent_at = self.endpoints_sent_at.get(&conn);
         let due = sent_at.is_none_or(|sent_at| now.saturating_sub(*sent_at) >= interval);
-        if due || broken(Invariant::EndpointsPaced) {
+        if due || is_disabled(Invariant::EndpointListRate) {
             self.endpoints_sent_at.insert(conn, now);
             return true;
         }
@@ -88,7 +88,8 @@
             registry: sources
                 .registry
                 .filter(|list| list.version > known.registry),
-            loads: Some(sources.loads.clone()).filter(|loads| loads.mark() > known.loads),
+            loads: Some(sources.loads.clone())
+                .filter(|loads| loads.epoch_and_version() > known.loads),
             edge_sessions: sends_endpoints
                 .then(|| (endpoints.version, endpoints.endpoints.to_vec())),
         }
@@ -102,6 +103,6 @@
     let cores: Vec<(String, u8)> = voters
         .map(|member| (member.addr.clone(), member.region))
         .collect();
-    let version = mark(&encode(&cores));
+    let version = stable_hash(&encode(&cores));
     (version != known && !cores.is_empty()).then_some((version, cores))
 }
--- a/sorreldoor/src/control_plane/updates.rs
+++ b/sorreldoor/src/control_plane/updates.rs
@@ -1,11 +1,11 @@
 //! Updates of the replicated state for edges: encoded once for all edges with the
 //! same base revision, with flow control for large updates.
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::replicated_state::ReplicatedState;
 use crate::types::Millis;
-use crate::wire::{EncodedUpdate, LARGE_UPDATE};
+use crate::wire::{EncodedUpdate, LARGE_UPDATE_BYTES};
 use std::collections::BTreeMap;
 
 /// Maximum bytes of large updates in flight from one core: a third of a second on
@@ -71,7 +71,7 @@
         }
         let update = self.encoded(state, known);
         let bytes = update.bytes.len();
-        if bytes > LARGE_UPDATE && !broken(Invariant::CopiesBounded) {
+        if bytes > LARGE_UPDATE_BYTES && !is_disabled(Invariant::LargeUpdatesBounded) {
             if !self.has_capacity(bytes) {
                 return NextUpdate::Withheld;
             }
--- a/sorreldoor/src/gateway/request_table/explain.rs
+++ b/sorreldoor/src/gateway/request_table/explain.rs
@@ -1,5 +1,5 @@
-//! Explains to operators where a request would go now, by the same functions
-//! that serve requests.
+//! Explains to operators where a request would be sent now, with the functions
+//! that also place real requests.
 
 use super::matching::Match;
 use super::{ClusterView, Request, RequestSpec, RequestTable};
@@ -69,8 +69,8 @@
             let _ = v.insert("service", service.name.as_str());
             let _ = v.insert("weight", weight.unwrap_or(share.weight));
             let _ = v.insert("set", share.weight);
-            let _ = v.insert("least", share.least);
-            let _ = v.insert("most", share.most);
+            let _ = v.insert("least", share.min_weight);
+            let _ = v.insert("most", share.max_weight);
             v
         })
         .collect()
--- a/sorreldoor/src/gateway/session.rs
+++ b/sorreldoor/src/gateway/session.rs
@@ -1,5 +1,5 @@
-//! The edge's session with the control plane: frames received, and the state
-//! that they bring.
+//! The edge's session with the control plane: handles received frames and
+//! applies the state updates in them.
 
 use super::controller::EdgeController;
 use super::event::EdgeEffect;
@@ -8,7 +8,7 @@
 use crate::log_events::LogEvent;
 use crate::net::{Conn, NetEvent};
 use crate::subscription::GrantOutcome;
-use crate::wire::{EncodedUpdate, OpOutcome, Payload, StateDelta, LARGE_UPDATE};
+use crate::wire::{EncodedUpdate, Payload, ProposalOutcome, StateDelta, LARGE_UPDATE_BYTES};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -42,7 +42,7 @@
             .collect();
         for request_id in lost {
             // it was sent on that connection, so it may have been accepted
-            self.on_proposal_result(request_id, OpOutcome::Unknown);
+            self.on_proposal_result(request_id, ProposalOutcome::Unknown);
         }
     }
 
@@ -64,7 +64,7 @@
                     .on_claim_result(&mut self.cluster, result, lease_valid, self.now);
             }
             Payload::Released { request_id } => self.pending_releases.confirm(request_id),
-            Payload::OpDone {
+            Payload::ProposalResult {
                 request_id,
                 outcome,
             } => self.on_proposal_result(request_id, outcome),
@@ -80,8 +80,8 @@
     }
 
     fn on_grant(&mut self, no: u64, ok: bool, delta: StateDelta) {
-        // state from a core that could not prove itself may be old, and is
-        // applied only by an edge that has none at all
+        // a core that has not proved itself current may send stale state, which
+        // only an edge without a configuration applies
         let has_document = delta.record.as_ref().is_some_and(|r| r.has_document);
         if delta.record_withheld {
             self.pull.on_withheld_grant(no, self.now);
@@ -97,7 +97,7 @@
         }
     }
 
-    fn on_proposal_result(&mut self, request_id: RequestId, outcome: OpOutcome) {
+    fn on_proposal_result(&mut self, request_id: RequestId, outcome: ProposalOutcome) {
         if self.pending_proposals.remove(&request_id).is_some() {
             self.effects
                 .push(EdgeEffect::ProposalResult(request_id, outcome));
@@ -112,7 +112,7 @@
             self.apply_registry(registry);
         }
         if let Some(loads) = delta.loads {
-            self.pull.known_versions.loads = loads.mark();
+            self.pull.known_versions.loads = loads.epoch_and_version();
             self.cluster.apply_loads(loads);
         }
         if let Some(edge_sessions) = delta.edge_sessions {
@@ -141,7 +141,7 @@
     fn apply_update(&mut self, encoded: &EncodedUpdate) {
         let update = encoded.update();
         if !update.as_ref().is_some_and(|u| self.replica.apply(u)) {
-            // it does not continue from the replica's state: request all of it
+            // it does not apply to the replica's revision: request full state
             self.pull.known_versions.record = 0;
             return self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
@@ -149,7 +149,7 @@
         if !self.cluster.apply_view(self.replica.view()) {
             self.log_event(LogEvent::ConfigurationUnreadable, "");
         }
-        if encoded.bytes.len() > LARGE_UPDATE {
+        if encoded.bytes.len() > LARGE_UPDATE_BYTES {
             // the core sends nothing more before this is acknowledged
             if let Some(conn) = self.pull.conn {
                 let renewal = self.pull.renew(conn, self.now);
--- a/sorreldoor/src/metrics/server.rs
+++ b/sorreldoor/src/metrics/server.rs
@@ -1,8 +1,8 @@
-//! The HTTP endpoint that is scraped.
+//! The HTTP endpoint for scrapes.
 
 use super::CONTENT_TYPE;
 use crate::error::ErrorCode;
-use crate::http::{self, Gate};
+use crate::http::{self, ShutdownHandle};
 use async_std::net::TcpListener;
 use http_types::{Method, Response, StatusCode};
 use std::fmt;
@@ -10,19 +10,19 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Scrapers that may be connected at once.
+/// The maximum number of open connections of scrapers.
 const MAX_CONNECTIONS: usize = 8;
 
-/// Where a process shows its metrics: written as `PORT/PATH`.
+/// Port and path of the metrics endpoint; written as `PORT/PATH`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsEndpoint {
-    /// The port that it listens on.
+    /// The TCP port.
     pub port: u16,
-    /// The path of its one page, with the leading slash.
+    /// The path of the metrics, with the leading slash.
     pub path: String,
 }
 
-/// A text that is no [`MetricsEndpoint`].
+/// A text that is not a valid [`MetricsEndpoint`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseEndpointError {
     text: String,
@@ -54,14 +54,14 @@
 }
 
 impl MetricsEndpoint {
-    /// The address that it listens on.
+    /// The address to listen on.
     #[must_use]
     pub fn address(&self, ip: IpAddr) -> SocketAddr {
         (ip, self.port).into()
     }
 }
 
-/// Serves the page for as long as it is polled; `encode` makes its text.
+/// Serves the metrics until the future is dropped; `encode` returns their text.
 pub(crate) async fn serve(
     listener: TcpListener,
     endpoint: MetricsEndpoint,
@@ -71,7 +71,7 @@
     http::serve(
         listener,
         MAX_CONNECTIONS,
-        Gate::default(),
+        ShutdownHandle::default(),
         move |request, _| {
             let page = page.clone();
             async move {
@@ -79,8 +79,8 @@
                 let is_page = request.url().path() == endpoint.path;
                 match request.method() {
                     Method::Get if is_page => text(encode()),
-                    _ if is_page => http::shed(ErrorCode::MethodNotAllowed, "", 1),
-                    _ => http::shed(ErrorCode::UnknownPath, "", 1),
+                    _ if is_page => http::error_response(ErrorCode::MethodNotAllowed, "", 1),
+                    _ => http::error_response(ErrorCode::UnknownPath, "", 1),
                 }
             }
         },
--- a/sorreldoor/src/proxy/controller.rs
+++ b/sorreldoor/src/proxy/controller.rs
@@ -6,7 +6,7 @@
 use crate::configuration::hosted::Hosted;
 use crate::configuration::Site;
 use crate::discovery::WorkerRegistry;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::log_events::LogEvent;
 use crate::metrics::EdgeFigures;
 use crate::net::{Conn, NetEvent};
@@ -336,7 +336,7 @@
 
     fn apply_update(&mut self, encoded: &EncodedUpdate) {
         let applies = |u: &StateUpdate| u.from_revision <= self.view.revision;
-        if self.view.revision > 0 && broken(Invariant::UpdatesApplied) {
+        if self.view.revision > 0 && is_disabled(Invariant::UpdatesApplied) {
             self.subscription.known_versions.record = encoded.revision;
             return;
         }
@@ -363,7 +363,7 @@
             weights: Vec::new(),
             regions: update.regions,
         };
-        if encoded.bytes.len() > LARGE_UPDATE {
+        if encoded.bytes.len() > LARGE_UPDATE_BYTES {
             // the core sends no more state until a large update is acknowledged
             self.renew();
         }
--- a/sorreldoor/src/proxy/upstream/attempt.rs
+++ b/sorreldoor/src/proxy/upstream/attempt.rs
@@ -4,7 +4,7 @@
 use super::connection_pool::Connection;
 use crate::balancer::{AttemptOutcome, RequestId, Target};
 use crate::configuration::hosted::Route;
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::proxy::dialect::Dialect;
 use crate::proxy::http1::{BodyDecoder, Head};
 use crate::proxy::request_state::RequestEvent;
@@ -105,7 +105,7 @@
     /// it cannot be reused.
     pub fn release_connection(&self, connection: Connection, head: &Head, decoder: &BodyDecoder) {
         // bytes after the response belong to no request
-        let clean = connection.buffer.is_empty() || broken(Invariant::CleanConnection);
+        let clean = connection.buffer.is_empty() || is_disabled(Invariant::CleanConnection);
         let reusable =
             decoder.is_complete() && connection.request_sent && !head.closes_connection() && clean;
         if !reusable {
--- a/sorreldoor/src/subscription/mod.rs
+++ b/sorreldoor/src/subscription/mod.rs
@@ -1,13 +1,12 @@
-//! An edge's subscription to the state of the cores. The edge keeps a session
-//! with one core and sends it lease renewals; each grant brings the state that
-//! the edge lacks and, if the core has confirmed with its leader that the state
-//! is current, extends the lease. If none is granted in time, one more core gets
-//! a renewal (a hedge), and the session moves to the first core that grants one.
+//! An edge's subscription to the cores' state. It renews its lease at one core; each
+//! grant brings the state that the edge lacks, and extends the lease if the core has
+//! confirmed that this state is current. If no grant arrives in time, one more core
+//! gets a renewal (a hedge), and the session moves to the first that grants one.
 
 mod candidates;
 mod lease;
 
-use crate::invariants::{broken, Invariant};
+use crate::invariants::{is_disabled, Invariant};
 use crate::net::Conn;
 use crate::pacing::Pacing;
 use crate::types::Millis;
@@ -29,8 +28,7 @@
 /// Time after the start of an edge in which it uses `STARTUP_RENEW_MS`; four
 /// times as long while no core has confirmed its state.
 const STARTUP_MS: Millis = 1500;
-/// Time beyond `unverified_after_ms` in which a starting edge accepts
-/// unconfirmed state from starting cores only; after it, from any core.
+/// Time beyond `unverified_after_ms` before unconfirmed state is accepted from any core.
 const LEADER_SEARCH_MS: Millis = 1000;
 
 /// An edge's subscription and lease: a state machine without I/O. Its owner calls
@@ -75,8 +73,7 @@
 pub enum GrantOutcome {
     /// The state is confirmed and the lease extended; the delta is applied.
     Confirmed,
-    /// The state is not confirmed, but accepted because the edge has no confirmed
-    /// state yet; the lease is extended and the delta applied.
+    /// Unconfirmed state, accepted only by an edge without confirmed state: as `Confirmed`.
     Unverified,
     /// The lease is not extended, and the delta is ignored.
     Rejected,
@@ -140,7 +137,8 @@
     /// Sets the name of the edge; its hash picks the seed to try first.
     pub fn with_node_name(self, node: &str) -> CoreSubscription {
         // edges that start at once must not all try the same seed first
-        let next_core = crate::placement::mix(node, "seed") as usize % self.cores.len().max(1);
+        let next_core =
+            crate::placement::hash_pair(node, "seed") as usize % self.cores.len().max(1);
         CoreSubscription {
             next_core,
             node_name: node.to_string(),
@@ -171,7 +169,7 @@
     fn renew_interval(&self, now: Millis) -> Millis {
         let age = now.saturating_sub(self.started_at);
         let is_starting = age < STARTUP_MS || (!self.was_confirmed && age < STARTUP_MS * 4);
-        let is_eager = !self.has_state() || broken(Invariant::Unhurried);
+        let is_eager = !self.has_state() || is_disabled(Invariant::UniformRenewalRate);
         if is_starting && is_eager {
             STARTUP_RENEW_MS.min(self.renew_ms)
         } else {
@@ -181,7 +179,7 @@
 
     /// Milliseconds without a grant after which a renewal is hedged.
     fn hedge_delay(&self) -> Millis {
-        let is_eager = !self.has_state() || broken(Invariant::Unhurried);
+        let is_eager = !self.has_state() || is_disabled(Invariant::UniformRenewalRate);
         if !self.was_confirmed && is_eager {
             STARTUP_HEDGE_MS.min(self.hedge_ms)
         } else {
@@ -223,7 +221,9 @@
         self.last_event_at = now;
         self.last_wall_ms = wall;
         // the monotonic clock may stop while the machine is suspended
-        if (gap > SUSPENSION_GAP_MS || jump > CLOCK_JUMP_MS) && !broken(Invariant::Woken) {
+        if (gap > SUSPENSION_GAP_MS || jump > CLOCK_JUMP_MS)
+            && !is_disabled(Invariant::LeaseVoidAfterSuspension)
+        {
             self.lease.void();
             self.renew_at = now;
             self.hedge_at = now + self.hedge_delay();
@@ -388,7 +388,9 @@
     /// Replaces the cores; those of the edge's own region (`true`) are tried first.
     pub fn set_cores(&mut self, mut cores: Vec<(SocketAddr, bool)>) {
         let name = &self.node_name;
-        cores.sort_by_key(|(addr, near)| (!near, crate::placement::mix(name, &addr.to_string())));
+        cores.sort_by_key(|(addr, near)| {
+            (!near, crate::placement::hash_pair(name, &addr.to_string()))
+        });
         if !cores.is_empty() && cores != self.cores {
             self.cores = cores;
             let is_session = |(addr, _): &(SocketAddr, bool)| Some(*addr) == self.session_addr;
--- a/sorreldoor/src/wire/mod.rs
+++ b/sorreldoor/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! Frames between the nodes of a site: the messages, and their encoding.
+//! The frame protocol between the nodes of a site: message types and their
+//! encoding.
 
 mod bootstrap;
 mod claims;
@@ -10,13 +11,16 @@
 
 pub use bootstrap::BootstrapMessage;
 pub use claims::{ClaimVote, ClaimsPage, SentRequest, VoteId};
-pub use codec::{length, mark, pack, unpack, Refused, MOST_FRAME, PROTO};
+pub use codec::{
+    decode_frame, encode_frame, frame_length, stable_hash, FrameError, MAX_FRAME_BYTES,
+    PROTOCOL_VERSION,
+};
 pub use hello::Hello;
-pub use lease::{EncodedUpdate, KnownVersions, StateDelta, Unverified, LARGE_UPDATE};
-pub use payload::{OpOutcome, Payload};
+pub use lease::{EncodedUpdate, KnownVersions, StateDelta, Unverified, LARGE_UPDATE_BYTES};
+pub use payload::{Payload, ProposalOutcome};
 pub use session::{EdgeEndpoint, EdgeSession, EdgeStatus, RouteLatency, SessionReport};
 
-/// Whether a field has its default and is left out of the frame.
-fn zero<T: Default + PartialEq>(t: &T) -> bool {
+/// Whether a value equals its default, so that serialization skips the field.
+fn is_default<T: Default + PartialEq>(t: &T) -> bool {
     *t == T::default()
 }
--- a/sorreldoor/tests/formats/main.rs
+++ b/sorreldoor/tests/formats/main.rs
@@ -1,11 +1,10 @@
-//! Frames between nodes and stored data keep their bytes: each sample is
-//! encoded and compared with `formats/samples.txt`, then read back from there.
+//! The formats of frames and stored data are stable: each sample is encoded and
+//! compared with `formats/samples.txt`, and decoded from there.
 //!
-//! The samples were written by the release before the renaming of types and
-//! fields. A line that differs means that nodes of two builds would not
-//! understand each other, or that a data folder would not be read. Only a
-//! deliberate change of format, with a new `PROTO` and a reader for the old
-//! data, may replace a line (`SORRELDOOR_WRITE_SAMPLES=1 cargo test`).
+//! A differing line means that this build cannot exchange frames with an earlier
+//! one or cannot read its data directory. Replace a line only for a deliberate
+//! change of format, with a new `PROTOCOL_VERSION` and a reader for the old data
+//! (`SORRELDOOR_WRITE_SAMPLES=1 cargo test`).
 
 mod legacy;
 mod messages;
@@ -15,7 +14,7 @@
 use sorreldoor::consensus::{Save, StateMachine};
 use sorreldoor::replicated_state::{decode, encode, ReplicatedState};
 use sorreldoor::store::DurableState;
-use sorreldoor::wire::{pack, unpack};
+use sorreldoor::wire::{decode_frame, encode_frame};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -42,7 +41,10 @@
 fn samples() -> BTreeMap<String, Vec<u8>> {
     let mut all = BTreeMap::new();
     for (index, payload) in payloads().iter().enumerate() {
-        all.insert(format!("frame-{index:02}"), pack(SITE_NAME, payload));
+        all.insert(
+            format!("frame-{index:02}"),
+            encode_frame(SITE_NAME, payload),
+        );
     }
     for (index, save) in saves().iter().enumerate() {
         all.insert(format!("save-{index:02}"), encode(save));
@@ -57,7 +59,7 @@
 
 fn stored_samples() -> BTreeMap<String, Vec<u8>> {
     let text =
-        std::fs::read_to_string(samples_path()).expect("the samples are kept beside the test");
+        std::fs::read_to_string(samples_path()).expect("tests/formats/samples.txt can be read");
     let lines = text.lines().filter_map(|line| line.split_once(' '));
     lines
         .map(|(name, hex)| (name.to_string(), parse_hex(hex)))
@@ -72,7 +74,7 @@
             .iter()
             .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
         std::fs::write(samples_path(), lines.collect::<String>())
-            .expect("the samples can be written");
+            .expect("tests/formats/samples.txt can be written");
     }
     let stored_samples = stored_samples();
     let stored_names: Vec<_> = stored_samples.keys().collect();
@@ -87,7 +89,7 @@
     let stored_samples = stored_samples();
     for (index, payload) in payloads().iter().enumerate() {
         let body = &stored_samples[&format!("frame-{index:02}")][4..];
-        assert_eq!(unpack(SITE_NAME, body).as_ref(), Ok(payload));
+        assert_eq!(decode_frame(SITE_NAME, body).as_ref(), Ok(payload));
     }
     for (index, save) in saves().iter().enumerate() {
         let decoded: Option<Save> = decode(&stored_samples[&format!("save-{index:02}")]);
--- a/testbed/tests/doors/main.rs
+++ b/testbed/tests/doors/main.rs
@@ -10,9 +10,9 @@
 use async_std::task;
 use http_types::Method;
 use simd_json::prelude::*;
-use sorreldoor::http::{Call, Called};
+use sorreldoor::http::{Call, CompleteResponse};
 use sorreldoor::json;
-use sorreldoor::wire::{pack, Payload, PROTO};
+use sorreldoor::wire::{encode_frame, Payload, PROTOCOL_VERSION};
 use std::net::SocketAddr;
 use std::time::Duration;
 use testbed::fleet::{configuration, press, Fleet, SitePreset};
@@ -43,13 +43,13 @@
     fleet: &Fleet,
     method: Method,
     path: &str,
-    heads: &[(&'static str, &str)],
+    headers: &[(&'static str, &str)],
     body: &[u8],
-) -> Called {
+) -> CompleteResponse {
     let call = Call {
         method,
         path: path.into(),
-        heads: heads
+        headers: headers
             .iter()
             .map(|(name, value)| (*name, value.to_string()))
             .collect(),
@@ -60,7 +60,7 @@
         .expect("the edge answers")
 }
 
-fn error_code(response: &Called) -> String {
+fn error_code(response: &CompleteResponse) -> String {
     let document = json::parse(&response.body, usize::MAX).unwrap_or_default();
     document
         .get("problem")
@@ -85,7 +85,7 @@
     let post = Method::Post;
     let large_body = vec![b' '; 2 << 20];
     let question_path = "/v1/errand/question";
-    let cases: Vec<(Called, u16, &str)> = vec![
+    let cases: Vec<(CompleteResponse, u16, &str)> = vec![
         (
             send_request(fleet, post, "/v1/errand/draft", &[], b"{bad"),
             400,
@@ -308,12 +308,15 @@
     let core = &fleet.nodes[fleet.cores()[0]];
     let address = core.listen.unwrap();
     let ping = Payload::Ping { no: 0 };
-    let mut foreign_frame = pack("other/north,south/n1@0,s1@1", &ping);
+    let mut foreign_frame = encode_frame("other/north,south/n1@0,s1@1", &ping);
     send_raw(address, &foreign_frame);
-    foreign_frame[4..6].copy_from_slice(&(PROTO + 1).to_le_bytes());
+    foreign_frame[4..6].copy_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
     send_raw(address, &foreign_frame);
     send_raw(address, &[255, 255, 255, 127, 0, 0]);
-    send_raw(address, &[6, 0, 0, 0, PROTO as u8, 0, 200, 201, 202, 203]);
+    send_raw(
+        address,
+        &[6, 0, 0, 0, PROTOCOL_VERSION as u8, 0, 200, 201, 202, 203],
+    );
     let log = fleet.root.join(format!("{}.log", core.name));
     assert!(fleet.until(WAIT_LIMIT, |_| {
         let text = std::fs::read_to_string(&log).unwrap_or_default();
