--- a/testbed/src/emulator/worker.rs
+++ b/testbed/src/emulator/worker.rs
@@ -1,22 +1,23 @@
-//! Emulated workers: connections, queues and answers.
+//! Emulated workers: accepting connections, queueing and running requests, replies.
 
 use super::engine::{Engine, EngineEvent, Task};
 use super::*;
 use std::collections::VecDeque;
 
+/// How a worker runs requests: in an inference engine, or one per slot from a queue.
 pub(crate) enum Backend {
     Engine(Box<Engine>),
     Plain { running: u32, queue: VecDeque<u64> },
 }
 
-/// How a worker corrupts some answers.
+/// How a worker corrupts a response: a reset, or invalid bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AnswerFault {
     Lost,
     Garbled,
 }
 
-/// One incarnation of a worker.
+/// One worker process; a restart creates another entry.
 pub(crate) struct EmulatedWorker {
     pub name: String,
     pub addr: SocketAddr,
@@ -27,7 +28,7 @@
     pub slots: u32,
     pub backend: Backend,
     pub ended_at: Option<Micros>,
-    /// Sends nothing until then.
+    /// Sends nothing until this time.
     pub silent_until: Micros,
     pub overloaded_until: Micros,
     pub answer_fault: Option<(AnswerFault, f64, Micros)>,
@@ -35,11 +36,13 @@
     pub slow_start: Vec<(Micros, Micros)>,
     pub recent_arrivals: VecDeque<Micros>,
     pub conns: u32,
-    /// Registered; draining since; announced end.
+    /// In the worker registry.
     pub listed: bool,
+    /// Draining since.
     pub leaving: Option<Micros>,
+    /// The announced time of its end.
     pub leaves: Option<Micros>,
-    /// From then on no request may reach it.
+    /// No request may arrive after this time.
     pub closed_at: Option<Micros>,
 }
 
@@ -72,7 +75,7 @@
             return;
         }
         let max = self.mix.services[w.service_index].max_conns;
-        self.worker_attempts[attempt_id as usize].there = Some(i);
+        self.worker_attempts[attempt_id as usize].connected_worker = Some(i);
         self.worker_attempts[attempt_id as usize].over_limit = w.conns >= max;
         w.conns += 1;
         let at = self.now + micros(1.0) + self.delay(from, to);
@@ -82,11 +85,11 @@
     /// A request arrives at a worker.
     pub(super) fn request_received(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
-        let Some(i) = s.there else { return };
+        let Some(i) = s.connected_worker else { return };
         if self.workers[i].ended_at.is_some() || s.over_limit {
             return self.reply(attempt_id, WorkerMessage::Reset);
         }
-        if self.workers[i].silent_until > self.now || s.cut {
+        if self.workers[i].silent_until > self.now || s.replies_stopped {
             return;
         }
         let misdirected = s.worker != i;
@@ -101,7 +104,7 @@
         if misdirected {
             return self.reply(attempt_id, WorkerMessage::Misdirected);
         }
-        self.statistics.arrived(
+        self.statistics.count_arrival(
             self.nodes[s.node].zone == self.workers[i].zone,
             self.nodes[s.node].region == self.workers[i].region,
         );
@@ -111,12 +114,12 @@
         let m = self.mix.clone();
         let x = &m.services[self.workers[i].service_index];
         let load = self.load(i);
-        let class =
-            &m.classes[self.client_requests[self.client_attempts[s.client_attempt].ask].class];
-        let a = &self.client_requests[self.client_attempts[s.client_attempt].ask];
+        let class = &m.classes
+            [self.client_requests[self.client_attempts[s.client_attempt].request_index].class];
+        let a = &self.client_requests[self.client_attempts[s.client_attempt].request_index];
         let tokens = a.events * x.engine.as_ref().map_or(1, |e| e.stride);
         let large = match &self.workers[i].backend {
-            Backend::Engine(e) => e.too_large(&a.parts, tokens),
+            Backend::Engine(e) => e.exceeds_memory(&a.prompt_segments, tokens),
             _ => false,
         };
         if self.workers[i].overloaded_until > self.now || load.waiting >= x.queue || large {
@@ -142,7 +145,8 @@
         }
     }
 
-    /// Whether a worker in slow start gets more than it can bear, and crashes.
+    /// Counts an arrival; true if the worker is in slow start and got so many requests in
+    /// the last second that it crashes.
     fn overloads_slow_start(&mut self, i: usize) -> bool {
         let now = self.now;
         let w = &mut self.workers[i];
@@ -156,7 +160,7 @@
             w.recent_arrivals.pop_front();
         }
         let slow_start = w.slow_start.iter().any(|(a, b)| (*a..*b).contains(&now));
-        // it falls over at well above what the bound lets through
+        // well above the bound that the balancer must keep
         slow_start && per_s > 0.0 && w.recent_arrivals.len() as f64 > per_s * 2.5 + 10.0
     }
 
@@ -176,7 +180,7 @@
         }
     }
 
-    /// A worker without engine is done with a request.
+    /// Ends a request of a worker without an engine and starts the next one queued.
     pub(super) fn plain_work_done(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let i = s.worker;
@@ -189,11 +193,11 @@
         };
         *running -= 1;
         let mut next = None;
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         while let Some(n) = queue.pop_front() {
             match &self.worker_attempts[n as usize] {
-                s if s.cut => {}
-                s if s.until <= now => over.push(n),
+                s if s.replies_stopped => {}
+                s if s.deadline <= now => expired.push(n),
                 _ => {
                     next = Some(n);
                     break;
@@ -202,41 +206,43 @@
         }
         *running += u32::from(next.is_some());
         let load = self.load(i);
-        over.into_iter()
+        expired
+            .into_iter()
             .for_each(|n| self.reply(n, WorkerMessage::Rejected(load)));
         if let Some(n) = next {
-            let c = self.client_requests
-                [self.client_attempts[self.worker_attempts[n as usize].client_attempt].ask]
+            let c = self.client_requests[self.client_attempts
+                [self.worker_attempts[n as usize].client_attempt]
+                .request_index]
                 .class;
             self.start_plain(n, self.mix.classes[c].work_ms);
         }
-        if s.until <= now {
+        if s.deadline <= now {
             return self.reply(attempt_id, WorkerMessage::TimedOut);
         }
         self.reply(attempt_id, WorkerMessage::Head(load));
         self.reply(attempt_id, WorkerMessage::End);
     }
 
-    /// A prompt joins the queue of the engine.
+    /// Adds a task to the engine's queue, and starts a step if the engine is idle.
     pub(super) fn enqueue_at_engine(&mut self, attempt_id: u64) {
         let s = self.worker_attempts[attempt_id as usize].clone();
         let i = s.worker;
-        if s.cut || self.workers[i].ended_at.is_some() {
+        if s.replies_stopped || self.workers[i].ended_at.is_some() {
             return;
         }
-        let a = &self.client_requests[self.client_attempts[s.client_attempt].ask];
+        let a = &self.client_requests[self.client_attempts[s.client_attempt].request_index];
         let Backend::Engine(e) = &mut self.workers[i].backend else {
             return;
         };
-        e.add(Task {
+        e.enqueue(Task {
             attempt_id,
             priority: s.priority,
             order: self.now << 20 | (attempt_id & 0xf_ffff),
-            parts: a.parts.clone(),
-            from: s.last * e.mix.stride,
+            prompt_segments: a.prompt_segments.clone(),
+            received: s.last_event * e.mix.stride,
             total: a.events * e.mix.stride,
-            made: 0,
-            until: s.until,
+            generated: 0,
+            deadline: s.deadline,
         });
         if !e.stepping {
             self.plan(i);
@@ -248,7 +254,7 @@
         let Backend::Engine(e) = &mut w.backend else {
             return;
         };
-        let ms = e.plan();
+        let ms = e.plan_step();
         e.stepping = ms.is_some();
         if let Some(ms) = ms {
             let at = self.now + micros(ms * w.speed).max(1);
@@ -266,7 +272,7 @@
             return;
         };
         let (early, was) = (e.mix.early_head, e.preemptions);
-        let outs = e.finish(now);
+        let outs = e.finish_step(now);
         self.statistics.preemptions += e.preemptions - was;
         let load = self.load(i);
         for o in outs {
@@ -274,7 +280,7 @@
                 EngineEvent::Admitted(attempt_id)
                     if early && !self.worker_attempts[attempt_id as usize].head_sent =>
                 {
-                    self.head(attempt_id, load);
+                    self.send_head(attempt_id, load);
                 }
                 EngineEvent::Admitted(_) => {}
                 EngineEvent::FirstToken(attempt_id) => {
@@ -283,7 +289,7 @@
                         attempt_id,
                     );
                     if !self.worker_attempts[attempt_id as usize].head_sent {
-                        self.head(attempt_id, load);
+                        self.send_head(attempt_id, load);
                     }
                 }
                 EngineEvent::Event(attempt_id, number, end) => {
@@ -298,21 +304,22 @@
                 EngineEvent::Expired(attempt_id, _) => {
                     self.reply(attempt_id, WorkerMessage::Rejected(load))
                 }
-                EngineEvent::Prefilled(attempt_id, p) => self.note_read(attempt_id, i, p),
+                EngineEvent::Prefilled(attempt_id, p) => self.record_prefill(attempt_id, i, p),
             }
         }
         self.plan(i);
     }
 
-    fn head(&mut self, attempt_id: u64, load: LoadReport) {
+    fn send_head(&mut self, attempt_id: u64, load: LoadReport) {
         self.worker_attempts[attempt_id as usize].head_sent = true;
         self.reply(attempt_id, WorkerMessage::Head(load));
     }
 
-    fn note_read(&mut self, attempt_id: u64, i: usize, p: sorreldoor::proxy::PromptSegment) {
-        let a = &self.client_requests
-            [self.client_attempts[self.worker_attempts[attempt_id as usize].client_attempt].ask];
-        let shared = a.parts.last().is_some_and(|l| l.id != p.id);
+    fn record_prefill(&mut self, attempt_id: u64, i: usize, p: sorreldoor::proxy::PromptSegment) {
+        let a = &self.client_requests[self.client_attempts
+            [self.worker_attempts[attempt_id as usize].client_attempt]
+            .request_index];
+        let shared = a.prompt_segments.last().is_some_and(|l| l.id != p.id);
         if shared
             && !self
                 .prefilled_segments
@@ -324,19 +331,19 @@
     }
 
     /// Sends a message back on the request's connection.
-    fn reply(&mut self, attempt_id: u64, a: WorkerMessage) {
+    fn reply(&mut self, attempt_id: u64, message: WorkerMessage) {
         let s = &self.worker_attempts[attempt_id as usize];
         let node = s.node;
-        let Some(i) = s.there else { return };
-        if s.cut {
+        let Some(i) = s.connected_worker else { return };
+        if s.replies_stopped {
             return;
         }
         if self.workers[i].silent_until > self.now {
-            // what it leaves out here must not be followed by the rest
-            self.worker_attempts[attempt_id as usize].cut = true;
+            // a dropped reply ends the response
+            self.worker_attempts[attempt_id as usize].replies_stopped = true;
             return;
         }
-        let a = match (s.answer_fault, a) {
+        let message = match (s.answer_fault, message) {
             (
                 Some(AnswerFault::Lost),
                 WorkerMessage::Head(_) | WorkerMessage::Event(_) | WorkerMessage::End,
@@ -345,21 +352,21 @@
                 Some(AnswerFault::Garbled),
                 WorkerMessage::Head(_) | WorkerMessage::Event(_) | WorkerMessage::End,
             ) => WorkerMessage::Garbled,
-            (_, a) => a,
+            (_, message) => message,
         };
         let at = self.now + self.delay(self.workers[i].zone, self.nodes[node].zone);
-        self.push(at, SimEvent::FromWorker(attempt_id, a));
+        self.push(at, SimEvent::FromWorker(attempt_id, message));
     }
 
-    /// The node has closed the connection.
+    /// Drops the work of an attempt whose connection the node has closed.
     pub(super) fn connection_closed(&mut self, attempt_id: u64) {
-        self.worker_attempts[attempt_id as usize].cut = true;
+        self.worker_attempts[attempt_id as usize].replies_stopped = true;
         let s = self.worker_attempts[attempt_id as usize].clone();
-        let Some(i) = s.there else { return };
+        let Some(i) = s.connected_worker else { return };
         let w = &mut self.workers[i];
         w.conns = w.conns.saturating_sub(1);
         match &mut w.backend {
-            Backend::Engine(e) if s.worker == i => e.drop_task(attempt_id),
+            Backend::Engine(e) if s.worker == i => e.cancel_task(attempt_id),
             Backend::Plain { queue, .. } => queue.retain(|q| *q != attempt_id),
             _ => {}
         }
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -154,7 +154,7 @@
         testbed::gateway_soak::soak(&mut fleet, args.seed, 24, Duration::from_secs(args.seconds));
     println!(
         "requests {}, served {}, rejected {}, unknown {}",
-        tally.requests, tally.served, tally.refused, tally.unsure
+        tally.requests, tally.served, tally.rejected, tally.uncertain
     );
     tally
         .violations
--- a/testbed/src/site/process_effects.rs
+++ b/testbed/src/site/process_effects.rs
@@ -1,4 +1,4 @@
-//! Steps of the processes' reducers, and what their effects do to the world.
+//! Steps the processes' reducers and carries out their effects.
 
 use super::inbox::Lane;
 use super::{LogRecord, Role, World};
@@ -12,11 +12,11 @@
 use sorreldoor::runtime::Reducer;
 use sorreldoor::types::Millis;
 
-/// How long the platform takes to answer for the list of workers.
+/// Latency of a read of the platform's list of workers.
 const REGISTRY_READ_MS: Millis = 20;
-/// How long the health checks of the workers take.
+/// Latency of the health checks of the workers.
 const HEALTH_CHECK_MS: Millis = 40;
-/// Between looks at a disk whose syncs do not complete.
+/// Interval at which the sync of a stuck disk is tried again.
 const STUCK_DISK_RETRY_MS: Millis = 50;
 
 impl World {
@@ -73,9 +73,11 @@
     fn core_effect(&mut self, process: usize, effect: ControllerEffect) {
         match effect {
             ControllerEffect::Save(seq, save) => self.save(process, seq, save),
-            ControllerEffect::StoreValue("sure", _) => self.processes[process].sure = true,
+            ControllerEffect::StoreValue("sure", _) => {
+                self.processes[process].claims_caught_up = true
+            }
             ControllerEffect::StoreValue(_, bytes) => {
-                self.processes[process].promise = decode(&bytes)
+                self.processes[process].promised_founders = decode(&bytes)
             }
             ControllerEffect::Send(conn, payload) => self.send(process, conn, payload),
             ControllerEffect::Connect(addr) => self.connect(process, addr),
@@ -84,13 +86,13 @@
             ControllerEffect::ChangeDone {
                 request_id,
                 outcome,
-            } => self.changed(request_id, outcome),
+            } => self.change_answered(request_id, outcome),
             ControllerEffect::ViewReady {
                 request_id,
                 confirmed,
             } => {
                 self.record_read(process, request_id, confirmed);
-                self.viewed(process, request_id, confirmed);
+                self.read_answered(process, request_id, confirmed);
             }
             ControllerEffect::StatusReady { .. } => {}
             ControllerEffect::ReadWorkerList => self.read_registry(process),
@@ -107,7 +109,9 @@
             EdgeEffect::Send(conn, payload) => self.send(process, conn, payload),
             EdgeEffect::Connect(addr) => self.connect(process, addr),
             EdgeEffect::Disconnect(addr) => self.disconnect(process, addr),
-            EdgeEffect::ProposalResult(request_id, outcome) => self.changed(request_id, outcome),
+            EdgeEffect::ProposalResult(request_id, outcome) => {
+                self.change_answered(request_id, outcome)
+            }
             EdgeEffect::Request(effect) => self.request_effect(process, effect),
             EdgeEffect::Admitted(request_id, profile) => {
                 self.send_body(process, request_id, profile)
@@ -155,7 +159,8 @@
         });
     }
 
-    /// The holder of the singleton role reads the platform's list of workers.
+    /// Starts a read of the platform's list of workers by the holder of the
+    /// singleton role.
     fn read_registry(&mut self, process: usize) {
         self.registry_reads += 1;
         let registry = WorkerRegistry {
@@ -168,7 +173,7 @@
         });
     }
 
-    /// The platform's answer reaches a core.
+    /// Delivers the platform's list of workers to a core.
     pub(super) fn deliver_registry(
         &mut self,
         process: usize,
