--- a/testbed/src/emulator/policy.rs
+++ b/testbed/src/emulator/policy.rs
@@ -102,7 +102,7 @@
     Violating(Violation),
 }
 
-/// How [`ViolatingBalancer`] deviates from the balancer, to show that a check can fail.
+/// How `ViolatingBalancer` deviates from the balancer, to show that a check can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Attempts that may have run are retried as if a worker had rejected them.
