--- a/testbed/src/capacity/network.rs
+++ b/testbed/src/capacity/network.rs
@@ -209,7 +209,7 @@
                 let read = || {
                     wire::frame_length(head).and_then(|_| wire::decode_frame(SITE_MARK, &b[4..]))
                 };
-                (k, m.time("decode_frame", read).ok().map(Box::new))
+                (k, m.time("unpack", read).ok().map(Box::new))
             }
         };
         match payload {
