--- a/testbed/tests/site/mutants.rs
+++ b/testbed/tests/site/mutants.rs
@@ -322,7 +322,7 @@
     assert_detected(Invariant::BaseVersion, "committed as", races);
     assert_detected(
         Invariant::RejectionLeavesNoTrace,
-        "nobody acknowledged",
+        "unacknowledged configuration",
         races,
     );
 }
